--- a/emulator/src/balancer.rs
+++ b/emulator/src/balancer.rs
@@ -1,6 +1,6 @@
 //! Balancers: the code in service round its chooser, the CPU that it may use, and its attempts on their way.
 
-use gradepaddle::{ListKind, Micros, State as Listed};
+use gradepaddle::{ListKind, LoadReport, Micros, State as Listed};
 use gradepaddle_dispatch::{
     Cause, Chooser, Defect, Dispatch, Extent, FinalAnswer, Guard, Input, Limits, Output, Transaction,
 };
@@ -11,8 +11,8 @@
 use crate::judge::Rule;
 use crate::queue::{Event, FlightKey, TryKey};
 use crate::random::{Party, Stream};
-use crate::scenario::{Repeats, millis, seconds};
-use crate::server::State;
+use crate::scenario::{Repeats, Within, millis, seconds};
+use crate::server::{Server, State};
 use crate::world::World;
 
 /// The rules in service, or none of them, for a test of the monitors.
@@ -90,10 +90,12 @@
     Lost,
 }
 
-/// An attempt on its way.
+/// An attempt on its way, or a probe.
 #[derive(Clone, Debug)]
 pub struct Flight {
+    /// Of no try if it is a probe.
     pub of: TryKey,
+    pub probe: bool,
     /// The number of its try.
     pub serial: u64,
     pub balancer: u32,
@@ -104,6 +106,10 @@
     pub key: u32,
     /// Work for a key that is not warm.
     pub work: f64,
+    /// It waits on others for so long besides.
+    pub io: Micros,
+    /// When it was sent.
+    sent: Micros,
     /// What its new connection costs.
     pub extra: f64,
     /// What it took in the end.
@@ -116,6 +122,8 @@
     /// It is reset on its way back.
     pub doomed: bool,
     cause: Cause,
+    /// What its app server told of its load.
+    report: Option<LoadReport>,
     /// A connection is held for it.
     connected: bool,
 }
@@ -283,7 +291,7 @@
             class: quest.counted.class as usize,
             tenant: Some(quest.counted.branch as usize),
             key: Some(format!("k{}", quest.key)),
-            hint: None,
+            hint: quest.hint,
             arrived: now,
             time_left: gives_up.saturating_sub(now),
             whole: true,
@@ -443,6 +451,9 @@
                     unwritten.map(|(key, f)| (key, f.of.data().as_ffi(), f.attempt)).collect();
                 for (key, ticket, attempt) in unwritten {
                     self.give_over(key);
+                    if ticket == TryKey::null().data().as_ffi() {
+                        continue;
+                    }
                     let (extent, cause) = (Extent::Nothing, Cause::Closed);
                     inputs.push(Input::Ended { ticket, attempt, extent, cause, reply: None, report: None });
                 }
@@ -453,9 +464,13 @@
                 }
             }
             Output::Watch => self.call(number),
+            Output::Probe { server } => {
+                if let Some(server) = crate::policy::number(&server) {
+                    self.probe(number, server, late);
+                }
+            }
             Output::Standing { .. }
             | Output::Forgotten { .. }
-            | Output::Probe { .. }
             | Output::Log { .. }
             | Output::Defect { .. } => {}
         }
@@ -469,7 +484,7 @@
         if one.answered {
             self.judge.breach(Rule::OneAnswer, now, serial, || format!("b{number} answers it again"));
         }
-        if one.effect == Repeats::Unsafe && matches!(answer, Answer::Refused { .. }) {
+        if self.binds(one.class) && matches!(answer, Answer::Refused { .. }) {
             let out = one.flights.iter().any(|(_, flight)| {
                 self.flights
                     .get(*flight)
@@ -483,6 +498,17 @@
         }
     }
 
+    /// Must a request of this class not be refused once it may have run? Its client would ask for it again, and
+    /// nobody knows where that goes.
+    fn binds(&self, class: u16) -> bool {
+        let of = &self.scenario.classes[class as usize];
+        match of.effect {
+            Repeats::Safe => false,
+            Repeats::Keyed => of.group != Within::All,
+            Repeats::Unsafe => true,
+        }
+    }
+
     fn flight_of(&self, key: TryKey, attempt: u32) -> Option<FlightKey> {
         let one = self.tries.get(key)?;
         let (_, flight) = one.flights.iter().find(|(number, _)| *number == attempt)?;
@@ -498,28 +524,63 @@
 
     /// Starts an attempt.
     fn start(&mut self, number: u32, of: TryKey, attempt: u32, to: u32, until: Micros, late: Micros) {
-        let now = self.now + late;
         let Some(one) = self.tries.get(of) else { return };
-        let (serial, key, base, cv) = (one.serial, one.key, one.work, one.attempt_cv);
-        let fleet = &self.scenario.fleet;
-        let balancer = &self.balancers[number as usize];
-        let (life, zone, told) = (balancer.life, balancer.zone, balancer.tells(to).closed);
+        let (serial, key, base) = (one.serial, one.key, one.work);
+        let class = &self.scenario.classes[one.class as usize];
+        let io = millis(class.io_ms);
+        let work = base * self.attempts.factor(class.attempt_cv);
+        self.check_drain(number, to, serial);
+        self.judge.note(serial, self.now, || format!("b{number} sends it to s{to}"));
+        let flight = Flight { of, serial, attempt, key, work, io, ..self.flight(number, to, late) };
+        let crosses = self.servers[to as usize].zone != self.balancers[number as usize].zone;
+        if self.account.counts(self.now) {
+            self.account.crossed += u64::from(crosses);
+            self.account.second(self.now).attempts += 1;
+        }
+        let flight = self.depart(flight, until);
+        if let Some(one) = self.tries.get_mut(of) {
+            one.flights.push((attempt, flight));
+        }
+    }
+
+    /// Starts a probe.
+    fn probe(&mut self, number: u32, to: u32, late: Micros) {
+        self.check_drain(number, to, 0);
+        let scenario = &self.scenario.probe;
+        let (work, until) = (scenario.work_us, self.now + late + millis(scenario.timeout_ms));
+        let flight = Flight { probe: true, work, ..self.flight(number, to, late) };
+        if self.account.counts(self.now) {
+            self.account.probes += 1;
+        }
+        self.depart(flight, until);
+    }
+
+    /// Nothing new may go to an app server so long after its balancer was told that it drains or is gone.
+    fn check_drain(&mut self, number: u32, to: u32, serial: u64) {
         let grace = millis(self.scenario.rules.drain_grace_ms);
+        let told = self.balancers[number as usize].tells(to).closed;
         if let Some(at) = told.filter(|at| self.now > at + grace) {
             let what = || format!("b{number} sends it to s{to}, told closed at {:.3} s", at as f64 / 1e6);
             self.judge.breach(Rule::DrainKept, self.now, serial, what);
         }
-        self.judge.note(serial, self.now, || format!("b{number} sends it to s{to}"));
-        let mut flight = Flight {
-            of,
-            serial,
+    }
+
+    /// A flight from a balancer to an app server that has not left yet.
+    fn flight(&self, number: u32, to: u32, late: Micros) -> Flight {
+        Flight {
+            of: TryKey::null(),
+            probe: false,
+            serial: 0,
             balancer: number,
-            balancer_life: life,
-            attempt,
+            balancer_life: self.balancers[number as usize].life,
+            attempt: 0,
             server: to,
-            server_life: 0,
-            key,
-            work: base * self.attempts.factor(cv),
+            server_life: self.servers[to as usize].life,
+            // Remembered by nobody.
+            key: u32::MAX,
+            work: 0.0,
+            io: 0,
+            sent: self.now + late,
             extra: 0.0,
             met: 0.0,
             written_at: Micros::MAX,
@@ -527,14 +588,18 @@
             over: false,
             doomed: false,
             cause: Cause::OutOfTime,
+            report: None,
             connected: false,
-        };
-        let server = &mut self.servers[to as usize];
-        flight.server_life = server.life;
-        let there = server.zone;
-        if there != zone && self.account.counts(self.now) {
-            self.account.crossed += 1;
         }
+    }
+
+    /// Sends a flight on its way, on a connection that is idle or on a new one.
+    fn depart(&mut self, mut flight: Flight, until: Micros) -> FlightKey {
+        let (now, number) = (flight.sent, flight.balancer);
+        let zone = self.balancers[number as usize].zone;
+        let fleet = &self.scenario.fleet;
+        let server = &mut self.servers[flight.server as usize];
+        let there = server.zone;
         let mut back_at = None;
         let reused = server.reuse(number as usize, now, seconds(fleet.idle_s));
         if !self.network.joins(zone, there) {
@@ -572,33 +637,35 @@
             self.queue.push(at, Event::Land { flight });
         }
         self.queue.push(until.max(now), Event::Expire { flight });
-        if let Some(one) = self.tries.get_mut(of) {
-            one.flights.push((attempt, flight));
-        }
-        if self.account.counts(self.now) {
-            self.account.second(self.now).attempts += 1;
-        }
+        flight
     }
 
     /// An app server begins on an attempt.
     pub fn ran(&mut self, key: FlightKey) {
         let now = self.now;
         let Some(flight) = self.flights.get(key) else { return };
-        let (serial, server) = (flight.serial, flight.server);
-        self.judge.note(serial, now, || format!("s{server} works on it"));
+        let (serial, server, sent) = (flight.serial, flight.server, flight.sent);
         let Some(one) = self.tries.get_mut(flight.of) else { return };
+        self.judge.note(serial, now, || format!("s{server} works on it"));
         one.runs += 1;
-        let (runs, answered) = (one.runs, one.answer);
-        if one.effect == Repeats::Safe {
-            return;
-        }
-        if runs > 1 {
-            self.judge
-                .breach(Rule::NoSecondRun, now, serial, || format!("s{server} runs it for the {runs}. time"));
+        let (runs, answered, class) = (one.runs, one.answer, one.class);
+        let of = &self.scenario.classes[class as usize];
+        let again = match of.effect {
+            Repeats::Safe => false,
+            Repeats::Unsafe => runs > 1,
+            Repeats::Keyed => {
+                let group = group(of.group, &self.servers[server as usize]);
+                let (first, since) = *one.first_run.get_or_insert((group, sent));
+                group != first || sent > since + millis(of.window_ms)
+            }
+        };
+        if again {
+            let what = || format!("s{server} runs it for the {runs}. time");
+            self.judge.breach(Rule::NoSecondRun, now, serial, what);
         }
-        if matches!(answered, Some(Answer::Refused { .. })) {
-            self.judge
-                .breach(Rule::HonestRefusal, now, serial, || format!("s{server} runs it after its refusal"));
+        if self.binds(class) && matches!(answered, Some(Answer::Refused { .. })) {
+            let what = || format!("s{server} runs it after its refusal");
+            self.judge.breach(Rule::HonestRefusal, now, serial, what);
         }
     }
 
@@ -608,6 +675,11 @@
         if flight.over {
             return self.remove(key);
         }
+        let (probe, server) = (flight.probe, flight.server);
+        let answers = matches!(cause, Cause::Served | Cause::Failed | Cause::Unprocessed);
+        let report = if answers { self.report(server, probe) } else { None };
+        let Some(flight) = self.flights.get_mut(key) else { return };
+        flight.report = report;
         let (from, to) =
             (self.servers[flight.server as usize].zone, self.balancers[flight.balancer as usize].zone);
         flight.cause = cause;
@@ -628,6 +700,7 @@
         }
         let (ticket, attempt, cause) = (flight.of.data().as_ffi(), flight.attempt, flight.cause);
         let (number, server, serial) = (flight.balancer, flight.server, flight.serial);
+        let (probe, report) = (flight.probe, flight.report);
         let extent = self.extent(key);
         let keeps = matches!(cause, Cause::Served | Cause::Failed | Cause::Unprocessed);
         if keeps && self.servers[server as usize].life == flight.server_life {
@@ -636,15 +709,24 @@
         }
         self.judge.note(serial, self.now, || format!("b{number} hears from s{server}: {cause:?}"));
         self.remove(key);
+        if probe {
+            let server = self.servers[server as usize].id.clone();
+            return self.tell(number, Input::Probed { server, cause, report });
+        }
         let reply = (cause == Cause::Served).then_some(());
-        self.tell(number, Input::Ended { ticket, attempt, extent, cause, reply, report: None });
+        self.tell(number, Input::Ended { ticket, attempt, extent, cause, reply, report });
     }
 
     /// An attempt's time is up.
     pub fn expire(&mut self, key: FlightKey) {
         let Some(flight) = self.flights.get(key).filter(|flight| !flight.over) else { return };
         let (ticket, attempt, number) = (flight.of.data().as_ffi(), flight.attempt, flight.balancer);
-        let serial = flight.serial;
+        let (serial, probe, server) = (flight.serial, flight.probe, flight.server);
+        if probe {
+            self.give_over(key);
+            let (server, cause) = (self.servers[server as usize].id.clone(), Cause::OutOfTime);
+            return self.tell(number, Input::Probed { server, cause, report: None });
+        }
         let extent = self.extent(key);
         self.judge
             .note(serial, self.now, || format!("b{number} gives attempt {attempt} up, written: {extent:?}"));
@@ -676,3 +758,12 @@
         self.settle(flight.of, Some(key));
     }
 }
+
+/// The group of an app server: those that know of each other's keys.
+fn group(within: Within, server: &Server) -> u32 {
+    match within {
+        Within::All => 0,
+        Within::Zone => server.zone,
+        Within::Cell => server.cell,
+    }
+}
--- a/emulator/src/clients.rs
+++ b/emulator/src/clients.rs
@@ -6,19 +6,19 @@
 use crate::judge::{Counted, Ending, Rule};
 use crate::queue::{Event, FlightKey, QuestKey, TryKey};
 use crate::random::{Stream, Table};
-use crate::scenario::{Course, Repeats, Scenario, millis};
+use crate::scenario::{Course, Repeats, Scenario, Within, WorthBy, millis};
 use crate::world::World;
 
 /// What a client wants: a first try and those after it.
 #[derive(Clone, Debug)]
 pub struct Quest {
     pub counted: Counted,
-    pub effect: Repeats,
     /// Its client's zone.
     zone: u32,
     pub key: u32,
     work: f64,
-    attempt_cv: f64,
+    /// Its client's guess at that, in microseconds.
+    pub hint: Option<Micros>,
     /// Its client stays no longer.
     ends: Micros,
     tries: u32,
@@ -28,11 +28,11 @@
 #[derive(Clone, Debug)]
 pub struct Try {
     pub quest: QuestKey,
-    pub effect: Repeats,
+    /// Its class's position.
+    pub class: u16,
     pub key: u32,
     /// What it takes on a standard core without a warm key.
     pub work: f64,
-    pub attempt_cv: f64,
     pub serial: u64,
     pub balancer: u32,
     pub gives_up: Micros,
@@ -46,6 +46,8 @@
     closed: bool,
     /// How often an app server began on it.
     pub runs: u32,
+    /// Of a keyed one: where it was first begun on, and when that attempt was sent.
+    pub first_run: Option<(u32, Micros)>,
     pub flights: SmallVec<[(u32, FlightKey); 2]>,
 }
 
@@ -78,6 +80,8 @@
     length: f64,
     /// Keys that draw more than their part: by trouble, the share and which.
     hot: Vec<(u32, f64, Vec<u32>)>,
+    /// Classes some of whose requests are heavier: by trouble, the class, how many, and how many times.
+    heavy: Vec<(u32, usize, f64, f64)>,
     /// Traffic falls from then, over so long, to this share.
     fades: Vec<(Micros, Micros, f64)>,
     factor: f64,
@@ -109,6 +113,7 @@
             swing_us: load.swing_s * 1e6,
             length: scenario.day.length_s * 1e6,
             hot: Vec::new(),
+            heavy: Vec::new(),
             fades: Vec::new(),
             factor: 1.0,
             tokens: quotas.iter().map(|quota| (*quota, 0)).collect(),
@@ -126,6 +131,23 @@
         self.hot.retain(|(of, ..)| *of != trouble);
     }
 
+    /// Some requests of a class are so many times heavier.
+    pub fn burden(&mut self, trouble: u32, class: usize, share: f64, factor: f64) {
+        self.heavy.push((trouble, class, share, factor));
+    }
+
+    /// And no longer.
+    pub fn relieve(&mut self, trouble: u32) {
+        self.heavy.retain(|(of, ..)| *of != trouble);
+    }
+
+    /// How many times heavier this request is.
+    fn weight(&mut self, class: usize) -> f64 {
+        let stream = &mut self.stream;
+        let of_class = self.heavy.iter().filter(|(_, of, ..)| *of == class);
+        of_class.map(|(_, _, share, factor)| if stream.chance(*share) { *factor } else { 1.0 }).product()
+    }
+
     /// Traffic falls to this share over so long.
     pub fn fade(&mut self, from: Micros, over: Micros, to: f64) {
         self.fades.push((from, over, to));
@@ -225,8 +247,14 @@
         let key = source.key();
         let of = &self.scenario.classes[class];
         let work = of.work_ms * 1000.0 * source.stream.tailed(of.shape, of.cv);
+        let hint = self.scenario.load.hint_cv.map(|cv| (work * source.stream.factor(cv)) as Micros);
+        let work = work * source.weight(class);
         let in_share = source.in_share(branch, now);
         let worth = if in_share { of.worth } else { of.worth * self.scenario.load.over_share_worth };
+        let worth = match self.scenario.goal.worth_by {
+            WorthBy::Request => worth,
+            WorthBy::Work => worth * work / (of.work_ms * 1000.0),
+        };
         let counted = Counted {
             class: class as u16,
             branch: branch as u16,
@@ -237,16 +265,7 @@
         };
         self.account.asked(&counted);
         self.account.offered += work;
-        let quest = Quest {
-            counted,
-            effect: of.effect,
-            zone,
-            key,
-            work,
-            attempt_cv: of.attempt_cv,
-            ends: now + millis(of.deadline_ms),
-            tries: 0,
-        };
+        let quest = Quest { counted, zone, key, work, hint, ends: now + millis(of.deadline_ms), tries: 0 };
         let quest = self.quests.insert(quest);
         self.start_try(quest);
         self.queue.push(next, Event::Arrive);
@@ -272,8 +291,8 @@
         let now = self.now;
         let Some(quest) = self.quests.get_mut(key) else { return };
         quest.tries += 1;
-        let (zone, ends, effect) = (quest.zone, quest.ends, quest.effect);
-        let (key_of, work, attempt_cv) = (quest.key, quest.work, quest.attempt_cv);
+        let (zone, ends, class) = (quest.zone, quest.ends, quest.counted.class);
+        let (key_of, work) = (quest.key, quest.work);
         let share = self.habits.try_share;
         let whole = ends - quest.counted.arrived;
         let gives_up = (now + (whole as f64 * share) as Micros).min(ends);
@@ -283,10 +302,9 @@
         let serial = self.serial;
         let one = Try {
             quest: key,
-            effect,
+            class,
             key: key_of,
             work,
-            attempt_cv,
             serial,
             balancer,
             gives_up,
@@ -296,6 +314,7 @@
             waits: true,
             closed: false,
             runs: 0,
+            first_run: None,
             flights: SmallVec::new(),
         };
         let one = self.tries.insert(one);
@@ -386,13 +405,18 @@
     }
 
     /// Tries again, if habit and class allow it: after a refusal, or where nobody was there, any request,
-    /// else only one that may run again.
+    /// else only one that may run again wherever it then goes.
     fn maybe_again(&mut self, key: QuestKey, harmless: bool, pause: Micros, ending: Ending) {
         let now = self.now;
         let Some(quest) = self.quests.get(key) else { return };
         let storm = self.habits.storm;
         let retries = storm.unwrap_or(self.habits.retries);
-        let safe = quest.effect == Repeats::Safe;
+        let of = &self.scenario.classes[quest.counted.class as usize];
+        let safe = match of.effect {
+            Repeats::Safe => true,
+            Repeats::Keyed => of.group == Within::All && now < quest.counted.arrived + millis(of.window_ms),
+            Repeats::Unsafe => false,
+        };
         let mut wait = if storm.is_some() { 0 } else { self.habits.backoff };
         if pause > 0 && storm.is_none() && self.habits.stream.chance(self.habits.honour) {
             wait = wait.max(pause);
--- /dev/null
+++ b/emulator/src/gauge.rs
@@ -0,0 +1,98 @@
+//! What an app server tells of its queue: as it was at its last refresh, some time ago, and not exactly.
+
+use std::collections::VecDeque;
+
+use gradepaddle::Micros;
+
+use crate::random::Stream;
+use crate::scenario::{Report, millis};
+
+/// Keeps what refreshes saw without an event for each: the queue is noted only when it changes.
+#[derive(Clone, Debug)]
+pub struct Gauge {
+    period: Micros,
+    delay: Micros,
+    noise: f64,
+    /// Refreshes are at whole periods less this.
+    phase: Micros,
+    stream: Stream,
+    /// What refreshes saw, the earliest first: when, and how many waited. Those that saw the same as the one
+    /// before are left out.
+    seen: VecDeque<(Micros, u32)>,
+    /// All refreshes up to then are accounted for.
+    upto: Micros,
+}
+
+impl Gauge {
+    /// One that is refreshed at a moment of its own.
+    pub fn new(report: &Report, mut stream: Stream) -> Self {
+        let period = millis(report.period_ms).max(1);
+        let phase = (stream.share() * period as f64) as Micros;
+        Gauge {
+            period,
+            delay: millis(report.delay_ms),
+            noise: report.noise,
+            phase,
+            stream,
+            seen: VecDeque::new(),
+            upto: 0,
+        }
+    }
+
+    /// So many have waited since the last call, or since it began.
+    pub fn note(&mut self, now: Micros, waiting: usize) {
+        let next = (self.upto + self.phase) / self.period + 1;
+        let first = next * self.period - self.phase;
+        let waiting = u32::try_from(waiting).unwrap_or(u32::MAX);
+        if first <= now && self.seen.back().is_none_or(|(_, last)| *last != waiting) {
+            self.seen.push_back((first, waiting));
+        }
+        self.upto = now;
+        // All but the last of what is old enough to be told is of no more use.
+        while self.seen.get(1).is_some_and(|(at, _)| at + self.delay <= now) {
+            self.seen.pop_front();
+        }
+    }
+
+    /// What is told now, where so many wait in truth.
+    pub fn read(&mut self, now: Micros, waiting: usize) -> f64 {
+        self.note(now, waiting);
+        let told = self.seen.front().filter(|(at, _)| at + self.delay <= now);
+        told.map_or(0.0, |(_, waiting)| f64::from(*waiting) * self.stream.factor(self.noise))
+    }
+
+    /// Its process is new.
+    pub fn reset(&mut self, now: Micros) {
+        self.seen.clear();
+        self.upto = now;
+    }
+}
+
+#[cfg(test)]
+mod tests {
+    use super::*;
+    use crate::random::Party;
+    use crate::scenario::Reporting;
+
+    /// Guards reports that know more than an app server would tell: they show what the last refresh saw that is
+    /// old enough, and neither the moment nor what came and went between two refreshes.
+    #[test]
+    fn a_report_shows_what_a_refresh_saw_some_time_ago() {
+        let report = Report { how: Reporting::Probes, period_ms: 100.0, delay_ms: 30.0, noise: 0.0 };
+        let mut gauge = Gauge::new(&report, Stream::of(1, Party::Reports, 0));
+        gauge.phase = 0;
+        assert_eq!(gauge.read(5_000, 0), 0.0);
+        gauge.note(40_000, 0);
+        // 4 wait from 40 ms on, 9 from 150 to 160 ms, 2 from then on.
+        gauge.note(150_000, 4);
+        gauge.note(160_000, 9);
+        assert_eq!(gauge.read(129_999, 2), 0.0, "the refresh at 100 ms is not told yet");
+        assert_eq!(gauge.read(160_000, 2), 4.0);
+        assert_eq!(gauge.read(229_999, 2), 4.0, "the one at 200 ms is not told yet");
+        assert_eq!(gauge.read(230_000, 2), 2.0, "what came and went in between is never seen");
+        gauge.note(1_000_000_000, 2);
+        assert_eq!(gauge.seen.len(), 1, "what is old is forgotten");
+        gauge.reset(1_000_000_000);
+        assert_eq!(gauge.read(1_000_000_001, 7), 0.0);
+    }
+}
--- a/emulator/src/judge.rs
+++ b/emulator/src/judge.rs
@@ -174,6 +174,8 @@
     pub asked: u64,
     /// Attempts that crossed zones.
     pub crossed: u64,
+    /// Probes.
+    pub probes: u64,
     /// Work that was asked for, and work that brought no answer.
     pub offered: f64,
     /// See `offered`.
@@ -212,8 +214,8 @@
     pub worst_class: f64,
     /// The worst-served branch, within its share.
     pub worst_branch: f64,
-    /// What came off for failing late, for crossing zones and for work wasted.
-    pub prices: [f64; 3],
+    /// What came off for failing late, for crossing zones, for work wasted and for probes.
+    pub prices: [f64; 4],
 }
 
 impl Account {
@@ -233,6 +235,7 @@
             worth: 0.0,
             asked: 0,
             crossed: 0,
+            probes: 0,
             offered: 0.0,
             wasted: 0.0,
         }
@@ -326,6 +329,7 @@
             late,
             goal.cross_zone * self.crossed as f64 / self.asked.max(1) as f64,
             goal.waste * self.wasted / self.offered.max(1.0),
+            goal.probe * self.probes as f64 / self.asked.max(1) as f64,
         ];
         let sum = goal.whole * whole
             + goal.worst_window * worst_window
--- a/emulator/src/lib.rs
+++ b/emulator/src/lib.rs
@@ -8,6 +8,7 @@
 mod balancer;
 mod clients;
 mod discovery;
+mod gauge;
 pub mod judge;
 mod network;
 pub mod policy;
--- a/emulator/src/policy/balanced.rs
+++ b/emulator/src/policy/balanced.rs
@@ -2,7 +2,9 @@
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use gradepaddle::{Micros, Outcome, State};
+use gradepaddle::{LoadReport, Micros, Outcome, State};
+use rand::RngExt;
+use rand_pcg::Pcg64Mcg;
 
 use super::lifecycle::{Choice, Method, Peer};
 
@@ -134,3 +136,51 @@
         order.map(|(_, at)| *at).find(|at| fits(*at)).or_else(|| Some(choice.any()))
     }
 }
+
+/// Half-life of what a report says, in microseconds.
+const TELLS_FOR: f64 = 500_000.0;
+
+/// The shortest queue that app servers tell of, with our own outstanding on top.
+pub struct Queues {
+    /// Probes for each request.
+    rate: f64,
+    /// What each app server told, and when.
+    told: Vec<(f64, Micros)>,
+}
+
+impl Queues {
+    pub fn new(rate: f64) -> Self {
+        Queues { rate, told: Vec::new() }
+    }
+}
+
+impl Method for Queues {
+    fn pick(&mut self, choice: &mut Choice<'_>) -> Option<usize> {
+        let cost = |at: usize| {
+            let peer = &choice.peers[at];
+            let (queue, since) = self.told.get(peer.number).copied().unwrap_or_default();
+            let age = choice.now.saturating_sub(since) as f64;
+            queue * (-age / TELLS_FOR).exp2() + f64::from(peer.outstanding)
+        };
+        let least = choice.open.iter().map(|at| cost(*at)).fold(f64::INFINITY, f64::min);
+        // Ties are spread by a place drawn at random.
+        let fits = |at: &&usize| cost(**at) <= least;
+        let count = choice.open.iter().filter(fits).count();
+        let nth = if count > 1 { choice.random.random_range(0..count) } else { 0 };
+        choice.open.iter().filter(fits).nth(nth).copied()
+    }
+
+    fn probe(&mut self, ready: &[usize], random: &mut Pcg64Mcg) -> Option<usize> {
+        let due = !ready.is_empty() && random.random::<f64>() < self.rate;
+        due.then(|| ready[random.random_range(0..ready.len())])
+    }
+
+    fn told(&mut self, now: Micros, peer: usize, report: LoadReport) {
+        if self.told.len() <= peer {
+            self.told.resize(peer + 1, (0.0, 0));
+        }
+        if let Some(queue) = report.queue {
+            self.told[peer] = (queue, now);
+        }
+    }
+}
--- a/emulator/src/policy/lifecycle.rs
+++ b/emulator/src/policy/lifecycle.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use gradepaddle::{
-    Action, Arrival, Effect, Ended, Event, Id, ListKind, Micros, Outcome, Server, Settings, State,
+    Action, Arrival, Effect, Ended, Event, Id, ListKind, LoadReport, Micros, Outcome, Server, Settings, State,
 };
 use gradepaddle_dispatch::Chooser;
 use rand::{Rng, RngExt, SeedableRng};
@@ -50,6 +50,14 @@
     /// The app servers have changed.
     fn changed(&mut self, _peers: &[Peer]) {}
 
+    /// Whom to probe as a request comes, where that is allowed: one of these.
+    fn probe(&mut self, _ready: &[usize], _random: &mut Pcg64Mcg) -> Option<usize> {
+        None
+    }
+
+    /// An app server has told of its load.
+    fn told(&mut self, _now: Micros, _peer: usize, _report: LoadReport) {}
+
     /// An attempt has ended.
     fn learn(&mut self, _now: Micros, _peer: usize, _outcome: Outcome, _took: Micros) {}
 }
@@ -72,6 +80,7 @@
     max_attempts: usize,
     max_pause: Micros,
     only_draining_binds: bool,
+    probes: bool,
     peers: Vec<Peer>,
     names: BTreeMap<Id, usize>,
     /// Positions of those that are ready.
@@ -93,6 +102,7 @@
             max_attempts: settings.max_attempts as usize,
             max_pause: settings.max_pause,
             only_draining_binds: settings.only_draining_binds,
+            probes: settings.probes,
             peers: Vec::new(),
             names: BTreeMap::new(),
             ready: Vec::new(),
@@ -176,6 +186,9 @@
         let Some((peer, None)) = held.attempts.get(ended.attempt as usize).copied() else { return };
         self.peers[peer].outstanding -= 1;
         self.method.learn(now, peer, ended.outcome, ended.took);
+        if let Some(report) = ended.report {
+            self.method.told(now, peer, report);
+        }
         let Some(held) = self.held.get_mut(&id) else { return };
         held.attempts[ended.attempt as usize].1 = Some(ended.outcome);
         if ended.closed {
@@ -197,6 +210,11 @@
         match event {
             Event::List { kind, servers } => self.list(now, kind, servers, out),
             Event::Request(Arrival { id, class, ttl, key, .. }) => {
+                if self.probes
+                    && let Some(at) = self.method.probe(&self.ready, &mut self.random)
+                {
+                    out.push(Action::Probe { server: self.peers[at].id.clone() });
+                }
                 let text = key.map(Box::from);
                 let key = hash(key.unwrap_or(&id));
                 let (ends, aim) = (now + ttl, self.aims[class]);
@@ -219,7 +237,12 @@
                     out.push(Action::Subscribe);
                 }
             }
-            Event::Streaming { .. } | Event::Probed { .. } => {}
+            Event::Probed { server, report, .. } => {
+                if let (Some(at), Some(report)) = (self.names.get(server), report) {
+                    self.method.told(now, *at, report);
+                }
+            }
+            Event::Streaming { .. } => {}
         }
     }
 }
--- a/emulator/src/policy/mod.rs
+++ b/emulator/src/policy/mod.rs
@@ -12,7 +12,7 @@
 use gradepaddle::{Balancer, Settings, SettingsError};
 use gradepaddle_dispatch::Chooser;
 
-use balanced::{Bounded, Ewma, Least, Random, RoundRobin, Two};
+use balanced::{Bounded, Ewma, Least, Queues, Random, RoundRobin, Two};
 use lifecycle::Lifecycle;
 use truth::Seer;
 pub(crate) use truth::number;
@@ -38,13 +38,19 @@
     /// The key's place on a ring, unless that one is above its bound (Mirrokni, Thorup and Zadimoghaddam,
     /// "Consistent Hashing with Bounded Loads", 2016).
     BoundedHash,
+    /// The shortest queue as app servers tell it, with 3 probes for each 100 requests.
+    QueueProbes3,
+    /// The same with 30.
+    QueueProbes30,
+    /// The same with one for each request.
+    QueueProbes100,
     /// Sees the true state of every app server, which no balancer can.
     Seer,
 }
 
 impl Policy {
     /// All of them.
-    pub const ALL: [Policy; 8] = [
+    pub const ALL: [Policy; 11] = [
         Policy::Module,
         Policy::Random,
         Policy::RoundRobin,
@@ -52,6 +58,9 @@
         Policy::TwoChoices,
         Policy::PeakEwma,
         Policy::BoundedHash,
+        Policy::QueueProbes3,
+        Policy::QueueProbes30,
+        Policy::QueueProbes100,
         Policy::Seer,
     ];
 
@@ -65,6 +74,9 @@
             Policy::TwoChoices => "two-choices",
             Policy::PeakEwma => "peak-ewma",
             Policy::BoundedHash => "bounded-hash",
+            Policy::QueueProbes3 => "queue-probes-3",
+            Policy::QueueProbes30 => "queue-probes-30",
+            Policy::QueueProbes100 => "queue-probes-100",
             Policy::Seer => "seer",
         }
     }
@@ -85,6 +97,9 @@
             Policy::TwoChoices => Box::new(Lifecycle::new(settings, seed, Two)),
             Policy::PeakEwma => Box::new(Lifecycle::new(settings, seed, Ewma::default())),
             Policy::BoundedHash => Box::new(Lifecycle::new(settings, seed, Bounded::default())),
+            Policy::QueueProbes3 => Box::new(Lifecycle::new(settings, seed, Queues::new(0.03))),
+            Policy::QueueProbes30 => Box::new(Lifecycle::new(settings, seed, Queues::new(0.3))),
+            Policy::QueueProbes100 => Box::new(Lifecycle::new(settings, seed, Queues::new(1.0))),
             Policy::Seer => Box::new(Lifecycle::new(settings, seed, Seer::new(settings, board.clone()))),
         })
     }
--- a/emulator/src/random.rs
+++ b/emulator/src/random.rs
@@ -28,6 +28,8 @@
     Troubles,
     /// What each attempt's work is beside its request's.
     Attempts,
+    /// An app server's reports.
+    Reports,
 }
 
 /// One party's stream.
@@ -93,6 +95,7 @@
         match shape {
             Shape::Fixed => 1.0,
             Shape::Lognormal => self.factor(cv),
+            Shape::Exp => self.interval(1.0),
             Shape::Pareto => {
                 // For index a: mean a/(a-1), variance of the factor 1/(a(a-2)).
                 let index = 1.0 + (1.0 + 1.0 / (cv * cv).max(1e-6)).sqrt();
--- a/emulator/src/result.rs
+++ b/emulator/src/result.rs
@@ -8,7 +8,7 @@
 use crate::scenario::{Scenario, TroubleKind};
 
 /// The version of the format: readers refuse another.
-pub const SCHEMA: u32 = 1;
+pub const SCHEMA: u32 = 2;
 
 /// The result of one run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -33,6 +33,8 @@
     pub asked: u64,
     /// Attempts that crossed zones.
     pub crossed: u64,
+    /// Probes.
+    pub probes: u64,
     /// Work asked for and work wasted, in microseconds.
     pub work: [f64; 2],
     /// By class.
@@ -167,6 +169,7 @@
             score,
             asked: account.asked,
             crossed: account.crossed,
+            probes: account.probes,
             work: [account.offered, account.wasted],
             times,
             classes: account.classes,
--- a/emulator/src/scenario.rs
+++ b/emulator/src/scenario.rs
@@ -3,7 +3,7 @@
 
 use std::fmt;
 
-use gradepaddle::{Class, Effect, Micros, Settings, Tenant};
+use gradepaddle::{Class, Effect, Group, Micros, Settings, Tenant};
 use serde::{Deserialize, Serialize};
 
 /// A whole scenario.
@@ -28,6 +28,10 @@
     pub discovery: Discovery,
     /// The network.
     pub network: Network,
+    /// Probes of app servers.
+    pub probe: Probe,
+    /// What app servers tell of their load.
+    pub report: Report,
     /// What balancers are allowed, and the rules in figures.
     pub rules: Rules,
     /// How the result is counted.
@@ -165,6 +169,8 @@
     pub quota_of_capacity: f64,
     /// What a request beyond its branch's share is worth.
     pub over_share_worth: f64,
+    /// Clients guess the work of a request, off by this coefficient of variation; without it they don't.
+    pub hint_cv: Option<f64>,
 }
 
 /// How the rate goes.
@@ -241,6 +247,45 @@
     pub jitter: f64,
 }
 
+/// Probes of app servers, where the rules allow them.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(default, deny_unknown_fields)]
+pub struct Probe {
+    /// What one costs its app server.
+    pub work_us: f64,
+    /// It waits in the queue and takes a slot like a request; else it is answered at once.
+    pub deep: bool,
+    /// One without an answer by then is over.
+    pub timeout_ms: f64,
+}
+
+/// What app servers tell of their load: the requests that wait.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(default, deny_unknown_fields)]
+pub struct Report {
+    /// Where it comes along.
+    pub how: Reporting,
+    /// It is refreshed so often.
+    pub period_ms: f64,
+    /// And is so old when it is told.
+    pub delay_ms: f64,
+    /// Its coefficient of variation round the truth.
+    pub noise: f64,
+}
+
+/// Where load reports come along.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename_all = "snake_case")]
+pub enum Reporting {
+    /// Nowhere.
+    #[default]
+    Never,
+    /// With answers to probes.
+    Probes,
+    /// With all answers.
+    Answers,
+}
+
 /// What balancers are allowed, and the rules in figures.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
@@ -251,6 +296,8 @@
     pub second_copies: bool,
     /// Attempts may be withdrawn.
     pub cancel: bool,
+    /// App servers may be probed.
+    pub probes: bool,
     /// Nothing new goes to an app server so long after the balancer was told that it drains or is gone.
     pub drain_grace_ms: f64,
     /// What balancers are told of cold app servers: the least they start with.
@@ -287,6 +334,21 @@
     pub cross_zone: f64,
     /// Price of as much work wasted as was asked for.
     pub waste: f64,
+    /// Price of one probe for each request.
+    pub probe: f64,
+    /// What makes one request of a class worth more than another.
+    pub worth_by: WorthBy,
+}
+
+/// What makes one request of a class worth more than another.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename_all = "snake_case")]
+pub enum WorthBy {
+    /// Nothing.
+    #[default]
+    Request,
+    /// Its work.
+    Work,
 }
 
 /// How heavy a tail is.
@@ -298,6 +360,8 @@
     /// Lognormal.
     #[default]
     Lognormal,
+    /// Exponential, whatever the coefficient of variation.
+    Exp,
     /// Pareto.
     Pareto,
 }
@@ -308,10 +372,25 @@
 pub enum Repeats {
     /// Repeats are harmless.
     Safe,
+    /// A repeat has no effect within the group of app servers that ran it first, for a while.
+    Keyed,
     /// Must never run twice.
     Unsafe,
 }
 
+/// App servers that know of each other's keys.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename_all = "snake_case")]
+pub enum Within {
+    /// All of them.
+    #[default]
+    All,
+    /// Those of a zone.
+    Zone,
+    /// Those of a cell.
+    Cell,
+}
+
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -331,6 +410,9 @@
     /// That of one attempt beside the next.
     #[serde(default)]
     pub attempt_cv: f64,
+    /// One waits on others for so long while it holds its slot.
+    #[serde(default)]
+    pub io_ms: f64,
     /// Wanted within this.
     pub aim_ms: f64,
     /// Given up after this.
@@ -339,6 +421,12 @@
     pub worth: f64,
     /// May it run again?
     pub effect: Repeats,
+    /// Where a keyed one may.
+    #[serde(default)]
+    pub group: Within,
+    /// And for how long after its first attempt was sent.
+    #[serde(default)]
+    pub window_ms: f64,
 }
 
 /// A branch.
@@ -443,6 +531,25 @@
         /// The factor.
         factor: f64,
     },
+    /// Another program takes a part of a machine, on and off.
+    Neighbour {
+        /// How many machines.
+        #[serde(default = "one_key")]
+        servers: u32,
+        /// That part.
+        takes: f64,
+        /// It is there for so long, and then away for so long.
+        every_s: f64,
+    },
+    /// Some requests of one class cost many times the usual, and no hint says so.
+    HeavyTail {
+        /// The class's name.
+        class: String,
+        /// How many of them.
+        share: f64,
+        /// How many times the usual.
+        factor: f64,
+    },
     /// This share of attempts is reset on its way.
     Resets {
         /// That share.
@@ -502,6 +609,8 @@
             TroubleKind::Hang { .. } => "hang",
             TroubleKind::Errors { .. } => "errors",
             TroubleKind::Slow { .. } => "slow",
+            TroubleKind::Neighbour { .. } => "neighbour",
+            TroubleKind::HeavyTail { .. } => "heavy_tail",
             TroubleKind::Resets { .. } => "resets",
             TroubleKind::ZoneCut { .. } => "zone_cut",
             TroubleKind::LinkLost { .. } => "link_lost",
@@ -584,6 +693,7 @@
             key_zipf: 1.0,
             quota_of_capacity: 0.8,
             over_share_worth: 0.05,
+            hint_cv: None,
         }
     }
 }
@@ -615,12 +725,25 @@
     }
 }
 
+impl Default for Probe {
+    fn default() -> Self {
+        Probe { work_us: 500.0, deep: true, timeout_ms: 150.0 }
+    }
+}
+
+impl Default for Report {
+    fn default() -> Self {
+        Report { how: Reporting::Never, period_ms: 200.0, delay_ms: 80.0, noise: 0.14 }
+    }
+}
+
 impl Default for Rules {
     fn default() -> Self {
         Rules {
             max_attempts: 6,
             second_copies: true,
             cancel: true,
+            probes: false,
             drain_grace_ms: 1000.0,
             cold_from: 0.36,
             warm_within_s: 7.7,
@@ -643,6 +766,8 @@
             late_fail: 0.05,
             cross_zone: 0.021,
             waste: 0.02,
+            probe: 0.01,
+            worth_by: WorthBy::Request,
         }
     }
 }
@@ -661,6 +786,9 @@
             deadline_ms,
             worth,
             effect,
+            io_ms: 0.0,
+            group: Within::All,
+            window_ms: 0.0,
         };
     vec![
         class("voorraad", 0.38, 92.0, Shape::Pareto, 2.1, 0.35, 1200.0, 5000.0, 1.0, Repeats::Safe),
@@ -755,6 +883,14 @@
         above("clients.retries", f64::from(self.clients.retries), 0.0, 100.0)?;
         above("clients.try_share", self.clients.try_share, 0.01, 1.0)?;
         above("clients.honour", self.clients.honour, 0.0, 1.0)?;
+        if let Some(cv) = load.hint_cv {
+            above("load.hint_cv", cv, 0.0, 100.0)?;
+        }
+        above("probe.work_us", self.probe.work_us, 0.0, 1e9)?;
+        above("probe.timeout_ms", self.probe.timeout_ms, 1e-3, 1e6)?;
+        above("report.period_ms", self.report.period_ms, 1e-3, 1e6)?;
+        above("report.delay_ms", self.report.delay_ms, 0.0, 1e6)?;
+        above("report.noise", self.report.noise, 0.0, 10.0)?;
         above("rules.max_attempts", f64::from(self.rules.max_attempts), 1.0, 100.0)?;
         above("discovery.calls_per_s", self.discovery.calls_per_s, 1e-3, 1e6)?;
         for (at, class) in self.classes.iter().enumerate() {
@@ -764,6 +900,9 @@
             above(&field("aim_ms"), class.aim_ms, 1e-3, 1e6)?;
             above(&field("deadline_ms"), class.deadline_ms, class.aim_ms, 1e6)?;
             above(&field("worth"), class.worth, 0.0, 1e6)?;
+            above(&field("io_ms"), class.io_ms, 0.0, 1e6)?;
+            let least = if class.effect == Repeats::Keyed { 1e-3 } else { 0.0 };
+            above(&field("window_ms"), class.window_ms, least, 1e6)?;
         }
         if self.classes.iter().map(|class| class.share).sum::<f64>() <= 0.0 {
             return Err(Fault { field: "class".into(), why: "no class has a share above 0".into() });
@@ -774,18 +913,32 @@
             above(&field("for_s"), trouble.for_s, 0.0, self.day.length_s)?;
             let zone =
                 |name, zone: u32| above(&field(name), f64::from(zone), 0.0, f64::from(fleet.zones - 1));
-            match trouble.kind {
-                TroubleKind::ZoneCut { zone: z } | TroubleKind::ZoneRestart { zone: z } => zone("zone", z)?,
-                TroubleKind::LinkLost { from, to } => zone("from", from).and_then(|()| zone("to", to))?,
+            match &trouble.kind {
+                TroubleKind::ZoneCut { zone: z } | TroubleKind::ZoneRestart { zone: z } => zone("zone", *z)?,
+                TroubleKind::LinkLost { from, to } => zone("from", *from).and_then(|()| zone("to", *to))?,
                 TroubleKind::HotKey { share, .. }
                 | TroubleKind::DiscoveryWrong { share }
                 | TroubleKind::BalancerCrash { share }
                 | TroubleKind::BalancerRestart { share }
                 | TroubleKind::Errors { rate: share, .. }
-                | TroubleKind::Resets { rate: share } => above(&field("share or rate"), share, 0.0, 1.0)?,
-                TroubleKind::Shrink { to, .. } => above(&field("to"), to, 0.01, 1.0)?,
+                | TroubleKind::Resets { rate: share } => above(&field("share or rate"), *share, 0.0, 1.0)?,
+                TroubleKind::Shrink { to, .. } => above(&field("to"), *to, 0.01, 1.0)?,
                 TroubleKind::Slow { factor, .. } | TroubleKind::Surge { factor } => {
-                    above(&field("factor"), factor, 0.01, 1_000.0)?;
+                    above(&field("factor"), *factor, 0.01, 1_000.0)?;
+                }
+                TroubleKind::Neighbour { takes, every_s, .. } => {
+                    above(&field("takes"), *takes, 0.0, 0.99)?;
+                    above(&field("every_s"), *every_s, 0.01, 86_400.0)?;
+                }
+                TroubleKind::HeavyTail { class, share, factor } => {
+                    above(&field("share"), *share, 0.0, 1.0)?;
+                    above(&field("factor"), *factor, 0.01, 1_000.0)?;
+                    if !self.classes.iter().any(|of| of.name == *class) {
+                        return Err(Fault {
+                            field: field("class"),
+                            why: format!("no class is called {class:?}"),
+                        });
+                    }
                 }
                 _ => {}
             }
@@ -803,6 +956,14 @@
             late_worth: 0.0,
             effect: match class.effect {
                 Repeats::Safe => Effect::Safe,
+                Repeats::Keyed => {
+                    let group = match class.group {
+                        Within::All => Group::All,
+                        Within::Zone => Group::Zone,
+                        Within::Cell => Group::Cell,
+                    };
+                    Effect::Keyed { group, window: millis(class.window_ms) }
+                }
                 Repeats::Unsafe => Effect::Unsafe,
             },
             zones: None,
@@ -813,6 +974,7 @@
             classes: self.classes.iter().map(class).collect(),
             tenants: quotas.into_iter().map(|quota| Tenant { quota }).collect(),
             over_share_worth: self.load.over_share_worth,
+            worth_by_work: self.goal.worth_by == WorthBy::Work,
             zone: Some(me % self.fleet.zones),
             me,
             gateways: self.balancers.count,
@@ -821,6 +983,7 @@
             warm_keys: self.fleet.key_gain > 0.0,
             cancel: self.rules.cancel,
             second_copies: self.rules.second_copies,
+            probes: self.rules.probes,
             max_attempts: self.rules.max_attempts,
             max_pause: millis(self.rules.max_pause_ms),
             cold_from: self.rules.cold_from,
@@ -928,6 +1091,15 @@
                 "[[class]]\nname = \"x\"\nshare = 1\nwork_ms = 5\naim_ms = 10\ndeadline_ms = 5\nworth = 1\neffect = \"safe\"\n",
                 "line 6: class[0].deadline_ms",
             ),
+            ("[load]\nhint_cv = -1\n", "line 2: load.hint_cv"),
+            (
+                "[[class]]\nname = \"x\"\nshare = 1\nwork_ms = 5\naim_ms = 10\ndeadline_ms = 50\nworth = 1\neffect = \"keyed\"\n",
+                "class[0].window_ms: 0 is not from 0.001",
+            ),
+            (
+                "[[trouble]]\nkind = \"heavy_tail\"\nat_s = 1\nclass = \"x\"\nshare = 0.1\nfactor = 9\n",
+                "line 4: trouble[0].class: no class is called \"x\"",
+            ),
         ];
         for (text, expected) in cases {
             let fault = Scenario::parse(text).expect_err(text);
--- a/emulator/src/server.rs
+++ b/emulator/src/server.rs
@@ -4,6 +4,7 @@
 
 use gradepaddle::{Id, Micros};
 
+use crate::gauge::Gauge;
 use crate::queue::FlightKey;
 use crate::random::Stream;
 use crate::scenario::{Fleet, seconds};
@@ -60,6 +61,15 @@
 #[derive(Clone, Debug, Default)]
 pub struct Pool(Vec<Micros>);
 
+/// An attempt in work.
+#[derive(Clone, Copy, Debug)]
+pub struct Job {
+    pub key: FlightKey,
+    pub ends: Micros,
+    /// The part of its time in which it needs a core; the rest it waits on others.
+    pub busy: f64,
+}
+
 /// An app server. Work is in microseconds on a standard core.
 #[derive(Clone, Debug)]
 pub struct Server {
@@ -77,18 +87,22 @@
     /// Attempts that wait, first come first served.
     pub waiting: VecDeque<FlightKey>,
     pub waiting_work: f64,
-    /// Attempts in work, with when each will be done.
-    pub working: Vec<(FlightKey, Micros)>,
+    /// Attempts in work.
+    pub working: Vec<Job>,
     /// Until then it works on nothing.
     pub paused_until: Micros,
     /// How much slower than usual it is.
     pub slowness: f64,
+    /// The part of its machine that another program takes.
+    pub neighbour: f64,
     /// The share of requests that it answers with an error at once.
     pub errors: f64,
     pools: Vec<Pool>,
     pub connections: u32,
     /// What it was sent lately while cold: when, how much, and by one that was told that it started.
     sent: VecDeque<(Micros, f64, bool)>,
+    /// What it tells of its queue, if anything.
+    gauge: Option<Gauge>,
     pub stream: Stream,
 }
 
@@ -102,6 +116,7 @@
     pub speed: f64,
     pub started: Micros,
     pub balancers: usize,
+    pub gauge: Option<Gauge>,
     pub stream: Stream,
 }
 
@@ -119,7 +134,7 @@
 impl Server {
     /// One that runs from now on.
     pub fn new(start: Start) -> Self {
-        let Start { id, zone, kind, cell, cores, speed, started, balancers, stream } = start;
+        let Start { id, zone, kind, cell, cores, speed, started, balancers, gauge, stream } = start;
         Server {
             id,
             zone,
@@ -135,10 +150,12 @@
             working: Vec::new(),
             paused_until: 0,
             slowness: 1.0,
+            neighbour: 0.0,
             errors: 0.0,
             pools: vec![Pool::default(); balancers],
             connections: 0,
             sent: VecDeque::new(),
+            gauge,
             stream,
         }
     }
@@ -163,7 +180,8 @@
         let tax = fleet.full_tax * (f64::from(self.connections) / cap).min(1.0);
         let held = self.held() as f64 / f64::from(self.cores);
         let thrash = fleet.thrash * (held - fleet.thrash_at).max(0.0);
-        self.speed * self.warmth(now, fleet) * (1.0 - tax) / (self.slowness * (1.0 + thrash))
+        let own = self.speed * (1.0 - self.neighbour);
+        own * self.warmth(now, fleet) * (1.0 - tax) / (self.slowness * (1.0 + thrash))
     }
 
     /// May one more be taken into work?
@@ -176,17 +194,48 @@
         self.has_slot(fleet) || self.waiting.len() < (self.cores * fleet.queue_per_core) as usize
     }
 
-    /// How long a job takes that is begun now. Beyond its cores, jobs in work share them.
-    pub fn duration(&self, now: Micros, work: f64, fleet: &Fleet) -> Micros {
-        let share = ((self.working.len() + 1) as f64 / f64::from(self.cores)).max(1.0);
+    /// Takes an attempt into the waiting room.
+    pub fn enter(&mut self, now: Micros, key: FlightKey, work: f64) {
+        self.note(now);
+        self.waiting.push_back(key);
+        self.waiting_work += work;
+    }
+
+    /// The attempt that has waited longest leaves the waiting room.
+    pub fn next(&mut self, now: Micros) -> Option<FlightKey> {
+        self.note(now);
+        self.waiting.pop_front()
+    }
+
+    fn note(&mut self, now: Micros) {
+        if let Some(gauge) = &mut self.gauge {
+            gauge.note(now, self.waiting.len());
+        }
+    }
+
+    /// What it tells of its queue now, if anything.
+    pub fn report(&mut self, now: Micros) -> Option<f64> {
+        let waiting = self.waiting.len();
+        self.gauge.as_mut().map(|gauge| gauge.read(now, waiting))
+    }
+
+    /// Begins on a job of so much work that waits on others for `io` besides. Beyond its cores, jobs that need
+    /// one share them. Gives back when it will be done.
+    pub fn begin(&mut self, now: Micros, key: FlightKey, (work, io): (f64, Micros), fleet: &Fleet) -> Micros {
+        let alone = work / self.pace(now, fleet);
+        let busy = alone / (alone + io as f64).max(1e-9);
+        let wanted: f64 = self.working.iter().map(|job| job.busy).sum::<f64>() + busy;
+        let share = (wanted / f64::from(self.cores)).max(1.0);
         let pause = self.paused_until.saturating_sub(now);
-        pause + (work * share / self.pace(now, fleet)).max(1.0) as Micros
+        let ends = now + pause + (alone * share).max(1.0) as Micros + io;
+        self.working.push(Job { key, ends, busy });
+        ends
     }
 
     /// When it will be done with all that it holds.
     pub fn free_at(&self, now: Micros, fleet: &Fleet) -> Micros {
         let cores = f64::from(self.cores);
-        let left: u64 = self.working.iter().map(|(_, ends)| ends.saturating_sub(now)).sum();
+        let left: u64 = self.working.iter().map(|job| job.ends.saturating_sub(now)).sum();
         now + (left as f64 / cores + self.waiting_work / (self.pace(now, fleet) * cores)) as Micros
     }
 
@@ -232,7 +281,7 @@
         self.waiting_work = 0.0;
         self.sent.clear();
         let working = std::mem::take(&mut self.working);
-        self.waiting.drain(..).chain(working.into_iter().map(|(key, _)| key)).collect()
+        self.waiting.drain(..).chain(working.into_iter().map(|job| job.key)).collect()
     }
 
     /// Its process starts, cold.
@@ -241,6 +290,9 @@
         self.life += 1;
         self.started = now.max(1);
         self.paused_until = 0;
+        if let Some(gauge) = &mut self.gauge {
+            gauge.reset(now);
+        }
     }
 
     /// Counts work that reaches it while it is cold, whether or not it is taken: what it is sent within the
@@ -292,6 +344,7 @@
             speed: 1.0,
             started,
             balancers: 2,
+            gauge: None,
             stream,
         };
         Server::new(start)
--- a/emulator/src/world.rs
+++ b/emulator/src/world.rs
@@ -3,20 +3,21 @@
 
 use std::rc::Rc;
 
-use gradepaddle::{Id, ListKind, Micros, Settings, SettingsError, State as Listed};
+use gradepaddle::{Id, ListKind, LoadReport, Micros, Settings, SettingsError, State as Listed};
 use gradepaddle_dispatch::{Cause, Chooser};
 use slotmap::SlotMap;
 
 use crate::balancer::{Balancer, Flight, Inputs, Outputs, Place};
 use crate::clients::{Habits, Quest, Source, Try};
 use crate::discovery::{Call, Discovery, Entry};
+use crate::gauge::Gauge;
 use crate::judge::{Account, Judge, Rule};
 use crate::network::Network;
 use crate::policy::{Board, Glance, Policy};
 use crate::queue::{Change, Event, FlightKey, News, QuestKey, Queue, TryKey};
 use crate::random::{Party, Stream};
 use crate::result::{Outcome, Samples};
-use crate::scenario::{MachineKind, Scenario, TroubleKind, seconds};
+use crate::scenario::{MachineKind, Reporting, Scenario, TroubleKind, seconds};
 use crate::server::{Fall, Memory, Server, Start, State};
 
 /// Makes the chooser of a balancer from its settings and seed; the board shows the truth to one that may
@@ -244,7 +245,10 @@
         let memory = Memory::new((fleet.keys_per_core * cores) as usize, seconds(fleet.key_s));
         let every = fleet.pause_every_s;
         let first = (every > 0.0).then(|| (stream.interval(every) * 1e6) as Micros);
-        let start = Start { id, zone, kind, cell, cores, speed, started, balancers, stream };
+        let report = &self.scenario.report;
+        let gauge = (report.how != Reporting::Never)
+            .then(|| Gauge::new(report, Stream::of(self.seed, Party::Reports, u64::from(number))));
+        let start = Start { id, zone, kind, cell, cores, speed, started, balancers, gauge, stream };
         self.servers.push(Server::new(start));
         self.board.memories.borrow_mut().push(memory);
         if let Some(first) = first {
@@ -288,6 +292,9 @@
             // The process that the connection was with is gone.
             return self.turn_back(key, Cause::Broke, 0);
         }
+        if flight.probe {
+            return self.land_probe(key, number);
+        }
         let rules = &self.scenario.rules;
         let rule = (rules.fall_multiple, seconds(rules.fall_s));
         let told = self.balancers[from].knows_start(number, server.started);
@@ -317,13 +324,44 @@
             }
             self.flights[key].doomed = true;
         }
-        let server = &mut self.servers[number as usize];
-        server.waiting.push_back(key);
-        server.waiting_work += work;
+        self.servers[number as usize].enter(now, key, work);
         self.flights[key].place = Place::Waiting;
         self.pump(number);
     }
 
+    /// A probe is answered by whoever runs: a deep one after it has waited its turn, another at once, while its
+    /// work holds up what is being worked on.
+    fn land_probe(&mut self, key: FlightKey, number: u32) {
+        let (now, work) = (self.now, self.flights[key].work);
+        let fleet = &self.scenario.fleet;
+        let server = &mut self.servers[number as usize];
+        let deep = self.scenario.probe.deep;
+        if server.state != State::Up || (deep && !server.has_room(fleet)) {
+            return self.turn_back(key, Cause::Unprocessed, 0);
+        }
+        if deep {
+            server.enter(now, key, work);
+            self.flights[key].place = Place::Waiting;
+            return self.pump(number);
+        }
+        let pace = server.pace(now, fleet);
+        let pause = server.paused_until.saturating_sub(now);
+        let held_up = (work / (pace * f64::from(server.cores))) as Micros;
+        self.turn_back(key, Cause::Served, pause + (work / pace) as Micros);
+        self.freeze(number, held_up);
+    }
+
+    /// What an app server tells of its load with this answer.
+    pub fn report(&mut self, server: u32, probe: bool) -> Option<LoadReport> {
+        let told = match self.scenario.report.how {
+            Reporting::Never => false,
+            Reporting::Probes => probe,
+            Reporting::Answers => true,
+        };
+        let queue = self.servers[server as usize].report(self.now).filter(|_| told)?;
+        Some(LoadReport { queue: Some(queue), ..LoadReport::default() })
+    }
+
     /// Takes attempts that wait into work, as far as there are slots.
     fn pump(&mut self, number: u32) {
         let (now, fleet) = (self.now, &self.scenario.fleet);
@@ -332,7 +370,7 @@
             if !server.has_slot(fleet) {
                 break;
             }
-            let Some(key) = server.waiting.pop_front() else { break };
+            let Some(key) = server.next(now) else { break };
             let Some(flight) = self.flights.get_mut(key) else { continue };
             server.waiting_work = (server.waiting_work - flight.work).max(0.0);
             if flight.over && fleet.cancel_stops_work {
@@ -343,8 +381,7 @@
             let work = flight.work * if warm { 1.0 - fleet.key_gain } else { 1.0 } + flight.extra;
             flight.met = work;
             flight.place = Place::Working;
-            let ends = now + server.duration(now, work, fleet);
-            server.working.push((key, ends));
+            let ends = server.begin(now, key, (work, flight.io), fleet);
             let life = server.life;
             self.queue.push(ends, Event::Done { server: number, life, job: key });
             self.ran(key);
@@ -358,15 +395,19 @@
         if server.life != life {
             return;
         }
-        let Some(at) = server.working.iter().position(|(job, _)| *job == key) else { return };
-        if server.working[at].1 > self.now {
+        let Some(at) = server.working.iter().position(|job| job.key == key) else { return };
+        if server.working[at].ends > self.now {
             // It was paused meanwhile.
-            let ends = server.working[at].1;
+            let ends = server.working[at].ends;
             self.queue.push(ends, Event::Done { server: number, life, job: key });
             return;
         }
         server.working.swap_remove(at);
         let flight = &self.flights[key];
+        if flight.probe {
+            self.turn_back(key, Cause::Served, 0);
+            return self.pump(number);
+        }
         self.board.memories.borrow_mut()[number as usize].meet(self.now, flight.key);
         if flight.over || flight.doomed || self.tries.get(flight.of).is_none_or(|one| one.answered) {
             self.account.wasted += flight.met;
@@ -393,8 +434,8 @@
         let from = server.paused_until.max(self.now);
         let until = (self.now + length).max(server.paused_until);
         server.paused_until = until;
-        for (_, ends) in &mut server.working {
-            *ends += until - from;
+        for job in &mut server.working {
+            job.ends += until - from;
         }
         self.show(number);
     }
@@ -651,6 +692,14 @@
                 hit = self.pick(up, servers as usize);
                 hit.iter().for_each(|server| self.servers[*server as usize].slowness *= factor);
             }
+            TroubleKind::Neighbour { servers, every_s, .. } => {
+                hit = self.pick(up, servers as usize);
+                steps(self, (trouble.for_s / every_s).ceil().clamp(1.0, 1e6) as u32);
+            }
+            TroubleKind::HeavyTail { class, share, factor } => {
+                let class = self.scenario.classes.iter().position(|of| of.name == class);
+                self.source.burden(at, class.unwrap_or(usize::MAX), share, factor);
+            }
             TroubleKind::Resets { rate } => self.resets += rate,
             TroubleKind::ZoneCut { zone } => self.network.cut(zone, true),
             TroubleKind::LinkLost { from, to } => self.network.lose(from, to, true),
@@ -708,6 +757,8 @@
             TroubleKind::Slow { factor, .. } => {
                 hit.iter().for_each(|server| self.servers[*server as usize].slowness /= factor);
             }
+            TroubleKind::Neighbour { takes, .. } => self.crowd(hit, takes, false),
+            TroubleKind::HeavyTail { .. } => self.source.relieve(at),
             TroubleKind::Resets { rate } => self.resets = (self.resets - rate).max(0.0),
             TroubleKind::ZoneCut { zone } => self.network.cut(zone, false),
             TroubleKind::LinkLost { from, to } => self.network.lose(from, to, false),
@@ -726,6 +777,14 @@
         }
     }
 
+    /// Another program takes a part of these machines, or nothing any more.
+    fn crowd(&mut self, hit: Vec<u32>, takes: f64, there: bool) {
+        for server in hit {
+            self.servers[server as usize].neighbour = if there { takes } else { 0.0 };
+            self.show(server);
+        }
+    }
+
     fn step(&mut self, at: u32, step: u32) {
         let trouble = self.scenario.troubles[at as usize].clone();
         let hit = &self.hit[at as usize];
@@ -737,6 +796,7 @@
                 }
             }
             TroubleKind::BalancerRestart { .. } => self.restart(hit[step as usize]),
+            TroubleKind::Neighbour { takes, .. } => self.crowd(hit.clone(), takes, step.is_multiple_of(2)),
             TroubleKind::Rolling { batch, drain_s } => {
                 let batch = batch.max(1) as usize;
                 let some: Vec<u32> = hit.iter().copied().skip(step as usize * batch).take(batch).collect();
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -81,7 +81,7 @@
     let mut text = format!(
         "{} under {}, seed {}: {:.1} requests a second, {} balancers, {} app servers\n\
          goal {:.4}   whole {:.4}   worst window {:.4} (from second {})   worst class {:.4}   worst branch {:.4}\n\
-         prices: failing late {:.4}, crossing zones {:.4}, waste {:.4}\n\
+         prices: failing late {:.4}, crossing zones {:.4}, waste {:.4}, probes {:.4}\n\
          {} first tries: {served} served in time, {late} late, {refused} refused, {failed} failed, {given_up} given up\n",
         outcome.scenario,
         outcome.policy,
@@ -98,6 +98,7 @@
         s.prices[0],
         s.prices[1],
         s.prices[2],
+        s.prices[3],
         outcome.asked,
     );
     for times in &outcome.times {
--- a/lab/tests/cli.rs
+++ b/lab/tests/cli.rs
@@ -37,7 +37,7 @@
     assert!(text(&ran.stdout).starts_with("small under module, seed 5"), "{}", text(&ran.stdout));
     let read = |name: &str| fs::read(out.join(name)).expect(name);
     let (json, page) = (read("result.json"), text(&read("report.html")));
-    assert!(text(&json).contains("\"schema\": 1,"));
+    assert!(text(&json).contains("\"schema\": 2,"));
     assert!(page.contains("<svg") && page.contains("hang from 2 s to 4 s") && !page.contains("src="));
     assert!(text(&read("seconds.csv")).lines().count() > 6);
     for plot in ["worth", "flow", "latency", "load", "warmth"] {
@@ -50,7 +50,7 @@
     fs::remove_file(out.join("report.html")).expect("the page");
     assert!(lab(&["plot", &out.display().to_string()]).status.success());
     assert_eq!(text(&read("report.html")), page);
-    fs::write(out.join("result.json"), text(&json).replace("\"schema\": 1,", "\"schema\": 9,"))
+    fs::write(out.join("result.json"), text(&json).replace("\"schema\": 2,", "\"schema\": 9,"))
         .expect("a file");
     let foreign = lab(&["plot", &out.display().to_string()]);
     assert!(text(&foreign.stderr).contains("field schema"), "{}", text(&foreign.stderr));
