--- a/check/src/report.rs
+++ b/check/src/report.rs
@@ -76,10 +76,14 @@
             "one keyed report, three app servers in two zones, drain",
             Sizes { classes: vec![Kind::Keyed], servers: 3, drains: 1, ..one.clone() },
         ),
+        anything(
+            "one report that nothing names, three app servers in two zones, drain",
+            Sizes { classes: vec![Kind::Nameless], servers: 3, drains: 1, ..one.clone() },
+        ),
         decided(
             "decisions: keyed reports in two zones, drain and leave",
             9,
-            Sizes { classes: vec![Kind::Keyed], servers: 3, drains: 1, ..Sizes::default() },
+            Sizes { classes: vec![Kind::Keyed, Kind::Nameless], servers: 3, drains: 1, ..Sizes::default() },
         ),
         anything("one order, ends told twice", Sizes { classes: order.clone(), late_ends: 1, ..one.clone() }),
         anything(
--- a/check/src/sizes.rs
+++ b/check/src/sizes.rs
@@ -12,9 +12,16 @@
     Unsafe,
     /// App servers of one zone drop repeats, for two time steps.
     Keyed,
+    /// The same, but nothing names it to them: it must never run twice.
+    Nameless,
 }
 
 impl Kind {
+    /// Must one of these never run twice?
+    pub fn runs_once(self) -> bool {
+        matches!(self, Kind::Unsafe | Kind::Nameless)
+    }
+
     /// How long repeats are dropped, where a time step lasts this long.
     pub fn window(step: Micros) -> Micros {
         2 * step
@@ -107,7 +114,9 @@
             effect: match kind {
                 Kind::Safe => Effect::Safe,
                 Kind::Unsafe => Effect::Unsafe,
-                Kind::Keyed => Effect::Keyed { group: Group::Zone, window: Kind::window(step) },
+                Kind::Keyed | Kind::Nameless => {
+                    Effect::Keyed { group: Group::Zone, window: Kind::window(step) }
+                }
             },
             ..base.classes[0].clone()
         };
--- a/check/src/world.rs
+++ b/check/src/world.rs
@@ -421,6 +421,7 @@
                     tenant: None,
                     key: None,
                     hint: None,
+                    once: case.kind(c) == Kind::Nameless,
                     arrived: self.now,
                     time_left,
                     whole,
@@ -468,7 +469,7 @@
             Step::LastByte(c, a) => {
                 self.flight(c, a)?.extent = Extent::Whole;
                 self.clients[usize::from(c)].runs += 1;
-                if case.kind(c) == Kind::Unsafe && self.client(c).runs > 1 {
+                if case.kind(c).runs_once() && self.client(c).runs > 1 {
                     self.breaks(Property::NoRepeat);
                 }
             }
@@ -646,7 +647,7 @@
                     self.breaks(Property::UsedOnce);
                 }
                 let twice = self.flights.iter().any(|f| f.ticket == ticket);
-                if twice && (case.kind(client) == Kind::Unsafe || !case.sizes.second_copies) {
+                if twice && (case.kind(client).runs_once() || !case.sizes.second_copies) {
                     self.breaks(Property::NoSecondCopy);
                 }
                 if attempt >= case.sizes.attempts {
--- a/check/tests/caught.rs
+++ b/check/tests/caught.rs
@@ -23,7 +23,7 @@
 /// broken holds, and comes to its end with the hard cases in it.
 #[test]
 fn with_nothing_broken_the_same_cases_hold() {
-    for kind in [Kind::Safe, Kind::Unsafe, Kind::Keyed] {
+    for kind in [Kind::Safe, Kind::Unsafe, Kind::Keyed, Kind::Nameless] {
         let sizes = Sizes {
             transactions: 1,
             attempts: 2,
--- a/daemon/src/terminal.rs
+++ b/daemon/src/terminal.rs
@@ -322,11 +322,14 @@
         }
     };
     let key = head.all("cookie").find_map(cookie);
+    // App servers can only drop a repeat of what one key names. A safe class needs none.
+    let names: Vec<_> = head.all("idempotency-key").map(<[u8]>::trim_ascii).collect();
+    let once = !matches!(names[..], [name] if !name.is_empty());
     // A guess that is no guess changes nothing: the request is served like one without.
     let hint = head.get("x-weight-hint").and_then(|text| text.trim().parse().ok());
     let hint = hint.filter(|work: &f64| work.is_finite() && *work >= 1.0).map(|work| work as Micros);
     let message = Rc::new(Message::Http(request));
-    Ok(Transaction { own, class, tenant, key, hint, arrived, time_left, whole, message })
+    Ok(Transaction { own, class, tenant, key, once, hint, arrived, time_left, whole, message })
 }
 
 /// The cookie `user` of a cookie header.
--- a/daemon/tests/network/main.rs
+++ b/daemon/tests/network/main.rs
@@ -1,6 +1,7 @@
 //! The daemon as a process on real sockets: each test is its clients, its app servers and discovery.
 
 mod flow;
+mod keyed;
 mod operators;
 mod probes;
 mod replaced;
--- a/dispatch/benches/dispatch.rs
+++ b/dispatch/benches/dispatch.rs
@@ -62,6 +62,7 @@
             tenant: None,
             key: Some(format!("key{}", self.ticket % 500)),
             hint: None,
+            once: false,
             arrived: self.now,
             time_left: 24 * HOUR,
             whole: true,
--- a/dispatch/src/dispatch.rs
+++ b/dispatch/src/dispatch.rs
@@ -219,7 +219,8 @@
         echoes: &mut VecDeque<Echo>,
         out: &mut Vec<Output<M, R>>,
     ) {
-        let Transaction { own, class, tenant, key, hint, arrived, time_left, whole, message } = transaction;
+        let Transaction { own, class, tenant, key, once, hint, arrived, time_left, whole, message } =
+            transaction;
         if !self.own.insert(own.clone()) {
             // App servers know requests by their clients' ids: two at once could get each other's answers,
             // and the second would look like a copy of the first.
@@ -233,6 +234,7 @@
             id: id.clone(),
             own,
             class,
+            once,
             message,
             ends,
             time_left,
@@ -249,7 +251,7 @@
         // What still comes is expected soon: of a client that stops amid it, the shell tells.
         let ttl = arrived.saturating_add(time_left).saturating_sub(now);
         let hint = hint.map(|work| work as f64);
-        let arrival = Arrival { id, class, tenant, ttl, hint, key: key.as_deref() };
+        let arrival = Arrival { id, class, tenant, ttl, hint, key: key.as_deref(), once };
         self.decide(now, Event::Request(arrival), echoes, out);
         self.settle(ticket);
     }
--- a/dispatch/src/guard.rs
+++ b/dispatch/src/guard.rs
@@ -182,7 +182,7 @@
             return Some(Defect::Misplaced);
         }
         if let Some(first) = open.attempts.iter().find(|attempt| attempt.may_have_run()) {
-            let allowed = match class.effect {
+            let allowed = match effect(class, open) {
                 Effect::Safe => true,
                 Effect::Unsafe => false,
                 Effect::Keyed { window, .. } if now > first.sent.saturating_add(window) => false,
@@ -209,9 +209,14 @@
     /// True if a refusal would promise what is not known.
     pub fn refusal_lies<M, R>(&self, open: &Open<M, R>) -> bool {
         let harmless = matches!(
-            self.classes.get(open.class).map(|class| class.effect),
+            self.classes.get(open.class).map(|class| effect(class, open)),
             Some(Effect::Safe | Effect::Keyed { group: Group::All, .. })
         );
         !harmless && open.attempts.iter().any(|attempt| attempt.may_have_run())
     }
 }
+
+/// What its class allows, unless nothing names it to those that would drop a repeat.
+fn effect<M, R>(class: &Class, open: &Open<M, R>) -> Effect {
+    if open.once && class.effect != Effect::Safe { Effect::Unsafe } else { class.effect }
+}
--- a/dispatch/src/io.rs
+++ b/dispatch/src/io.rs
@@ -22,6 +22,8 @@
     pub tenant: Option<usize>,
     /// What it is about.
     pub key: Option<String>,
+    /// Nothing names it to app servers that drop repeats: whatever its class says, it may run once only.
+    pub once: bool,
     /// Its client's guess at the work, on a standard core.
     pub hint: Option<Micros>,
     /// When its last byte had come, or when it was taken.
--- a/dispatch/src/lib.rs
+++ b/dispatch/src/lib.rs
@@ -21,7 +21,7 @@
 //! };
 //! dispatch.handle(0, Input::List { kind: ListKind::Full, servers: vec![server] }, &mut out);
 //! let transaction = Transaction {
-//!     own: (*b"c1").into(), class: 0, tenant: None, key: None, hint: None, arrived: 10, time_left: 500_000, whole: true,
+//!     own: (*b"c1").into(), class: 0, tenant: None, key: None, once: false, hint: None, arrived: 10, time_left: 500_000, whole: true,
 //!     message: "GET /",
 //! };
 //! out.clear();
--- a/dispatch/src/transaction.rs
+++ b/dispatch/src/transaction.rs
@@ -15,6 +15,8 @@
     /// Its client's id, which no other may use meanwhile.
     pub own: Arc<[u8]>,
     pub class: usize,
+    /// Whatever its class says, it may run once only.
+    pub once: bool,
     pub message: M,
     /// When its client gives up; far off while the client still sends.
     pub ends: Micros,
--- a/dispatch/tests/hard_cases.rs
+++ b/dispatch/tests/hard_cases.rs
@@ -77,6 +77,7 @@
             tenant: None,
             key: None,
             hint: None,
+            once: false,
             arrived,
             time_left,
             whole: true,
@@ -386,6 +387,7 @@
             tenant: None,
             key: None,
             hint: None,
+            once: false,
             arrived: now,
             time_left: 4_000_000,
             whole: true,
@@ -458,22 +460,28 @@
     }
 }
 
-/// Guards a transaction that is taken while its client still sends: its time begins with the last byte, nothing
-/// is sent again of what is used up, and its deadline is kept although the chooser keeps none for it.
-#[test]
-fn what_flows_has_its_time_from_the_last_byte_and_is_sent_once() {
-    let mut bench = Bench::new();
-    let transaction = Transaction {
+/// An unsafe transaction whose client still sends.
+fn flowing() -> Transaction<&'static str> {
+    Transaction {
         own: (*b"c").into(),
         class: UNSAFE,
         tenant: None,
         key: None,
+        once: false,
         hint: None,
         arrived: 0,
         time_left: DEADLINE,
         whole: false,
         message: "m",
-    };
+    }
+}
+
+/// Guards a transaction that is taken while its client still sends: its time begins with the last byte, nothing
+/// is sent again of what is used up, and its deadline is kept although the chooser keeps none for it.
+#[test]
+fn what_flows_has_its_time_from_the_last_byte_and_is_sent_once() {
+    let mut bench = Bench::new();
+    let transaction = flowing();
     let send =
         |server: &str| Action::Send { request: "n-1".into(), server: server.into(), until: 9 * DEADLINE };
     bench.dispatch.chooser_mut().planned.push(send("a"));
@@ -507,18 +515,7 @@
     let mut bench = Bench::new();
     let send = |server: &str| Action::Send { request: "n-1".into(), server: server.into(), until: DEADLINE };
     bench.dispatch.chooser_mut().planned.push(send("a"));
-    let (own, message) = ((*b"c").into(), "m");
-    let transaction = Transaction {
-        own,
-        class: UNSAFE,
-        tenant: None,
-        key: None,
-        hint: None,
-        arrived: 0,
-        time_left: DEADLINE,
-        whole: false,
-        message,
-    };
+    let transaction = flowing();
     bench.tell(Input::Taken { ticket: 1, transaction });
     bench.tell(Input::Spent { ticket: 1, attempt: 0 });
     bench.dispatch.chooser_mut().planned.push(send("b"));
--- a/emulator/src/balancer.rs
+++ b/emulator/src/balancer.rs
@@ -292,6 +292,7 @@
             tenant: Some(quest.counted.branch as usize),
             key: Some(format!("k{}", quest.key)),
             hint: quest.hint,
+            once: false,
             arrived: now,
             time_left: gives_up.saturating_sub(now),
             whole: true,
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -297,6 +297,7 @@
                 ttl: HOUR,
                 hint: None,
                 key: Some(&key),
+                once: false,
             };
             balancer.handle(now, Event::Request(arrival), &mut out);
             black_box(&out);
--- a/src/api.rs
+++ b/src/api.rs
@@ -328,6 +328,8 @@
     pub hint: Option<f64>,
     /// What it is about.
     pub key: Option<&'a str>,
+    /// Nothing names it to servers that drop repeats: whatever its class says, it may run once only.
+    pub once: bool,
 }
 
 /// The end of an attempt.
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -448,7 +448,7 @@
         let usual = odds(self.classes[r.class].failing);
         let usual_own = self.tally.mean_work / self.drain;
         // Where a failed try may not be repeated it costs the request besides.
-        let price = if self.settings.classes[r.class].effect == Effect::Unsafe { 2.0 * miss } else { miss };
+        let price = if self.effect(r) == Effect::Unsafe { 2.0 * miss } else { miss };
         // Crossing zones costs its price, a miss the work that others then wait for: next to nothing in an idle
         // fleet, all of it in a jam. So requests keep to their zone while that is free; never at more than a miss.
         let wasted = (1.0 - self.warm_share) * (self.mean_wait[r.class] / (JAM * slack)).max(1e-6);
@@ -536,9 +536,13 @@
         Some(Pick { server: seat.server, held, warm, wait: seat.wait, expected, finite: !infinite })
     }
 
+    fn effect(&self, r: &Request) -> Effect {
+        let effect = self.settings.classes[r.class].effect;
+        if r.once && effect != Effect::Safe { Effect::Unsafe } else { effect }
+    }
+
     /// Whether, and where, another attempt may go.
     fn may_repeat(&self, r: &Request, now: Micros) -> Repeat {
-        let class = &self.settings.classes[r.class];
         let out = r.attempts.iter().any(|a| a.outcome.is_none());
         let spent = r.attempts.len() >= self.settings.max_attempts as usize;
         let denied = r.attempts.iter().any(|a| a.outcome == Some(Outcome::Denied));
@@ -552,7 +556,7 @@
             return Repeat::No;
         }
         let Some(first) = r.attempts.iter().find(|a| may_have_run(a)) else { return Repeat::Any };
-        match class.effect {
+        match self.effect(r) {
             Effect::Safe => Repeat::Any,
             Effect::Unsafe => Repeat::No,
             Effect::Keyed { window, .. } if now >= first.sent + window => Repeat::No,
@@ -566,14 +570,14 @@
         if r.attempts.iter().any(|a| a.outcome == Some(Outcome::Denied)) {
             return false;
         }
-        match self.settings.classes[r.class].effect {
+        match self.effect(r) {
             Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
             Effect::Keyed { .. } | Effect::Unsafe => !r.attempts.iter().any(may_have_run),
         }
     }
 
     fn arrive(&mut self, now: Micros, arrival: Arrival<'_>, out: &mut Vec<Action>) {
-        let Arrival { id, class, tenant, ttl, hint, key } = arrival;
+        let Arrival { id, class, tenant, ttl, hint, key, once } = arrival;
         if self.requests.contains_key(&id) {
             return;
         }
@@ -612,6 +616,7 @@
             keyed: key.is_some() && self.settings.warm_keys,
             work,
             hinted,
+            once,
             value,
             ends,
             useful,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -13,7 +13,7 @@
 //!     id: "a".into(), zone: 0, kind: 0, cell: 0, state: State::Ready, weight: 1.0, started: None,
 //! };
 //! balancer.handle(0, Event::List { kind: ListKind::Full, servers: vec![server] }, &mut actions);
-//! let request = Arrival { id: "r1".into(), class: 0, tenant: None, ttl: 500_000, hint: None, key: Some("k") };
+//! let request = Arrival { id: "r1".into(), class: 0, tenant: None, ttl: 500_000, hint: None, key: Some("k"), once: false };
 //! balancer.handle(1_000, Event::Request(request), &mut actions);
 //! assert!(matches!(&actions[0], Action::Send { server, .. } if &**server == "a"));
 //! let ended = Ended {
--- a/src/state.rs
+++ b/src/state.rs
@@ -240,6 +240,8 @@
     pub work: f64,
     /// That work is its client's guess, not the mean of its class.
     pub hinted: bool,
+    /// It may run once only, unless its class is safe.
+    pub once: bool,
     pub value: f64,
     /// When the client gives up, and when an answer stops being worth anything.
     pub ends: Micros,
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -278,6 +278,7 @@
                 ttl: micros(line.ttl_ms.ok_or_else(|| missing("ttlMs"))?),
                 hint: line.weight_hint_ms.filter(|_| line.options & 1 != 0).map(|ms| ms * 1000.0),
                 key: line.partition_key.as_deref(),
+                once: false,
             })
         }
         "Flowing" => Event::Streaming { request: request()?, attempt: attempt()? },
--- a/tests/choice.rs
+++ b/tests/choice.rs
@@ -232,6 +232,7 @@
             ttl: 1_500_000,
             hint: Some(1e4),
             key: None,
+            once: false,
         };
         bench.event(now + i * 500, Event::Request(arrival));
         served[class] += u32::from(bench.sent().is_some());
@@ -337,7 +338,8 @@
     for i in 0..400u64 {
         let (tenant, id) = ((i % 2) as usize, format!("r{i}").as_str().into());
         let tenant = Some(tenant);
-        let arrival = Arrival { id, class: 0, tenant, ttl: 1_500_000, hint: Some(1e4), key: None };
+        let arrival =
+            Arrival { id, class: 0, tenant, ttl: 1_500_000, hint: Some(1e4), key: None, once: false };
         bench.event(now + i * 500, Event::Request(arrival));
         served[(i % 2) as usize] += u32::from(bench.sent().is_some());
     }
@@ -427,7 +429,15 @@
         let class = i % 2;
         let (key, ttl) = (Some("k"), 1_500_000);
         let id = format!("r{i}");
-        let arrival = Arrival { id: id.as_str().into(), class, tenant: None, ttl, hint: Some(10_000.0), key };
+        let arrival = Arrival {
+            id: id.as_str().into(),
+            class,
+            tenant: None,
+            ttl,
+            hint: Some(10_000.0),
+            key,
+            once: false,
+        };
         bench.event(now + i as u64 * 1_000, Event::Request(arrival));
         refused[class] += u32::from(bench.refused());
         if class == 1 && bench.sent().is_some() {
@@ -670,7 +680,7 @@
         let (now, id, class) = (i * 150_000, format!("r{i}"), (i % 2) as usize);
         let key = format!("k{i}");
         let (key, ttl, hint) = (Some(key.as_str()), 1_500_000, Some(10_000.0));
-        let arrival = Arrival { id: id.as_str().into(), class, tenant: None, ttl, hint, key };
+        let arrival = Arrival { id: id.as_str().into(), class, tenant: None, ttl, hint, key, once: false };
         bench.event(now, Event::Request(arrival));
         let Some(server) = bench.sent() else { continue };
         let fails = class == 0 && bad.contains(&server.as_str());
@@ -951,6 +961,7 @@
             ttl: 1_500_000,
             hint: Some(10_000.0),
             key: Some(id),
+            once: false,
         };
         bench.event(now, Event::Request(arrival));
         bench.sent().is_some()
@@ -1044,7 +1055,10 @@
     assert_eq!(pause(&bench), 1_500_000 / 4);
     let class = Settings::default().classes.len();
     let id = "no class".into();
-    bench.event(1_000, Event::Request(Arrival { id, class, tenant: None, ttl: 9, hint: None, key: None }));
+    bench.event(
+        1_000,
+        Event::Request(Arrival { id, class, tenant: None, ttl: 9, hint: None, key: None, once: false }),
+    );
     assert_eq!(pause(&bench), 50_000);
 
     let mut bench = Bench::with_servers(Settings { max_attempts: 1, ..Settings::default() }, 2);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -42,8 +42,15 @@
 
     pub fn arrive(&mut self, now: Micros, id: &str, key: &str, hint: f64) {
         let key = Some(key).filter(|k| !k.is_empty());
-        let arrival =
-            Arrival { id: id.into(), class: 0, tenant: None, ttl: 1_500_000, hint: Some(hint), key };
+        let arrival = Arrival {
+            id: id.into(),
+            class: 0,
+            tenant: None,
+            ttl: 1_500_000,
+            hint: Some(hint),
+            key,
+            once: false,
+        };
         self.event(now, Event::Request(arrival));
     }
 
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -73,6 +73,7 @@
             ttl: 9_000_000,
             hint: Some(30_000.0),
             key: Some("k"),
+            once: false,
         };
         bench.event(1_000, Event::Request(arrival));
         let first = zones(&bench, &all).expect("an idle fleet takes it");
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -157,6 +157,7 @@
             ttl: 1_500_000,
             hint: None,
             key: Some(&key),
+            once: false,
         };
         bench.event(now, Event::Request(arrival));
         match bench.sent().as_deref() {
@@ -249,6 +250,7 @@
             ttl: 1_500_000,
             hint: Some(10_000.0),
             key: Some(&key),
+            once: false,
         };
         bench.event(now, Event::Request(arrival));
         if bench.sent().is_some() {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -183,7 +183,15 @@
                     self.held.insert(id.clone(), Held { class, ends, closed: false, attempts: vec![] });
                     let id = id.as_str().into();
                     let key = Some(key.as_str());
-                    self.feed(Event::Request(Arrival { id, class, tenant: None, ttl, hint: None, key }));
+                    self.feed(Event::Request(Arrival {
+                        id,
+                        class,
+                        tenant: None,
+                        ttl,
+                        hint: None,
+                        key,
+                        once: false,
+                    }));
                 }
                 Step::End { pick, outcome } => {
                     let out = self.out();
