--- /dev/null
+++ b/standins/src/discovery.rs
@@ -0,0 +1,210 @@
+//! Discovery: one service with a whole list and watches; each process calls at an address of its own, so that the books
+//! know who was told what.
+
+use std::cell::RefCell;
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+use serde_json::{Value, json};
+use tokio::io::{AsyncWriteExt, BufReader};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::watch;
+use tokio::task::{JoinSet, spawn_local};
+
+use crate::Ledger;
+use crate::books::{Fact, Health};
+use crate::wire;
+
+/// One app server as the list has it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Entry {
+    /// Its number in the books.
+    pub server: usize,
+    /// Its name.
+    pub name: String,
+    /// Where it listens.
+    pub dial: SocketAddr,
+    /// Its zone.
+    pub zone: usize,
+    /// What it is.
+    pub health: Health,
+    /// When it last started, in milliseconds of Unix time; 0 for long ago.
+    pub born_ms: u64,
+}
+
+struct Inner {
+    /// All changes in order; a version is how many there are.
+    changes: Vec<Entry>,
+    /// Where a process is to dial an app server instead.
+    detours: Vec<(usize, usize, SocketAddr)>,
+    ledger: Ledger,
+}
+
+/// The service.
+#[derive(Clone)]
+pub struct Discovery {
+    inner: Rc<RefCell<Inner>>,
+    /// Up, and at which version.
+    state: Rc<watch::Sender<(bool, usize)>>,
+}
+
+/// The name of a zone.
+pub fn zone_name(zone: usize) -> String {
+    format!("zone-{zone}")
+}
+
+impl Discovery {
+    /// One that knows of nobody.
+    pub fn new(ledger: Ledger) -> Self {
+        let inner = Inner { changes: Vec::new(), detours: Vec::new(), ledger };
+        Discovery { inner: Rc::new(RefCell::new(inner)), state: Rc::new(watch::Sender::new((true, 0))) }
+    }
+
+    /// Enters a change and tells all who watch.
+    pub fn enter(&self, entry: Entry) {
+        let version = {
+            let changes = &mut self.inner.borrow_mut().changes;
+            changes.push(entry);
+            changes.len()
+        };
+        self.state.send_modify(|state| state.1 = version);
+    }
+
+    /// This process is to dial that app server elsewhere; to be said before it is told of it.
+    pub fn detour(&self, process: usize, server: usize, dial: SocketAddr) {
+        self.inner.borrow_mut().detours.push((process, server, dial));
+    }
+
+    /// Down: calls fail and watches end. Or up again.
+    pub fn set_up(&self, up: bool) {
+        self.state.send_modify(|state| state.0 = up);
+    }
+
+    /// The address at which this process calls.
+    pub async fn open_to(&self, process: usize) -> io::Result<SocketAddr> {
+        let listener = TcpListener::bind("127.0.0.1:0").await?;
+        let address = listener.local_addr()?;
+        let of = self.clone();
+        spawn_local(async move {
+            let mut calls = JoinSet::new();
+            while let Ok((stream, _)) = listener.accept().await {
+                while calls.try_join_next().is_some() {}
+                calls.spawn_local(of.clone().call(process, stream));
+            }
+        });
+        Ok(address)
+    }
+
+    /// What holds of each app server now, in the order in which they were first entered; those that are gone too.
+    fn whole(&self) -> Vec<Entry> {
+        let mut latest: Vec<Entry> = Vec::new();
+        for entry in &self.inner.borrow().changes {
+            match latest.iter_mut().find(|known| known.server == entry.server) {
+                Some(known) => *known = entry.clone(),
+                None => latest.push(entry.clone()),
+            }
+        }
+        latest
+    }
+
+    /// The list as a process reads it.
+    fn list(&self, process: usize, version: usize, whole: bool, entries: &[Entry]) -> Value {
+        let inner = self.inner.borrow();
+        // In a whole list the gone ones are missing.
+        let named = entries.iter().filter(|entry| !whole || entry.health != Health::Removed);
+        let hosts: Vec<Value> = named
+            .map(|entry| {
+                let detour = inner.detours.iter().rev().find(|(p, s, _)| (*p, *s) == (process, entry.server));
+                let dial = detour.map_or(entry.dial, |(.., dial)| *dial);
+                json!({
+                    "host": entry.name, "dial": dial.to_string(), "site": zone_name(entry.zone), "class": "std",
+                    "block": entry.zone, "health": entry.health.name(), "share": 1.0, "born_ms": entry.born_ms,
+                })
+            })
+            .collect();
+        json!({ "seq": version, "whole": whole, "hosts": hosts })
+    }
+
+    /// The whole list as a process has it at its start.
+    pub fn known_to(&self, process: usize) -> Value {
+        let version = self.state.borrow().1;
+        self.list(process, version, true, &self.whole())
+    }
+
+    /// It is written down before it is sent: from then on the process may have it.
+    fn tell(&self, process: usize, entries: &[Entry]) {
+        let ledger = self.inner.borrow().ledger.clone();
+        for entry in entries {
+            ledger.write(Fact::Told { process, server: entry.server, health: entry.health });
+        }
+    }
+
+    async fn call(self, process: usize, stream: TcpStream) {
+        let mut states = self.state.subscribe();
+        let mut stream = BufReader::new(stream);
+        while let Ok(Some(message)) = wire::read(&mut stream).await {
+            let (up, version) = *states.borrow_and_update();
+            if !up {
+                return;
+            }
+            let watches = message.path().contains("stream=1");
+            let index = message.path().split("index=").nth(1).and_then(|text| text.parse().ok());
+            // What a process that watches has missed, or all if its version is none of ours.
+            let from = index.filter(|index| watches && *index > 0 && *index <= version);
+            let whole = from.is_none();
+            let entries = match from {
+                Some(from) => self.inner.borrow().changes[from..version].to_vec(),
+                None => self.whole(),
+            };
+            let list = self.list(process, version, whole, &entries).to_string();
+            self.tell(process, &entries);
+            if !watches {
+                let answer = wire::answer("200 OK", "Content-Type: application/json\r\n", &list);
+                if stream.get_mut().write_all(answer.as_bytes()).await.is_err() {
+                    return;
+                }
+                continue;
+            }
+            let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_owned();
+            if stream.get_mut().write_all((head + &chunk(&list)).as_bytes()).await.is_err() {
+                return;
+            }
+            return self.watch(process, stream.into_inner(), states, version).await;
+        }
+    }
+
+    async fn watch(
+        &self,
+        process: usize,
+        mut stream: TcpStream,
+        mut states: watch::Receiver<(bool, usize)>,
+        mut told: usize,
+    ) {
+        loop {
+            let changed = tokio::time::timeout(
+                std::time::Duration::from_secs(2),
+                states.wait_for(|s| !s.0 || s.1 > told),
+            )
+            .await;
+            let text = match changed.map(|state| state.map(|state| *state)) {
+                Ok(Ok((true, version))) => {
+                    let entries = self.inner.borrow().changes[told..version].to_vec();
+                    told = version;
+                    self.tell(process, &entries);
+                    chunk(&self.list(process, version, false, &entries).to_string())
+                }
+                // Down, or gone.
+                Ok(_) => return,
+                Err(_) => chunk(""),
+            };
+            if stream.write_all(text.as_bytes()).await.is_err() {
+                return;
+            }
+        }
+    }
+}
+
+fn chunk(line: &str) -> String {
+    format!("{:x}\r\n{line}\n\r\n", line.len() + 1)
+}
--- /dev/null
+++ b/standins/src/fleet.rs
@@ -0,0 +1,213 @@
+//! All of it together: app servers, discovery, processes and their clients.
+
+use std::cell::Cell;
+use std::io;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::rc::Rc;
+use std::time::Duration;
+
+use serde_json::{Value, json};
+
+use crate::Ledger;
+use crate::books::{Allowed, Breach, Health, Repeats};
+use crate::clients::{Ask, Clients};
+use crate::discovery::{Discovery, Entry, zone_name};
+use crate::process::Process;
+use crate::relay::Link;
+use crate::server::{AppServer, Make};
+
+/// The grace after a drain was told.
+const GRACE: Duration = Duration::from_secs(2);
+/// How long a keyed request is known.
+const WINDOW: Duration = Duration::from_secs(6);
+
+/// The classes that the rig's settings have, in turn.
+pub const ASKS: [Ask; 3] = [
+    Ask { class: "status", repeats: Repeats::Safe, waits: Duration::from_millis(2500), user: 0 },
+    Ask {
+        class: "report",
+        repeats: Repeats::Keyed { window: WINDOW.as_micros() as u64 },
+        waits: Duration::from_secs(3),
+        user: 0,
+    },
+    Ask { class: "dispatch", repeats: Repeats::Unsafe, waits: Duration::from_millis(1500), user: 0 },
+];
+
+/// How large a fleet is.
+#[derive(Clone, Debug)]
+pub struct Plan {
+    /// The program.
+    pub program: PathBuf,
+    /// Its processes.
+    pub processes: usize,
+    /// App servers, spread over the zones in turn.
+    pub servers: usize,
+    /// Zones.
+    pub zones: usize,
+    /// What each app server is.
+    pub make: Make,
+    /// Links that are to be broken: by place and app server.
+    pub links: Vec<(usize, usize)>,
+}
+
+/// A fleet of real processes with everything round it.
+pub struct Fleet {
+    /// What was seen.
+    pub ledger: Ledger,
+    /// App servers by their numbers; those that have vanished are none.
+    pub servers: Vec<Option<AppServer>>,
+    /// The service that names them.
+    pub discovery: Discovery,
+    /// Processes in their places; none where one was killed and not started anew.
+    pub processes: Vec<Option<Process>>,
+    /// Those who ask.
+    pub clients: Clients,
+    /// Links that lead round: by process and app server.
+    pub links: Vec<((usize, usize), Link)>,
+    plan: Plan,
+    /// The number of each place's process; one that is started anew gets a new one.
+    numbers: usize,
+}
+
+impl Fleet {
+    /// Starts app servers, then all processes at once, and waits until they are ready.
+    pub async fn start(plan: Plan) -> io::Result<Fleet> {
+        let ledger = Ledger::default();
+        let discovery = Discovery::new(ledger.clone());
+        let clients = Clients::new(ledger.clone());
+        let (servers, processes, links) = (Vec::new(), Vec::new(), Vec::new());
+        let mut fleet = Fleet { ledger, servers, discovery, processes, clients, links, plan, numbers: 0 };
+        for _ in 0..fleet.plan.servers {
+            fleet.add_server(0).await?;
+        }
+        for (place, server) in fleet.plan.links.clone() {
+            let Some(of) = &fleet.servers[server] else { continue };
+            let link = Link::to(of.address).await?;
+            // The first processes have the numbers of their places.
+            fleet.discovery.detour(place, server, link.address);
+            fleet.links.push(((place, server), link));
+        }
+        fleet.processes = (0..fleet.plan.processes).map(|_| None).collect();
+        let all: Vec<usize> = (0..fleet.plan.processes).collect();
+        fleet.start_processes(&all).await?;
+        Ok(fleet)
+    }
+
+    /// One more app server, listed as up. `born_ms` as in the list.
+    pub async fn add_server(&mut self, born_ms: u64) -> io::Result<usize> {
+        let number = self.servers.len();
+        let make = Make { zone: number % self.plan.zones, ..self.plan.make };
+        let server = AppServer::start(number, make, self.ledger.clone()).await?;
+        let (name, dial, zone) = (server.name.clone(), server.address, server.zone());
+        self.servers.push(Some(server));
+        self.discovery.enter(Entry { server: number, name, dial, zone, health: Health::Up, born_ms });
+        Ok(number)
+    }
+
+    /// What discovery says of an app server from now on.
+    pub fn list(&self, server: usize, health: Health) {
+        let Some(of) = &self.servers[server] else { return };
+        let (name, dial, zone) = (of.name.clone(), of.address, of.zone());
+        self.discovery.enter(Entry { server, name, dial, zone, health, born_ms: 0 });
+    }
+
+    /// An app server's process dies; discovery is told of it elsewhere, or never.
+    pub fn vanish(&mut self, server: usize) {
+        self.servers[server] = None;
+    }
+
+    /// Starts processes at these places, all at once, and waits until they are ready. They have the list of now, and
+    /// nothing that one before them had.
+    pub async fn start_processes(&mut self, places: &[usize]) -> io::Result<()> {
+        let mut starts = Vec::new();
+        for place in places {
+            let number = self.numbers;
+            self.numbers += 1;
+            let config = self.config(*place, number).await?;
+            let (program, ledger) = (self.plan.program.clone(), self.ledger.clone());
+            starts.push((
+                *place,
+                tokio::task::spawn_local(
+                    async move { Process::start(&program, number, &config, ledger).await },
+                ),
+            ));
+        }
+        for (place, start) in starts {
+            self.processes[place] = Some(start.await.map_err(io::Error::other)??);
+        }
+        Ok(())
+    }
+
+    /// The process at a place.
+    ///
+    /// # Panics
+    ///
+    /// Where none is.
+    pub fn process(&self, place: usize) -> &Process {
+        self.processes[place].as_ref().expect("a process at this place")
+    }
+
+    /// The link from a place to an app server, as planned.
+    ///
+    /// # Panics
+    ///
+    /// Where none was planned.
+    pub fn link(&self, place: usize, server: usize) -> &Link {
+        let link = self.links.iter().find(|(of, _)| *of == (place, server));
+        link.map(|(_, link)| link).expect("a link that was planned")
+    }
+
+    /// Whom a front would send to: all that were not killed, in turn.
+    pub fn alive(&self) -> Vec<(usize, SocketAddr)> {
+        self.processes.iter().flatten().map(|process| (process.number, process.address)).collect()
+    }
+
+    /// Asks those who are alive now in turn, all classes in turn, until the flag is taken back.
+    pub fn load(&self, each: Duration) -> Rc<Cell<bool>> {
+        let (alive, more) = (self.alive(), Rc::new(Cell::new(true)));
+        let whom = move |serial: u64| alive.get(serial as usize % alive.len().max(1)).copied();
+        let what = |serial: u64| Ask { user: (serial % 97) as u32, ..ASKS[(serial / 7 % 3) as usize] };
+        self.clients.stream(each, whom, what, more.clone());
+        more
+    }
+
+    /// Waits until all who asked have heard, and judges.
+    pub async fn verdict(&self) -> Vec<Breach> {
+        self.ledger.until("the last answer", |books| books.heard() == books.asked()).await;
+        let micros = |time: Duration| u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
+        let allowed = Allowed { grace: micros(GRACE), slack: micros(Duration::from_millis(250)) };
+        self.ledger.read(|books| books.verdict(allowed))
+    }
+
+    async fn config(&self, place: usize, number: usize) -> io::Result<Value> {
+        let discovery = self.discovery.open_to(number).await?;
+        let zones: Vec<String> = (0..self.plan.zones).map(zone_name).collect();
+        let class = |ask: &Ask| {
+            let (effect, window) = match ask.repeats {
+                Repeats::Safe => ("safe", 0),
+                Repeats::Keyed { window } => ("keyed", window / 1000),
+                Repeats::Unsafe => ("unsafe", 0),
+            };
+            json!({
+                "name": ask.class, "aimMs": 600, "deadlineMs": ask.waits.as_millis() as u64, "effect": effect,
+                "group": "zone", "windowMs": window,
+            })
+        };
+        Ok(json!({
+            "name": format!("b{place}"), "listen": "127.0.0.1:0", "discovery": discovery.to_string(),
+            "seed": format!("{:x}", number + 1), "limits": { "sockets": 512 },
+            "known": self.discovery.known_to(number),
+            "settings": {
+                "categories": ASKS.iter().map(class).collect::<Vec<_>>(), "realms": [], "discovery": "on_request",
+                "failureDomains": zones, "kinds": ["std"], "extra": { "warmKeys": true },
+                "me": place, "peersTotal": self.plan.processes, "myZone": zone_name(place % self.plan.zones),
+                "limits": {
+                    "cancel": true, "secondCopies": true, "connIdleMs": 15000, "dialTimeoutMs": 250, "tryLimit": 6,
+                    "maxRetryAfterMs": 1500,
+                },
+                "rules": { "drainGraceMs": GRACE.as_millis() as u64 },
+            },
+        }))
+    }
+}
