--- /dev/null
+++ b/lab/src/fleet.rs
@@ -0,0 +1,524 @@
+//! Runs of many real processes by a scenario file, measured in real time: what is served by the second while pieces break,
+//! and how long it takes to come back.
+
+use std::cell::Cell;
+use std::collections::BTreeMap;
+use std::io;
+use std::path::{Path, PathBuf};
+use std::rc::Rc;
+use std::time::Duration;
+
+use gradepaddle_standins::books::{Answer, Books, Fact, Health, Took};
+use gradepaddle_standins::fleet::{Fleet, Plan};
+use gradepaddle_standins::relay::{CLEAR, Way};
+use gradepaddle_standins::server::Make;
+use serde::{Deserialize, Serialize};
+use tokio::task::LocalSet;
+use tokio::time::Instant;
+
+/// The version of the result's format.
+pub const SCHEMA: u32 = 1;
+/// Full service: so many seconds in a row ...
+const IN_A_ROW: usize = 5;
+/// ... within this much of what was served before.
+const WITHIN: f64 = 0.02;
+/// How late the front notices a death.
+const NOTICE: Duration = Duration::from_millis(1500);
+
+/// A fleet, its load and what breaks.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(default, deny_unknown_fields)]
+pub struct Scenario {
+    /// What it is about, in a line.
+    pub about: String,
+    /// Balancer processes.
+    pub processes: usize,
+    /// App servers, spread over the zones in turn.
+    pub servers: usize,
+    /// Zones.
+    pub zones: usize,
+    /// What a request takes at an app server.
+    pub work_ms: f64,
+    /// Requests in work at a time at each.
+    pub slots: usize,
+    /// Requests that may wait at each.
+    pub queue: usize,
+    /// Requests a second.
+    pub per_second: f64,
+    /// For so long.
+    pub length_s: f64,
+    /// What breaks, and when.
+    #[serde(rename = "fault")]
+    pub faults: Vec<Fault>,
+}
+
+impl Default for Scenario {
+    fn default() -> Self {
+        Scenario {
+            about: String::new(),
+            processes: 3,
+            servers: 6,
+            zones: 3,
+            work_ms: 20.0,
+            slots: 8,
+            queue: 32,
+            per_second: 200.0,
+            length_s: 20.0,
+            faults: Vec::new(),
+        }
+    }
+}
+
+/// What breaks, when, and for how long.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct Fault {
+    /// From when on.
+    pub at_s: f64,
+    /// Until it is undone.
+    #[serde(default)]
+    pub for_s: f64,
+    /// What.
+    #[serde(flatten)]
+    pub kind: Kind,
+}
+
+/// The faults by name.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
+pub enum Kind {
+    /// This share of the processes is killed at once, and started anew together when it is over.
+    Kill {
+        /// How many of them.
+        share: f64,
+    },
+    /// This share of the processes is paused, and let go when it is over.
+    Pause {
+        /// How many of them.
+        share: f64,
+    },
+    /// Discovery fails every call.
+    DiscoveryDown {},
+    /// Each process is cut off from a third of the app servers, another one for each; one-way if said so.
+    CutOff {
+        /// Requests get there, and answers don't come back.
+        #[serde(default)]
+        one_way: bool,
+    },
+    /// All app servers are replaced, one after the other over its time: each drains, and a new one starts.
+    Replace {},
+}
+
+impl Scenario {
+    /// Reads a file; what is wrong is named with line and field.
+    pub fn read(path: &Path) -> Result<Scenario, String> {
+        let text = crate::file::text(path)?;
+        let scenario: Scenario =
+            toml::from_str(&text).map_err(|e| format!("{}: {}", path.display(), e.to_string().trim_end()))?;
+        scenario.check().map_err(|fault| format!("{}: {fault}", path.display()))?;
+        Ok(scenario)
+    }
+
+    fn check(&self) -> Result<(), String> {
+        let within = |field: &str, value: f64, least: f64, most: f64| {
+            if (least..=most).contains(&value) {
+                return Ok(());
+            }
+            Err(format!("{field}: {value} is not from {least} to {most}"))
+        };
+        within("processes", self.processes as f64, 1.0, 1_000.0)?;
+        within("servers", self.servers as f64, 1.0, 1_000.0)?;
+        within("zones", self.zones as f64, 1.0, 64.0)?;
+        within("work_ms", self.work_ms, 0.0, 10_000.0)?;
+        within("slots", self.slots as f64, 1.0, 10_000.0)?;
+        within("per_second", self.per_second, 0.1, 20_000.0)?;
+        within("length_s", self.length_s, 1.0, 600.0)?;
+        for (at, fault) in self.faults.iter().enumerate() {
+            within(&format!("fault[{at}].at_s"), fault.at_s, 0.0, self.length_s)?;
+            within(&format!("fault[{at}].for_s"), fault.for_s, 0.0, self.length_s)?;
+            if let Kind::Kill { share } | Kind::Pause { share } = fault.kind {
+                within(&format!("fault[{at}].share"), share, 0.0, 1.0)?;
+            }
+        }
+        Ok(())
+    }
+}
+
+/// One second, by when a request was asked.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct Second {
+    /// Requests that a process took.
+    pub asked: u64,
+    /// Of those: served.
+    pub served: u64,
+    /// Refused.
+    pub refused: u64,
+    /// Failed.
+    pub failed: u64,
+    /// Lost with their process or given up.
+    pub lost: u64,
+    /// Clients that found nobody.
+    pub missed: u64,
+}
+
+impl Second {
+    fn share(&self) -> f64 {
+        self.served as f64 / (self.asked + self.missed).max(1) as f64
+    }
+}
+
+/// What one process or all take from the machine.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct Takes {
+    /// Resident memory.
+    pub memory_mb: f64,
+    /// Descriptors.
+    pub descriptors: f64,
+    /// CPU time, in seconds.
+    pub cpu_s: f64,
+}
+
+/// What came out.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct Outcome {
+    /// [`SCHEMA`].
+    pub schema: u32,
+    /// What was run.
+    pub scenario: Scenario,
+    /// How long it took until all processes were ready.
+    pub ready_s: f64,
+    /// By second.
+    pub seconds: Vec<Second>,
+    /// Served of all that were asked or found nobody.
+    pub served: f64,
+    /// From the end of the last fault to full service; none if it did not come back within the run, or nothing broke.
+    pub back_s: Option<f64>,
+    /// Attempts at the most loaded app server over the mean, in 100 ms: the mean of that over the run, and its most.
+    pub herding: [f64; 2],
+    /// Of each process, in the mean, and of the largest.
+    pub takes: [Takes; 2],
+    /// Broken rules with their histories, the first ones.
+    pub breaches: Vec<String>,
+}
+
+/// The program beside this one, unless another is named.
+pub fn program(named: Option<&Path>) -> Result<PathBuf, String> {
+    let beside = || {
+        let own = std::env::current_exe().ok()?;
+        Some(own.parent()?.join("gradepaddle"))
+    };
+    let path = named.map(Path::to_path_buf).or_else(beside).ok_or("no program is named by --program")?;
+    if path.is_file() {
+        return Ok(path);
+    }
+    Err(format!(
+        "{}: no program there; build it by `cargo build --release`, or name it by --program",
+        path.display()
+    ))
+}
+
+/// Runs a scenario in real time.
+pub fn run(scenario: &Scenario, program: &Path) -> Result<Outcome, String> {
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())?;
+    LocalSet::new().block_on(&runtime, play(scenario, program)).map_err(|e| e.to_string())
+}
+
+fn make(scenario: &Scenario) -> Make {
+    let work = Duration::from_secs_f64(scenario.work_ms / 1000.0);
+    Make { slots: scenario.slots, queue: scenario.queue, work, ..Make::default() }
+}
+
+/// The app servers that a place is cut off from: a third, another one for each.
+fn third(place: usize, servers: usize) -> impl Iterator<Item = usize> {
+    (0..servers).filter(move |server| (server + place).is_multiple_of(3))
+}
+
+async fn play(scenario: &Scenario, program: &Path) -> io::Result<Outcome> {
+    let cuts = scenario.faults.iter().any(|fault| matches!(fault.kind, Kind::CutOff { .. }));
+    let links = if cuts {
+        (0..scenario.processes).flat_map(|p| third(p, scenario.servers).map(move |s| (p, s))).collect()
+    } else {
+        Vec::new()
+    };
+    let plan = Plan {
+        program: program.to_owned(),
+        processes: scenario.processes,
+        servers: scenario.servers,
+        zones: scenario.zones,
+        make: make(scenario),
+        links,
+    };
+    let begun = Instant::now();
+    let mut fleet = Fleet::start(plan).await?;
+    let ready_s = begun.elapsed().as_secs_f64();
+    let start = fleet.ledger.now();
+    let begun = Instant::now();
+    let load = fleet.traffic(Duration::from_secs_f64(1.0 / scenario.per_second));
+    let mut steps: Vec<(f64, usize, bool)> = Vec::new();
+    for (at, fault) in scenario.faults.iter().enumerate() {
+        steps.push((fault.at_s, at, true));
+        steps.push((fault.at_s + fault.for_s, at, false));
+    }
+    steps.sort_by(|a, b| a.0.total_cmp(&b.0));
+    for (when, at, begins) in steps {
+        tokio::time::sleep_until(begun + Duration::from_secs_f64(when)).await;
+        step(&mut fleet, scenario, &scenario.faults[at], begins).await?;
+    }
+    tokio::time::sleep_until(begun + Duration::from_secs_f64(scenario.length_s)).await;
+    let takes = takes(&fleet);
+    load.set(false);
+    let breaches: Vec<String> = fleet.verdict().await.iter().take(20).map(ToString::to_string).collect();
+    let seconds = fleet.ledger.read(|books| by_second(books, start, scenario.length_s as usize));
+    let herding = fleet.ledger.read(|books| herding(books, start, scenario.servers));
+    let sum = |of: fn(&Second) -> u64| seconds.iter().map(of).sum::<u64>() as f64;
+    let served = sum(|s| s.served) / sum(|s| s.asked + s.missed).max(1.0);
+    let back_s = back(&seconds, &scenario.faults);
+    let scenario = scenario.clone();
+    Ok(Outcome { schema: SCHEMA, scenario, ready_s, seconds, served, back_s, herding, takes, breaches })
+}
+
+/// The first so many places.
+fn some(fleet: &Fleet, share: f64) -> Vec<usize> {
+    (0..(fleet.processes.len() as f64 * share).round() as usize).collect()
+}
+
+async fn step(fleet: &mut Fleet, scenario: &Scenario, fault: &Fault, begins: bool) -> io::Result<()> {
+    match (&fault.kind, begins) {
+        (Kind::Kill { share }, true) => {
+            for place in some(fleet, *share) {
+                if let Some(process) = fleet.processes[place].take() {
+                    process.kill()?;
+                    fleet.front.lose(process.number, NOTICE);
+                }
+            }
+        }
+        (Kind::Kill { share }, false) => fleet.start_processes(&some(fleet, *share)).await?,
+        (Kind::Pause { share }, _) => {
+            for process in some(fleet, *share).into_iter().filter_map(|place| fleet.processes[place].as_ref())
+            {
+                if begins {
+                    process.pause()?;
+                } else {
+                    process.resume()?;
+                }
+            }
+        }
+        (Kind::DiscoveryDown {}, begins) => fleet.discovery.set_up(!begins),
+        (Kind::CutOff { one_way }, begins) => {
+            for (_, link) in &fleet.links {
+                match (begins, one_way) {
+                    (true, true) => link.set(CLEAR, Way::Silent),
+                    (true, false) => link.set(Way::Silent, Way::Silent),
+                    (false, _) => link.set(CLEAR, CLEAR),
+                }
+            }
+        }
+        (Kind::Replace {}, true) => {
+            let each = Duration::from_secs_f64(fault.for_s / scenario.servers as f64);
+            for old in 0..scenario.servers {
+                fleet.add_server(0).await?;
+                fleet.list(old, Health::Draining);
+                tokio::time::sleep(each).await;
+                fleet.list(old, Health::Removed);
+            }
+        }
+        (Kind::Replace {}, false) => {}
+    }
+    Ok(())
+}
+
+fn by_second(books: &Books, start: u64, length: usize) -> Vec<Second> {
+    let mut seconds = vec![Second::default(); length];
+    let mut asked: BTreeMap<u64, usize> = BTreeMap::new();
+    for (at, fact) in books.facts() {
+        let second = (at.saturating_sub(start) / 1_000_000) as usize;
+        match fact {
+            Fact::Asked { request, .. } if second < length => {
+                seconds[second].asked += 1;
+                asked.insert(*request, second);
+            }
+            // Its next try is another request.
+            Fact::Unread { request } => {
+                if let Some(second) = asked.remove(request) {
+                    seconds[second].asked -= 1;
+                }
+            }
+            Fact::Missed { .. } if second < length => seconds[second].missed += 1,
+            Fact::Heard { request, answer } => {
+                let Some(second) = asked.remove(request) else { continue };
+                let second = &mut seconds[second];
+                match answer {
+                    Answer::Served(_) => second.served += 1,
+                    Answer::Refused => second.refused += 1,
+                    Answer::Failed(_) | Answer::Doubled => second.failed += 1,
+                    Answer::Lost | Answer::GivenUp => second.lost += 1,
+                }
+            }
+            _ => {}
+        }
+    }
+    seconds
+}
+
+/// From the last fault's end to the first of so many seconds that are served as before the first fault.
+fn back(seconds: &[Second], faults: &[Fault]) -> Option<f64> {
+    let first = faults.iter().map(|fault| fault.at_s).min_by(f64::total_cmp)?;
+    let last = faults.iter().map(|fault| fault.at_s + fault.for_s).max_by(f64::total_cmp)?;
+    let before = &seconds[..(first as usize).min(seconds.len())];
+    let usual = before.iter().map(Second::share).sum::<f64>() / before.len().max(1) as f64;
+    let from = last.ceil() as usize;
+    let full = |run: &[Second]| run.iter().all(|second| second.share() >= usual - WITHIN);
+    let at = seconds.get(from..)?.windows(IN_A_ROW).position(full)?;
+    Some((from + at) as f64 - last)
+}
+
+/// Attempts at the most loaded app server over the mean, by 100 ms; windows with fewer than two for each tell nothing.
+fn herding(books: &Books, start: u64, servers: usize) -> [f64; 2] {
+    let mut windows: BTreeMap<u64, BTreeMap<usize, u64>> = BTreeMap::new();
+    for (at, fact) in books.facts() {
+        if let Fact::Came { server, took: Took::Begun(_), .. } = fact {
+            *windows.entry(at.saturating_sub(start) / 100_000).or_default().entry(*server).or_default() += 1;
+        }
+    }
+    let ratios: Vec<f64> = windows
+        .values()
+        .filter(|window| window.values().sum::<u64>() >= 2 * servers as u64)
+        .map(|window| {
+            let most = window.values().copied().max().unwrap_or(0) as f64;
+            most * servers as f64 / window.values().sum::<u64>() as f64
+        })
+        .collect();
+    let mean = ratios.iter().sum::<f64>() / ratios.len().max(1) as f64;
+    [mean, ratios.iter().copied().fold(0.0, f64::max)]
+}
+
+/// From the kernel's own books, of those that run.
+fn takes(fleet: &Fleet) -> [Takes; 2] {
+    let of = |id: i32| -> Option<Takes> {
+        let folder = PathBuf::from(format!("/proc/{id}"));
+        let status = std::fs::read_to_string(folder.join("status")).ok()?;
+        let memory = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
+        let memory_mb = memory.trim().trim_end_matches(" kB").parse::<f64>().ok()? / 1024.0;
+        let descriptors = std::fs::read_dir(folder.join("fd")).ok()?.count() as f64;
+        let stat = std::fs::read_to_string(folder.join("stat")).ok()?;
+        // Behind the name, which may hold anything, stand the state and then numbers; ticks are 10 ms.
+        let fields: Vec<&str> = stat.rsplit(')').next()?.split_whitespace().collect();
+        let ticks = fields.get(11)?.parse::<f64>().ok()? + fields.get(12)?.parse::<f64>().ok()?;
+        Some(Takes { memory_mb, descriptors, cpu_s: ticks / 100.0 })
+    };
+    let all: Vec<Takes> = fleet.processes.iter().flatten().filter_map(|process| of(process.id())).collect();
+    let mean = |field: fn(&Takes) -> f64| all.iter().map(field).sum::<f64>() / all.len().max(1) as f64;
+    let most = |field: fn(&Takes) -> f64| all.iter().map(field).fold(0.0, f64::max);
+    let both = |of: &dyn Fn(fn(&Takes) -> f64) -> f64| Takes {
+        memory_mb: of(|t| t.memory_mb),
+        descriptors: of(|t| t.descriptors),
+        cpu_s: of(|t| t.cpu_s),
+    };
+    [both(&mean), both(&most)]
+}
+
+/// What is printed of a run.
+pub fn summary(outcome: &Outcome) -> String {
+    let Outcome { scenario, seconds, takes: [mean, most], .. } = outcome;
+    let mut text = format!(
+        "{}\n{} processes, {} app servers, {} requests a second; ready after {:.2} s\n\
+         served {:.4}; back to full service {}; herding {:.2}, at most {:.2}\n\
+         a process: {:.1} MB, {:.0} descriptors, {:.2} s of CPU; at most {:.1}, {:.0}, {:.2}\n\
+         second   asked  served refused failed   lost missed\n",
+        scenario.about,
+        scenario.processes,
+        scenario.servers,
+        scenario.per_second,
+        outcome.ready_s,
+        outcome.served,
+        outcome.back_s.map_or("not seen".to_owned(), |s| format!("after {s:.0} s")),
+        outcome.herding[0],
+        outcome.herding[1],
+        mean.memory_mb,
+        mean.descriptors,
+        mean.cpu_s,
+        most.memory_mb,
+        most.descriptors,
+        most.cpu_s,
+    );
+    for (at, s) in seconds.iter().enumerate() {
+        let Second { asked, served, refused, failed, lost, missed } = s;
+        text += &format!("{at:>6} {asked:>7} {served:>7} {refused:>7} {failed:>6} {lost:>6} {missed:>6}\n");
+    }
+    for breach in &outcome.breaches {
+        text += &format!("BROKEN {breach}\n");
+    }
+    text
+}
+
+/// Three processes with all that is round them, and traffic, until it is interrupted or the time is over.
+pub fn demo(program: &Path, length: Duration) -> Result<(), String> {
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())?;
+    let scenario = Scenario::default();
+    let plan = Plan {
+        program: program.to_owned(),
+        processes: scenario.processes,
+        servers: scenario.servers,
+        zones: scenario.zones,
+        make: make(&scenario),
+        links: Vec::new(),
+    };
+    let shows = async {
+        let fleet = Fleet::start(plan).await?;
+        for (_, address) in fleet.alive() {
+            println!("curl -i -H 'X-Correlation-Id: 1000000000' -b user=u1 http://{address}/status");
+        }
+        let load: Rc<Cell<bool>> = fleet.traffic(Duration::from_millis(20));
+        let mut ticks = tokio::time::interval(Duration::from_secs(1));
+        let ends = Instant::now() + length;
+        while Instant::now() < ends {
+            tokio::select! {
+                _ = ticks.tick() => println!("{}", fleet.ledger.read(Books::summary)),
+                _ = tokio::signal::ctrl_c() => break,
+            }
+        }
+        load.set(false);
+        io::Result::Ok(())
+    };
+    LocalSet::new().block_on(&runtime, shows).map_err(|e| e.to_string())
+}
+
+#[cfg(test)]
+mod tests {
+    use super::*;
+
+    fn second(served: u64) -> Second {
+        Second { asked: 100, served, ..Second::default() }
+    }
+
+    /// Guards the one figure of recovery: it counts from the fault's end to the first second of full service that lasts,
+    /// not to a good second between bad ones.
+    #[test]
+    fn full_service_counts_from_the_first_of_five_good_seconds() {
+        let fault = Fault { at_s: 3.0, for_s: 1.0, kind: Kind::DiscoveryDown {} };
+        let run: Vec<Second> = [99, 99, 99, 10, 50, 99, 90, 98, 98, 99, 98, 98].map(second).to_vec();
+        assert_eq!(back(&run, std::slice::from_ref(&fault)), Some(3.0));
+        assert_eq!(back(&run[..11], std::slice::from_ref(&fault)), None, "four are not enough");
+        assert_eq!(back(&run, &[]), None);
+    }
+
+    /// Guards scenario files that silently mean something else.
+    #[test]
+    fn a_bad_scenario_names_what_is_wrong() {
+        let folder = std::env::temp_dir().join(format!("gradepaddle-fleet-{}", std::process::id()));
+        std::fs::create_dir_all(&folder).expect("a folder");
+        for (text, wrong) in [
+            ("processes = 3\nprocesse = 4\n", "line 2"),
+            ("processes = 0\n", "processes: 0 is not from 1"),
+            ("[[fault]]\nat_s = 1\nkind = \"kill\"\nshare = 3\n", "fault[0].share: 3"),
+            ("[[fault]]\nat_s = 1\nkind = \"flood\"\n", "flood"),
+        ] {
+            let path = folder.join("bad.toml");
+            std::fs::write(&path, text).expect("a file");
+            let fault = Scenario::read(&path).expect_err(text);
+            assert!(fault.contains(wrong), "{fault:?} for {text:?}");
+        }
+        let _ = std::fs::remove_dir_all(&folder);
+    }
+}
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -5,7 +5,7 @@
 use std::hint::black_box;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use std::time::Instant;
+use std::time::{Duration, Instant};
 
 use clap::{Args, Parser, Subcommand};
 use gradepaddle::{
@@ -16,7 +16,7 @@
 use gradepaddle_lab::experiment::{Job, Row, compare, run_all, timed, values};
 use gradepaddle_lab::plot::{Bars, Line, Lines};
 use gradepaddle_lab::stats::Estimate;
-use gradepaddle_lab::{file, plot, report};
+use gradepaddle_lab::{file, fleet, plot, report};
 
 /// Tries designs on the emulator: runs, comparisons, sweeps and plots.
 #[derive(Parser)]
@@ -76,6 +76,26 @@
         #[arg(long, default_value = "scenarios")]
         folder: PathBuf,
     },
+    /// Run many real processes by a scenario file, in real time, and break what it says.
+    Fleet {
+        /// A file, such as those under scenarios/fleet/.
+        scenario: PathBuf,
+        /// The program; the one beside this one otherwise.
+        #[arg(long)]
+        program: Option<PathBuf>,
+        /// Write JSON there.
+        #[arg(long)]
+        out: Option<PathBuf>,
+    },
+    /// Start stand-ins, discovery, three processes and traffic, and print what to ask them by hand.
+    Demo {
+        /// The program; the one beside this one otherwise.
+        #[arg(long)]
+        program: Option<PathBuf>,
+        /// For how long, unless it is interrupted before.
+        #[arg(long, default_value_t = 600)]
+        seconds: u64,
+    },
     /// Time one decision with its end against the number of app servers, and how many requests a second of
     /// wall time are simulated.
     Cost {
@@ -161,6 +181,20 @@
             }
             Ok(true)
         }
+        Command::Fleet { scenario, program, out } => {
+            let program = fleet::program(program.as_deref())?;
+            let outcome = fleet::run(&fleet::Scenario::read(&scenario)?, &program)?;
+            print!("{}", fleet::summary(&outcome));
+            if let Some(out) = out {
+                file::folder(&out)?;
+                file::write_json(&out.join("fleet.json"), &outcome)?;
+            }
+            Ok(outcome.breaches.is_empty())
+        }
+        Command::Demo { program, seconds } => {
+            fleet::demo(&fleet::program(program.as_deref())?, Duration::from_secs(seconds))?;
+            Ok(true)
+        }
         Command::Cost { servers, out } => {
             cost(&servers, out.as_deref())?;
             Ok(true)
--- a/standins/src/clients.rs
+++ b/standins/src/clients.rs
@@ -60,11 +60,15 @@
         {
             return true;
         }
-        let Ok(stream) = TcpStream::connect(address).await else { return false };
-        if stream.set_nodelay(true).is_err() {
-            return false;
+        let connected = TcpStream::connect(address).await.and_then(|s| s.set_nodelay(true).map(|()| s));
+        let asked = match connected {
+            Ok(stream) => self.try_on(BufReader::new(stream), process, address, ask, false).await,
+            Err(_) => false,
+        };
+        if !asked {
+            self.0.ledger.write(Fact::Missed { process });
         }
-        self.try_on(BufReader::new(stream), process, address, ask, false).await
+        asked
     }
 
     /// False where the request is to go out once more, on a new connection.
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -13,6 +13,7 @@
 use crate::books::{Allowed, Breach, Health, Repeats};
 use crate::clients::{Ask, Clients};
 use crate::discovery::{Discovery, Entry, zone_name};
+use crate::front::{Front, Known};
 use crate::process::Process;
 use crate::relay::Link;
 use crate::server::{AppServer, Make};
@@ -61,6 +62,8 @@
     pub discovery: Discovery,
     /// Processes in their places; none where one was killed and not started anew.
     pub processes: Vec<Option<Process>>,
+    /// Who sends clients to processes.
+    pub front: Front,
     /// Those who ask.
     pub clients: Clients,
     /// Links that lead round: by process and app server.
@@ -77,7 +80,9 @@
         let discovery = Discovery::new(ledger.clone());
         let clients = Clients::new(ledger.clone());
         let (servers, processes, links) = (Vec::new(), Vec::new(), Vec::new());
-        let mut fleet = Fleet { ledger, servers, discovery, processes, clients, links, plan, numbers: 0 };
+        let front = Front::default();
+        let mut fleet =
+            Fleet { ledger, servers, discovery, processes, front, clients, links, plan, numbers: 0 };
         for _ in 0..fleet.plan.servers {
             fleet.add_server(0).await?;
         }
@@ -134,7 +139,10 @@
             ));
         }
         for (place, start) in starts {
-            self.processes[place] = Some(start.await.map_err(io::Error::other)??);
+            let process = start.await.map_err(io::Error::other)??;
+            let (number, address, zone) = (process.number, process.address, place % self.plan.zones);
+            self.front.take_in(Known { place, number, address, zone });
+            self.processes[place] = Some(process);
         }
         Ok(())
     }
@@ -172,6 +180,17 @@
         more
     }
 
+    /// Asks by way of the front, zones and classes in turn, until the flag is taken back.
+    pub fn traffic(&self, each: Duration) -> Rc<Cell<bool>> {
+        let (front, zones, more) = (self.front.clone(), self.plan.zones as u64, Rc::new(Cell::new(true)));
+        let whom =
+            move |serial: u64| front.pick((serial % zones) as usize).map(|one| (one.number, one.address));
+        let what =
+            |serial: u64| Ask { user: (serial * 7919 % 997) as u32, ..ASKS[(serial / 7 % 3) as usize] };
+        self.clients.stream(each, whom, what, more.clone());
+        more
+    }
+
     /// Waits until all who asked have heard, and judges.
     pub async fn verdict(&self) -> Vec<Breach> {
         self.ledger.until("the last answer", |books| books.heard() == books.asked()).await;
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -4,9 +4,12 @@
 //! Everything is a task of one `LocalSet`. Times are microseconds since the books were opened.
 
 pub mod books;
+pub mod broken;
 pub mod clients;
 pub mod discovery;
 pub mod fleet;
+pub mod front;
+pub mod mesh;
 pub mod process;
 pub mod relay;
 pub mod server;
--- a/standins/src/process.rs
+++ b/standins/src/process.rs
@@ -59,6 +59,11 @@
         Ok(Process { number, address, id, ledger, folder })
     }
 
+    /// Its process id.
+    pub fn id(&self) -> i32 {
+        self.id.as_raw_nonzero().get()
+    }
+
     fn signal(&self, signal: Signal) -> io::Result<()> {
         // One that has ended and was waited for must not be signalled: its number may be another's by now.
         if matches!(self.ledger.read(|books| books.last_turn(self.number)), Some(Turn::Ended(_))) {
--- a/standins/src/wire.rs
+++ b/standins/src/wire.rs
@@ -31,6 +31,13 @@
         self.first.split(' ').nth(1).unwrap_or_default()
     }
 
+    /// As it is written.
+    pub fn text(&self) -> String {
+        let headers: String =
+            self.headers.iter().map(|(name, value)| format!("{name}: {value}\r\n")).collect();
+        format!("{}\r\n{headers}\r\n{}", self.first, self.body)
+    }
+
     /// This side is to close the connection behind it.
     pub fn closes(&self) -> bool {
         self.get("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"))
--- /dev/null
+++ b/standins/tests/caught.rs
@@ -0,0 +1,67 @@
+//! The books catch a balancer that is wrong on purpose, each way of being wrong by its own rule.
+
+use gradepaddle_standins::Ledger;
+use gradepaddle_standins::books::{Allowed, Fact, Health, Rule, Turn};
+use gradepaddle_standins::broken::{Broken, Fault};
+use gradepaddle_standins::clients::Clients;
+use gradepaddle_standins::discovery::{Discovery, Entry};
+use gradepaddle_standins::fleet::ASKS;
+use gradepaddle_standins::server::{AppServer, Make};
+use tokio::task::LocalSet;
+
+/// The rules that are broken by a day with it: a few requests, a drain, a few more, its end.
+async fn broken_by(fault: Fault) -> Vec<Rule> {
+    let ledger = Ledger::default();
+    let (discovery, clients) = (Discovery::new(ledger.clone()), Clients::new(ledger.clone()));
+    let mut servers = Vec::new();
+    let list = |server: usize, of: &AppServer, health| {
+        let (name, dial, zone) = (of.name.clone(), of.address, of.zone());
+        discovery.enter(Entry { server, name, dial, zone, health, born_ms: 0 });
+    };
+    for number in 0..2 {
+        let server = AppServer::start(number, Make::default(), ledger.clone()).await.expect("an app server");
+        list(number, &server, Health::Up);
+        servers.push(server);
+    }
+    let calls = discovery.open_to(0).await.expect("discovery");
+    let balancer = Broken::start(fault, calls).await.expect("a balancer");
+    let unsafe_one = ASKS[2];
+    let ask = async || assert!(clients.ask(0, balancer.address, unsafe_one).await, "it accepts");
+    ask().await;
+    list(0, &servers[0], Health::Draining);
+    // The first of these tells it; there is no grace below, so that nothing has to wait for one.
+    ask().await;
+    ask().await;
+    ledger.write(Fact::Turned { process: 0, turn: Turn::Asked });
+    balancer.ask_to_end();
+    ask().await;
+    ledger.until("the last answer", |books| books.heard() == books.asked()).await;
+    let mut rules: Vec<Rule> = ledger
+        .read(|books| books.verdict(Allowed { grace: 0, slack: 0 }))
+        .iter()
+        .map(|breach| breach.rule)
+        .collect();
+    rules.sort();
+    rules.dedup();
+    rules
+}
+
+/// Guards books that nothing can break: each fault is found, by its own rule and no other, and a balancer without one
+/// breaks none.
+#[test]
+fn each_fault_breaks_its_own_rule() {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    LocalSet::new().block_on(&runtime, async {
+        for (fault, rules) in [
+            (Fault::Nothing, vec![]),
+            (Fault::AnswersTwice, vec![Rule::OneAnswer]),
+            (Fault::Invents, vec![Rule::OneAnswer]),
+            (Fault::Repeats, vec![Rule::NoSecondRun]),
+            (Fault::IgnoresDrains, vec![Rule::DrainKept]),
+            (Fault::DropsAtEnd, vec![Rule::Answered]),
+            (Fault::RefusesWhatRan, vec![Rule::HonestRefusal]),
+        ] {
+            assert_eq!(broken_by(fault).await, rules, "{fault:?}");
+        }
+    });
+}
