--- a/daemon/tests/fleet/main.rs
+++ b/daemon/tests/fleet/main.rs
@@ -1,15 +1,14 @@
 //! Many processes of the daemon while pieces break: what becomes of each request is judged from the books of those round
 //! them. Nothing here waits for time to pass; each step waits for what the books are to show.
 
-use std::future::Future;
 use std::path::PathBuf;
 use std::time::Duration;
 
 use gradepaddle_standins::books::{Answer, Books, Health, Turn};
 use gradepaddle_standins::fleet::{Fleet, Plan};
+use gradepaddle_standins::on_one_thread;
 use gradepaddle_standins::relay::{CLEAR, Way};
 use gradepaddle_standins::server::{Make, Mood};
-use tokio::task::LocalSet;
 
 const EACH: Duration = Duration::from_millis(3);
 
@@ -18,11 +17,6 @@
     Plan { program, processes, servers, zones: 2, make: Make::default(), links: Vec::new() }
 }
 
-fn run(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    LocalSet::new().block_on(&runtime, test);
-}
-
 fn served(books: &Books) -> usize {
     books.count(|answer| matches!(answer, Answer::Served(_)))
 }
@@ -42,6 +36,14 @@
     }
 }
 
+/// Waits until discovery has told every process.
+async fn all_know_the_drain_of(fleet: &Fleet, server: usize) {
+    for process in fleet.processes.iter().flatten() {
+        let told = |books: &Books| books.last_told(process.number, server) == Some(Health::Draining);
+        fleet.ledger.until("what discovery tells", told).await;
+    }
+}
+
 async fn holds(fleet: &Fleet) {
     let breaches = fleet.verdict().await;
     let text: Vec<String> = breaches.iter().map(ToString::to_string).collect();
@@ -52,7 +54,7 @@
 /// come back with nothing but the list, and every request is accounted for.
 #[test]
 fn seven_in_ten_are_killed_at_once_and_come_back() {
-    run(async {
+    on_one_thread(async {
         let mut fleet = Fleet::start(plan(10, 4)).await.expect("a fleet");
         let load = fleet.load(EACH);
         serves_on(&fleet, 200).await;
@@ -83,7 +85,7 @@
 /// word, and then they serve as before.
 #[test]
 fn half_are_paused_and_let_go() {
-    run(async {
+    on_one_thread(async {
         let fleet = Fleet::start(plan(6, 4)).await.expect("a fleet");
         let load = fleet.load(EACH);
         serves_on(&fleet, 100).await;
@@ -103,7 +105,7 @@
 /// Guards planned ends: those that are asked to end answer what they have, and lose none of it.
 #[test]
 fn all_are_asked_to_end_one_after_the_other() {
-    run(async {
+    on_one_thread(async {
         let mut fleet = Fleet::start(plan(4, 3)).await.expect("a fleet");
         for place in 0..4 {
             let load = fleet.load(EACH);
@@ -125,18 +127,14 @@
 /// Guards a fleet that is replaced under way: the old ones drain and go, the new ones are found by every process.
 #[test]
 fn all_app_servers_are_replaced_under_load() {
-    run(async {
+    on_one_thread(async {
         let mut fleet = Fleet::start(plan(3, 3)).await.expect("a fleet");
         let load = fleet.load(EACH);
         serves_on(&fleet, 50).await;
         for old in 0..3 {
             let new = fleet.add_server(0).await.expect("an app server");
             fleet.list(old, Health::Draining);
-            for place in 0..3 {
-                let number = fleet.process(place).number;
-                let told = |books: &Books| books.last_told(number, old) == Some(Health::Draining);
-                fleet.ledger.until("what discovery tells", told).await;
-            }
+            all_know_the_drain_of(&fleet, old).await;
             fleet.ledger.until("the new one's first", |books| books.begun(new) > 0).await;
             fleet.list(old, Health::Removed);
             serves_on(&fleet, 30).await;
@@ -152,7 +150,7 @@
 /// serve on by the rest, and what is healed is used again.
 #[test]
 fn each_process_is_cut_off_from_another_app_server() {
-    run(async {
+    on_one_thread(async {
         let links = vec![(0, 0), (1, 1), (2, 2)];
         let fleet = Fleet::start(Plan { links, ..plan(3, 3) }).await.expect("a fleet");
         let load = fleet.load(EACH);
@@ -174,7 +172,7 @@
 /// Guards against app servers that do harm in every way they can, at three processes at once.
 #[test]
 fn app_servers_fail_reset_spoil_and_turn_away() {
-    run(async {
+    on_one_thread(async {
         let fleet = Fleet::start(plan(3, 4)).await.expect("a fleet");
         let load = fleet.load(EACH);
         serves_on(&fleet, 50).await;
@@ -193,7 +191,7 @@
 /// hear of changes once discovery is back.
 #[test]
 fn discovery_is_gone_while_half_start_anew() {
-    run(async {
+    on_one_thread(async {
         let mut fleet = Fleet::start(plan(4, 3)).await.expect("a fleet");
         fleet.discovery.set_up(false);
         for place in 0..2 {
@@ -205,11 +203,7 @@
         each_serves(&fleet, &[0, 1, 2, 3], 30).await;
         fleet.list(2, Health::Draining);
         fleet.discovery.set_up(true);
-        for place in 0..4 {
-            let number = fleet.process(place).number;
-            let told = |books: &Books| books.last_told(number, 2) == Some(Health::Draining);
-            fleet.ledger.until("what discovery tells", told).await;
-        }
+        all_know_the_drain_of(&fleet, 2).await;
         serves_on(&fleet, 100).await;
         load.set(false);
         holds(&fleet).await;
--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -10,10 +10,10 @@
 
 use gradepaddle_standins::books::{Answer, Books, Fact, Health, Took};
 use gradepaddle_standins::fleet::{Fleet, Plan};
+use gradepaddle_standins::on_one_thread;
 use gradepaddle_standins::relay::{CLEAR, Way};
 use gradepaddle_standins::server::Make;
 use serde::{Deserialize, Serialize};
-use tokio::task::LocalSet;
 use tokio::time::Instant;
 
 /// The version of the result's format.
@@ -111,10 +111,12 @@
 impl Scenario {
     /// Reads a file; what is wrong is named with line and field.
     pub fn read(path: &Path) -> Result<Scenario, String> {
-        let text = crate::file::text(path)?;
-        let scenario: Scenario =
-            toml::from_str(&text).map_err(|e| format!("{}: {}", path.display(), e.to_string().trim_end()))?;
-        scenario.check().map_err(|fault| format!("{}: {fault}", path.display()))?;
+        Scenario::parse(&crate::file::text(path)?).map_err(|fault| format!("{}: {fault}", path.display()))
+    }
+
+    fn parse(text: &str) -> Result<Scenario, String> {
+        let scenario: Scenario = toml::from_str(text).map_err(|e| e.to_string().trim_end().to_owned())?;
+        scenario.check()?;
         Ok(scenario)
     }
 
@@ -218,9 +220,7 @@
 
 /// Runs a scenario in real time.
 pub fn run(scenario: &Scenario, program: &Path) -> Result<Outcome, String> {
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())?;
-    LocalSet::new().block_on(&runtime, play(scenario, program)).map_err(|e| e.to_string())
+    on_one_thread(play(scenario, program)).map_err(|e| e.to_string())
 }
 
 fn make(scenario: &Scenario) -> Make {
@@ -453,8 +453,6 @@
 
 /// Three processes with all that is round them, and traffic, until it is interrupted or the time is over.
 pub fn demo(program: &Path, length: Duration) -> Result<(), String> {
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())?;
     let scenario = Scenario::default();
     let plan = Plan {
         program: program.to_owned(),
@@ -481,7 +479,7 @@
         load.set(false);
         io::Result::Ok(())
     };
-    LocalSet::new().block_on(&runtime, shows).map_err(|e| e.to_string())
+    on_one_thread(shows).map_err(|e| e.to_string())
 }
 
 #[cfg(test)]
@@ -506,19 +504,14 @@
     /// Guards scenario files that silently mean something else.
     #[test]
     fn a_bad_scenario_names_what_is_wrong() {
-        let folder = std::env::temp_dir().join(format!("gradepaddle-fleet-{}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
         for (text, wrong) in [
             ("processes = 3\nprocesse = 4\n", "line 2"),
             ("processes = 0\n", "processes: 0 is not from 1"),
             ("[[fault]]\nat_s = 1\nkind = \"kill\"\nshare = 3\n", "fault[0].share: 3"),
             ("[[fault]]\nat_s = 1\nkind = \"flood\"\n", "flood"),
         ] {
-            let path = folder.join("bad.toml");
-            std::fs::write(&path, text).expect("a file");
-            let fault = Scenario::read(&path).expect_err(text);
+            let fault = Scenario::parse(text).expect_err(text);
             assert!(fault.contains(wrong), "{fault:?} for {text:?}");
         }
-        let _ = std::fs::remove_dir_all(&folder);
     }
 }
--- a/standins/src/books.rs
+++ b/standins/src/books.rs
@@ -465,168 +465,36 @@
         use Answer::{Failed, GivenUp, Lost, Refused};
         let keyed = Repeats::Keyed { window: 300_000 };
         type Seen = Vec<(u64, Fact)>;
+        // One case to a line.
+        #[rustfmt::skip]
         let cases: Vec<(&str, Seen, Option<Rule>)> = vec![
             ("served", vec![(0, asked(Repeats::Unsafe)), (1, begun(0)), (2, served(0))], None),
-            (
-                "two answers",
-                vec![(0, asked(Repeats::Safe)), (1, begun(0)), (2, served(0)), (3, heard(Failed(500)))],
-                Some(Rule::OneAnswer),
-            ),
-            (
-                "an answer that nobody made",
-                vec![(0, asked(Repeats::Safe)), (1, begun(0)), (2, served(1))],
-                Some(Rule::OneAnswer),
-            ),
+            ("two answers", vec![(0, asked(Repeats::Safe)), (1, begun(0)), (2, served(0)), (3, heard(Failed(500)))], Some(Rule::OneAnswer)),
+            ("an answer that nobody made", vec![(0, asked(Repeats::Safe)), (1, begun(0)), (2, served(1))], Some(Rule::OneAnswer)),
             ("what nobody asked for", vec![(1, begun(0))], Some(Rule::OneAnswer)),
-            (
-                "an unsafe one twice",
-                vec![(0, asked(Repeats::Unsafe)), (1, begun(0)), (2, begun(1)), (3, served(1))],
-                Some(Rule::NoSecondRun),
-            ),
-            (
-                "a safe one twice",
-                vec![(0, asked(Repeats::Safe)), (1, begun(0)), (2, begun(1)), (3, served(1))],
-                None,
-            ),
-            (
-                "turned away, then run",
-                vec![
-                    (0, asked(Repeats::Unsafe)),
-                    (1, came(0, 0, Took::TurnedAway)),
-                    (2, begun(1)),
-                    (3, served(1)),
-                ],
-                None,
-            ),
-            (
-                "a keyed one in its group",
-                vec![(0, asked(keyed)), (1, begun(0)), (2, begun(1)), (3, served(1))],
-                None,
-            ),
-            (
-                "a keyed one in another group",
-                vec![
-                    (0, asked(keyed)),
-                    (1, begun(0)),
-                    (2, came(1, 1, Took::Begun("x".into()))),
-                    (3, served(0)),
-                ],
-                Some(Rule::NoSecondRun),
-            ),
-            (
-                "a keyed one too late",
-                vec![(0, asked(keyed)), (1, begun(0)), (400_000, begun(1)), (400_001, served(1))],
-                Some(Rule::NoSecondRun),
-            ),
-            (
-                "an answer and more",
-                vec![(0, asked(Repeats::Safe)), (1, begun(0)), (2, heard(Answer::Doubled))],
-                Some(Rule::OneAnswer),
-            ),
+            ("an unsafe one twice", vec![(0, asked(Repeats::Unsafe)), (1, begun(0)), (2, begun(1)), (3, served(1))], Some(Rule::NoSecondRun)),
+            ("a safe one twice", vec![(0, asked(Repeats::Safe)), (1, begun(0)), (2, begun(1)), (3, served(1))], None),
+            ("turned away, then run", vec![(0, asked(Repeats::Unsafe)), (1, came(0, 0, Took::TurnedAway)), (2, begun(1)), (3, served(1))], None),
+            ("a keyed one in its group", vec![(0, asked(keyed)), (1, begun(0)), (2, begun(1)), (3, served(1))], None),
+            ("a keyed one in another group", vec![(0, asked(keyed)), (1, begun(0)), (2, came(1, 1, Took::Begun("x".into()))), (3, served(0))], Some(Rule::NoSecondRun)),
+            ("a keyed one too late", vec![(0, asked(keyed)), (1, begun(0)), (400_000, begun(1)), (400_001, served(1))], Some(Rule::NoSecondRun)),
+            ("an answer and more", vec![(0, asked(Repeats::Safe)), (1, begun(0)), (2, heard(Answer::Doubled))], Some(Rule::OneAnswer)),
             ("never read", vec![(0, asked(Repeats::Unsafe)), (1, Fact::Unread { request: 1 })], None),
-            (
-                "read all the same",
-                vec![(0, asked(Repeats::Unsafe)), (1, Fact::Unread { request: 1 }), (2, begun(0))],
-                Some(Rule::Answered),
-            ),
+            ("read all the same", vec![(0, asked(Repeats::Unsafe)), (1, Fact::Unread { request: 1 }), (2, begun(0))], Some(Rule::Answered)),
             ("no answer", vec![(0, asked(Repeats::Safe)), (600_000, heard(GivenUp))], Some(Rule::Answered)),
-            (
-                "lost at its end",
-                vec![(0, asked(Repeats::Safe)), (1, turned(Turn::Asked)), (2, heard(Lost))],
-                Some(Rule::Answered),
-            ),
-            (
-                "killed with it",
-                vec![(0, asked(Repeats::Safe)), (1, turned(Turn::Killed)), (2, heard(Lost))],
-                None,
-            ),
-            (
-                "asked while paused, and let go within its time",
-                vec![
-                    (0, turned(Turn::Paused)),
-                    (1, asked(Repeats::Safe)),
-                    (9, turned(Turn::Resumed)),
-                    (600_000, heard(GivenUp)),
-                ],
-                None,
-            ),
-            (
-                "paused with it",
-                vec![(0, asked(Repeats::Safe)), (1, turned(Turn::Paused)), (600_000, heard(GivenUp))],
-                None,
-            ),
-            (
-                "asked while paused",
-                vec![(0, turned(Turn::Paused)), (1, asked(Repeats::Safe)), (600_000, heard(GivenUp))],
-                None,
-            ),
-            (
-                "asked after a pause",
-                vec![
-                    (0, turned(Turn::Paused)),
-                    (1, turned(Turn::Resumed)),
-                    (2, asked(Repeats::Safe)),
-                    (600_000, heard(GivenUp)),
-                ],
-                Some(Rule::Answered),
-            ),
-            (
-                "within the grace",
-                vec![
-                    (0, told(Health::Draining)),
-                    (1, asked(Repeats::Safe)),
-                    (900_000, begun(1)),
-                    (900_001, served(1)),
-                ],
-                None,
-            ),
-            (
-                "after the grace",
-                vec![
-                    (0, told(Health::Draining)),
-                    (1_000_000, asked(Repeats::Safe)),
-                    (1_200_000, begun(1)),
-                    (1_200_001, served(1)),
-                ],
-                Some(Rule::DrainKept),
-            ),
-            (
-                "removed later changes nothing",
-                vec![
-                    (0, told(Health::Draining)),
-                    (900_000, told(Health::Removed)),
-                    (1_000_000, asked(Repeats::Safe)),
-                    (1_200_000, begun(1)),
-                    (1_200_001, served(1)),
-                ],
-                Some(Rule::DrainKept),
-            ),
-            (
-                "up again",
-                vec![
-                    (0, told(Health::Draining)),
-                    (9, told(Health::Up)),
-                    (1_000_000, asked(Repeats::Safe)),
-                    (1_200_000, begun(1)),
-                    (1_200_001, served(1)),
-                ],
-                None,
-            ),
-            (
-                "refused what ran",
-                vec![(0, asked(Repeats::Unsafe)), (1, begun(0)), (2, heard(Refused))],
-                Some(Rule::HonestRefusal),
-            ),
-            (
-                "refused, then it runs",
-                vec![(0, asked(Repeats::Unsafe)), (1, heard(Refused)), (2, begun(0))],
-                Some(Rule::HonestRefusal),
-            ),
-            (
-                "refused unseen",
-                vec![(0, asked(Repeats::Unsafe)), (1, came(0, 0, Took::TurnedAway)), (2, heard(Refused))],
-                None,
-            ),
+            ("lost at its end", vec![(0, asked(Repeats::Safe)), (1, turned(Turn::Asked)), (2, heard(Lost))], Some(Rule::Answered)),
+            ("killed with it", vec![(0, asked(Repeats::Safe)), (1, turned(Turn::Killed)), (2, heard(Lost))], None),
+            ("asked while paused, and let go within its time", vec![(0, turned(Turn::Paused)), (1, asked(Repeats::Safe)), (9, turned(Turn::Resumed)), (600_000, heard(GivenUp))], None),
+            ("paused with it", vec![(0, asked(Repeats::Safe)), (1, turned(Turn::Paused)), (600_000, heard(GivenUp))], None),
+            ("asked while paused", vec![(0, turned(Turn::Paused)), (1, asked(Repeats::Safe)), (600_000, heard(GivenUp))], None),
+            ("asked after a pause", vec![(0, turned(Turn::Paused)), (1, turned(Turn::Resumed)), (2, asked(Repeats::Safe)), (600_000, heard(GivenUp))], Some(Rule::Answered)),
+            ("within the grace", vec![(0, told(Health::Draining)), (1, asked(Repeats::Safe)), (900_000, begun(1)), (900_001, served(1))], None),
+            ("after the grace", vec![(0, told(Health::Draining)), (1_000_000, asked(Repeats::Safe)), (1_200_000, begun(1)), (1_200_001, served(1))], Some(Rule::DrainKept)),
+            ("removed later changes nothing", vec![(0, told(Health::Draining)), (900_000, told(Health::Removed)), (1_000_000, asked(Repeats::Safe)), (1_200_000, begun(1)), (1_200_001, served(1))], Some(Rule::DrainKept)),
+            ("up again", vec![(0, told(Health::Draining)), (9, told(Health::Up)), (1_000_000, asked(Repeats::Safe)), (1_200_000, begun(1)), (1_200_001, served(1))], None),
+            ("refused what ran", vec![(0, asked(Repeats::Unsafe)), (1, begun(0)), (2, heard(Refused))], Some(Rule::HonestRefusal)),
+            ("refused, then it runs", vec![(0, asked(Repeats::Unsafe)), (1, heard(Refused)), (2, begun(0))], Some(Rule::HonestRefusal)),
+            ("refused unseen", vec![(0, asked(Repeats::Unsafe)), (1, came(0, 0, Took::TurnedAway)), (2, heard(Refused))], None),
             ("refused a safe one", vec![(0, asked(Repeats::Safe)), (1, begun(0)), (2, heard(Refused))], None),
         ];
         for (name, facts, rule) in cases {
--- a/standins/src/front.rs
+++ b/standins/src/front.rs
@@ -74,8 +74,7 @@
         front.take_in(Known { place: 2, number: 9, address, zone: 0 });
         assert!((0..2).filter_map(|_| front.pick(0)).any(|one| one.number == 9));
         assert!((0..4).filter_map(|_| front.pick(0)).all(|one| one.number != 2));
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build().expect("a runtime");
-        tokio::task::LocalSet::new().block_on(&runtime, async {
+        crate::on_one_thread(async {
             front.lose(0, Duration::ZERO);
             front.lose(9, Duration::ZERO);
             while front.pick(0).is_some_and(|one| one.zone == 0) {
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -84,3 +84,13 @@
         }
     }
 }
+
+/// Runs a rig on one thread until this is done.
+///
+/// # Panics
+///
+/// Where the system gives no event queue.
+pub fn on_one_thread<T>(what: impl Future<Output = T>) -> T {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    tokio::task::LocalSet::new().block_on(&runtime, what)
+}
--- a/standins/src/mesh.rs
+++ b/standins/src/mesh.rs
@@ -225,7 +225,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use tokio::task::LocalSet;
+    use crate::on_one_thread;
 
     struct Pair {
         mesh: Mesh,
@@ -268,16 +268,11 @@
         }
     }
 
-    fn run(test: impl Future<Output = ()>) {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-        LocalSet::new().block_on(&runtime, test);
-    }
-
     /// Guards a partition that leaks, or stays: cut one way nothing passes that way alone, and healed all does. A
     /// stranger is nobody's word, and a member that is replaced keeps its address.
     #[test]
     fn what_is_cut_is_cut_that_way_only_and_heals() {
-        run(async {
+        on_one_thread(async {
             let mut pair = Pair::new().await;
             pair.mesh.set(0, 1, Path { cut: true, ..FREE });
             pair.says(0, "lost").await;
@@ -305,7 +300,7 @@
     /// with jitter they change places.
     #[test]
     fn datagrams_are_thinned_doubled_and_put_out_of_order() {
-        run(async {
+        on_one_thread(async {
             let pair = Pair::new().await;
             pair.mesh.set(0, 1, Path { loss: 0.3, doubled: 0.2, ..FREE });
             let mut came = 0;
--- a/standins/src/relay.rs
+++ b/standins/src/relay.rs
@@ -145,7 +145,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use tokio::task::LocalSet;
+    use crate::on_one_thread;
 
     async fn linked() -> (Link, TcpStream, TcpStream) {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -161,16 +161,11 @@
         assert_eq!(bytes, text.as_bytes());
     }
 
-    fn run(test: impl Future<Output = ()>) {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-        LocalSet::new().block_on(&runtime, test);
-    }
-
     /// Guards a cut that loses or lets through: what is said into it comes once it is healed, in its order, and the
     /// other way is as it was.
     #[test]
     fn a_silent_way_holds_what_is_said_until_it_is_open() {
-        run(async {
+        on_one_thread(async {
             let (link, mut near, mut far) = linked().await;
             near.write_all(b"one").await.expect("it listens");
             hears(&mut far, "one").await;
@@ -190,7 +185,7 @@
     /// like bytes.
     #[test]
     fn a_reset_ends_both_sides_and_an_end_waits_for_its_turn() {
-        run(async {
+        on_one_thread(async {
             let (link, mut near, mut far) = linked().await;
             link.set(Way::Silent, CLEAR);
             near.shutdown().await.expect("an end");
--- a/standins/tests/caught.rs
+++ b/standins/tests/caught.rs
@@ -1,13 +1,12 @@
 //! The books catch a balancer that is wrong on purpose, each way of being wrong by its own rule.
 
-use gradepaddle_standins::Ledger;
 use gradepaddle_standins::books::{Allowed, Fact, Health, Rule, Turn};
 use gradepaddle_standins::broken::{Broken, Fault};
 use gradepaddle_standins::clients::Clients;
 use gradepaddle_standins::discovery::{Discovery, Entry};
 use gradepaddle_standins::fleet::ASKS;
 use gradepaddle_standins::server::{AppServer, Make};
-use tokio::task::LocalSet;
+use gradepaddle_standins::{Ledger, on_one_thread};
 
 /// The rules that are broken by a day with it: a few requests, a drain, a few more, its end.
 async fn broken_by(fault: Fault) -> Vec<Rule> {
@@ -50,8 +49,7 @@
 /// breaks none.
 #[test]
 fn each_fault_breaks_its_own_rule() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    LocalSet::new().block_on(&runtime, async {
+    on_one_thread(async {
         for (fault, rules) in [
             (Fault::Nothing, vec![]),
             (Fault::AnswersTwice, vec![Rule::OneAnswer]),
