--- a/daemon/tests/fleet/main.rs
+++ b/daemon/tests/fleet/main.rs
@@ -56,22 +56,18 @@
 fn seven_in_ten_are_killed_at_once_and_come_back() {
     on_one_thread(async {
         let mut fleet = Fleet::start(plan(10, 4)).await.expect("a fleet");
-        let load = fleet.load(EACH);
+        let load = fleet.traffic(EACH);
         serves_on(&fleet, 200).await;
         let killed: Vec<usize> = (0..7).collect();
+        let mut dead = Vec::new();
         for place in &killed {
-            fleet.process(*place).kill().expect("a process");
+            dead.extend(fleet.kill(*place, Duration::ZERO).expect("a process"));
         }
-        for place in &killed {
-            fleet.process(*place).ended().await;
-            fleet.processes[*place] = None;
+        for process in dead {
+            process.ended().await;
         }
-        load.set(false);
-        let load = fleet.load(EACH);
         each_serves(&fleet, &[7, 8, 9], 20).await;
-        load.set(false);
         fleet.start_processes(&killed).await.expect("they start");
-        let load = fleet.load(EACH);
         each_serves(&fleet, &killed, 5).await;
         load.set(false);
         holds(&fleet).await;
@@ -87,7 +83,7 @@
 fn half_are_paused_and_let_go() {
     on_one_thread(async {
         let fleet = Fleet::start(plan(6, 4)).await.expect("a fleet");
-        let load = fleet.load(EACH);
+        let load = fleet.traffic(EACH);
         serves_on(&fleet, 100).await;
         for place in 0..3 {
             fleet.process(place).pause().expect("a process");
@@ -108,7 +104,7 @@
     on_one_thread(async {
         let mut fleet = Fleet::start(plan(4, 3)).await.expect("a fleet");
         for place in 0..4 {
-            let load = fleet.load(EACH);
+            let load = fleet.traffic(EACH);
             serves_on(&fleet, 50).await;
             // The front sends to the others, then it is asked.
             load.set(false);
@@ -129,7 +125,7 @@
 fn all_app_servers_are_replaced_under_load() {
     on_one_thread(async {
         let mut fleet = Fleet::start(plan(3, 3)).await.expect("a fleet");
-        let load = fleet.load(EACH);
+        let load = fleet.traffic(EACH);
         serves_on(&fleet, 50).await;
         for old in 0..3 {
             let new = fleet.add_server(0).await.expect("an app server");
@@ -153,7 +149,7 @@
     on_one_thread(async {
         let links = vec![(0, 0), (1, 1), (2, 2)];
         let fleet = Fleet::start(Plan { links, ..plan(3, 3) }).await.expect("a fleet");
-        let load = fleet.load(EACH);
+        let load = fleet.traffic(EACH);
         serves_on(&fleet, 100).await;
         for n in 0..3 {
             // One-way: requests get there, answers do not come back.
@@ -163,7 +159,12 @@
         for n in 0..3 {
             fleet.link(n, n).set(CLEAR, CLEAR);
         }
-        each_serves(&fleet, &[0, 1, 2], 50).await;
+        for n in 0..3 {
+            let number = fleet.process(n).number;
+            let before = fleet.ledger.read(|books| books.served_at(number, n));
+            let again = |books: &Books| books.served_at(number, n) > before + 5;
+            fleet.ledger.until("what is healed to be used", again).await;
+        }
         load.set(false);
         holds(&fleet).await;
     });
@@ -174,7 +175,7 @@
 fn app_servers_fail_reset_spoil_and_turn_away() {
     on_one_thread(async {
         let fleet = Fleet::start(plan(3, 4)).await.expect("a fleet");
-        let load = fleet.load(EACH);
+        let load = fleet.traffic(EACH);
         serves_on(&fleet, 50).await;
         for mood in [Mood::Fails, Mood::Resets, Mood::Spoils, Mood::Full, Mood::Hangs] {
             let bad = fleet.servers[0].as_ref().expect("an app server");
@@ -195,11 +196,11 @@
         let mut fleet = Fleet::start(plan(4, 3)).await.expect("a fleet");
         fleet.discovery.set_up(false);
         for place in 0..2 {
-            fleet.process(place).kill().expect("a process");
-            fleet.process(place).ended().await;
+            let process = fleet.kill(place, Duration::ZERO).expect("a process");
+            process.expect("one at this place").ended().await;
         }
         fleet.start_processes(&[0, 1]).await.expect("they start");
-        let load = fleet.load(EACH);
+        let load = fleet.traffic(EACH);
         each_serves(&fleet, &[0, 1, 2, 3], 30).await;
         fleet.list(2, Health::Draining);
         fleet.discovery.set_up(true);
--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -286,10 +286,7 @@
     match (&fault.kind, begins) {
         (Kind::Kill { share }, true) => {
             for place in some(fleet, *share) {
-                if let Some(process) = fleet.processes[place].take() {
-                    process.kill()?;
-                    fleet.front.lose(process.number, NOTICE);
-                }
+                fleet.kill(place, NOTICE)?;
             }
         }
         (Kind::Kill { share }, false) => fleet.start_processes(&some(fleet, *share)).await?,
--- a/standins/src/books.rs
+++ b/standins/src/books.rs
@@ -260,6 +260,20 @@
         cases.values().filter(served).count()
     }
 
+    /// Requests of a process that this app server has answered.
+    pub fn served_at(&self, process: usize, server: usize) -> usize {
+        let cases = self.cases();
+        let made = |case: &Case<'_>, answer: &Answer| {
+            let made = |took: &Took| matches!((took, answer), (Took::Begun(made), Answer::Served(body)) if made == body);
+            case.came.iter().any(|(_, at, _, took)| *at == server && made(took))
+        };
+        let served = |case: &&Case<'_>| {
+            case.asked.is_some_and(|(_, by, ..)| by == process)
+                && case.heard.iter().any(|(_, answer)| made(case, answer))
+        };
+        cases.values().filter(served).count()
+    }
+
     /// The last that discovery told a process of an app server.
     pub fn last_told(&self, process: usize, server: usize) -> Option<Health> {
         self.facts.iter().rev().find_map(|(_, fact)| match fact {
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -147,6 +147,16 @@
         Ok(())
     }
 
+    /// Kills the process at a place, which the front notices so much later. Gives it back, to wait for its end.
+    pub fn kill(&mut self, place: usize, notice: Duration) -> io::Result<Option<Process>> {
+        let process = self.processes[place].take();
+        if let Some(process) = &process {
+            process.kill()?;
+            self.front.lose(process.number, notice);
+        }
+        Ok(process)
+    }
+
     /// The process at a place.
     ///
     /// # Panics
@@ -171,15 +181,6 @@
         self.processes.iter().flatten().map(|process| (process.number, process.address)).collect()
     }
 
-    /// Asks those who are alive now in turn, all classes in turn, until the flag is taken back.
-    pub fn load(&self, each: Duration) -> Rc<Cell<bool>> {
-        let (alive, more) = (self.alive(), Rc::new(Cell::new(true)));
-        let whom = move |serial: u64| alive.get(serial as usize % alive.len().max(1)).copied();
-        let what = |serial: u64| Ask { user: (serial % 97) as u32, ..ASKS[(serial / 7 % 3) as usize] };
-        self.clients.stream(each, whom, what, more.clone());
-        more
-    }
-
     /// Asks by way of the front, zones and classes in turn, until the flag is taken back.
     pub fn traffic(&self, each: Duration) -> Rc<Cell<bool>> {
         let (front, zones, more) = (self.front.clone(), self.plan.zones as u64, Rc::new(Cell::new(true)));
--- a/standins/src/front.rs
+++ b/standins/src/front.rs
@@ -1,6 +1,7 @@
 //! The front: hands out the processes of a zone in turn, takes one in once it is ready, and notices late that one has died.
 
-use std::cell::{Cell, RefCell};
+use std::cell::RefCell;
+use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -24,7 +25,8 @@
 #[derive(Clone, Default)]
 pub struct Front {
     known: Rc<RefCell<Vec<Known>>>,
-    turn: Rc<Cell<usize>>,
+    /// Whose turn it is, by zone: with one for all, zones that ask in turn would never reach some of theirs.
+    turns: Rc<RefCell<BTreeMap<usize, usize>>>,
 }
 
 impl Front {
@@ -47,12 +49,13 @@
 
     /// Somebody of this zone, in turn; of any zone where none is left of it.
     pub fn pick(&self, zone: usize) -> Option<Known> {
-        let turn = self.turn.get();
-        self.turn.set(turn.wrapping_add(1));
+        let mut turns = self.turns.borrow_mut();
+        let turn = turns.entry(zone).or_default();
+        *turn = turn.wrapping_add(1);
         let known = self.known.borrow();
         let here: Vec<&Known> = known.iter().filter(|one| one.zone == zone).collect();
         let among = if here.is_empty() { known.iter().collect() } else { here };
-        among.get(turn % among.len().max(1)).map(|one| **one)
+        among.get(*turn % among.len().max(1)).map(|one| **one)
     }
 }
 
@@ -69,8 +72,10 @@
         for place in 0..4 {
             front.take_in(Known { place, number: place, address, zone: place % 2 });
         }
-        let picks: Vec<usize> = (0..4).filter_map(|_| front.pick(0)).map(|one| one.place).collect();
-        assert_eq!(picks, [0, 2, 0, 2]);
+        // Also where the zones ask in turn.
+        let mut picks: Vec<usize> = (0..8).filter_map(|n| front.pick(n % 2)).map(|one| one.place).collect();
+        picks.sort_unstable();
+        assert_eq!(picks, [0, 0, 1, 1, 2, 2, 3, 3]);
         front.take_in(Known { place: 2, number: 9, address, zone: 0 });
         assert!((0..2).filter_map(|_| front.pick(0)).any(|one| one.number == 9));
         assert!((0..4).filter_map(|_| front.pick(0)).all(|one| one.number != 2));
