--- a/controlplane/examples/rollout_cost.rs
+++ b/controlplane/examples/rollout_cost.rs
@@ -8,7 +8,7 @@
 use std::time::Instant;
 
 use gradepaddle_controlplane::rollout::{Rollout, Servers};
-use gradepaddle_proto::{Registration, Weights};
+use gradepaddle_proto::{ModelVersion, Registration};
 
 /// Models, each at an equal part of the servers.
 const MODELS: usize = 14;
@@ -23,7 +23,7 @@
 fn server(number: usize) -> (Arc<str>, Registration) {
     let id: Arc<str> = Arc::from(format!("server-{number:05}"));
     let address = SocketAddrV4::new(Ipv4Addr::new(10, 0, (number / 250) as u8, (number % 250) as u8), 80);
-    let weights = vec![Weights { model: Arc::from(model(number)), version: 2 }];
+    let models = vec![ModelVersion { model: Arc::from(model(number)), version: 2 }];
     let registration = Registration {
         id: id.clone(),
         service: Arc::from("service"),
@@ -33,7 +33,7 @@
         draining: false,
         lost: false,
         warmup_left_ms: 0,
-        weights,
+        models,
         owner: address,
     };
     (id, registration)
--- a/controlplane/src/node.rs
+++ b/controlplane/src/node.rs
@@ -217,15 +217,15 @@
                 self.spread.receive(now, from, message, &mut results);
                 self.on_spread_outputs(now, results, out);
             }
-            Content::SessionBeat(beat) => self.session_beat(now, from, &beat, out),
-            Content::SessionGrant(grant) => {
+            Content::SessionHeartbeat(beat) => self.session_beat(now, from, &beat, out),
+            Content::SessionHeartbeatReply(grant) => {
                 self.session.receive(now, from, &grant);
             }
-            Content::Found(view) => self.tell_replica(now, ReplicaInput::Found { view }, out),
-            Content::Forward(forward) => self.forwarded_call(now, from, forward, out),
-            Content::Forwarded(answer) => self.forwarded_answer(now, from, &answer, out),
-            Content::NewestAsk(ask) => self.newest_asked(now, from, ask, out),
-            Content::NewestTold(told) => self.newest_told(told),
+            Content::Bootstrap(view) => self.tell_replica(now, ReplicaInput::Found { view }, out),
+            Content::ForwardedCall(forward) => self.forwarded_call(now, from, forward, out),
+            Content::ForwardedReply(answer) => self.forwarded_answer(now, from, &answer, out),
+            Content::VersionQuery(ask) => self.newest_asked(now, from, ask, out),
+            Content::VersionReply(told) => self.newest_told(told),
         }
     }
 
--- a/controlplane/src/node/control.rs
+++ b/controlplane/src/node/control.rs
@@ -5,7 +5,7 @@
 
 use gradepaddle_config::{Configuration, Findings, Patch};
 use gradepaddle_control::{Change, ControlState, Input as ReplicaInput, Outcome, Ticket};
-use gradepaddle_proto::{Content, ControlCall, Forward, Forwarded};
+use gradepaddle_proto::{Content, ControlCall, ForwardedCall, ForwardedReply};
 use gradepaddle_spread::Copies;
 
 use super::{Asker, CALL_WITHIN, CALL_WITHIN_PER_BYTE, Confirming, Node, Output, Waiting};
@@ -124,7 +124,7 @@
         match primary {
             Some(primary) if may_forward => {
                 let ticket = self.wait(Self::waiting_for(now, asker, primary, &call));
-                let content = Content::Forward(Forward { ticket, call });
+                let content = Content::ForwardedCall(ForwardedCall { call_id: ticket, call });
                 out.push(Output::Send { to: primary, content });
             }
             _ => answer(now, asker, Answer::unavailable("no primary is known"), out),
@@ -222,10 +222,10 @@
         &mut self,
         now: Micros,
         from: SocketAddrV4,
-        forward: Forward,
+        forward: ForwardedCall,
         out: &mut Vec<Output>,
     ) {
-        self.decide(now, Asker::Node(from, forward.ticket), forward.call, false, out);
+        self.decide(now, Asker::Node(from, forward.call_id), forward.call, false, out);
     }
 
     /// Takes in the answer to a call that was passed on, if it comes from the node that was asked. Its lease was to last
@@ -235,15 +235,15 @@
         &mut self,
         now: Micros,
         from: SocketAddrV4,
-        told: &Forwarded,
+        told: &ForwardedReply,
         out: &mut Vec<Output>,
     ) {
-        let asked = self.waiting.get(&told.ticket).is_some_and(|waiting| waiting.decider == from);
+        let asked = self.waiting.get(&told.call_id).is_some_and(|waiting| waiting.decider == from);
         if !asked {
             return;
         }
-        let Some(waiting) = self.waiting.remove(&told.ticket) else { return };
-        let lease_ends = waiting.since.saturating_add(told.lease_left);
+        let Some(waiting) = self.waiting.remove(&told.call_id) else { return };
+        let lease_ends = waiting.since.saturating_add(told.lease_remaining);
         let given = Answer { status: told.status, body: told.body.clone(), valid_until: None };
         answer(now, waiting.asker, given.before(lease_ends.min(waiting.until)), out);
     }
@@ -301,11 +301,11 @@
     let answer = answer.at(now);
     match asker {
         Asker::Own(ticket) => out.push(Output::Answer { ticket, answer }),
-        Asker::Node(to, ticket) => {
+        Asker::Node(to, call_id) => {
             let Answer { status, body, valid_until } = answer;
-            let lease_left = valid_until.map_or(0, |until| until - now);
-            let told = Forwarded { ticket, status, body, lease_left };
-            out.push(Output::Send { to, content: Content::Forwarded(told) });
+            let lease_remaining = valid_until.map_or(0, |until| until - now);
+            let told = ForwardedReply { call_id, status, body, lease_remaining };
+            out.push(Output::Send { to, content: Content::ForwardedReply(told) });
         }
     }
 }
--- a/controlplane/src/node/freshness.rs
+++ b/controlplane/src/node/freshness.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddrV4;
 
-use gradepaddle_proto::{Content, NewestAsk, NewestTold};
+use gradepaddle_proto::{Content, VersionQuery, VersionReply};
 
 use super::{KeysShown, Node, Output};
 use crate::Micros;
@@ -20,7 +20,10 @@
             for witness in self.witnesses(now) {
                 let name = self.ticket();
                 self.freshness.asks(now, name);
-                out.push(Output::Send { to: witness, content: Content::NewestAsk(NewestAsk { name }) });
+                out.push(Output::Send {
+                    to: witness,
+                    content: Content::VersionQuery(VersionQuery { query_id: name }),
+                });
             }
         }
         let version = self.spread.stamp(CONFIGURATION, CONFIGURATION_KEY).map_or(0, |stamp| stamp.major);
@@ -64,18 +67,18 @@
         &mut self,
         now: Micros,
         from: SocketAddrV4,
-        ask: NewestAsk,
+        ask: VersionQuery,
         out: &mut Vec<Output>,
     ) {
         self.note_own_evidence(now);
         if let Some(newest) = self.freshness.newest(now) {
-            let told = NewestTold { name: ask.name, version: newest.version, age: newest.age };
-            out.push(Output::Send { to: from, content: Content::NewestTold(told) });
+            let told = VersionReply { query_id: ask.query_id, version: newest.version, age: newest.age };
+            out.push(Output::Send { to: from, content: Content::VersionReply(told) });
         }
     }
 
     /// Another node answers.
-    pub(super) fn newest_told(&mut self, told: NewestTold) {
-        self.freshness.answered(told.name, Newest { version: told.version, age: told.age });
+    pub(super) fn newest_told(&mut self, told: VersionReply) {
+        self.freshness.answered(told.query_id, Newest { version: told.version, age: told.age });
     }
 }
--- a/controlplane/src/node/members.rs
+++ b/controlplane/src/node/members.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddrV4;
 
 use gradepaddle_control::{Input as ReplicaInput, KnownView, View};
-use gradepaddle_proto::{Content, SessionBeat, SessionGrant, ViewSummary};
+use gradepaddle_proto::{Content, SessionHeartbeat, SessionHeartbeatReply, ViewSummary};
 use gradepaddle_spread::{Output as SpreadOutput, Peer};
 
 use super::{Event, MemberNode, Node, Output};
@@ -25,23 +25,23 @@
         &mut self,
         now: Micros,
         from: SocketAddrV4,
-        beat: &SessionBeat,
+        beat: &SessionHeartbeat,
         out: &mut Vec<Output>,
     ) {
         if let Some(founding) = &mut self.founding {
             founding.hello(now, &beat.identity);
         }
         let view = self.view_summary();
-        let mut grant = SessionGrant {
+        let mut grant = SessionHeartbeatReply {
             incarnation: beat.identity.incarnation,
-            stands: false,
+            granted: false,
             seen_incarnation: 0,
             view: (view.epoch > 0).then_some(view),
         };
         if self.is_control() {
             match self.held.beat(now, beat, &self.spread) {
                 Ok(item) => {
-                    grant.stands = true;
+                    grant.granted = true;
                     let mut results: Vec<SpreadOutput> = Vec::new();
                     if let Some(item) = item {
                         self.spread.publish(now, item, &mut results);
@@ -51,7 +51,7 @@
                 Err(seen) => grant.seen_incarnation = seen,
             }
         }
-        out.push(Output::Send { to: from, content: Content::SessionGrant(grant) });
+        out.push(Output::Send { to: from, content: Content::SessionHeartbeatReply(grant) });
     }
 
     /// True if this node keeps a replica that is a member of the view.
@@ -81,7 +81,7 @@
         let mut beats = Vec::new();
         self.session.tick(now, &mut beats);
         for beat in beats {
-            out.push(Output::Send { to: beat.to, content: Content::SessionBeat(beat.beat) });
+            out.push(Output::Send { to: beat.to, content: Content::SessionHeartbeat(beat.beat) });
         }
         if let Some(founding) = &mut self.founding {
             founding.hello(now, self.session.identity());
@@ -103,8 +103,9 @@
         }
         let to = seeds[self.next_seed % seeds.len()];
         self.next_seed += 1;
-        let grant = SessionGrant { incarnation: 0, stands: false, seen_incarnation: 0, view: Some(view) };
-        out.push(Output::Send { to, content: Content::SessionGrant(grant) });
+        let grant =
+            SessionHeartbeatReply { incarnation: 0, granted: false, seen_incarnation: 0, view: Some(view) };
+        out.push(Output::Send { to, content: Content::SessionHeartbeatReply(grant) });
     }
 
     /// Compares items with a control balancer or seed that has no session. After a long cut either side has sessions of
@@ -147,7 +148,7 @@
             if found.to == self.own {
                 self.tell_replica(now, ReplicaInput::Found { view: found.view }, out);
             } else {
-                out.push(Output::Send { to: found.to, content: Content::Found(found.view) });
+                out.push(Output::Send { to: found.to, content: Content::Bootstrap(found.view) });
             }
         }
     }
--- a/controlplane/src/node/serving.rs
+++ b/controlplane/src/node/serving.rs
@@ -223,7 +223,7 @@
         (_, true) => ServerState::Lost,
         _ => ServerState::Ready,
     };
-    let weights = registration.weights.iter();
+    let weights = registration.models.iter();
     ServerEntry {
         id: registration.id.clone(),
         service: registration.service.clone(),
--- a/controlplane/src/registry.rs
+++ b/controlplane/src/registry.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-use gradepaddle_proto::{Decode, Encode, Registration, Weights};
+use gradepaddle_proto::{Decode, Encode, ModelVersion, Registration};
 use gradepaddle_spread::{Item, Spread};
 use serde::Deserialize;
 
@@ -129,8 +129,8 @@
             draining: heartbeat.state != "ready",
             lost: false,
             warmup_left_ms: heartbeat.warmup_left_ms.max(0.0) as u64,
-            weights: weights
-                .map(|one| Weights { model: Arc::from(&*one.name), version: one.version })
+            models: weights
+                .map(|one| ModelVersion { model: Arc::from(&*one.name), version: one.version })
                 .collect(),
             owner: self.own,
         }
--- a/controlplane/src/rollout.rs
+++ b/controlplane/src/rollout.rs
@@ -389,5 +389,5 @@
 
 /// The version of a model that a server holds; none if it does not serve the model.
 fn holds(server: &Registration, model: &str) -> Option<u64> {
-    server.weights.iter().find(|one| &*one.model == model).map(|one| one.version)
+    server.models.iter().find(|one| &*one.model == model).map(|one| one.version)
 }
--- a/controlplane/src/session.rs
+++ b/controlplane/src/session.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddrV4;
 
-use gradepaddle_proto::{Identity, SessionBeat, SessionGrant, ViewSummary};
+use gradepaddle_proto::{Identity, SessionHeartbeat, SessionHeartbeatReply, ViewSummary};
 
 use crate::Micros;
 
@@ -34,7 +34,7 @@
     /// To whom.
     pub to: SocketAddrV4,
     /// What.
-    pub beat: SessionBeat,
+    pub beat: SessionHeartbeat,
 }
 
 impl OwnSession {
@@ -125,7 +125,7 @@
     }
 
     fn beat(&self, to: SocketAddrV4) -> Beat {
-        Beat { to, beat: SessionBeat { identity: self.identity.clone(), view_epoch: self.view.epoch } }
+        Beat { to, beat: SessionHeartbeat { identity: self.identity.clone(), view_epoch: self.view.epoch } }
     }
 
     /// Keeps to a control balancer that answers, and turns to the next one after silence.
@@ -161,7 +161,7 @@
     }
 
     /// Takes in an answer to a heartbeat. True if it granted the session.
-    pub fn receive(&mut self, now: Micros, from: SocketAddrV4, grant: &SessionGrant) -> bool {
+    pub fn receive(&mut self, now: Micros, from: SocketAddrV4, grant: &SessionHeartbeatReply) -> bool {
         if let Some(view) = &grant.view {
             self.learn(view);
         }
@@ -172,7 +172,7 @@
         if self.control.is_none() && !self.view.members.is_empty() {
             self.due = now;
         }
-        if grant.incarnation != self.identity.incarnation || !grant.stands {
+        if grant.incarnation != self.identity.incarnation || !grant.granted {
             return false;
         }
         if self.control == Some(from) {
--- a/controlplane/src/sessions.rs
+++ b/controlplane/src/sessions.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-use gradepaddle_proto::{Decode, DecodeError, Encode, FieldWriter, Fields, Identity, SessionBeat};
+use gradepaddle_proto::{Decode, DecodeError, Encode, FieldWriter, Fields, Identity, SessionHeartbeat};
 use gradepaddle_spread::{Item, Spread, Stamp};
 
 use crate::Micros;
@@ -65,7 +65,12 @@
     /// # Errors
     ///
     /// The incarnation of a later process at this address, if one is known: the node has to go beyond it.
-    pub fn beat(&mut self, now: Micros, beat: &SessionBeat, spread: &Spread) -> Result<Option<Item>, u64> {
+    pub fn beat(
+        &mut self,
+        now: Micros,
+        beat: &SessionHeartbeat,
+        spread: &Spread,
+    ) -> Result<Option<Item>, u64> {
         let identity = &beat.identity;
         let key = identity.address.to_string();
         // The stamp of a tombstone counts: what is published has to be above it.
--- a/controlplane/tests/callers.rs
+++ b/controlplane/tests/callers.rs
@@ -18,7 +18,9 @@
 use gradepaddle_controlplane::rollout::{Order, OrderAnswer, Ordered, Rollout, Servers, Step};
 use gradepaddle_controlplane::session::OwnSession;
 use gradepaddle_http::buffers::Pool;
-use gradepaddle_proto::{Content, ControlCall, Decode, Envelope, Forward, Forwarded, Weights};
+use gradepaddle_proto::{
+    Content, ControlCall, Decode, Envelope, ForwardedCall, ForwardedReply, ModelVersion,
+};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 use tokio::sync::watch;
@@ -41,7 +43,7 @@
             now: 0,
         });
         let mut caller = Caller(node);
-        caller.receive(3, Content::SessionGrant(grant(incarnation, Some(view(5, [3, 4])))));
+        caller.receive(3, Content::SessionHeartbeatReply(grant(incarnation, Some(view(5, [3, 4])))));
         caller
     }
 
@@ -59,8 +61,8 @@
     fn read(&mut self, ticket: u64) -> Result<u64> {
         let out = self.hand(Input::Call { ticket, call: Call::GetConfiguration });
         let forwarded = out.iter().find_map(|output| match output {
-            Output::Send { to, content: Content::Forward(forward) } if *to == address(3) => {
-                Some(forward.ticket)
+            Output::Send { to, content: Content::ForwardedCall(forward) } if *to == address(3) => {
+                Some(forward.call_id)
             }
             _ => None,
         });
@@ -69,8 +71,9 @@
 
     /// The calls that an answer to this name leads to the end of.
     fn answered(&mut self, from: u8, ticket: u64) -> Vec<u64> {
-        let told = Forwarded { ticket, status: 200, body: Arc::from(*b"{}"), lease_left: SECOND };
-        let out = self.receive(from, Content::Forwarded(told));
+        let told =
+            ForwardedReply { call_id: ticket, status: 200, body: Arc::from(*b"{}"), lease_remaining: SECOND };
+        let out = self.receive(from, Content::ForwardedReply(told));
         let ended = out.iter().filter_map(|output| match output {
             Output::Answer { ticket, .. } => Some(*ticket),
             _ => None,
@@ -143,7 +146,7 @@
     /// Calls without an answer: by the driver's ticket, the version that each names.
     open: BTreeMap<u64, u64>,
     /// Answers on their way, with who gives them.
-    on_the_way: Vec<(u8, Forwarded)>,
+    on_the_way: Vec<(u8, ForwardedReply)>,
     answered: u64,
 }
 
@@ -200,7 +203,7 @@
             0 => self.on_the_way[at].clone(),
             _ => self.on_the_way.swap_remove(at),
         };
-        let content = Content::Forwarded(told);
+        let content = Content::ForwardedReply(told);
         self.hand(Input::Envelope(Envelope { from: address(from), content }))
     }
 
@@ -208,7 +211,10 @@
         self.epoch += 1;
         let members = if self.epoch.is_multiple_of(2) { [3, 4] } else { [4, 3] };
         let grant = grant(self.incarnation, Some(view(self.epoch, members)));
-        self.hand(Input::Envelope(Envelope { from: address(3), content: Content::SessionGrant(grant) }))
+        self.hand(Input::Envelope(Envelope {
+            from: address(3),
+            content: Content::SessionHeartbeatReply(grant),
+        }))
     }
 
     fn hand(&mut self, input: Input) -> Result<()> {
@@ -216,7 +222,7 @@
         self.caller.0.handle(self.now, input, &mut out);
         for output in out {
             match output {
-                Output::Send { to, content: Content::Forward(forward) } => self.decide(to, &forward),
+                Output::Send { to, content: Content::ForwardedCall(forward) } => self.decide(to, &forward),
                 Output::Answer { ticket, answer } => {
                     let version = self.open.remove(&ticket).or_fail()?;
                     if answer.status == 200 {
@@ -231,10 +237,10 @@
     }
 
     /// A primary answers by the version that was named.
-    fn decide(&mut self, primary: SocketAddrV4, forward: &Forward) {
+    fn decide(&mut self, primary: SocketAddrV4, forward: &ForwardedCall) {
         let ControlCall::NameVersion { version, .. } = &forward.call else { return };
         let body = Arc::from(version.to_string().into_bytes());
-        let told = Forwarded { ticket: forward.ticket, status: 200, body, lease_left: SECOND };
+        let told = ForwardedReply { call_id: forward.call_id, status: 200, body, lease_remaining: SECOND };
         self.on_the_way.push((primary.ip().octets()[3], told));
     }
 }
@@ -264,7 +270,7 @@
 impl Duty {
     fn new(named: &[(&str, u64)]) -> Duty {
         let mut server = registration("s0", 1, 1);
-        server.weights.push(Weights { model: Arc::from("second"), version: 1 });
+        server.models.push(ModelVersion { model: Arc::from("second"), version: 1 });
         let mut rollout = Rollout::new(3 * SECOND);
         rollout.lead(0, 1);
         let named = named.iter().map(|(model, version)| ((*model).to_owned(), *version)).collect();
--- a/controlplane/tests/common/mod.rs
+++ b/controlplane/tests/common/mod.rs
@@ -7,7 +7,9 @@
 
 use gradepaddle_controlplane::Micros;
 use gradepaddle_controlplane::registry::Heartbeat;
-use gradepaddle_proto::{Identity, Registration, SessionBeat, SessionGrant, ViewSummary, Weights};
+use gradepaddle_proto::{
+    Identity, ModelVersion, Registration, SessionHeartbeat, SessionHeartbeatReply, ViewSummary,
+};
 use gradepaddle_spread::{Item, Spread, SpreadConfig};
 
 /// A millisecond.
@@ -48,8 +50,8 @@
 }
 
 /// A heartbeat of a node's session.
-pub fn session_beat(number: u8, incarnation: u64) -> SessionBeat {
-    SessionBeat { identity: identity(number, incarnation), view_epoch: 0 }
+pub fn session_beat(number: u8, incarnation: u64) -> SessionHeartbeat {
+    SessionHeartbeat { identity: identity(number, incarnation), view_epoch: 0 }
 }
 
 /// A view as nodes tell it.
@@ -59,8 +61,8 @@
 }
 
 /// An answer that grants a session.
-pub fn grant(incarnation: u64, view: Option<ViewSummary>) -> SessionGrant {
-    SessionGrant { incarnation, stands: true, seen_incarnation: 0, view }
+pub fn grant(incarnation: u64, view: Option<ViewSummary>) -> SessionHeartbeatReply {
+    SessionHeartbeatReply { incarnation, granted: true, seen_incarnation: 0, view }
 }
 
 /// A dissemination that knows no other node.
@@ -94,7 +96,7 @@
         draining: false,
         lost: false,
         warmup_left_ms: 0,
-        weights: vec![Weights { model: Arc::from("advisor"), version }],
+        models: vec![ModelVersion { model: Arc::from("advisor"), version }],
         owner: address(owner),
     }
 }
--- a/controlplane/tests/leases.rs
+++ b/controlplane/tests/leases.rs
@@ -18,7 +18,7 @@
 use gradepaddle_controlplane::rollout::{Order, OrderAnswer};
 use gradepaddle_controlplane::{CLOCK_START, Micros};
 use gradepaddle_http::buffers::Pool;
-use gradepaddle_proto::{Content, Envelope, Forwarded};
+use gradepaddle_proto::{Content, Envelope, ForwardedReply};
 use simulation::operator::body;
 use simulation::{MS, Plan, SECOND, World};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -180,12 +180,16 @@
         let asked = (fleet.primary + 1) % 3;
         let out = fleet.call(asked, Call::GetConfiguration);
         let ticket = out.iter().find_map(|output| match output {
-            Output::Send { content: Content::Forward(forward), .. } => Some(forward.ticket),
+            Output::Send { content: Content::ForwardedCall(forward), .. } => Some(forward.call_id),
             _ => None,
         });
-        let forwarded =
-            Forwarded { ticket: ticket.or_fail()?, status: told, body: Arc::from([]), lease_left };
-        let input = fleet.envelope(fleet.primary, Content::Forwarded(forwarded));
+        let forwarded = ForwardedReply {
+            call_id: ticket.or_fail()?,
+            status: told,
+            body: Arc::from([]),
+            lease_remaining: lease_left,
+        };
+        let input = fleet.envelope(fleet.primary, Content::ForwardedReply(forwarded));
         let sent = fleet.clock(asked);
         let answer = answer(&fleet.hand(asked, later, input)).or_fail()?;
         expect_that!(answer.status, eq(status), "{what}");
@@ -202,16 +206,16 @@
     let (primary, asked) = (fleet.primary, (fleet.primary + 1) % 3);
     let out = fleet.call(asked, Call::GetConfiguration);
     let forward = out.into_iter().find_map(|output| match output {
-        Output::Send { content: content @ Content::Forward(_), .. } => Some(content),
+        Output::Send { content: content @ Content::ForwardedCall(_), .. } => Some(content),
         _ => None,
     });
     let input = fleet.envelope(asked, forward.or_fail()?);
     let told = fleet.hand(primary, 0, input).into_iter().find_map(|output| match output {
-        Output::Send { content: Content::Forwarded(told), .. } => Some(told),
+        Output::Send { content: Content::ForwardedReply(told), .. } => Some(told),
         _ => None,
     });
     let told = told.or_fail()?;
-    verify_that!((told.status, told.lease_left), (eq(200), all![gt(0), le(LEASE)]))
+    verify_that!((told.status, told.lease_remaining), (eq(200), all![gt(0), le(LEASE)]))
 }
 
 /// Nobody waits in silence: callers go on after a second.
--- a/controlplane/tests/rollout.rs
+++ b/controlplane/tests/rollout.rs
@@ -75,7 +75,7 @@
     }
 
     fn holds(&mut self, server: &str, version: u64) {
-        self.at(server).weights[0].version = version;
+        self.at(server).models[0].version = version;
     }
 }
 
@@ -122,7 +122,7 @@
     duty.holds("s00", 2);
     duty.holds("s01", 3);
     let mut other = registration("s02", 1, 1);
-    other.weights[0].model = Arc::from("other");
+    other.models[0].model = Arc::from("other");
     duty.servers.insert(other.id.clone(), other);
     expect_that!(duty.run(5 * SECOND), is_empty());
     Ok(())
@@ -379,7 +379,7 @@
             duty.rollout.set_due("advisor", version, duty.now + WITHIN * 3 / 4);
         }
         step_orders(&mut duty, WITHIN * 3 / 2, unlucky, &mut answered);
-        let held: Vec<u64> = duty.servers.values().map(|server| server.weights[0].version).collect();
+        let held: Vec<u64> = duty.servers.values().map(|server| server.models[0].version).collect();
         expect_that!(held, each(eq(&version)), "each order in {unlucky} is lost");
     }
     Ok(())
--- a/controlplane/tests/session.rs
+++ b/controlplane/tests/session.rs
@@ -9,7 +9,7 @@
 use googletest::prelude::*;
 use gradepaddle_controlplane::Micros;
 use gradepaddle_controlplane::session::{Beat, OwnSession};
-use gradepaddle_proto::SessionGrant;
+use gradepaddle_proto::SessionHeartbeatReply;
 
 /// A session with the clock that drives it.
 struct Driven {
@@ -41,7 +41,7 @@
         sent
     }
 
-    fn granted_by(&mut self, from: SocketAddrV4, answer: &SessionGrant) -> bool {
+    fn granted_by(&mut self, from: SocketAddrV4, answer: &SessionHeartbeatReply) -> bool {
         self.session.receive(self.now, from, answer)
     }
 }
@@ -56,7 +56,7 @@
     driven.next();
     driven.granted_by(
         address(members[0]),
-        &SessionGrant { stands: false, ..grant(100, Some(view(3, members.to_vec()))) },
+        &SessionHeartbeatReply { granted: false, ..grant(100, Some(view(3, members.to_vec()))) },
     );
     loop {
         let beats = driven.next();
@@ -131,7 +131,8 @@
     let (mut driven, _) = settled(9, &[1, 2, 3]);
     driven.session.set_seeds(addresses([7]));
     let newer = view(8, [4, 5, 6]);
-    driven.granted_by(address(7), &SessionGrant { stands: false, ..grant(100, Some(newer.clone())) });
+    driven
+        .granted_by(address(7), &SessionHeartbeatReply { granted: false, ..grant(100, Some(newer.clone())) });
     expect_that!(driven.session.view(), eq(&newer));
     let turned = asked(&driven.next());
     expect_that!(turned.len(), eq(1));
@@ -152,7 +153,7 @@
 #[gtest]
 fn an_incarnation_that_was_overtaken_is_raised_beyond_it() -> Result<()> {
     let (mut driven, control) = settled(9, &[1, 2, 3]);
-    let refused = SessionGrant { stands: false, seen_incarnation: 4_000, ..grant(100, None) };
+    let refused = SessionHeartbeatReply { granted: false, seen_incarnation: 4_000, ..grant(100, None) };
     expect_that!(driven.granted_by(control, &refused), eq(false));
     let beats = driven.next();
     expect_that!(beats[0].beat.identity.incarnation, eq(4_001));
@@ -175,7 +176,7 @@
 fn one_that_does_not_let_the_session_stand_is_left() -> Result<()> {
     let (mut driven, control) = settled(9, &[1, 2, 3]);
     let since = driven.now;
-    let refused = SessionGrant { stands: false, ..grant(100, None) };
+    let refused = SessionHeartbeatReply { granted: false, ..grant(100, None) };
     while driven.now < since + 2 * SECOND {
         let beats = driven.next();
         for beat in beats.iter().filter(|beat| beat.to == control) {
--- a/dataplane/src/load_sharing/content.rs
+++ b/dataplane/src/load_sharing/content.rs
@@ -1,7 +1,7 @@
 //! What a message of loads holds: the engine's figures as they travel, and which are believed.
 
 use gradepaddle_engine::{KeptTokens, OwnLoad, Part, Sighting, StoreChanges};
-use gradepaddle_proto::{KeptPrompt, LoadShare, PromptPart, ServerShare, StoreReport};
+use gradepaddle_proto::{CacheStoreReport, CachedPrefix, PeerLoadReport, PromptChunk, ServerLoad};
 
 use super::recent_rounds::RecentRounds;
 
@@ -18,30 +18,30 @@
 const PARTS_MOST: usize = 256;
 
 /// Prompts seen kept in the last rounds.
-pub(super) fn recent_prompts() -> RecentRounds<KeptPrompt> {
+pub(super) fn recent_prompts() -> RecentRounds<CachedPrefix> {
     RecentRounds::new(PROMPTS_MOST)
 }
 
 /// What changed at stores in the last rounds.
-pub(super) fn recent_changes() -> RecentRounds<StoreReport> {
+pub(super) fn recent_changes() -> RecentRounds<CacheStoreReport> {
     RecentRounds::new(STORE_REPORTS_MOST)
 }
 
-pub(super) fn store_report(changes: &StoreChanges) -> StoreReport {
+pub(super) fn store_report(changes: &StoreChanges) -> CacheStoreReport {
     let parts = changes.parts.iter().take(CHANGED_PARTS_MOST);
     let StoreChanges { store, reset, .. } = *changes;
-    let parts = parts.map(|part| PromptPart { id: part.key, tokens: part.tokens }).collect();
-    StoreReport { store, reset, parts }
+    let parts = parts.map(|part| PromptChunk { id: part.key, tokens: part.tokens }).collect();
+    CacheStoreReport { store, reset, chunks: parts }
 }
 
-pub(super) fn store_changes(report: &StoreReport) -> StoreChanges {
-    let parts = report.parts.iter().map(|part| KeptTokens { key: part.id, tokens: part.tokens });
-    let StoreReport { store, reset, .. } = *report;
+pub(super) fn store_changes(report: &CacheStoreReport) -> StoreChanges {
+    let parts = report.chunks.iter().map(|part| KeptTokens { key: part.id, tokens: part.tokens });
+    let CacheStoreReport { store, reset, .. } = *report;
     StoreChanges { store, reset, parts: parts.collect() }
 }
 
-pub(super) fn share(load: OwnLoad) -> ServerShare {
-    ServerShare {
+pub(super) fn share(load: OwnLoad) -> ServerLoad {
+    ServerLoad {
         server: load.server,
         backlog_ms: load.backlog_ms.max(0.0) as u32,
         running: load.running,
@@ -49,7 +49,7 @@
     }
 }
 
-pub(super) fn own_load(share: &ServerShare) -> OwnLoad {
+pub(super) fn own_load(share: &ServerLoad) -> OwnLoad {
     OwnLoad {
         server: share.server,
         backlog_ms: f64::from(share.backlog_ms),
@@ -58,34 +58,34 @@
     }
 }
 
-pub(super) fn kept_prompt(sighting: &Sighting) -> KeptPrompt {
-    let parts = sighting.parts.iter().map(|part| PromptPart { id: part.id, tokens: part.tokens });
+pub(super) fn kept_prompt(sighting: &Sighting) -> CachedPrefix {
+    let parts = sighting.parts.iter().map(|part| PromptChunk { id: part.id, tokens: part.tokens });
     let Sighting { server, key, version, salt, .. } = *sighting;
-    KeptPrompt { server, key, version, salt, parts: parts.collect() }
+    CachedPrefix { server, key, version, salt, chunks: parts.collect() }
 }
 
-pub(super) fn sighting(kept: &KeptPrompt) -> Sighting {
-    let parts = kept.parts.iter().map(|part| Part { id: part.id, tokens: part.tokens });
-    let KeptPrompt { server, key, version, salt, .. } = *kept;
+pub(super) fn sighting(kept: &CachedPrefix) -> Sighting {
+    let parts = kept.chunks.iter().map(|part| Part { id: part.id, tokens: part.tokens });
+    let CachedPrefix { server, key, version, salt, .. } = *kept;
     Sighting { server, key, version, salt, parts: parts.collect() }
 }
 
 /// True if others need not be told: what is read meanwhile they count down themselves.
-pub(super) fn same(now: &[ServerShare], told: &[ServerShare]) -> bool {
-    let timeless = |share: &ServerShare| (share.server, share.running, share.tokens);
+pub(super) fn same(now: &[ServerLoad], told: &[ServerLoad]) -> bool {
+    let timeless = |share: &ServerLoad| (share.server, share.running, share.tokens);
     now.len() == told.len() && now.iter().map(timeless).eq(told.iter().map(timeless))
 }
 
 /// False for figures that no balancer can have.
-pub(super) fn believable(message: &LoadShare) -> bool {
-    let possible = |share: &ServerShare| {
+pub(super) fn believable(message: &PeerLoadReport) -> bool {
+    let possible = |share: &ServerLoad| {
         share.running <= RUNNING_MOST
             && share.backlog_ms <= BACKLOG_MOST_MS
             && share.tokens <= u64::from(u32::MAX)
     };
     message.servers.iter().all(possible)
-        && message.kept.len() <= PROMPTS_MOST
-        && message.kept.iter().all(|kept| kept.parts.len() <= PARTS_MOST)
-        && message.changes.len() <= STORE_REPORTS_MOST
-        && message.changes.iter().all(|changes| changes.parts.len() <= CHANGED_PARTS_MOST)
+        && message.cached_prefixes.len() <= PROMPTS_MOST
+        && message.cached_prefixes.iter().all(|kept| kept.chunks.len() <= PARTS_MOST)
+        && message.cache_store_reports.len() <= STORE_REPORTS_MOST
+        && message.cache_store_reports.iter().all(|changes| changes.chunks.len() <= CHANGED_PARTS_MOST)
 }
--- a/dataplane/src/load_sharing/mod.rs
+++ b/dataplane/src/load_sharing/mod.rs
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use gradepaddle_proto::{Decode, Encode, KeptPrompt, LoadShare, ServerShare, StoreReport};
+use gradepaddle_proto::{CacheStoreReport, CachedPrefix, Decode, Encode, PeerLoadReport, ServerLoad};
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep, timeout};
@@ -109,9 +109,9 @@
 
 /// What others were told last.
 struct LastTold {
-    servers: Vec<ServerShare>,
-    kept: RecentRounds<KeptPrompt>,
-    changes: RecentRounds<StoreReport>,
+    servers: Vec<ServerLoad>,
+    kept: RecentRounds<CachedPrefix>,
+    changes: RecentRounds<CacheStoreReport>,
     /// Spans without a change.
     quiet: u32,
 }
@@ -133,7 +133,7 @@
 
 fn tell(plane: &DataPlane, socket: &UdpSocket, own: SocketAddrV4, last: &mut LastTold) {
     let now = plane.now();
-    let servers: Vec<ServerShare> = plane.engine.borrow().own_loads(now).into_iter().map(share).collect();
+    let servers: Vec<ServerLoad> = plane.engine.borrow().own_loads(now).into_iter().map(share).collect();
     let fresh = plane.engine.borrow_mut().take_sightings();
     let changed = plane.engine.borrow_mut().take_store_changes();
     let news = !fresh.is_empty() || !changed.is_empty();
@@ -147,16 +147,16 @@
     last.kept.keep(fresh.iter().map(kept_prompt), audience.rounds());
     last.changes.keep(changed.iter().map(store_report), audience.rounds());
     last.servers = servers;
-    let message = LoadShare {
+    let message = PeerLoadReport {
         sequence: sharing.next_sequence(),
         origin: Some(own),
         relay: false,
         servers: last.servers.clone(),
-        kept: last.kept.all(),
-        changes: last.changes.all(),
+        cached_prefixes: last.kept.all(),
+        cache_store_reports: last.changes.all(),
     };
     let direct = message.to_bytes();
-    let relayed = LoadShare { relay: true, ..message }.to_bytes();
+    let relayed = PeerLoadReport { relay: true, ..message }.to_bytes();
     for recipient in audience.recipients(now, direct.len()) {
         let bytes = if recipient.relays { &relayed } else { &direct };
         sharing.send(socket, bytes, recipient.address);
@@ -189,7 +189,7 @@
     /// counters. Gives what is to be passed on.
     pub fn hear(&self, from: SocketAddrV4, bytes: &[u8]) -> Option<PassedOn> {
         let counters = &self.sharing.counters;
-        let Ok(message) = LoadShare::from_bytes(bytes) else {
+        let Ok(message) = PeerLoadReport::from_bytes(bytes) else {
             count(&counters.unreadable);
             return None;
         };
@@ -209,22 +209,25 @@
         }
         count(&counters.heard);
         let to = audience.neighbours().filter(|address| *address != from && *address != origin).collect();
-        let bytes = || LoadShare { relay: false, origin: Some(origin), ..message.clone() }.to_bytes();
+        let bytes = || PeerLoadReport { relay: false, origin: Some(origin), ..message.clone() }.to_bytes();
         message.relay.then(|| PassedOn { bytes: bytes(), to })
     }
 }
 
 /// Has the engine take a message in. False if a later one of the same node came first.
-fn take(plane: &DataPlane, origin: SocketAddrV4, message: &LoadShare) -> bool {
+fn take(plane: &DataPlane, origin: SocketAddrV4, message: &PeerLoadReport) -> bool {
     let peer = u64::from(u32::from(*origin.ip())) << 16 | u64::from(origin.port());
     let now = plane.now();
     let loads = message.servers.iter().map(own_load).collect();
     let mut engine = plane.engine.borrow_mut();
     let taken = engine.peer_loads(now, peer, message.sequence, loads);
     if taken {
-        let seen: Vec<_> = message.kept.iter().map(sighting).collect();
+        let seen: Vec<_> = message.cached_prefixes.iter().map(sighting).collect();
         engine.peer_sightings(now, &seen);
-        message.changes.iter().for_each(|report| engine.peer_store_changes(now, &store_changes(report)));
+        message
+            .cache_store_reports
+            .iter()
+            .for_each(|report| engine.peer_store_changes(now, &store_changes(report)));
     }
     taken
 }
--- a/dataplane/tests/kept_events.rs
+++ b/dataplane/tests/kept_events.rs
@@ -12,7 +12,7 @@
 use gradepaddle_engine::{holder_hash, kept_key};
 use gradepaddle_http::Connection;
 use gradepaddle_http::buffers::Pool;
-use gradepaddle_proto::{Decode, LoadShare, StoreReport};
+use gradepaddle_proto::{CacheStoreReport, Decode, PeerLoadReport};
 use serde_json::json;
 use tokio::net::{TcpListener, UdpSocket};
 
@@ -53,12 +53,12 @@
 }
 
 /// The first reports of stores that another balancer is sent.
-async fn reports(other: &UdpSocket, count: usize) -> Vec<StoreReport> {
+async fn reports(other: &UdpSocket, count: usize) -> Vec<CacheStoreReport> {
     let mut bytes = vec![0; 64 * 1024];
     let mut reports = Vec::new();
     while reports.len() < count {
         let length = other.recv(&mut bytes).await.expect("a datagram");
-        reports.extend(LoadShare::from_bytes(&bytes[..length]).expect("a message").changes);
+        reports.extend(PeerLoadReport::from_bytes(&bytes[..length]).expect("a message").cache_store_reports);
     }
     reports
 }
@@ -89,10 +89,10 @@
         let restarted = json!({"epoch": 5, "nextToken": 0, "lost": false, "events": []});
         let (_world, other) = listening(0, vec![list, events, restarted]).await;
         let [report, reset] = &reports(&other, 2).await[..] else { panic!("two are told") };
-        let parts: Vec<_> = report.parts.iter().map(|part| (part.id, part.tokens)).collect();
+        let parts: Vec<_> = report.chunks.iter().map(|part| (part.id, part.tokens)).collect();
         expect_that!((report.store, report.reset), eq((holder_hash(STORE), false)));
         expect_that!(parts, eq(&[(kept_key(SALT, 0xa1), 64), (kept_key(SALT, 0xb2), 0)]));
-        expect_that!((reset.reset, reset.parts.len()), eq((true, 0)));
+        expect_that!((reset.reset, reset.chunks.len()), eq((true, 0)));
     });
 }
 
@@ -109,7 +109,7 @@
             tokio::task::yield_now().await;
         }
         let length = other.recv(&mut bytes).await.expect("a datagram");
-        let message = LoadShare::from_bytes(&bytes[..length]).expect("a message");
-        expect_that!(message.changes, is_empty());
+        let message = PeerLoadReport::from_bytes(&bytes[..length]).expect("a message");
+        expect_that!(message.cache_store_reports, is_empty());
     });
 }
--- a/dataplane/tests/load_sharing.rs
+++ b/dataplane/tests/load_sharing.rs
@@ -11,7 +11,7 @@
 use gradepaddle_dataplane::load_sharing::recent_rounds::RecentRounds;
 use gradepaddle_dataplane::{DataPlane, PassedOn, Setup, is_to_tell};
 use gradepaddle_engine::{Engine, EngineConfig};
-use gradepaddle_proto::{Encode, KeptPrompt, LoadShare, PromptPart, ServerShare};
+use gradepaddle_proto::{CachedPrefix, Encode, PeerLoadReport, PromptChunk, ServerLoad};
 use slog::{Discard, Logger, o};
 
 const SECOND: u64 = 1_000_000;
@@ -144,15 +144,15 @@
     plane
 }
 
-fn message(sequence: u64, origin: usize) -> LoadShare {
-    let share = ServerShare { server: 77, backlog_ms: 90, running: 2, tokens: 9_000 };
-    LoadShare {
+fn message(sequence: u64, origin: usize) -> PeerLoadReport {
+    let share = ServerLoad { server: 77, backlog_ms: 90, running: 2, tokens: 9_000 };
+    PeerLoadReport {
         sequence,
         origin: Some(address(origin)),
         relay: false,
         servers: vec![share],
-        kept: Vec::new(),
-        changes: Vec::new(),
+        cached_prefixes: Vec::new(),
+        cache_store_reports: Vec::new(),
     }
 }
 
@@ -164,14 +164,14 @@
 
 #[gtest]
 fn datagrams_that_make_no_sense_count_for_nothing_and_are_counted() {
-    let share = |change: fn(&mut ServerShare)| {
+    let share = |change: fn(&mut ServerLoad)| {
         let mut message = message(9, 1);
         change(&mut message.servers[0]);
         message.to_bytes()
     };
-    let part = PromptPart { id: 1, tokens: 1 };
-    let prompt = KeptPrompt { server: 77, key: 1, version: 1, salt: 1, parts: vec![part; 300] };
-    let long = LoadShare { kept: vec![prompt], ..message(9, 1) };
+    let part = PromptChunk { id: 1, tokens: 1 };
+    let prompt = CachedPrefix { server: 77, key: 1, version: 1, salt: 1, chunks: vec![part; 300] };
+    let long = PeerLoadReport { cached_prefixes: vec![prompt], ..message(9, 1) };
     let cut = message(9, 1).to_bytes();
     let rows: Vec<(&str, SocketAddrV4, Vec<u8>, [u64; 5])> = vec![
         ("sound", address(1), message(9, 1).to_bytes(), [1, 0, 0, 0, 0]),
@@ -207,7 +207,7 @@
 #[gtest]
 fn what_is_meant_for_the_zone_is_passed_on_to_it_once() {
     let plane = plane();
-    let sent = LoadShare { relay: true, ..message(9, 1) };
+    let sent = PeerLoadReport { relay: true, ..message(9, 1) };
     let wanted = PassedOn { bytes: message(9, 1).to_bytes(), to: [2, 4, 6, 8].map(address).to_vec() };
     expect_that!(plane.hear(address(1), &sent.to_bytes()), some(eq(&wanted)));
     expect_that!(plane.hear(address(1), &sent.to_bytes()), none());
--- a/proto/src/envelope.rs
+++ b/proto/src/envelope.rs
@@ -3,7 +3,9 @@
 use std::net::SocketAddrV4;
 
 use crate::fields::{Decode, DecodeError, Encode, FieldWriter, Fields, UnknownVariantSnafu};
-use crate::node::{Forward, Forwarded, NewestAsk, NewestTold, SessionBeat, SessionGrant};
+use crate::node::{
+    ForwardedCall, ForwardedReply, SessionHeartbeat, SessionHeartbeatReply, VersionQuery, VersionReply,
+};
 
 /// A message with its sender.
 #[derive(Clone, Debug, PartialEq)]
@@ -22,19 +24,19 @@
     /// Dissemination.
     Spread(gradepaddle_spread::Message),
     /// A heartbeat of a session.
-    SessionBeat(SessionBeat),
+    SessionHeartbeat(SessionHeartbeat),
     /// The answer to it.
-    SessionGrant(SessionGrant),
+    SessionHeartbeatReply(SessionHeartbeatReply),
     /// The first view, told by the founder to each of its members.
-    Found(gradepaddle_control::View),
+    Bootstrap(gradepaddle_control::View),
     /// A call for the primary.
-    Forward(Forward),
+    ForwardedCall(ForwardedCall),
     /// Its answer.
-    Forwarded(Forwarded),
+    ForwardedReply(ForwardedReply),
     /// Which configuration is the newest?
-    NewestAsk(NewestAsk),
+    VersionQuery(VersionQuery),
     /// The answer to it.
-    NewestTold(NewestTold),
+    VersionReply(VersionReply),
 }
 
 const CONTROL: u64 = 1;
@@ -53,13 +55,13 @@
         let (variant, bytes) = match &self.content {
             Content::Control(message) => (CONTROL, message.to_bytes()),
             Content::Spread(message) => (SPREAD, message.to_bytes()),
-            Content::SessionBeat(message) => (SESSION_BEAT, message.to_bytes()),
-            Content::SessionGrant(message) => (SESSION_GRANT, message.to_bytes()),
-            Content::Found(view) => (FOUND, view.to_bytes()),
-            Content::Forward(message) => (FORWARD, message.to_bytes()),
-            Content::Forwarded(message) => (FORWARDED, message.to_bytes()),
-            Content::NewestAsk(message) => (NEWEST_ASK, message.to_bytes()),
-            Content::NewestTold(message) => (NEWEST_TOLD, message.to_bytes()),
+            Content::SessionHeartbeat(message) => (SESSION_BEAT, message.to_bytes()),
+            Content::SessionHeartbeatReply(message) => (SESSION_GRANT, message.to_bytes()),
+            Content::Bootstrap(view) => (FOUND, view.to_bytes()),
+            Content::ForwardedCall(message) => (FORWARD, message.to_bytes()),
+            Content::ForwardedReply(message) => (FORWARDED, message.to_bytes()),
+            Content::VersionQuery(message) => (NEWEST_ASK, message.to_bytes()),
+            Content::VersionReply(message) => (NEWEST_TOLD, message.to_bytes()),
         };
         to.number(2, variant);
         to.bytes(3, &bytes);
@@ -72,13 +74,13 @@
         let content = match fields.number(2) {
             CONTROL => Content::Control(fields.message(NAME, 3)?),
             SPREAD => Content::Spread(fields.message(NAME, 3)?),
-            SESSION_BEAT => Content::SessionBeat(fields.message(NAME, 3)?),
-            SESSION_GRANT => Content::SessionGrant(fields.message(NAME, 3)?),
-            FOUND => Content::Found(fields.message(NAME, 3)?),
-            FORWARD => Content::Forward(fields.message(NAME, 3)?),
-            FORWARDED => Content::Forwarded(fields.message(NAME, 3)?),
-            NEWEST_ASK => Content::NewestAsk(fields.message(NAME, 3)?),
-            NEWEST_TOLD => Content::NewestTold(fields.message(NAME, 3)?),
+            SESSION_BEAT => Content::SessionHeartbeat(fields.message(NAME, 3)?),
+            SESSION_GRANT => Content::SessionHeartbeatReply(fields.message(NAME, 3)?),
+            FOUND => Content::Bootstrap(fields.message(NAME, 3)?),
+            FORWARD => Content::ForwardedCall(fields.message(NAME, 3)?),
+            FORWARDED => Content::ForwardedReply(fields.message(NAME, 3)?),
+            NEWEST_ASK => Content::VersionQuery(fields.message(NAME, 3)?),
+            NEWEST_TOLD => Content::VersionReply(fields.message(NAME, 3)?),
             variant => return UnknownVariantSnafu { message: NAME, variant }.fail(),
         };
         Ok(Envelope { from: fields.address(NAME, 1)?, content })
--- a/proto/src/lib.rs
+++ b/proto/src/lib.rs
@@ -14,8 +14,9 @@
 
 pub use envelope::{Content, Envelope};
 pub use fields::{Decode, DecodeError, Encode, FieldWriter, Fields};
-pub use load::{KeptPrompt, LoadShare, PromptPart, ServerShare, StoreReport};
+pub use load::{CacheStoreReport, CachedPrefix, PeerLoadReport, PromptChunk, ServerLoad};
 pub use node::{
-    ControlCall, Forward, Forwarded, Identity, NewestAsk, NewestTold, SessionBeat, SessionGrant, ViewSummary,
+    ControlCall, ForwardedCall, ForwardedReply, Identity, SessionHeartbeat, SessionHeartbeatReply,
+    VersionQuery, VersionReply, ViewSummary,
 };
-pub use registry::{Registration, Weights};
+pub use registry::{ModelVersion, Registration};
--- a/proto/src/load.rs
+++ b/proto/src/load.rs
@@ -6,7 +6,7 @@
 
 /// What one node has in flight at one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ServerShare {
+pub struct ServerLoad {
     /// A hash of the server's id, the same at all nodes.
     pub server: u64,
     /// Reading of prompts that is still to be done there, in milliseconds.
@@ -19,7 +19,7 @@
 
 /// A part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PromptPart {
+pub struct PromptChunk {
     /// Its id.
     pub id: u64,
     /// Its length in tokens.
@@ -28,7 +28,7 @@
 
 /// A server was seen to read a prompt, and so to keep its parts.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct KeptPrompt {
+pub struct CachedPrefix {
     /// A hash of the server's id.
     pub server: u64,
     /// The prompt's key.
@@ -38,23 +38,23 @@
     /// A hash of the salt that the parts are kept under.
     pub salt: u64,
     /// The parts in order.
-    pub parts: Vec<PromptPart>,
+    pub chunks: Vec<PromptChunk>,
 }
 
 /// What changed in a store since it was last told.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct StoreReport {
+pub struct CacheStoreReport {
     /// A hash of its name.
     pub store: u64,
     /// Nothing that it kept before is known to be left.
     pub reset: bool,
     /// Parts, each by the key that it has under its salt, with the tokens that are kept now.
-    pub parts: Vec<PromptPart>,
+    pub chunks: Vec<PromptChunk>,
 }
 
 /// What one node has in flight at all servers; servers that are left out have nothing of it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct LoadShare {
+pub struct PeerLoadReport {
     /// Rises with each of this node's messages, so that one that was overtaken is known.
     pub sequence: u64,
     /// The node whose loads these are, where it isn't the sender's own message; `None` in those of older builds.
@@ -62,14 +62,14 @@
     /// The receiver is to pass it on to the other nodes of its zone.
     pub relay: bool,
     /// By server.
-    pub servers: Vec<ServerShare>,
+    pub servers: Vec<ServerLoad>,
     /// What it has seen kept since its last message.
-    pub kept: Vec<KeptPrompt>,
+    pub cached_prefixes: Vec<CachedPrefix>,
     /// What has changed since then at stores that it listens to.
-    pub changes: Vec<StoreReport>,
+    pub cache_store_reports: Vec<CacheStoreReport>,
 }
 
-impl Encode for ServerShare {
+impl Encode for ServerLoad {
     fn encode(&self, to: &mut FieldWriter) {
         to.number(1, self.server);
         to.number(2, u64::from(self.backlog_ms));
@@ -78,9 +78,9 @@
     }
 }
 
-impl Decode for ServerShare {
+impl Decode for ServerLoad {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
-        Ok(ServerShare {
+        Ok(ServerLoad {
             server: fields.number(1),
             backlog_ms: fields.number(2) as u32,
             running: fields.number(3) as u32,
@@ -89,77 +89,77 @@
     }
 }
 
-impl Encode for PromptPart {
+impl Encode for PromptChunk {
     fn encode(&self, to: &mut FieldWriter) {
         to.number(1, self.id);
         to.number(2, u64::from(self.tokens));
     }
 }
 
-impl Decode for PromptPart {
+impl Decode for PromptChunk {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
-        Ok(PromptPart { id: fields.number(1), tokens: fields.number(2) as u32 })
+        Ok(PromptChunk { id: fields.number(1), tokens: fields.number(2) as u32 })
     }
 }
 
-impl Encode for KeptPrompt {
+impl Encode for CachedPrefix {
     fn encode(&self, to: &mut FieldWriter) {
         to.number(1, self.server);
         to.number(2, self.key);
         to.number(3, self.version);
         to.number(4, self.salt);
-        to.messages(5, &self.parts);
+        to.messages(5, &self.chunks);
     }
 }
 
-impl Decode for KeptPrompt {
+impl Decode for CachedPrefix {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
-        Ok(KeptPrompt {
+        Ok(CachedPrefix {
             server: fields.number(1),
             key: fields.number(2),
             version: fields.number(3),
             salt: fields.number(4),
-            parts: fields.messages(5)?,
+            chunks: fields.messages(5)?,
         })
     }
 }
 
-impl Encode for StoreReport {
+impl Encode for CacheStoreReport {
     fn encode(&self, to: &mut FieldWriter) {
         to.number(1, self.store);
         to.truth(2, self.reset);
-        to.messages(3, &self.parts);
+        to.messages(3, &self.chunks);
     }
 }
 
-impl Decode for StoreReport {
+impl Decode for CacheStoreReport {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
-        Ok(StoreReport { store: fields.number(1), reset: fields.truth(2), parts: fields.messages(3)? })
+        Ok(CacheStoreReport { store: fields.number(1), reset: fields.truth(2), chunks: fields.messages(3)? })
     }
 }
 
-impl Encode for LoadShare {
+impl Encode for PeerLoadReport {
     fn encode(&self, to: &mut FieldWriter) {
         to.number(1, self.sequence);
         to.messages(2, &self.servers);
-        to.messages(3, &self.kept);
+        to.messages(3, &self.cached_prefixes);
         if let Some(origin) = self.origin {
             to.address(4, origin);
         }
         to.truth(5, self.relay);
-        to.messages(6, &self.changes);
+        to.messages(6, &self.cache_store_reports);
     }
 }
 
-impl Decode for LoadShare {
+impl Decode for PeerLoadReport {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
-        Ok(LoadShare {
+        Ok(PeerLoadReport {
             sequence: fields.number(1),
             origin: fields.some_address(4),
             relay: fields.truth(5),
             servers: fields.messages(2)?,
-            kept: fields.messages(3)?,
-            changes: fields.messages(6)?,
+            cached_prefixes: fields.messages(3)?,
+            cache_store_reports: fields.messages(6)?,
         })
     }
 }
--- a/proto/src/node.rs
+++ b/proto/src/node.rs
@@ -24,7 +24,7 @@
 
 /// A heartbeat of a node's session with a control balancer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SessionBeat {
+pub struct SessionHeartbeat {
     /// The node.
     pub identity: Identity,
     /// The epoch of the latest view that it knows.
@@ -42,13 +42,13 @@
     pub members: Vec<SocketAddrV4>,
 }
 
-/// The answer to a [`SessionBeat`].
+/// The answer to a [`SessionHeartbeat`].
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SessionGrant {
+pub struct SessionHeartbeatReply {
     /// The incarnation that was told.
     pub incarnation: u64,
-    /// The session stands here. False: the node has to turn to a member of the view.
-    pub stands: bool,
+    /// The session granted here. False: the node has to turn to a member of the view.
+    pub granted: bool,
     /// An older process of this address had an incarnation up to this one.
     pub seen_incarnation: u64,
     /// The latest view that the answering node knows.
@@ -57,16 +57,16 @@
 
 /// Asks which configuration is the newest that can have been acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NewestAsk {
+pub struct VersionQuery {
     /// Names the question.
-    pub name: u64,
+    pub query_id: u64,
 }
 
-/// The answer to a [`NewestAsk`].
+/// The answer to a [`VersionQuery`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NewestTold {
+pub struct VersionReply {
     /// The question's name.
-    pub name: u64,
+    pub query_id: u64,
     /// The version of the newest configuration, 0 if there was none.
     pub version: u64,
     /// How long before the answer that was so, in microseconds.
@@ -107,24 +107,24 @@
 
 /// A call that a node passes on to the primary.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Forward {
+pub struct ForwardedCall {
     /// Names the call at the node that passes it on.
-    pub ticket: u64,
+    pub call_id: u64,
     /// The call.
     pub call: ControlCall,
 }
 
-/// The answer to a [`Forward`].
+/// The answer to a [`ForwardedCall`].
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Forwarded {
+pub struct ForwardedReply {
     /// The call.
-    pub ticket: u64,
+    pub call_id: u64,
     /// The answer's status.
     pub status: u16,
     /// The answer's body.
     pub body: Arc<[u8]>,
     /// For how much longer the lease was to last under which it was decided, in microseconds; 0 if there was none.
-    pub lease_left: u64,
+    pub lease_remaining: u64,
 }
 
 impl Encode for Identity {
@@ -151,16 +151,16 @@
     }
 }
 
-impl Encode for SessionBeat {
+impl Encode for SessionHeartbeat {
     fn encode(&self, to: &mut FieldWriter) {
         to.message(1, &self.identity);
         to.number(2, self.view_epoch);
     }
 }
 
-impl Decode for SessionBeat {
+impl Decode for SessionHeartbeat {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
-        Ok(SessionBeat { identity: fields.message("session beat", 1)?, view_epoch: fields.number(2) })
+        Ok(SessionHeartbeat { identity: fields.message("session beat", 1)?, view_epoch: fields.number(2) })
     }
 }
 
@@ -184,10 +184,10 @@
     }
 }
 
-impl Encode for SessionGrant {
+impl Encode for SessionHeartbeatReply {
     fn encode(&self, to: &mut FieldWriter) {
         to.number(1, self.incarnation);
-        to.truth(2, self.stands);
+        to.truth(2, self.granted);
         to.number(3, self.seen_incarnation);
         if let Some(view) = &self.view {
             to.message(4, view);
@@ -195,11 +195,11 @@
     }
 }
 
-impl Decode for SessionGrant {
+impl Decode for SessionHeartbeatReply {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
-        Ok(SessionGrant {
+        Ok(SessionHeartbeatReply {
             incarnation: fields.number(1),
-            stands: fields.truth(2),
+            granted: fields.truth(2),
             seen_incarnation: fields.number(3),
             view: fields.some_message(4)?,
         })
@@ -256,61 +256,61 @@
     }
 }
 
-impl Encode for NewestAsk {
+impl Encode for VersionQuery {
     fn encode(&self, to: &mut FieldWriter) {
-        to.number(1, self.name);
+        to.number(1, self.query_id);
     }
 }
 
-impl Decode for NewestAsk {
+impl Decode for VersionQuery {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
-        Ok(NewestAsk { name: fields.number(1) })
+        Ok(VersionQuery { query_id: fields.number(1) })
     }
 }
 
-impl Encode for NewestTold {
+impl Encode for VersionReply {
     fn encode(&self, to: &mut FieldWriter) {
-        to.number(1, self.name);
+        to.number(1, self.query_id);
         to.number(2, self.version);
         to.number(3, self.age);
     }
 }
 
-impl Decode for NewestTold {
+impl Decode for VersionReply {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
-        Ok(NewestTold { name: fields.number(1), version: fields.number(2), age: fields.number(3) })
+        Ok(VersionReply { query_id: fields.number(1), version: fields.number(2), age: fields.number(3) })
     }
 }
 
-impl Encode for Forward {
+impl Encode for ForwardedCall {
     fn encode(&self, to: &mut FieldWriter) {
-        to.number(1, self.ticket);
+        to.number(1, self.call_id);
         to.message(2, &self.call);
     }
 }
 
-impl Decode for Forward {
+impl Decode for ForwardedCall {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
-        Ok(Forward { ticket: fields.number(1), call: fields.message("forward", 2)? })
+        Ok(ForwardedCall { call_id: fields.number(1), call: fields.message("forward", 2)? })
     }
 }
 
-impl Encode for Forwarded {
+impl Encode for ForwardedReply {
     fn encode(&self, to: &mut FieldWriter) {
-        to.number(1, self.ticket);
+        to.number(1, self.call_id);
         to.number(2, u64::from(self.status));
         to.bytes(3, &self.body);
-        to.number(4, self.lease_left);
+        to.number(4, self.lease_remaining);
     }
 }
 
-impl Decode for Forwarded {
+impl Decode for ForwardedReply {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
-        Ok(Forwarded {
-            ticket: fields.number(1),
+        Ok(ForwardedReply {
+            call_id: fields.number(1),
             status: fields.number(2) as u16,
             body: Arc::from(fields.bytes(3)),
-            lease_left: fields.number(4),
+            lease_remaining: fields.number(4),
         })
     }
 }
--- a/proto/src/registry.rs
+++ b/proto/src/registry.rs
@@ -7,7 +7,7 @@
 
 /// Weights that a server holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Weights {
+pub struct ModelVersion {
     /// The model.
     pub model: Arc<str>,
     /// The version of its weights.
@@ -34,21 +34,21 @@
     /// Milliseconds for which it is still slow.
     pub warmup_left_ms: u64,
     /// Its weights.
-    pub weights: Vec<Weights>,
+    pub models: Vec<ModelVersion>,
     /// The node that takes its heartbeats.
     pub owner: SocketAddrV4,
 }
 
-impl Encode for Weights {
+impl Encode for ModelVersion {
     fn encode(&self, to: &mut FieldWriter) {
         to.text(1, &self.model);
         to.number(2, self.version);
     }
 }
 
-impl Decode for Weights {
+impl Decode for ModelVersion {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
-        Ok(Weights { model: fields.text(1), version: fields.number(2) })
+        Ok(ModelVersion { model: fields.text(1), version: fields.number(2) })
     }
 }
 
@@ -62,7 +62,7 @@
         to.truth(6, self.draining);
         to.truth(7, self.lost);
         to.number(8, self.warmup_left_ms);
-        to.messages(9, &self.weights);
+        to.messages(9, &self.models);
         to.address(10, self.owner);
     }
 }
@@ -79,7 +79,7 @@
             draining: fields.truth(6),
             lost: fields.truth(7),
             warmup_left_ms: fields.number(8),
-            weights: fields.messages(9)?,
+            models: fields.messages(9)?,
             owner: fields.address(NAME, 10)?,
         })
     }
--- a/proto/tests/common/mod.rs
+++ b/proto/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! Arbitrary messages of every type.
-#![allow(dead_code, reason = "each test file uses a part")]
+#![allow(dead_code, reason = "each test file uses a chunk")]
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -10,9 +10,9 @@
     Message, Position, Record, ReplicaId, StoredConfiguration, View,
 };
 use gradepaddle_proto::{
-    Content, ControlCall, Encode, Envelope, FieldWriter, Forward, Forwarded, Identity, KeptPrompt, LoadShare,
-    NewestAsk, NewestTold, PromptPart, Registration, ServerShare, SessionBeat, SessionGrant, StoreReport,
-    ViewSummary, Weights,
+    CacheStoreReport, CachedPrefix, Content, ControlCall, Encode, Envelope, FieldWriter, ForwardedCall,
+    ForwardedReply, Identity, ModelVersion, PeerLoadReport, PromptChunk, Registration, ServerLoad,
+    SessionHeartbeat, SessionHeartbeatReply, VersionQuery, VersionReply, ViewSummary,
 };
 use gradepaddle_spread::{Aged, Entry, Item, Kind, RangeDigest, RangeEntries, Stamp};
 use proptest::collection::vec;
@@ -264,8 +264,8 @@
         .boxed()
 }
 
-pub fn session_beat() -> impl Strategy<Value = SessionBeat> + Clone {
-    (identity(), number()).prop_map(|(identity, view_epoch)| SessionBeat { identity, view_epoch })
+pub fn session_beat() -> impl Strategy<Value = SessionHeartbeat> + Clone {
+    (identity(), number()).prop_map(|(identity, view_epoch)| SessionHeartbeat { identity, view_epoch })
 }
 
 fn view_summary() -> impl Strategy<Value = ViewSummary> + Clone {
@@ -273,11 +273,11 @@
         .prop_map(|(epoch, primary, members)| ViewSummary { epoch, primary, members })
 }
 
-pub fn session_grant() -> BoxedStrategy<SessionGrant> {
+pub fn session_grant() -> BoxedStrategy<SessionHeartbeatReply> {
     (number(), any::<bool>(), number(), option::of(view_summary()))
-        .prop_map(|(incarnation, stands, seen_incarnation, view)| SessionGrant {
+        .prop_map(|(incarnation, granted, seen_incarnation, view)| SessionHeartbeatReply {
             incarnation,
-            stands,
+            granted,
             seen_incarnation,
             view,
         })
@@ -300,75 +300,59 @@
     .boxed()
 }
 
-pub fn forward() -> impl Strategy<Value = Forward> + Clone {
-    (number(), control_call()).prop_map(|(ticket, call)| Forward { ticket, call })
+pub fn forward() -> impl Strategy<Value = ForwardedCall> + Clone {
+    (number(), control_call()).prop_map(|(call_id, call)| ForwardedCall { call_id, call })
 }
 
-pub fn forwarded() -> impl Strategy<Value = Forwarded> + Clone {
-    (number(), any::<u16>(), bytes(), number()).prop_map(|(ticket, status, body, lease_left)| Forwarded {
-        ticket,
-        status,
-        body,
-        lease_left,
+pub fn forwarded() -> impl Strategy<Value = ForwardedReply> + Clone {
+    (number(), any::<u16>(), bytes(), number()).prop_map(|(call_id, status, body, lease_remaining)| {
+        ForwardedReply { call_id, status, body, lease_remaining }
     })
 }
 
 pub fn registration() -> BoxedStrategy<Registration> {
-    let weights = (name(), number()).prop_map(|(model, version)| Weights { model, version });
+    let models = (name(), number()).prop_map(|(model, version)| ModelVersion { model, version });
     let names = (name(), name(), name());
     let flags = (any::<bool>(), any::<bool>());
-    (names, address(), any::<u32>(), flags, number(), vec(weights, 0..4), address())
-        .prop_map(
-            |((id, service, zone), address, slots, (draining, lost), warmup_left_ms, weights, owner)| {
-                Registration {
-                    id,
-                    service,
-                    address,
-                    zone,
-                    slots,
-                    draining,
-                    lost,
-                    warmup_left_ms,
-                    weights,
-                    owner,
-                }
-            },
-        )
+    (names, address(), any::<u32>(), flags, number(), vec(models, 0..4), address())
+        .prop_map(|((id, service, zone), address, slots, (draining, lost), warmup_left_ms, models, owner)| {
+            Registration { id, service, address, zone, slots, draining, lost, warmup_left_ms, models, owner }
+        })
         .boxed()
 }
 
-pub fn load_share() -> BoxedStrategy<LoadShare> {
+pub fn peer_load_report() -> BoxedStrategy<PeerLoadReport> {
     let share = (number(), any::<u32>(), any::<u32>(), number());
-    let share = share.prop_map(|(server, backlog_ms, running, tokens)| ServerShare {
+    let share = share.prop_map(|(server, backlog_ms, running, tokens)| ServerLoad {
         server,
         backlog_ms,
         running,
         tokens,
     });
-    let changes = vec(store_report(), 0..3);
-    (number(), option::of(address()), any::<bool>(), vec(share, 0..6), vec(kept_prompt(), 0..3), changes)
-        .prop_map(|(sequence, origin, relay, servers, kept, changes)| LoadShare {
+    let reports = vec(cache_store_report(), 0..3);
+    (number(), option::of(address()), any::<bool>(), vec(share, 0..6), vec(cached_prefix(), 0..3), reports)
+        .prop_map(|(sequence, origin, relay, servers, cached_prefixes, cache_store_reports)| PeerLoadReport {
             sequence,
             origin,
             relay,
             servers,
-            kept,
-            changes,
+            cached_prefixes,
+            cache_store_reports,
         })
         .boxed()
 }
 
-pub fn store_report() -> BoxedStrategy<StoreReport> {
-    let parts = vec((number(), any::<u32>()).prop_map(|(id, tokens)| PromptPart { id, tokens }), 0..5);
-    (number(), any::<bool>(), parts)
-        .prop_map(|(store, reset, parts)| StoreReport { store, reset, parts })
+pub fn cache_store_report() -> BoxedStrategy<CacheStoreReport> {
+    let chunks = vec((number(), any::<u32>()).prop_map(|(id, tokens)| PromptChunk { id, tokens }), 0..5);
+    (number(), any::<bool>(), chunks)
+        .prop_map(|(store, reset, chunks)| CacheStoreReport { store, reset, chunks })
         .boxed()
 }
 
-pub fn kept_prompt() -> BoxedStrategy<KeptPrompt> {
-    let part = (number(), any::<u32>()).prop_map(|(id, tokens)| PromptPart { id, tokens });
-    (number(), number(), number(), number(), vec(part, 0..5))
-        .prop_map(|(server, key, version, salt, parts)| KeptPrompt { server, key, version, salt, parts })
+pub fn cached_prefix() -> BoxedStrategy<CachedPrefix> {
+    let chunk = (number(), any::<u32>()).prop_map(|(id, tokens)| PromptChunk { id, tokens });
+    (number(), number(), number(), number(), vec(chunk, 0..5))
+        .prop_map(|(server, key, version, salt, chunks)| CachedPrefix { server, key, version, salt, chunks })
         .boxed()
 }
 
@@ -376,17 +360,15 @@
     let content = prop_oneof![
         control_message().prop_map(Content::Control),
         spread_message().prop_map(Content::Spread),
-        session_beat().prop_map(Content::SessionBeat),
-        session_grant().prop_map(Content::SessionGrant),
-        view().prop_map(Content::Found),
-        forward().prop_map(Content::Forward),
-        forwarded().prop_map(Content::Forwarded),
-        number().prop_map(|name| Content::NewestAsk(NewestAsk { name })),
-        (number(), number(), number()).prop_map(|(name, version, age)| Content::NewestTold(NewestTold {
-            name,
-            version,
-            age
-        })),
+        session_beat().prop_map(Content::SessionHeartbeat),
+        session_grant().prop_map(Content::SessionHeartbeatReply),
+        view().prop_map(Content::Bootstrap),
+        forward().prop_map(Content::ForwardedCall),
+        forwarded().prop_map(Content::ForwardedReply),
+        number().prop_map(|query_id| Content::VersionQuery(VersionQuery { query_id })),
+        (number(), number(), number()).prop_map(|(query_id, version, age)| Content::VersionReply(
+            VersionReply { query_id, version, age }
+        )),
     ];
     (address(), content).prop_map(|(from, content)| Envelope { from, content }).boxed()
 }
--- a/proto/tests/golden.rs
+++ b/proto/tests/golden.rs
@@ -14,9 +14,9 @@
     Message, Position, Record, ReplicaId, StoredConfiguration, View,
 };
 use gradepaddle_proto::{
-    Content, ControlCall, Decode, Encode, Envelope, Forward, Forwarded, Identity, KeptPrompt, LoadShare,
-    NewestAsk, NewestTold, PromptPart, Registration, ServerShare, SessionBeat, SessionGrant, StoreReport,
-    ViewSummary, Weights, frame,
+    CacheStoreReport, CachedPrefix, Content, ControlCall, Decode, Encode, Envelope, ForwardedCall,
+    ForwardedReply, Identity, ModelVersion, PeerLoadReport, PromptChunk, Registration, ServerLoad,
+    SessionHeartbeat, SessionHeartbeatReply, VersionQuery, VersionReply, ViewSummary, frame,
 };
 use gradepaddle_spread::{Aged, Entry, Item, Kind, RangeDigest, RangeEntries, Stamp};
 
@@ -347,14 +347,14 @@
     }
 }
 
-fn session_beat() -> SessionBeat {
-    SessionBeat { identity: identity(), view_epoch: 300 }
+fn session_beat() -> SessionHeartbeat {
+    SessionHeartbeat { identity: identity(), view_epoch: 300 }
 }
 
-fn session_grant() -> SessionGrant {
-    SessionGrant {
+fn session_grant() -> SessionHeartbeatReply {
+    SessionHeartbeatReply {
         incarnation: 1_700_000_000_000_000,
-        stands: true,
+        granted: true,
         seen_incarnation: 1_600_000_000_000_000,
         view: Some(ViewSummary {
             epoch: 300,
@@ -364,13 +364,13 @@
     }
 }
 
-fn forward() -> Forward {
+fn forward() -> ForwardedCall {
     let call = ControlCall::PutConfiguration { if_match: 6, version: 7, body: Arc::from(*b"{}") };
-    Forward { ticket: 900, call }
+    ForwardedCall { call_id: 900, call }
 }
 
-fn forwarded() -> Forwarded {
-    Forwarded { ticket: 900, status: 412, body: Arc::from(*b"{}"), lease_left: 2_500_000 }
+fn forwarded() -> ForwardedReply {
+    ForwardedReply { call_id: 900, status: 412, body: Arc::from(*b"{}"), lease_remaining: 2_500_000 }
 }
 
 #[gtest]
@@ -380,16 +380,16 @@
     golden.check("session/identity/default", &empty_identity());
     golden.check("session/identity/replica_0", &Identity { replica: Some(0), ..empty_identity() });
     golden.check("session/beat", &session_beat());
-    golden.check("session/beat/default", &SessionBeat { identity: empty_identity(), view_epoch: 0 });
+    golden.check("session/beat/default", &SessionHeartbeat { identity: empty_identity(), view_epoch: 0 });
     golden.check("session/view_summary", &session_grant().view.expect("it has one"));
     golden.check("session/view_summary/default", &ViewSummary::default());
     golden.check("session/grant", &session_grant());
-    let grant = SessionGrant { incarnation: 0, stands: false, seen_incarnation: 0, view: None };
+    let grant = SessionHeartbeatReply { incarnation: 0, granted: false, seen_incarnation: 0, view: None };
     golden.check("session/grant/default", &grant);
-    golden.check("session/newest_ask", &NewestAsk { name: 77 });
-    golden.check("session/newest_ask/default", &NewestAsk { name: 0 });
-    golden.check("session/newest_told", &NewestTold { name: 77, version: 7, age: 120_000 });
-    golden.check("session/newest_told/default", &NewestTold { name: 0, version: 0, age: 0 });
+    golden.check("session/newest_ask", &VersionQuery { query_id: 77 });
+    golden.check("session/newest_ask/default", &VersionQuery { query_id: 0 });
+    golden.check("session/newest_told", &VersionReply { query_id: 77, version: 7, age: 120_000 });
+    golden.check("session/newest_told/default", &VersionReply { query_id: 0, version: 0, age: 0 });
     golden.all_seen();
 }
 
@@ -407,9 +407,9 @@
     golden.check("call/name_version", &ControlCall::NameVersion { model: "model-a".into(), version: 10_000 });
     golden.check("call/name_version/default", &ControlCall::NameVersion { model: "".into(), version: 0 });
     golden.check("call/forward", &forward());
-    golden.check("call/forward/default", &Forward { ticket: 0, call: ControlCall::GetConfiguration });
+    golden.check("call/forward/default", &ForwardedCall { call_id: 0, call: ControlCall::GetConfiguration });
     golden.check("call/forwarded", &forwarded());
-    let empty = Forwarded { ticket: 0, status: 0, body: Arc::from([]), lease_left: 0 };
+    let empty = ForwardedReply { call_id: 0, status: 0, body: Arc::from([]), lease_remaining: 0 };
     golden.check("call/forwarded/default", &empty);
     golden.all_seen();
 }
@@ -424,9 +424,9 @@
         draining: true,
         lost: true,
         warmup_left_ms: 2500,
-        weights: vec![
-            Weights { model: "model-a".into(), version: 10_000 },
-            Weights { model: "".into(), version: 0 },
+        models: vec![
+            ModelVersion { model: "model-a".into(), version: 10_000 },
+            ModelVersion { model: "".into(), version: 0 },
         ],
         owner: address(2),
     }
@@ -445,48 +445,49 @@
         draining: false,
         lost: false,
         warmup_left_ms: 0,
-        weights: vec![],
+        models: vec![],
         owner: lowest_address(),
     };
     golden.check("registration/default", &empty);
-    golden.check("registration/weights", &Weights { model: "model-a".into(), version: 10_000 });
+    golden.check("registration/weights", &ModelVersion { model: "model-a".into(), version: 10_000 });
     golden.all_seen();
 }
 
-fn store_report() -> StoreReport {
-    let parts = vec![PromptPart { id: 0x1234_5678_9abc_def0, tokens: 256 }, PromptPart { id: 2, tokens: 0 }];
-    StoreReport { store: 0xfedc_ba98_7654_3210, reset: true, parts }
+fn cache_store_report() -> CacheStoreReport {
+    let chunks =
+        vec![PromptChunk { id: 0x1234_5678_9abc_def0, tokens: 256 }, PromptChunk { id: 2, tokens: 0 }];
+    CacheStoreReport { store: 0xfedc_ba98_7654_3210, reset: true, chunks }
 }
 
-fn kept_prompt() -> KeptPrompt {
-    let parts = vec![PromptPart { id: 11, tokens: 256 }, PromptPart { id: 12, tokens: 100 }];
-    KeptPrompt { server: u64::MAX, key: 5, version: 10_000, salt: 0x0123_4567_89ab_cdef, parts }
+fn cached_prefix() -> CachedPrefix {
+    let chunks = vec![PromptChunk { id: 11, tokens: 256 }, PromptChunk { id: 12, tokens: 100 }];
+    CachedPrefix { server: u64::MAX, key: 5, version: 10_000, salt: 0x0123_4567_89ab_cdef, chunks }
 }
 
 #[gtest]
 fn load_datagrams_keep_their_bytes() {
     let mut golden = Golden::section("load/");
-    let share = ServerShare { server: u64::MAX, backlog_ms: 1500, running: 12, tokens: 34_567 };
-    let empty_share = ServerShare { server: 0, backlog_ms: 0, running: 0, tokens: 0 };
+    let share = ServerLoad { server: u64::MAX, backlog_ms: 1500, running: 12, tokens: 34_567 };
+    let empty_share = ServerLoad { server: 0, backlog_ms: 0, running: 0, tokens: 0 };
     golden.check("load/server_share", &share);
     golden.check("load/server_share/default", &empty_share);
-    golden.check("load/prompt_part", &PromptPart { id: 11, tokens: 256 });
-    golden.check("load/prompt_part/default", &PromptPart { id: 0, tokens: 0 });
-    golden.check("load/kept_prompt", &kept_prompt());
-    let empty = KeptPrompt { server: 0, key: 0, version: 0, salt: 0, parts: vec![] };
+    golden.check("load/prompt_part", &PromptChunk { id: 11, tokens: 256 });
+    golden.check("load/prompt_part/default", &PromptChunk { id: 0, tokens: 0 });
+    golden.check("load/kept_prompt", &cached_prefix());
+    let empty = CachedPrefix { server: 0, key: 0, version: 0, salt: 0, chunks: vec![] };
     golden.check("load/kept_prompt/default", &empty);
-    golden.check("load/store_report", &store_report());
-    golden.check("load/store_report/default", &StoreReport::default());
-    let load_share = LoadShare {
+    golden.check("load/store_report", &cache_store_report());
+    golden.check("load/store_report/default", &CacheStoreReport::default());
+    let peer_load_report = PeerLoadReport {
         sequence: 1000,
         origin: Some(address(4)),
         relay: true,
         servers: vec![share, empty_share],
-        kept: vec![kept_prompt()],
-        changes: vec![store_report()],
+        cached_prefixes: vec![cached_prefix()],
+        cache_store_reports: vec![cache_store_report()],
     };
-    golden.check("load/load_share", &load_share);
-    golden.check("load/load_share/default", &LoadShare::default());
+    golden.check("load/load_share", &peer_load_report);
+    golden.check("load/load_share/default", &PeerLoadReport::default());
     golden.all_seen();
 }
 
@@ -501,14 +502,14 @@
     golden.check("envelope/control", &enveloped(Content::Control(control)));
     let spread = gradepaddle_spread::Message::Offer { entries: vec![entry(1)] };
     golden.check("envelope/spread", &enveloped(Content::Spread(spread)));
-    golden.check("envelope/session_beat", &enveloped(Content::SessionBeat(session_beat())));
-    golden.check("envelope/session_grant", &enveloped(Content::SessionGrant(session_grant())));
-    golden.check("envelope/found", &enveloped(Content::Found(view())));
-    golden.check("envelope/forward", &enveloped(Content::Forward(forward())));
-    golden.check("envelope/forwarded", &enveloped(Content::Forwarded(forwarded())));
-    golden.check("envelope/newest_ask", &enveloped(Content::NewestAsk(NewestAsk { name: 77 })));
-    let told = NewestTold { name: 77, version: 7, age: 120_000 };
-    golden.check("envelope/newest_told", &enveloped(Content::NewestTold(told)));
+    golden.check("envelope/session_beat", &enveloped(Content::SessionHeartbeat(session_beat())));
+    golden.check("envelope/session_grant", &enveloped(Content::SessionHeartbeatReply(session_grant())));
+    golden.check("envelope/found", &enveloped(Content::Bootstrap(view())));
+    golden.check("envelope/forward", &enveloped(Content::ForwardedCall(forward())));
+    golden.check("envelope/forwarded", &enveloped(Content::ForwardedReply(forwarded())));
+    golden.check("envelope/newest_ask", &enveloped(Content::VersionQuery(VersionQuery { query_id: 77 })));
+    let told = VersionReply { query_id: 77, version: 7, age: 120_000 };
+    golden.check("envelope/newest_told", &enveloped(Content::VersionReply(told)));
     golden.all_seen();
 }
 
--- a/proto/tests/messages.rs
+++ b/proto/tests/messages.rs
@@ -10,8 +10,9 @@
     ACCEPTED_KEPT, Ballot, Change, ControlState, Data, KnownView, Member, Position, Record, View,
 };
 use gradepaddle_proto::{
-    Content, ControlCall, Decode, DecodeError, Encode, Envelope, FieldWriter, Forward, Forwarded, Identity,
-    KeptPrompt, LoadShare, Registration, SessionBeat, SessionGrant, Weights,
+    CachedPrefix, Content, ControlCall, Decode, DecodeError, Encode, Envelope, FieldWriter, ForwardedCall,
+    ForwardedReply, Identity, ModelVersion, PeerLoadReport, Registration, SessionHeartbeat,
+    SessionHeartbeatReply,
 };
 use gradepaddle_spread::{Aged, Entry};
 use proptest::collection::vec;
@@ -62,14 +63,14 @@
     aged_items_come_back: aged(),
     spread_messages_come_back: spread_message(),
     identities_come_back: identity(),
-    session_beats_come_back: session_beat(),
-    session_grants_come_back: session_grant(),
+    session_heartbeats_come_back: session_beat(),
+    session_heartbeat_replies_come_back: session_grant(),
     control_calls_come_back: control_call(),
-    forwards_come_back: forward(),
-    forwarded_answers_come_back: forwarded(),
+    forwarded_calls_come_back: forward(),
+    forwarded_replies_come_back: forwarded(),
     registrations_come_back: registration(),
-    load_shares_come_back: load_share(),
-    kept_prompts_come_back: kept_prompt(),
+    peer_load_reports_come_back: peer_load_report(),
+    cached_prefixes_come_back: cached_prefix(),
     envelopes_come_back: envelope(),
 }
 
@@ -89,14 +90,14 @@
     stable::<Aged>(bytes)?;
     stable::<gradepaddle_spread::Message>(bytes)?;
     stable::<Identity>(bytes)?;
-    stable::<SessionBeat>(bytes)?;
-    stable::<SessionGrant>(bytes)?;
+    stable::<SessionHeartbeat>(bytes)?;
+    stable::<SessionHeartbeatReply>(bytes)?;
     stable::<ControlCall>(bytes)?;
-    stable::<Forward>(bytes)?;
-    stable::<Forwarded>(bytes)?;
-    stable::<Weights>(bytes)?;
-    stable::<KeptPrompt>(bytes)?;
-    stable::<LoadShare>(bytes)?;
+    stable::<ForwardedCall>(bytes)?;
+    stable::<ForwardedReply>(bytes)?;
+    stable::<ModelVersion>(bytes)?;
+    stable::<CachedPrefix>(bytes)?;
+    stable::<PeerLoadReport>(bytes)?;
     stable::<Registration>(bytes)?;
     stable::<Envelope>(bytes)
 }
@@ -165,7 +166,7 @@
     }
 
     #[test]
-    fn mutated_load_shares_are_read_or_refused(bytes in mutated(load_share().prop_map(|m| m.to_bytes()))) {
+    fn mutated_peer_load_reports_are_read_or_refused(bytes in mutated(peer_load_report().prop_map(|m| m.to_bytes()))) {
         read_as_everything(&bytes)?;
     }
 
@@ -180,7 +181,7 @@
 }
 
 /// A beat of a later build, whose identity tells more.
-struct LaterBeat(SessionBeat);
+struct LaterBeat(SessionHeartbeat);
 
 impl Encode for LaterBeat {
     fn encode(&self, to: &mut FieldWriter) {
@@ -190,7 +191,7 @@
 }
 
 /// An envelope whose content is of a later build.
-struct LaterEnvelope(SessionBeat);
+struct LaterEnvelope(SessionHeartbeat);
 
 impl Encode for LaterEnvelope {
     fn encode(&self, to: &mut FieldWriter) {
@@ -208,7 +209,7 @@
         let envelope = Envelope::from_bytes(&LaterEnvelope(beat.clone()).to_bytes());
         prop_assert_eq!(
             envelope,
-            Ok(Envelope { from: beat.identity.address, content: Content::SessionBeat(beat) })
+            Ok(Envelope { from: beat.identity.address, content: Content::SessionHeartbeat(beat) })
         );
     }
 }
@@ -252,14 +253,14 @@
     expect_true!(missing(KnownView::from_bytes(&[]).map(drop)));
     expect_true!(missing(Data::from_bytes(&[]).map(drop)));
     expect_true!(missing(Identity::from_bytes(&[]).map(drop)));
-    expect_true!(missing(SessionBeat::from_bytes(&[]).map(drop)));
-    expect_true!(missing(Forward::from_bytes(&[]).map(drop)));
+    expect_true!(missing(SessionHeartbeat::from_bytes(&[]).map(drop)));
+    expect_true!(missing(ForwardedCall::from_bytes(&[]).map(drop)));
     expect_true!(missing(Registration::from_bytes(&[]).map(drop)));
 }
 
 /// The numbers of fields and variants are what two builds agree on; they must not change unseen.
 #[gtest]
-fn the_bytes_of_a_session_beat_stay_the_same() {
+fn the_bytes_of_a_session_heartbeat_stay_the_same() {
     let identity = Identity {
         address: "10.1.2.3:7640".parse().expect("an address"),
         incarnation: 300,
@@ -268,8 +269,8 @@
         replica: Some(0),
         first_boot: true,
     };
-    let beat = SessionBeat { identity, view_epoch: 5 };
-    let envelope = Envelope { from: beat.identity.address, content: Content::SessionBeat(beat) };
+    let beat = SessionHeartbeat { identity, view_epoch: 5 };
+    let envelope = Envelope { from: beat.identity.address, content: Content::SessionHeartbeat(beat) };
     let address = [0xd8, 0xbb, 0x8c, 0x90, 0x90, 0xc0, 0x02];
     let identity =
         [&[0x08][..], &address, &[0x10, 0xac, 0x02, 0x1a, 2, b'n', b'1', 0x22, 1, b'z', 0x28, 0, 0x30, 1]];
