--- a/controlplane/src/kinds.rs
+++ b/controlplane/src/kinds.rs
@@ -1,9 +1,9 @@
-//! The kinds of items that `gradepaddle-spread` carries between the nodes. Adding one: a number here, its stamp below.
+//! The kinds of items that `gradepaddle-gossip` carries between the nodes. Adding one: a number here, its stamp below.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-use gradepaddle_spread::{Item, Kind, Stamp};
+use gradepaddle_gossip::{Item, Kind, Stamp};
 
 /// The configuration in force; stamp: its version. One key.
 pub const CONFIGURATION: Kind = Kind(1);
--- a/controlplane/src/node.rs
+++ b/controlplane/src/node.rs
@@ -15,8 +15,8 @@
 use std::sync::Arc;
 
 use gradepaddle_control::{Input as ReplicaInput, Output as ReplicaOutput, Replica};
+use gradepaddle_gossip::{Gossip, Output as GossipOutput};
 use gradepaddle_proto::{Content, Envelope, Identity, Registration};
-use gradepaddle_spread::{Output as SpreadOutput, Spread};
 
 use crate::Micros;
 use crate::absence::Absence;
@@ -43,7 +43,7 @@
     /// The part of the session.
     pub session: OwnSession,
     /// Dissemination.
-    pub spread: Spread,
+    pub spread: Gossip,
     /// The founder's part, if this node has it.
     pub founding: Option<Founding>,
     /// Between heartbeats of a server.
@@ -89,7 +89,7 @@
     session: OwnSession,
     held: HeldSessions,
     replica: Option<Replica>,
-    spread: Spread,
+    spread: Gossip,
     founding: Option<Founding>,
     registry: Registry,
     rollout: Rollout,
@@ -212,7 +212,7 @@
             Content::Control(message) => {
                 self.tell_replica(now, ReplicaInput::Message { from, message }, out);
             }
-            Content::Spread(message) => {
+            Content::Gossip(message) => {
                 let mut results = Vec::new();
                 self.spread.receive(now, from, message, &mut results);
                 self.on_spread_outputs(now, results, out);
@@ -299,15 +299,15 @@
         }
     }
 
-    fn on_spread_outputs(&mut self, now: Micros, results: Vec<SpreadOutput>, out: &mut Vec<Output>) {
+    fn on_spread_outputs(&mut self, now: Micros, results: Vec<GossipOutput>, out: &mut Vec<Output>) {
         for result in results {
             match result {
-                SpreadOutput::Send { to, message } => {
-                    out.push(Output::Send { to, content: Content::Spread(message) });
+                GossipOutput::Send { to, message } => {
+                    out.push(Output::Send { to, content: Content::Gossip(message) });
                 }
-                SpreadOutput::Changed(item) => self.changed(now, &item, out),
-                SpreadOutput::Confirmed { ticket } => self.confirmed(ticket, true, out),
-                SpreadOutput::Unconfirmed { ticket } => self.confirmed(ticket, false, out),
+                GossipOutput::Changed(item) => self.changed(now, &item, out),
+                GossipOutput::Acknowledged { publish_id } => self.confirmed(publish_id, true, out),
+                GossipOutput::AcknowledgmentFailed { publish_id } => self.confirmed(publish_id, false, out),
             }
         }
     }
--- a/controlplane/src/node/control.rs
+++ b/controlplane/src/node/control.rs
@@ -5,8 +5,8 @@
 
 use gradepaddle_config::{Configuration, Findings, Patch};
 use gradepaddle_control::{Change, ControlState, Input as ReplicaInput, Outcome, Ticket};
+use gradepaddle_gossip::ReplicationFactor;
 use gradepaddle_proto::{Content, ControlCall, ForwardedCall, ForwardedReply};
-use gradepaddle_spread::Copies;
 
 use super::{Asker, CALL_WITHIN, CALL_WITHIN_PER_BYTE, Confirming, Node, Output, Waiting};
 use crate::Micros;
@@ -67,7 +67,7 @@
                 self.confirming.insert(ticket, confirming);
                 let core = self.other_control_balancers();
                 let copies = self.copies(&core);
-                self.spread.publish_confirmed(now, item, ticket, copies, &mut results);
+                self.spread.publish_acknowledged(now, item, ticket, copies, &mut results);
             }
         }
         self.on_spread_outputs(now, results, out);
@@ -82,11 +82,11 @@
     /// Of the control balancers, `machine_losses` may be lost at once, so one more has to hold it, this node included if
     /// it is one that stays. All of them may lose power at once, and any number of the other nodes may go: so one of the
     /// others holds it, too.
-    fn copies<'a>(&self, core: &'a [SocketAddrV4]) -> Copies<'a> {
+    fn copies<'a>(&self, core: &'a [SocketAddrV4]) -> ReplicationFactor<'a> {
         let counts_itself = !self.leaving && self.session.view().members.contains(&self.own);
         let inside = self.machine_losses + usize::from(!counts_itself);
         let outside = usize::from(self.leaving || self.session.view().members.contains(&self.own));
-        Copies { count: self.machine_losses + 1, group: core, inside, outside }
+        ReplicationFactor { count: self.machine_losses + 1, group: core, inside, outside }
     }
 
     fn acknowledgement(&self, ticket: u64) -> Output {
@@ -264,13 +264,13 @@
     pub(super) fn committed(&mut self, now: Micros, state: &ControlState, out: &mut Vec<Output>) {
         let mut results = Vec::new();
         if let Some(configuration) = &state.configuration {
-            let stamp = gradepaddle_spread::Stamp { major: configuration.version, minor: 0 };
+            let stamp = gradepaddle_gossip::Stamp { major: configuration.version, minor: 0 };
             let payload = configuration.body.to_vec();
             let item = kinds::item(CONFIGURATION, CONFIGURATION_KEY, stamp, payload);
             self.spread.publish(now, item, &mut results);
         }
         for (model, version) in &state.models {
-            let stamp = gradepaddle_spread::Stamp { major: *version, minor: 0 };
+            let stamp = gradepaddle_gossip::Stamp { major: *version, minor: 0 };
             self.spread.publish(now, kinds::item(WEIGHTS, model, stamp, Vec::new()), &mut results);
         }
         self.on_spread_outputs(now, results, out);
--- a/controlplane/src/node/members.rs
+++ b/controlplane/src/node/members.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddrV4;
 
 use gradepaddle_control::{Input as ReplicaInput, KnownView, View};
+use gradepaddle_gossip::{Output as GossipOutput, Peer};
 use gradepaddle_proto::{Content, SessionHeartbeat, SessionHeartbeatReply, ViewSummary};
-use gradepaddle_spread::{Output as SpreadOutput, Peer};
 
 use super::{Event, MemberNode, Node, Output};
 use crate::Micros;
@@ -42,7 +42,7 @@
             match self.held.beat(now, beat, &self.spread) {
                 Ok(item) => {
                     grant.granted = true;
-                    let mut results: Vec<SpreadOutput> = Vec::new();
+                    let mut results: Vec<GossipOutput> = Vec::new();
                     if let Some(item) = item {
                         self.spread.publish(now, item, &mut results);
                     }
@@ -125,7 +125,7 @@
         }
         let node = absent[self.next_absent % absent.len()];
         self.next_absent += 1;
-        let mut results: Vec<SpreadOutput> = Vec::new();
+        let mut results: Vec<GossipOutput> = Vec::new();
         self.spread.compare_with(node, &mut results);
         self.on_spread_outputs(now, results, out);
     }
--- a/controlplane/src/node/serving.rs
+++ b/controlplane/src/node/serving.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use gradepaddle_engine::{ModelVersion, ServerEntry, ServerState};
+use gradepaddle_gossip::{Item, Stamp};
 use gradepaddle_proto::{Decode, Encode, Registration};
-use gradepaddle_spread::{Item, Stamp};
 
 use super::{Event, Node, Output};
 use crate::Micros;
--- a/controlplane/src/registry.rs
+++ b/controlplane/src/registry.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
+use gradepaddle_gossip::{Gossip, Item};
 use gradepaddle_proto::{Decode, Encode, ModelVersion, Registration};
-use gradepaddle_spread::{Item, Spread};
 use serde::Deserialize;
 
 use crate::Micros;
@@ -94,7 +94,7 @@
     }
 
     /// Takes in a heartbeat.
-    pub fn beat(&mut self, now: Micros, id: &str, heartbeat: &Heartbeat, spread: &Spread) -> Decision {
+    pub fn beat(&mut self, now: Micros, id: &str, heartbeat: &Heartbeat, spread: &Gossip) -> Decision {
         if spread.stamp(SERVER, id).is_some_and(|stamp| stamp.major > heartbeat.call_count) {
             // A late call, or one of a server that has left.
             return Decision::Acknowledge;
@@ -137,7 +137,7 @@
     }
 
     /// Takes in that a server leaves.
-    pub fn leave(&mut self, id: &str, spread: &Spread) -> Decision {
+    pub fn leave(&mut self, id: &str, spread: &Gossip) -> Decision {
         self.watched.remove(id);
         self.drains_held.remove(id);
         let told = spread.stamp(SERVER, id) == Some(SERVER_GONE);
@@ -161,7 +161,7 @@
     }
 
     /// Servers that have fallen silent, as items to publish.
-    pub fn tick(&mut self, now: Micros, spread: &Spread) -> Vec<Item> {
+    pub fn tick(&mut self, now: Micros, spread: &Gossip) -> Vec<Item> {
         let limit = MISSED_MOST * self.beat_every;
         let silent: Vec<(Arc<str>, u64)> = self
             .watched
--- a/controlplane/src/rollout.rs
+++ b/controlplane/src/rollout.rs
@@ -8,8 +8,8 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
+use gradepaddle_gossip::{Item, Stamp};
 use gradepaddle_proto::{Decode, DecodeError, Encode, FieldWriter, Fields, Registration};
-use gradepaddle_spread::{Item, Stamp};
 
 use crate::Micros;
 use crate::kinds::{self, ORDERED};
--- a/controlplane/src/sessions.rs
+++ b/controlplane/src/sessions.rs
@@ -7,8 +7,8 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
+use gradepaddle_gossip::{Gossip, Item, Stamp};
 use gradepaddle_proto::{Decode, DecodeError, Encode, FieldWriter, Fields, Identity, SessionHeartbeat};
-use gradepaddle_spread::{Item, Spread, Stamp};
 
 use crate::Micros;
 use crate::absence::Absence;
@@ -69,7 +69,7 @@
         &mut self,
         now: Micros,
         beat: &SessionHeartbeat,
-        spread: &Spread,
+        spread: &Gossip,
     ) -> Result<Option<Item>, u64> {
         let identity = &beat.identity;
         let key = identity.address.to_string();
@@ -92,7 +92,7 @@
     }
 
     /// Sessions that have lapsed here, and those whose holder is long gone, as tombstones to publish.
-    pub fn tick(&mut self, now: Micros, spread: &Spread) -> Vec<Item> {
+    pub fn tick(&mut self, now: Micros, spread: &Gossip) -> Vec<Item> {
         self.adopt(now, spread);
         let lapsed: Vec<SocketAddrV4> = self
             .held
@@ -110,7 +110,7 @@
     }
 
     /// Sessions that bear this node's name, from before it started, stand until they lapse here.
-    fn adopt(&mut self, now: Micros, spread: &Spread) {
+    fn adopt(&mut self, now: Micros, spread: &Gossip) {
         for (_, session) in live(spread).filter(|(_, session)| session.holder == self.own) {
             let address = session.identity.address;
             self.held.entry(address).or_insert(Held { identity: session.identity, heard: now });
@@ -118,7 +118,7 @@
     }
 
     /// A tombstone for a session that this node was the last to hold.
-    fn removal(&self, address: SocketAddrV4, spread: &Spread) -> Option<Item> {
+    fn removal(&self, address: SocketAddrV4, spread: &Gossip) -> Option<Item> {
         let key = address.to_string();
         let item = spread.get(SESSION, &key)?;
         let session = Session::from_bytes(&item.payload).ok()?;
@@ -130,7 +130,7 @@
         kinds::removal(SESSION, &item.key, Stamp { major: item.stamp.major, minor })
     }
 
-    fn orphans(&mut self, now: Micros, spread: &Spread) -> Vec<Item> {
+    fn orphans(&mut self, now: Micros, spread: &Gossip) -> Vec<Item> {
         let sessions: Vec<(&Item, Session)> = live(spread).collect();
         let alive = |holder: SocketAddrV4| {
             holder == self.own || sessions.iter().any(|(_, session)| session.identity.address == holder)
@@ -160,12 +160,12 @@
 }
 
 /// All sessions that stand, with their items.
-pub fn live(spread: &Spread) -> impl Iterator<Item = (&Item, Session)> {
+pub fn live(spread: &Gossip) -> impl Iterator<Item = (&Item, Session)> {
     spread.items(SESSION).filter_map(|item| Some((item, Session::from_bytes(&item.payload).ok()?)))
 }
 
 /// The zone of a node, if its session stands.
-pub fn zone_of(spread: &Spread, address: SocketAddrV4) -> Option<Arc<str>> {
+pub fn zone_of(spread: &Gossip, address: SocketAddrV4) -> Option<Arc<str>> {
     let item = spread.get(SESSION, &address.to_string())?;
     Session::from_bytes(&item.payload).ok().map(|session| session.identity.zone)
 }
--- a/controlplane/tests/acknowledged_ends.rs
+++ b/controlplane/tests/acknowledged_ends.rs
@@ -8,8 +8,8 @@
 use googletest::prelude::*;
 use gradepaddle_controlplane::calls::Call;
 use gradepaddle_controlplane::node::{Input, Output};
+use gradepaddle_gossip::{Entry, Message};
 use gradepaddle_proto::{Content, Envelope};
-use gradepaddle_spread::{Entry, Message};
 use simulation::{MS, Plan, World};
 
 /// Names the call of these tests; nodes know no other so high.
@@ -38,8 +38,9 @@
         let (clock, mut out) = (process.clock(now), Vec::new());
         process.node.handle(clock, input, &mut out);
         for output in &out {
-            let Output::Send { content: Content::Spread(Message::Push { items, confirm: true, .. }), .. } =
-                output
+            let Output::Send {
+                content: Content::Gossip(Message::Push { items, acknowledge: true, .. }), ..
+            } = output
             else {
                 continue;
             };
@@ -57,7 +58,7 @@
     fn confirm(&mut self, node: usize, from: usize, leaving: bool) -> bool {
         let from: SocketAddrV4 = self.world.machines[from].address;
         let entries = self.asked_for.clone().into_iter().collect();
-        let content = Content::Spread(Message::Confirm { entries, leaving });
+        let content = Content::Gossip(Message::Acknowledge { entries, leaving });
         self.hand(node, Input::Envelope(Envelope { from, content }))
     }
 }
--- a/controlplane/tests/common/mod.rs
+++ b/controlplane/tests/common/mod.rs
@@ -7,10 +7,10 @@
 
 use gradepaddle_controlplane::Micros;
 use gradepaddle_controlplane::registry::Heartbeat;
+use gradepaddle_gossip::{Gossip, GossipConfig, Item};
 use gradepaddle_proto::{
     Identity, ModelVersion, Registration, SessionHeartbeat, SessionHeartbeatReply, ViewSummary,
 };
-use gradepaddle_spread::{Item, Spread, SpreadConfig};
 
 /// A millisecond.
 pub const MS: Micros = 1_000;
@@ -66,12 +66,12 @@
 }
 
 /// A dissemination that knows no other node.
-pub fn lone_spread(number: u8) -> Spread {
-    Spread::new(SpreadConfig::builder().address(address(number)).seed(u64::from(number)).build(), 0)
+pub fn lone_spread(number: u8) -> Gossip {
+    Gossip::new(GossipConfig::builder().address(address(number)).seed(u64::from(number)).build(), 0)
 }
 
 /// Publishes and says whether the item was newer than what was held.
-pub fn publish(spread: &mut Spread, item: Item) -> bool {
+pub fn publish(spread: &mut Gossip, item: Item) -> bool {
     spread.publish(0, item, &mut Vec::new())
 }
 
--- a/controlplane/tests/fleet/machine.rs
+++ b/controlplane/tests/fleet/machine.rs
@@ -11,8 +11,8 @@
 use gradepaddle_controlplane::node::{Node, NodeSetup};
 use gradepaddle_controlplane::session::OwnSession;
 use gradepaddle_engine::ServerState;
+use gradepaddle_gossip::{Gossip, GossipConfig};
 use gradepaddle_proto::Identity;
-use gradepaddle_spread::{Spread, SpreadConfig};
 
 use super::calls::Caller;
 use super::disk::Disk;
@@ -149,8 +149,8 @@
         self.life += 1;
         let node = Node::new(NodeSetup {
             session: OwnSession::new(self.identity(now, boot.first, random), boot.seeds.clone(), CLOCK_START),
-            spread: Spread::new(
-                SpreadConfig::builder().address(self.address).seed(random.next()).build(),
+            spread: Gossip::new(
+                GossipConfig::builder().address(self.address).seed(random.next()).build(),
                 CLOCK_START,
             ),
             founding: Founding::new(self.address, &boot.seeds, boot.losses, boot.first, CLOCK_START),
--- a/controlplane/tests/registry.rs
+++ b/controlplane/tests/registry.rs
@@ -7,15 +7,15 @@
 use gradepaddle_controlplane::Micros;
 use gradepaddle_controlplane::kinds::{self, Conclusion, SERVER, SERVER_GONE};
 use gradepaddle_controlplane::registry::{Decision, Registry};
+use gradepaddle_gossip::{Gossip, Item, Stamp};
 use gradepaddle_proto::{Decode, Encode, Registration};
-use gradepaddle_spread::{Item, Spread, Stamp};
 
 const BEAT_EVERY: Micros = 1_200 * MS;
 
 /// A node with the servers that it hears.
 struct Heard {
     registry: Registry,
-    spread: Spread,
+    spread: Gossip,
 }
 
 impl Heard {
--- a/controlplane/tests/regressions.rs
+++ b/controlplane/tests/regressions.rs
@@ -18,8 +18,8 @@
 use gradepaddle_controlplane::session::OwnSession;
 use gradepaddle_controlplane::sessions::{HeldSessions, Session};
 use gradepaddle_engine::ServerState;
+use gradepaddle_gossip::{Aged, Item, Message, Stamp};
 use gradepaddle_proto::{Content, Decode, Encode, Envelope};
-use gradepaddle_spread::{Aged, Item, Message, Stamp};
 use simulation::{Ending, Plan, World};
 
 /// A node without a disk, and what it has put out.
@@ -64,7 +64,7 @@
     /// Another node passes items on.
     fn learn(&mut self, items: Vec<Item>) -> Vec<Output> {
         let items = items.into_iter().map(|item| Aged { item, age_ms: 0 }).collect();
-        let content = Content::Spread(Message::Push { items, confirm: false, repair: false });
+        let content = Content::Gossip(Message::Push { items, acknowledge: false, repair: false });
         self.hand(Input::Envelope(Envelope { from: address(3), content }))
     }
 
--- a/controlplane/tests/sessions.rs
+++ b/controlplane/tests/sessions.rs
@@ -10,13 +10,13 @@
 use gradepaddle_controlplane::Micros;
 use gradepaddle_controlplane::kinds::{self, SESSION};
 use gradepaddle_controlplane::sessions::{HeldSessions, LAPSES_AFTER, Session, live, zone_of};
+use gradepaddle_gossip::{Gossip, Item};
 use gradepaddle_proto::Decode;
-use gradepaddle_spread::{Item, Spread};
 
 /// A control balancer that publishes what it is to publish.
 struct Holder {
     held: HeldSessions,
-    spread: Spread,
+    spread: Gossip,
 }
 
 impl Holder {
--- a/controlplane/tests/weights.rs
+++ b/controlplane/tests/weights.rs
@@ -11,8 +11,8 @@
 use gradepaddle_controlplane::naming::{Naming, VersionTimes};
 use gradepaddle_controlplane::node::{Input, Node, NodeSetup, Output};
 use gradepaddle_controlplane::session::OwnSession;
+use gradepaddle_gossip::{Aged, Message, Stamp};
 use gradepaddle_proto::{Content, Encode, Envelope};
-use gradepaddle_spread::{Aged, Message, Stamp};
 
 const MODEL: &str = "advisor";
 const WITHIN: Micros = 8 * SECOND;
@@ -57,7 +57,7 @@
     let payload = if named_before > 0 { Naming { named_before }.to_bytes() } else { Vec::new() };
     let item = kinds::item(WEIGHTS, MODEL, Stamp { major: version, minor: publication }, payload);
     let items = vec![Aged { item, age_ms }];
-    let content = Content::Spread(Message::Push { items, confirm: false, repair: false });
+    let content = Content::Gossip(Message::Push { items, acknowledge: false, repair: false });
     let mut out = Vec::new();
     node.handle(now, Input::Envelope(Envelope { from: address(3), content }), &mut out);
     out.into_iter().filter_map(|output| told(now, output)).collect()
--- a/spread/src/confirm.rs
+++ b/gossip/src/acknowledgment.rs
@@ -4,14 +4,14 @@
 use std::net::SocketAddrV4;
 
 use crate::config::micros;
-use crate::copies::{Copies, Missing};
 use crate::peers::Peers;
-use crate::{Entry, Message, Output, Spread};
+use crate::replication_factor::{Missing, ReplicationFactor};
+use crate::{Entry, Gossip, Message, Output};
 
 /// One item that waits for confirmations.
 #[derive(Debug)]
 pub(crate) struct Waiting {
-    ticket: u64,
+    publish_id: u64,
     entry: Entry,
     count: usize,
     inside: usize,
@@ -55,18 +55,18 @@
     }
 }
 
-impl Spread {
+impl Gossip {
     /// Asks peers for copies of an item; returns which. The output says when it is confirmed.
     pub(crate) fn begin_confirmation(
         &mut self,
         now: u64,
         entry: Entry,
-        ticket: u64,
-        copies: Copies<'_>,
+        publish_id: u64,
+        copies: ReplicationFactor<'_>,
         out: &mut Vec<Output>,
     ) -> Vec<SocketAddrV4> {
         let mut waiting = Waiting {
-            ticket,
+            publish_id,
             entry,
             count: copies.count,
             inside: copies.inside,
@@ -78,7 +78,7 @@
             give_up_at: now + micros(self.config.confirm_within),
         };
         if waiting.missing(&self.peers, &self.leaving_peers).total() == 0 {
-            out.push(Output::Confirmed { ticket });
+            out.push(Output::Acknowledged { publish_id });
             return Vec::new();
         }
         self.ask_for_copies(now, &mut waiting, out);
@@ -111,14 +111,14 @@
     pub(crate) fn settle_confirmations(&mut self, out: &mut Vec<Output>) {
         let (peers, leaving) = (&self.peers, &self.leaving_peers);
         let confirmed = self.waiting.extract_if(.., |waiting| waiting.missing(peers, leaving).total() == 0);
-        out.extend(confirmed.map(|waiting| Output::Confirmed { ticket: waiting.ticket }));
+        out.extend(confirmed.map(|waiting| Output::Acknowledged { publish_id: waiting.publish_id }));
     }
 
     /// Asks further peers and gives up, where it is time.
     pub(crate) fn tick_confirmations(&mut self, now: u64, out: &mut Vec<Output>) {
         self.settle_confirmations(out);
         let given_up = self.waiting.extract_if(.., |waiting| waiting.give_up_at <= now);
-        out.extend(given_up.map(|waiting| Output::Unconfirmed { ticket: waiting.ticket }));
+        out.extend(given_up.map(|waiting| Output::AcknowledgmentFailed { publish_id: waiting.publish_id }));
         let mut all = std::mem::take(&mut self.waiting);
         for waiting in all.iter_mut().filter(|waiting| waiting.ask_at <= now) {
             self.ask_for_copies(now, waiting, out);
@@ -136,7 +136,7 @@
         let Some(aged) = self.replica.aged(now, waiting.entry.kind, &waiting.entry.key) else { return };
         for to in self.copy_holders(waiting) {
             waiting.asked.insert(to);
-            self.send(to, Message::Push { items: vec![aged.clone()], confirm: true, repair: false }, out);
+            self.send(to, Message::Push { items: vec![aged.clone()], acknowledge: true, repair: false }, out);
         }
     }
 
--- a/spread/src/digest.rs
+++ b/gossip/src/anti_entropy.rs
@@ -7,9 +7,9 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-use crate::dissemination::chunks;
 use crate::message::{item_size, range_entries_size};
-use crate::{Entry, Kind, Message, Output, RangeDigest, RangeEntries, Spread, Stamp};
+use crate::push::chunks;
+use crate::{Entry, Gossip, Kind, Message, Output, RangeDigest, RangeEntries, Stamp};
 
 /// A range of the first level with more entries is compared by its finer ranges.
 const LISTED_AT_MOST: usize = 32;
@@ -29,7 +29,7 @@
     divided: usize,
 }
 
-impl Spread {
+impl Gossip {
     /// Begins a comparison.
     pub(crate) fn compare(&mut self, with: SocketAddrV4, out: &mut Vec<Output>) {
         self.counters.comparisons += 1;
--- a/spread/src/config.rs
+++ b/gossip/src/config.rs
@@ -7,7 +7,7 @@
 
 /// Settings of the dissemination; all nodes of a fleet have the same, but for address and seed.
 #[derive(Debug, Clone, TypedBuilder)]
-pub struct SpreadConfig {
+pub struct GossipConfig {
     /// The own address, by which the others know this node.
     pub address: SocketAddrV4,
     /// Where randomness comes from; another one on each node and at each start.
--- a/spread/src/spread.rs
+++ b/gossip/src/gossip.rs
@@ -5,14 +5,14 @@
 
 use fastrand::Rng;
 
+use crate::acknowledgment::Waiting;
 use crate::budget::Budget;
 use crate::config::micros;
-use crate::confirm::Waiting;
-use crate::dissemination::Rumours;
 use crate::fetch::Fetches;
 use crate::peers::Peers;
+use crate::push::Rumours;
 use crate::replica::Replica;
-use crate::{Aged, Copies, Counters, Item, Kind, Message, Output, Peer, SpreadConfig, Stamp};
+use crate::{Aged, Counters, GossipConfig, Item, Kind, Message, Output, Peer, ReplicationFactor, Stamp};
 
 /// With how many peers a node that had none compares at once.
 const FIRST_COMPARISONS: usize = 2;
@@ -23,8 +23,8 @@
 
 /// One node's part in the dissemination. `now` is always the time of a steady clock in microseconds.
 #[derive(Debug)]
-pub struct Spread {
-    pub(crate) config: SpreadConfig,
+pub struct Gossip {
+    pub(crate) config: GossipConfig,
     pub(crate) rng: Rng,
     pub(crate) peers: Peers,
     pub(crate) replica: Replica,
@@ -42,9 +42,9 @@
     introductions: BTreeSet<(u64, SocketAddrV4)>,
 }
 
-impl Spread {
+impl Gossip {
     /// A node without items or peers.
-    pub fn new(config: SpreadConfig, now: u64) -> Self {
+    pub fn new(config: GossipConfig, now: u64) -> Self {
         Self {
             rng: Rng::with_seed(config.seed),
             peers: Peers::new(config.address),
@@ -63,7 +63,7 @@
     }
 
     /// Takes the whole current list of other nodes (an own entry is passed over). What is to be done about it is done
-    /// by the next [`Spread::tick`], which [`Spread::next_wake`] then asks for at once if needed.
+    /// by the next [`Gossip::tick`], which [`Gossip::next_wake`] then asks for at once if needed.
     pub fn set_peers(&mut self, now: u64, peers: &[Peer]) {
         let was_alone = self.peers.is_empty();
         let added = self.peers.replace(peers);
@@ -105,19 +105,19 @@
         is_new
     }
 
-    /// Publishes an own item and says [`Output::Confirmed`] once as many other nodes as wanted hold it in this stamp or
-    /// a newer one (at once where there are none); [`Output::Unconfirmed`] if that takes too long. An item that is held
+    /// Publishes an own item and says [`Output::Acknowledged`] once as many other nodes as wanted hold it in this stamp or
+    /// a newer one (at once where there are none); [`Output::AcknowledgmentFailed`] if that takes too long. An item that is held
     /// already is confirmed all the same.
-    pub fn publish_confirmed(
+    pub fn publish_acknowledged(
         &mut self,
         now: u64,
         item: Item,
-        ticket: u64,
-        copies: Copies<'_>,
+        publish_id: u64,
+        copies: ReplicationFactor<'_>,
         out: &mut Vec<Output>,
     ) {
         let is_new = self.take_own(now, &item, out);
-        let asked = self.begin_confirmation(now, item.entry(), ticket, copies, out);
+        let asked = self.begin_confirmation(now, item.entry(), publish_id, copies, out);
         if is_new {
             self.pass_on(item.entry().name(), asked);
             self.flush(now, out);
@@ -143,18 +143,20 @@
         self.counters.bytes_received += message.size() as u64;
         self.replica.expire(now);
         match message {
-            Message::Push { items, confirm, repair } => {
-                self.receive_push(now, from, &items, (confirm, repair), out)
+            Message::Push { items, acknowledge, repair } => {
+                self.receive_push(now, from, &items, (acknowledge, repair), out)
             }
             Message::Offer { entries } => self.receive_offer(now, from, entries, out),
             Message::Fetch { entries } => self.receive_fetch(now, from, entries, out),
             Message::Digest { ranges, reply } => self.receive_digest(now, from, ranges, reply, out),
             Message::Entries { ranges } => self.receive_entries(now, from, ranges, out),
-            Message::Confirm { entries, leaving } => self.receive_confirm(now, from, &entries, leaving, out),
+            Message::Acknowledge { entries, leaving } => {
+                self.receive_confirm(now, from, &entries, leaving, out)
+            }
         }
     }
 
-    /// Does what is due; to be called at [`Spread::next_wake`], and harmless at any other time.
+    /// Does what is due; to be called at [`Gossip::next_wake`], and harmless at any other time.
     pub fn tick(&mut self, now: u64, out: &mut Vec<Output>) {
         self.replica.expire(now);
         self.flush(now, out);
@@ -177,7 +179,7 @@
         self.rng.u64(every - every / 4..=every + every / 4)
     }
 
-    /// When [`Spread::tick`] is to be called next; `u64::MAX` if there is nothing to wait for.
+    /// When [`Gossip::tick`] is to be called next; `u64::MAX` if there is nothing to wait for.
     pub fn next_wake(&self) -> u64 {
         let introduction = self.introductions.first().map_or(u64::MAX, |(at, _)| *at);
         let due = [
--- a/spread/src/message.rs
+++ b/gossip/src/message.rs
@@ -20,8 +20,8 @@
     Push {
         /// The items.
         items: Vec<Aged>,
-        /// The receiver is to answer with [`Message::Confirm`] for what it then holds.
-        confirm: bool,
+        /// The receiver is to answer with [`Message::Acknowledge`] for what it then holds.
+        acknowledge: bool,
         /// Sent because two nodes differed, not because the items are new: many at once are not passed on.
         repair: bool,
     },
@@ -48,7 +48,7 @@
         ranges: Vec<RangeEntries>,
     },
     /// The sender holds these items, of these stamps or newer ones.
-    Confirm {
+    Acknowledge {
         /// Names and stamps as they were pushed.
         entries: Vec<Entry>,
         /// The sender is about to end.
@@ -80,7 +80,7 @@
         MESSAGE_OVERHEAD_BYTES
             + match self {
                 Self::Push { items, .. } => items.iter().map(|aged| item_size(&aged.item)).sum(),
-                Self::Offer { entries } | Self::Fetch { entries } | Self::Confirm { entries, .. } => {
+                Self::Offer { entries } | Self::Fetch { entries } | Self::Acknowledge { entries, .. } => {
                     entries_size(entries)
                 }
                 Self::Digest { ranges, .. } => ranges.len() * RANGE_DIGEST_BYTES,
--- a/spread/src/output.rs
+++ b/gossip/src/output.rs
@@ -17,13 +17,13 @@
     /// A newer item was taken in, an own one included.
     Changed(Item),
     /// As many other nodes as were asked for hold the item (or all, where there are fewer).
-    Confirmed {
-        /// The ticket given to `publish_confirmed`.
-        ticket: u64,
+    Acknowledged {
+        /// The publish_id given to `publish_acknowledged`.
+        publish_id: u64,
     },
     /// Not enough other nodes said in time that they hold the item. It is spread all the same.
-    Unconfirmed {
-        /// The ticket given to `publish_confirmed`.
-        ticket: u64,
+    AcknowledgmentFailed {
+        /// The publish_id given to `publish_acknowledged`.
+        publish_id: u64,
     },
 }
--- a/spread/src/dissemination.rs
+++ b/gossip/src/push.rs
@@ -9,7 +9,7 @@
 use crate::config::micros;
 use crate::item::Name;
 use crate::message::{entry_size, item_size};
-use crate::{Aged, Entry, Message, Output, Spread};
+use crate::{Aged, Entry, Gossip, Message, Output};
 
 /// Of the items that one repair brings, so many are passed on; more are the filling of a node that was empty or the
 /// healing of a cut, where others repair for themselves.
@@ -50,7 +50,7 @@
     }
 }
 
-impl Spread {
+impl Gossip {
     /// A new item is to be passed on; without peers there is nobody to pass it on to, and comparisons do it later.
     pub(crate) fn pass_on(&mut self, name: Name, known_by: Vec<SocketAddrV4>) {
         if !self.peers.is_empty() {
@@ -109,7 +109,7 @@
         out: &mut Vec<Output>,
     ) {
         for items in chunks(items, self.config.max_bytes_per_message, |aged| item_size(&aged.item)) {
-            self.send(to, Message::Push { items, confirm: false, repair }, out);
+            self.send(to, Message::Push { items, acknowledge: false, repair }, out);
         }
     }
 
@@ -132,16 +132,16 @@
         now: u64,
         from: SocketAddrV4,
         items: &[Aged],
-        (confirm, repair): (bool, bool),
+        (acknowledge, repair): (bool, bool),
         out: &mut Vec<Output>,
     ) {
         let taken: Vec<(Name, Option<bool>)> =
             items.iter().filter_map(|aged| self.take_from(now, from, aged, out)).collect();
-        if confirm {
+        if acknowledge {
             let entries = items.iter().map(|aged| aged.item.entry());
             let entries =
                 entries.filter(|entry| self.replica.holds(entry.kind, &entry.key, entry.stamp)).collect();
-            self.send(from, Message::Confirm { entries, leaving: self.leaving }, out);
+            self.send(from, Message::Acknowledge { entries, leaving: self.leaving }, out);
         }
         if repair {
             self.tell_tombstones(now, from, items.iter().map(|aged| aged.item.entry()), out);
--- a/spread/src/copies.rs
+++ b/gossip/src/replication_factor.rs
@@ -7,7 +7,7 @@
 /// Nodes of the group may all lose their memory at the same moment, and those beside it may go in any number; so copies
 /// can be asked for on both sides. Nodes that are about to end count for `count` only.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Copies<'a> {
+pub struct ReplicationFactor<'a> {
     /// How many altogether, or all peers where there are fewer.
     pub count: usize,
     /// Nodes that may be lost together; they are asked before others.
@@ -18,10 +18,10 @@
     pub outside: usize,
 }
 
-impl<'a> Copies<'a> {
-    /// Copies anywhere, best at these nodes.
-    pub fn anywhere(count: usize, prefer: &'a [SocketAddrV4]) -> Copies<'a> {
-        Copies { count, group: prefer, inside: 0, outside: 0 }
+impl<'a> ReplicationFactor<'a> {
+    /// ReplicationFactor anywhere, best at these nodes.
+    pub fn anywhere(count: usize, prefer: &'a [SocketAddrV4]) -> ReplicationFactor<'a> {
+        ReplicationFactor { count, group: prefer, inside: 0, outside: 0 }
     }
 }
 
--- a/spread/tests/confirmation.rs
+++ b/gossip/tests/acknowledgment.rs
@@ -6,7 +6,7 @@
 use simulation::{MS, SECOND, Simulation, address, item, tombstone};
 
 fn holders(fleet: &Simulation, key: &str) -> usize {
-    let holds = |node: &&gradepaddle_spread::Spread| node.stamp(simulation::KIND, key).is_some();
+    let holds = |node: &&gradepaddle_gossip::Gossip| node.stamp(simulation::KIND, key).is_some();
     fleet.nodes.iter().flatten().filter(holds).count()
 }
 
@@ -16,7 +16,7 @@
         let mut fleet = Simulation::new(nodes, 21);
         fleet.run_for(2 * SECOND);
         let begin = fleet.now;
-        fleet.publish_confirmed(0, item("a", 1, b"x"), 1, 2, &[]);
+        fleet.publish_acknowledged(0, item("a", 1, b"x"), 1, 2, &[]);
         fleet.run_until_holds(begin + SECOND, |fleet| !fleet.tickets.is_empty());
         let (at, confirmed) = fleet.tickets[&1];
         println!("{nodes} nodes: confirmed in {:.1} ms", (at - begin) as f64 / MS as f64);
@@ -29,7 +29,7 @@
 #[gtest]
 fn without_peers_confirmed_at_once() {
     let mut fleet = Simulation::without_peers(1, 22);
-    fleet.publish_confirmed(0, item("a", 1, b"x"), 1, 2, &[]);
+    fleet.publish_acknowledged(0, item("a", 1, b"x"), 1, 2, &[]);
     expect_that!(fleet.tickets.get(&1), some(eq(&(fleet.now, true))));
 }
 
@@ -37,7 +37,7 @@
 fn with_one_peer_confirmed_by_that_one() {
     let mut fleet = Simulation::new(2, 23);
     fleet.run_for(SECOND);
-    fleet.publish_confirmed(0, item("a", 1, b"x"), 1, 2, &[]);
+    fleet.publish_acknowledged(0, item("a", 1, b"x"), 1, 2, &[]);
     expect_that!(fleet.tickets.is_empty(), eq(true));
     fleet.run_for(10 * MS);
     expect_that!(fleet.tickets[&1].1, eq(true));
@@ -49,7 +49,7 @@
     let mut fleet = Simulation::new(78, 24);
     fleet.run_for(SECOND);
     let prefer = [address(40), address(41), address(42)];
-    fleet.publish_confirmed(0, item("a", 1, b"x"), 1, 2, &prefer);
+    fleet.publish_acknowledged(0, item("a", 1, b"x"), 1, 2, &prefer);
     fleet.run_until_holds(fleet.now + SECOND, |fleet| !fleet.tickets.is_empty());
     for node in [40, 41] {
         expect_that!(fleet.node(node).get(simulation::KIND, "a"), some(anything()), "node {node}");
@@ -64,7 +64,7 @@
     fleet.stop(3);
     fleet.stop(4);
     let begin = fleet.now;
-    fleet.publish_confirmed(0, item("a", 1, b"x"), 1, 2, &[address(3), address(4)]);
+    fleet.publish_acknowledged(0, item("a", 1, b"x"), 1, 2, &[address(3), address(4)]);
     fleet.run_for(SECOND);
     let (at, confirmed) = fleet.tickets[&1];
     expect_that!(confirmed, eq(true));
@@ -76,11 +76,11 @@
     let mut fleet = Simulation::new(9, 26);
     fleet.run_for(SECOND);
     fleet.loss = 0.3;
-    for ticket in 0..100 {
-        fleet.publish_confirmed(
-            ticket as usize % 9,
-            item(&format!("server-{ticket}"), 1, b"x"),
-            ticket,
+    for publish_id in 0..100 {
+        fleet.publish_acknowledged(
+            publish_id as usize % 9,
+            item(&format!("server-{publish_id}"), 1, b"x"),
+            publish_id,
             2,
             &[],
         );
@@ -98,7 +98,7 @@
     fleet.run_for(SECOND);
     fleet.group[0] = 1;
     let begin = fleet.now;
-    fleet.publish_confirmed(0, item("a", 1, b"x"), 1, 2, &[]);
+    fleet.publish_acknowledged(0, item("a", 1, b"x"), 1, 2, &[]);
     fleet.run_for(3 * SECOND);
     expect_that!(fleet.tickets.get(&1), some(eq(&(begin + 2 * SECOND, false))));
     fleet.group[0] = 0;
@@ -114,7 +114,7 @@
     fleet.group.fill(1);
     fleet.group[0] = 0;
     fleet.group[1] = 0;
-    fleet.publish_confirmed(0, item("a", 1, b"x"), 1, 2, &[]);
+    fleet.publish_acknowledged(0, item("a", 1, b"x"), 1, 2, &[]);
     fleet.run_for(3 * SECOND);
     expect_that!(fleet.tickets[&1].1, eq(false));
 }
@@ -127,7 +127,7 @@
     fleet.group.fill(1);
     fleet.group[0] = 0;
     fleet.group[1] = 0;
-    fleet.publish_confirmed(0, item("a", 1, b"x"), 1, 2, &[address(1)]);
+    fleet.publish_acknowledged(0, item("a", 1, b"x"), 1, 2, &[address(1)]);
     fleet.run_for(500 * MS);
     expect_that!(holders(&fleet, "a"), eq(2));
     fleet.stop(1);
@@ -147,7 +147,7 @@
     let mut fleet = Simulation::new(3, 30);
     fleet.run_for(SECOND);
     fleet.stop(2);
-    fleet.publish_confirmed(0, item("a", 1, b"x"), 1, 2, &[]);
+    fleet.publish_acknowledged(0, item("a", 1, b"x"), 1, 2, &[]);
     fleet.run_for(50 * MS);
     expect_that!(fleet.tickets.get(&1), none());
     fleet.meet(0);
@@ -161,8 +161,8 @@
     let mut fleet = Simulation::new(3, 31);
     fleet.publish(1, item("a", 5, b"x"));
     fleet.run_for(SECOND);
-    fleet.publish_confirmed(0, item("a", 4, b"old"), 1, 2, &[]);
-    fleet.publish_confirmed(0, tombstone("a", 6), 2, 2, &[]);
+    fleet.publish_acknowledged(0, item("a", 4, b"old"), 1, 2, &[]);
+    fleet.publish_acknowledged(0, tombstone("a", 6), 2, 2, &[]);
     fleet.run_for(10 * MS);
     expect_that!(fleet.tickets[&1].1 && fleet.tickets[&2].1, eq(true));
     expect_that!(fleet.node(2).get(simulation::KIND, "a"), none());
--- a/spread/tests/repair.rs
+++ b/gossip/tests/anti_entropy.rs
@@ -3,11 +3,11 @@
 mod simulation;
 
 use googletest::prelude::*;
-use gradepaddle_spread::{Peer, Spread, SpreadConfig};
+use gradepaddle_gossip::{Gossip, GossipConfig, Peer};
 use simulation::{KIND, MS, SECOND, Simulation, address, item, tombstone};
 
 fn len_of(fleet: &Simulation, node: usize) -> usize {
-    fleet.nodes[node].as_ref().map_or(0, Spread::len)
+    fleet.nodes[node].as_ref().map_or(0, Gossip::len)
 }
 
 fn all_have(fleet: &Simulation, items: usize) -> bool {
@@ -165,9 +165,9 @@
 #[gtest]
 fn repairs_keep_to_their_bytes_per_second() {
     let config =
-        SpreadConfig::builder().address(address(0)).seed(1).max_repair_bytes_per_second(100_000).build();
+        GossipConfig::builder().address(address(0)).seed(1).max_repair_bytes_per_second(100_000).build();
     let mut fleet = Simulation::without_peers(2, 18);
-    fleet.nodes[0] = Some(Spread::new(config, fleet.now));
+    fleet.nodes[0] = Some(Gossip::new(config, fleet.now));
     for number in 0..3_000 {
         fleet.publish(0, item(&format!("server-{number}"), 1, &[0; 100]));
     }
--- a/spread/tests/golden.rs
+++ b/gossip/tests/golden.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 
 use googletest::prelude::*;
-use gradepaddle_spread::{
-    Aged, Item, Kind, Message, Output, RangeDigest, RangeEntries, Spread, SpreadConfig, Stamp,
+use gradepaddle_gossip::{
+    Aged, Gossip, GossipConfig, Item, Kind, Message, Output, RangeDigest, RangeEntries, Stamp,
 };
 use simulation::address;
 
@@ -17,8 +17,8 @@
 }
 
 /// A node that has published items.
-fn node(items: impl IntoIterator<Item = Item>) -> Spread {
-    let mut node = Spread::new(SpreadConfig::builder().address(address(0)).seed(5).build(), 0);
+fn node(items: impl IntoIterator<Item = Item>) -> Gossip {
+    let mut node = Gossip::new(GossipConfig::builder().address(address(0)).seed(5).build(), 0);
     for item in items {
         node.publish(0, item, &mut Vec::new());
     }
@@ -80,12 +80,12 @@
     let ranges = vec![RangeEntries { index: 3, entries: vec![entry.clone(), entry.clone()] }];
     let entries = vec![entry];
     let sizes = [
-        Message::Push { items, confirm: true, repair: false }.size(),
+        Message::Push { items, acknowledge: true, repair: false }.size(),
         Message::Offer { entries: entries.clone() }.size(),
         Message::Fetch { entries: entries.clone() }.size(),
         Message::Digest { ranges: vec![digest; 3], reply: true }.size(),
         Message::Entries { ranges }.size(),
-        Message::Confirm { entries, leaving: false }.size(),
+        Message::Acknowledge { entries, leaving: false }.size(),
     ];
     expect_that!(sizes, eq([102, 44, 44, 46, 77, 44]));
 }
--- a/spread/tests/merge.rs
+++ b/gossip/tests/merge.rs
@@ -4,7 +4,7 @@
 
 use std::sync::Arc;
 
-use gradepaddle_spread::{Aged, Item, Kind, Message, Output, RangeDigest, Spread, SpreadConfig, Stamp};
+use gradepaddle_gossip::{Aged, Gossip, GossipConfig, Item, Kind, Message, Output, RangeDigest, Stamp};
 use proptest::prelude::*;
 use simulation::{SECOND, address};
 
@@ -20,20 +20,25 @@
     prop::collection::vec(item, 0..40)
 }
 
-fn node(number: usize) -> Spread {
-    Spread::new(SpreadConfig::builder().address(address(number)).seed(number as u64).build(), SECOND)
+fn node(number: usize) -> Gossip {
+    Gossip::new(GossipConfig::builder().address(address(number)).seed(number as u64).build(), SECOND)
 }
 
-fn receive(node: &mut Spread, items: &[Item], at_once: usize) -> Vec<Output> {
+fn receive(node: &mut Gossip, items: &[Item], at_once: usize) -> Vec<Output> {
     let mut out = Vec::new();
     for items in items.chunks(at_once) {
         let items = items.iter().map(|item| Aged { item: item.clone(), age_ms: 0 }).collect();
-        node.receive(SECOND, address(99), Message::Push { items, confirm: false, repair: false }, &mut out);
+        node.receive(
+            SECOND,
+            address(99),
+            Message::Push { items, acknowledge: false, repair: false },
+            &mut out,
+        );
     }
     out
 }
 
-fn content(node: &Spread) -> (Vec<Item>, Vec<Option<Stamp>>) {
+fn content(node: &Gossip) -> (Vec<Item>, Vec<Option<Stamp>>) {
     let kinds = (0..3).map(Kind);
     let items = kinds.clone().flat_map(|kind| node.items(kind).cloned()).collect();
     let names = kinds.flat_map(|kind| (0..6).map(move |key| (kind, format!("key-{key}"))));
@@ -41,8 +46,8 @@
 }
 
 /// The hashes that the node answers with or asks by.
-fn digests(node: &mut Spread) -> Vec<RangeDigest> {
-    node.set_peers(SECOND, &[gradepaddle_spread::Peer { address: address(98), near: true }]);
+fn digests(node: &mut Gossip) -> Vec<RangeDigest> {
+    node.set_peers(SECOND, &[gradepaddle_gossip::Peer { address: address(98), near: true }]);
     let mut out = Vec::new();
     node.tick(SECOND, &mut out);
     let asked = out.into_iter().find_map(|output| match output {
@@ -96,8 +101,8 @@
         receive(&mut one, &here, 4);
         receive(&mut other, &there, 4);
         let (mut to_other, mut to_one) = (Vec::new(), Vec::new());
-        one.set_peers(SECOND, &[gradepaddle_spread::Peer { address: address(2), near: true }]);
-        other.set_peers(SECOND, &[gradepaddle_spread::Peer { address: address(1), near: true }]);
+        one.set_peers(SECOND, &[gradepaddle_gossip::Peer { address: address(2), near: true }]);
+        other.set_peers(SECOND, &[gradepaddle_gossip::Peer { address: address(1), near: true }]);
         // What came less than 100 ms ago counts as on its way, so the comparison comes later.
         let mut now = 2 * SECOND;
         one.tick(now, &mut to_other);
@@ -111,7 +116,7 @@
 }
 
 /// Hands one node's messages to the other and returns the answers.
-fn exchange(now: u64, from: usize, sent: Vec<Output>, to: &mut Spread) -> Vec<Output> {
+fn exchange(now: u64, from: usize, sent: Vec<Output>, to: &mut Gossip) -> Vec<Output> {
     let mut out = Vec::new();
     for output in sent {
         if let Output::Send { message, .. } = output {
--- a/spread/tests/passing_on.rs
+++ b/gossip/tests/push.rs
@@ -5,12 +5,12 @@
 use std::net::SocketAddrV4;
 
 use googletest::prelude::*;
-use gradepaddle_spread::{Aged, Item, Message, Output, Peer, Spread, SpreadConfig};
+use gradepaddle_gossip::{Aged, Gossip, GossipConfig, Item, Message, Output, Peer};
 use simulation::{KIND, MS, SECOND, address, item};
 
 /// A node whose first comparisons are over.
-fn settled(peers: usize) -> Spread {
-    let mut node = Spread::new(SpreadConfig::builder().address(address(0)).seed(3).build(), 0);
+fn settled(peers: usize) -> Gossip {
+    let mut node = Gossip::new(GossipConfig::builder().address(address(0)).seed(3).build(), 0);
     let peers: Vec<Peer> =
         (0..=peers).map(|peer| Peer { address: address(peer), near: peer % 3 == 0 }).collect();
     node.set_peers(0, &peers);
@@ -18,13 +18,13 @@
     node
 }
 
-fn receive(node: &mut Spread, now: u64, from: usize, message: Message) -> Vec<(SocketAddrV4, Message)> {
+fn receive(node: &mut Gossip, now: u64, from: usize, message: Message) -> Vec<(SocketAddrV4, Message)> {
     let mut out = Vec::new();
     node.receive(now, address(from), message, &mut out);
     sent(out)
 }
 
-fn tick(node: &mut Spread, now: u64) -> Vec<(SocketAddrV4, Message)> {
+fn tick(node: &mut Gossip, now: u64) -> Vec<(SocketAddrV4, Message)> {
     let mut out = Vec::new();
     node.tick(now, &mut out);
     sent(out)
@@ -45,7 +45,7 @@
 /// Items with their ages in milliseconds.
 fn push_aged(items: &[(&Item, u32)], repair: bool) -> Message {
     let items = items.iter().map(|(item, age_ms)| Aged { item: (*item).clone(), age_ms: *age_ms }).collect();
-    Message::Push { items, confirm: false, repair }
+    Message::Push { items, acknowledge: false, repair }
 }
 
 /// A list of items that take `bytes` of payload each.
@@ -203,9 +203,9 @@
 #[gtest]
 fn unknown_ranges_are_passed_over() {
     let mut node = settled(3);
-    let ranges = vec![gradepaddle_spread::RangeDigest { index: u16::MAX, hash: 1 }];
+    let ranges = vec![gradepaddle_gossip::RangeDigest { index: u16::MAX, hash: 1 }];
     expect_that!(receive(&mut node, MS, 1, Message::Digest { ranges, reply: false }).len(), eq(0));
-    let ranges = vec![gradepaddle_spread::RangeEntries { index: 4_160, entries: Vec::new() }];
+    let ranges = vec![gradepaddle_gossip::RangeEntries { index: 4_160, entries: Vec::new() }];
     expect_that!(receive(&mut node, MS, 1, Message::Entries { ranges }).len(), eq(0));
 }
 
@@ -226,8 +226,8 @@
 }
 
 /// What an asker whose ranges are all empty is sent.
-fn sent_to_an_empty_node(node: &mut Spread, now: u64) -> usize {
-    let ranges = (0..64).map(|index| gradepaddle_spread::RangeDigest { index, hash: 0 }).collect();
+fn sent_to_an_empty_node(node: &mut Gossip, now: u64) -> usize {
+    let ranges = (0..64).map(|index| gradepaddle_gossip::RangeDigest { index, hash: 0 }).collect();
     let sent = receive(node, now, 2, Message::Digest { ranges, reply: true });
     let items = sent.iter().map(|(_, message)| match message {
         Message::Push { items, .. } => items.len(),
--- a/spread/tests/copies.rs
+++ b/gossip/tests/replication_factor.rs
@@ -1,11 +1,11 @@
-//! Copies on both sides of a group of nodes that may be lost together, and nodes that are about to end.
+//! ReplicationFactor on both sides of a group of nodes that may be lost together, and nodes that are about to end.
 
 mod simulation;
 
 use std::net::SocketAddrV4;
 
 use googletest::prelude::*;
-use gradepaddle_spread::Copies;
+use gradepaddle_gossip::ReplicationFactor;
 use simulation::{KIND, MS, SECOND, Simulation, address, item};
 
 /// The first three nodes may all lose their memory at the same moment; the others may go in any number.
@@ -29,7 +29,7 @@
             let others: Vec<SocketAddrV4> =
                 group().into_iter().filter(|one| *one != address(publisher)).collect();
             let (inside, outside) = if publisher < 3 { (1, 1) } else { (2, 0) };
-            let copies = Copies { count: 2, group: &others, inside, outside };
+            let copies = ReplicationFactor { count: 2, group: &others, inside, outside };
             fleet.publish_on_both_sides(publisher, item("a", 1, b"x"), 1, copies);
             let confirmed = fleet.run_until_holds(3 * SECOND, |fleet| fleet.tickets.contains_key(&1));
             expect_that!((confirmed, fleet.tickets[&1].1), eq((true, true)));
@@ -50,7 +50,7 @@
     let mut fleet = Simulation::new(9, 1);
     (3..9).for_each(|node| fleet.group[node] = 1);
     let others = [address(1), address(2)];
-    let copies = Copies { count: 2, group: &others, inside: 1, outside: 1 };
+    let copies = ReplicationFactor { count: 2, group: &others, inside: 1, outside: 1 };
     fleet.publish_on_both_sides(0, item("a", 1, b"x"), 1, copies);
     fleet.run_for(4 * SECOND);
     expect_that!(fleet.tickets[&1].1, eq(false));
@@ -60,7 +60,7 @@
 fn a_group_without_other_nodes_confirms_by_itself() {
     let mut fleet = Simulation::new(3, 1);
     let others = [address(1), address(2)];
-    let copies = Copies { count: 2, group: &others, inside: 1, outside: 1 };
+    let copies = ReplicationFactor { count: 2, group: &others, inside: 1, outside: 1 };
     fleet.publish_on_both_sides(0, item("a", 1, b"x"), 1, copies);
     fleet.run_for(100 * MS);
     expect_that!(fleet.tickets[&1].1, eq(true));
@@ -74,7 +74,7 @@
         (3..=7).filter(|node| !leavers.contains(node)).for_each(|node| fleet.group[node] = 1);
         leavers.iter().for_each(|node| fleet.node(*node).leave());
         let others = [address(1), address(2)];
-        let copies = Copies { count: 2, group: &others, inside: 1, outside: 1 };
+        let copies = ReplicationFactor { count: 2, group: &others, inside: 1, outside: 1 };
         fleet.publish_on_both_sides(0, item("a", 1, b"x"), 1, copies);
         fleet.run_until_holds(3 * SECOND, |fleet| fleet.tickets.contains_key(&1));
         expect_that!(fleet.tickets[&1].1, eq(true), "seed {seed}");
@@ -89,7 +89,7 @@
     let mut fleet = Simulation::new(3, 1);
     [1, 2].iter().for_each(|node| fleet.node(*node).leave());
     let others = [address(1), address(2)];
-    let copies = Copies { count: 2, group: &others, inside: 1, outside: 1 };
+    let copies = ReplicationFactor { count: 2, group: &others, inside: 1, outside: 1 };
     fleet.publish_on_both_sides(0, item("a", 1, b"x"), 1, copies);
     fleet.run_for(100 * MS);
     expect_that!(fleet.tickets[&1].1, eq(true));
--- a/spread/tests/simulation/mod.rs
+++ b/gossip/tests/simulation/mod.rs
@@ -8,7 +8,9 @@
 use std::sync::Arc;
 
 use fastrand::Rng;
-use gradepaddle_spread::{Copies, Counters, Item, Kind, Message, Output, Peer, Spread, SpreadConfig, Stamp};
+use gradepaddle_gossip::{
+    Counters, Gossip, GossipConfig, Item, Kind, Message, Output, Peer, ReplicationFactor, Stamp,
+};
 
 /// A millisecond of simulated time.
 pub const MS: u64 = 1_000;
@@ -64,7 +66,7 @@
 /// The fleet.
 pub struct Simulation {
     pub now: u64,
-    pub nodes: Vec<Option<Spread>>,
+    pub nodes: Vec<Option<Gossip>>,
     /// Share of messages that are lost.
     pub loss: f64,
     /// Nodes of different groups don't reach each other.
@@ -119,9 +121,9 @@
         simulation
     }
 
-    fn fresh(&mut self, node: usize) -> Spread {
-        let config = SpreadConfig::builder().address(address(node)).seed(self.rng.u64(..)).build();
-        Spread::new(config, self.now)
+    fn fresh(&mut self, node: usize) -> Gossip {
+        let config = GossipConfig::builder().address(address(node)).seed(self.rng.u64(..)).build();
+        Gossip::new(config, self.now)
     }
 
     /// Tells a node of all others that are there.
@@ -139,7 +141,7 @@
         self.schedule_wake(node);
     }
 
-    pub fn node(&mut self, node: usize) -> &mut Spread {
+    pub fn node(&mut self, node: usize) -> &mut Gossip {
         self.nodes[node].as_mut().expect("the node is there")
     }
 
@@ -162,24 +164,30 @@
         self.carry_out(node, None, out);
     }
 
-    pub fn publish_confirmed(
+    pub fn publish_acknowledged(
         &mut self,
         node: usize,
         item: Item,
-        ticket: u64,
+        publish_id: u64,
         copies: usize,
         prefer: &[SocketAddrV4],
     ) {
         let (now, mut out) = (self.now, Vec::new());
-        let copies = Copies::anywhere(copies, prefer);
-        self.node(node).publish_confirmed(now, item, ticket, copies, &mut out);
+        let copies = ReplicationFactor::anywhere(copies, prefer);
+        self.node(node).publish_acknowledged(now, item, publish_id, copies, &mut out);
         self.carry_out(node, None, out);
     }
 
     /// Has copies on both sides of a group of nodes.
-    pub fn publish_on_both_sides(&mut self, node: usize, item: Item, ticket: u64, copies: Copies<'_>) {
+    pub fn publish_on_both_sides(
+        &mut self,
+        node: usize,
+        item: Item,
+        publish_id: u64,
+        copies: ReplicationFactor<'_>,
+    ) {
         let (now, mut out) = (self.now, Vec::new());
-        self.node(node).publish_confirmed(now, item, ticket, copies, &mut out);
+        self.node(node).publish_acknowledged(now, item, publish_id, copies, &mut out);
         self.carry_out(node, None, out);
     }
 
@@ -250,16 +258,16 @@
             match output {
                 Output::Send { to, message } => self.post(node, node_of(to), message),
                 Output::Changed(item) => self.arrive(node, from, &item),
-                Output::Confirmed { ticket } => self.settle(ticket, true),
-                Output::Unconfirmed { ticket } => self.settle(ticket, false),
+                Output::Acknowledged { publish_id } => self.settle(publish_id, true),
+                Output::AcknowledgmentFailed { publish_id } => self.settle(publish_id, false),
             }
         }
         self.schedule_wake(node);
     }
 
-    fn settle(&mut self, ticket: u64, confirmed: bool) {
-        let before = self.tickets.insert(ticket, (self.now, confirmed));
-        assert!(before.is_none(), "a ticket is settled once");
+    fn settle(&mut self, publish_id: u64, confirmed: bool) {
+        let before = self.tickets.insert(publish_id, (self.now, confirmed));
+        assert!(before.is_none(), "a publish_id is settled once");
     }
 
     fn arrive(&mut self, node: usize, from: Option<usize>, item: &Item) {
@@ -320,7 +328,7 @@
     /// The counters of all nodes that are there, added up.
     pub fn total(&self) -> Counters {
         let mut total = Counters::default();
-        for one in self.nodes.iter().flatten().map(Spread::counters) {
+        for one in self.nodes.iter().flatten().map(Gossip::counters) {
             total.messages_sent += one.messages_sent;
             total.bytes_sent += one.bytes_sent;
             total.messages_received += one.messages_received;
--- a/spread/tests/tombstones.rs
+++ b/gossip/tests/tombstones.rs
@@ -3,7 +3,7 @@
 mod simulation;
 
 use googletest::prelude::*;
-use gradepaddle_spread::Spread;
+use gradepaddle_gossip::Gossip;
 use simulation::{KIND, SECOND, Simulation, item, tombstone};
 
 fn knows(fleet: &Simulation, node: usize) -> bool {
@@ -31,7 +31,7 @@
     fleet.publish(1, tombstone("a", 2));
     fleet.run_for(2 * SECOND);
     expect_that!(holding(&fleet), eq(0));
-    expect_that!(fleet.nodes.iter().flatten().all(Spread::is_empty), eq(true));
+    expect_that!(fleet.nodes.iter().flatten().all(Gossip::is_empty), eq(true));
     fleet.run_for(57 * SECOND);
     expect_that!(knowing(&fleet), eq(9));
     fleet.run_for(2 * SECOND);
--- a/proto/src/envelope.rs
+++ b/proto/src/envelope.rs
@@ -22,7 +22,7 @@
     /// Between replicas of the control state.
     Control(gradepaddle_control::Message),
     /// Dissemination.
-    Spread(gradepaddle_spread::Message),
+    Gossip(gradepaddle_gossip::Message),
     /// A heartbeat of a session.
     SessionHeartbeat(SessionHeartbeat),
     /// The answer to it.
@@ -54,7 +54,7 @@
         to.address(1, self.from);
         let (variant, bytes) = match &self.content {
             Content::Control(message) => (CONTROL, message.to_bytes()),
-            Content::Spread(message) => (SPREAD, message.to_bytes()),
+            Content::Gossip(message) => (SPREAD, message.to_bytes()),
             Content::SessionHeartbeat(message) => (SESSION_BEAT, message.to_bytes()),
             Content::SessionHeartbeatReply(message) => (SESSION_GRANT, message.to_bytes()),
             Content::Bootstrap(view) => (FOUND, view.to_bytes()),
@@ -73,7 +73,7 @@
         const NAME: &str = "envelope";
         let content = match fields.number(2) {
             CONTROL => Content::Control(fields.message(NAME, 3)?),
-            SPREAD => Content::Spread(fields.message(NAME, 3)?),
+            SPREAD => Content::Gossip(fields.message(NAME, 3)?),
             SESSION_BEAT => Content::SessionHeartbeat(fields.message(NAME, 3)?),
             SESSION_GRANT => Content::SessionHeartbeatReply(fields.message(NAME, 3)?),
             FOUND => Content::Bootstrap(fields.message(NAME, 3)?),
--- a/proto/src/spread.rs
+++ b/proto/src/gossip.rs
@@ -1,8 +1,8 @@
-//! The messages of `gradepaddle-spread` as Protocol Buffers.
+//! The messages of `gradepaddle-gossip` as Protocol Buffers.
 
 use std::sync::Arc;
 
-use gradepaddle_spread::{Aged, Entry, Item, Kind, Message, RangeDigest, RangeEntries, Stamp};
+use gradepaddle_gossip::{Aged, Entry, Item, Kind, Message, RangeDigest, RangeEntries, Stamp};
 
 use crate::fields::{Decode, DecodeError, Encode, FieldWriter, Fields, UnknownVariantSnafu};
 
@@ -11,7 +11,7 @@
 const FETCH: u64 = 3;
 const DIGEST: u64 = 4;
 const ENTRIES: u64 = 5;
-const CONFIRM: u64 = 6;
+const ACKNOWLEDGE: u64 = 6;
 
 impl Encode for Entry {
     fn encode(&self, to: &mut FieldWriter) {
@@ -78,10 +78,10 @@
 impl Encode for Message {
     fn encode(&self, to: &mut FieldWriter) {
         match self {
-            Message::Push { items, confirm, repair } => {
+            Message::Push { items, acknowledge, repair } => {
                 to.number(1, PUSH);
                 to.messages(2, items);
-                to.truth(3, *confirm);
+                to.truth(3, *acknowledge);
                 to.truth(4, *repair);
             }
             Message::Offer { entries } => list(to, OFFER, entries),
@@ -95,8 +95,8 @@
                 to.number(1, ENTRIES);
                 to.messages(2, ranges);
             }
-            Message::Confirm { entries, leaving } => {
-                list(to, CONFIRM, entries);
+            Message::Acknowledge { entries, leaving } => {
+                list(to, ACKNOWLEDGE, entries);
                 to.truth(3, *leaving);
             }
         }
@@ -113,14 +113,14 @@
         Ok(match fields.number(1) {
             PUSH => Message::Push {
                 items: fields.messages(2)?,
-                confirm: fields.truth(3),
+                acknowledge: fields.truth(3),
                 repair: fields.truth(4),
             },
             OFFER => Message::Offer { entries: fields.messages(2)? },
             FETCH => Message::Fetch { entries: fields.messages(2)? },
             DIGEST => Message::Digest { ranges: fields.messages(2)?, reply: fields.truth(3) },
             ENTRIES => Message::Entries { ranges: fields.messages(2)? },
-            CONFIRM => Message::Confirm { entries: fields.messages(2)?, leaving: fields.truth(3) },
+            ACKNOWLEDGE => Message::Acknowledge { entries: fields.messages(2)?, leaving: fields.truth(3) },
             variant => return UnknownVariantSnafu { message: "spread message", variant }.fail(),
         })
     }
--- a/proto/src/lib.rs
+++ b/proto/src/lib.rs
@@ -7,10 +7,10 @@
 mod envelope;
 mod fields;
 pub mod frame;
+mod gossip;
 mod load;
 mod node;
 mod registry;
-mod spread;
 
 pub use envelope::{Content, Envelope};
 pub use fields::{Decode, DecodeError, Encode, FieldWriter, Fields};
--- a/proto/tests/common/mod.rs
+++ b/proto/tests/common/mod.rs
@@ -9,12 +9,12 @@
     AcceptedConfiguration, AcceptedHistory, Ballot, Body, Change, ControlState, Data, KnownView, Member,
     Message, Position, Record, ReplicaId, StoredConfiguration, View,
 };
+use gradepaddle_gossip::{Aged, Entry, Item, Kind, RangeDigest, RangeEntries, Stamp};
 use gradepaddle_proto::{
     CacheStoreReport, CachedPrefix, Content, ControlCall, Encode, Envelope, FieldWriter, ForwardedCall,
     ForwardedReply, Identity, ModelVersion, PeerLoadReport, PromptChunk, Registration, ServerLoad,
     SessionHeartbeat, SessionHeartbeatReply, VersionQuery, VersionReply, ViewSummary,
 };
-use gradepaddle_spread::{Aged, Entry, Item, Kind, RangeDigest, RangeEntries, Stamp};
 use proptest::collection::vec;
 use proptest::option;
 use proptest::prelude::{BoxedStrategy, Just, Strategy, any, prop_oneof};
@@ -235,18 +235,18 @@
     (any::<u16>(), vec(entry(), 0..5)).prop_map(|(index, entries)| RangeEntries { index, entries })
 }
 
-pub fn spread_message() -> BoxedStrategy<gradepaddle_spread::Message> {
-    use gradepaddle_spread::Message;
+pub fn spread_message() -> BoxedStrategy<gradepaddle_gossip::Message> {
+    use gradepaddle_gossip::Message;
     let push = (vec(aged(), 0..4), any::<bool>(), any::<bool>());
     prop_oneof![
-        push.prop_map(|(items, confirm, repair)| Message::Push { items, confirm, repair }),
+        push.prop_map(|(items, acknowledge, repair)| Message::Push { items, acknowledge, repair }),
         vec(entry(), 0..5).prop_map(|entries| Message::Offer { entries }),
         vec(entry(), 0..5).prop_map(|entries| Message::Fetch { entries }),
         (vec(range_digest(), 0..70), any::<bool>())
             .prop_map(|(ranges, reply)| Message::Digest { ranges, reply }),
         vec(range_entries(), 0..4).prop_map(|ranges| Message::Entries { ranges }),
         (vec(entry(), 0..5), any::<bool>())
-            .prop_map(|(entries, leaving)| Message::Confirm { entries, leaving }),
+            .prop_map(|(entries, leaving)| Message::Acknowledge { entries, leaving }),
     ]
     .boxed()
 }
@@ -359,7 +359,7 @@
 pub fn envelope() -> BoxedStrategy<Envelope> {
     let content = prop_oneof![
         control_message().prop_map(Content::Control),
-        spread_message().prop_map(Content::Spread),
+        spread_message().prop_map(Content::Gossip),
         session_beat().prop_map(Content::SessionHeartbeat),
         session_grant().prop_map(Content::SessionHeartbeatReply),
         view().prop_map(Content::Bootstrap),
--- a/proto/tests/golden.rs
+++ b/proto/tests/golden.rs
@@ -13,12 +13,12 @@
     AcceptedConfiguration, AcceptedHistory, Ballot, Body, Change, ControlState, Data, KnownView, Member,
     Message, Position, Record, ReplicaId, StoredConfiguration, View,
 };
+use gradepaddle_gossip::{Aged, Entry, Item, Kind, RangeDigest, RangeEntries, Stamp};
 use gradepaddle_proto::{
     CacheStoreReport, CachedPrefix, Content, ControlCall, Decode, Encode, Envelope, ForwardedCall,
     ForwardedReply, Identity, ModelVersion, PeerLoadReport, PromptChunk, Registration, ServerLoad,
     SessionHeartbeat, SessionHeartbeatReply, VersionQuery, VersionReply, ViewSummary, frame,
 };
-use gradepaddle_spread::{Aged, Entry, Item, Kind, RangeDigest, RangeEntries, Stamp};
 
 const GOLDEN: &str = include_str!("golden/messages.txt");
 
@@ -294,7 +294,7 @@
 
 #[gtest]
 fn messages_of_dissemination_keep_their_bytes() {
-    use gradepaddle_spread::Message;
+    use gradepaddle_gossip::Message;
     let mut golden = Golden::section("dissemination/");
     golden.check("dissemination/entry", &entry(255));
     golden.check("dissemination/entry/default", &empty_entry());
@@ -308,9 +308,9 @@
     golden.check("dissemination/range_digest/default", &RangeDigest { index: 0, hash: 0 });
     golden.check("dissemination/range_entries", &ranges);
     golden.check("dissemination/range_entries/default", &RangeEntries { index: 0, entries: vec![] });
-    let push = Message::Push { items: vec![aged(), aged()], confirm: true, repair: true };
+    let push = Message::Push { items: vec![aged(), aged()], acknowledge: true, repair: true };
     golden.check("dissemination/push", &push);
-    let push = Message::Push { items: vec![], confirm: false, repair: false };
+    let push = Message::Push { items: vec![], acknowledge: false, repair: false };
     golden.check("dissemination/push/default", &push);
     golden.check("dissemination/offer", &Message::Offer { entries: vec![entry(1), entry(2)] });
     golden.check("dissemination/offer/default", &Message::Offer { entries: vec![] });
@@ -320,8 +320,8 @@
     golden.check("dissemination/digest/default", &Message::Digest { ranges: vec![], reply: false });
     golden.check("dissemination/entries", &Message::Entries { ranges: vec![ranges] });
     golden.check("dissemination/entries/default", &Message::Entries { ranges: vec![] });
-    golden.check("dissemination/confirm", &Message::Confirm { entries: vec![entry(1)], leaving: true });
-    golden.check("dissemination/confirm/default", &Message::Confirm { entries: vec![], leaving: false });
+    golden.check("dissemination/confirm", &Message::Acknowledge { entries: vec![entry(1)], leaving: true });
+    golden.check("dissemination/confirm/default", &Message::Acknowledge { entries: vec![], leaving: false });
     golden.all_seen();
 }
 
@@ -500,8 +500,8 @@
     let mut golden = Golden::section("envelope/");
     let control = sent(Body::Heartbeat { epoch: 300, sent: 5_000_000 });
     golden.check("envelope/control", &enveloped(Content::Control(control)));
-    let spread = gradepaddle_spread::Message::Offer { entries: vec![entry(1)] };
-    golden.check("envelope/spread", &enveloped(Content::Spread(spread)));
+    let spread = gradepaddle_gossip::Message::Offer { entries: vec![entry(1)] };
+    golden.check("envelope/spread", &enveloped(Content::Gossip(spread)));
     golden.check("envelope/session_beat", &enveloped(Content::SessionHeartbeat(session_beat())));
     golden.check("envelope/session_grant", &enveloped(Content::SessionHeartbeatReply(session_grant())));
     golden.check("envelope/found", &enveloped(Content::Bootstrap(view())));
--- a/proto/tests/messages.rs
+++ b/proto/tests/messages.rs
@@ -9,12 +9,12 @@
 use gradepaddle_control::{
     ACCEPTED_KEPT, Ballot, Change, ControlState, Data, KnownView, Member, Position, Record, View,
 };
+use gradepaddle_gossip::{Aged, Entry};
 use gradepaddle_proto::{
     CachedPrefix, Content, ControlCall, Decode, DecodeError, Encode, Envelope, FieldWriter, ForwardedCall,
     ForwardedReply, Identity, ModelVersion, PeerLoadReport, Registration, SessionHeartbeat,
     SessionHeartbeatReply,
 };
-use gradepaddle_spread::{Aged, Entry};
 use proptest::collection::vec;
 use proptest::prelude::{Strategy, any, prop_assert, prop_assert_eq, proptest};
 use proptest::test_runner::TestCaseError;
@@ -88,7 +88,7 @@
     stable::<gradepaddle_control::Message>(bytes)?;
     stable::<Entry>(bytes)?;
     stable::<Aged>(bytes)?;
-    stable::<gradepaddle_spread::Message>(bytes)?;
+    stable::<gradepaddle_gossip::Message>(bytes)?;
     stable::<Identity>(bytes)?;
     stable::<SessionHeartbeat>(bytes)?;
     stable::<SessionHeartbeatReply>(bytes)?;
@@ -239,7 +239,7 @@
         expect_that!(unknown_variant::<Record>(1, number), some(eq(number)));
         expect_that!(unknown_variant::<Change>(1, number), some(eq(number)));
         expect_that!(unknown_variant::<gradepaddle_control::Message>(2, number), some(eq(number)));
-        expect_that!(unknown_variant::<gradepaddle_spread::Message>(1, number), some(eq(number)));
+        expect_that!(unknown_variant::<gradepaddle_gossip::Message>(1, number), some(eq(number)));
         expect_that!(unknown_variant::<ControlCall>(1, number), some(eq(number)));
         expect_that!(unknown_variant::<Envelope>(2, number), some(eq(number)));
     }
--- a/system/src/run.rs
+++ b/system/src/run.rs
@@ -24,8 +24,8 @@
     DataPlane, Setup, ShutdownTimes, hear_loads, serve_clients, serve_readiness, shut_down, tell_loads,
 };
 use gradepaddle_engine::{Engine, EngineConfig};
+use gradepaddle_gossip::{Gossip, GossipConfig};
 use gradepaddle_proto::Identity;
-use gradepaddle_spread::{Spread, SpreadConfig};
 use gradepaddle_store::{Done, Storage, StoreError, Writer};
 use slog::{Logger, info, warn};
 use snafu::{OptionExt, ResultExt};
@@ -269,7 +269,7 @@
     let losses = settings.survive.machine_losses as usize;
     Node::new(NodeSetup {
         session: OwnSession::new(identity, seeds.clone(), CLOCK_START),
-        spread: Spread::new(SpreadConfig::builder().address(own).seed(random()).build(), CLOCK_START),
+        spread: Gossip::new(GossipConfig::builder().address(own).seed(random()).build(), CLOCK_START),
         founding: Founding::new(own, &seeds, losses, settings.first_boot, CLOCK_START),
         beat_every: micros(settings.beat_every),
         order_lease: micros(settings.bounds.lease),
