--- a/dataplane/src/admission.rs
+++ b/dataplane/src/admission.rs
@@ -8,17 +8,17 @@
 use gradepaddle_engine::{Part, Wall};
 use gradepaddle_http::Head;
 
-use crate::answer::OwnAnswer;
+use crate::local_response::LocalResponse;
 
 /// The urgency of a request without one.
-const USUAL_PRIORITY: u8 = 5;
+const DEFAULT_PRIORITY: u8 = 5;
 /// The least urgent.
-const LAST_PRIORITY: u8 = 9;
+const LOWEST_PRIORITY: u8 = 9;
 /// How long a client waits that doesn't say.
-const USUAL_DEADLINE: Duration = Duration::from_secs(30);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A request that the configuration allows.
-pub(crate) struct Admitted {
+pub(crate) struct RoutedRequest {
     /// Its client's id for it.
     pub id: Vec<u8>,
     /// The service that gets it.
@@ -30,29 +30,29 @@
     /// Its urgency, 0 first.
     pub priority: u8,
     /// How long it may be held, from its arrival.
-    pub time: Duration,
+    pub timeout: Duration,
     /// Inside this an answer has its full worth.
-    pub aim: Duration,
+    pub latency_target: Duration,
     /// Inside this its events have to follow one another, if its route says so.
-    pub gap_aim: Option<Duration>,
+    pub event_gap_target: Option<Duration>,
     /// The most servers it may be sent to.
-    pub tries: u32,
+    pub max_attempts: u32,
     /// It may run more than once.
-    pub may_repeat: bool,
+    pub idempotent: bool,
     /// Its answer is a stream of events.
     pub streaming: bool,
     /// Its stream may be taken up at another server.
     pub resumable: bool,
     /// The last event that its client has.
-    pub last_event: Option<u64>,
+    pub last_event_id: Option<u64>,
     /// The model.
     pub model: Option<String>,
     /// The parts of its prompt, in order.
-    pub parts: Vec<Part>,
+    pub prompt: Vec<Part>,
     /// Tokens of its prompt.
-    pub tokens_in: u32,
+    pub prompt_tokens: u32,
     /// Tokens put out at the most.
-    pub tokens_out: u32,
+    pub max_output_tokens: u32,
 }
 
 /// Finds what a request may do.
@@ -60,36 +60,40 @@
 /// # Errors
 ///
 /// The answer to a request that no configuration in force allows.
-pub(crate) fn admit(configuration: &Configuration, head: &Head, wall: u64) -> Result<Admitted, OwnAnswer> {
-    let host = head.get("host").filter(|_| head.all("host").count() == 1).ok_or(OwnAnswer::Malformed)?;
-    let route = configuration.route(host, head.path()).ok_or(OwnAnswer::NoRoute)?;
+pub(crate) fn route_request(
+    configuration: &Configuration,
+    head: &Head,
+    wall: u64,
+) -> Result<RoutedRequest, LocalResponse> {
+    let host = head.get("host").filter(|_| head.all("host").count() == 1).ok_or(LocalResponse::BadRequest)?;
+    let route = configuration.route(host, head.path()).ok_or(LocalResponse::NotFound)?;
     let tenant = tenant(configuration, route, head)?;
     let id = head.all("x-request-id").next().unwrap_or_default().to_vec();
-    let service = pick_service(route, &id).ok_or(OwnAnswer::NoRoute)?;
-    let (tokens_in, tokens_out) = head.get("x-token-count").map(token_counts).unwrap_or_default();
+    let service = select_service(route, &id).ok_or(LocalResponse::NotFound)?;
+    let (prompt_tokens, max_output_tokens) = head.get("x-token-count").map(token_counts).unwrap_or_default();
     let asked = head.get("x-deadline-ms").and_then(|text| text.trim().parse::<f64>().ok());
     let asked = asked.filter(|ms| ms.is_finite() && *ms >= 0.0);
-    let asked = asked.map_or(USUAL_DEADLINE, |ms| Duration::from_secs_f64(ms.min(86_400_000.0) / 1000.0));
-    Ok(Admitted {
+    let asked = asked.map_or(DEFAULT_TIMEOUT, |ms| Duration::from_secs_f64(ms.min(86_400_000.0) / 1000.0));
+    Ok(RoutedRequest {
         service,
         wall: match tenant {
             Some(tenant) if tenant.isolated => Wall::Tenant(tenant.name.clone()),
             _ => Wall::Shared(wall),
         },
-        priority: tenant.and_then(|tenant| tenant.priority).unwrap_or(route.priority).min(LAST_PRIORITY),
+        priority: tenant.and_then(|tenant| tenant.priority).unwrap_or(route.priority).min(LOWEST_PRIORITY),
         tenant: tenant.map(|tenant| tenant.name.clone()),
-        time: asked.min(route.timeout),
-        aim: route.target,
-        gap_aim: route.gap_aim,
-        tries: route.tries.max(1),
-        may_repeat: route.may_repeat(),
+        timeout: asked.min(route.timeout),
+        latency_target: route.target,
+        event_gap_target: route.gap_aim,
+        max_attempts: route.tries.max(1),
+        idempotent: route.may_repeat(),
         streaming: route.kind == gradepaddle_config::RouteKind::Streaming,
         resumable: route.resumable,
-        last_event: head.get("last-event-id").and_then(|text| text.trim().parse().ok()),
+        last_event_id: head.get("last-event-id").and_then(|text| text.trim().parse().ok()),
         model: head.get("x-model").map(str::to_owned),
-        parts: head.get("x-prompt-prefix").map(parts).unwrap_or_default(),
-        tokens_in,
-        tokens_out,
+        prompt: head.get("x-prompt-prefix").map(prompt_chunks).unwrap_or_default(),
+        prompt_tokens,
+        max_output_tokens,
         id,
     })
 }
@@ -99,17 +103,17 @@
     configuration: &'a Configuration,
     route: &Route,
     head: &Head,
-) -> Result<Option<&'a Tenant>, OwnAnswer> {
+) -> Result<Option<&'a Tenant>, LocalResponse> {
     let known = head.get("x-api-key").and_then(|key| configuration.tenant_by_key(key.trim()));
     let needed = !route.public && !configuration.tenants.is_empty();
     match known {
-        None if needed => Err(OwnAnswer::UnknownKey),
+        None if needed => Err(LocalResponse::Unauthorized),
         known => Ok(known),
     }
 }
 
 /// One of the route's services by weight. The same request goes the same way at every node.
-fn pick_service(route: &Route, id: &[u8]) -> Option<Arc<str>> {
+fn select_service(route: &Route, id: &[u8]) -> Option<Arc<str>> {
     if let [only] = &route.split[..] {
         return Some(only.service.clone());
     }
@@ -133,17 +137,17 @@
 }
 
 /// The parts of a prompt; what can't be read ends the list.
-fn parts(text: &str) -> Vec<Part> {
-    text.split(',').map_while(part).collect()
+fn prompt_chunks(text: &str) -> Vec<Part> {
+    text.split(',').map_while(prompt_chunk).collect()
 }
 
-fn part(text: &str) -> Option<Part> {
+fn prompt_chunk(text: &str) -> Option<Part> {
     let (id, tokens) = text.trim().split_once(':')?;
-    Some(Part { id: part_id(id), tokens: tokens.trim().parse().ok()? })
+    Some(Part { id: chunk_id(id), tokens: tokens.trim().parse().ok()? })
 }
 
 /// A part's id as a number; one that is no hexadecimal number of 64 bits is hashed.
-pub(crate) fn part_id(text: &str) -> u64 {
+pub(crate) fn chunk_id(text: &str) -> u64 {
     u64::from_str_radix(text, 16).unwrap_or_else(|_| {
         let mut hasher = DefaultHasher::new();
         text.hash(&mut hasher);
@@ -153,5 +157,5 @@
 
 /// The value of the `Priority` field: absent means the usual.
 pub(crate) fn priority_field(priority: u8) -> Option<u8> {
-    (priority != USUAL_PRIORITY).then_some(priority)
+    (priority != DEFAULT_PRIORITY).then_some(priority)
 }
--- a/dataplane/src/attempt.rs
+++ b/dataplane/src/attempt.rs
@@ -4,8 +4,8 @@
 use gradepaddle_http::buffers::{Chain, Pool};
 use gradepaddle_http::{Body, Connection, Fault, Framing, Head, push_headers};
 
-use crate::admission::{Admitted, priority_field};
-use crate::upstream::Lease;
+use crate::admission::{RoutedRequest, priority_field};
+use crate::upstream_pool::PooledConnection;
 
 /// Fields that the node sets itself, whatever the client sent.
 const OWN_FIELDS: [&str; 12] = [
@@ -35,13 +35,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptFailure {
     /// The connection broke before any of the answer came; the request may have run.
-    Broken,
+    ConnectionLost,
     /// What came is no answer to this request; it may have run.
-    Spoilt,
+    InvalidResponse,
 }
 
 /// A server's answer, of which the head has been read.
-pub(crate) struct Upstream {
+pub(crate) struct UpstreamResponse {
     /// The connection, with the body behind the head.
     pub connection: Connection,
     /// The head.
@@ -55,7 +55,7 @@
 }
 
 /// What a server says of its answer besides.
-impl Upstream {
+impl UpstreamResponse {
     /// The request did not run: the server says so. A success that says so contradicts itself.
     pub fn did_not_run(&self) -> bool {
         self.status == 421 || (self.status >= 400 && self.head.get("x-not-run").is_some())
@@ -80,7 +80,7 @@
 pub(crate) fn request_head(
     pool: &Pool,
     head: &Head,
-    admitted: &Admitted,
+    admitted: &RoutedRequest,
     choice: &Choice,
     body: usize,
     deadline_ms: u64,
@@ -135,9 +135,9 @@
 
 /// A connection with a request that has no answer yet. If it is given up, what of the request is still on this machine
 /// is taken back: a close alone would go on delivering it, and begin work that nobody waits for.
-struct Asked(Option<Connection>);
+struct AbortOnDrop(Option<Connection>);
 
-impl Drop for Asked {
+impl Drop for AbortOnDrop {
     fn drop(&mut self) {
         if let Some(connection) = &self.0 {
             connection.break_off();
@@ -152,30 +152,30 @@
 ///
 /// [`AttemptFailure`]; the request may have run in either case.
 pub(crate) async fn exchange(
-    lease: Lease,
+    lease: PooledConnection,
     request: &[&Chain],
     id: &[u8],
     method: &str,
-) -> Result<Upstream, AttemptFailure> {
-    let mut asked = Asked(Some(lease.connection));
-    let Some(connection) = &mut asked.0 else { return Err(AttemptFailure::Broken) };
+) -> Result<UpstreamResponse, AttemptFailure> {
+    let mut asked = AbortOnDrop(Some(lease.connection));
+    let Some(connection) = &mut asked.0 else { return Err(AttemptFailure::ConnectionLost) };
     connection.send(request);
     for _ in 0..SURPLUS_MOST {
         let head = final_head(connection).await?;
-        let status = head.status().map_err(|_| AttemptFailure::Spoilt)?;
+        let status = head.status().map_err(|_| AttemptFailure::InvalidResponse)?;
         let framing = framing(&head, method)?;
-        let body = Body::new(framing).map_err(|_| AttemptFailure::Spoilt)?;
+        let body = Body::new(framing).map_err(|_| AttemptFailure::InvalidResponse)?;
         if is_for(&head, id) {
             let Some(connection) = asked.0.take() else { break };
-            return Ok(Upstream { connection, head, status, body, framing });
+            return Ok(UpstreamResponse { connection, head, status, body, framing });
         }
         // How long it is depends on what it answers: the request of another exchange, not this HEAD.
         if method == "HEAD" {
-            return Err(AttemptFailure::Spoilt);
+            return Err(AttemptFailure::InvalidResponse);
         }
         pass_over(connection, body).await?;
     }
-    Err(AttemptFailure::Spoilt)
+    Err(AttemptFailure::InvalidResponse)
 }
 
 /// The next head that is no interim answer's.
@@ -185,10 +185,10 @@
         match head.status() {
             Ok(100..=199) => {}
             Ok(_) => return Ok(head),
-            Err(_) => return Err(AttemptFailure::Spoilt),
+            Err(_) => return Err(AttemptFailure::InvalidResponse),
         }
     }
-    Err(AttemptFailure::Spoilt)
+    Err(AttemptFailure::InvalidResponse)
 }
 
 /// How the body of an answer is framed. One that only the connection's end would end is taken where that is announced.
@@ -197,9 +197,9 @@
         return Ok(Framing::Length(0));
     }
     match head.framing(Framing::UntilClose) {
-        Ok(Framing::UntilClose) if head.keeps_alive() => Err(AttemptFailure::Spoilt),
+        Ok(Framing::UntilClose) if head.keeps_alive() => Err(AttemptFailure::InvalidResponse),
         Ok(framing) => Ok(framing),
-        Err(_) => Err(AttemptFailure::Spoilt),
+        Err(_) => Err(AttemptFailure::InvalidResponse),
     }
 }
 
@@ -217,7 +217,7 @@
         let whole = connection.read_piece(&mut body, &mut bytes, SURPLUS_BYTES).await;
         match whole {
             Ok(true) => return Ok(()),
-            Ok(false) if bytes.len() >= SURPLUS_BYTES => return Err(AttemptFailure::Spoilt),
+            Ok(false) if bytes.len() >= SURPLUS_BYTES => return Err(AttemptFailure::InvalidResponse),
             Ok(false) => {}
             Err(fault) => return Err(failure(&fault)),
         }
@@ -226,7 +226,7 @@
 
 pub(crate) fn failure(fault: &Fault) -> AttemptFailure {
     match fault {
-        Fault::Ended => AttemptFailure::Broken,
-        _ => AttemptFailure::Spoilt,
+        Fault::Ended => AttemptFailure::ConnectionLost,
+        _ => AttemptFailure::InvalidResponse,
     }
 }
--- a/dataplane/src/kept_events/call.rs
+++ b/dataplane/src/cache_events/calls.rs
@@ -47,34 +47,34 @@
 /// What a store keeps at this moment.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub(super) struct Held {
+pub(super) struct CacheContents {
     pub epoch: u64,
     pub next_token: u64,
     #[serde(default)]
-    pub held: Vec<HeldPart>,
+    pub held: Vec<CachedChunk>,
 }
 
 /// Salt, part, tokens, model.
 #[derive(Deserialize)]
-pub(super) struct HeldPart(pub String, pub String, pub u32, pub String);
+pub(super) struct CachedChunk(pub String, pub String, pub u32, pub String);
 
 /// A connection to a store for such calls.
-pub(super) struct EventCalls<'a> {
+pub(super) struct EventClient<'a> {
     address: SocketAddrV4,
     connection: Connection,
     pool: &'a Pool,
 }
 
-impl<'a> EventCalls<'a> {
+impl<'a> EventClient<'a> {
     /// Connects.
-    pub async fn dial(address: SocketAddrV4, pool: &'a Pool) -> Option<Self> {
+    pub async fn connect(address: SocketAddrV4, pool: &'a Pool) -> Option<Self> {
         let dialled = timeout(DIAL_WITHIN, TcpSocket::new_v4().ok()?.connect(address.into())).await;
         let stream = dialled.ok()?.ok()?;
-        Some(EventCalls { address, connection: Connection::new(stream, pool, ()), pool })
+        Some(EventClient { address, connection: Connection::new(stream, pool, ()), pool })
     }
 
     /// Asks for what is kept.
-    pub async fn held(&mut self) -> Option<Held> {
+    pub async fn contents(&mut self) -> Option<CacheContents> {
         self.call("/v1/kv-list", None).await
     }
 
--- a/dataplane/src/kept_events/stores.rs
+++ b/dataplane/src/cache_events/subscriber.rs
@@ -12,10 +12,10 @@
 use gradepaddle_engine::{Kept, KeptTokens, StoreChanges, holder_hash, kept_key};
 use tokio::time::{Instant, sleep};
 
-use super::call::{Event, EventCalls, HeldPart};
-use super::feeds::{Source, StoreWatch, is_to_tell};
-use crate::admission::part_id;
-use crate::shared::DataPlane;
+use super::calls::{CachedChunk, Event, EventClient};
+use super::subscriptions::{CacheStoreKey, StoreHealthListener, should_report_health};
+use crate::admission::chunk_id;
+use crate::data_plane::DataPlane;
 
 /// A source that did not answer is called again after this.
 const PAUSE: Duration = Duration::from_millis(400);
@@ -26,20 +26,20 @@
 
 impl DataPlane {
     /// Tells this node's place in an order of all nodes that all agree on.
-    pub fn set_rank(self: &Rc<Self>, rank: usize) {
-        if self.feeds.rank.replace(rank) != rank {
-            self.update_feeds();
+    pub fn set_listener_rank(self: &Rc<Self>, rank: usize) {
+        if self.cache_stores.rank.replace(rank) != rank {
+            self.update_subscriptions();
         }
     }
 
     /// Has changes of a store's answering told to others, if this node is the first to listen.
-    pub fn watch_stores(&self, watch: StoreWatch) {
-        *self.feeds.watch.borrow_mut() = Some(watch);
+    pub fn set_store_health_listener(&self, watch: StoreHealthListener) {
+        *self.cache_stores.watch.borrow_mut() = Some(watch);
     }
 
     /// Another node has told whether a store answers.
-    pub fn store_told(&self, name: &str, alive: bool) {
-        self.feeds.told_alive.borrow_mut().insert(Arc::from(name), alive);
+    pub fn set_reported_store_health(&self, name: &str, alive: bool) {
+        self.cache_stores.reported_alive.borrow_mut().insert(Arc::from(name), alive);
         if !alive {
             let now = self.now();
             self.engine.borrow_mut().source_failed(now, name);
@@ -47,10 +47,10 @@
     }
 
     /// Stores that this node does not listen to count as heard while others say so.
-    pub(crate) fn sweep_stores(&self) {
+    pub(crate) fn renew_reported_stores(&self) {
         let now = self.now();
-        let running = self.feeds.running.borrow();
-        for (name, _) in self.feeds.told_alive.borrow().iter().filter(|(_, alive)| **alive) {
+        let running = self.cache_stores.running.borrow();
+        for (name, _) in self.cache_stores.reported_alive.borrow().iter().filter(|(_, alive)| **alive) {
             if !running.keys().any(|(listened, _)| listened == name) {
                 self.engine.borrow_mut().holder_heard(now, name);
             }
@@ -58,10 +58,10 @@
     }
 
     /// Listens to the stores of the configuration in force, and to no others.
-    pub(crate) fn update_feeds(self: &Rc<Self>) {
+    pub(crate) fn update_subscriptions(self: &Rc<Self>) {
         let Some(configuration) = self.configuration() else { return };
-        let wanted = stores(&configuration, self.feeds.rank.get());
-        let mut running = self.feeds.running.borrow_mut();
+        let wanted = stores(&configuration, self.cache_stores.rank.get());
+        let mut running = self.cache_stores.running.borrow_mut();
         running.retain(|key, task| {
             let stays = wanted.contains(key);
             if !stays {
@@ -71,7 +71,7 @@
         });
         for key in wanted {
             running.entry(key.clone()).or_insert_with(|| {
-                let feed = Feed { plane: self.clone(), name: key.0, address: key.1 };
+                let feed = Subscription { plane: self.clone(), name: key.0, address: key.1 };
                 tokio::task::spawn_local(feed.run())
             });
         }
@@ -79,7 +79,7 @@
 }
 
 /// The stores that a node of this rank listens to.
-fn stores(configuration: &Configuration, rank: usize) -> Vec<Source> {
+fn stores(configuration: &Configuration, rank: usize) -> Vec<CacheStoreKey> {
     let stores = configuration.services.iter().filter_map(|service| match &service.kind {
         ServiceKind::Store { address, max_in_flight, .. } => {
             let listeners = (*max_in_flight as usize).saturating_sub(CALLS_LEFT).max(1);
@@ -91,19 +91,19 @@
 }
 
 /// One store that is listened to.
-struct Feed {
+struct Subscription {
     plane: Rc<DataPlane>,
     name: Arc<str>,
     address: SocketAddrV4,
 }
 
-impl Feed {
+impl Subscription {
     async fn run(self) {
         loop {
-            if let Some(mut calls) = EventCalls::dial(self.address, &self.plane.pool).await {
+            if let Some(mut calls) = EventClient::connect(self.address, &self.plane.pool).await {
                 self.listen(&mut calls).await;
             }
-            self.tell(false);
+            self.report_health(false);
             let now = self.plane.now();
             self.plane.engine.borrow_mut().source_failed(now, &self.name);
             sleep(PAUSE).await;
@@ -112,26 +112,26 @@
 
     /// Has all nodes know whether the store answers, where this node is the one to tell and something else is known.
     /// Nodes that know few others yet take themselves for the first one, and may have told what is wrong.
-    fn tell(&self, alive: bool) {
-        let feeds = &self.plane.feeds;
-        let known = feeds.told_alive.borrow().get(&self.name).copied();
-        if is_to_tell(feeds.rank.get(), known, alive)
-            && let Some(watch) = &*feeds.watch.borrow()
+    fn report_health(&self, alive: bool) {
+        let cache_stores = &self.plane.cache_stores;
+        let known = cache_stores.reported_alive.borrow().get(&self.name).copied();
+        if should_report_health(cache_stores.rank.get(), known, alive)
+            && let Some(watch) = &*cache_stores.watch.borrow()
         {
             watch(&self.name, alive);
         }
     }
 
     /// Takes in what a store keeps, and then what changes, until a call fails.
-    async fn listen(&self, calls: &mut EventCalls<'_>) -> Option<()> {
-        let held = calls.held().await?;
-        let (mut epoch, mut since) = (held.epoch, held.next_token);
+    async fn listen(&self, calls: &mut EventClient<'_>) -> Option<()> {
+        let contents = calls.contents().await?;
+        let (mut epoch, mut since) = (contents.epoch, contents.next_token);
         self.reset();
-        for HeldPart(salt, part, tokens, model) in &held.held {
+        for CachedChunk(salt, part, tokens, model) in &contents.held {
             self.added(salt, part, *tokens, model);
         }
         loop {
-            self.tell(true);
+            self.report_health(true);
             let begun = Instant::now();
             let events = calls.events(since).await?;
             let reset = events.epoch != epoch || events.lost;
@@ -141,7 +141,7 @@
             (epoch, since) = (events.epoch, events.next_token);
             let now = self.plane.now();
             self.plane.engine.borrow_mut().holder_heard(now, &self.name);
-            self.tell_changes(&events.events, reset);
+            self.share_changes(&events.events, reset);
             for Event(_, sign, salt, part, tokens, model) in &events.events {
                 match &**sign {
                     "+" => self.added(salt, part, *tokens, model),
@@ -153,12 +153,12 @@
     }
 
     /// Has nodes that do not listen told what changed, where this node is the one to tell.
-    fn tell_changes(&self, events: &[Event], reset: bool) {
-        if self.plane.feeds.rank.get() > 0 || (events.is_empty() && !reset) {
+    fn share_changes(&self, events: &[Event], reset: bool) {
+        if self.plane.cache_stores.rank.get() > 0 || (events.is_empty() && !reset) {
             return;
         }
         let parts = events.iter().map(|Event(_, _, salt, part, tokens, _)| KeptTokens {
-            key: kept_key(salt, part_id(part)),
+            key: kept_key(salt, chunk_id(part)),
             tokens: *tokens,
         });
         let changes = StoreChanges { store: holder_hash(&self.name), reset, parts: parts.collect() };
@@ -171,13 +171,13 @@
     }
 
     fn added(&self, salt: &str, part: &str, tokens: u32, model: &str) {
-        let kept = Kept::Added { salt, part: part_id(part), tokens, model };
+        let kept = Kept::Added { salt, part: chunk_id(part), tokens, model };
         let now = self.plane.now();
         self.plane.engine.borrow_mut().kept_event(now, &self.name, kept);
     }
 
     fn dropped(&self, salt: &str, part: &str, tokens: u32, model: &str) {
-        let kept = Kept::Dropped { salt, part: part_id(part), tokens, model };
+        let kept = Kept::Dropped { salt, part: chunk_id(part), tokens, model };
         let now = self.plane.now();
         self.plane.engine.borrow_mut().kept_event(now, &self.name, kept);
     }
--- a/dataplane/src/kept_events/feeds.rs
+++ b/dataplane/src/cache_events/subscriptions.rs
@@ -8,24 +8,24 @@
 use tokio::task::JoinHandle;
 
 /// Told whether a store answers, whenever that changes.
-pub type StoreWatch = Box<dyn Fn(&str, bool)>;
+pub type StoreHealthListener = Box<dyn Fn(&str, bool)>;
 
 /// A store by name and address.
-pub(crate) type Source = (Arc<str>, SocketAddrV4);
+pub(crate) type CacheStoreKey = (Arc<str>, SocketAddrV4);
 
 /// The stores that this node listens to.
 #[derive(Default)]
-pub(crate) struct Feeds {
-    pub running: RefCell<HashMap<Source, JoinHandle<()>>>,
+pub(crate) struct CacheStoreSubscriptions {
+    pub running: RefCell<HashMap<CacheStoreKey, JoinHandle<()>>>,
     /// This node's place among all, by which it is told whether it listens.
     pub rank: Cell<usize>,
     /// Stores of which others told that they answer.
-    pub told_alive: RefCell<HashMap<Arc<str>, bool>>,
-    pub watch: RefCell<Option<StoreWatch>>,
+    pub reported_alive: RefCell<HashMap<Arc<str>, bool>>,
+    pub watch: RefCell<Option<StoreHealthListener>>,
 }
 
 /// Whether a node of this rank has to tell all others that a store answers or doesn't: the first one, whenever something
 /// else is known of it. What a node told that took itself for the first is mended so.
-pub fn is_to_tell(rank: usize, known: Option<bool>, alive: bool) -> bool {
+pub fn should_report_health(rank: usize, known: Option<bool>, alive: bool) -> bool {
     rank == 0 && known != Some(alive)
 }
--- a/dataplane/src/client.rs
+++ b/dataplane/src/client_connection.rs
@@ -9,10 +9,10 @@
 use tokio::net::TcpListener;
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::admission::{Admitted, admit};
-use crate::answer::OwnAnswer;
-use crate::exchange::{Exchange, Left};
-use crate::shared::{DataPlane, OpenRequest, Phase, count};
+use crate::admission::{RoutedRequest, route_request};
+use crate::data_plane::{DataPlane, OpenRequestGuard, Phase, count};
+use crate::local_response::LocalResponse;
+use crate::proxied_request::{ProxiedRequest, RequestOutcome};
 
 /// After an accept that failed (descriptors are short), none is tried for this long.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
@@ -58,11 +58,11 @@
 
 /// What came where a request was due.
 enum Next {
-    Request(Head, Chain, OpenRequest),
+    Request(Head, Chain, OpenRequestGuard),
     /// Nothing is owed: the client has gone or has said nothing.
     Nothing,
     /// An answer is owed, behind which the connection ends.
-    Fault(OwnAnswer),
+    Fault(LocalResponse),
 }
 
 async fn serve(plane: Rc<DataPlane>, mut client: Connection) {
@@ -80,15 +80,15 @@
                 let arrived = Instant::now();
                 let close = !head.keeps_alive()
                     || head.is_old()
-                    || plane.ends_connections()
-                    || plane.keys_have_lapsed();
+                    || plane.closes_connections()
+                    || plane.key_validity_expired();
                 match answer(&plane, &mut client, &head, &body, arrived, close).await {
-                    Left::Answered if !close => {}
-                    Left::Answered => {
+                    RequestOutcome::Responded if !close => {}
+                    RequestOutcome::Responded => {
                         drop(open);
                         return client.linger().await;
                     }
-                    Left::Broken => return,
+                    RequestOutcome::Aborted => return,
                 }
             }
         }
@@ -103,49 +103,53 @@
     body: &Chain,
     arrived: Instant,
     close: bool,
-) -> Left {
+) -> RequestOutcome {
     count(&plane.counters.requests);
     let admitted = tokio::select! {
         biased;
-        () = client.left() => return Left::Broken,
+        () = client.left() => return RequestOutcome::Aborted,
         admitted = admitted(plane, head) => admitted,
     };
     match admitted {
-        Ok(admitted) => Exchange { plane, head, body, admitted, arrived }.run(client, close).await,
+        Ok(admitted) => ProxiedRequest { plane, head, body, admitted, arrived }.run(client, close).await,
         Err(own) => {
             count(&plane.counters.denied);
             let id = head.all("x-request-id").next();
             let chain = own.write(&plane.pool, id, close);
             match client.write(&[&chain]).await {
-                Ok(()) => Left::Answered,
-                Err(_) => Left::Broken,
+                Ok(()) => RequestOutcome::Responded,
+                Err(_) => RequestOutcome::Aborted,
             }
         }
     }
 }
 
 /// What the request may do, or the answer to one that is not begun.
-async fn admitted(plane: &Rc<DataPlane>, head: &Head) -> Result<Admitted, OwnAnswer> {
+async fn admitted(plane: &Rc<DataPlane>, head: &Head) -> Result<RoutedRequest, LocalResponse> {
     // A request begun now could still be at work when the process has to end.
-    if !plane.begins_requests() {
-        return Err(OwnAnswer::Refused(CLOSING_PAUSE));
+    if !plane.accepts_requests() {
+        return Err(LocalResponse::Unavailable(CLOSING_PAUSE));
     }
-    let configured = plane.configured_within(CONFIGURED_WITHIN).await;
+    let configured = plane.wait_for_configuration(CONFIGURED_WITHIN).await;
     if configured.is_some_and(|configuration| configuration.needs_key()) {
-        plane.keys_shown_within(SHOWN_WITHIN).await;
+        plane.wait_for_key_validity(SHOWN_WITHIN).await;
     }
     // What is shown counts for the configuration that is in force now, not for one of before the wait.
     match plane.configuration() {
         Some(configuration) => {
-            let admitted = admit(&configuration, head, plane.shared_wall());
+            let admitted = route_request(&configuration, head, plane.shared_isolation());
             let by_key = match &admitted {
                 Ok(admitted) => admitted.tenant.is_some(),
-                Err(answer) => *answer == OwnAnswer::UnknownKey,
+                Err(answer) => *answer == LocalResponse::Unauthorized,
             };
             // The key may have been taken away, or given, without word of it.
-            if by_key && plane.keys_have_lapsed() { Err(OwnAnswer::Refused(LAPSED_PAUSE)) } else { admitted }
+            if by_key && plane.key_validity_expired() {
+                Err(LocalResponse::Unavailable(LAPSED_PAUSE))
+            } else {
+                admitted
+            }
         }
-        None => Err(OwnAnswer::Refused(UNCONFIGURED_PAUSE)),
+        None => Err(LocalResponse::Unavailable(UNCONFIGURED_PAUSE)),
     }
 }
 
@@ -159,19 +163,19 @@
         return Next::Nothing;
     }
     // Open from its first byte: a process that ends meanwhile waits for the rest, and answers it.
-    let open = plane.open_request();
+    let open = plane.track_request();
     // Those in force by now: the connection may be older than the configuration.
     let limits = limits(plane);
     client.set_limits(limits.max_header_bytes, limits.max_body_bytes as u64);
     let head = match timeout(limits.header_timeout, client.read_head()).await {
         Ok(Ok(head)) => head,
         Ok(Err(fault)) => return fault_of(&fault),
-        Err(_) => return Next::Fault(OwnAnswer::TooSlow),
+        Err(_) => return Next::Fault(LocalResponse::RequestTimeout),
     };
     if head.check_request().is_err() {
-        return Next::Fault(OwnAnswer::Malformed);
+        return Next::Fault(LocalResponse::BadRequest);
     }
-    let Ok(framing) = head.framing(Framing::Length(0)) else { return Next::Fault(OwnAnswer::Malformed) };
+    let Ok(framing) = head.framing(Framing::Length(0)) else { return Next::Fault(LocalResponse::BadRequest) };
     if head.lists("expect", "100-continue") {
         let mut go_on = plane.pool.chain();
         go_on.push(b"HTTP/1.1 100 Continue\r\n\r\n");
@@ -182,7 +186,7 @@
     match timeout(BODY_WITHIN, read_body(plane, client, framing, limits.max_body_bytes)).await {
         Ok(Ok(body)) => Next::Request(head, body, open),
         Ok(Err(fault)) => fault_of(&fault),
-        Err(_) => Next::Fault(OwnAnswer::TooSlow),
+        Err(_) => Next::Fault(LocalResponse::RequestTimeout),
     }
 }
 
@@ -210,8 +214,8 @@
 fn fault_of(fault: &Fault) -> Next {
     match fault {
         Fault::Ended => Next::Nothing,
-        Fault::Malformed(_) => Next::Fault(OwnAnswer::Malformed),
-        Fault::LongHead => Next::Fault(OwnAnswer::LongHead),
-        Fault::LongBody => Next::Fault(OwnAnswer::LongBody),
+        Fault::Malformed(_) => Next::Fault(LocalResponse::BadRequest),
+        Fault::LongHead => Next::Fault(LocalResponse::HeadTooLarge),
+        Fault::LongBody => Next::Fault(LocalResponse::ContentTooLarge),
     }
 }
--- a/dataplane/src/shared.rs
+++ b/dataplane/src/data_plane.rs
@@ -13,9 +13,9 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout, timeout_at};
 
-use crate::kept_events::Feeds;
-use crate::load_sharing::Sharing;
-use crate::upstream::Upstreams;
+use crate::cache_events::CacheStoreSubscriptions;
+use crate::load_reports::LoadReports;
+use crate::upstream_pool::UpstreamPool;
 
 /// How far the process is from its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -43,11 +43,11 @@
 
 /// What shows that the keys of a configuration are good.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct KeyEvidence {
+pub struct KeyValidity {
     /// The version of the configuration, or a later one.
     pub version: u64,
     /// Until when (by [`DataPlane::now`]); 0 if nothing shows it yet.
-    pub until: Micros,
+    pub valid_until: Micros,
 }
 
 /// Counts since the start.
@@ -56,17 +56,17 @@
     /// Requests that were read whole.
     pub requests: Cell<u64>,
     /// Answers with a server's success.
-    pub served: Cell<u64>,
+    pub responses: Cell<u64>,
     /// Refusals with a promise that the request did not run.
-    pub refused: Cell<u64>,
+    pub rejected: Cell<u64>,
     /// Requests turned down as not allowed by the configuration.
     pub denied: Cell<u64>,
     /// Requests that failed, or whose answer was cut.
     pub failed: Cell<u64>,
     /// Attempts beyond the first of a request.
-    pub repeats: Cell<u64>,
+    pub retries: Cell<u64>,
     /// Attempts taken back, since they had not begun as their server's weights got too old.
-    pub outdated: Cell<u64>,
+    pub withdrawn: Cell<u64>,
     /// Streams taken up at another server.
     pub resumed: Cell<u64>,
 }
@@ -83,25 +83,25 @@
     /// Counts since the start.
     pub counters: Counters,
     pub(crate) pool: Pool,
-    pub(crate) upstreams: Upstreams,
+    pub(crate) upstreams: UpstreamPool,
     pub(crate) log: Logger,
     configuration: RefCell<Option<Rc<Configuration>>>,
-    shared_wall: Cell<u64>,
+    shared_isolation: Cell<u64>,
     started: Instant,
     configured: watch::Sender<bool>,
     phase: watch::Sender<Phase>,
     open: Cell<usize>,
     has_control: Cell<bool>,
     /// What shows that keys are good; none where that needs nothing.
-    keys: Cell<Option<KeyEvidence>>,
+    keys: Cell<Option<KeyValidity>>,
     /// Whether they could be when that was last looked at, for the log.
     keys_lapsed: Cell<bool>,
     /// Told when there is other evidence of keys.
     keys_changed: watch::Sender<()>,
     /// Told when versions are named or postponed.
     versions_changed: watch::Sender<()>,
-    pub(crate) feeds: Feeds,
-    pub(crate) sharing: Sharing,
+    pub(crate) cache_stores: CacheStoreSubscriptions,
+    pub(crate) load_reports: LoadReports,
 }
 
 impl DataPlane {
@@ -111,10 +111,10 @@
             engine: RefCell::new(setup.engine),
             counters: Counters::default(),
             pool: Pool::default(),
-            upstreams: Upstreams::new(),
+            upstreams: UpstreamPool::new(),
             log: setup.log,
             configuration: RefCell::new(None),
-            shared_wall: Cell::new(0),
+            shared_isolation: Cell::new(0),
             started: Instant::now(),
             configured: watch::Sender::new(false),
             phase: watch::Sender::new(Phase::Serving),
@@ -124,8 +124,8 @@
             keys_lapsed: Cell::new(false),
             keys_changed: watch::Sender::new(()),
             versions_changed: watch::Sender::new(()),
-            feeds: Feeds::default(),
-            sharing: Sharing::new(setup.zone),
+            cache_stores: CacheStoreSubscriptions::default(),
+            load_reports: LoadReports::new(setup.zone),
         })
     }
 
@@ -140,7 +140,7 @@
     }
 
     /// The configuration in force, waited for if there is none yet.
-    pub(crate) async fn configured_within(&self, span: Duration) -> Option<Rc<Configuration>> {
+    pub(crate) async fn wait_for_configuration(&self, span: Duration) -> Option<Rc<Configuration>> {
         if self.configuration.borrow().is_none() {
             let mut configured = self.configured.subscribe();
             // Without one in time the caller is told that there is none.
@@ -158,22 +158,22 @@
         for tenant in configuration.isolated_tenants() {
             tenant.name.hash(&mut hasher);
         }
-        self.shared_wall.set(hasher.finish());
+        self.shared_isolation.set(hasher.finish());
         let now = self.now();
         self.engine.borrow_mut().set_services(now, services(&configuration));
         info!(self.log, "configuration in force"; "version" => configuration.version);
         *self.configuration.borrow_mut() = Some(Rc::new(configuration));
         self.configured.send_replace(true);
-        self.update_feeds();
+        self.update_subscriptions();
     }
 
     /// The identity of the set of isolated tenants, which keeps parts made under another set apart.
-    pub(crate) fn shared_wall(&self) -> u64 {
-        self.shared_wall.get()
+    pub(crate) fn shared_isolation(&self) -> u64 {
+        self.shared_isolation.get()
     }
 
     /// Newer weights were named: nothing older may begin from `binds_in` after now.
-    pub fn name_version(&self, model: &str, version: u64, binds_in: Micros) {
+    pub fn announce_version(&self, model: &str, version: u64, binds_in: Micros) {
         let binds_at = self.now() + binds_in;
         self.engine.borrow_mut().name_version(binds_at, model, version);
         self.versions_changed.send_replace(());
@@ -187,7 +187,7 @@
     }
 
     /// Ready once an attempt has to be taken back: it has not begun, and its server's weights are about to be too old.
-    pub(crate) async fn outdated(&self, attempt: AttemptId) {
+    pub(crate) async fn version_deadline_passed(&self, attempt: AttemptId) {
         let mut changes = self.versions_changed.subscribe();
         loop {
             // The sender lives as long as this does: a change or a time-out ends each wait.
@@ -203,37 +203,37 @@
     }
 
     /// An attempt was taken back, since it had not begun as its server's weights got too old.
-    pub(crate) fn took_back(&self, server: &str) {
-        count(&self.counters.outdated);
+    pub(crate) fn attempt_withdrawn(&self, server: &str) {
+        count(&self.counters.withdrawn);
         info!(self.log, "request taken back"; "server" => server);
     }
 
     /// Says whether the node has been in touch with control.
-    pub fn set_has_control(&self, has: bool) {
+    pub fn set_control_connected(&self, has: bool) {
         self.has_control.set(has);
     }
 
     /// Until when keys may be acted on: after that one of them may have been taken away without word of it. Without this
     /// call they may be for ever.
-    pub fn set_keys(&self, evidence: KeyEvidence) {
+    pub fn set_key_validity(&self, evidence: KeyValidity) {
         self.keys.set(Some(evidence));
         self.keys_changed.send_replace(());
-        self.note_lapse();
+        self.log_key_validity();
     }
 
     /// Logs when keys lapse and when they are good again.
-    fn note_lapse(&self) {
-        let lapsed = self.keys_have_lapsed();
+    fn log_key_validity(&self) {
+        let lapsed = self.key_validity_expired();
         if self.keys_lapsed.replace(lapsed) != lapsed {
             info!(self.log, "keys"; "lapsed" => lapsed);
         }
     }
 
     /// Waits for the first evidence that keys are good: it comes soon after the configuration.
-    pub(crate) async fn keys_shown_within(&self, span: Duration) {
+    pub(crate) async fn wait_for_key_validity(&self, span: Duration) {
         let mut changes = self.keys_changed.subscribe();
         let shown = async {
-            while self.keys.get().is_some_and(|evidence| evidence.until == 0) {
+            while self.keys.get().is_some_and(|evidence| evidence.valid_until == 0) {
                 // The sender lives as long as this does.
                 drop(changes.changed().await);
             }
@@ -243,22 +243,23 @@
     }
 
     /// True if it is not known whether keys are still good.
-    pub(crate) fn keys_have_lapsed(&self) -> bool {
+    pub(crate) fn key_validity_expired(&self) -> bool {
         let Some(evidence) = self.keys.get() else { return false };
         // A configuration that this build could not read may be in force everywhere else.
         let older = self.configuration.borrow().as_ref().is_some_and(|one| one.version < evidence.version);
-        older || self.now() >= evidence.until
+        older || self.now() >= evidence.valid_until
     }
 
     /// True if new connections are welcome.
     pub fn is_ready(&self) -> bool {
         let configuration = self.configuration.borrow();
-        let serves = configuration.as_ref().is_some_and(|one| !one.needs_key() || !self.keys_have_lapsed());
+        let serves =
+            configuration.as_ref().is_some_and(|one| !one.needs_key() || !self.key_validity_expired());
         *self.phase.borrow() == Phase::Serving && self.has_control.get() && serves
     }
 
     /// True while requests that come are begun.
-    pub(crate) fn begins_requests(&self) -> bool {
+    pub(crate) fn accepts_requests(&self) -> bool {
         *self.phase.borrow() < Phase::Closing
     }
 
@@ -274,7 +275,7 @@
     }
 
     /// True if each answer ends its connection.
-    pub(crate) fn ends_connections(&self) -> bool {
+    pub(crate) fn closes_connections(&self) -> bool {
         *self.phase.borrow() != Phase::Serving
     }
 
@@ -283,28 +284,28 @@
         self.open.get()
     }
 
-    pub(crate) fn open_request(self: &Rc<Self>) -> OpenRequest {
+    pub(crate) fn track_request(self: &Rc<Self>) -> OpenRequestGuard {
         self.open.set(self.open.get() + 1);
-        OpenRequest(self.clone())
+        OpenRequestGuard(self.clone())
     }
 
     /// Closes idle connections to a server that takes nothing new.
-    pub fn forget_server(&self, id: &str) {
-        self.upstreams.forget(id);
+    pub fn close_idle_connections(&self, id: &str) {
+        self.upstreams.close_idle(id);
     }
 
     /// Housekeeping, about once a second.
     pub fn sweep(&self) {
-        self.note_lapse();
+        self.log_key_validity();
         self.upstreams.sweep();
-        self.sweep_stores();
+        self.renew_reported_stores();
     }
 }
 
 /// Counts an open request until it is dropped.
-pub(crate) struct OpenRequest(Rc<DataPlane>);
+pub(crate) struct OpenRequestGuard(Rc<DataPlane>);
 
-impl Drop for OpenRequest {
+impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
         self.0.open.set(self.0.open.get() - 1);
     }
--- a/dataplane/src/events.rs
+++ b/dataplane/src/event_splitter.rs
@@ -32,7 +32,7 @@
 
     /// True if the last whole event is the one that [`EventSplitter::last_id`] names: behind one without an id, no
     /// server could go on without a repeat.
-    pub fn is_at_an_id(&self) -> bool {
+    pub fn last_event_has_id(&self) -> bool {
         !self.unnumbered
     }
 
@@ -59,12 +59,12 @@
     }
 
     /// Bytes behind the last whole event, given back at the end of a stream that ended in order.
-    pub fn rest(&mut self) -> Vec<u8> {
+    pub fn take_remainder(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.pending)
     }
 
     /// Drops what came of an event that will not be complete.
-    pub fn drop_partial(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.pending.clear();
     }
 
--- a/dataplane/src/lib.rs
+++ b/dataplane/src/lib.rs
@@ -4,23 +4,23 @@
 //! `gradepaddle-config`; this package owns the sockets. No other process is asked for an ordinary request.
 
 mod admission;
-mod answer;
 mod attempt;
-mod client;
-mod events;
-mod exchange;
-mod kept_events;
-pub mod load_sharing;
+mod cache_events;
+mod client_connection;
+mod data_plane;
+mod event_splitter;
+pub mod load_reports;
+mod local_response;
+mod proxied_request;
 mod readiness;
-mod relay;
-mod shared;
+mod response_forwarding;
 mod shutdown;
-mod upstream;
+mod upstream_pool;
 
-pub use client::serve_clients;
-pub use events::EventSplitter;
-pub use kept_events::{StoreWatch, is_to_tell};
-pub use load_sharing::{PassedOn, SharingCounters, hear_loads, tell_loads};
+pub use cache_events::{StoreHealthListener, should_report_health};
+pub use client_connection::serve_clients;
+pub use data_plane::{Counters, DataPlane, KeyValidity, Phase, Setup};
+pub use event_splitter::EventSplitter;
+pub use load_reports::{ForwardedReport, LoadReportCounters, receive_load_reports, send_load_reports};
 pub use readiness::serve_readiness;
-pub use shared::{Counters, DataPlane, KeyEvidence, Phase, Setup};
 pub use shutdown::{ShutdownTimes, shut_down};
--- a/dataplane/src/load_sharing/content.rs
+++ b/dataplane/src/load_reports/content.rs
@@ -3,7 +3,7 @@
 use gradepaddle_engine::{KeptTokens, OwnLoad, Part, Sighting, StoreChanges};
 use gradepaddle_proto::{KeptPrompt, LoadShare, PromptPart, ServerShare, StoreReport};
 
-use super::recent_rounds::RecentRounds;
+use super::resend_window::ResendWindow;
 
 /// Prompts told in one message at most.
 const PROMPTS_MOST: usize = 96;
@@ -18,13 +18,13 @@
 const PARTS_MOST: usize = 256;
 
 /// Prompts seen kept in the last rounds.
-pub(super) fn recent_prompts() -> RecentRounds<KeptPrompt> {
-    RecentRounds::new(PROMPTS_MOST)
+pub(super) fn recent_prompts() -> ResendWindow<KeptPrompt> {
+    ResendWindow::new(PROMPTS_MOST)
 }
 
 /// What changed at stores in the last rounds.
-pub(super) fn recent_changes() -> RecentRounds<StoreReport> {
-    RecentRounds::new(STORE_REPORTS_MOST)
+pub(super) fn recent_changes() -> ResendWindow<StoreReport> {
+    ResendWindow::new(STORE_REPORTS_MOST)
 }
 
 pub(super) fn store_report(changes: &StoreChanges) -> StoreReport {
--- a/dataplane/src/load_sharing/mod.rs
+++ b/dataplane/src/load_reports/mod.rs
@@ -1,13 +1,13 @@
 //! What balancers have in flight at servers and what they see kept there, told to each other by datagram.
 //!
 //! One balancer sees only its own part of the traffic, a ninth or a four-hundredth of it, and from that alone can't tell
-//! which servers are reading a long prompt at this moment. So each tells the others as soon as it has placed a request:
-//! those of its own zone itself, those of another zone through one of them ([`audience`]). A datagram that is lost is
+//! which servers are reading a long prompt at this moment. So each tells the others as soon as it has request_placed a request:
+//! those of its own zone itself, those of another zone through one of them ([`recipients`]). A datagram that is lost is
 //! made up for by the next one, which holds all that is in flight; what is old counts for nothing.
 
-pub mod audience;
 mod content;
-pub mod recent_rounds;
+pub mod recipients;
+pub mod resend_window;
 
 use std::cell::{Cell, RefCell};
 use std::net::{SocketAddr, SocketAddrV4};
@@ -20,13 +20,13 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::shared::{DataPlane, count};
-use audience::{Audience, Peer};
+use crate::data_plane::{DataPlane, count};
 use content::{
     believable, kept_prompt, own_load, recent_changes, recent_prompts, same, share, sighting, store_changes,
     store_report,
 };
-use recent_rounds::RecentRounds;
+use recipients::{Peer, Recipients};
+use resend_window::ResendWindow;
 
 /// Between two messages at least.
 const SPACING: Duration = Duration::from_millis(10);
@@ -39,46 +39,46 @@
 
 /// Datagrams of other balancers, counted since the start.
 #[derive(Debug, Default)]
-pub struct SharingCounters {
+pub struct LoadReportCounters {
     /// Sent, by this node's own messages and those that it passed on.
     pub sent: Cell<u64>,
     /// Their bytes, without those of lower layers.
     pub sent_bytes: Cell<u64>,
     /// Taken in.
-    pub heard: Cell<u64>,
+    pub received: Cell<u64>,
     /// Not taken in: they could not be read.
     pub unreadable: Cell<u64>,
     /// Not taken in: their sender or origin is no member.
-    pub strangers: Cell<u64>,
+    pub unknown_senders: Cell<u64>,
     /// Not taken in: a later message of the same node came first.
     pub outdated: Cell<u64>,
     /// Not taken in: they hold figures that can't be.
-    pub absurd: Cell<u64>,
+    pub implausible: Cell<u64>,
 }
 
 /// Whom this node tells, and what it counts.
-pub(crate) struct Sharing {
-    audience: RefCell<Audience>,
+pub(crate) struct LoadReports {
+    recipients: RefCell<Recipients>,
     sequence: Cell<u64>,
-    /// Told when a request was placed.
-    placed: Notify,
-    pub counters: SharingCounters,
+    /// Told when a request was request_placed.
+    request_placed: Notify,
+    pub counters: LoadReportCounters,
 }
 
-impl Sharing {
+impl LoadReports {
     /// Of a node in this zone.
     pub fn new(zone: Arc<str>) -> Self {
-        Sharing {
-            audience: RefCell::new(Audience::new(zone)),
+        LoadReports {
+            recipients: RefCell::new(Recipients::new(zone)),
             sequence: Cell::new(0),
-            placed: Notify::new(),
-            counters: SharingCounters::default(),
+            request_placed: Notify::new(),
+            counters: LoadReportCounters::default(),
         }
     }
 
-    /// A request was placed: others are told soon.
-    pub fn placed(&self) {
-        self.placed.notify_one();
+    /// A request was request_placed: others are told soon.
+    pub fn request_placed(&self) {
+        self.request_placed.notify_one();
     }
 
     fn next_sequence(&self) -> u64 {
@@ -98,40 +98,40 @@
 impl DataPlane {
     /// The other balancers.
     pub fn set_peers(&self, peers: &[Peer]) {
-        self.sharing.audience.borrow_mut().set_peers(peers);
+        self.load_reports.recipients.borrow_mut().set_peers(peers);
     }
 
     /// What was counted of the loads that balancers tell each other.
-    pub fn sharing_counters(&self) -> &SharingCounters {
-        &self.sharing.counters
+    pub fn load_report_counters(&self) -> &LoadReportCounters {
+        &self.load_reports.counters
     }
 }
 
 /// What others were told last.
-struct LastTold {
+struct LastReport {
     servers: Vec<ServerShare>,
-    kept: RecentRounds<KeptPrompt>,
-    changes: RecentRounds<StoreReport>,
+    kept: ResendWindow<KeptPrompt>,
+    changes: ResendWindow<StoreReport>,
     /// Spans without a change.
     quiet: u32,
 }
 
 /// Tells others what this node has in flight, for as long as the process runs.
-pub async fn tell_loads(plane: Rc<DataPlane>, socket: Rc<UdpSocket>) {
+pub async fn send_load_reports(plane: Rc<DataPlane>, socket: Rc<UdpSocket>) {
     let Ok(SocketAddr::V4(own)) = socket.local_addr() else { return };
     let mut last =
-        LastTold { servers: Vec::new(), kept: recent_prompts(), changes: recent_changes(), quiet: 0 };
-    let mut told_at = Instant::now();
+        LastReport { servers: Vec::new(), kept: recent_prompts(), changes: recent_changes(), quiet: 0 };
+    let mut sent_at = Instant::now();
     loop {
         // Ready after either: a placement, or the span of what can wait.
-        let _ = timeout(LAZY, plane.sharing.placed.notified()).await;
-        sleep(SPACING.saturating_sub(told_at.elapsed())).await;
-        told_at = Instant::now();
-        tell(&plane, &socket, own, &mut last);
+        let _ = timeout(LAZY, plane.load_reports.request_placed.notified()).await;
+        sleep(SPACING.saturating_sub(sent_at.elapsed())).await;
+        sent_at = Instant::now();
+        send_report(&plane, &socket, own, &mut last);
     }
 }
 
-fn tell(plane: &DataPlane, socket: &UdpSocket, own: SocketAddrV4, last: &mut LastTold) {
+fn send_report(plane: &DataPlane, socket: &UdpSocket, own: SocketAddrV4, last: &mut LastReport) {
     let now = plane.now();
     let servers: Vec<ServerShare> = plane.engine.borrow().own_loads(now).into_iter().map(share).collect();
     let fresh = plane.engine.borrow_mut().take_sightings();
@@ -142,75 +142,76 @@
         return;
     }
     last.quiet = 0;
-    let sharing = &plane.sharing;
-    let mut audience = sharing.audience.borrow_mut();
-    last.kept.keep(fresh.iter().map(kept_prompt), audience.rounds());
-    last.changes.keep(changed.iter().map(store_report), audience.rounds());
+    let load_reports = &plane.load_reports;
+    let mut recipients = load_reports.recipients.borrow_mut();
+    last.kept.push_round(fresh.iter().map(kept_prompt), recipients.rounds_to_reach_all());
+    last.changes.push_round(changed.iter().map(store_report), recipients.rounds_to_reach_all());
     last.servers = servers;
     let message = LoadShare {
-        sequence: sharing.next_sequence(),
+        sequence: load_reports.next_sequence(),
         origin: Some(own),
         relay: false,
         servers: last.servers.clone(),
-        kept: last.kept.all(),
-        changes: last.changes.all(),
+        kept: last.kept.items(),
+        changes: last.changes.items(),
     };
     let direct = message.to_bytes();
-    let relayed = LoadShare { relay: true, ..message }.to_bytes();
-    for recipient in audience.recipients(now, direct.len()) {
-        let bytes = if recipient.relays { &relayed } else { &direct };
-        sharing.send(socket, bytes, recipient.address);
+    let to_forward = LoadShare { relay: true, ..message }.to_bytes();
+    for recipient in recipients.select(now, direct.len()) {
+        let bytes = if recipient.forwards { &to_forward } else { &direct };
+        load_reports.send(socket, bytes, recipient.address);
     }
 }
 
 /// Takes in what others tell, and passes on what is meant for the others of this zone, for as long as the process runs.
-pub async fn hear_loads(plane: Rc<DataPlane>, socket: Rc<UdpSocket>) {
+pub async fn receive_load_reports(plane: Rc<DataPlane>, socket: Rc<UdpSocket>) {
     let mut bytes = vec![0; DATAGRAM];
     loop {
         let Ok((length, SocketAddr::V4(from))) = socket.recv_from(&mut bytes).await else { continue };
-        let Some(passed_on) = plane.hear(from, &bytes[..length]) else { continue };
-        for neighbour in passed_on.to {
-            plane.sharing.send(&socket, &passed_on.bytes, neighbour);
+        let Some(forwarded) = plane.receive_load_report(from, &bytes[..length]) else { continue };
+        for neighbour in forwarded.recipients {
+            plane.load_reports.send(&socket, &forwarded.bytes, neighbour);
         }
     }
 }
 
 /// A message that is meant for the others of this zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PassedOn {
+pub struct ForwardedReport {
     /// The datagram.
     pub bytes: Vec<u8>,
     /// Whom it goes to.
-    pub to: Vec<SocketAddrV4>,
+    pub recipients: Vec<SocketAddrV4>,
 }
 
 impl DataPlane {
     /// Takes a datagram in. What can't be read, is from a stranger, old or absurd counts for nothing but in the
     /// counters. Gives what is to be passed on.
-    pub fn hear(&self, from: SocketAddrV4, bytes: &[u8]) -> Option<PassedOn> {
-        let counters = &self.sharing.counters;
+    pub fn receive_load_report(&self, from: SocketAddrV4, bytes: &[u8]) -> Option<ForwardedReport> {
+        let counters = &self.load_reports.counters;
         let Ok(message) = LoadShare::from_bytes(bytes) else {
             count(&counters.unreadable);
             return None;
         };
         let origin = message.origin.unwrap_or(from);
-        let audience = self.sharing.audience.borrow();
-        if !audience.knows(from) || !audience.knows(origin) {
-            count(&counters.strangers);
+        let known = self.load_reports.recipients.borrow();
+        if !known.contains(from) || !known.contains(origin) {
+            count(&counters.unknown_senders);
             return None;
         }
         if !believable(&message) {
-            count(&counters.absurd);
+            count(&counters.implausible);
             return None;
         }
         if !take(self, origin, &message) {
             count(&counters.outdated);
             return None;
         }
-        count(&counters.heard);
-        let to = audience.neighbours().filter(|address| *address != from && *address != origin).collect();
+        count(&counters.received);
+        let recipients =
+            known.zone_peers().filter(|address| *address != from && *address != origin).collect();
         let bytes = || LoadShare { relay: false, origin: Some(origin), ..message.clone() }.to_bytes();
-        message.relay.then(|| PassedOn { bytes: bytes(), to })
+        message.relay.then(|| ForwardedReport { bytes: bytes(), recipients })
     }
 }
 
--- a/dataplane/src/load_sharing/audience.rs
+++ b/dataplane/src/load_reports/recipients.rs
@@ -37,12 +37,12 @@
     /// To this balancer.
     pub address: SocketAddrV4,
     /// It passes the message on to the others of its zone.
-    pub relays: bool,
+    pub forwards: bool,
 }
 
 /// The other balancers, and what may be spent on telling them.
 #[derive(Debug)]
-pub struct Audience {
+pub struct Recipients {
     own_zone: Arc<str>,
     /// In a fixed order.
     all: Vec<SocketAddrV4>,
@@ -62,10 +62,10 @@
     reached: usize,
 }
 
-impl Audience {
+impl Recipients {
     /// Of a node in this zone that knows no other yet.
     pub fn new(own_zone: Arc<str>) -> Self {
-        Audience {
+        Recipients {
             own_zone,
             all: Vec::new(),
             known: HashSet::new(),
@@ -95,29 +95,29 @@
     }
 
     /// Whether this balancer is a member.
-    pub fn knows(&self, address: SocketAddrV4) -> bool {
+    pub fn contains(&self, address: SocketAddrV4) -> bool {
         self.known.contains(&address)
     }
 
     /// The others of this zone.
-    pub fn neighbours(&self) -> impl Iterator<Item = SocketAddrV4> + '_ {
+    pub fn zone_peers(&self) -> impl Iterator<Item = SocketAddrV4> + '_ {
         self.near.iter().copied()
     }
 
     /// In how many messages all others are told once, by what the last one reached.
-    pub fn rounds(&self) -> usize {
+    pub fn rounds_to_reach_all(&self) -> usize {
         self.all.len().div_ceil(self.reached.max(1)).max(1)
     }
 
     /// Who gets a message of so many bytes at this time.
-    pub fn recipients(&mut self, now: Micros, bytes: usize) -> Vec<Recipient> {
+    pub fn select(&mut self, now: Micros, bytes: usize) -> Vec<Recipient> {
         self.refill(now);
         self.turn = self.turn.wrapping_add(1);
         let each = (bytes + HEADER_BYTES) as f64;
         let affordable = (self.allowance / each) as usize;
         self.reached = affordable.min(self.all.len());
         self.allowance -= each * self.reached as f64;
-        if self.reached == self.all.len() { self.everybody() } else { self.by_turns() }
+        if self.reached == self.all.len() { self.all_by_zone() } else { self.round_robin() }
     }
 
     fn refill(&mut self, now: Micros) {
@@ -127,19 +127,19 @@
         self.allowance = (self.allowance + gone * rate).min(rate * BURST_S);
     }
 
-    fn everybody(&self) -> Vec<Recipient> {
-        let near = self.near.iter().map(|address| Recipient { address: *address, relays: false });
+    fn all_by_zone(&self) -> Vec<Recipient> {
+        let near = self.near.iter().map(|address| Recipient { address: *address, forwards: false });
         let far = self
             .far
             .iter()
-            .map(|zone| Recipient { address: zone[self.turn % zone.len()], relays: zone.len() > 1 });
+            .map(|zone| Recipient { address: zone[self.turn % zone.len()], forwards: zone.len() > 1 });
         near.chain(far).collect()
     }
 
     /// The next ones in order, each told by this node itself.
-    fn by_turns(&mut self) -> Vec<Recipient> {
+    fn round_robin(&mut self) -> Vec<Recipient> {
         let told = (0..self.reached).map(|at| self.all[(self.next + at) % self.all.len()]);
-        let told = told.map(|address| Recipient { address, relays: false }).collect();
+        let told = told.map(|address| Recipient { address, forwards: false }).collect();
         self.next = (self.next + self.reached) % self.all.len();
         told
     }
--- a/dataplane/src/answer.rs
+++ b/dataplane/src/local_response.rs
@@ -6,39 +6,39 @@
 
 /// An answer that no server gave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum OwnAnswer {
+pub(crate) enum LocalResponse {
     /// 400: the request can't be read or contradicts itself.
-    Malformed,
+    BadRequest,
     /// 401: no tenant holds its key.
-    UnknownKey,
+    Unauthorized,
     /// 404: no route.
-    NoRoute,
+    NotFound,
     /// 408: it did not come in time; it has not run.
-    TooSlow,
+    RequestTimeout,
     /// 413: its body is longer than the configuration allows.
-    LongBody,
+    ContentTooLarge,
     /// 431: its head is longer than the configuration allows.
-    LongHead,
+    HeadTooLarge,
     /// 503: a promise that it has not run and will not; the client may come back after the pause.
-    Refused(Duration),
+    Unavailable(Duration),
     /// 502: a server's answer was bad or broke off; nothing is promised.
-    BadUpstream,
+    BadGateway,
     /// 504: no answer in time; nothing is promised.
-    Late,
+    GatewayTimeout,
 }
 
-impl OwnAnswer {
+impl LocalResponse {
     fn status(self) -> &'static str {
         match self {
-            OwnAnswer::Malformed => "400 Bad Request",
-            OwnAnswer::UnknownKey => "401 Unauthorized",
-            OwnAnswer::NoRoute => "404 Not Found",
-            OwnAnswer::TooSlow => "408 Request Timeout",
-            OwnAnswer::LongBody => "413 Content Too Large",
-            OwnAnswer::LongHead => "431 Request Header Fields Too Large",
-            OwnAnswer::Refused(_) => "503 Service Unavailable",
-            OwnAnswer::BadUpstream => "502 Bad Gateway",
-            OwnAnswer::Late => "504 Gateway Timeout",
+            LocalResponse::BadRequest => "400 Bad Request",
+            LocalResponse::Unauthorized => "401 Unauthorized",
+            LocalResponse::NotFound => "404 Not Found",
+            LocalResponse::RequestTimeout => "408 Request Timeout",
+            LocalResponse::ContentTooLarge => "413 Content Too Large",
+            LocalResponse::HeadTooLarge => "431 Request Header Fields Too Large",
+            LocalResponse::Unavailable(_) => "503 Service Unavailable",
+            LocalResponse::BadGateway => "502 Bad Gateway",
+            LocalResponse::GatewayTimeout => "504 Gateway Timeout",
         }
     }
 
@@ -53,7 +53,7 @@
             out.push(id);
             out.push(b"\r\n");
         }
-        if let OwnAnswer::Refused(pause) = self {
+        if let LocalResponse::Unavailable(pause) = self {
             out.push(format!("Retry-After: {:.3}\r\n", pause.as_secs_f64()).as_bytes());
         }
         if close {
--- a/dataplane/src/exchange.rs
+++ b/dataplane/src/proxied_request.rs
@@ -12,127 +12,147 @@
 use gradepaddle_http::{Connection, Head};
 use tokio::time::{Instant, sleep_until};
 
-use crate::admission::Admitted;
-use crate::answer::OwnAnswer;
-use crate::attempt::{self, AttemptFailure, Upstream};
-use crate::relay::{self, Relayed};
-use crate::shared::{DataPlane, count};
+use crate::admission::RoutedRequest;
+use crate::attempt::{self, AttemptFailure, UpstreamResponse};
+use crate::data_plane::{DataPlane, count};
+use crate::local_response::LocalResponse;
+use crate::response_forwarding::{ForwardingOutcome, ResponseForwarding};
 
 /// Statuses by which a client knows that its request has not run.
-const PROMISES: [u16; 4] = [408, 421, 429, 503];
+const NOT_PROCESSED_STATUSES: [u16; 4] = [408, 421, 429, 503];
 /// Connections that did not come up before a request is refused.
-const DIALS_MOST: usize = 3;
+const MAX_FAILED_CONNECTS: usize = 3;
 /// A client that is refused comes back after this if nothing better is known.
-const USUAL_PAUSE: Duration = Duration::from_millis(150);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(150);
 /// A client that is refused since its server turned it away comes back after this.
-const TURNED_AWAY_PAUSE: Duration = Duration::from_millis(60);
+const REJECTED_RETRY_AFTER: Duration = Duration::from_millis(60);
 /// A server is given this much less than the time that is left, so that its own 504 comes before ours.
 const ANSWER_MARGIN: Duration = Duration::from_millis(15);
 
 /// A request that was read whole.
-pub(crate) struct Exchange<'a> {
+pub(crate) struct ProxiedRequest<'a> {
     pub plane: &'a Rc<DataPlane>,
     pub head: &'a Head,
     pub body: &'a Chain,
-    pub admitted: Admitted,
+    pub admitted: RoutedRequest,
     pub arrived: Instant,
 }
 
 /// How an exchange left its client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Left {
+pub(crate) enum RequestOutcome {
     /// An answer has been written whole.
-    Answered,
+    Responded,
     /// The connection is of no more use: the client has gone, or its answer was cut.
-    Broken,
+    Aborted,
 }
 
 /// What has been done for a request so far.
 #[derive(Default)]
-struct Progress {
+struct AttemptHistory {
     /// Servers that were written to.
     sent: u32,
     /// Attempts that may have run.
     may_have_run: bool,
     /// Servers not to try again.
-    tried: Vec<Arc<str>>,
+    tried_servers: Vec<Arc<str>>,
     /// Connections that did not come up.
-    dials: usize,
+    failed_connects: usize,
 }
 
 /// How one attempt ended.
-enum Attempted {
+enum AttemptResult {
     /// An answer's head came.
-    Answer(Box<Upstream>, Choice),
+    Response(Box<UpstreamResponse>, Choice),
     /// The request was not sent.
     NotSent,
     /// The server turned it away unseen.
-    TurnedAway,
+    Rejected,
     /// The attempt failed; it may have run.
     Failed,
     /// The time is over.
-    Late,
+    DeadlineExceeded,
     /// The client has gone.
     ClientGone,
 }
 
-impl Exchange<'_> {
+impl ProxiedRequest<'_> {
     /// Carries the request out and answers its client.
-    pub async fn run(&self, client: &mut Connection, close: bool) -> Left {
+    pub async fn run(&self, client: &mut Connection, close: bool) -> RequestOutcome {
         let now = self.plane.now();
         self.plane.engine.borrow_mut().note_request(now, &self.admitted.service);
-        let mut progress = Progress::default();
+        let mut progress = AttemptHistory::default();
         loop {
-            match self.attempt(client, &mut progress, self.admitted.last_event).await {
-                Err(refusal) => return self.refuse(client, &progress, refusal, close).await,
-                Ok(Attempted::Answer(upstream, choice)) => {
-                    if self.worth_another(&upstream, &progress) {
-                        self.drop_answer(&upstream, &choice);
+            match self.attempt(client, &mut progress, self.admitted.last_event_id).await {
+                Err(refusal) => return self.reject(client, &progress, refusal, close).await,
+                Ok(AttemptResult::Response(upstream, choice)) => {
+                    if self.should_retry(&upstream, &progress) {
+                        self.discard_response(&upstream, &choice);
                         progress.may_have_run = true;
                         continue;
                     }
-                    return self.relay(client, *upstream, choice, &mut progress, close).await;
+                    return self.forward_response(client, *upstream, choice, &mut progress, close).await;
                 }
-                Ok(Attempted::NotSent) if progress.dials < DIALS_MOST => {}
-                Ok(Attempted::NotSent) => {
-                    return self.give_up(client, &progress, OwnAnswer::BadUpstream, USUAL_PAUSE, close).await;
+                Ok(AttemptResult::NotSent) if progress.failed_connects < MAX_FAILED_CONNECTS => {}
+                Ok(AttemptResult::NotSent) => {
+                    return self
+                        .respond_unless_run(
+                            client,
+                            &progress,
+                            LocalResponse::BadGateway,
+                            DEFAULT_RETRY_AFTER,
+                            close,
+                        )
+                        .await;
                 }
-                Ok(Attempted::TurnedAway) if self.may_send_again(&progress) => {}
-                Ok(Attempted::TurnedAway) => {
-                    let pause = TURNED_AWAY_PAUSE;
-                    return self.give_up(client, &progress, OwnAnswer::BadUpstream, pause, close).await;
+                Ok(AttemptResult::Rejected) if self.may_send(&progress) => {}
+                Ok(AttemptResult::Rejected) => {
+                    let pause = REJECTED_RETRY_AFTER;
+                    return self
+                        .respond_unless_run(client, &progress, LocalResponse::BadGateway, pause, close)
+                        .await;
                 }
-                Ok(Attempted::Failed) if self.admitted.may_repeat && self.may_send_again(&progress) => {}
-                Ok(Attempted::Failed) => return self.own(client, OwnAnswer::BadUpstream, close).await,
-                Ok(Attempted::Late) => {
-                    return self.give_up(client, &progress, OwnAnswer::Late, USUAL_PAUSE, close).await;
+                Ok(AttemptResult::Failed) if self.admitted.idempotent && self.may_send(&progress) => {}
+                Ok(AttemptResult::Failed) => {
+                    return self.respond_locally(client, LocalResponse::BadGateway, close).await;
                 }
-                Ok(Attempted::ClientGone) => return Left::Broken,
+                Ok(AttemptResult::DeadlineExceeded) => {
+                    return self
+                        .respond_unless_run(
+                            client,
+                            &progress,
+                            LocalResponse::GatewayTimeout,
+                            DEFAULT_RETRY_AFTER,
+                            close,
+                        )
+                        .await;
+                }
+                Ok(AttemptResult::ClientGone) => return RequestOutcome::Aborted,
             }
         }
     }
 
     /// The time by which the request has to have its answer.
     fn deadline(&self) -> Instant {
-        self.arrived + self.admitted.time
+        self.arrived + self.admitted.timeout
     }
 
     /// True if the request may go to one more server: by its route and by the fleet's budget.
-    fn may_send_again(&self, progress: &Progress) -> bool {
+    fn may_send(&self, progress: &AttemptHistory) -> bool {
         if progress.sent == 0 {
             return true;
         }
         let now = self.plane.now();
-        progress.sent < self.admitted.tries
+        progress.sent < self.admitted.max_attempts
             && self.plane.engine.borrow_mut().may_repeat(now, &self.admitted.service)
     }
 
     /// True if a server's failure is better tried again elsewhere than passed on.
-    fn worth_another(&self, upstream: &Upstream, progress: &Progress) -> bool {
-        upstream.status >= 500 && self.admitted.may_repeat && self.may_send_again(progress)
+    fn should_retry(&self, upstream: &UpstreamResponse, progress: &AttemptHistory) -> bool {
+        upstream.status >= 500 && self.admitted.idempotent && self.may_send(progress)
     }
 
-    fn drop_answer(&self, upstream: &Upstream, choice: &Choice) {
+    fn discard_response(&self, upstream: &UpstreamResponse, choice: &Choice) {
         let (now, load) = (self.plane.now(), upstream.load());
         self.plane.engine.borrow_mut().ended(now, choice.attempt, AttemptOutcome::ServerError, load, None);
     }
@@ -141,12 +161,12 @@
         Placement {
             service: &self.admitted.service,
             model: self.admitted.model.as_deref(),
-            parts: &self.admitted.parts,
-            tokens_in: self.admitted.tokens_in,
-            tokens_out: self.admitted.tokens_out,
+            parts: &self.admitted.prompt,
+            tokens_in: self.admitted.prompt_tokens,
+            tokens_out: self.admitted.max_output_tokens,
             priority: self.admitted.priority,
-            aim: self.admitted.aim.as_micros() as u64,
-            gap: self.admitted.gap_aim.map_or(0, |gap| gap.as_micros() as u64),
+            aim: self.admitted.latency_target.as_micros() as u64,
+            gap: self.admitted.event_gap_target.map_or(0, |gap| gap.as_micros() as u64),
             time_left: self.deadline().saturating_duration_since(Instant::now()).as_micros() as u64,
             wall: self.admitted.wall.clone(),
             resumed_from,
@@ -157,80 +177,83 @@
     async fn attempt(
         &self,
         client: &Connection,
-        progress: &mut Progress,
+        progress: &mut AttemptHistory,
         last_event: Option<u64>,
-    ) -> Result<Attempted, Refusal> {
+    ) -> Result<AttemptResult, Refusal> {
         let deadline = self.deadline();
         if Instant::now() >= deadline {
-            return Ok(Attempted::Late);
+            return Ok(AttemptResult::DeadlineExceeded);
         }
         let now = self.plane.now();
-        let choice =
-            self.plane.engine.borrow_mut().choose(now, &self.placement(last_event), &progress.tried)?;
-        self.plane.sharing.placed();
-        progress.tried.push(choice.server.clone());
+        let choice = self.plane.engine.borrow_mut().choose(
+            now,
+            &self.placement(last_event),
+            &progress.tried_servers,
+        )?;
+        self.plane.load_reports.request_placed();
+        progress.tried_servers.push(choice.server.clone());
         let sent_before = progress.sent;
         // The engine counts the attempt until it is told of its end, also where this future is dropped.
         let mut guard = AttemptGuard { plane: self.plane, choice: &choice, ended: false };
         let result = tokio::select! {
             biased;
             // First of all: nothing is sent for a client that has gone.
-            () = client.left() => Sent::ClientGone,
+            () = client.left() => SendResult::ClientGone,
             result = self.send(&choice, progress, last_event, deadline) => result,
-            () = self.plane.outdated(choice.attempt) => Sent::Outdated,
-            () = sleep_until(deadline) => Sent::Late,
+            () = self.plane.version_deadline_passed(choice.attempt) => SendResult::Outdated,
+            () = sleep_until(deadline) => SendResult::DeadlineExceeded,
         };
         let attempted = match result {
-            Sent::Answer(upstream) => {
+            SendResult::Response(upstream) => {
                 if upstream.did_not_run() {
                     let outcome = not_run_outcome(&upstream);
                     guard.end(outcome, upstream.load());
-                    self.plane.upstreams.note(None, false);
-                    Attempted::TurnedAway
-                } else if PROMISES.contains(&upstream.status) {
+                    self.plane.upstreams.record_outcome(None, false);
+                    AttemptResult::Rejected
+                } else if NOT_PROCESSED_STATUSES.contains(&upstream.status) {
                     // Its wording would be a promise to the client, and the server has not made it.
                     progress.may_have_run = true;
                     guard.end(AttemptOutcome::ServerError, upstream.load());
-                    Attempted::Failed
+                    AttemptResult::Failed
                 } else {
                     guard.ended = true;
                     progress.may_have_run = true;
                     drop(guard);
-                    return Ok(Attempted::Answer(upstream, choice));
+                    return Ok(AttemptResult::Response(upstream, choice));
                 }
             }
-            Sent::NoConnection => {
-                progress.dials += 1;
+            SendResult::ConnectFailed => {
+                progress.failed_connects += 1;
                 guard.end(AttemptOutcome::ConnectFailed, None);
-                Attempted::NotSent
+                AttemptResult::NotSent
             }
-            Sent::Closed => {
+            SendResult::ServerDraining => {
                 guard.end(AttemptOutcome::ClientGone, None);
-                Attempted::NotSent
+                AttemptResult::NotSent
             }
-            Sent::Failed => {
+            SendResult::Failed => {
                 progress.may_have_run = true;
                 guard.end(AttemptOutcome::Broken, None);
-                Attempted::Failed
+                AttemptResult::Failed
             }
-            Sent::Outdated => {
-                self.plane.took_back(&choice.server);
+            SendResult::Outdated => {
+                self.plane.attempt_withdrawn(&choice.server);
                 guard.end(AttemptOutcome::Outdated, None);
                 if progress.sent == sent_before {
-                    Attempted::NotSent
+                    AttemptResult::NotSent
                 } else {
                     progress.may_have_run = true;
-                    Attempted::Failed
+                    AttemptResult::Failed
                 }
             }
-            Sent::Late => {
+            SendResult::DeadlineExceeded => {
                 progress.may_have_run |= progress.sent > sent_before;
                 guard.end(AttemptOutcome::TimedOut, None);
-                Attempted::Late
+                AttemptResult::DeadlineExceeded
             }
-            Sent::ClientGone => {
+            SendResult::ClientGone => {
                 guard.end(AttemptOutcome::ClientGone, None);
-                Attempted::ClientGone
+                AttemptResult::ClientGone
             }
         };
         Ok(attempted)
@@ -240,20 +263,20 @@
     async fn send(
         &self,
         choice: &Choice,
-        progress: &mut Progress,
+        progress: &mut AttemptHistory,
         last_event: Option<u64>,
         deadline: Instant,
-    ) -> Sent {
+    ) -> SendResult {
         let plane = self.plane;
         let Some(lease) = plane.upstreams.connect(&choice.server, choice.address, &plane.pool).await else {
-            return Sent::NoConnection;
+            return SendResult::ConnectFailed;
         };
         // A drain binds when the request is written, and the connection may have taken its time.
         if !plane.engine.borrow().takes_requests(&choice.server) {
-            return Sent::Closed;
+            return SendResult::ServerDraining;
         }
         if Instant::now() >= deadline {
-            return Sent::Late;
+            return SendResult::DeadlineExceeded;
         }
         let left = deadline.saturating_duration_since(Instant::now()).saturating_sub(ANSWER_MARGIN);
         let head = attempt::request_head(
@@ -269,29 +292,29 @@
         if progress.sent > 1 {
             let now = plane.now();
             plane.engine.borrow_mut().note_repeat(now, &self.admitted.service);
-            count(&plane.counters.repeats);
+            count(&plane.counters.retries);
         }
         let idle = lease.idle;
         let result =
             attempt::exchange(lease, &[&head, self.body], &self.admitted.id, self.head.method()).await;
-        plane.upstreams.note(idle, matches!(result, Err(AttemptFailure::Broken)));
+        plane.upstreams.record_outcome(idle, matches!(result, Err(AttemptFailure::ConnectionLost)));
         match result {
-            Ok(upstream) => Sent::Answer(Box::new(upstream)),
-            Err(_) => Sent::Failed,
+            Ok(upstream) => SendResult::Response(Box::new(upstream)),
+            Err(_) => SendResult::Failed,
         }
     }
 
     /// Passes an answer on, and takes its stream up elsewhere where that is allowed.
-    async fn relay(
+    async fn forward_response(
         &self,
         client: &mut Connection,
-        upstream: Upstream,
+        upstream: UpstreamResponse,
         choice: Choice,
-        progress: &mut Progress,
+        progress: &mut AttemptHistory,
         close: bool,
-    ) -> Left {
+    ) -> RequestOutcome {
         let succeeded = (200..300).contains(&upstream.status);
-        let mut relay = relay::Relay::new(
+        let mut forwarding = ResponseForwarding::new(
             self.plane,
             &self.admitted,
             upstream,
@@ -300,22 +323,22 @@
             (close, self.head.is_old()),
         );
         loop {
-            match relay.run(client).await {
-                Relayed::Whole => {
+            match forwarding.run(client).await {
+                ForwardingOutcome::Complete => {
                     let counters = &self.plane.counters;
-                    count(if succeeded { &counters.served } else { &counters.failed });
-                    return Left::Answered;
+                    count(if succeeded { &counters.responses } else { &counters.failed });
+                    return RequestOutcome::Responded;
                 }
-                Relayed::ClientGone => return Left::Broken,
-                Relayed::Cut => {
-                    let resumed = self.resume(client, progress, relay.resume_from()).await;
+                ForwardingOutcome::ClientGone => return RequestOutcome::Aborted,
+                ForwardingOutcome::Interrupted => {
+                    let resumed = self.resume(client, progress, forwarding.resume_from()).await;
                     let Some((upstream, choice)) = resumed else {
                         count(&self.plane.counters.failed);
                         client.break_off();
-                        return Left::Broken;
+                        return RequestOutcome::Aborted;
                     };
                     count(&self.plane.counters.resumed);
-                    relay.go_on(upstream, choice);
+                    forwarding.resume_with(upstream, choice);
                 }
             }
         }
@@ -325,77 +348,93 @@
     async fn resume(
         &self,
         client: &Connection,
-        progress: &mut Progress,
+        progress: &mut AttemptHistory,
         from: Option<Option<u64>>,
-    ) -> Option<(Upstream, Choice)> {
+    ) -> Option<(UpstreamResponse, Choice)> {
         let from = from?;
         loop {
-            if !self.may_send_again(progress) || Instant::now() >= self.deadline() {
+            if !self.may_send(progress) || Instant::now() >= self.deadline() {
                 return None;
             }
             match self.attempt(client, progress, from).await {
-                Ok(Attempted::Answer(upstream, choice)) if upstream.status == 200 => {
+                Ok(AttemptResult::Response(upstream, choice)) if upstream.status == 200 => {
                     return Some((*upstream, choice));
                 }
-                Ok(Attempted::Answer(upstream, choice)) => self.drop_answer(&upstream, &choice),
-                Ok(Attempted::NotSent) if progress.dials < DIALS_MOST => {}
-                Ok(Attempted::TurnedAway | Attempted::Failed) => {}
+                Ok(AttemptResult::Response(upstream, choice)) => self.discard_response(&upstream, &choice),
+                Ok(AttemptResult::NotSent) if progress.failed_connects < MAX_FAILED_CONNECTS => {}
+                Ok(AttemptResult::Rejected | AttemptResult::Failed) => {}
                 _ => return None,
             }
         }
     }
 
     /// Answers a request that no server can be chosen for.
-    async fn refuse(
+    async fn reject(
         &self,
         client: &mut Connection,
-        progress: &Progress,
+        progress: &AttemptHistory,
         refusal: Refusal,
         close: bool,
-    ) -> Left {
+    ) -> RequestOutcome {
         let pause = match refusal {
             Refusal::NoServer { retry_after } | Refusal::Overloaded { retry_after } => retry_after,
         };
-        self.give_up(client, progress, OwnAnswer::BadUpstream, Duration::from_micros(pause), close).await
+        self.respond_unless_run(
+            client,
+            progress,
+            LocalResponse::BadGateway,
+            Duration::from_micros(pause),
+            close,
+        )
+        .await
     }
 
     /// Gives the request up: with a promise if it can't have run, with `otherwise` if it may have.
-    async fn give_up(
+    async fn respond_unless_run(
         &self,
         client: &mut Connection,
-        progress: &Progress,
-        otherwise: OwnAnswer,
+        progress: &AttemptHistory,
+        otherwise: LocalResponse,
         pause: Duration,
         close: bool,
-    ) -> Left {
-        let answer = if progress.may_have_run { otherwise } else { OwnAnswer::Refused(pause) };
-        self.own(client, answer, close).await
+    ) -> RequestOutcome {
+        let answer = if progress.may_have_run { otherwise } else { LocalResponse::Unavailable(pause) };
+        self.respond_locally(client, answer, close).await
     }
 
-    async fn own(&self, client: &mut Connection, answer: OwnAnswer, close: bool) -> Left {
+    async fn respond_locally(
+        &self,
+        client: &mut Connection,
+        answer: LocalResponse,
+        close: bool,
+    ) -> RequestOutcome {
         let counters = &self.plane.counters;
-        count(if matches!(answer, OwnAnswer::Refused(_)) { &counters.refused } else { &counters.failed });
+        count(if matches!(answer, LocalResponse::Unavailable(_)) {
+            &counters.rejected
+        } else {
+            &counters.failed
+        });
         let chain = answer.write(&self.plane.pool, Some(&self.admitted.id), close);
         match client.write(&[&chain]).await {
-            Ok(()) => Left::Answered,
-            Err(_) => Left::Broken,
+            Ok(()) => RequestOutcome::Responded,
+            Err(_) => RequestOutcome::Aborted,
         }
     }
 }
 
 /// How far an attempt came.
-enum Sent {
-    Answer(Box<Upstream>),
-    NoConnection,
-    Closed,
+enum SendResult {
+    Response(Box<UpstreamResponse>),
+    ConnectFailed,
+    ServerDraining,
     Failed,
     Outdated,
-    Late,
+    DeadlineExceeded,
     ClientGone,
 }
 
 /// What the engine learns from a server that did not run a request.
-fn not_run_outcome(upstream: &Upstream) -> AttemptOutcome {
+fn not_run_outcome(upstream: &UpstreamResponse) -> AttemptOutcome {
     match (upstream.status, upstream.version()) {
         (421, Some(_)) => AttemptOutcome::VersionMismatch,
         (421, None) => AttemptOutcome::Misdirected,
--- a/dataplane/src/readiness.rs
+++ b/dataplane/src/readiness.rs
@@ -7,11 +7,11 @@
 use tokio::net::TcpListener;
 use tokio::time::{sleep, timeout};
 
-use crate::shared::DataPlane;
+use crate::data_plane::DataPlane;
 
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 /// A connection that asks nothing is closed after this.
-const IDLE_FOR: Duration = Duration::from_secs(5);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Answers readiness checks for as long as the process runs.
 pub async fn serve_readiness(plane: Rc<DataPlane>, listener: TcpListener) {
@@ -27,7 +27,7 @@
 }
 
 async fn serve(plane: Rc<DataPlane>, mut connection: Connection) {
-    while let Ok(Ok(head)) = timeout(IDLE_FOR, connection.read_head()).await {
+    while let Ok(Ok(head)) = timeout(IDLE_TIMEOUT, connection.read_head()).await {
         // A check bears no body; one that does is not read on.
         let bare = head.framing(Framing::Length(0)) == Ok(Framing::Length(0));
         let status = match (head.path(), plane.is_ready()) {
--- a/dataplane/src/relay.rs
+++ b/dataplane/src/response_forwarding.rs
@@ -10,10 +10,10 @@
 use slog::warn;
 use tokio::time::{Instant, sleep_until};
 
-use crate::admission::Admitted;
-use crate::attempt::Upstream;
-use crate::events::EventSplitter;
-use crate::shared::DataPlane;
+use crate::admission::RoutedRequest;
+use crate::attempt::UpstreamResponse;
+use crate::data_plane::DataPlane;
+use crate::event_splitter::EventSplitter;
 
 /// Fields of an answer that the node sets itself.
 const OWN_FIELDS: [&str; 1] = ["connection"];
@@ -23,21 +23,21 @@
 
 /// How far an answer came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Relayed {
+pub(crate) enum ForwardingOutcome {
     /// It is whole.
-    Whole,
+    Complete,
     /// Its server broke off, or the time is over.
-    Cut,
+    Interrupted,
     /// Its client has gone.
     ClientGone,
 }
 
 /// An answer that is being passed on.
-pub(crate) struct Relay<'a> {
+pub(crate) struct ResponseForwarding<'a> {
     plane: &'a Rc<DataPlane>,
-    admitted: &'a Admitted,
+    admitted: &'a RoutedRequest,
     /// The answer; none once its connection can take another request.
-    upstream: Option<Upstream>,
+    upstream: Option<UpstreamResponse>,
     choice: Choice,
     deadline: Instant,
     close: bool,
@@ -46,19 +46,19 @@
     events: Option<EventSplitter>,
     /// How the client's body is framed, once its head has been written.
     framing: Option<Framing>,
-    told: bool,
+    started: bool,
     ended: bool,
-    pauses: PauseWatch,
+    gaps: EventGaps,
 }
 
-/// The pauses between the events of one stream.
+/// The gaps between the events of one stream.
 #[derive(Default)]
-struct PauseWatch {
+struct EventGaps {
     last: Option<Instant>,
     longest: Option<Duration>,
 }
 
-impl PauseWatch {
+impl EventGaps {
     /// Events came.
     fn events_came(&mut self, now: Instant) {
         if let Some(last) = self.last.replace(now) {
@@ -67,19 +67,19 @@
     }
 }
 
-impl<'a> Relay<'a> {
+impl<'a> ResponseForwarding<'a> {
     /// Of this answer, of which nothing has been written.
     pub fn new(
         plane: &'a Rc<DataPlane>,
-        admitted: &'a Admitted,
-        upstream: Upstream,
+        admitted: &'a RoutedRequest,
+        upstream: UpstreamResponse,
         choice: Choice,
         deadline: Instant,
         (close, old): (bool, bool),
     ) -> Self {
         let streams = admitted.streaming && upstream.status == 200;
-        let events = streams.then(|| EventSplitter::after(admitted.last_event));
-        Relay {
+        let events = streams.then(|| EventSplitter::after(admitted.last_event_id));
+        ResponseForwarding {
             plane,
             admitted,
             upstream: Some(upstream),
@@ -89,9 +89,9 @@
             old,
             events,
             framing: None,
-            told: false,
+            started: false,
             ended: false,
-            pauses: PauseWatch::default(),
+            gaps: EventGaps::default(),
         }
     }
 
@@ -99,25 +99,25 @@
     pub fn resume_from(&self) -> Option<Option<u64>> {
         let events = self.events.as_ref()?;
         let open_ended = matches!(self.framing, None | Some(Framing::Chunked | Framing::UntilClose));
-        let resumable = self.admitted.resumable && open_ended && events.is_at_an_id();
+        let resumable = self.admitted.resumable && open_ended && events.last_event_has_id();
         (resumable && Instant::now() < self.deadline).then(|| events.last_id())
     }
 
     /// Goes on with another server's answer, of which the head is not passed on.
-    pub fn go_on(&mut self, upstream: Upstream, choice: Choice) {
+    pub fn resume_with(&mut self, upstream: UpstreamResponse, choice: Choice) {
         self.upstream = Some(upstream);
         self.choice = choice;
-        self.told = false;
+        self.started = false;
         self.ended = false;
         // The way to another server is no pause of a service.
-        self.pauses = PauseWatch::default();
+        self.gaps = EventGaps::default();
         if let Some(events) = &mut self.events {
-            events.drop_partial();
+            events.discard_partial();
         }
     }
 
     /// Passes on what comes, to its end.
-    pub async fn run(&mut self, client: &mut Connection) -> Relayed {
+    pub async fn run(&mut self, client: &mut Connection) -> ForwardingOutcome {
         if self.framing.is_none() {
             let head = self.answer_head();
             if let Err(relayed) = self.write(client, &[&head]).await {
@@ -127,17 +127,17 @@
         loop {
             let mut bytes = self.plane.pool.chain();
             let most = self.plane.pool.piece();
-            let awaits_first_event = self.events.is_some() && !self.told;
-            let Some(upstream) = &mut self.upstream else { return Relayed::Whole };
+            let awaits_first_event = self.events.is_some() && !self.started;
+            let Some(upstream) = &mut self.upstream else { return ForwardingOutcome::Complete };
             let read = tokio::select! {
                 biased;
                 read = upstream.connection.read_piece(&mut upstream.body, &mut bytes, most) => read,
-                () = client.left() => return self.end(Relayed::ClientGone, AttemptOutcome::ClientGone),
-                () = self.plane.outdated(self.choice.attempt), if awaits_first_event => {
-                    self.plane.took_back(&self.choice.server);
-                    return self.end(Relayed::Cut, AttemptOutcome::Outdated);
+                () = client.left() => return self.end(ForwardingOutcome::ClientGone, AttemptOutcome::ClientGone),
+                () = self.plane.version_deadline_passed(self.choice.attempt), if awaits_first_event => {
+                    self.plane.attempt_withdrawn(&self.choice.server);
+                    return self.end(ForwardingOutcome::Interrupted, AttemptOutcome::Outdated);
                 }
-                () = sleep_until(self.deadline) => return self.end(Relayed::Cut, AttemptOutcome::TimedOut),
+                () = sleep_until(self.deadline) => return self.end(ForwardingOutcome::Interrupted, AttemptOutcome::TimedOut),
             };
             // What came before a break is used: a stream goes on behind it.
             let last = matches!(read, Ok(true));
@@ -148,13 +148,13 @@
                 return self.end(relayed, AttemptOutcome::ClientGone);
             }
             if read.is_err() {
-                return self.end(Relayed::Cut, AttemptOutcome::Broken);
+                return self.end(ForwardingOutcome::Interrupted, AttemptOutcome::Broken);
             }
             if last {
-                self.tell(AttemptOutcome::Served);
-                self.tell_pause();
-                self.park();
-                return Relayed::Whole;
+                self.finish_attempt(AttemptOutcome::Served);
+                self.report_longest_gap();
+                self.reuse_connection();
+                return ForwardingOutcome::Complete;
             }
         }
     }
@@ -186,12 +186,12 @@
 
     /// What of these bytes can be passed on now: whole events of a stream.
     fn take(&mut self, bytes: Chain, last: bool) -> Chain {
-        if !self.told && !bytes.is_empty() {
-            self.told = true;
+        if !self.started && !bytes.is_empty() {
+            self.started = true;
             let (now, attempt) = (self.plane.now(), self.choice.attempt);
-            let told = self.upstream.as_ref().and_then(Upstream::version);
+            let reported = self.upstream.as_ref().and_then(UpstreamResponse::version);
             let mut engine = self.plane.engine.borrow_mut();
-            if let Some(outdated) = engine.begun_outdated(now, attempt, told) {
+            if let Some(outdated) = engine.begun_outdated(now, attempt, reported) {
                 self.warn_outdated(outdated);
             }
             engine.first_event(now, attempt);
@@ -200,7 +200,7 @@
         let mut whole = Vec::new();
         bytes.slices().for_each(|slice| events.push(slice, &mut whole));
         if last {
-            whole.extend_from_slice(&events.rest());
+            whole.extend_from_slice(&events.take_remainder());
         }
         if let (Some(version), Some(model)) = (events.take_version(), &self.admitted.model) {
             let now = self.plane.now();
@@ -208,7 +208,7 @@
             self.plane.engine.borrow_mut().observe_version(now, server, model, version);
         }
         if !whole.is_empty() {
-            self.pauses.events_came(Instant::now());
+            self.gaps.events_came(Instant::now());
         }
         let mut out = self.plane.pool.chain();
         out.push(&whole);
@@ -216,8 +216,8 @@
     }
 
     /// A stream came whole from one server: its longest pause tells of the service.
-    fn tell_pause(&self) {
-        if let Some(longest) = self.pauses.longest {
+    fn report_longest_gap(&self) {
+        if let Some(longest) = self.gaps.longest {
             let longest = longest.as_micros() as u64;
             let pause = OwnPause { service: &self.admitted.service, longest };
             self.plane.engine.borrow_mut().observe_pause(pause);
@@ -229,7 +229,7 @@
             "version" => begin.version, "binding" => begin.binding, "waited_ms" => begin.waited / MILLISECOND);
     }
 
-    async fn pass_on(&self, client: &Connection, bytes: &Chain, last: bool) -> Result<(), Relayed> {
+    async fn pass_on(&self, client: &Connection, bytes: &Chain, last: bool) -> Result<(), ForwardingOutcome> {
         match self.framing {
             Some(Framing::Chunked) => {
                 let (before, after) = chunk(&self.plane.pool, bytes.len(), last);
@@ -240,25 +240,25 @@
     }
 
     /// Writes to the client, who may take its time and leave meanwhile. Error: how the answer ends instead.
-    async fn write(&self, client: &Connection, chains: &[&Chain]) -> Result<(), Relayed> {
+    async fn write(&self, client: &Connection, chains: &[&Chain]) -> Result<(), ForwardingOutcome> {
         tokio::select! {
             biased;
-            written = client.write(chains) => written.map_err(|_| Relayed::ClientGone),
-            () = client.left() => Err(Relayed::ClientGone),
-            () = sleep_until(self.deadline) => Err(Relayed::Cut),
+            written = client.write(chains) => written.map_err(|_| ForwardingOutcome::ClientGone),
+            () = client.left() => Err(ForwardingOutcome::ClientGone),
+            () = sleep_until(self.deadline) => Err(ForwardingOutcome::Interrupted),
         }
     }
 
     /// Tells the engine, and ends the connection of a server that is not to work on.
-    fn end(&mut self, relayed: Relayed, outcome: AttemptOutcome) -> Relayed {
-        self.tell(outcome);
+    fn end(&mut self, relayed: ForwardingOutcome, outcome: AttemptOutcome) -> ForwardingOutcome {
+        self.finish_attempt(outcome);
         if let Some(upstream) = self.upstream.take() {
             upstream.connection.break_off();
         }
         relayed
     }
 
-    fn tell(&mut self, outcome: AttemptOutcome) {
+    fn finish_attempt(&mut self, outcome: AttemptOutcome) {
         if std::mem::replace(&mut self.ended, true) {
             return;
         }
@@ -274,17 +274,17 @@
     }
 }
 
-impl Relay<'_> {
+impl ResponseForwarding<'_> {
     /// Keeps the server's connection for another request.
-    fn park(&mut self) {
-        if let Some(Upstream { connection, head, .. }) = self.upstream.take() {
-            self.plane.upstreams.park(&self.choice.server, connection, &head);
+    fn reuse_connection(&mut self) {
+        if let Some(UpstreamResponse { connection, head, .. }) = self.upstream.take() {
+            self.plane.upstreams.release(&self.choice.server, connection, &head);
         }
     }
 }
 
-impl Drop for Relay<'_> {
+impl Drop for ResponseForwarding<'_> {
     fn drop(&mut self) {
-        self.tell(AttemptOutcome::ClientGone);
+        self.finish_attempt(AttemptOutcome::ClientGone);
     }
 }
--- a/dataplane/src/shutdown.rs
+++ b/dataplane/src/shutdown.rs
@@ -5,7 +5,7 @@
 
 use tokio::time::{Instant, sleep, sleep_until};
 
-use crate::shared::{DataPlane, Phase};
+use crate::data_plane::{DataPlane, Phase};
 
 /// How often an ending process looks whether requests are open.
 const LOOK_EVERY: Duration = Duration::from_millis(20);
@@ -17,20 +17,20 @@
 pub struct ShutdownTimes {
     /// From the announcement of the end, requests that come are begun for this long. It covers the time until the
     /// platform sends nothing new.
-    pub begins_requests_for: Duration,
+    pub accepts_requests_for: Duration,
     /// From the announcement of the end, open requests may go on for this long.
-    pub ends_after: Duration,
+    pub grace_period: Duration,
 }
 
-/// Ends the data plane in order. Returns once no request is open, at the latest after `ends_after`.
+/// Ends the data plane in order. Returns once no request is open, at the latest after `grace_period`.
 ///
 /// `hand_over` is what else has to be done before the process may end; it goes on beside the first phase, and limits
 /// itself.
 pub async fn shut_down(plane: &Rc<DataPlane>, times: ShutdownTimes, hand_over: impl Future<Output = ()>) {
     let begun = Instant::now();
-    let last = begun + times.ends_after;
+    let last = begun + times.grace_period;
     plane.set_phase(Phase::Draining);
-    let refuses_from = last.min(begun + times.begins_requests_for);
+    let refuses_from = last.min(begun + times.accepts_requests_for);
     tokio::join!(hand_over, sleep_until(refuses_from));
     plane.set_phase(Phase::Closing);
     sleep(CLOSES_WITHIN).await;
--- a/dataplane/tests/adversary/client.rs
+++ b/dataplane/tests/adversary/client.rs
@@ -6,7 +6,7 @@
 use tokio::task::yield_now;
 
 use crate::common::{Answer, Ask, Client, Ending};
-use crate::ledger::{KINDS, Kind, Ledger};
+use crate::history::{KINDS, Kind, Ledger};
 use crate::random::{Random, bytes_of};
 use crate::server::answer_body;
 
--- a/dataplane/tests/adversary/main.rs
+++ b/dataplane/tests/adversary/main.rs
@@ -7,7 +7,7 @@
 mod common;
 
 mod client;
-mod ledger;
+mod history;
 mod random;
 mod server;
 
@@ -19,7 +19,7 @@
 use common::configuration::SERVICE;
 use common::{Options, World};
 use gradepaddle_engine::ServerState;
-use ledger::{Counts, KINDS, Ledger};
+use history::{Counts, KINDS, Ledger};
 use server::Server;
 use tokio::task::{JoinSet, yield_now};
 use tokio::time::interval;
--- a/dataplane/tests/adversary/server.rs
+++ b/dataplane/tests/adversary/server.rs
@@ -12,7 +12,7 @@
 
 use crate::common::client::{chunked, find};
 use crate::common::event;
-use crate::ledger::{Kind, Ledger, Visit};
+use crate::history::{Kind, Ledger, Visit};
 use crate::random::{Random, bytes_of, hash};
 
 /// Some servers' sockets hold this little, so that a long body is written only as far as they read it.
--- a/dataplane/tests/attempts.rs
+++ b/dataplane/tests/attempts.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use common::configuration::SERVICE;
-use common::world::dead_address;
+use common::harness::dead_address;
 use common::*;
 use googletest::prelude::*;
 use gradepaddle_dataplane::DataPlane;
@@ -246,7 +246,7 @@
             let answer = world.ask(&Ask::get("/safe/x")).await;
             expect_that!(answer.status, any![eq(502), eq(503)]);
             expect_that!(world.visited().await.len(), eq(1));
-            expect_that!(world.plane.counters.repeats.get(), eq(0));
+            expect_that!(world.plane.counters.retries.get(), eq(0));
         }
         // With some slack, repeats go on until it is used up, whichever requests need them.
         let options = Options { retry_slack: 5.0, ..Options::default() };
@@ -283,7 +283,7 @@
             expect_that!(world.ask(&Ask::post("/unsafe-once/x")).await.status, eq(200));
         }
         expect_that!(world.plane.engine.borrow().counters().choices, gt(12), "the dead one was never chosen");
-        expect_that!(world.plane.counters.repeats.get(), eq(0));
+        expect_that!(world.plane.counters.retries.get(), eq(0));
         let world = World::of_servers(&[], vec![]).await;
         world.tell("dead", SERVICE, dead, ServerState::Ready);
         let answer = world.ask(&Ask::post("/unsafe/x")).await;
--- a/dataplane/tests/kept_events.rs
+++ b/dataplane/tests/cache_events.rs
@@ -7,8 +7,8 @@
 
 use common::*;
 use googletest::prelude::*;
-use gradepaddle_dataplane::load_sharing::audience::Peer;
-use gradepaddle_dataplane::tell_loads;
+use gradepaddle_dataplane::load_reports::recipients::Peer;
+use gradepaddle_dataplane::send_load_reports;
 use gradepaddle_engine::{holder_hash, kept_key};
 use gradepaddle_http::Connection;
 use gradepaddle_http::buffers::Pool;
@@ -72,9 +72,9 @@
     let own = Rc::new(UdpSocket::bind("127.0.0.1:0").await.expect("a port"));
     let other = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
     let peer = Peer { address: v4(other.local_addr().expect("it is bound")), zone: "".into() };
-    world.plane.set_rank(rank);
+    world.plane.set_listener_rank(rank);
     world.plane.set_peers(&[peer]);
-    tokio::task::spawn_local(tell_loads(world.plane.clone(), own));
+    tokio::task::spawn_local(send_load_reports(world.plane.clone(), own));
     (world, other)
 }
 
--- a/dataplane/tests/common/world.rs
+++ b/dataplane/tests/common/harness.rs
@@ -89,7 +89,7 @@
         };
         if let Some(body) = &options.configuration {
             plane.set_configuration(parsed(body));
-            plane.set_has_control(true);
+            plane.set_control_connected(true);
         }
         for id in options.servers {
             world.add_server(id, SERVICE).await;
@@ -109,7 +109,7 @@
     /// Tells the node of a server, as its control plane does.
     pub fn tell(&self, id: &str, service: &str, address: SocketAddrV4, state: ServerState) {
         if state != ServerState::Ready {
-            self.plane.forget_server(id);
+            self.plane.close_idle_connections(id);
         }
         let entry = ServerEntry {
             id: Arc::from(id),
--- a/dataplane/tests/common/mod.rs
+++ b/dataplane/tests/common/mod.rs
@@ -3,17 +3,17 @@
 
 pub mod client;
 pub mod configuration;
-pub mod plays;
+pub mod harness;
+pub mod scripts;
 pub mod servers;
-pub mod world;
 
 use std::time::Duration;
 
 pub use client::{Answer, Ask, Client, Ending};
 pub use configuration::{configuration, edited, route, with_tenants};
-pub use plays::*;
+pub use harness::{Options, World};
+pub use scripts::*;
 pub use servers::{Arrival, Gate, Play, Step};
-pub use world::{Options, World};
 
 /// No test takes nearly as long: this only ends one that waits for what never comes.
 const HUNG_AFTER: Duration = Duration::from_secs(30);
--- a/dataplane/tests/common/servers.rs
+++ b/dataplane/tests/common/servers.rs
@@ -109,7 +109,7 @@
 
     fn play(&self, arrival: &Arrival) -> Vec<Step> {
         let play = self.plays.borrow_mut().pop_front();
-        play.unwrap_or_else(|| super::plays::whole("plain"))(arrival)
+        play.unwrap_or_else(|| super::scripts::whole("plain"))(arrival)
     }
 }
 
--- a/dataplane/tests/both_ends.rs
+++ b/dataplane/tests/connection_faults.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use common::configuration::SERVICE;
+use common::harness::listener;
 use common::servers::v4;
-use common::world::listener;
 use common::*;
 use googletest::prelude::*;
 use gradepaddle_engine::ServerState;
--- a/dataplane/tests/ending.rs
+++ b/dataplane/tests/draining.rs
@@ -18,12 +18,12 @@
     run(async {
         let world = World::with(Options { configuration: None, ..Options::default() }, vec![]).await;
         expect_that!((ready(&world).await, world.plane.is_ready()), eq((503, false)));
-        world.plane.set_has_control(true);
+        world.plane.set_control_connected(true);
         expect_that!((ready(&world).await, world.plane.is_ready()), eq((503, false)));
-        world.plane.set_has_control(false);
+        world.plane.set_control_connected(false);
         world.plane.set_configuration(parsed(&configuration()));
         expect_that!((ready(&world).await, world.plane.is_ready()), eq((503, false)));
-        world.plane.set_has_control(true);
+        world.plane.set_control_connected(true);
         expect_that!((ready(&world).await, world.plane.is_ready()), eq((200, true)));
         world.plane.set_phase(Phase::Draining);
         expect_that!((ready(&world).await, world.plane.is_ready()), eq((503, false)));
--- a/dataplane/tests/event_splitter.rs
+++ b/dataplane/tests/event_splitter.rs
@@ -65,7 +65,7 @@
         splitter.push(piece, &mut whole);
         version = splitter.take_version().or(version);
     }
-    Seen { whole, last_id: splitter.last_id(), version, rest: splitter.rest() }
+    Seen { whole, last_id: splitter.last_id(), version, rest: splitter.take_remainder() }
 }
 
 proptest! {
@@ -125,10 +125,10 @@
         let (mut splitter, mut whole) = (EventSplitter::after(last), Vec::new());
         splitter.push(b"data: partial\n", &mut whole);
         prop_assert_eq!(splitter.last_id(), last);
-        splitter.drop_partial();
+        splitter.discard_partial();
         splitter.push(event.text.as_bytes(), &mut whole);
         prop_assert_eq!(splitter.last_id(), event.id.or(last));
         prop_assert_eq!(whole, event.text.into_bytes());
-        prop_assert_eq!(splitter.rest(), Vec::<u8>::new());
+        prop_assert_eq!(splitter.take_remainder(), Vec::<u8>::new());
     }
 }
--- a/dataplane/tests/golden.rs
+++ b/dataplane/tests/golden.rs
@@ -10,12 +10,12 @@
 use std::time::Duration;
 
 use common::configuration::SERVICE;
+use common::harness::{dead_address, listener};
 use common::servers::v4;
-use common::world::{dead_address, listener};
 use common::*;
 use googletest::prelude::*;
-use gradepaddle_dataplane::load_sharing::audience::Peer;
-use gradepaddle_dataplane::{DataPlane, KeyEvidence, PassedOn, Phase, Setup, tell_loads};
+use gradepaddle_dataplane::load_reports::recipients::Peer;
+use gradepaddle_dataplane::{DataPlane, ForwardedReport, KeyValidity, Phase, Setup, send_load_reports};
 use gradepaddle_engine::{Engine, EngineConfig, ServerState};
 use serde_json::{Value, json};
 use slog::{Discard, Logger, o};
@@ -173,7 +173,7 @@
         expect_that!(answer_to(world.front, &late).await, eq(&unavailable("0.150", "")), "no time left");
 
         let world = World::with_configuration(with_tenants(), vec![]).await;
-        world.plane.set_keys(KeyEvidence { version: 0, until: 1 });
+        world.plane.set_key_validity(KeyValidity { version: 0, valid_until: 1 });
         let keyed = request("GET /safe/x", "X-Api-Key: key-red\r\n");
         let lapsed = unavailable("0.060", "Connection: close\r\n");
         expect_that!(answer_to(world.front, &keyed).await, eq(&lapsed), "keys have lapsed");
@@ -406,12 +406,12 @@
             expect_that!(answer_to(world.readiness, request).await, eq(answer));
         }
         let not_ready = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
-        world.plane.set_has_control(false);
+        world.plane.set_control_connected(false);
         expect_that!(answer_to(world.readiness, ready).await, eq(not_ready));
-        world.plane.set_has_control(true);
-        world.plane.set_keys(KeyEvidence { version: 0, until: 1 });
+        world.plane.set_control_connected(true);
+        world.plane.set_key_validity(KeyValidity { version: 0, valid_until: 1 });
         expect_that!(answer_to(world.readiness, ready).await, eq(not_ready));
-        world.plane.set_keys(KeyEvidence { version: 0, until: u64::MAX });
+        world.plane.set_key_validity(KeyValidity { version: 0, valid_until: u64::MAX });
         expect_that!(answer_to(world.readiness, ready).await, eq(answers[0].1));
         world.plane.set_phase(Phase::Draining);
         expect_that!(answer_to(world.readiness, ready).await, eq(not_ready));
@@ -489,7 +489,7 @@
         let mut client = TcpStream::connect(world.front).await.expect("the front listens");
         client.write_all(request("GET /safe/x", "").as_bytes()).await.expect("written");
         world.arrived(1).await;
-        tokio::task::spawn_local(tell_loads(world.plane.clone(), own));
+        tokio::task::spawn_local(send_load_reports(world.plane.clone(), own));
         let (mut one, mut two) = (vec![0; 2048], vec![0; 2048]);
         let bytes = tokio::select! {
             length = other.recv(&mut one) => one[..length.expect("a datagram")].to_vec(),
@@ -517,8 +517,8 @@
                     2020d8bb848080c0022801320b080d10011a0508c3011010";
     let forwarded = "08091209084d105a180220a846120d0890e4d0b287d3aeeefe0118011a16084d100b1803200c2a0508a10110402a0508b2011\
                      02020d8bb848080c002320b080d10011a0508c3011010";
-    let wanted = PassedOn { bytes: unhex(forwarded), to: vec![address(2), address(4)] };
-    expect_that!(plane.hear(address(1), &unhex(received)), some(eq(&wanted)));
+    let wanted = ForwardedReport { bytes: unhex(forwarded), recipients: vec![address(2), address(4)] };
+    expect_that!(plane.receive_load_report(address(1), &unhex(received)), some(eq(&wanted)));
 }
 
 /// What a model server gets for a generation of 900 tokens where a cache store has these entries.
--- a/dataplane/tests/lapsed_keys.rs
+++ b/dataplane/tests/key_validity.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use googletest::prelude::*;
-use gradepaddle_dataplane::KeyEvidence;
+use gradepaddle_dataplane::KeyValidity;
 use serde_json::json;
 
 /// Two tenants with keys, and one route that needs none.
@@ -18,8 +18,8 @@
 const LATER: u64 = 3_600_000_000;
 
 /// Evidence for any configuration of these tests.
-fn shown(until: u64) -> KeyEvidence {
-    KeyEvidence { version: 0, until }
+fn shown(until: u64) -> KeyValidity {
+    KeyValidity { version: 0, valid_until: until }
 }
 
 /// A path on a route that needs a key.
@@ -45,7 +45,7 @@
             ),
             ("a tenant's key where none is needed", Ask::get(&public).field("X-Api-Key", "key-red"), 503),
         ];
-        world.plane.set_keys(shown(1));
+        world.plane.set_key_validity(shown(1));
         expect_that!(world.plane.is_ready(), eq(false));
         for (what, ask, status) in &asks {
             let answer = world.ask(ask).await;
@@ -54,7 +54,7 @@
             expect_that!(answer.field("Connection"), some(eq("close")), "{what}");
         }
         expect_that!(world.all_arrivals().await.len(), eq(1));
-        world.plane.set_keys(shown(LATER));
+        world.plane.set_key_validity(shown(LATER));
         expect_that!(world.plane.is_ready(), eq(true));
         let [_, (_, keyed, _), (_, unknown, _), _] = &asks;
         expect_that!(world.ask(keyed).await.status, eq(200));
@@ -66,7 +66,7 @@
 fn without_tenants_nothing_depends_on_keys() {
     run(async {
         let world = World::new(vec![]).await;
-        world.plane.set_keys(shown(0));
+        world.plane.set_key_validity(shown(0));
         expect_that!(world.plane.is_ready(), eq(true));
         expect_that!(world.ask(&Ask::get("/safe/x")).await.status, eq(200));
     });
@@ -77,13 +77,13 @@
 fn a_young_node_lets_requests_wait_for_the_first_evidence() {
     run(async {
         let world = World::with_configuration(configuration(), vec![]).await;
-        world.plane.set_keys(shown(0));
+        world.plane.set_key_validity(shown(0));
         let plane = world.plane.clone();
         let ask = Ask::post(&keyed_target()).field("X-Api-Key", "key-red");
         let (answer, ()) = tokio::join!(world.ask(&ask), async move {
             // The request is read by then, or finds the evidence: it is answered alike.
             tokio::task::yield_now().await;
-            plane.set_keys(shown(LATER));
+            plane.set_key_validity(shown(LATER));
         });
         expect_that!(answer.status, eq(200));
     });
@@ -95,7 +95,7 @@
 fn a_request_that_waited_is_judged_by_the_configuration_that_the_evidence_is_for() {
     run(async {
         let world = World::with_configuration(configuration(), vec![]).await;
-        world.plane.set_keys(shown(0));
+        world.plane.set_key_validity(shown(0));
         let plane = world.plane.clone();
         let ask = Ask::post(&keyed_target()).field("X-Api-Key", "key-blue");
         let mut later = configuration();
@@ -107,7 +107,7 @@
             }
             tokio::task::yield_now().await;
             plane.set_configuration(common::configuration::parsed(&later));
-            plane.set_keys(shown(LATER));
+            plane.set_key_validity(shown(LATER));
         });
         expect_that!(answer.status, eq(401));
         expect_that!(world.all_arrivals().await.len(), eq(0));
@@ -122,7 +122,7 @@
         let ask = Ask::post(&keyed_target()).field("X-Api-Key", "key-red");
         let version = configuration()["version"].as_u64().expect("a version");
         for (version, status) in [(version, 200), (version + 1, 503), (version - 1, 200)] {
-            world.plane.set_keys(KeyEvidence { version, until: LATER });
+            world.plane.set_key_validity(KeyValidity { version, valid_until: LATER });
             expect_that!(world.ask(&ask).await.status, eq(status), "{version}");
         }
     });
--- a/dataplane/tests/load_sharing.rs
+++ b/dataplane/tests/load_reports.rs
@@ -7,9 +7,9 @@
 use std::sync::Arc;
 
 use googletest::prelude::*;
-use gradepaddle_dataplane::load_sharing::audience::{Audience, Peer, Recipient};
-use gradepaddle_dataplane::load_sharing::recent_rounds::RecentRounds;
-use gradepaddle_dataplane::{DataPlane, PassedOn, Setup, is_to_tell};
+use gradepaddle_dataplane::load_reports::recipients::{Peer, Recipient, Recipients};
+use gradepaddle_dataplane::load_reports::resend_window::ResendWindow;
+use gradepaddle_dataplane::{DataPlane, ForwardedReport, Setup, should_report_health};
 use gradepaddle_engine::{Engine, EngineConfig};
 use gradepaddle_proto::{Encode, KeptPrompt, LoadShare, PromptPart, ServerShare};
 use slog::{Discard, Logger, o};
@@ -29,8 +29,8 @@
 }
 
 /// The fleet as each of so many nodes in so many zones knows it: node `n` is in zone `n % zones`.
-fn audience(own: usize, nodes: usize, zones: usize) -> Audience {
-    let mut audience = Audience::new(zone(own, zones));
+fn audience(own: usize, nodes: usize, zones: usize) -> Recipients {
+    let mut audience = Recipients::new(zone(own, zones));
     let others = (0..nodes).filter(|number| *number != own);
     let peers = others.map(|number| Peer { address: address(number), zone: zone(number, zones) });
     audience.set_peers(&peers.collect::<Vec<_>>());
@@ -42,7 +42,7 @@
     let mut reached = Vec::new();
     for recipient in recipients {
         reached.push(recipient.address);
-        if recipient.relays {
+        if recipient.forwards {
             let relay = (0..nodes).find(|number| address(*number) == recipient.address).expect("a node");
             let zone = relay % zones;
             let neighbours = (0..nodes).filter(|number| number % zones == zone && *number != relay);
@@ -57,13 +57,13 @@
     for (nodes, zones) in [(1, 1), (2, 1), (2, 2), (9, 3), (10, 3), (30, 5), (63, 3), (78, 4), (91, 5)] {
         let mut audience = audience(0, nodes, zones);
         for turn in 1..20 {
-            let recipients = audience.recipients(turn * SECOND, MESSAGE);
+            let recipients = audience.select(turn * SECOND, MESSAGE);
             let mut all = reached(&recipients, nodes, zones);
             all.sort();
             let mut wanted: Vec<SocketAddrV4> = (1..nodes).map(address).collect();
             wanted.sort();
             expect_that!(all, eq(&wanted), "{nodes} nodes, {zones} zones");
-            let far = recipients.iter().filter(|one| one.relays).count();
+            let far = recipients.iter().filter(|one| one.forwards).count();
             expect_that!(far, lt(zones.max(1)), "a copy for each other zone at most");
         }
     }
@@ -75,10 +75,10 @@
     let mut audience = audience(0, 91, 5);
     let mut relays: BTreeMap<SocketAddrV4, usize> = BTreeMap::new();
     for turn in 1..=180 {
-        let recipients = audience.recipients(turn * SECOND, MESSAGE);
+        let recipients = audience.select(turn * SECOND, MESSAGE);
         recipients
             .iter()
-            .filter(|one| one.relays)
+            .filter(|one| one.forwards)
             .for_each(|one| *relays.entry(one.address).or_default() += 1);
     }
     expect_that!(relays.len(), eq(72));
@@ -99,7 +99,7 @@
             since = now;
             missing = (1..nodes).map(address).collect();
         }
-        let told = reached(&audience.recipients(now, MESSAGE), nodes, 5);
+        let told = reached(&audience.select(now, MESSAGE), nodes, 5);
         copies += told.len();
         missing.retain(|one| !told.contains(one));
     }
@@ -124,12 +124,12 @@
 #[gtest]
 fn where_not_all_are_told_at_once_the_rounds_say_in_how_many_messages() {
     let mut audience = audience(0, 400, 5);
-    expect_that!(audience.rounds(), eq(1));
+    expect_that!(audience.rounds_to_reach_all(), eq(1));
     for turn in 1..100 {
-        audience.recipients(turn * SECOND / 10, MESSAGE);
+        audience.select(turn * SECOND / 10, MESSAGE);
     }
-    let told = audience.recipients(10 * SECOND, MESSAGE).len();
-    expect_that!(audience.rounds(), eq(399_usize.div_ceil(told.max(1))));
+    let told = audience.select(10 * SECOND, MESSAGE).len();
+    expect_that!(audience.rounds_to_reach_all(), eq(399_usize.div_ceil(told.max(1))));
 }
 
 /// A data plane in zone 0 of a fleet of ten nodes in two zones, itself node 0.
@@ -157,9 +157,15 @@
 }
 
 fn counted(plane: &DataPlane) -> [u64; 5] {
-    let counters = plane.sharing_counters();
-    [&counters.heard, &counters.unreadable, &counters.strangers, &counters.outdated, &counters.absurd]
-        .map(|counter| counter.get())
+    let counters = plane.load_report_counters();
+    [
+        &counters.received,
+        &counters.unreadable,
+        &counters.unknown_senders,
+        &counters.outdated,
+        &counters.implausible,
+    ]
+    .map(|counter| counter.get())
 }
 
 #[gtest]
@@ -187,7 +193,7 @@
     ];
     for (what, from, bytes, wanted) in rows {
         let plane = plane();
-        expect_that!(plane.hear(from, &bytes), none(), "{what}");
+        expect_that!(plane.receive_load_report(from, &bytes), none(), "{what}");
         expect_that!(counted(&plane), eq(wanted), "{what}");
     }
 }
@@ -195,12 +201,12 @@
 #[gtest]
 fn a_message_that_was_overtaken_counts_for_nothing_whichever_way_it_came() {
     let plane = plane();
-    plane.hear(address(1), &message(9, 1).to_bytes());
-    plane.hear(address(3), &message(8, 1).to_bytes());
-    plane.hear(address(1), &message(9, 1).to_bytes());
+    plane.receive_load_report(address(1), &message(9, 1).to_bytes());
+    plane.receive_load_report(address(3), &message(8, 1).to_bytes());
+    plane.receive_load_report(address(1), &message(9, 1).to_bytes());
     expect_that!(counted(&plane), eq([1, 0, 0, 2, 0]));
     // Another node's count has nothing to do with it.
-    plane.hear(address(3), &message(3, 3).to_bytes());
+    plane.receive_load_report(address(3), &message(3, 3).to_bytes());
     expect_that!(counted(&plane), eq([2, 0, 0, 2, 0]));
 }
 
@@ -208,9 +214,10 @@
 fn what_is_meant_for_the_zone_is_passed_on_to_it_once() {
     let plane = plane();
     let sent = LoadShare { relay: true, ..message(9, 1) };
-    let wanted = PassedOn { bytes: message(9, 1).to_bytes(), to: [2, 4, 6, 8].map(address).to_vec() };
-    expect_that!(plane.hear(address(1), &sent.to_bytes()), some(eq(&wanted)));
-    expect_that!(plane.hear(address(1), &sent.to_bytes()), none());
+    let wanted =
+        ForwardedReport { bytes: message(9, 1).to_bytes(), recipients: [2, 4, 6, 8].map(address).to_vec() };
+    expect_that!(plane.receive_load_report(address(1), &sent.to_bytes()), some(eq(&wanted)));
+    expect_that!(plane.receive_load_report(address(1), &sent.to_bytes()), none());
 }
 
 /// Seen on kctc-grown, seed 5552: nodes that knew few others at the start took themselves for the first one and told
@@ -226,7 +233,7 @@
         (7, Some(false), true, false),
     ];
     for (rank, known, alive, wanted) in rows {
-        expect_that!(is_to_tell(rank, known, alive), eq(wanted), "{rank} {known:?} {alive}");
+        expect_that!(should_report_health(rank, known, alive), eq(wanted), "{rank} {known:?} {alive}");
     }
 }
 
@@ -245,8 +252,8 @@
         (&[&[1, 2, 3, 4, 5]], 1, &[1, 2, 3, 4]),
     ];
     for (came, kept, told) in rows {
-        let mut recent = RecentRounds::new(4);
-        came.iter().for_each(|fresh| recent.keep(fresh.iter().copied(), kept));
-        expect_that!(recent.all(), eq(told), "{came:?}");
+        let mut recent = ResendWindow::new(4);
+        came.iter().for_each(|fresh| recent.push_round(fresh.iter().copied(), kept));
+        expect_that!(recent.items(), eq(told), "{came:?}");
     }
 }
--- a/dataplane/tests/versions.rs
+++ b/dataplane/tests/model_versions.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::configuration::MODEL;
-use common::world::FIRST_VERSION;
+use common::harness::FIRST_VERSION;
 use common::*;
 use googletest::prelude::*;
 use gradepaddle_engine::Micros;
@@ -23,7 +23,7 @@
 
 /// Names the newer version, as the control plane does.
 fn name_newer(world: &World) {
-    world.plane.name_version(MODEL, NEWER, WITHIN);
+    world.plane.announce_version(MODEL, NEWER, WITHIN);
 }
 
 /// All servers but this one have the newer version.
--- a/dataplane/tests/regressions.rs
+++ b/dataplane/tests/regressions.rs
@@ -39,9 +39,9 @@
     run(async {
         let world = World::new(vec![status("500 Own"), whole("done")]).await;
         world.ask(&Ask::post("/unsafe/x")).await;
-        expect_that!(world.plane.counters.served.get(), eq(0));
+        expect_that!(world.plane.counters.responses.get(), eq(0));
         world.ask(&Ask::post("/unsafe/x")).await;
-        expect_that!(world.plane.counters.served.get(), eq(1));
+        expect_that!(world.plane.counters.responses.get(), eq(1));
     });
 }
 
--- a/dataplane/tests/shutdown.rs
+++ b/dataplane/tests/shutdown.rs
@@ -14,9 +14,9 @@
 const NEVER: Duration = Duration::from_secs(3600);
 
 /// Begins the end of a process that refuses what comes from now on.
-fn ending(world: &World, ends_after: Duration) -> JoinHandle<()> {
+fn ending(world: &World, grace_period: Duration) -> JoinHandle<()> {
     let plane = world.plane.clone();
-    let times = ShutdownTimes { begins_requests_for: Duration::ZERO, ends_after };
+    let times = ShutdownTimes { accepts_requests_for: Duration::ZERO, grace_period };
     tokio::task::spawn_local(async move { shut_down(&plane, times, std::future::ready(())).await })
 }
 
@@ -106,7 +106,7 @@
         let world = World::new(vec![]).await;
         let (done, wait) = tokio::sync::oneshot::channel::<()>();
         let plane = world.plane.clone();
-        let times = ShutdownTimes { begins_requests_for: Duration::ZERO, ends_after: NEVER };
+        let times = ShutdownTimes { accepts_requests_for: Duration::ZERO, grace_period: NEVER };
         let ended = tokio::task::spawn_local(async move {
             let hand_over = async {
                 let _ = wait.await;
--- a/system/src/effects.rs
+++ b/system/src/effects.rs
@@ -10,8 +10,8 @@
 use gradepaddle_controlplane::driver::Effects;
 use gradepaddle_controlplane::node::{Event, KeysShown, MemberNode};
 use gradepaddle_controlplane::rollout::OrderAnswer;
-use gradepaddle_dataplane::load_sharing::audience::Peer;
-use gradepaddle_dataplane::{DataPlane, KeyEvidence};
+use gradepaddle_dataplane::load_reports::recipients::Peer;
+use gradepaddle_dataplane::{DataPlane, KeyValidity};
 use gradepaddle_engine::{Micros, ServerEntry, ServerState};
 use gradepaddle_store::Writer;
 use slog::{Logger, info, warn};
@@ -59,14 +59,14 @@
 
     fn server(&self, entry: ServerEntry) {
         if !matches!(entry.state, ServerState::Ready) {
-            self.plane.forget_server(&entry.id);
+            self.plane.close_idle_connections(&entry.id);
         }
         let now = self.plane.now();
         self.plane.engine.borrow_mut().set_server(now, entry);
     }
 
     fn server_gone(&self, id: &str) {
-        self.plane.forget_server(id);
+        self.plane.close_idle_connections(id);
         let now = self.plane.now();
         self.plane.engine.borrow_mut().remove_server(now, id);
     }
@@ -80,15 +80,15 @@
     }
 
     fn rank(&self, rank: usize) {
-        self.plane.set_rank(rank);
+        self.plane.set_listener_rank(rank);
     }
 
     fn store(&self, name: &str, alive: bool) {
-        self.plane.store_told(name, alive);
+        self.plane.set_reported_store_health(name, alive);
     }
 
     fn weights_named(&self, model: &str, version: u64, binds_in: Micros) {
-        self.plane.name_version(model, version, binds_in);
+        self.plane.announce_version(model, version, binds_in);
     }
 
     fn weights_postponed(&self, model: &str, version: u64, binds_in: Micros) {
@@ -107,7 +107,7 @@
 
     fn in_touch(&self, in_touch: bool) {
         if in_touch {
-            self.plane.set_has_control(true);
+            self.plane.set_control_connected(true);
         }
         info!(self.log, "control"; "in_touch" => in_touch);
     }
@@ -118,7 +118,7 @@
         let span = shown.until.saturating_sub(self.clock.now());
         // 0 stands for no evidence at all, for which requests wait; what is over already is over.
         let until = if shown.until == 0 { 0 } else { now + span };
-        self.plane.set_keys(KeyEvidence { version: shown.version, until });
+        self.plane.set_key_validity(KeyValidity { version: shown.version, valid_until: until });
     }
 
     fn event(&self, event: Event) {
--- a/system/src/run.rs
+++ b/system/src/run.rs
@@ -21,7 +21,7 @@
 use gradepaddle_controlplane::node::{Input, Node, NodeSetup};
 use gradepaddle_controlplane::session::OwnSession;
 use gradepaddle_dataplane::{
-    DataPlane, Setup, ShutdownTimes, hear_loads, serve_clients, serve_readiness, shut_down, tell_loads,
+    DataPlane, Setup, ShutdownTimes, receive_load_reports, serve_clients, serve_readiness, shut_down, send_load_reports,
 };
 use gradepaddle_engine::{Engine, EngineConfig};
 use gradepaddle_proto::Identity;
@@ -138,7 +138,7 @@
     });
     let settings = Rc::new(settings);
     let told = back.clone();
-    plane.watch_stores(Box::new(move |name, alive| {
+    plane.set_store_health_listener(Box::new(move |name, alive| {
         let input = Input::Store { name: Arc::from(name), alive };
         // Without a driver nobody has to know.
         let _ = told.send(DriverEvent::Input(input));
@@ -156,8 +156,8 @@
     tokio::task::spawn_local(serve_readiness(plane.clone(), listeners.readiness));
     tokio::task::spawn_local(serve_clients(plane.clone(), listeners.front));
     tokio::task::spawn_local(sweep(plane.clone()));
-    tokio::task::spawn_local(hear_loads(plane.clone(), listeners.loads.clone()));
-    tokio::task::spawn_local(tell_loads(plane.clone(), listeners.loads));
+    tokio::task::spawn_local(receive_load_reports(plane.clone(), listeners.loads.clone()));
+    tokio::task::spawn_local(send_load_reports(plane.clone(), listeners.loads));
     info!(log, "started"; "zone" => &settings.zone, "first_boot" => settings.first_boot);
     loop {
         tokio::select! {
@@ -167,7 +167,7 @@
     }
     info!(log, "ending");
     end(&settings, &plane, &back, &effects.may_end).await;
-    info!(log, "ended"; "requests" => plane.counters.requests.get(), "served" => plane.counters.served.get());
+    info!(log, "ended"; "requests" => plane.counters.requests.get(), "served" => plane.counters.responses.get());
     Ok(())
 }
 
@@ -315,11 +315,11 @@
     // Without a driver there is nothing to hand over.
     let _ = back.send(DriverEvent::Input(Input::Leaving));
     let times = ShutdownTimes {
-        begins_requests_for: BEGINS_REQUESTS_FOR,
-        ends_after: settings.bounds.grace.saturating_sub(GRACE_MARGIN),
+        accepts_requests_for: BEGINS_REQUESTS_FOR,
+        grace_period: settings.bounds.grace.saturating_sub(GRACE_MARGIN),
     };
     // What this machine holds may be needed for longer than its clients need it. A control state that nobody has taken
     // over in time stays on the disk.
-    let hand_over = timeout(times.ends_after, may_end.notified());
+    let hand_over = timeout(times.grace_period, may_end.notified());
     let (_, _) = tokio::join!(shut_down(plane, times, ready(())), hand_over);
 }
