--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter: the simulator's wire on one side, [`crate::api`] on the other. No decisions here.
+//! The adapter: the simulator's wire on one side, `crate::api` on the other. No decisions here.
 
 use std::borrow::Cow;
 use std::collections::BTreeMap;
