--- /dev/null
+++ b/controlplane/tests/golden/lone_node.rs
@@ -0,0 +1,135 @@
+//! A node that is its own core: it leads, its disk writes at once, and a second node without a disk has a session with it.
+
+use std::net::{Ipv4Addr, SocketAddrV4};
+use std::sync::Arc;
+
+use gradepaddle_control::{Recovered, Replica, ReplicaConfig, ReplicaId};
+use gradepaddle_controlplane::calls::{Answer, Call};
+use gradepaddle_controlplane::founding::Founding;
+use gradepaddle_controlplane::naming::VersionTimes;
+use gradepaddle_controlplane::node::{Input, Node, NodeSetup, Output};
+use gradepaddle_controlplane::session::OwnSession;
+use gradepaddle_controlplane::{CLOCK_START, Micros};
+use gradepaddle_proto::{Content, Envelope, Identity, SessionBeat};
+use gradepaddle_spread::{Item, Message, Spread, SpreadConfig};
+
+const SECOND: Micros = 1_000_000;
+/// Names the calls of these tests.
+const TICKET: u64 = 1 << 40;
+
+/// Where the nodes are reached.
+pub fn address(number: u8) -> SocketAddrV4 {
+    SocketAddrV4::new(Ipv4Addr::new(10, 9, 0, number), 7700)
+}
+
+pub fn identity(number: u8, replica: Option<u64>) -> Identity {
+    Identity {
+        address: address(number),
+        incarnation: 1_700_000_000_000_000 + u64::from(number),
+        name: Arc::from(format!("node-{number}")),
+        zone: Arc::from("west"),
+        replica,
+        first_boot: replica.is_some(),
+    }
+}
+
+/// The node with the time that it is told, and the items that it has pushed to the other one.
+pub struct LoneNode {
+    node: Node,
+    now: Micros,
+    pub pushed: Vec<Item>,
+    /// Answers to calls of these tests, early and late.
+    pub answers: Vec<Answer>,
+}
+
+impl LoneNode {
+    /// A node that has just started, without a disk.
+    pub fn new() -> LoneNode {
+        let own = address(1);
+        let node = Node::new(NodeSetup {
+            session: OwnSession::new(identity(1, Some(501)), vec![own], CLOCK_START),
+            spread: Spread::new(SpreadConfig::builder().address(own).seed(1).build(), CLOCK_START),
+            founding: Founding::new(own, &[own], 1, true, CLOCK_START),
+            beat_every: 1_200_000,
+            order_lease: 3 * SECOND,
+            version_times: VersionTimes { within: 8 * SECOND, in_all: None },
+            revoke_within: None,
+            machine_losses: 0,
+            now: CLOCK_START,
+        });
+        LoneNode { node, now: CLOCK_START, pushed: Vec::new(), answers: Vec::new() }
+    }
+
+    /// Its disk is open.
+    pub fn open_disk(&mut self) {
+        let config = ReplicaConfig::builder()
+            .address(address(1))
+            .zone("west")
+            .first_boot(true)
+            .machine_losses(0)
+            .seed(1)
+            .build();
+        let replica = Replica::new(config, Recovered::empty(ReplicaId(501)), self.now);
+        self.hand(Input::Replica(Box::new(replica)));
+    }
+
+    /// Hands it an input; what it writes is on its disk at once.
+    pub fn hand(&mut self, input: Input) -> Vec<Output> {
+        let (mut inputs, mut answers) = (vec![input], Vec::new());
+        while let Some(input) = inputs.pop() {
+            let mut out = Vec::new();
+            self.node.handle(self.now, input, &mut out);
+            for output in out {
+                match output {
+                    Output::Persist { token, .. } => inputs.push(Input::Persisted(token)),
+                    Output::Send { content: Content::Spread(Message::Push { items, .. }), .. } => {
+                        self.pushed.extend(items.into_iter().map(|aged| aged.item));
+                    }
+                    Output::Answer { ticket: TICKET, answer } => {
+                        self.answers.push(answer.clone());
+                        answers.push(Output::Answer { ticket: TICKET, answer });
+                    }
+                    other => answers.push(other),
+                }
+            }
+        }
+        answers
+    }
+
+    /// Lets time pass. The second node, once it is there, goes on with its heartbeats.
+    pub fn run_for(&mut self, span: Micros, second_node: bool) {
+        let until = self.now + span;
+        while self.now < until {
+            self.now = self.node.next_wake().clamp(self.now + 1_000, self.now + 200_000).min(until);
+            self.hand(Input::Tick);
+            if second_node {
+                self.session_heartbeat();
+            }
+        }
+    }
+
+    /// A heartbeat of the second node.
+    pub fn session_heartbeat(&mut self) {
+        let beat = SessionBeat { identity: identity(2, None), view_epoch: 1 };
+        self.hand(Input::Envelope(Envelope { from: address(2), content: Content::SessionBeat(beat) }));
+    }
+
+    /// Makes a call and gives its answer, if that comes at once.
+    pub fn call(&mut self, call: Call) -> Option<Answer> {
+        let out = self.hand(Input::Call { ticket: TICKET, call });
+        out.into_iter().find_map(|output| match output {
+            Output::Answer { ticket: TICKET, answer } => Some(answer),
+            _ => None,
+        })
+    }
+
+    /// A node that leads, with a session of the second node.
+    pub fn leading() -> LoneNode {
+        let mut lone = LoneNode::new();
+        lone.open_disk();
+        lone.run_for(3 * SECOND, false);
+        lone.session_heartbeat();
+        lone.run_for(SECOND, true);
+        lone
+    }
+}
