--- /dev/null
+++ b/engine/tests/golden.rs
@@ -0,0 +1,412 @@
+//! Choices, pinned: two engines that tell each other what they know are driven by calls drawn by seed, and everything
+//! that they return goes into one number. The numbers were taken from commit 4552024: a change of names or of structure
+//! leaves them as they are, a change of a decision does not.
+
+mod common;
+
+use std::net::SocketAddrV4;
+use std::sync::Arc;
+
+use common::{MODEL, MS, STORE, ZONES, entry, pool, shelf};
+use googletest::prelude::*;
+use gradepaddle::cost::{hash, mix};
+use gradepaddle_engine::{
+    AttemptId, AttemptOutcome, Choice, Engine, EngineConfig, Kept, KeptTokens, LoadReport, Micros,
+    ModelService, ModelVersion, OwnPause, Part, Refusal, Request, ServerEntry, ServerState, ServiceSpec,
+    StoreChanges, StoreService, Wall, holder_hash, kept_key,
+};
+
+const SERVERS: u16 = 14;
+const STEPS: usize = 20_000;
+/// What seeds 1 to 6 give.
+const DIGESTS: [&str; 6] = [
+    "cb52203808b16b8c",
+    "8d65d122af8f7a55",
+    "5d37eee4477b61ce",
+    "30b55bf4ba4d602d",
+    "730f935a17642f4a",
+    "7b733e12e702df29",
+];
+const SECOND_SERVICE: &str = "annex";
+const SECOND_MODEL: &str = "m1";
+const SECOND_STORE: &str = "cellar";
+
+/// Numbers drawn by seed.
+struct Random(u64);
+
+impl Random {
+    fn next(&mut self) -> u64 {
+        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        mix(self.0)
+    }
+
+    fn below(&mut self, limit: u64) -> u64 {
+        self.next() % limit
+    }
+
+    fn chance(&mut self, percent: u64) -> bool {
+        self.below(100) < percent
+    }
+}
+
+/// One number made of all that was returned.
+struct Digest(u64);
+
+impl Digest {
+    fn number(&mut self, number: u64) {
+        self.0 = mix(self.0.rotate_left(7) ^ number);
+    }
+
+    fn float(&mut self, number: f64) {
+        self.number(number.to_bits());
+    }
+
+    fn text(&mut self, text: &str) {
+        self.number(hash(text));
+    }
+
+    fn address(&mut self, address: Option<SocketAddrV4>) {
+        self.text(&address.map_or_else(String::new, |address| address.to_string()));
+    }
+
+    fn choice(&mut self, choice: &Choice) {
+        self.number(choice.attempt.0);
+        self.text(&choice.server);
+        self.address(Some(choice.address));
+        self.address(choice.fetch);
+        self.address(choice.save);
+        self.number(choice.expect_version.map_or(u64::MAX, |version| version));
+        self.text(choice.salt.as_deref().unwrap_or_default());
+    }
+
+    fn refusal(&mut self, refusal: Refusal) {
+        let (kind, retry_after) = match refusal {
+            Refusal::NoServer { retry_after } => (1, retry_after),
+            Refusal::Overloaded { retry_after } => (2, retry_after),
+        };
+        self.number(kind);
+        self.number(retry_after);
+    }
+}
+
+/// One engine with the attempts that are in flight there.
+struct Node {
+    engine: Engine,
+    attempts: Vec<(AttemptId, Arc<str>)>,
+    sequence: u64,
+}
+
+impl Node {
+    fn new(zone: &str, seed: u64) -> Node {
+        let config =
+            EngineConfig::builder().own_zone(zone).seed(seed).keys(40).kept(900).retry_slack(3.0).build();
+        let mut engine = Engine::new(config);
+        engine.set_services(0, services(105_065));
+        engine.set_balancers(2);
+        (0..SERVERS).for_each(|number| engine.set_server(0, server(number, 1, ServerState::Ready)));
+        Node { engine, attempts: Vec::new(), sequence: 0 }
+    }
+}
+
+fn services(cache_tokens: u64) -> Vec<ServiceSpec> {
+    let annex = ModelService::builder()
+        .name(SECOND_SERVICE)
+        .slots(2)
+        .cache_tokens(30_000)
+        .token_bytes(131_072)
+        .link_mbps(9_000.0)
+        .models(vec![Arc::from(SECOND_MODEL)])
+        .build();
+    let cellar = StoreService::builder()
+        .name(SECOND_STORE)
+        .address(SocketAddrV4::new([172, 20, 0, 3].into(), 8080))
+        .zone("c")
+        .cache_tokens(90_000)
+        .link_mbps(2_000.0)
+        .build();
+    let first = ModelService { cache_tokens, ..pool() };
+    vec![
+        ServiceSpec::Model(first),
+        ServiceSpec::Model(annex),
+        ServiceSpec::Store(shelf()),
+        ServiceSpec::Store(cellar),
+    ]
+}
+
+fn server(number: u16, version: u64, state: ServerState) -> ServerEntry {
+    let known = ServerEntry { state, ..entry(number, version) };
+    if number % 5 != 4 {
+        return known;
+    }
+    ServerEntry {
+        service: Arc::from(SECOND_SERVICE),
+        slots: 2,
+        warmup_left: 900 * MS,
+        models: vec![ModelVersion { model: Arc::from(SECOND_MODEL), version }],
+        ..known
+    }
+}
+
+fn server_id(random: &mut Random) -> String {
+    format!("i-{}", random.below(u64::from(SERVERS) + 1))
+}
+
+fn model(random: &mut Random) -> &'static str {
+    if random.chance(75) { MODEL } else { SECOND_MODEL }
+}
+
+fn parts(random: &mut Random) -> Vec<Part> {
+    let subject = random.below(30);
+    let chain = [
+        Part { id: 1 + subject % 4, tokens: 2_520 },
+        Part { id: 1_000 + subject, tokens: 1_000 + 200 * (subject as u32 % 9) },
+        Part { id: 1_000_000 + random.below(200), tokens: 40 + random.below(3_000) as u32 },
+    ];
+    chain[random.below(3) as usize..].to_vec()
+}
+
+fn load(random: &mut Random) -> Option<LoadReport> {
+    let report = LoadReport {
+        running: random.below(60) as u32,
+        waiting: random.below(6) as u32,
+        slots: 2 + random.below(47) as u32,
+    };
+    random.chance(40).then_some(report)
+}
+
+fn outcome(random: &mut Random) -> AttemptOutcome {
+    let outcomes = [
+        AttemptOutcome::NotRun,
+        AttemptOutcome::Misdirected,
+        AttemptOutcome::VersionMismatch,
+        AttemptOutcome::Outdated,
+        AttemptOutcome::ConnectFailed,
+        AttemptOutcome::Broken,
+        AttemptOutcome::TimedOut,
+        AttemptOutcome::ClientGone,
+        AttemptOutcome::ServerError,
+    ];
+    if random.chance(80) { AttemptOutcome::Served } else { outcomes[random.below(9) as usize] }
+}
+
+fn choose(node: &mut Node, now: Micros, random: &mut Random, digest: &mut Digest) {
+    let parts = parts(random);
+    let known_model = random.chance(92);
+    let second = random.chance(20);
+    let (service, model) = if second { (SECOND_SERVICE, SECOND_MODEL) } else { (common::SERVICE, MODEL) };
+    let wall = match random.below(4) {
+        0 => Wall::Tenant(Arc::from("alone")),
+        _ => Wall::Shared(3),
+    };
+    let request = Request {
+        service: if random.chance(99) { service } else { "nowhere" },
+        model: known_model.then_some(model),
+        parts: &parts,
+        tokens_in: parts.iter().map(|part| part.tokens).sum::<u32>() + random.below(90) as u32,
+        tokens_out: 1 + random.below(60) as u32,
+        priority: random.below(3) as u8,
+        aim: [0, 400 * MS, 800 * MS][random.below(3) as usize],
+        gap: [0, 300 * MS][random.below(2) as usize],
+        time_left: 1_000 * MS + random.below(5_000) * MS,
+        wall,
+        resumed_from: None,
+    };
+    let tried: Vec<Arc<str>> = (0..random.below(3)).map(|_| Arc::from(server_id(random))).collect();
+    node.engine.note_request(now, request.service);
+    match node.engine.choose(now, &request, &tried) {
+        Ok(choice) => {
+            digest.choice(&choice);
+            digest.number(node.engine.must_begin_by(choice.attempt).unwrap_or(u64::MAX));
+            node.attempts.push((choice.attempt, choice.server));
+        }
+        Err(refusal) => digest.refusal(refusal),
+    }
+}
+
+fn advance_attempt(node: &mut Node, now: Micros, random: &mut Random, digest: &mut Digest) {
+    if node.attempts.is_empty() {
+        return;
+    }
+    let at = random.below(node.attempts.len() as u64) as usize;
+    let (attempt, server) = node.attempts[at].clone();
+    if random.chance(55) {
+        let told = random.chance(50).then(|| random.below(4));
+        let begun = node.engine.begun_outdated(now, attempt, told);
+        digest.number(begun.map_or(0, |begun| mix(begun.version ^ (begun.binding << 8)) ^ begun.waited));
+        node.engine.first_event(now, attempt);
+        return;
+    }
+    node.attempts.swap_remove(at);
+    let versions = random
+        .chance(30)
+        .then(|| vec![ModelVersion { model: Arc::from(model(random)), version: 1 + random.below(3) }]);
+    let load = load(random);
+    node.engine.ended(now, attempt, outcome(random), load, versions.as_deref());
+    digest.number(u64::from(node.engine.takes_requests(&server)));
+}
+
+fn change_server(node: &mut Node, now: Micros, random: &mut Random) {
+    let (id, span) = (server_id(random), random.below(400) * MS);
+    match random.below(12) {
+        0 => node.engine.remove_server(now, &id),
+        1..=4 => {
+            let states = [ServerState::Ready, ServerState::Ready, ServerState::Ready, ServerState::Draining];
+            let lost = random.chance(10);
+            let state = if lost { ServerState::Lost } else { states[random.below(4) as usize] };
+            let number = random.below(u64::from(SERVERS)) as u16;
+            node.engine.set_server(now, server(number, 1 + random.below(3), state));
+        }
+        5 => node.engine.hold_server(now, &id, span),
+        6 => node.engine.suspect_server(now, &id),
+        7 => node.engine.observe_version(now, &id, model(random), 1 + random.below(3)),
+        8..=10 => {
+            if let Some(load) = load(random) {
+                node.engine.observe_load(now, &id, load);
+            }
+        }
+        _ => node.engine.set_balancers(1 + random.below(5) as usize),
+    }
+}
+
+fn change_versions(node: &mut Node, now: Micros, random: &mut Random) {
+    let (model, version) = (model(random), 1 + random.below(3));
+    let binds_at = now + random.below(3_000) * MS;
+    if random.chance(70) {
+        node.engine.name_version(binds_at, model, version);
+    } else {
+        node.engine.postpone_version(binds_at, model, version);
+    }
+}
+
+fn holder_event(node: &mut Node, now: Micros, random: &mut Random) {
+    let stores = [STORE, SECOND_STORE];
+    let holder =
+        if random.chance(60) { stores[random.below(2) as usize].to_owned() } else { server_id(random) };
+    let salt = format!("v{}-{:016x}-{:016x}", 1 + random.below(3), hash(MODEL), mix(3));
+    let part = parts(random)[0];
+    let (id, tokens) = (part.id, part.tokens);
+    match random.below(20) {
+        0 => node.engine.kept_reset(now, &holder),
+        1 => node.engine.source_failed(now, &holder),
+        2..=5 => node.engine.holder_heard(now, &holder),
+        6..=8 => {
+            let dropped = Kept::Dropped { salt: &salt, part: id, tokens: 0, model: MODEL };
+            node.engine.kept_event(now, &holder, dropped);
+        }
+        _ => {
+            let added = Kept::Added { salt: &salt, part: id, tokens, model: MODEL };
+            node.engine.kept_event(now, &holder, added);
+        }
+    }
+    if random.chance(30) {
+        let parts = vec![KeptTokens { key: kept_key(&salt, id), tokens }];
+        let changes = StoreChanges { store: holder_hash(&holder), reset: random.chance(4), parts };
+        node.engine.tell_store_changes(changes);
+    }
+}
+
+/// One node's reports go to the other.
+fn exchange(nodes: &mut [Node; 2], from: usize, now: Micros, digest: &mut Digest) {
+    let sender = &mut nodes[from];
+    sender.sequence += 1;
+    let (sequence, loads) = (sender.sequence, sender.engine.own_loads(now));
+    for load in &loads {
+        digest.number(load.server ^ u64::from(load.running) ^ load.tokens);
+        digest.float(load.backlog_ms);
+    }
+    let sightings = sender.engine.take_sightings();
+    for sighting in &sightings {
+        digest.number(sighting.server ^ sighting.key ^ sighting.version ^ sighting.salt);
+        sighting.parts.iter().for_each(|part| digest.number(part.id ^ u64::from(part.tokens)));
+    }
+    let changes = sender.engine.take_store_changes();
+    let receiver = &mut nodes[1 - from].engine;
+    digest.number(u64::from(receiver.peer_loads(now, from as u64, sequence, loads)));
+    receiver.peer_sightings(now, &sightings);
+    for change in &changes {
+        digest.number(change.store ^ u64::from(change.reset));
+        change.parts.iter().for_each(|part| digest.number(part.key ^ u64::from(part.tokens)));
+        receiver.peer_store_changes(now, change);
+    }
+}
+
+fn look(node: &Node, now: Micros, digest: &mut Digest) {
+    let mut servers: Vec<_> = node.engine.servers(now).collect();
+    servers.sort_by(|a, b| a.id.cmp(&b.id));
+    for server in servers {
+        digest.text(&server.id);
+        digest.text(&server.service);
+        digest.number(server.state as u64);
+        digest.number(u64::from(server.left_out) ^ u64::from(server.in_flight) << 8);
+        digest.float(server.load_ms);
+        digest.float(server.running);
+        digest.float(server.speed);
+        digest.number(server.kept_parts as u64);
+        for known in server.models {
+            digest.text(&known.model);
+            digest.number(known.version);
+        }
+    }
+    let counters = node.engine.counters();
+    let counts = [
+        counters.choices,
+        counters.warm,
+        counters.infinite,
+        counters.fetches,
+        counters.guesses,
+        counters.saves,
+        counters.unknown_versions,
+        counters.begun_outdated,
+        counters.no_server,
+        counters.overloaded,
+    ];
+    counts.into_iter().for_each(|count| digest.number(count));
+    digest.number(node.engine.in_flight() as u64);
+    let (keys, kept, _) = node.engine.table_sizes();
+    [keys, kept].into_iter().for_each(|size| digest.number(size as u64));
+}
+
+fn count_repeats(node: &mut Node, now: Micros, random: &mut Random, digest: &mut Digest) {
+    let service = if random.chance(70) { common::SERVICE } else { SECOND_SERVICE };
+    let allowed = node.engine.may_repeat(now, service);
+    digest.number(u64::from(allowed));
+    if allowed {
+        node.engine.note_repeat(now, service);
+    }
+    let longest = 100 * MS + random.below(300) * MS;
+    node.engine.observe_pause(OwnPause { service, longest });
+}
+
+fn play(seed: u64) -> u64 {
+    let mut random = Random(seed);
+    let mut digest = Digest(seed);
+    let mut nodes = [Node::new(ZONES[0], 7 + seed), Node::new(ZONES[1], 8 + seed)];
+    let mut now: Micros = 0;
+    for step in 0..STEPS {
+        now += random.below(9_000);
+        let at = random.below(2) as usize;
+        let node = &mut nodes[at];
+        match random.below(100) {
+            0..=41 => choose(node, now, &mut random, &mut digest),
+            42..=82 => advance_attempt(node, now, &mut random, &mut digest),
+            83..=84 => change_server(node, now, &mut random),
+            85 if random.chance(20) => change_versions(node, now, &mut random),
+            85..=92 => holder_event(node, now, &mut random),
+            93..=95 => count_repeats(node, now, &mut random, &mut digest),
+            _ => exchange(&mut nodes, at, now, &mut digest),
+        }
+        if step % 500 == 499 {
+            nodes.iter().for_each(|node| look(node, now, &mut digest));
+        }
+        if step == STEPS / 2 {
+            nodes.iter_mut().for_each(|node| node.engine.set_services(now, services(60_000)));
+        }
+    }
+    digest.0
+}
+
+#[gtest]
+fn choices_are_those_of_the_first_version() {
+    let digests: Vec<String> = (1..=6).map(|seed| format!("{:016x}", play(seed))).collect();
+    expect_that!(digests, eq(&DIGESTS));
+}
