--- a/system/src/run.rs
+++ b/system/src/run.rs
@@ -21,7 +21,8 @@
 use gradepaddle_controlplane::node::{Input, Node, NodeSetup};
 use gradepaddle_controlplane::session::OwnSession;
 use gradepaddle_dataplane::{
-    DataPlane, Setup, ShutdownTimes, receive_load_reports, serve_clients, serve_readiness, shut_down, send_load_reports,
+    DataPlane, Setup, ShutdownTimes, receive_load_reports, send_load_reports, serve_clients, serve_readiness,
+    shut_down,
 };
 use gradepaddle_engine::{Engine, EngineConfig};
 use gradepaddle_proto::Identity;
