--- a/control/src/campaign.rs
+++ b/control/src/campaign.rs
@@ -6,7 +6,7 @@
 };
 
 use crate::{
-    Ballot, Data, Flaw, KnownView, Position, ReplicaId, View,
+    Data, InjectedFault, KnownView, LogPosition, ProposalNumber, ReplicaId, View,
     config::MILLISECOND,
     membership::Wanted,
     transfer::{state_bytes, transfer_time},
@@ -50,17 +50,17 @@
 /// What a member said when it promised.
 #[derive(Debug)]
 pub(crate) struct Promised {
-    pub position: Option<Position>,
+    pub position: Option<LogPosition>,
     pub data: Option<Data>,
-    pub fit: bool,
+    pub healthy: bool,
 }
 
 /// Data that went to a candidate together with a promise.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct DataSent {
-    pub ballot: Ballot,
+    pub proposal_number: ProposalNumber,
     /// What the candidate held.
-    pub held: Option<Position>,
+    pub held: Option<LogPosition>,
     pub at: u64,
     pub repetitions: u32,
 }
@@ -95,12 +95,12 @@
 #[derive(Debug)]
 pub(crate) struct Campaign {
     pub epoch: u64,
-    pub released: Option<Ballot>,
+    pub released: Option<ProposalNumber>,
     pub started: u64,
     pub next_send: u64,
     /// The latest view that any promise has shown.
     pub base: KnownView,
-    pub position: Option<Position>,
+    pub position: Option<LogPosition>,
     pub promises: BTreeMap<ReplicaId, Promised>,
     pub refused: BTreeSet<ReplicaId>,
     /// When a member first refused because of a rival.
@@ -111,14 +111,14 @@
 }
 
 impl Campaign {
-    pub fn has_quorum(&self, flaw: Option<Flaw>) -> bool {
+    pub fn has_quorum(&self, injected_fault: Option<InjectedFault>) -> bool {
         let present = self.promises.keys().copied().collect();
         let holder = self.promises.keys().any(|id| self.usable(*id).is_some());
-        self.base.quorum(&present) && (holder || flaw == Some(Flaw::TakesAnyData))
+        self.base.quorum(&present) && (holder || injected_fault == Some(InjectedFault::TakesAnyData))
     }
 
     /// The position that a member of the latest view's data set has shown.
-    pub fn usable(&self, id: ReplicaId) -> Option<Position> {
+    pub fn usable(&self, id: ReplicaId) -> Option<LogPosition> {
         let position = self.promises.get(&id)?.position?;
         (self.base.view.holds_data(id) && position.epoch >= self.base.view.epoch).then_some(position)
     }
--- a/control/src/config.rs
+++ b/control/src/config.rs
@@ -23,37 +23,37 @@
     pub machine_losses: usize,
     /// The length of a lease in microseconds.
     #[builder(default = 1_500 * MILLISECOND)]
-    pub lease: u64,
+    pub lease_duration: u64,
     /// How much sooner the primary stops than its lease runs out, in microseconds.
     #[builder(default = 100 * MILLISECOND)]
     pub lease_margin: u64,
     /// The time between heartbeats in microseconds.
     #[builder(default = 300 * MILLISECOND)]
-    pub heartbeat: u64,
+    pub heartbeat_interval: u64,
     /// The longest time to an answer in microseconds.
     #[builder(default = 3_500 * MILLISECOND)]
-    pub answer_limit: u64,
+    pub proposal_timeout: u64,
     /// How long a replica that is about to end waits at most until others hold what it holds, in microseconds.
     #[builder(default = 7_000 * MILLISECOND)]
-    pub leave_limit: u64,
+    pub shutdown_timeout: u64,
     /// Spreads the campaigns of replicas.
     #[builder(default = 0)]
     pub seed: u64,
     /// A fault for tests of the tests; never set in service.
     #[builder(default)]
-    pub flaw: Option<Flaw>,
+    pub injected_fault: Option<InjectedFault>,
 }
 
 impl ReplicaConfig {
     /// Clocks of two replicas differ in rate by one part in this many at the most: what the margin of the lease allows.
     pub(crate) fn clock_drift(&self) -> u64 {
-        (self.lease / self.lease_margin.max(1)).saturating_sub(1).max(1)
+        (self.lease_duration / self.lease_margin.max(1)).saturating_sub(1).max(1)
     }
 }
 
 /// Faults of the protocol that tests build in to show that they would be noticed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Flaw {
+pub enum InjectedFault {
     /// Acknowledges a change before the backups have it.
     AcknowledgesEarly,
     /// Replies with a promise that isn't on the disk.
--- a/control/src/disk.rs
+++ b/control/src/disk.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::VecDeque, net::SocketAddrV4};
 
-use crate::{Ballot, Message, Position, Token, config::MILLISECOND};
+use crate::{LogPosition, Message, ProposalNumber, WriteId, config::MILLISECOND};
 
 /// A write that takes longer than this counts the disk as unwell.
 const SLOW_AFTER: u64 = 600 * MILLISECOND;
@@ -23,14 +23,14 @@
     /// The candidate itself has accepted its view.
     OwnAccept { epoch: u64 },
     /// The primary has written a change.
-    OwnWrite { position: Position },
+    OwnWrite { position: LogPosition },
 }
 
 #[derive(Debug)]
 struct Outstanding {
-    token: Token,
+    write_id: WriteId,
     issued: u64,
-    promised: Option<Ballot>,
+    promised: Option<ProposalNumber>,
     effects: Vec<Effect>,
     /// False once an earlier write has failed: what this one builds on isn't there.
     sound: bool,
@@ -39,9 +39,9 @@
 /// The writes under way and the health of the disk.
 #[derive(Debug, Default)]
 pub(crate) struct Disk {
-    next_token: u64,
+    next_write_id: u64,
     outstanding: VecDeque<Outstanding>,
-    durable_promise: Option<Ballot>,
+    durable_promise: Option<ProposalNumber>,
     /// Since the last failure nothing has been written in full.
     stale: bool,
     failing: bool,
@@ -50,12 +50,12 @@
 
 impl Disk {
     /// A disk from which this promise was recovered.
-    pub fn recovered(promised: Option<Ballot>) -> Disk {
+    pub fn recovered(promised: Option<ProposalNumber>) -> Disk {
         Disk { durable_promise: promised, ..Disk::default() }
     }
 
     /// The promise that a restart would find.
-    pub fn durable_promise(&self) -> Option<Ballot> {
+    pub fn durable_promise(&self) -> Option<ProposalNumber> {
         self.durable_promise
     }
 
@@ -65,7 +65,7 @@
     }
 
     /// Whether all that is in memory is durable.
-    pub fn settled(&self) -> bool {
+    pub fn all_durable(&self) -> bool {
         self.outstanding.is_empty() && !self.stale
     }
 
@@ -88,13 +88,13 @@
     }
 
     /// Notes a write and gives it a name.
-    pub fn issue(&mut self, now: u64, promised: Option<Ballot>, effect: Option<Effect>) -> Token {
-        self.next_token += 1;
-        let token = Token(self.next_token);
+    pub fn issue(&mut self, now: u64, promised: Option<ProposalNumber>, effect: Option<Effect>) -> WriteId {
+        self.next_write_id += 1;
+        let write_id = WriteId(self.next_write_id);
         let effects = effect.into_iter().collect();
-        self.outstanding.push_back(Outstanding { token, issued: now, promised, effects, sound: true });
+        self.outstanding.push_back(Outstanding { write_id, issued: now, promised, effects, sound: true });
         self.stale = false;
-        token
+        write_id
     }
 
     /// Lets an effect wait for the latest write under way; gives it back if there is none.
@@ -112,8 +112,8 @@
     }
 
     /// Ends a write that is durable: returns what waited for it.
-    pub fn persisted(&mut self, token: Token) -> Vec<Effect> {
-        let Some(write) = self.take(token) else { return Vec::new() };
+    pub fn persisted(&mut self, write_id: WriteId) -> Vec<Effect> {
+        let Some(write) = self.take(write_id) else { return Vec::new() };
         if !write.sound {
             return Vec::new();
         }
@@ -123,8 +123,8 @@
     }
 
     /// Ends a write that failed, and with it all that came after it.
-    pub fn failed(&mut self, now: u64, token: Token) {
-        if self.take(token).is_none() {
+    pub fn failed(&mut self, now: u64, write_id: WriteId) {
+        if self.take(write_id).is_none() {
             return;
         }
         for later in &mut self.outstanding {
@@ -135,8 +135,8 @@
         self.last_failure = now;
     }
 
-    fn take(&mut self, token: Token) -> Option<Outstanding> {
-        let index = self.outstanding.iter().position(|write| write.token == token)?;
+    fn take(&mut self, write_id: WriteId) -> Option<Outstanding> {
+        let index = self.outstanding.iter().position(|write| write.write_id == write_id)?;
         self.outstanding.remove(index)
     }
 }
--- a/control/src/election.rs
+++ b/control/src/election.rs
@@ -7,7 +7,7 @@
 };
 
 use crate::{
-    Ballot, Body, Data, Flaw, KnownView, Output, Position, Record, Replica, ReplicaId,
+    Body, Data, InjectedFault, KnownView, LogPosition, Output, ProposalNumber, Record, Replica, ReplicaId,
     campaign::{Campaign, DataSent, Poll, Promised, Stage},
     config::MILLISECOND,
     disk::Effect,
@@ -67,13 +67,16 @@
         }
         if self.leadership.is_some() {
             return Some(
-                self.lease_until().unwrap_or(0).max(self.last_heard).saturating_add(self.config.lease),
+                self.lease_until()
+                    .unwrap_or(0)
+                    .max(self.last_heard)
+                    .saturating_add(self.config.lease_duration),
             );
         }
         let patience = match view.backups.iter().position(|id| *id == self.id) {
-            _ if view.primary == self.id => self.config.lease,
-            Some(rank) => self.config.lease + rank as u64 * STAGGER,
-            None => 2 * self.config.lease + self.witness_rank() * STAGGER,
+            _ if view.primary == self.id => self.config.lease_duration,
+            Some(rank) => self.config.lease_duration + rank as u64 * STAGGER,
+            None => 2 * self.config.lease_duration + self.witness_rank() * STAGGER,
         };
         Some(self.last_heard + patience.saturating_sub(self.head_start) + self.spread(JITTER))
     }
@@ -111,7 +114,7 @@
             poll.granted.insert(self.id, now);
         }
         for member in poll.base.view.everyone().iter().filter(|member| member.id != self.id) {
-            self.send(member.address, Body::Poll { epoch: round }, out);
+            self.send(member.address, Body::PreVote { epoch: round }, out);
         }
         self.poll = Some(poll);
         self.campaign_if_welcome(out);
@@ -127,7 +130,7 @@
         let known =
             self.view.as_ref().is_none_or(|known| known.view.everyone().iter().any(|m| m.id == sender));
         let granted = known && !self.barred(sender, None);
-        let reply = Body::PollReply { epoch, granted, promised: self.promised, view: self.view.clone() };
+        let reply = Body::PreVoteReply { epoch, granted, promised: self.promised, view: self.view.clone() };
         self.send(from, reply, out);
     }
 
@@ -136,11 +139,11 @@
         sender: ReplicaId,
         round: u64,
         granted: bool,
-        promised: Option<Ballot>,
+        promised: Option<ProposalNumber>,
         view: Option<KnownView>,
         out: &mut Vec<Output>,
     ) {
-        self.note_epoch(promised.map_or(0, |ballot| ballot.epoch));
+        self.note_epoch(promised.map_or(0, |proposal_number| proposal_number.epoch));
         if let Some(view) = view {
             self.learn_view(view, out);
         }
@@ -161,8 +164,8 @@
     }
 
     /// Whether a lease forbids this replica to promise anything to the candidate.
-    pub(crate) fn barred(&self, candidate: ReplicaId, released: Option<Ballot>) -> bool {
-        if self.config.flaw == Some(Flaw::IgnoresLease) {
+    pub(crate) fn barred(&self, candidate: ReplicaId, released: Option<ProposalNumber>) -> bool {
+        if self.config.injected_fault == Some(InjectedFault::IgnoresLease) {
             return false;
         }
         let own_lead = candidate != self.id && self.leading(self.now()).is_some();
@@ -171,17 +174,17 @@
 
     pub(crate) fn begin_campaign(
         &mut self,
-        released: Option<Ballot>,
+        released: Option<ProposalNumber>,
         wanted: Option<Wanted>,
         out: &mut Vec<Output>,
     ) {
         let Some(mut base) = self.view.clone() else { return };
-        base.active |= self.config.flaw == Some(Flaw::SkipsPrior);
+        base.active |= self.config.injected_fault == Some(InjectedFault::SkipsPrior);
         self.note_epoch(self.promised_epoch().max(base.view.epoch));
         let epoch = self.highest_epoch + 1;
         self.note_epoch(epoch);
-        let ballot = Ballot { epoch, candidate: self.id };
-        self.promised = Some(ballot);
+        let proposal_number = ProposalNumber { epoch, candidate: self.id };
+        self.promised = Some(proposal_number);
         self.from_silence = released.is_none() && base.view.primary != self.id;
         self.campaign = Some(Campaign {
             epoch,
@@ -198,16 +201,16 @@
             stage: Stage::Gathering,
         });
         // Others are asked only once the own promise is durable, so that an epoch is never used twice.
-        self.persist(vec![Record::Promise(ballot)], Some(Effect::OwnPromise { epoch }), out);
+        self.persist(vec![Record::Promise(proposal_number)], Some(Effect::OwnPromise { epoch }), out);
     }
 
     pub(crate) fn on_own_promise(&mut self, epoch: u64, out: &mut Vec<Output>) {
         let position = self.data.as_ref().map(|data| data.position);
-        let (data, fit) = (self.data.clone(), self.fit());
+        let (data, healthy) = (self.data.clone(), self.healthy());
         let Some(campaign) = self.campaign.as_mut().filter(|campaign| campaign.epoch == epoch) else {
             return;
         };
-        campaign.promises.insert(self.id, Promised { position, data, fit });
+        campaign.promises.insert(self.id, Promised { position, data, healthy });
         self.send_prepares(out);
         self.note_quorum(out);
     }
@@ -231,56 +234,62 @@
         from: SocketAddrV4,
         sender: ReplicaId,
         epoch: u64,
-        position: Option<Position>,
-        released: Option<Ballot>,
+        position: Option<LogPosition>,
+        released: Option<ProposalNumber>,
         out: &mut Vec<Output>,
     ) {
         self.note_epoch(epoch);
-        let ballot = Ballot { epoch, candidate: sender };
-        let repeated = self.promised == Some(ballot);
+        let proposal_number = ProposalNumber { epoch, candidate: sender };
+        let repeated = self.promised == Some(proposal_number);
         let member =
             self.view.as_ref().is_none_or(|known| known.view.everyone().iter().any(|m| m.id == sender));
         if !repeated && (epoch <= self.promised_epoch() || !member || self.barred(sender, released)) {
-            let refusal = Body::Refuse { epoch, promised: self.promised, view: self.view.clone() };
+            let refusal = Body::Reject { epoch, promised: self.promised, view: self.view.clone() };
             return self.send(from, refusal, out);
         }
         let mut records = Vec::new();
         self.hear();
         if !repeated {
-            self.promised = Some(ballot);
+            self.promised = Some(proposal_number);
             self.poll = None;
             self.step_down(out);
-            records.push(Record::Promise(ballot));
+            records.push(Record::Promise(proposal_number));
         }
-        let reply = self.promise_for(ballot, position);
-        if self.config.flaw == Some(Flaw::ForgetsPromise) {
+        let reply = self.promise_for(proposal_number, position);
+        if self.config.injected_fault == Some(InjectedFault::ForgetsPromise) {
             return self.send(from, reply, out);
         }
         let effect = self.reply_once_durable(from, reply);
         self.persist(records, effect, out);
     }
 
-    fn promise_for(&mut self, ballot: Ballot, held: Option<Position>) -> Body {
+    fn promise_for(&mut self, proposal_number: ProposalNumber, held: Option<LogPosition>) -> Body {
         let newer = self.data.clone().filter(|data| held.is_none_or(|held| held < data.position));
-        let data = newer.filter(|data| self.may_send_data(ballot, held, data));
+        let data = newer.filter(|data| self.may_send_data(proposal_number, held, data));
         Body::Promise {
-            epoch: ballot.epoch,
+            epoch: proposal_number.epoch,
             view: self.view.clone(),
             position: self.data.as_ref().map(|data| data.position),
             data,
-            fit: self.fit(),
+            healthy: self.healthy(),
         }
     }
 
     /// Notes that the data goes to a candidate, unless it went before and may still be on its way.
-    fn may_send_data(&mut self, ballot: Ballot, held: Option<Position>, data: &Data) -> bool {
-        let before = self.data_sent.filter(|sent| sent.ballot == ballot && sent.held == held);
+    fn may_send_data(
+        &mut self,
+        proposal_number: ProposalNumber,
+        held: Option<LogPosition>,
+        data: &Data,
+    ) -> bool {
+        let before =
+            self.data_sent.filter(|sent| sent.proposal_number == proposal_number && sent.held == held);
         let patience = |sent: DataSent| extra_patience(state_bytes(&data.state), sent.repetitions);
         if before.is_some_and(|sent| self.now() < sent.at + patience(sent)) {
             return false;
         }
         let repetitions = before.map_or(0, |sent| sent.repetitions + 1);
-        self.data_sent = Some(DataSent { ballot, held, at: self.now(), repetitions });
+        self.data_sent = Some(DataSent { proposal_number, held, at: self.now(), repetitions });
         true
     }
 
@@ -290,9 +299,9 @@
         sender: ReplicaId,
         epoch: u64,
         view: Option<KnownView>,
-        position: Option<Position>,
+        position: Option<LogPosition>,
         data: Option<Data>,
-        fit: bool,
+        healthy: bool,
         out: &mut Vec<Output>,
     ) {
         let Some(campaign) = self.campaign.as_mut() else { return };
@@ -301,7 +310,7 @@
         }
         let before = campaign.promises.remove(&sender).filter(|before| before.position == position);
         let data = data.or_else(|| before.and_then(|before| before.data));
-        campaign.promises.insert(sender, Promised { position, data, fit });
+        campaign.promises.insert(sender, Promised { position, data, healthy });
         if let Some(view) = view {
             self.consider_base(view, out);
         }
@@ -310,7 +319,7 @@
 
     /// Bases the campaign on a later view that somebody knows.
     fn consider_base(&mut self, mut shown: KnownView, out: &mut Vec<Output>) {
-        shown.active |= self.config.flaw == Some(Flaw::SkipsPrior);
+        shown.active |= self.config.injected_fault == Some(InjectedFault::SkipsPrior);
         let Some(campaign) = self.campaign.as_mut() else { return };
         if shown.view.epoch == campaign.base.view.epoch {
             campaign.base.active |= shown.active;
@@ -330,9 +339,12 @@
     }
 
     fn note_quorum(&mut self, out: &mut Vec<Output>) {
-        let (now, flaw) = (self.now(), self.config.flaw);
+        let (now, injected_fault) = (self.now(), self.config.injected_fault);
         let Some(campaign) = self.campaign.as_mut() else { return };
-        if campaign.stage.gathering() && campaign.quorum_since.is_none() && campaign.has_quorum(flaw) {
+        if campaign.stage.gathering()
+            && campaign.quorum_since.is_none()
+            && campaign.has_quorum(injected_fault)
+        {
             campaign.quorum_since = Some(now);
         }
         self.conclude_if_gathered(out);
@@ -354,7 +366,7 @@
     /// The newest state among those that the data set of the latest view has shown.
     fn best_data(&self) -> Option<Data> {
         let campaign = self.campaign.as_ref()?;
-        if self.config.flaw == Some(Flaw::TakesAnyData) {
+        if self.config.injected_fault == Some(InjectedFault::TakesAnyData) {
             let any = campaign.promises.values().find_map(|promised| promised.data.clone());
             return Some(any.unwrap_or_default());
         }
@@ -377,19 +389,19 @@
         &mut self,
         sender: ReplicaId,
         epoch: u64,
-        promised: Option<Ballot>,
+        promised: Option<ProposalNumber>,
         view: Option<KnownView>,
         out: &mut Vec<Output>,
     ) {
         let now = self.now();
-        self.note_epoch(promised.map_or(0, |ballot| ballot.epoch));
+        self.note_epoch(promised.map_or(0, |proposal_number| proposal_number.epoch));
         if let Some(view) = view {
             self.learn_view(view, out);
         }
         let Some(campaign) = self.campaign.as_mut().filter(|campaign| campaign.epoch == epoch) else {
             return;
         };
-        if promised.is_some_and(|ballot| ballot.epoch >= epoch) {
+        if promised.is_some_and(|proposal_number| proposal_number.epoch >= epoch) {
             campaign.refused.insert(sender);
             campaign.refused_since.get_or_insert(now);
             if campaign.hopeless() {
@@ -406,7 +418,7 @@
         if self.leadership.is_none() {
             let pause = self.draw(2 * JITTER);
             self.last_heard = self.now() + pause;
-            self.head_start = self.config.lease;
+            self.head_start = self.config.lease_duration;
             self.dismiss_queue(out);
         }
     }
--- a/control/src/handover.rs
+++ b/control/src/handover.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddrV4;
 
-use crate::{Ballot, Body, Output, Replica, config::MILLISECOND};
+use crate::{Body, Output, ProposalNumber, Replica, config::MILLISECOND};
 
 /// The primary repeats its request to take over this often, and for so long.
 const HANDOVER_EVERY: u64 = 200 * MILLISECOND;
@@ -11,7 +11,7 @@
 /// A lead that was given up for another replica.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Handover {
-    pub released: Ballot,
+    pub released: ProposalNumber,
     pub to: SocketAddrV4,
     pub next_send: u64,
     pub until: u64,
@@ -37,17 +37,17 @@
         } else if now >= handover.next_send {
             handover.next_send = now + HANDOVER_EVERY;
             self.handover = Some(handover);
-            self.send(handover.to, Body::TakeOver { released: handover.released }, out);
+            self.send(handover.to, Body::TransferLeadership { released: handover.released }, out);
         }
     }
 
-    pub(crate) fn on_take_over(&mut self, released: Ballot, out: &mut Vec<Output>) {
+    pub(crate) fn on_take_over(&mut self, released: ProposalNumber, out: &mut Vec<Output>) {
         let Some(view) = self.current_view() else { return };
         let current =
             view.primary == released.candidate && view.holds_data(self.id) && view.epoch <= released.epoch;
         let free =
             self.campaign.is_none() && self.leadership.is_none() && self.promised_epoch() <= released.epoch;
-        if current && free && self.fit() && !self.barred(self.id, Some(released)) {
+        if current && free && self.healthy() && !self.barred(self.id, Some(released)) {
             self.poll = None;
             self.begin_campaign(Some(released), None, out);
         }
--- a/control/src/heartbeat.rs
+++ b/control/src/heartbeat.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddrV4, sync::Arc};
 
 use crate::{
-    Ballot, Body, KnownView, Output, Replica, ReplicaId,
+    Body, KnownView, Output, ProposalNumber, Replica, ReplicaId,
     lease::{Grant, Health, PrimaryClock, lease_until},
 };
 
@@ -20,7 +20,7 @@
     }
 
     pub(crate) fn beat(&mut self, out: &mut Vec<Output>) {
-        let (now, every) = (self.now(), self.config.heartbeat);
+        let (now, every) = (self.now(), self.config.heartbeat_interval);
         let lease_until = self.lease_until();
         let Some(leadership) = self.leadership.as_mut().filter(|lead| now >= lead.next_heartbeat) else {
             return;
@@ -46,7 +46,7 @@
         let now = self.now();
         let Some(leadership) = self.leadership.as_mut() else { return };
         leadership.left.retain(|_, (_, until)| now < *until);
-        if leadership.left.is_empty() || !self.view_settled() {
+        if leadership.left.is_empty() || !self.view_change_complete() {
             return;
         }
         let Some(leadership) = &self.leadership else { return };
@@ -58,11 +58,12 @@
 
     /// Whether the present view no longer depends on the members of the one before: after as many losses as may come
     /// at once, somebody still knows that it is active.
-    pub(crate) fn view_settled(&self) -> bool {
+    pub(crate) fn view_change_complete(&self) -> bool {
         let Some(leadership) = &self.leadership else { return false };
         let epoch = leadership.epoch;
-        let others = leadership.contacts.values().filter(|contact| contact.settled_epoch == epoch).count();
-        let know = others + usize::from(self.settled());
+        let others =
+            leadership.contacts.values().filter(|contact| contact.active_epoch_durable == epoch).count();
+        let know = others + usize::from(self.activation_durable());
         know > self.config.machine_losses.max(1) || know == leadership.view.members.len()
     }
 
@@ -76,20 +77,23 @@
     ) {
         self.note_epoch(epoch);
         // A lease is granted only under a promise that a restart would find, so that the restart knows its holder.
-        let promised = self.promised.filter(|ballot| ballot.candidate == sender && ballot.epoch >= epoch);
-        let lasting = self.disk.durable_promise().is_some_and(|ballot| ballot.candidate == sender);
+        let promised = self
+            .promised
+            .filter(|proposal_number| proposal_number.candidate == sender && proposal_number.epoch >= epoch);
+        let lasting =
+            self.disk.durable_promise().is_some_and(|proposal_number| proposal_number.candidate == sender);
         let granted = promised.filter(|_| lasting);
-        if let Some(ballot) = granted {
+        if let Some(proposal_number) = granted {
             let sent_at = self.sent_at(epoch, sent);
-            self.grant(ballot, sent_at + self.config.lease);
+            self.grant(proposal_number, sent_at + self.config.lease_duration);
             self.hear_at(sent_at);
             if self.view_epoch() == epoch {
                 self.note_active(out);
             }
         }
-        let settled = self.settled();
-        self.send(from, self.echo((epoch, sent), granted.is_some(), settled), out);
-        if granted.is_some() && !settled && self.view.as_ref().is_some_and(|known| known.active) {
+        let activation_durable = self.activation_durable();
+        self.send(from, self.echo((epoch, sent), granted.is_some(), activation_durable), out);
+        if granted.is_some() && !activation_durable && self.view.as_ref().is_some_and(|known| known.active) {
             // The primary needn't wait for its next heartbeat to learn that this one knows of the view for good.
             let effect = self.reply_once_durable(from, self.echo((epoch, sent), true, true));
             self.persist(Vec::new(), effect, out);
@@ -109,25 +113,26 @@
     }
 
     /// Grants a lease, unless a longer one was granted to the candidate before.
-    fn grant(&mut self, ballot: Ballot, until: u64) {
-        let before = self.granted.filter(|grant| grant.ballot.candidate == ballot.candidate);
+    fn grant(&mut self, proposal_number: ProposalNumber, until: u64) {
+        let before =
+            self.granted.filter(|grant| grant.proposal_number.candidate == proposal_number.candidate);
         let until = before.map_or(until, |grant| grant.until.max(until));
-        self.granted = Some(Grant { ballot, until });
+        self.granted = Some(Grant { proposal_number, until });
         if until > self.now() {
             self.poll = None;
         }
     }
 
-    fn echo(&self, (epoch, sent): (u64, u64), granted: bool, settled: bool) -> Body {
-        Body::Echo {
+    fn echo(&self, (epoch, sent): (u64, u64), granted: bool, activation_durable: bool) -> Body {
+        Body::HeartbeatReply {
             epoch,
             sent,
             granted,
             promised: self.promised,
             view_epoch: self.view_epoch(),
-            fit: self.fit(),
-            leaving: self.is_leaving(),
-            settled,
+            healthy: self.healthy(),
+            shutting_down: self.is_shutting_down(),
+            activation_durable,
         }
     }
 
@@ -138,25 +143,25 @@
         sender: ReplicaId,
         (epoch, sent): (u64, u64),
         granted: bool,
-        promised: Option<Ballot>,
+        promised: Option<ProposalNumber>,
         view_epoch: u64,
         health: Health,
         out: &mut Vec<Output>,
     ) {
         let (now, own) = (self.now(), self.promised);
-        self.note_epoch(promised.map_or(0, |ballot| ballot.epoch));
+        self.note_epoch(promised.map_or(0, |proposal_number| proposal_number.epoch));
         let Some(leadership) = self.leadership.as_mut() else { return };
         let ours = (leadership.first_epoch..=leadership.epoch).contains(&epoch) && sent <= now;
         if let Some(joiner) = leadership.joiners.get_mut(&sender).filter(|_| ours) {
-            joiner.note_echo(now, sent, health.fit);
+            joiner.note_echo(now, sent, health.healthy);
         }
         let Some(contact) = leadership.contacts.get_mut(&sender).filter(|_| ours) else { return };
         contact.heard = now;
         contact.answered = true;
-        contact.fit = health.fit;
-        contact.leaving = health.leaving;
-        if health.settled {
-            contact.settled_epoch = contact.settled_epoch.max(view_epoch);
+        contact.healthy = health.healthy;
+        contact.shutting_down = health.shutting_down;
+        if health.activation_durable {
+            contact.active_epoch_durable = contact.active_epoch_durable.max(view_epoch);
         }
         if granted {
             contact.lease_sent = contact.lease_sent.max(Some(sent));
--- a/control/src/history.rs
+++ b/control/src/history.rs
@@ -7,10 +7,10 @@
 /// How many accepted configurations are remembered.
 ///
 /// A day holds hundreds of changes; this is one every ten seconds for a whole day, in about 200 KB encoded.
-pub const ACCEPTED_KEPT: usize = 8_192;
+pub const ACCEPTED_HISTORY_ENTRIES: usize = 8_192;
 
 /// About what one of them takes when it is encoded, in bytes.
-pub const ACCEPTED_BYTES: usize = 24;
+pub const ACCEPTED_HISTORY_BYTES: usize = 24;
 
 /// A configuration that has been put in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -23,26 +23,26 @@
 
 /// What is known of an order that may have been taken before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Remembered {
+pub enum HistoryLookup {
     /// It was taken.
-    Taken,
+    Accepted,
     /// It was never taken.
-    NotTaken,
+    NotAccepted,
     /// Its version is so old that nothing is known of it any more.
-    Forgotten,
+    Truncated,
 }
 
 /// The latest accepted configurations, in the order of their versions, which only ever rise.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct AcceptedHistory {
     latest: VecDeque<AcceptedConfiguration>,
-    forgotten_through: u64,
+    truncated_through: u64,
 }
 
 impl AcceptedHistory {
     /// A history of these configurations, the oldest first, with all up to a version forgotten (0 for none).
-    pub fn new(latest: Vec<AcceptedConfiguration>, forgotten_through: u64) -> AcceptedHistory {
-        AcceptedHistory { latest: latest.into(), forgotten_through }
+    pub fn new(latest: Vec<AcceptedConfiguration>, truncated_through: u64) -> AcceptedHistory {
+        AcceptedHistory { latest: latest.into(), truncated_through }
     }
 
     /// The remembered configurations, the oldest first.
@@ -51,8 +51,8 @@
     }
 
     /// The version up to which accepted configurations may have been forgotten, 0 if none was.
-    pub fn forgotten_through(&self) -> u64 {
-        self.forgotten_through
+    pub fn truncated_through(&self) -> u64 {
+        self.truncated_through
     }
 
     /// How many configurations are remembered.
@@ -66,23 +66,23 @@
     }
 
     /// What is known of a configuration.
-    pub fn recall(&self, version: u64, fingerprint: Fingerprint) -> Remembered {
+    pub fn lookup(&self, version: u64, fingerprint: Fingerprint) -> HistoryLookup {
         let found = self.latest.binary_search_by_key(&version, |accepted| accepted.version);
         match found {
-            Ok(index) if self.latest[index].fingerprint == fingerprint => Remembered::Taken,
-            Ok(_) => Remembered::NotTaken,
-            Err(_) if version <= self.forgotten_through => Remembered::Forgotten,
-            Err(_) => Remembered::NotTaken,
+            Ok(index) if self.latest[index].fingerprint == fingerprint => HistoryLookup::Accepted,
+            Ok(_) => HistoryLookup::NotAccepted,
+            Err(_) if version <= self.truncated_through => HistoryLookup::Truncated,
+            Err(_) => HistoryLookup::NotAccepted,
         }
     }
 
-    /// Adds a configuration whose version is above all others, and forgets the oldest beyond [`ACCEPTED_KEPT`].
+    /// Adds a configuration whose version is above all others, and forgets the oldest beyond [`ACCEPTED_HISTORY_ENTRIES`].
     pub(crate) fn push(&mut self, accepted: AcceptedConfiguration) {
         self.latest.push_back(accepted);
-        if self.latest.len() > ACCEPTED_KEPT
+        if self.latest.len() > ACCEPTED_HISTORY_ENTRIES
             && let Some(oldest) = self.latest.pop_front()
         {
-            self.forgotten_through = oldest.version;
+            self.truncated_through = oldest.version;
         }
     }
 }
--- a/control/src/input.rs
+++ b/control/src/input.rs
@@ -6,11 +6,11 @@
 
 /// Names a write to the disk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Token(pub u64);
+pub struct WriteId(pub u64);
 
 /// Names a proposal, chosen by the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Ticket(pub u64);
+pub struct ProposalId(pub u64);
 
 /// What a replica is told.
 #[derive(Debug, Clone, PartialEq)]
@@ -25,31 +25,31 @@
         message: Message,
     },
     /// A write is durable.
-    Persisted {
+    WriteCompleted {
         /// The write.
-        token: Token,
+        write_id: WriteId,
     },
     /// A write has failed; any part of it may be on the disk.
-    PersistFailed {
+    WriteFailed {
         /// The write.
-        token: Token,
+        write_id: WriteId,
     },
     /// A change is asked for.
     Propose {
         /// Names the answer.
-        ticket: Ticket,
+        proposal_id: ProposalId,
         /// The change.
         change: Change,
     },
     /// The first view, at the first start of the whole system.
-    Found {
+    Bootstrap {
         /// The view, of epoch 1.
         view: View,
     },
     /// Internal addresses at which members may be found, for a replica that isn't a member.
     Peers(Vec<SocketAddrV4>),
     /// The process is about to end in good order.
-    Leaving,
+    ShutDown,
 }
 
 /// What the caller is to do.
@@ -62,17 +62,17 @@
         /// The message.
         message: Message,
     },
-    /// Make these records durable together, in the order of the tokens.
+    /// Make these records durable together, in the order of the write ids.
     Persist {
-        /// Names the write for [`Input::Persisted`].
-        token: Token,
+        /// Names the write for [`Input::WriteCompleted`].
+        write_id: WriteId,
         /// The records; an empty list tests the disk.
         records: Vec<Record>,
     },
     /// A proposal is answered.
     Answer {
         /// The proposal.
-        ticket: Ticket,
+        proposal_id: ProposalId,
         /// The answer.
         outcome: Outcome,
     },
@@ -82,28 +82,28 @@
         state: Arc<ControlState>,
     },
     /// This replica leads from now on, within its lease.
-    Leading {
+    BecamePrimary {
         /// The epoch.
         epoch: u64,
     },
     /// This replica doesn't lead any longer.
-    NotLeading,
+    SteppedDown,
     /// The process may end.
-    MayEnd,
+    ReadyToExit,
 }
 
 /// The answer to a proposal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
     /// The change is durable wherever it has to be.
-    Taken,
+    Committed,
     /// Another version is current; the change isn't and won't be in force.
     Conflict {
         /// The current version.
         current: u64,
     },
     /// The version isn't above the current one; the change isn't and won't be in force.
-    NotAbove {
+    VersionNotHigher {
         /// The current version.
         current: u64,
     },
--- a/control/src/installation.rs
+++ b/control/src/installation.rs
@@ -7,14 +7,14 @@
 };
 
 use crate::{
-    AcceptedHistory, Ballot, Body, ControlState, Data, Flaw, KnownView, Member, Output, Position, Record,
-    Replica, ReplicaId, View,
+    AcceptedHistory, Body, ControlState, Data, InjectedFault, KnownView, LogPosition, Member, Output,
+    ProposalNumber, Record, Replica, ReplicaId, View,
     campaign::{Campaign, Stage},
     config::MILLISECOND,
     disk::Effect,
     membership::{Candidate, Wanted, pick_backups},
     transfer::{state_bytes, transfer_time},
-    view::FOUNDING_EPOCH,
+    view::BOOTSTRAP_EPOCH,
 };
 
 /// A future backup that hasn't installed the state after this span and the time of its transfer is passed over for
@@ -41,21 +41,21 @@
     ) -> View {
         let base = &self.base.view;
         let members = wanted.map_or(&base.members, |wanted| &wanted.members);
-        let prior = match (self.base.active, *members == base.members) {
-            (false, _) => base.prior.clone(),
+        let previous_members = match (self.base.active, *members == base.members) {
+            (false, _) => base.previous_members.clone(),
             (true, true) => Vec::new(),
             (true, false) => base.members.clone(),
         };
         // One that is about to end, or whose disk was slow, has written its promise and is better than no backup.
-        let fit = self.candidates(members, me.id, passed_over, true);
-        let (candidates, count) = match fit.is_empty() {
+        let healthy = self.candidates(members, me.id, passed_over, true);
+        let (candidates, count) = match healthy.is_empty() {
             true => (self.candidates(members, me.id, passed_over, false), 1),
-            false => (fit, losses.max(1)),
+            false => (healthy, losses.max(1)),
         };
         View {
             epoch: self.epoch,
             members: members.clone(),
-            prior,
+            previous_members,
             primary: me.id,
             backups: pick_backups(&me.zone, candidates, count),
             target_size: wanted.map_or(base.target_size, |wanted| wanted.target_size),
@@ -68,10 +68,10 @@
         members: &'a [Member],
         own: ReplicaId,
         passed_over: &BTreeSet<ReplicaId>,
-        fit: bool,
+        healthy: bool,
     ) -> Vec<Candidate<'a>> {
         let eligible = members.iter().filter(|member| {
-            let promised = self.promises.get(&member.id).is_some_and(|promised| promised.fit || !fit);
+            let promised = self.promises.get(&member.id).is_some_and(|promised| promised.healthy || !healthy);
             member.id != own && promised && !passed_over.contains(&member.id)
         });
         eligible
@@ -87,7 +87,7 @@
         let Some(campaign) = self.campaign.as_mut() else { return };
         let passed_over = BTreeSet::new();
         let view = campaign.next_view(&me, &passed_over, losses);
-        let position = Position { epoch: campaign.epoch, sequence: source.position.sequence };
+        let position = LogPosition { epoch: campaign.epoch, sequence: source.position.sequence };
         campaign.stage = Stage::Installing {
             view: Arc::new(view),
             source: source.clone(),
@@ -100,18 +100,23 @@
         let record = self.take_state(position, source.position, &source.state);
         self.persist(vec![record], Some(Effect::OwnInstall { epoch }), out);
         self.resend_stage(out);
-        if self.config.flaw == Some(Flaw::AcceptsBeforeInstall) {
+        if self.config.injected_fault == Some(InjectedFault::AcceptsBeforeInstall) {
             self.begin_accepting(out);
         }
     }
 
     /// Holds the state under a new position, and says how to write that.
-    fn take_state(&mut self, position: Position, source: Position, state: &Arc<ControlState>) -> Record {
+    fn take_state(
+        &mut self,
+        position: LogPosition,
+        source: LogPosition,
+        state: &Arc<ControlState>,
+    ) -> Record {
         // A new position is only given to a state that is durable; else it might come to stand for another.
-        let held = self.disk.settled() && self.data.as_ref().is_some_and(|data| data.position == source);
+        let held = self.disk.all_durable() && self.data.as_ref().is_some_and(|data| data.position == source);
         let data = Data { position, state: Arc::clone(state) };
         self.data = Some(data.clone());
-        if held { Record::Moved(position) } else { Record::Whole(data) }
+        if held { Record::Moved(position) } else { Record::Snapshot(data) }
     }
 
     /// Repeats what the present stage of the campaign has to say to those who haven't answered.
@@ -173,7 +178,7 @@
         if whole {
             attempts.insert(to, 1);
         }
-        let install = Body::Install {
+        let install = Body::InstallSnapshot {
             epoch,
             sequence: source.position.sequence,
             source: source.position,
@@ -213,19 +218,20 @@
         &mut self,
         from: SocketAddrV4,
         sender: ReplicaId,
-        position: Position,
-        source: Position,
+        position: LogPosition,
+        source: LogPosition,
         attempt: u64,
         state: Option<Arc<ControlState>>,
         out: &mut Vec<Output>,
     ) {
         let epoch = position.epoch;
-        if self.promised != Some(Ballot { epoch, candidate: sender }) {
+        if self.promised != Some(ProposalNumber { epoch, candidate: sender }) {
             return;
         }
         self.hear();
         let held = self.data.as_ref().map(|data| data.position);
-        let complete = self.reply_once_durable(from, Body::Installed { epoch, complete: true, attempt });
+        let complete =
+            self.reply_once_durable(from, Body::SnapshotInstalled { epoch, complete: true, attempt });
         if held.is_some_and(|held| held.epoch == epoch) {
             return self.persist(Vec::new(), complete, out);
         }
@@ -233,7 +239,7 @@
             self.data.as_ref().filter(|data| data.position == source).map(|data| Arc::clone(&data.state))
         });
         let Some(state) = state else {
-            return self.send(from, Body::Installed { epoch, complete: false, attempt }, out);
+            return self.send(from, Body::SnapshotInstalled { epoch, complete: false, attempt }, out);
         };
         let (position, state) = self.as_installed(position, source, state);
         let record = self.take_state(position, source, &state);
@@ -243,16 +249,16 @@
     /// What is to be held for an installation; another thing only in versions that are broken on purpose.
     fn as_installed(
         &self,
-        position: Position,
-        source: Position,
+        position: LogPosition,
+        source: LogPosition,
         state: Arc<ControlState>,
-    ) -> (Position, Arc<ControlState>) {
-        match self.config.flaw {
-            Some(Flaw::ForgetsOrdersAtInstall) => {
+    ) -> (LogPosition, Arc<ControlState>) {
+        match self.config.injected_fault {
+            Some(InjectedFault::ForgetsOrdersAtInstall) => {
                 let forgetful = ControlState { accepted: AcceptedHistory::default(), ..(*state).clone() };
                 (position, Arc::new(forgetful))
             }
-            Some(Flaw::InstallsWithoutEpoch) => (source, state),
+            Some(InjectedFault::InstallsWithoutEpoch) => (source, state),
             _ => (position, state),
         }
     }
@@ -276,7 +282,7 @@
         let known = attempts.get(&sender).copied().unwrap_or(0);
         let Some(member) = view.member(sender).filter(|_| attempt == known) else { return };
         attempts.insert(sender, known + 1);
-        let install = Body::Install {
+        let install = Body::InstallSnapshot {
             epoch,
             sequence: source.position.sequence,
             source: source.position,
@@ -311,15 +317,15 @@
     }
 
     pub(crate) fn on_accept(&mut self, from: SocketAddrV4, known: KnownView, out: &mut Vec<Output>) {
-        let (ballot, epoch) = (known.view.ballot(), known.view.epoch);
+        let (proposal_number, epoch) = (known.view.proposal_number(), known.view.epoch);
         self.note_epoch(epoch);
         if self.holds_view_without_data(&known.view) {
             return;
         }
         self.learn_view(known, out);
-        let accepted = self.promised == Some(ballot) && self.view_epoch() == epoch;
+        let accepted = self.promised == Some(proposal_number) && self.view_epoch() == epoch;
         if !accepted {
-            let refusal = Body::Refuse { epoch, promised: self.promised, view: self.view.clone() };
+            let refusal = Body::Reject { epoch, promised: self.promised, view: self.view.clone() };
             return self.send(from, refusal, out);
         }
         self.hear();
@@ -330,8 +336,8 @@
     /// A view that names this replica as a backup before it has the data; no candidate sends one.
     fn holds_view_without_data(&self, view: &View) -> bool {
         let installed = self.data.as_ref().is_some_and(|data| data.position.epoch >= view.epoch);
-        let lacking = view.backups.contains(&self.id) && view.epoch > FOUNDING_EPOCH && !installed;
-        lacking && self.config.flaw != Some(Flaw::AcceptsBeforeInstall)
+        let lacking = view.backups.contains(&self.id) && view.epoch > BOOTSTRAP_EPOCH && !installed;
+        lacking && self.config.injected_fault != Some(InjectedFault::AcceptsBeforeInstall)
     }
 
     /// Takes in a view that exists, whether or not it may be accepted here.
@@ -352,8 +358,8 @@
         }
         let mut records = Vec::new();
         if epoch > self.promised_epoch() {
-            self.promised = Some(known.view.ballot());
-            records.push(Record::Promise(known.view.ballot()));
+            self.promised = Some(known.view.proposal_number());
+            records.push(Record::Promise(known.view.proposal_number()));
         }
         if self.campaign.as_ref().is_some_and(|campaign| campaign.epoch < epoch) {
             self.step_down(out);
@@ -374,12 +380,12 @@
 
     /// The data set of the first view holds the empty state from the start.
     pub(crate) fn founding_data(&mut self, view: &View) -> Option<Record> {
-        let founding = view.epoch == FOUNDING_EPOCH && view.holds_data(self.id) && self.data.is_none();
+        let founding = view.epoch == BOOTSTRAP_EPOCH && view.holds_data(self.id) && self.data.is_none();
         founding.then(|| {
             let data =
-                Data { position: Position { epoch: FOUNDING_EPOCH, sequence: 0 }, state: Arc::default() };
+                Data { position: LogPosition { epoch: BOOTSTRAP_EPOCH, sequence: 0 }, state: Arc::default() };
             self.data = Some(data.clone());
-            Record::Whole(data)
+            Record::Snapshot(data)
         })
     }
 
@@ -399,7 +405,7 @@
             return None;
         }
         self.data = None;
-        Some(Record::Dropped)
+        Some(Record::SnapshotDiscarded)
     }
 
     pub(crate) fn on_accepted(&mut self, sender: ReplicaId, epoch: u64, out: &mut Vec<Output>) {
@@ -409,7 +415,7 @@
         let Stage::Accepting { view, accepted } = &mut campaign.stage else { return };
         accepted.insert(sender);
         let mut known = KnownView { view: Arc::clone(view), active: false };
-        known.active = self.config.flaw == Some(Flaw::SkipsPrior);
+        known.active = self.config.injected_fault == Some(InjectedFault::SkipsPrior);
         let data_set = view.backups.iter().all(|id| accepted.contains(id)) && accepted.contains(&self.id);
         if data_set && known.quorum(accepted) {
             let answered = accepted.iter().chain(campaign.promises.keys()).copied().collect();
--- a/control/src/leadership.rs
+++ b/control/src/leadership.rs
@@ -7,7 +7,7 @@
 };
 
 use crate::{
-    Change, Position, ReplicaId, Ticket, View,
+    Change, LogPosition, ProposalId, ReplicaId, View,
     config::MILLISECOND,
     lease::{Contact, Renewals},
     membership::Joiner,
@@ -19,7 +19,7 @@
 /// A change that waits for its turn.
 #[derive(Debug)]
 pub(crate) struct Proposal {
-    pub ticket: Ticket,
+    pub proposal_id: ProposalId,
     pub change: Change,
     pub since: u64,
 }
@@ -28,9 +28,9 @@
 #[derive(Debug)]
 pub(crate) struct Pending {
     /// Who is to be answered; none once the answer limit has passed.
-    pub ticket: Option<Ticket>,
+    pub proposal_id: Option<ProposalId>,
     pub change: Change,
-    pub position: Position,
+    pub position: LogPosition,
     pub since: u64,
     pub durable: BTreeSet<ReplicaId>,
     pub next_send: u64,
--- a/control/src/lease.rs
+++ b/control/src/lease.rs
@@ -2,14 +2,14 @@
 
 use std::collections::BTreeMap;
 
-use crate::{Ballot, ReplicaConfig, ReplicaId, View, config::MILLISECOND};
+use crate::{ProposalNumber, ReplicaConfig, ReplicaId, View, config::MILLISECOND};
 
 /// So many heartbeats without a renewal of the lease show that the primary has lost contact.
 const FAILED_RENEWALS: u32 = 4;
 
 /// The right to act as the primary, which a majority has granted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct HeldLease {
+pub struct Lease {
     /// The epoch in which the holder leads.
     pub epoch: u64,
     /// Until when, in microseconds of the holder's steady clock.
@@ -20,18 +20,19 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Grant {
     /// The promise under which it was granted.
-    pub ballot: Ballot,
+    pub proposal_number: ProposalNumber,
     /// Until when nobody else is promised anything.
     pub until: u64,
 }
 
 impl Grant {
     /// Whether the grant forbids a promise to the candidate.
-    pub fn blocks(&self, now: u64, candidate: ReplicaId, released: Option<Ballot>) -> bool {
-        let given_up = released.is_some_and(|ballot| {
-            ballot.candidate == self.ballot.candidate && ballot.epoch >= self.ballot.epoch
+    pub fn blocks(&self, now: u64, candidate: ReplicaId, released: Option<ProposalNumber>) -> bool {
+        let given_up = released.is_some_and(|proposal_number| {
+            proposal_number.candidate == self.proposal_number.candidate
+                && proposal_number.epoch >= self.proposal_number.epoch
         });
-        now < self.until && candidate != self.ballot.candidate && !given_up
+        now < self.until && candidate != self.proposal_number.candidate && !given_up
     }
 }
 
@@ -62,11 +63,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Health {
     /// Whether it may hold data.
-    pub fit: bool,
+    pub healthy: bool,
     /// Whether its process is about to end in good order.
-    pub leaving: bool,
+    pub shutting_down: bool,
     /// Whether it would know after a restart that its view is active.
-    pub settled: bool,
+    pub activation_durable: bool,
 }
 
 /// What the primary knows of another member.
@@ -79,11 +80,11 @@
     /// Whether any echo has come.
     pub answered: bool,
     /// Whether the member may hold data.
-    pub fit: bool,
+    pub healthy: bool,
     /// Whether the member is about to end in good order.
-    pub leaving: bool,
+    pub shutting_down: bool,
     /// The epoch of the view that the member would know to be active after a restart, 0 if there is none.
-    pub settled_epoch: u64,
+    pub active_epoch_durable: u64,
     /// Since when the member has been bound by a promise beyond the primary's, or has lacked changes that it had.
     pub estranged: Option<u64>,
 }
@@ -98,9 +99,9 @@
             lease_sent: None,
             heard: now,
             answered: false,
-            fit: true,
-            leaving: false,
-            settled_epoch: 0,
+            healthy: true,
+            shutting_down: false,
+            active_epoch_durable: 0,
             estranged: None,
         }
     }
@@ -153,5 +154,5 @@
     let mut sent: Vec<u64> =
         others.filter_map(|member| contacts.get(&member.id).and_then(|contact| contact.lease_sent)).collect();
     sent.sort_unstable_by(|left, right| right.cmp(left));
-    sent.get(needed - 1).map(|sent| sent + config.lease - config.lease_margin)
+    sent.get(needed - 1).map(|sent| sent + config.lease_duration - config.lease_margin)
 }
--- a/control/src/lib.rs
+++ b/control/src/lib.rs
@@ -27,14 +27,16 @@
 mod view;
 mod view_change;
 
-pub use config::{Flaw, ReplicaConfig};
-pub use history::{ACCEPTED_BYTES, ACCEPTED_KEPT, AcceptedConfiguration, AcceptedHistory, Remembered};
-pub use input::{Input, Outcome, Output, Ticket, Token};
-pub use lease::HeldLease;
+pub use config::{InjectedFault, ReplicaConfig};
+pub use history::{
+    ACCEPTED_HISTORY_BYTES, ACCEPTED_HISTORY_ENTRIES, AcceptedConfiguration, AcceptedHistory, HistoryLookup,
+};
+pub use input::{Input, Outcome, Output, ProposalId, WriteId};
+pub use lease::Lease;
 pub use member::{Member, ReplicaId};
 pub use message::{Body, Message};
-pub use record::{Data, Position, Record, Recovered};
-pub use replica::{Reading, Replica};
-pub use state::{Change, ControlState, Fingerprint, Judgement, StoredConfiguration};
+pub use record::{Data, LogPosition, Record, RecoveredState};
+pub use replica::{LeaseRead, Replica};
+pub use state::{Change, ChangeCheck, ControlState, Fingerprint, StoredConfiguration};
 pub use status::{Role, Status};
-pub use view::{Ballot, KnownView, View};
+pub use view::{KnownView, ProposalNumber, View};
--- a/control/src/membership.rs
+++ b/control/src/membership.rs
@@ -36,14 +36,14 @@
     /// When it last answered the primary.
     answered: Option<u64>,
     /// Whether it may hold data.
-    fit: bool,
+    healthy: bool,
 }
 
 impl Joiner {
     /// A replica that asks for the first time.
     pub fn new(member: &Member, now: u64) -> Joiner {
         let member = member.clone();
-        Joiner { member, first_boot: false, seen: now, first_seen: now, answered: None, fit: false }
+        Joiner { member, first_boot: false, seen: now, first_seen: now, answered: None, healthy: false }
     }
 
     /// Whether it has asked lately.
@@ -52,10 +52,10 @@
     }
 
     /// Notes its answer to a heartbeat of that time.
-    pub fn note_echo(&mut self, now: u64, sent: u64, fit: bool) {
+    pub fn note_echo(&mut self, now: u64, sent: u64, healthy: bool) {
         if sent >= self.first_seen {
             self.answered = Some(now);
-            self.fit = fit;
+            self.healthy = healthy;
         }
     }
 
@@ -63,7 +63,7 @@
     /// may be the word of a replica that is long gone.
     fn ready(&self, now: u64) -> bool {
         let there = self.answered.is_some_and(|answered| now < answered + LIVE_WITHIN);
-        self.asks(now) && there && self.fit
+        self.asks(now) && there && self.healthy
     }
 }
 
@@ -84,7 +84,7 @@
     /// How many machines may be lost at once, and so how many backups are wanted.
     pub losses: usize,
     /// Whether the view no longer depends on the members of the one before.
-    pub settled: bool,
+    pub view_change_complete: bool,
     /// Whether the primary itself is about to end: it is the one that is to go.
     pub leaves: bool,
     /// A fault for tests of the tests.
@@ -95,7 +95,7 @@
     /// The members of the next view, if there should be one now. Nobody goes without a successor while an earlier change
     /// is open.
     pub fn wanted(&self) -> Option<Wanted> {
-        let shrunk = || self.settled.then(|| self.shrinking()).flatten();
+        let shrunk = || self.view_change_complete.then(|| self.shrinking()).flatten();
         self.joining().or_else(shrunk).or_else(|| self.rearranged())
     }
 
@@ -131,7 +131,7 @@
 
     /// The member that a joiner comes in for: one out of reach, or one that is about to end.
     fn replaceable(&self) -> Option<ReplicaId> {
-        self.unreachable(UNREACHABLE_AFTER).or_else(|| self.leaving())
+        self.unreachable(UNREACHABLE_AFTER).or_else(|| self.shutting_down())
     }
 
     /// A member goes without another one in its place: one too many, or one whose absence the core bears better as a
@@ -145,7 +145,7 @@
         if self.leaves || (!surplus && !better_without) {
             return None;
         }
-        let leaver = self.unreachable(patience).or_else(|| self.leaving())?;
+        let leaver = self.unreachable(patience).or_else(|| self.shutting_down())?;
         let members = self.without(Some(leaver));
         self.reachable(Wanted { members, target_size: self.view.target_size }, self.view.primary)
     }
@@ -176,7 +176,9 @@
 
     fn ails(&self, backup: ReplicaId) -> bool {
         let patience = if self.change_waits { BACKUP_SILENT_IN_CHANGE } else { BACKUP_SILENT };
-        self.contacts.get(&backup).is_some_and(|contact| !contact.fit || self.now >= contact.heard + patience)
+        self.contacts
+            .get(&backup)
+            .is_some_and(|contact| !contact.healthy || self.now >= contact.heard + patience)
     }
 
     fn spare(&self, id: ReplicaId) -> bool {
@@ -211,25 +213,27 @@
     }
 
     /// A member that is about to end, if another one can hold the data.
-    fn leaving(&self) -> Option<ReplicaId> {
-        let leaver = self.view.members.iter().find(|member| self.is_leaving(member.id))?;
+    fn shutting_down(&self) -> Option<ReplicaId> {
+        let leaver = self.view.members.iter().find(|member| self.is_shutting_down(member.id))?;
         let others = self.view.members.iter().filter(|member| member.id != leaver.id);
         let mut keepers = others.filter(|member| self.may_keep_data(member.id));
         keepers.next().map(|_| leaver.id)
     }
 
-    fn is_leaving(&self, id: ReplicaId) -> bool {
-        self.contacts.get(&id).is_some_and(|contact| contact.leaving)
+    fn is_shutting_down(&self, id: ReplicaId) -> bool {
+        self.contacts.get(&id).is_some_and(|contact| contact.shutting_down)
     }
 
     /// Whether a member other than the primary is live and may hold data.
     fn may_keep_data(&self, id: ReplicaId) -> bool {
-        id != self.view.primary && self.live(id) && self.contacts.get(&id).is_some_and(|contact| contact.fit)
+        id != self.view.primary
+            && self.live(id)
+            && self.contacts.get(&id).is_some_and(|contact| contact.healthy)
     }
 
     /// How many members are live and stay.
     fn staying(&self) -> usize {
-        let stays = |member: &&Member| self.live(member.id) && !self.is_leaving(member.id);
+        let stays = |member: &&Member| self.live(member.id) && !self.is_shutting_down(member.id);
         self.view.members.iter().filter(stays).count()
     }
 
--- a/control/src/message.rs
+++ b/control/src/message.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use crate::{Ballot, Change, ControlState, Data, KnownView, Member, Position, ReplicaId};
+use crate::{Change, ControlState, Data, KnownView, LogPosition, Member, ProposalNumber, ReplicaId};
 
 /// A message between replicas.
 #[derive(Debug, Clone, PartialEq)]
@@ -24,7 +24,7 @@
         sent: u64,
     },
     /// Answer to a heartbeat.
-    Echo {
+    HeartbeatReply {
         /// The epoch of the heartbeat.
         epoch: u64,
         /// The time of the heartbeat.
@@ -32,29 +32,29 @@
         /// Whether the lease is granted.
         granted: bool,
         /// The latest promise of the sender.
-        promised: Option<Ballot>,
+        promised: Option<ProposalNumber>,
         /// The epoch of the view that the sender has accepted, 0 if none.
         view_epoch: u64,
         /// Whether the sender may hold data: its disk is well and it isn't leaving.
-        fit: bool,
+        healthy: bool,
         /// Whether the process of the sender is about to end in good order.
-        leaving: bool,
+        shutting_down: bool,
         /// Whether the sender would know after a restart that its view is active.
-        settled: bool,
+        activation_durable: bool,
     },
     /// Would the receiver promise this epoch? Binds nobody.
-    Poll {
+    PreVote {
         /// The epoch that would be asked for.
         epoch: u64,
     },
     /// Answer to a poll.
-    PollReply {
+    PreVoteReply {
         /// The epoch of the poll.
         epoch: u64,
         /// Whether it would be promised.
         granted: bool,
         /// The latest promise of the sender.
-        promised: Option<Ballot>,
+        promised: Option<ProposalNumber>,
         /// The view that the sender has accepted.
         view: Option<KnownView>,
     },
@@ -63,9 +63,9 @@
         /// The epoch.
         epoch: u64,
         /// What the sender holds of the data.
-        position: Option<Position>,
-        /// The ballot up to which the primary of before has given up its lead, for a hand-over.
-        released: Option<Ballot>,
+        position: Option<LogPosition>,
+        /// The proposal number up to which the primary of before has given up its lead, for a hand-over.
+        released: Option<ProposalNumber>,
     },
     /// The epoch is promised to the receiver.
     Promise {
@@ -74,36 +74,36 @@
         /// The view that the sender has accepted.
         view: Option<KnownView>,
         /// The position of the data that the sender holds.
-        position: Option<Position>,
+        position: Option<LogPosition>,
         /// The data itself, where it is newer than what the candidate holds.
         data: Option<Data>,
         /// Whether the sender may hold data.
-        fit: bool,
+        healthy: bool,
     },
     /// The receiver's epoch has been overtaken, or a lease stands against it.
-    Refuse {
+    Reject {
         /// The epoch that is refused.
         epoch: u64,
         /// The latest promise of the sender.
-        promised: Option<Ballot>,
+        promised: Option<ProposalNumber>,
         /// The view that the sender has accepted.
         view: Option<KnownView>,
     },
     /// A candidate hands its state to a future backup.
-    Install {
+    InstallSnapshot {
         /// The epoch of the candidate.
         epoch: u64,
         /// The sequence of the state.
         sequence: u64,
         /// The position under which the state was known before.
-        source: Position,
+        source: LogPosition,
         /// How often the state has been sent to the receiver so far, this time included.
         attempt: u64,
         /// The state; left out where the receiver holds the source, or has been sent the state before.
         state: Option<Arc<ControlState>>,
     },
     /// Answer to an installation.
-    Installed {
+    SnapshotInstalled {
         /// The epoch.
         epoch: u64,
         /// Whether the state is durable at the sender; otherwise it has to be sent whole.
@@ -145,8 +145,8 @@
         first_boot: bool,
     },
     /// The primary has given up its lead and asks the receiver to take over.
-    TakeOver {
-        /// The ballot up to which it has given up.
-        released: Ballot,
+    TransferLeadership {
+        /// The proposal number up to which it has given up.
+        released: ProposalNumber,
     },
 }
--- a/control/src/replica.rs
+++ b/control/src/replica.rs
@@ -3,14 +3,14 @@
 use std::{collections::BTreeMap, net::SocketAddrV4, sync::Arc};
 
 use crate::{
-    Ballot, Body, ControlState, Data, Flaw, Input, KnownView, Member, Message, Output, Position, Record,
-    Recovered, ReplicaConfig, ReplicaId, Role, Status, View,
+    Body, ControlState, Data, InjectedFault, Input, KnownView, LogPosition, Member, Message, Output,
+    ProposalNumber, Record, RecoveredState, ReplicaConfig, ReplicaId, Role, Status, View,
     campaign::{Campaign, DataSent, Poll},
     config::MILLISECOND,
     disk::{Disk, Effect},
     handover::Handover,
     leadership::{Leadership, Proposal},
-    lease::{Grant, Health, HeldLease, PrimaryClock},
+    lease::{Grant, Health, Lease, PrimaryClock},
 };
 
 /// A replica that isn't a member asks to join this often.
@@ -21,7 +21,7 @@
 pub struct Replica {
     pub(crate) config: ReplicaConfig,
     pub(crate) id: ReplicaId,
-    pub(crate) promised: Option<Ballot>,
+    pub(crate) promised: Option<ProposalNumber>,
     pub(crate) view: Option<KnownView>,
     pub(crate) data: Option<Data>,
     pub(crate) committed: Arc<ControlState>,
@@ -46,35 +46,39 @@
     announced: Option<u64>,
     peers: Vec<SocketAddrV4>,
     next_join: u64,
-    leaving: Option<u64>,
+    shutting_down: Option<u64>,
     ended: bool,
     now: u64,
 }
 
 /// The current state, as long as the lease lasts under which it was read.
 #[derive(Debug, Clone, Copy)]
-pub struct Reading<'a> {
+pub struct LeaseRead<'a> {
     /// The lease.
-    pub lease: HeldLease,
+    pub lease: Lease,
     /// The state.
     pub state: &'a ControlState,
 }
 
 impl Replica {
     /// A replica that starts at this time with what was on its disk.
-    pub fn new(config: ReplicaConfig, recovered: Recovered, now: u64) -> Replica {
+    pub fn new(config: ReplicaConfig, recovered: RecoveredState, now: u64) -> Replica {
         let promised = recovered.promised;
-        let lease = if config.flaw == Some(Flaw::GrantsAfterRestart) { 0 } else { config.lease };
+        let lease = if config.injected_fault == Some(InjectedFault::GrantsAfterRestart) {
+            0
+        } else {
+            config.lease_duration
+        };
         let view_epoch = recovered.view.as_ref().map_or(0, |known| known.view.epoch);
         Replica {
             id: recovered.id,
             promised,
             committed: recovered.data.as_ref().map(|data| Arc::clone(&data.state)).unwrap_or_default(),
             disk: Disk::recovered(promised),
-            granted: promised.map(|ballot| Grant { ballot, until: now + lease }),
+            granted: promised.map(|proposal_number| Grant { proposal_number, until: now + lease }),
             primary_clock: None,
             data_sent: None,
-            highest_epoch: promised.map_or(0, |ballot| ballot.epoch).max(view_epoch),
+            highest_epoch: promised.map_or(0, |proposal_number| proposal_number.epoch).max(view_epoch),
             last_heard: now,
             head_start: 0,
             poll: None,
@@ -87,7 +91,7 @@
             announced: None,
             peers: Vec::new(),
             next_join: now,
-            leaving: None,
+            shutting_down: None,
             ended: false,
             now,
             view: recovered.view,
@@ -100,7 +104,7 @@
     /// A primary that comes back needn't wait for silence: its lease bars only others.
     fn returned(mut self) -> Replica {
         if self.view.as_ref().is_some_and(|known| known.view.primary == self.id) {
-            self.head_start = self.config.lease;
+            self.head_start = self.config.lease_duration;
         }
         self
     }
@@ -111,19 +115,19 @@
         match input {
             Input::Tick => {}
             Input::Message { from, message } => self.receive(from, message, out),
-            Input::Persisted { token } => {
-                for effect in self.disk.persisted(token) {
+            Input::WriteCompleted { write_id } => {
+                for effect in self.disk.persisted(write_id) {
                     self.run(effect, out);
                 }
             }
-            Input::PersistFailed { token } => self.disk.failed(self.now, token),
-            Input::Propose { ticket, change } => self.propose(ticket, change, out),
-            Input::Found { view } => self.found(view, out),
+            Input::WriteFailed { write_id } => self.disk.failed(self.now, write_id),
+            Input::Propose { proposal_id, change } => self.propose(proposal_id, change, out),
+            Input::Bootstrap { view } => self.found(view, out),
             Input::Peers(peers) => {
                 self.peers = peers;
                 self.next_join = self.next_join.min(self.now);
             }
-            Input::Leaving => self.leaving = self.leaving.or(Some(self.now)),
+            Input::ShutDown => self.shutting_down = self.shutting_down.or(Some(self.now)),
         }
         self.advance(out);
     }
@@ -132,40 +136,42 @@
     pub fn next_wake(&self) -> u64 {
         let mut wakes = vec![self.disk.wake(self.now), self.lead_wake(), self.election_wake()];
         wakes.push(self.handover.map(|handover| handover.next_send));
-        wakes.push(self.queue.first().map(|proposal| proposal.since + self.config.answer_limit));
+        wakes.push(self.queue.first().map(|proposal| proposal.since + self.config.proposal_timeout));
         wakes.push(self.wants_to_join().then_some(self.next_join));
-        wakes.push(self.leaving.filter(|_| !self.ended).map(|since| since + self.config.leave_limit));
+        wakes.push(
+            self.shutting_down.filter(|_| !self.ended).map(|since| since + self.config.shutdown_timeout),
+        );
         let idle = self.now + JOIN_EVERY;
         wakes.into_iter().flatten().min().unwrap_or(idle).clamp(self.now + MILLISECOND, idle)
     }
 
     /// Whether the lead of this replica began with the silence of another primary: the core was not stable then.
-    pub fn followed_silence(&self) -> bool {
+    pub fn took_over_after_timeout(&self) -> bool {
         self.leadership.is_some() && self.from_silence
     }
 
     /// The epoch in which this replica leads at this time, if it does. Read the clock just before acting on it.
     pub fn leading(&self, now: u64) -> Option<u64> {
-        self.held_lease(now).map(|lease| lease.epoch)
+        self.lease(now).map(|lease| lease.epoch)
     }
 
     /// The lease under which this replica leads at this time, if it does.
-    pub fn held_lease(&self, now: u64) -> Option<HeldLease> {
+    pub fn lease(&self, now: u64) -> Option<Lease> {
         let epoch = self.leadership.as_ref()?.epoch;
-        if self.config.flaw == Some(Flaw::LeadsForever) {
-            return Some(HeldLease { epoch, until: u64::MAX });
+        if self.config.injected_fault == Some(InjectedFault::LeadsForever) {
+            return Some(Lease { epoch, until: u64::MAX });
         }
         let until = self.lease_until().filter(|until| now < *until)?;
-        Some(HeldLease { epoch, until })
+        Some(Lease { epoch, until })
     }
 
     /// The current state, if this replica leads at this time. Whoever passes it on looks at the lease once more.
-    pub fn read(&self, now: u64) -> Option<Reading<'_>> {
-        let mut lease = self.held_lease(now);
-        if self.config.flaw == Some(Flaw::ReadsWithoutLease) {
-            lease = self.leadership.as_ref().map(|lead| HeldLease { epoch: lead.epoch, until: u64::MAX });
+    pub fn read(&self, now: u64) -> Option<LeaseRead<'_>> {
+        let mut lease = self.lease(now);
+        if self.config.injected_fault == Some(InjectedFault::ReadsWithoutLease) {
+            lease = self.leadership.as_ref().map(|lead| Lease { epoch: lead.epoch, until: u64::MAX });
         }
-        Some(Reading { lease: lease?, state: &self.committed })
+        Some(LeaseRead { lease: lease?, state: &self.committed })
     }
 
     /// The state that was last committed as far as this replica knows; current only while it leads.
@@ -198,15 +204,15 @@
             leading: self.leading(self.now),
             lease_until: self.lease_until(),
             sequence: self.data.as_ref().map(|data| data.position.sequence),
-            disk_well: self.disk.well(self.now),
+            disk_healthy: self.disk.well(self.now),
         }
     }
 
     fn role(&self) -> Role {
         match self.current_view() {
             _ if self.leadership.is_some() => Role::Primary,
-            Some(view) if view.member(self.id).is_none() => Role::Outside,
-            None => Role::Outside,
+            Some(view) if view.member(self.id).is_none() => Role::NonMember,
+            None => Role::NonMember,
             Some(_) if self.campaign.is_some() => Role::Candidate,
             Some(view) if view.backups.contains(&self.id) => Role::Backup,
             Some(_) => Role::Witness,
@@ -220,39 +226,48 @@
         }
         match message.body {
             Body::Heartbeat { epoch, sent } => self.on_heartbeat(from, sender, epoch, sent, out),
-            Body::Echo { epoch, sent, granted, promised, view_epoch, fit, leaving, settled } => {
-                let health = Health { fit, leaving, settled };
+            Body::HeartbeatReply {
+                epoch,
+                sent,
+                granted,
+                promised,
+                view_epoch,
+                healthy,
+                shutting_down,
+                activation_durable,
+            } => {
+                let health = Health { healthy, shutting_down, activation_durable };
                 self.on_echo(from, sender, (epoch, sent), granted, promised, view_epoch, health, out);
             }
-            Body::Poll { epoch } => self.on_poll(from, sender, epoch, out),
-            Body::PollReply { epoch, granted, promised, view } => {
+            Body::PreVote { epoch } => self.on_poll(from, sender, epoch, out),
+            Body::PreVoteReply { epoch, granted, promised, view } => {
                 self.on_poll_reply(sender, epoch, granted, promised, view, out);
             }
             Body::Prepare { epoch, position, released } => {
                 self.on_prepare(from, sender, epoch, position, released, out);
             }
-            Body::Promise { epoch, view, position, data, fit } => {
-                self.on_promise(sender, epoch, view, position, data, fit, out);
+            Body::Promise { epoch, view, position, data, healthy } => {
+                self.on_promise(sender, epoch, view, position, data, healthy, out);
             }
-            Body::Refuse { epoch, promised, view } => self.on_refuse(sender, epoch, promised, view, out),
-            Body::Install { epoch, sequence, source, attempt, state } => {
-                let position = Position { epoch, sequence };
+            Body::Reject { epoch, promised, view } => self.on_refuse(sender, epoch, promised, view, out),
+            Body::InstallSnapshot { epoch, sequence, source, attempt, state } => {
+                let position = LogPosition { epoch, sequence };
                 self.on_install(from, sender, position, source, attempt, state, out);
             }
-            Body::Installed { epoch, complete: true, .. } => self.on_installed(sender, epoch, out),
-            Body::Installed { epoch, complete: false, attempt } => {
+            Body::SnapshotInstalled { epoch, complete: true, .. } => self.on_installed(sender, epoch, out),
+            Body::SnapshotInstalled { epoch, complete: false, attempt } => {
                 self.on_incomplete(sender, epoch, attempt, out);
             }
             Body::Accept { view } => self.on_accept(from, view, out),
             Body::Accepted { epoch } => self.on_accepted(sender, epoch, out),
             Body::Replicate { epoch, sequence, change } => {
-                self.on_replicate(from, sender, Position { epoch, sequence }, change, out);
+                self.on_replicate(from, sender, LogPosition { epoch, sequence }, change, out);
             }
             Body::Replicated { epoch, sequence } => {
-                self.on_replicated(sender, Position { epoch, sequence }, out);
+                self.on_replicated(sender, LogPosition { epoch, sequence }, out);
             }
             Body::Join { member, first_boot } => self.on_join(from, member, first_boot, out),
-            Body::TakeOver { released } => self.on_take_over(released, out),
+            Body::TransferLeadership { released } => self.on_take_over(released, out),
         }
     }
 
@@ -289,10 +304,10 @@
         self.announced = leading;
         match leading {
             Some(epoch) => {
-                out.push(Output::Leading { epoch });
+                out.push(Output::BecamePrimary { epoch });
                 out.push(Output::Committed { state: Arc::clone(&self.committed) });
             }
-            None => out.push(Output::NotLeading),
+            None => out.push(Output::SteppedDown),
         }
     }
 
@@ -311,14 +326,14 @@
             self.disk.spoil();
             return;
         }
-        let token = self.disk.issue(self.now, self.promised, effect);
-        out.push(Output::Persist { token, records });
+        let write_id = self.disk.issue(self.now, self.promised, effect);
+        out.push(Output::Persist { write_id, records });
     }
 
     fn everything(&self) -> Vec<Record> {
         let mut records: Vec<Record> = self.promised.map(Record::Promise).into_iter().collect();
         records.extend(self.view.clone().map(Record::View));
-        records.push(self.data.clone().map_or(Record::Dropped, Record::Whole));
+        records.push(self.data.clone().map_or(Record::SnapshotDiscarded, Record::Snapshot));
         records
     }
 
@@ -347,16 +362,16 @@
     }
 
     pub(crate) fn promised_epoch(&self) -> u64 {
-        self.promised.map_or(0, |ballot| ballot.epoch)
+        self.promised.map_or(0, |proposal_number| proposal_number.epoch)
     }
 
     /// Whether this replica may hold data for others.
-    pub(crate) fn fit(&self) -> bool {
-        self.disk.well(self.now) && self.leaving.is_none()
+    pub(crate) fn healthy(&self) -> bool {
+        self.disk.well(self.now) && self.shutting_down.is_none()
     }
 
-    pub(crate) fn is_leaving(&self) -> bool {
-        self.leaving.is_some()
+    pub(crate) fn is_shutting_down(&self) -> bool {
+        self.shutting_down.is_some()
     }
 
     /// Notes a sign that somebody leads or is about to.
@@ -386,7 +401,7 @@
     fn wants_to_join(&self) -> bool {
         let member = self.current_view().is_some_and(|view| view.member(self.id).is_some());
         let anyone_known = self.view.is_some() || !self.peers.is_empty();
-        !member && !self.is_leaving() && anyone_known
+        !member && !self.is_shutting_down() && anyone_known
     }
 
     fn ask_to_join(&mut self, out: &mut Vec<Output>) {
@@ -408,11 +423,11 @@
     }
 
     fn advance_leaving(&mut self, out: &mut Vec<Output>) {
-        let Some(since) = self.leaving.filter(|_| !self.ended) else { return };
-        let hasty = self.config.flaw == Some(Flaw::EndsAtOnce);
-        if hasty || !self.needed() || self.now >= since + self.config.leave_limit {
+        let Some(since) = self.shutting_down.filter(|_| !self.ended) else { return };
+        let hasty = self.config.injected_fault == Some(InjectedFault::EndsAtOnce);
+        if hasty || !self.needed() || self.now >= since + self.config.shutdown_timeout {
             self.ended = true;
-            out.push(Output::MayEnd);
+            out.push(Output::ReadyToExit);
         }
     }
 
@@ -428,7 +443,7 @@
     }
 
     /// Whether this replica would know after a restart that its view is active.
-    pub(crate) fn settled(&self) -> bool {
-        self.disk.settled() && self.view.as_ref().is_some_and(|known| known.active)
+    pub(crate) fn activation_durable(&self) -> bool {
+        self.disk.all_durable() && self.view.as_ref().is_some_and(|known| known.active)
     }
 }
--- a/control/src/replication.rs
+++ b/control/src/replication.rs
@@ -3,15 +3,15 @@
 use std::{collections::BTreeSet, net::SocketAddrV4, sync::Arc};
 
 use crate::{
-    Ballot, Body, Change, ControlState, Data, Flaw, KnownView, Outcome, Output, Position, Record, Replica,
-    ReplicaId, Ticket, View,
+    Body, Change, ControlState, Data, InjectedFault, KnownView, LogPosition, Outcome, Output, ProposalId,
+    ProposalNumber, Record, Replica, ReplicaId, View,
     config::MILLISECOND,
     disk::Effect,
     leadership::{Leadership, Pending, Proposal, VIEW_PAUSE},
     lease::{Contact, Renewals},
-    state::Judgement,
+    state::ChangeCheck,
     transfer::{change_bytes, extra_patience},
-    view::FOUNDING_EPOCH,
+    view::BOOTSTRAP_EPOCH,
 };
 
 /// A change is handed again to backups that haven't it this often.
@@ -28,16 +28,16 @@
 
     /// Starts the system with its first view, unless this replica knows one.
     pub(crate) fn found(&mut self, view: View, out: &mut Vec<Output>) {
-        if self.view.is_some() || self.promised.is_some() || view.epoch != FOUNDING_EPOCH {
+        if self.view.is_some() || self.promised.is_some() || view.epoch != BOOTSTRAP_EPOCH {
             return;
         }
         let view = Arc::new(view);
         let known = KnownView { view: Arc::clone(&view), active: true };
-        self.promised = Some(view.ballot());
+        self.promised = Some(view.proposal_number());
         self.view = Some(known.clone());
         self.note_epoch(view.epoch);
         self.hear();
-        let mut records = vec![Record::Promise(view.ballot()), Record::View(known)];
+        let mut records = vec![Record::Promise(view.proposal_number()), Record::View(known)];
         records.extend(self.founding_data(&view));
         let effect = (view.primary == self.id).then_some(Effect::Founded);
         self.persist(records, effect, out);
@@ -45,7 +45,8 @@
 
     pub(crate) fn on_founded(&mut self) {
         let Some(known) = self.view.clone() else { return };
-        let untouched = known.view.epoch == FOUNDING_EPOCH && self.promised == Some(known.view.ballot());
+        let untouched =
+            known.view.epoch == BOOTSTRAP_EPOCH && self.promised == Some(known.view.proposal_number());
         if untouched && self.leadership.is_none() {
             let everyone = known.view.members.iter().map(|member| member.id).collect();
             self.begin_leadership(known.view, &everyone);
@@ -72,10 +73,12 @@
     /// Decides about a change that was in replication when the view changed: it is part of the new view's state, or
     /// it never comes into force unless it is replicated anew.
     fn settle(&mut self, pending: Pending, out: &mut Vec<Output>) {
-        let Some(ticket) = pending.ticket else { return };
-        match self.committed.judge(&pending.change) {
-            Judgement::Taken => out.push(Output::Answer { ticket, outcome: Outcome::Taken }),
-            _ => self.queue.insert(0, Proposal { ticket, change: pending.change, since: pending.since }),
+        let Some(proposal_id) = pending.proposal_id else { return };
+        match self.committed.check(&pending.change) {
+            ChangeCheck::AlreadyApplied => {
+                out.push(Output::Answer { proposal_id, outcome: Outcome::Committed })
+            }
+            _ => self.queue.insert(0, Proposal { proposal_id, change: pending.change, since: pending.since }),
         }
     }
 
@@ -84,12 +87,12 @@
         self.hear();
         let before = self.leadership.take();
         let first_epoch = before.as_ref().map_or(view.epoch, |before| before.first_epoch);
-        let patient = self.config.flaw == Some(Flaw::GrowsAtOnce);
+        let patient = self.config.injected_fault == Some(InjectedFault::GrowsAtOnce);
         let (mut known, joiners, mut left, gone) = before
             .map(|before| (before.contacts, before.joiners, before.left, before.gone))
             .unwrap_or_default();
-        let tell_until = now + self.config.leave_limit;
-        left.extend(view.prior.iter().map(|member| (member.id, (member.address, tell_until))));
+        let tell_until = now + self.config.shutdown_timeout;
+        left.extend(view.previous_members.iter().map(|member| (member.id, (member.address, tell_until))));
         left.retain(|id, _| view.member(*id).is_none());
         let contacts = view.members.iter().filter(|member| member.id != self.id).map(|member| {
             let fresh = match answered.contains(&member.id) || patient {
@@ -125,8 +128,8 @@
     /// Ends the own lead; what was in replication has no clear answer.
     pub(crate) fn drop_leadership(&mut self, out: &mut Vec<Output>) {
         let Some(leadership) = self.leadership.take() else { return };
-        if let Some(ticket) = leadership.pending.and_then(|pending| pending.ticket) {
-            out.push(Output::Answer { ticket, outcome: Outcome::Unknown });
+        if let Some(proposal_id) = leadership.pending.and_then(|pending| pending.proposal_id) {
+            out.push(Output::Answer { proposal_id, outcome: Outcome::Unknown });
         }
     }
 
@@ -134,32 +137,36 @@
     pub(crate) fn dismiss_queue(&mut self, out: &mut Vec<Output>) {
         let outcome = Outcome::NotPrimary { primary: self.other_primary() };
         let dismissed = std::mem::take(&mut self.queue);
-        out.extend(dismissed.into_iter().map(|proposal| Output::Answer { ticket: proposal.ticket, outcome }));
+        out.extend(
+            dismissed
+                .into_iter()
+                .map(|proposal| Output::Answer { proposal_id: proposal.proposal_id, outcome }),
+        );
     }
 
     pub(crate) fn other_primary(&self) -> Option<SocketAddrV4> {
         self.primary_address().filter(|address| *address != self.config.address)
     }
 
-    pub(crate) fn propose(&mut self, ticket: Ticket, change: Change, out: &mut Vec<Output>) {
+    pub(crate) fn propose(&mut self, proposal_id: ProposalId, change: Change, out: &mut Vec<Output>) {
         if self.leadership.is_none() && self.campaign.is_none() {
             let outcome = Outcome::NotPrimary { primary: self.other_primary() };
-            return out.push(Output::Answer { ticket, outcome });
+            return out.push(Output::Answer { proposal_id, outcome });
         }
-        self.queue.push(Proposal { ticket, change, since: self.now() });
+        self.queue.push(Proposal { proposal_id, change, since: self.now() });
     }
 
     pub(crate) fn expire_queue(&mut self, out: &mut Vec<Output>) {
-        let (now, limit) = (self.now(), self.config.answer_limit);
+        let (now, limit) = (self.now(), self.config.proposal_timeout);
         let outcome = Outcome::NotPrimary { primary: None };
         let overdue = |proposal: &mut Proposal| now >= proposal.since + limit;
         for proposal in self.queue.extract_if(.., overdue) {
-            out.push(Output::Answer { ticket: proposal.ticket, outcome });
+            out.push(Output::Answer { proposal_id: proposal.proposal_id, outcome });
         }
         let pending = self.leadership.as_mut().and_then(|leadership| leadership.pending.as_mut());
         if let Some(pending) = pending.filter(|pending| now >= pending.since + limit) {
-            let answer = |ticket| Output::Answer { ticket, outcome: Outcome::Unknown };
-            out.extend(pending.ticket.take().map(answer));
+            let answer = |proposal_id| Output::Answer { proposal_id, outcome: Outcome::Unknown };
+            out.extend(pending.proposal_id.take().map(answer));
         }
     }
 
@@ -170,7 +177,7 @@
         self.beat(out);
         self.serve_queue(out);
         self.resend_change(out);
-        if !self.fit() && self.successor().is_some() {
+        if !self.healthy() && self.successor().is_some() {
             return self.hand_over(out);
         }
         if self.disk.well(self.now()) {
@@ -181,23 +188,26 @@
     /// Judges the changes whose turn has come, and begins with the first that is to be replicated.
     fn serve_queue(&mut self, out: &mut Vec<Output>) {
         while self.ready_for_change() && !self.queue.is_empty() {
-            let Proposal { ticket, change, since } = self.queue.remove(0);
-            match self.committed.judge(&change).outcome() {
-                Some(outcome) => out.push(Output::Answer { ticket, outcome }),
-                None => self.begin_change(ticket, change, since, out),
+            let Proposal { proposal_id, change, since } = self.queue.remove(0);
+            match self.committed.check(&change).outcome() {
+                Some(outcome) => out.push(Output::Answer { proposal_id, outcome }),
+                None => self.begin_change(proposal_id, change, since, out),
             }
         }
-        if self.config.flaw == Some(Flaw::JudgesRivalEarly) {
-            self.judge_rivals_early(out);
+        if self.config.injected_fault == Some(InjectedFault::JudgesRivalEarly) {
+            self.check_rivals_early(out);
         }
     }
 
-    fn judge_rivals_early(&mut self, out: &mut Vec<Output>) {
+    fn check_rivals_early(&mut self, out: &mut Vec<Output>) {
         let (Some(data), true) = (&self.data, self.leadership.is_some()) else { return };
         let state = Arc::clone(&data.state);
-        self.queue.retain(|proposal| match state.judge(&proposal.change) {
-            Judgement::Conflict { current } => {
-                out.push(Output::Answer { ticket: proposal.ticket, outcome: Outcome::Conflict { current } });
+        self.queue.retain(|proposal| match state.check(&proposal.change) {
+            ChangeCheck::Conflict { current } => {
+                out.push(Output::Answer {
+                    proposal_id: proposal.proposal_id,
+                    outcome: Outcome::Conflict { current },
+                });
                 false
             }
             _ => true,
@@ -206,18 +216,18 @@
 
     fn ready_for_change(&self) -> bool {
         let Some(leadership) = &self.leadership else { return false };
-        let own_epoch = self.promised == Some(leadership.view.ballot());
+        let own_epoch = self.promised == Some(leadership.view.proposal_number());
         let free = leadership.pending.is_none() && self.campaign.is_none() && own_epoch;
         free && self.leading(self.now()).is_some()
     }
 
-    fn begin_change(&mut self, ticket: Ticket, change: Change, since: u64, out: &mut Vec<Output>) {
+    fn begin_change(&mut self, proposal_id: ProposalId, change: Change, since: u64, out: &mut Vec<Output>) {
         let (Some(leadership), Some(data)) = (&self.leadership, &self.data) else { return };
-        let position = Position { epoch: leadership.epoch, sequence: data.position.sequence + 1 };
+        let position = LogPosition { epoch: leadership.epoch, sequence: data.position.sequence + 1 };
         let state = Arc::new(self.committed.after(&change));
         self.data = Some(Data { position, state });
         let pending = Pending {
-            ticket: Some(ticket),
+            proposal_id: Some(proposal_id),
             change: change.clone(),
             position,
             since,
@@ -243,7 +253,7 @@
         let Some(pending) = leadership.pending.as_mut().filter(|pending| now >= pending.next_send) else {
             return;
         };
-        let Position { epoch, sequence } = pending.position;
+        let LogPosition { epoch, sequence } = pending.position;
         let repeat = pending.since + REPLICATE_EVERY <= now && !pending.durable.contains(&own_id);
         let waiting = view.backups.iter().filter(|id| !pending.durable.contains(id));
         let addresses: Vec<_> =
@@ -265,12 +275,12 @@
         &mut self,
         from: SocketAddrV4,
         sender: ReplicaId,
-        position: Position,
+        position: LogPosition,
         change: Change,
         out: &mut Vec<Output>,
     ) {
-        let Position { epoch, sequence } = position;
-        let bound = self.promised == Some(Ballot { epoch, candidate: sender });
+        let LogPosition { epoch, sequence } = position;
+        let bound = self.promised == Some(ProposalNumber { epoch, candidate: sender });
         let backs =
             self.current_view().is_some_and(|view| view.epoch == epoch && view.backups.contains(&self.id));
         if !bound || !backs {
@@ -279,7 +289,7 @@
         let follows = |data: &Data| data.position.epoch == epoch && data.position.sequence + 1 >= sequence;
         let Some(data) = self.data.clone().filter(follows) else {
             // Only a disk that went back to an older copy leads here. The primary would wait for ever.
-            return self.send(from, Body::Installed { epoch, complete: false, attempt: 0 }, out);
+            return self.send(from, Body::SnapshotInstalled { epoch, complete: false, attempt: 0 }, out);
         };
         let reply = self.reply_once_durable(from, Body::Replicated { epoch, sequence });
         if data.position.sequence + 1 == sequence {
@@ -290,8 +300,8 @@
         }
     }
 
-    pub(crate) fn on_replicated(&mut self, sender: ReplicaId, position: Position, out: &mut Vec<Output>) {
-        let early = self.config.flaw == Some(Flaw::AcknowledgesEarly);
+    pub(crate) fn on_replicated(&mut self, sender: ReplicaId, position: LogPosition, out: &mut Vec<Output>) {
+        let early = self.config.injected_fault == Some(InjectedFault::AcknowledgesEarly);
         let Some(leadership) = self.leadership.as_mut() else { return };
         let Some(pending) = leadership.pending.as_mut().filter(|pending| pending.position == position) else {
             return;
@@ -299,7 +309,7 @@
         pending.durable.insert(sender);
         let backups = leadership.view.backups.iter().all(|id| pending.durable.contains(id));
         // Once the own promise has gone on, the state is settled by the view that is being formed.
-        let own_epoch = self.promised == Some(leadership.view.ballot());
+        let own_epoch = self.promised == Some(leadership.view.proposal_number());
         if own_epoch && pending.durable.contains(&self.id) && (backups || early) {
             self.commit(out);
         }
@@ -321,8 +331,8 @@
         let Some(data) = &self.data else { return };
         self.committed = Arc::clone(&data.state);
         out.push(Output::Committed { state: Arc::clone(&self.committed) });
-        let answer = |ticket| Output::Answer { ticket, outcome: Outcome::Taken };
-        out.extend(pending.ticket.map(answer));
+        let answer = |proposal_id| Output::Answer { proposal_id, outcome: Outcome::Committed };
+        out.extend(pending.proposal_id.map(answer));
     }
 
     /// The state that was committed last, shared.
--- a/control/src/state.rs
+++ b/control/src/state.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, sync::Arc};
 
 use crate::Outcome;
-use crate::history::{AcceptedConfiguration, AcceptedHistory, Remembered};
+use crate::history::{AcceptedConfiguration, AcceptedHistory, HistoryLookup};
 
 /// Identifies the bytes of a configuration.
 pub type Fingerprint = u128;
@@ -55,36 +55,36 @@
 
 /// What is to be done with a change when its turn comes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Judgement {
+pub enum ChangeCheck {
     /// It is in force already, or was.
-    Taken,
+    AlreadyApplied,
     /// Another version is current.
     Conflict {
         /// The version in force.
         current: u64,
     },
     /// Its version isn't above the current one.
-    NotAbove {
+    VersionNotHigher {
         /// The version in force.
         current: u64,
     },
     /// It is so old that it may have been taken or not.
-    Forgotten,
+    HistoryTruncated,
     /// It builds on a version that isn't in force yet: refused now, another copy of it could still be taken later.
-    Ahead,
+    BaseNotCommitted,
     /// It is to be replicated.
     Proceed,
 }
 
-impl Judgement {
+impl ChangeCheck {
     /// What becomes of a change that is not to be replicated; `None` for one that is.
     pub fn outcome(self) -> Option<Outcome> {
         match self {
-            Judgement::Taken => Some(Outcome::Taken),
-            Judgement::Conflict { current } => Some(Outcome::Conflict { current }),
-            Judgement::NotAbove { current } => Some(Outcome::NotAbove { current }),
-            Judgement::Forgotten | Judgement::Ahead => Some(Outcome::Unknown),
-            Judgement::Proceed => None,
+            ChangeCheck::AlreadyApplied => Some(Outcome::Committed),
+            ChangeCheck::Conflict { current } => Some(Outcome::Conflict { current }),
+            ChangeCheck::VersionNotHigher { current } => Some(Outcome::VersionNotHigher { current }),
+            ChangeCheck::HistoryTruncated | ChangeCheck::BaseNotCommitted => Some(Outcome::Unknown),
+            ChangeCheck::Proceed => None,
         }
     }
 }
@@ -96,30 +96,30 @@
     }
 
     /// Judges a change against this state.
-    pub(crate) fn judge(&self, change: &Change) -> Judgement {
+    pub(crate) fn check(&self, change: &Change) -> ChangeCheck {
         match change {
             Change::PutConfiguration { if_match, version, fingerprint, .. } => {
-                self.judge_configuration(*if_match, *version, *fingerprint)
+                self.check_configuration(*if_match, *version, *fingerprint)
             }
             Change::NameVersion { model, version } => match self.models.get(model) {
-                Some(known) if known >= version => Judgement::Taken,
-                _ => Judgement::Proceed,
+                Some(known) if known >= version => ChangeCheck::AlreadyApplied,
+                _ => ChangeCheck::Proceed,
             },
         }
     }
 
     /// Judges a configuration that builds on the version `if_match`.
-    pub fn judge_configuration(&self, if_match: u64, version: u64, fingerprint: Fingerprint) -> Judgement {
+    pub fn check_configuration(&self, if_match: u64, version: u64, fingerprint: Fingerprint) -> ChangeCheck {
         let current = self.current_version();
         // One that isn't above its own base has never been taken, however old it is.
         let takeable = version > if_match;
-        match self.accepted.recall(version, fingerprint) {
-            Remembered::Taken => Judgement::Taken,
-            Remembered::Forgotten if takeable => Judgement::Forgotten,
-            _ if if_match > current && takeable => Judgement::Ahead,
-            _ if if_match != current => Judgement::Conflict { current },
-            _ if version <= current => Judgement::NotAbove { current },
-            _ => Judgement::Proceed,
+        match self.accepted.lookup(version, fingerprint) {
+            HistoryLookup::Accepted => ChangeCheck::AlreadyApplied,
+            HistoryLookup::Truncated if takeable => ChangeCheck::HistoryTruncated,
+            _ if if_match > current && takeable => ChangeCheck::BaseNotCommitted,
+            _ if if_match != current => ChangeCheck::Conflict { current },
+            _ if version <= current => ChangeCheck::VersionNotHigher { current },
+            _ => ChangeCheck::Proceed,
         }
     }
 
--- a/control/src/status.rs
+++ b/control/src/status.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
     /// Not a member of the view that it knows, or knows none.
-    Outside,
+    NonMember,
     /// A member without data.
     Witness,
     /// Holds the data for a primary.
@@ -33,5 +33,5 @@
     /// The number of changes in the state that it holds.
     pub sequence: Option<u64>,
     /// Whether its disk takes writes.
-    pub disk_well: bool,
+    pub disk_healthy: bool,
 }
--- a/control/src/transfer.rs
+++ b/control/src/transfer.rs
@@ -1,6 +1,6 @@
 //! How long large messages may be on their way, so that what is sent again doesn't pile up on a slow link.
 
-use crate::{ACCEPTED_BYTES, Change, ControlState};
+use crate::{ACCEPTED_HISTORY_BYTES, Change, ControlState};
 
 /// What the slowest link that is planned for carries in a microsecond, in bytes: 8 Mbit/s.
 const BYTES_PER_MICROSECOND: u64 = 1;
@@ -21,7 +21,7 @@
 /// About how many bytes the state takes on the wire.
 pub(crate) fn state_bytes(state: &ControlState) -> usize {
     let body = state.configuration.as_ref().map_or(0, |configuration| configuration.body.len());
-    body + state.accepted.len() * ACCEPTED_BYTES
+    body + state.accepted.len() * ACCEPTED_HISTORY_BYTES
 }
 
 /// About how many bytes a change takes on the wire.
--- a/control/src/view.rs
+++ b/control/src/view.rs
@@ -5,11 +5,11 @@
 use crate::{Member, ReplicaId};
 
 /// The epoch of the first view.
-pub(crate) const FOUNDING_EPOCH: u64 = 1;
+pub(crate) const BOOTSTRAP_EPOCH: u64 = 1;
 
 /// The right to form the view of one epoch: members promise an epoch to one candidate only.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Ballot {
+pub struct ProposalNumber {
     /// The epoch.
     pub epoch: u64,
     /// The replica to which it was promised.
@@ -25,7 +25,7 @@
     pub members: Vec<Member>,
     /// The members of the view before, where they differ. Until the view is known to be active, a majority of these
     /// is needed besides a majority of the members.
-    pub prior: Vec<Member>,
+    pub previous_members: Vec<Member>,
     /// The replica that leads.
     pub primary: ReplicaId,
     /// The replicas that hold the data besides the primary.
@@ -44,9 +44,9 @@
 }
 
 impl View {
-    /// The ballot under which the view was formed.
-    pub fn ballot(&self) -> Ballot {
-        Ballot { epoch: self.epoch, candidate: self.primary }
+    /// The proposal number under which the view was formed.
+    pub fn proposal_number(&self) -> ProposalNumber {
+        ProposalNumber { epoch: self.epoch, candidate: self.primary }
     }
 
     /// The member with this identity.
@@ -62,7 +62,7 @@
     /// Members and prior members, each once.
     pub fn everyone(&self) -> Vec<Member> {
         let mut everyone = self.members.clone();
-        for member in &self.prior {
+        for member in &self.previous_members {
             if self.member(member.id).is_none() {
                 everyone.push(member.clone());
             }
@@ -75,7 +75,8 @@
     /// Whether these replicas may decide for the view: a majority of its members, and one of the prior members as
     /// long as the view isn't known to be active.
     pub fn quorum(&self, present: &BTreeSet<ReplicaId>) -> bool {
-        majority(&self.view.members, present) && (self.active || majority(&self.view.prior, present))
+        majority(&self.view.members, present)
+            && (self.active || majority(&self.view.previous_members, present))
     }
 }
 
--- a/control/src/view_change.rs
+++ b/control/src/view_change.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddrV4, sync::Arc};
 
 use crate::{
-    Body, Flaw, KnownView, Member, Output, Replica,
+    Body, InjectedFault, KnownView, Member, Output, Replica,
     leadership::VIEW_PAUSE,
     membership::{Joiner, LIVE_WITHIN, Outlook, Wanted},
 };
@@ -57,7 +57,7 @@
             return;
         }
         // An own try that led to nothing has bound members to its epoch: it has to be made good.
-        let broken_off = self.promised != Some(leadership.view.ballot());
+        let broken_off = self.promised != Some(leadership.view.proposal_number());
         let Some(wanted) = self.wanted() else {
             if broken_off {
                 self.change_view(None, out);
@@ -76,9 +76,9 @@
             joiners: &leadership.joiners,
             change_waits: leadership.pending.is_some(),
             losses: self.config.machine_losses.max(1),
-            settled: self.view_settled(),
-            leaves: self.is_leaving(),
-            grows_at_once: self.config.flaw == Some(Flaw::GrowsAtOnce),
+            view_change_complete: self.view_change_complete(),
+            leaves: self.is_shutting_down(),
+            grows_at_once: self.config.injected_fault == Some(InjectedFault::GrowsAtOnce),
         };
         outlook.wanted()
     }
@@ -102,7 +102,7 @@
         let leadership = self.leadership.as_ref()?;
         let ready = leadership.view.backups.iter().filter_map(|id| {
             let contact = leadership.contacts.get(id)?;
-            (contact.fit && contact.live(self.now(), LIVE_WITHIN)).then_some((contact.heard, *id))
+            (contact.healthy && contact.live(self.now(), LIVE_WITHIN)).then_some((contact.heard, *id))
         });
         let (_, best) = ready.max()?;
         leadership.view.member(best).map(|member| member.address)
--- a/control/tests/bench/mod.rs
+++ b/control/tests/bench/mod.rs
@@ -9,8 +9,8 @@
 };
 
 use gradepaddle_control::{
-    Change, ControlState, Input, KnownView, Member, Message, Outcome, Output, Recovered, Replica,
-    ReplicaConfig, ReplicaId, Ticket, View,
+    Change, ControlState, Input, KnownView, Member, Message, Outcome, Output, ProposalId, RecoveredState,
+    Replica, ReplicaConfig, ReplicaId, View,
 };
 
 pub const MILLISECOND: u64 = 1_000;
@@ -28,9 +28,9 @@
 pub struct Seat {
     pub address: SocketAddrV4,
     pub replica: Option<Replica>,
-    pub kept: Recovered,
+    pub kept: RecoveredState,
     pub disk: Disk,
-    waiting: VecDeque<(gradepaddle_control::Token, Vec<gradepaddle_control::Record>)>,
+    waiting: VecDeque<(gradepaddle_control::WriteId, Vec<gradepaddle_control::Record>)>,
     pub may_end: bool,
     pub frozen: bool,
     pub writes: usize,
@@ -48,8 +48,8 @@
     cut_links: BTreeSet<(SocketAddrV4, SocketAddrV4)>,
     /// What has come for frozen places.
     held: Vec<(usize, Input)>,
-    pub answers: BTreeMap<Ticket, Outcome>,
-    next_ticket: u64,
+    pub answers: BTreeMap<ProposalId, Outcome>,
+    next_proposal_id: u64,
 }
 
 impl Bench {
@@ -58,7 +58,7 @@
         let mut bench = Bench::bare(size, losses);
         let view = bench.first_view(size);
         for place in 0..size {
-            bench.input(place, Input::Found { view: view.clone() });
+            bench.input(place, Input::Bootstrap { view: view.clone() });
         }
         bench.run(100);
         assert_eq!(bench.leader(), Some(0));
@@ -76,7 +76,7 @@
             cut_links: BTreeSet::new(),
             held: Vec::new(),
             answers: BTreeMap::new(),
-            next_ticket: 0,
+            next_proposal_id: 0,
         };
         for _ in 0..size {
             bench.add(true);
@@ -90,7 +90,7 @@
             epoch: 1,
             primary: members[0].id,
             backups: members[1..].iter().take(self.losses.max(1)).map(|member| member.id).collect(),
-            prior: Vec::new(),
+            previous_members: Vec::new(),
             target_size: size,
             members,
         }
@@ -108,7 +108,7 @@
         self.seats.push(Seat {
             address,
             replica: None,
-            kept: Recovered::empty(ReplicaId(1_000 + place as u64)),
+            kept: RecoveredState::empty(ReplicaId(1_000 + place as u64)),
             disk: Disk::Well,
             waiting: VecDeque::new(),
             may_end: false,
@@ -144,7 +144,7 @@
     pub fn wipe(&mut self, place: usize) {
         self.crash(place);
         let id = ReplicaId(self.seats[place].kept.id.0 + 100);
-        self.seats[place].kept = Recovered::empty(id);
+        self.seats[place].kept = RecoveredState::empty(id);
         self.seats[place].first_boot = false;
     }
 
@@ -219,15 +219,15 @@
     }
 
     /// Asks for a change and returns its ticket.
-    pub fn ask(&mut self, place: usize, change: Change) -> Ticket {
-        self.next_ticket += 1;
-        let ticket = Ticket(self.next_ticket);
-        self.input(place, Input::Propose { ticket, change });
-        ticket
+    pub fn ask(&mut self, place: usize, change: Change) -> ProposalId {
+        self.next_proposal_id += 1;
+        let proposal_id = ProposalId(self.next_proposal_id);
+        self.input(place, Input::Propose { proposal_id, change });
+        proposal_id
     }
 
-    pub fn answer(&self, ticket: Ticket) -> Option<Outcome> {
-        self.answers.get(&ticket).copied()
+    pub fn answer(&self, proposal_id: ProposalId) -> Option<Outcome> {
+        self.answers.get(&proposal_id).copied()
     }
 
     pub fn input(&mut self, place: usize, input: Input) {
@@ -242,14 +242,14 @@
         for output in out {
             match output {
                 Output::Send { to, message } => self.mail.push_back((seat.address, to, message)),
-                Output::Persist { token, records } => {
+                Output::Persist { write_id, records } => {
                     seat.writes += 1;
-                    seat.waiting.push_back((token, records));
+                    seat.waiting.push_back((write_id, records));
                 }
-                Output::Answer { ticket, outcome } => {
-                    self.answers.insert(ticket, outcome);
+                Output::Answer { proposal_id, outcome } => {
+                    self.answers.insert(proposal_id, outcome);
                 }
-                Output::MayEnd => seat.may_end = true,
+                Output::ReadyToExit => seat.may_end = true,
                 _ => {}
             }
         }
@@ -291,12 +291,12 @@
         if seat.disk == Disk::Hanging || seat.frozen {
             return false;
         }
-        let Some((token, records)) = seat.waiting.pop_front() else { return false };
+        let Some((write_id, records)) = seat.waiting.pop_front() else { return false };
         if seat.disk == Disk::Full {
-            self.input(place, Input::PersistFailed { token });
+            self.input(place, Input::WriteFailed { write_id });
         } else {
             records.into_iter().for_each(|record| seat.kept.apply(record));
-            self.input(place, Input::Persisted { token });
+            self.input(place, Input::WriteCompleted { write_id });
         }
         true
     }
--- a/control/tests/broken_versions.rs
+++ b/control/tests/broken_versions.rs
@@ -3,7 +3,7 @@
 mod simulator;
 
 use googletest::prelude::*;
-use gradepaddle_control::Flaw;
+use gradepaddle_control::InjectedFault;
 use simulator::{ClockRates, Fault, Loss, Plan, Rounds, SECOND, Violation, World};
 
 /// So many seeds are tried at most.
@@ -15,7 +15,7 @@
         machine_losses,
         length: 14 * SECOND,
         every: 500_000,
-        flaw: None,
+        injected_fault: None,
         emptied_vouches: false,
         only: Vec::new(),
         clock_rates: ClockRates::USUAL,
@@ -25,7 +25,7 @@
 
 /// The first seed in which the broken version breaks a rule that the sound one keeps.
 fn first_breach(broken: &Plan) -> Option<(u64, Violation)> {
-    let sound = Plan { flaw: None, emptied_vouches: false, ..broken.clone() };
+    let sound = Plan { injected_fault: None, emptied_vouches: false, ..broken.clone() };
     (0..SEEDS).find_map(|seed| {
         let violation = World::new(broken.clone(), seed).play().violation?;
         let innocent = World::new(sound.clone(), seed).play().violation.is_none();
@@ -35,28 +35,34 @@
 
 /// A version that stops for ever counts only where nothing worse can come of it.
 fn counts(broken: &Plan, violation: &Violation) -> bool {
-    let stops = [Flaw::AcceptsBeforeInstall, Flaw::EndsAtOnce, Flaw::GrowsAtOnce, Flaw::InstallsWithoutEpoch];
-    broken.flaw.is_some_and(|flaw| stops.contains(&flaw)) || !matches!(violation, Violation::Stuck(_))
+    let stops = [
+        InjectedFault::AcceptsBeforeInstall,
+        InjectedFault::EndsAtOnce,
+        InjectedFault::GrowsAtOnce,
+        InjectedFault::InstallsWithoutEpoch,
+    ];
+    broken.injected_fault.is_some_and(|injected_fault| stops.contains(&injected_fault))
+        || !matches!(violation, Violation::Stuck(_))
 }
 
 fn caught(plan: &Plan) -> Result<()> {
     match first_breach(plan) {
         Some((seed, violation)) => {
             let what: String = format!("{violation:?}").chars().take(150).collect();
-            println!("{:?}, {} replicas: seed {seed}: {what}", plan.flaw, plan.replicas);
+            println!("{:?}, {} replicas: seed {seed}: {what}", plan.injected_fault, plan.replicas);
             Ok(())
         }
         None => fail!("{plan:?} wasn't found out in {SEEDS} seeds"),
     }
 }
 
-fn flawed(flaw: Flaw) -> Result<()> {
-    caught(&Plan { flaw: Some(flaw), ..plan(3, 1) })
+fn flawed(injected_fault: InjectedFault) -> Result<()> {
+    caught(&Plan { injected_fault: Some(injected_fault), ..plan(3, 1) })
 }
 
 #[gtest]
 fn acknowledging_before_the_backup_is_caught() -> Result<()> {
-    flawed(Flaw::AcknowledgesEarly)
+    flawed(InjectedFault::AcknowledgesEarly)
 }
 
 #[gtest]
@@ -69,60 +75,60 @@
         Fault::Mend,
         Fault::Weather,
     ];
-    caught(&Plan { flaw: Some(Flaw::ForgetsPromise), only, every: 300_000, ..plan(3, 1) })
+    caught(&Plan { injected_fault: Some(InjectedFault::ForgetsPromise), only, every: 300_000, ..plan(3, 1) })
 }
 
 #[gtest]
 fn granting_against_a_lease_is_caught() -> Result<()> {
-    flawed(Flaw::IgnoresLease)
+    flawed(InjectedFault::IgnoresLease)
 }
 
 #[gtest]
 fn leading_without_a_lease_is_caught() -> Result<()> {
-    flawed(Flaw::LeadsForever)
+    flawed(InjectedFault::LeadsForever)
 }
 
 #[gtest]
 fn reading_without_a_lease_is_caught() -> Result<()> {
-    flawed(Flaw::ReadsWithoutLease)
+    flawed(InjectedFault::ReadsWithoutLease)
 }
 
 #[gtest]
 fn accepting_before_the_backups_have_the_data_is_caught() -> Result<()> {
     let only = vec![Fault::WipeInWrite, Fault::WipeLeader, Fault::CutLink, Fault::Mend, Fault::Weather];
-    caught(&Plan { flaw: Some(Flaw::AcceptsBeforeInstall), only, ..plan(3, 1) })
+    caught(&Plan { injected_fault: Some(InjectedFault::AcceptsBeforeInstall), only, ..plan(3, 1) })
 }
 
 #[gtest]
 fn taking_any_data_is_caught() -> Result<()> {
-    caught(&Plan { flaw: Some(Flaw::TakesAnyData), ..plan(5, 1) })
+    caught(&Plan { injected_fault: Some(InjectedFault::TakesAnyData), ..plan(5, 1) })
 }
 
 #[gtest]
 fn leaving_out_the_members_of_before_is_caught() -> Result<()> {
     let only = vec![Fault::Add, Fault::Cut, Fault::SplitAtChange];
-    caught(&Plan { flaw: Some(Flaw::SkipsPrior), only, every: 1_500_000, ..plan(3, 1) })
+    caught(&Plan { injected_fault: Some(InjectedFault::SkipsPrior), only, every: 1_500_000, ..plan(3, 1) })
 }
 
 #[gtest]
 fn granting_at_once_after_a_restart_is_caught() -> Result<()> {
     let only = vec![Fault::CutLink, Fault::CutLink, Fault::CutLink, Fault::Crash, Fault::Crash, Fault::Mend];
-    caught(&Plan { flaw: Some(Flaw::GrantsAfterRestart), only, ..plan(3, 1) })
+    caught(&Plan { injected_fault: Some(InjectedFault::GrantsAfterRestart), only, ..plan(3, 1) })
 }
 
 #[gtest]
 fn refusing_the_rival_of_a_pending_change_is_caught() -> Result<()> {
-    flawed(Flaw::JudgesRivalEarly)
+    flawed(InjectedFault::JudgesRivalEarly)
 }
 
 #[gtest]
 fn forgetting_accepted_orders_at_an_installation_is_caught() -> Result<()> {
-    flawed(Flaw::ForgetsOrdersAtInstall)
+    flawed(InjectedFault::ForgetsOrdersAtInstall)
 }
 
 #[gtest]
 fn installing_a_state_without_its_epoch_is_caught() -> Result<()> {
-    flawed(Flaw::InstallsWithoutEpoch)
+    flawed(InjectedFault::InstallsWithoutEpoch)
 }
 
 #[gtest]
@@ -148,13 +154,16 @@
 #[gtest]
 fn a_leaver_that_ends_before_others_go_on_without_it_is_caught() -> Result<()> {
     let only = &[Loss::PlannedReplacement, Loss::Wipe];
-    caught(&Plan { flaw: Some(Flaw::EndsAtOnce), ..rounds(only, 4 * SECOND) })
+    caught(&Plan { injected_fault: Some(InjectedFault::EndsAtOnce), ..rounds(only, 4 * SECOND) })
 }
 
 #[gtest]
 fn a_core_that_grows_beside_a_silent_member_is_caught() -> Result<()> {
     // It takes a little longer than the sound version, which is through after 3.5 s.
-    caught(&Plan { flaw: Some(Flaw::GrowsAtOnce), ..rounds(&[Loss::Replace], 7 * SECOND / 2) })
+    caught(&Plan {
+        injected_fault: Some(InjectedFault::GrowsAtOnce),
+        ..rounds(&[Loss::Replace], 7 * SECOND / 2)
+    })
 }
 
 /// Not a version but a world that is broken: clocks that differ by more than the margin of the lease.
--- a/control/tests/conformance.rs
+++ b/control/tests/conformance.rs
@@ -5,18 +5,18 @@
 use bench::{Bench, Disk, MILLISECOND, name, put};
 use googletest::prelude::*;
 use gradepaddle_control::{
-    Ballot, Body, Input, Message, Outcome, Output, Replica, ReplicaConfig, ReplicaId, Role,
+    Body, Input, Message, Outcome, Output, ProposalNumber, Replica, ReplicaConfig, ReplicaId, Role,
 };
 
-const TAKEN: Option<Outcome> = Some(Outcome::Taken);
+const TAKEN: Option<Outcome> = Some(Outcome::Committed);
 
 /// A founded core with configuration 5, which came after 3, and version 4 of model `a`.
 fn with_state(size: usize, losses: usize) -> Bench {
     let mut bench = Bench::founded(size, losses);
     for change in [put(0, 3, 30), put(3, 5, 50), name("a", 4)] {
-        let ticket = bench.ask(0, change);
+        let proposal_id = bench.ask(0, change);
         bench.settle();
-        assert_eq!(bench.answer(ticket), TAKEN);
+        assert_eq!(bench.answer(proposal_id), TAKEN);
     }
     bench
 }
@@ -24,24 +24,24 @@
 #[gtest]
 fn changes_are_judged_by_what_is_committed() {
     let rows = [
-        ("on top of the current one", put(5, 6, 60), Outcome::Taken),
+        ("on top of the current one", put(5, 6, 60), Outcome::Committed),
         ("on top of an older one", put(3, 6, 60), Outcome::Conflict { current: 5 }),
         ("on top of none", put(0, 6, 60), Outcome::Conflict { current: 5 }),
         ("on top of one that isn't in force yet", put(6, 7, 60), Outcome::Unknown),
         ("above the current one and never above its base", put(7, 7, 60), Outcome::Conflict { current: 5 }),
-        ("not above the current one", put(5, 5, 60), Outcome::NotAbove { current: 5 }),
-        ("the current one again", put(3, 5, 50), Outcome::Taken),
-        ("an older one that was taken", put(0, 3, 30), Outcome::Taken),
-        ("a higher name", name("a", 5), Outcome::Taken),
-        ("the same name", name("a", 4), Outcome::Taken),
-        ("a lower name", name("a", 2), Outcome::Taken),
-        ("a new model", name("b", 1), Outcome::Taken),
+        ("not above the current one", put(5, 5, 60), Outcome::VersionNotHigher { current: 5 }),
+        ("the current one again", put(3, 5, 50), Outcome::Committed),
+        ("an older one that was taken", put(0, 3, 30), Outcome::Committed),
+        ("a higher name", name("a", 5), Outcome::Committed),
+        ("the same name", name("a", 4), Outcome::Committed),
+        ("a lower name", name("a", 2), Outcome::Committed),
+        ("a new model", name("b", 1), Outcome::Committed),
     ];
     for (what, change, outcome) in rows {
         let mut bench = with_state(3, 1);
-        let ticket = bench.ask(0, change);
+        let proposal_id = bench.ask(0, change);
         bench.settle();
-        expect_that!(bench.answer(ticket), some(eq(outcome)), "{what}");
+        expect_that!(bench.answer(proposal_id), some(eq(outcome)), "{what}");
     }
 }
 
@@ -61,12 +61,12 @@
     for slow in [0, 1, 2] {
         let mut bench = with_state(5, 2);
         bench.set_disk(slow, Disk::Hanging);
-        let ticket = bench.ask(0, put(5, 6, 60));
+        let proposal_id = bench.ask(0, put(5, 6, 60));
         bench.run(300);
-        expect_that!(bench.answer(ticket), none(), "place {slow}");
+        expect_that!(bench.answer(proposal_id), none(), "place {slow}");
         bench.set_disk(slow, Disk::Well);
         bench.settle();
-        expect_that!(bench.answer(ticket), eq(TAKEN), "place {slow}");
+        expect_that!(bench.answer(proposal_id), eq(TAKEN), "place {slow}");
         for place in [0, 1, 2] {
             let kept = bench.seats[place].kept.data.as_ref().map(|data| data.state.current_version());
             expect_that!(kept, some(eq(6)), "place {place}");
@@ -90,8 +90,8 @@
     let rival = bench.ask(0, put(5, 7, 70));
     let again = bench.ask(0, put(5, 6, 60));
     bench.run(300);
-    for ticket in [first, rival, again] {
-        expect_that!(bench.answer(ticket), none());
+    for proposal_id in [first, rival, again] {
+        expect_that!(bench.answer(proposal_id), none());
     }
     bench.set_disk(1, Disk::Well);
     bench.settle();
@@ -105,8 +105,8 @@
     let mut bench = with_state(3, 1);
     let primary = Some(bench.seats[0].address);
     for place in [1, 2] {
-        let ticket = bench.ask(place, put(5, 6, 60));
-        expect_that!(bench.answer(ticket), some(eq(Outcome::NotPrimary { primary })));
+        let proposal_id = bench.ask(place, put(5, 6, 60));
+        expect_that!(bench.answer(proposal_id), some(eq(Outcome::NotPrimary { primary })));
     }
 }
 
@@ -160,7 +160,7 @@
     place: usize,
     sender: u64,
     epoch: u64,
-    released: Option<Ballot>,
+    released: Option<ProposalNumber>,
 ) -> Option<Body> {
     let now = bench.now;
     let seat = &mut bench.seats[place];
@@ -172,12 +172,12 @@
     let written: Vec<_> = out
         .iter()
         .filter_map(|output| match output {
-            Output::Persist { token, .. } => Some(*token),
+            Output::Persist { write_id, .. } => Some(*write_id),
             _ => None,
         })
         .collect();
-    for token in written {
-        replica.handle(now, Input::Persisted { token }, &mut out);
+    for write_id in written {
+        replica.handle(now, Input::WriteCompleted { write_id }, &mut out);
     }
     out.into_iter().find_map(|output| match output {
         Output::Send { to, message } if to == from => Some(message.body),
@@ -187,9 +187,9 @@
 
 #[gtest]
 fn promises_and_refusals() {
-    let holder = Ballot { epoch: 1, candidate: ReplicaId(1_000) };
-    let older = Ballot { epoch: 0, candidate: ReplicaId(1_000) };
-    let foreign = Ballot { epoch: 9, candidate: ReplicaId(1_001) };
+    let holder = ProposalNumber { epoch: 1, candidate: ReplicaId(1_000) };
+    let older = ProposalNumber { epoch: 0, candidate: ReplicaId(1_000) };
+    let foreign = ProposalNumber { epoch: 9, candidate: ReplicaId(1_001) };
     // candidate, epoch, released, time since the last heartbeat, whether it is promised
     let rows = [
         ("within the lease of another", 1_002, 2, None, 0, false),
@@ -294,7 +294,7 @@
 #[gtest]
 fn one_that_ends_in_good_order_hands_over() {
     let mut bench = with_state(3, 1);
-    bench.input(0, Input::Leaving);
+    bench.input(0, Input::ShutDown);
     bench.run(250);
     expect_that!(bench.leader(), some(eq(1)));
     expect_that!(bench.seats[0].may_end, eq(true));
@@ -305,7 +305,7 @@
 fn a_backup_and_a_witness_that_end_in_good_order_hold_nothing_up() {
     for (place, within) in [(1, 900), (2, 10)] {
         let mut bench = with_state(3, 1);
-        bench.input(place, Input::Leaving);
+        bench.input(place, Input::ShutDown);
         bench.run(within);
         expect_that!(bench.seats[place].may_end, eq(true), "place {place}");
         expect_that!(bench.backups(), not(contains(eq(&place))));
@@ -317,7 +317,7 @@
     let mut bench = with_state(3, 1);
     bench.crash(2);
     bench.run(2_500);
-    bench.input(0, Input::Leaving);
+    bench.input(0, Input::ShutDown);
     bench.run(500);
     expect_that!(bench.leader(), some(eq(1)));
     expect_that!(bench.backups(), elements_are![eq(&0)]);
@@ -329,12 +329,12 @@
         for place in [0, 1] {
             let mut bench = with_state(3, 1);
             bench.set_disk(place, disk);
-            let ticket = bench.ask(0, put(5, 6, 60));
+            let proposal_id = bench.ask(0, put(5, 6, 60));
             bench.run(2_000);
             let leader = bench.leader().expect("somebody leads");
             let data_set: Vec<usize> = bench.backups().into_iter().chain([leader]).collect();
             expect_that!(data_set, not(contains(eq(&place))), "{disk:?} at {place}");
-            expect_that!(bench.answer(ticket), some(any![eq(Outcome::Taken), eq(Outcome::Unknown)]));
+            expect_that!(bench.answer(proposal_id), some(any![eq(Outcome::Committed), eq(Outcome::Unknown)]));
             let again = bench.ask(leader, put(5, 6, 60));
             bench.settle();
             expect_that!(bench.answer(again), eq(TAKEN), "{disk:?} at {place}");
@@ -348,10 +348,10 @@
     bench.set_disk(1, Disk::Full);
     bench.ask(0, put(5, 6, 60));
     bench.run(1_500);
-    expect_that!(bench.replica(1).status().disk_well, eq(false));
+    expect_that!(bench.replica(1).status().disk_healthy, eq(false));
     bench.set_disk(1, Disk::Well);
     bench.run(1_100);
-    expect_that!(bench.replica(1).status().disk_well, eq(true));
+    expect_that!(bench.replica(1).status().disk_healthy, eq(true));
 }
 
 #[gtest]
@@ -359,13 +359,13 @@
     for (waits, within) in [(true, 1_000), (false, 1_800)] {
         let mut bench = with_state(3, 1);
         bench.crash(1);
-        let ticket = waits.then(|| bench.ask(0, put(5, 6, 60)));
+        let proposal_id = waits.then(|| bench.ask(0, put(5, 6, 60)));
         bench.run(700);
         expect_that!(bench.backups(), elements_are![eq(&1)]);
         bench.run(within - 700);
         expect_that!(bench.backups(), elements_are![eq(&2)], "a change waits: {waits}");
-        if let Some(ticket) = ticket {
-            expect_that!(bench.answer(ticket), eq(TAKEN));
+        if let Some(proposal_id) = proposal_id {
+            expect_that!(bench.answer(proposal_id), eq(TAKEN));
         }
     }
 }
@@ -434,10 +434,10 @@
     for place in [2, 3, 4] {
         bench.crash(place);
     }
-    let ticket = bench.ask(0, put(5, 6, 60));
+    let proposal_id = bench.ask(0, put(5, 6, 60));
     bench.run(3_000);
     expect_that!(bench.leader(), none());
-    expect_that!(bench.answer(ticket), none());
+    expect_that!(bench.answer(proposal_id), none());
     for place in [2, 3, 4] {
         bench.start(place);
     }
@@ -453,7 +453,7 @@
     let mut bench = with_state(3, 1);
     let mut other = bench.first_view(3);
     other.primary = bench.seats[2].kept.id;
-    (0..3).for_each(|place| bench.input(place, Input::Found { view: other.clone() }));
+    (0..3).for_each(|place| bench.input(place, Input::Bootstrap { view: other.clone() }));
     bench.run(500);
     expect_that!(bench.leader(), some(eq(0)));
     expect_that!(bench.replica(0).state().current_version(), eq(5));
@@ -463,13 +463,13 @@
 fn one_that_missed_the_founding_is_told() {
     let mut bench = Bench::bare(3, 1);
     let view = bench.first_view(3);
-    bench.input(0, Input::Found { view: view.clone() });
-    bench.input(2, Input::Found { view });
+    bench.input(0, Input::Bootstrap { view: view.clone() });
+    bench.input(2, Input::Bootstrap { view });
     bench.run(1_000);
     expect_that!(bench.leader(), some(eq(0)));
-    let ticket = bench.ask(0, put(0, 1, 10));
+    let proposal_id = bench.ask(0, put(0, 1, 10));
     bench.settle();
-    expect_that!(bench.answer(ticket), eq(TAKEN));
+    expect_that!(bench.answer(proposal_id), eq(TAKEN));
     expect_that!(bench.replica(1).status().role, eq(Role::Backup));
 }
 
@@ -477,7 +477,7 @@
 fn an_empty_disk_alone_only_asks_to_join() {
     let address = "10.0.0.9:7640".parse().expect("an address");
     let config = ReplicaConfig::builder().address(address).zone("z").build();
-    let mut replica = Replica::new(config, gradepaddle_control::Recovered::empty(ReplicaId(9)), 0);
+    let mut replica = Replica::new(config, gradepaddle_control::RecoveredState::empty(ReplicaId(9)), 0);
     let mut out = Vec::new();
     let peer = "10.0.0.1:7640".parse().expect("an address");
     replica.handle(0, Input::Peers(vec![peer]), &mut out);
--- a/control/tests/cut_off.rs
+++ b/control/tests/cut_off.rs
@@ -6,7 +6,7 @@
 
 use bench::{Bench, put};
 use googletest::prelude::*;
-use gradepaddle_control::{Change, Outcome, Ticket};
+use gradepaddle_control::{Change, Outcome, ProposalId};
 
 /// How long the trouble lasts, in milliseconds.
 const TROUBLE: u64 = 20_000;
@@ -40,7 +40,7 @@
     place: usize,
     at: u64,
     if_match: u64,
-    ticket: Ticket,
+    proposal_id: ProposalId,
     judged: bool,
 }
 
@@ -67,9 +67,9 @@
 impl Course {
     fn new(size: usize, losses: usize, troubled: usize, trouble: Trouble) -> Course {
         let mut bench = Bench::founded(size, losses);
-        let ticket = bench.ask(0, put(0, 1, 1));
+        let proposal_id = bench.ask(0, put(0, 1, 1));
         bench.run(700);
-        assert_eq!(bench.answer(ticket), Some(Outcome::Taken));
+        assert_eq!(bench.answer(proposal_id), Some(Outcome::Committed));
         let began = bench.now / bench::MILLISECOND;
         Course {
             bench,
@@ -120,9 +120,9 @@
                 }
                 self.next_fingerprint += 1;
                 let change: Change = put(self.newest, self.newest + 1, self.next_fingerprint);
-                let ticket = self.bench.ask(place, change);
+                let proposal_id = self.bench.ask(place, change);
                 let if_match = self.newest;
-                self.asked.push(Asked { place, at, if_match, ticket, judged: false });
+                self.asked.push(Asked { place, at, if_match, proposal_id, judged: false });
             }
         }
     }
@@ -140,13 +140,15 @@
         }
         ensure(leaders.len() <= 1, || format!("{leaders:?} lead"))?;
         for asked in &mut self.asked {
-            let Some(outcome) = self.bench.answer(asked.ticket).filter(|_| !asked.judged) else { continue };
+            let Some(outcome) = self.bench.answer(asked.proposal_id).filter(|_| !asked.judged) else {
+                continue;
+            };
             asked.judged = true;
             let clear = !matches!(outcome, Outcome::Unknown | Outcome::NotPrimary { .. });
             let cut_off = asked.place == self.troubled && old_lease_is_over && self.ended.is_none();
             ensure(!clear || !cut_off, || format!("{outcome:?} without contact at {now} ms"))?;
             match outcome {
-                Outcome::Taken => {
+                Outcome::Committed => {
                     let first = self.taken_on.insert(asked.if_match);
                     ensure(first, || format!("two changes are taken on top of {}", asked.if_match))?;
                     self.newest = self.newest.max(asked.if_match + 1);
@@ -158,7 +160,7 @@
                     ensure(current > asked.if_match, || format!("{current} is refused without a rival"))?;
                     self.newest = self.newest.max(current);
                 }
-                Outcome::NotAbove { .. } => return fail!("a version that rises is refused"),
+                Outcome::VersionNotHigher { .. } => return fail!("a version that rises is refused"),
                 _ => {}
             }
         }
--- a/control/tests/exploration.rs
+++ b/control/tests/exploration.rs
@@ -14,7 +14,7 @@
         machine_losses,
         length: 14 * SECOND,
         every: 500_000,
-        flaw: None,
+        injected_fault: None,
         emptied_vouches: false,
         only: Vec::new(),
         clock_rates: ClockRates::USUAL,
--- a/control/tests/late_heartbeats.rs
+++ b/control/tests/late_heartbeats.rs
@@ -29,14 +29,14 @@
 
 fn heartbeat(bench: &mut Bench, at: u64, epoch: u64, sent: u64) {
     let said = answers(bench, at, 0, Body::Heartbeat { epoch, sent });
-    let granted = said.iter().any(|body| matches!(body, Body::Echo { granted: true, .. }));
+    let granted = said.iter().any(|body| matches!(body, Body::HeartbeatReply { granted: true, .. }));
     assert!(granted, "it is the primary's");
 }
 
 /// Whether place 1 would promise an epoch to place 2 at this time.
 fn is_free(bench: &mut Bench, at: u64) -> bool {
-    let said = answers(bench, at, 2, Body::Poll { epoch: 9 });
-    said.iter().any(|body| matches!(body, Body::PollReply { granted: true, .. }))
+    let said = answers(bench, at, 2, Body::PreVote { epoch: 9 });
+    said.iter().any(|body| matches!(body, Body::PreVoteReply { granted: true, .. }))
 }
 
 #[gtest]
--- a/control/tests/linearizability.rs
+++ b/control/tests/linearizability.rs
@@ -3,7 +3,7 @@
 mod simulator;
 
 use googletest::prelude::*;
-use gradepaddle_control::Flaw;
+use gradepaddle_control::InjectedFault;
 use simulator::{ClockRates, Fault, History, Operation, Plan, Response, SECOND, World};
 
 const OPERATORS: usize = 8;
@@ -18,7 +18,7 @@
         machine_losses,
         length: 14 * SECOND,
         every: 700_000,
-        flaw: None,
+        injected_fault: None,
         emptied_vouches: false,
         only: Vec::new(),
         clock_rates: ClockRates::USUAL,
@@ -63,8 +63,8 @@
 }
 
 /// The first seed whose history no register explains, although that of the sound version has one.
-fn first_unexplained(flaw: Flaw, plan: &Plan) -> Option<u64> {
-    let broken = Plan { flaw: Some(flaw), ..plan.clone() };
+fn first_unexplained(injected_fault: InjectedFault, plan: &Plan) -> Option<u64> {
+    let broken = Plan { injected_fault: Some(injected_fault), ..plan.clone() };
     let explained = |plan: &Plan, seed| {
         World::new(plan.clone(), seed).with_operators(OPERATORS).play().history.linearizable()
     };
@@ -76,15 +76,15 @@
     let takeovers = vec![Fault::CrashLeader, Fault::WipeLeader, Fault::Cut, Fault::Mend];
     let often = Plan { only: takeovers, ..plan(3, 1) };
     let rows = [
-        (Flaw::ForgetsOrdersAtInstall, often.clone()),
-        (Flaw::AcknowledgesEarly, often.clone()),
-        (Flaw::JudgesRivalEarly, often),
-        (Flaw::LeadsForever, plan(3, 1)),
+        (InjectedFault::ForgetsOrdersAtInstall, often.clone()),
+        (InjectedFault::AcknowledgesEarly, often.clone()),
+        (InjectedFault::JudgesRivalEarly, often),
+        (InjectedFault::LeadsForever, plan(3, 1)),
     ];
-    for (flaw, plan) in rows {
-        let seed = first_unexplained(flaw, &plan);
-        println!("{flaw:?}: seed {seed:?}");
-        expect_that!(seed, some(anything()), "{flaw:?}");
+    for (injected_fault, plan) in rows {
+        let seed = first_unexplained(injected_fault, &plan);
+        println!("{injected_fault:?}: seed {seed:?}");
+        expect_that!(seed, some(anything()), "{injected_fault:?}");
     }
 }
 
@@ -106,14 +106,14 @@
 
 #[gtest]
 fn the_search_tells_histories_apart() {
-    use Response::{InForce, Refused, Taken};
-    let first = (put(0, 1, 10), Some(Taken));
+    use Response::{Committed, InForce, Refused};
+    let first = (put(0, 1, 10), Some(Committed));
     let rows = [
         ("a resend", vec![first, first], true),
-        ("a resend after another change", vec![first, (put(1, 2, 20), Some(Taken)), first], true),
+        ("a resend after another change", vec![first, (put(1, 2, 20), Some(Committed)), first], true),
         ("a resend that is refused", vec![first, (put(0, 1, 10), Some(Refused))], false),
-        ("two winners", vec![first, (put(0, 1, 11), Some(Taken))], false),
-        ("two winners under two numbers", vec![first, (put(0, 2, 11), Some(Taken))], false),
+        ("two winners", vec![first, (put(0, 1, 11), Some(Committed))], false),
+        ("two winners under two numbers", vec![first, (put(0, 2, 11), Some(Committed))], false),
         ("a loser", vec![first, (put(0, 1, 11), Some(Refused))], true),
         ("a refusal for nothing", vec![(put(0, 1, 10), Some(Refused))], false),
         (
@@ -128,12 +128,16 @@
         ),
         (
             "an unclear one that is taken later",
-            vec![(put(0, 1, 10), None), (Operation::Read, Some(InForce(None))), (put(1, 2, 20), Some(Taken))],
+            vec![
+                (put(0, 1, 10), None),
+                (Operation::Read, Some(InForce(None))),
+                (put(1, 2, 20), Some(Committed)),
+            ],
             true,
         ),
         (
             "an old read",
-            vec![first, (put(1, 2, 20), Some(Taken)), (Operation::Read, Some(InForce(Some(10))))],
+            vec![first, (put(1, 2, 20), Some(Committed)), (Operation::Read, Some(InForce(Some(10))))],
             false,
         ),
         ("a change that is lost", vec![first, (Operation::Read, Some(InForce(None)))], false),
@@ -152,8 +156,8 @@
 fn calls_at_once_may_come_in_any_order() {
     let mut history = History::default();
     let (one, two) = (history.ask(put(0, 1, 10)), history.ask(put(1, 2, 20)));
-    history.answer(two, Response::Taken);
-    history.answer(one, Response::Taken);
+    history.answer(two, Response::Committed);
+    history.answer(one, Response::Committed);
     history.read(Some(20));
     expect_that!(history.linearizable(), eq(true));
     history.read(Some(10));
--- a/control/tests/membership.rs
+++ b/control/tests/membership.rs
@@ -6,7 +6,7 @@
 use googletest::prelude::*;
 use gradepaddle_control::{Body, Input, Message, Outcome, ReplicaId};
 
-const TAKEN: Option<Outcome> = Some(Outcome::Taken);
+const TAKEN: Option<Outcome> = Some(Outcome::Committed);
 
 /// A founded core with configuration 5.
 fn with_state(size: usize, losses: usize) -> Bench {
@@ -18,9 +18,9 @@
 /// Has a change taken by whoever leads.
 fn change(bench: &mut Bench, change: gradepaddle_control::Change) {
     let leader = bench.leader().expect("somebody leads");
-    let ticket = bench.ask(leader, change);
+    let proposal_id = bench.ask(leader, change);
     bench.settle();
-    assert_eq!(bench.answer(ticket), TAKEN);
+    assert_eq!(bench.answer(proposal_id), TAKEN);
 }
 
 fn size(bench: &Bench) -> usize {
@@ -67,7 +67,7 @@
     let added = bench.add(false);
     bench.set_disk(added, Disk::Full);
     // Something to write, by which it learns of its disk.
-    bench.input(added, Input::Found { view: bench.first_view(3) });
+    bench.input(added, Input::Bootstrap { view: bench.first_view(3) });
     bench.run(2_000);
     expect_that!(bench.members(), not(contains(eq(&added))));
     bench.set_disk(added, Disk::Well);
@@ -98,7 +98,7 @@
         let mut bench = with_state(3, 1);
         let added = bench.add(false);
         bench.run(500);
-        bench.input(leaver, Input::Leaving);
+        bench.input(leaver, Input::ShutDown);
         expect_that!(bench.seats[leaver].may_end, eq(false), "place {leaver}");
         while !bench.seats[leaver].may_end {
             bench.run(5);
@@ -116,7 +116,7 @@
 #[gtest]
 fn a_leaver_without_a_successor_keeps_its_place() {
     let mut bench = with_state(3, 1);
-    bench.input(1, Input::Leaving);
+    bench.input(1, Input::ShutDown);
     bench.run(1_000);
     expect_that!(bench.seats[1].may_end, eq(true));
     expect_that!(bench.members(), elements_are![eq(&0), eq(&1), eq(&2)]);
@@ -126,7 +126,7 @@
 #[gtest]
 fn a_joiner_comes_in_at_once_for_a_member_that_said_that_it_leaves() {
     let mut bench = with_state(3, 1);
-    bench.input(1, Input::Leaving);
+    bench.input(1, Input::ShutDown);
     bench.run(500);
     bench.crash(1);
     bench.add(false);
@@ -139,7 +139,7 @@
     let mut bench = with_state(3, 1);
     bench.crash(1);
     bench.set_disk(2, Disk::Hanging);
-    bench.input(0, Input::Leaving);
+    bench.input(0, Input::ShutDown);
     bench.run(4_000);
     expect_that!(bench.seats[0].may_end, eq(false), "nobody else has the state");
     bench.set_disk(2, Disk::Well);
@@ -157,7 +157,7 @@
     let mut bench = with_state(3, 1);
     bench.crash(1);
     bench.crash(2);
-    bench.input(0, Input::Leaving);
+    bench.input(0, Input::ShutDown);
     bench.run(6_900);
     expect_that!(bench.seats[0].may_end, eq(false));
     bench.run(200);
@@ -170,7 +170,7 @@
     for (leaver, if_match) in [(1, 5), (2, 6), (3, 7)] {
         let added = bench.add(false);
         bench.run(500);
-        bench.input(leaver, Input::Leaving);
+        bench.input(leaver, Input::ShutDown);
         while !bench.seats[leaver].may_end {
             bench.run(5);
         }
@@ -189,7 +189,7 @@
         let leavers: Vec<usize> = (0..founded / 2).collect();
         let added: Vec<usize> = leavers.iter().map(|_| bench.add(false)).collect();
         bench.run(200);
-        leavers.iter().for_each(|leaver| bench.input(*leaver, Input::Leaving));
+        leavers.iter().for_each(|leaver| bench.input(*leaver, Input::ShutDown));
         bench.run(6_000);
         for leaver in &leavers {
             expect_that!(bench.seats[*leaver].may_end, eq(true), "{leaver} of {founded}");
@@ -236,7 +236,7 @@
     bench.run(3_000);
     expect_that!(bench.backups(), elements_are![eq(&3), eq(&4)]);
     change(&mut bench, put(5, 6, 60));
-    bench.input(3, Input::Leaving);
+    bench.input(3, Input::ShutDown);
     bench.run(3_000);
     expect_that!(bench.backups(), elements_are![eq(&4)]);
     change(&mut bench, put(6, 7, 70));
--- a/control/tests/old_state.rs
+++ b/control/tests/old_state.rs
@@ -5,18 +5,18 @@
 
 use bench::{Bench, put};
 use googletest::prelude::*;
-use gradepaddle_control::{Outcome, Recovered};
+use gradepaddle_control::{Outcome, RecoveredState};
 
-const TAKEN: Option<Outcome> = Some(Outcome::Taken);
+const TAKEN: Option<Outcome> = Some(Outcome::Committed);
 
 /// Puts so many more versions in force.
 fn change(bench: &mut Bench, count: u64) {
     for _ in 0..count {
         let leader = bench.leader().expect("somebody leads");
         let version = bench.replica(leader).state().current_version();
-        let ticket = bench.ask(leader, put(version, version + 1, u128::from(version) + 1));
+        let proposal_id = bench.ask(leader, put(version, version + 1, u128::from(version) + 1));
         bench.run(20);
-        assert_eq!(bench.answer(ticket), TAKEN, "version {}", version + 1);
+        assert_eq!(bench.answer(proposal_id), TAKEN, "version {}", version + 1);
     }
 }
 
@@ -32,12 +32,12 @@
 }
 
 /// The disk of a place as it is now.
-fn copy(bench: &Bench, place: usize) -> Recovered {
+fn copy(bench: &Bench, place: usize) -> RecoveredState {
     bench.seats[place].kept.clone()
 }
 
 /// The machine comes back with a copy of its disk that was made before.
-fn restore(bench: &mut Bench, place: usize, copy: Recovered) {
+fn restore(bench: &mut Bench, place: usize, copy: RecoveredState) {
     bench.crash(place);
     bench.seats[place].kept = copy;
     bench.start(place);
@@ -94,9 +94,9 @@
             restore(&mut bench, 1, old);
         }
         let leader = bench.leader().expect("somebody leads");
-        let ticket = bench.ask(leader, put(version, version + 1, 7_777));
+        let proposal_id = bench.ask(leader, put(version, version + 1, 7_777));
         bench.run(3_000);
-        expect_that!(bench.answer(ticket), eq(TAKEN), "{what}");
+        expect_that!(bench.answer(proposal_id), eq(TAKEN), "{what}");
         change(&mut bench, 20);
         bench.crash(bench.leader().expect("somebody leads"));
         expect_that!(leads_only_with(&mut bench, version + 21, 6_000), eq(true), "{what}");
--- a/control/tests/resending.rs
+++ b/control/tests/resending.rs
@@ -4,7 +4,7 @@
 
 use bench::{Bench, put};
 use googletest::prelude::*;
-use gradepaddle_control::{ACCEPTED_KEPT, ControlState, Outcome};
+use gradepaddle_control::{ACCEPTED_HISTORY_ENTRIES, ControlState, Outcome};
 
 /// More changes than a day of many hundreds holds.
 const CHANGES: u64 = 1_000;
@@ -13,9 +13,9 @@
 fn change(bench: &mut Bench, first: u64, last: u64) {
     let leader = bench.leader().expect("somebody leads");
     for version in first + 1..=last {
-        let ticket = bench.ask(leader, put(version - 1, version, u128::from(version)));
+        let proposal_id = bench.ask(leader, put(version - 1, version, u128::from(version)));
         bench.settle();
-        assert_eq!(bench.answer(ticket), Some(Outcome::Taken), "version {version}");
+        assert_eq!(bench.answer(proposal_id), Some(Outcome::Committed), "version {version}");
         if version.is_multiple_of(20) {
             bench.run(20);
         }
@@ -26,11 +26,11 @@
 fn sent_again(bench: &mut Bench, last: u64) -> Vec<(u64, Option<Outcome>)> {
     let leader = bench.leader().expect("somebody leads");
     let answers = (1..=last).map(|version| {
-        let ticket = bench.ask(leader, put(version - 1, version, u128::from(version)));
+        let proposal_id = bench.ask(leader, put(version - 1, version, u128::from(version)));
         bench.settle();
-        (version, bench.answer(ticket))
+        (version, bench.answer(proposal_id))
     });
-    answers.filter(|(_, answer)| *answer != Some(Outcome::Taken)).collect()
+    answers.filter(|(_, answer)| *answer != Some(Outcome::Committed)).collect()
 }
 
 #[gtest]
@@ -76,7 +76,7 @@
 
 #[gtest]
 fn an_order_that_is_forgotten_gets_no_clear_answer_and_all_others_a_true_one() {
-    let kept = ACCEPTED_KEPT as u64;
+    let kept = ACCEPTED_HISTORY_ENTRIES as u64;
     let current = 2 * (kept + 10);
     let mut bench = Bench::founded(3, 1);
     bench.adopt(state_after(kept + 10));
@@ -85,18 +85,18 @@
         ("forgotten", put(0, 2, 1), Some(Outcome::Unknown)),
         ("the last that is forgotten", put(18, 20, 10), Some(Outcome::Unknown)),
         ("old, never taken, which nobody can tell", put(18, 19, 999), Some(Outcome::Unknown)),
-        ("the oldest that is remembered", put(20, 22, 11), Some(Outcome::Taken)),
+        ("the oldest that is remembered", put(20, 22, 11), Some(Outcome::Committed)),
         ("a loser on top of the same version", put(20, 22, 999), conflict),
         ("a loser under another number", put(20, 23, 999), conflict),
         ("old and never above its base", put(18, 18, 999), conflict),
-        ("not above the current one", put(current, 3, 999), Some(Outcome::NotAbove { current })),
-        ("the current one", put(current - 2, current, u128::from(kept) + 10), Some(Outcome::Taken)),
-        ("a new one", put(current, current + 1, 999), Some(Outcome::Taken)),
+        ("not above the current one", put(current, 3, 999), Some(Outcome::VersionNotHigher { current })),
+        ("the current one", put(current - 2, current, u128::from(kept) + 10), Some(Outcome::Committed)),
+        ("a new one", put(current, current + 1, 999), Some(Outcome::Committed)),
     ];
     for (what, change, outcome) in rows {
-        let ticket = bench.ask(0, change);
+        let proposal_id = bench.ask(0, change);
         bench.settle();
-        expect_that!(bench.answer(ticket), eq(outcome), "{what}");
+        expect_that!(bench.answer(proposal_id), eq(outcome), "{what}");
     }
 }
 
@@ -109,8 +109,8 @@
     bench.settle();
     expect_that!(bench.answer(early), some(eq(Outcome::Unknown)));
     for change in [base, next] {
-        let ticket = bench.ask(0, change);
+        let proposal_id = bench.ask(0, change);
         bench.settle();
-        expect_that!(bench.answer(ticket), some(eq(Outcome::Taken)));
+        expect_that!(bench.answer(proposal_id), some(eq(Outcome::Committed)));
     }
 }
--- a/control/tests/second_losses.rs
+++ b/control/tests/second_losses.rs
@@ -26,7 +26,7 @@
         machine_losses,
         length: 0,
         every: 0,
-        flaw: None,
+        injected_fault: None,
         emptied_vouches: false,
         only: Vec::new(),
         clock_rates: ClockRates::USUAL,
--- a/control/tests/simulator/checker.rs
+++ b/control/tests/simulator/checker.rs
@@ -5,7 +5,7 @@
     sync::Arc,
 };
 
-use gradepaddle_control::{Change, ControlState, Fingerprint, Outcome, Remembered, ReplicaId};
+use gradepaddle_control::{Change, ControlState, Fingerprint, HistoryLookup, Outcome, ReplicaId};
 
 /// A broken invariant.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -129,13 +129,13 @@
     /// A client gets an answer.
     pub fn answered(&mut self, change: &Change, outcome: Outcome) {
         match (change, outcome) {
-            (Change::PutConfiguration { fingerprint, version, .. }, Outcome::Taken) => {
+            (Change::PutConfiguration { fingerprint, version, .. }, Outcome::Committed) => {
                 self.acknowledged += 1;
-                if self.latest().accepted.recall(*version, *fingerprint) != Remembered::Taken {
+                if self.latest().accepted.lookup(*version, *fingerprint) != HistoryLookup::Accepted {
                     self.report(Violation::Lost(format!("{fingerprint:x} acknowledged but not committed")));
                 }
             }
-            (Change::NameVersion { model, version }, Outcome::Taken) => {
+            (Change::NameVersion { model, version }, Outcome::Committed) => {
                 self.acknowledged += 1;
                 if self.latest().models.get(model) < Some(version) {
                     self.report(Violation::Lost(format!("{model} {version} acknowledged but not committed")));
@@ -144,7 +144,7 @@
             }
             (
                 Change::PutConfiguration { fingerprint, if_match, version, .. },
-                Outcome::Conflict { current } | Outcome::NotAbove { current },
+                Outcome::Conflict { current } | Outcome::VersionNotHigher { current },
             ) => self.refused(*fingerprint, (*if_match, *version), current, outcome),
             (Change::PutConfiguration { fingerprint, .. }, Outcome::NotPrimary { .. }) => {
                 if let Some(sent) = self.sent.get_mut(fingerprint) {
@@ -167,7 +167,7 @@
             Outcome::Conflict { .. } => if_match < current || version <= if_match,
             _ => if_match == current && version <= current,
         };
-        let known = self.latest().accepted.recall(version, fingerprint) == Remembered::Taken;
+        let known = self.latest().accepted.lookup(version, fingerprint) == HistoryLookup::Accepted;
         if current != self.latest().current_version() || !true_reason || known {
             let text = format!("{outcome:?} while {} is current", self.latest().current_version());
             self.report(Violation::FalseRefusal(text));
--- a/control/tests/simulator/clients.rs
+++ b/control/tests/simulator/clients.rs
@@ -2,15 +2,15 @@
 
 use std::{collections::BTreeMap, sync::Arc};
 
-use gradepaddle_control::{Change, Outcome, Ticket};
+use gradepaddle_control::{Change, Outcome, ProposalId};
 
 use super::random::Random;
 
 #[derive(Debug, Default)]
 pub struct Clients {
-    next_ticket: u64,
+    next_proposal_id: u64,
     next_fingerprint: u128,
-    pub open: BTreeMap<Ticket, Change>,
+    pub open: BTreeMap<ProposalId, Change>,
     /// The version that the operators believe to be current.
     believed: u64,
     /// Changes without a clear answer.
@@ -39,19 +39,21 @@
         Change::PutConfiguration { if_match, version, body, fingerprint: self.next_fingerprint }
     }
 
-    pub fn ticket(&mut self, change: &Change) -> Ticket {
-        self.next_ticket += 1;
-        let ticket = Ticket(self.next_ticket);
-        self.open.insert(ticket, change.clone());
-        ticket
+    pub fn proposal_id(&mut self, change: &Change) -> ProposalId {
+        self.next_proposal_id += 1;
+        let proposal_id = ProposalId(self.next_proposal_id);
+        self.open.insert(proposal_id, change.clone());
+        proposal_id
     }
 
     pub fn learn(&mut self, change: &Change, outcome: Outcome) {
         match (change, outcome) {
-            (Change::PutConfiguration { version, .. }, Outcome::Taken) => {
+            (Change::PutConfiguration { version, .. }, Outcome::Committed) => {
                 self.believed = self.believed.max(*version)
             }
-            (_, Outcome::Conflict { current } | Outcome::NotAbove { current }) => self.believed = current,
+            (_, Outcome::Conflict { current } | Outcome::VersionNotHigher { current }) => {
+                self.believed = current
+            }
             (_, Outcome::Unknown | Outcome::NotPrimary { .. }) => self.unclear.push(change.clone()),
             _ => {}
         }
@@ -59,8 +61,8 @@
     }
 
     /// The machine went down with the question.
-    pub fn unanswered(&mut self, ticket: Ticket) {
-        if let Some(change) = self.open.remove(&ticket) {
+    pub fn unanswered(&mut self, proposal_id: ProposalId) {
+        if let Some(change) = self.open.remove(&proposal_id) {
             self.unclear.push(change);
         }
     }
--- a/control/tests/simulator/disk.rs
+++ b/control/tests/simulator/disk.rs
@@ -2,15 +2,15 @@
 
 use std::collections::VecDeque;
 
-use gradepaddle_control::{Record, Recovered, ReplicaId, Token};
+use gradepaddle_control::{Record, RecoveredState, ReplicaId, WriteId};
 
 use super::random::Random;
 
 #[derive(Debug)]
 pub struct Disk {
-    pub kept: Recovered,
+    pub kept: RecoveredState,
     /// Writes under way, the oldest first.
-    under_way: VecDeque<(Token, Vec<Record>)>,
+    under_way: VecDeque<(WriteId, Vec<Record>)>,
     /// Writes that have failed since the last success: one of them may be on the disk all the same.
     limbo: Vec<Vec<Record>>,
     pub full: bool,
@@ -22,7 +22,7 @@
 impl Disk {
     pub fn empty(id: ReplicaId) -> Disk {
         Disk {
-            kept: Recovered::empty(id),
+            kept: RecoveredState::empty(id),
             under_way: VecDeque::new(),
             limbo: Vec::new(),
             full: false,
@@ -31,8 +31,8 @@
         }
     }
 
-    pub fn begin(&mut self, token: Token, records: Vec<Record>) {
-        self.under_way.push_back((token, records));
+    pub fn begin(&mut self, write_id: WriteId, records: Vec<Record>) {
+        self.under_way.push_back((write_id, records));
     }
 
     /// How many writes are under way.
@@ -41,15 +41,15 @@
     }
 
     /// Ends the oldest write; says whether it is durable.
-    pub fn finish(&mut self) -> Option<(Token, bool)> {
-        let (token, records) = self.under_way.pop_front()?;
+    pub fn finish(&mut self) -> Option<(WriteId, bool)> {
+        let (write_id, records) = self.under_way.pop_front()?;
         if self.full {
             self.limbo.push(records);
-            return Some((token, false));
+            return Some((write_id, false));
         }
         self.limbo.clear();
         records.into_iter().for_each(|record| self.kept.apply(record));
-        Some((token, true))
+        Some((write_id, true))
     }
 
     /// Of what is under way some first part is found later, or one of the writes that have failed before.
--- a/control/tests/simulator/faults.rs
+++ b/control/tests/simulator/faults.rs
@@ -1,6 +1,6 @@
 //! What goes wrong in a course of events.
 
-use gradepaddle_control::Flaw;
+use gradepaddle_control::InjectedFault;
 
 use super::world::Loss;
 
@@ -13,7 +13,7 @@
     pub length: u64,
     /// A fault strikes about this often, in microseconds.
     pub every: u64,
-    pub flaw: Option<Flaw>,
+    pub injected_fault: Option<InjectedFault>,
     /// An emptied disk keeps its identity: the harness's own flaw.
     pub emptied_vouches: bool,
     /// Only faults of these kinds; all if empty.
--- a/control/tests/simulator/history.rs
+++ b/control/tests/simulator/history.rs
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Response {
     /// The configuration was taken, now or before.
-    Taken,
+    Committed,
     /// It was not and won't be.
     Refused,
     /// This one is in force.
@@ -110,7 +110,7 @@
     /// The answer to an operation that changes nothing.
     fn response(&self, operation: Operation) -> Response {
         match operation {
-            Operation::Put { fingerprint, .. } if self.taken.contains(&fingerprint) => Response::Taken,
+            Operation::Put { fingerprint, .. } if self.taken.contains(&fingerprint) => Response::Committed,
             Operation::Put { .. } => Response::Refused,
             Operation::Read => Response::InForce(self.in_force),
         }
@@ -144,7 +144,7 @@
             return false;
         }
         let may_change = |call: &Call| {
-            let wanted = call.answered.is_none_or(|(_, response)| response == Response::Taken);
+            let wanted = call.answered.is_none_or(|(_, response)| response == Response::Committed);
             call.asked < first_answer && wanted && register.changes(call.operation)
         };
         let next: Vec<usize> =
--- a/control/tests/simulator/world.rs
+++ b/control/tests/simulator/world.rs
@@ -8,8 +8,8 @@
 };
 
 use gradepaddle_control::{
-    Body, Change, Input, Member, Message, Outcome, Output, Record, Replica, ReplicaConfig, ReplicaId, Ticket,
-    View,
+    Body, Change, Input, Member, Message, Outcome, Output, ProposalId, Record, Replica, ReplicaConfig,
+    ReplicaId, View,
 };
 
 mod rounds;
@@ -37,7 +37,7 @@
     DiskDone { machine: usize, incarnation: u64 },
     Start { machine: usize },
     Thaw { machine: usize },
-    Found { machine: usize, view: View },
+    Bootstrap { machine: usize, view: View },
     Wish,
     Propose { machine: usize, change: Change, tries: usize },
     Strike,
@@ -90,7 +90,7 @@
     clock_start: u64,
     clock_rate: u64,
     next_wake: u64,
-    asked: Vec<Ticket>,
+    asked: Vec<ProposalId>,
     /// What happens to the machine around its next write.
     doom: Option<Doom>,
     /// What becomes of it once it has ended in good order, in a course of rounds.
@@ -153,7 +153,7 @@
     operators: usize,
     history: History,
     /// The names of open orders in the history.
-    orders: BTreeMap<Ticket, usize>,
+    orders: BTreeMap<ProposalId, usize>,
     /// Orders that were sent before, and may come again at any time.
     sent_before: Vec<Change>,
     rounds: rounds::RoundState,
@@ -218,14 +218,14 @@
             primary: members[0].id,
             backups,
             target_size: members.len(),
-            prior: Vec::new(),
+            previous_members: Vec::new(),
             members,
         };
         for machine in 0..self.plan.replicas {
             self.schedule(0, Event::Start { machine });
             let late = self.random.between(1, 400) * MILLISECOND;
             if machine == 0 || !self.random.permille(200) {
-                self.schedule(late, Event::Found { machine, view: view.clone() });
+                self.schedule(late, Event::Bootstrap { machine, view: view.clone() });
             }
         }
         self.schedule(600 * MILLISECOND, Event::Wish);
@@ -331,9 +331,9 @@
             Event::DiskDone { machine, incarnation } => self.disk_done(machine, incarnation),
             Event::Start { machine } => self.start(machine),
             Event::Thaw { machine } => self.thaw(machine),
-            Event::Found { machine, view } => {
+            Event::Bootstrap { machine, view } => {
                 if self.machines[machine].incarnation == 1 {
-                    self.input(machine, Input::Found { view });
+                    self.input(machine, Input::Bootstrap { view });
                 }
             }
             Event::Wish if self.operators > 0 => self.wish_at_once(),
@@ -413,21 +413,21 @@
         }
     }
 
-    fn note_asked(&mut self, ticket: Ticket, change: &Change) {
+    fn note_asked(&mut self, proposal_id: ProposalId, change: &Change) {
         if let Change::PutConfiguration { if_match, version, fingerprint, .. } = change
             && self.operators > 0
         {
             let (if_match, version, fingerprint) = (*if_match, *version, *fingerprint);
             let name = self.history.ask(Operation::Put { if_match, version, fingerprint });
-            self.orders.insert(ticket, name);
+            self.orders.insert(proposal_id, name);
         }
     }
 
-    fn note_answered(&mut self, ticket: Ticket, outcome: Outcome) {
-        let Some(name) = self.orders.remove(&ticket) else { return };
+    fn note_answered(&mut self, proposal_id: ProposalId, outcome: Outcome) {
+        let Some(name) = self.orders.remove(&proposal_id) else { return };
         match outcome {
-            Outcome::Taken => self.history.answer(name, Response::Taken),
-            Outcome::Conflict { .. } | Outcome::NotAbove { .. } => {
+            Outcome::Committed => self.history.answer(name, Response::Committed),
+            Outcome::Conflict { .. } | Outcome::VersionNotHigher { .. } => {
                 self.history.answer(name, Response::Refused);
             }
             Outcome::NotPrimary { .. } => self.history.nothing_done(name),
@@ -476,9 +476,9 @@
         for output in out {
             match output {
                 Output::Send { to, message } => self.send(index, to, message),
-                Output::Persist { token, records } => self.persist(index, token, records),
-                Output::Answer { ticket, outcome } => self.answered(index, ticket, outcome),
-                Output::Leading { epoch } => {
+                Output::Persist { write_id, records } => self.persist(index, write_id, records),
+                Output::Answer { proposal_id, outcome } => self.answered(index, proposal_id, outcome),
+                Output::BecamePrimary { epoch } => {
                     self.highest_epoch = self.highest_epoch.max(epoch);
                     let id = self.machines[index].disk.kept.id;
                     if self.trace {
@@ -486,8 +486,8 @@
                     }
                     self.checker.leads(epoch, id);
                 }
-                Output::MayEnd => self.end(index),
-                Output::Committed { .. } | Output::NotLeading => {}
+                Output::ReadyToExit => self.end(index),
+                Output::Committed { .. } | Output::SteppedDown => {}
             }
         }
     }
@@ -503,13 +503,14 @@
 
     fn spring_trap(&mut self, index: usize, message: &Message) {
         let Body::Accept { view } = &message.body else { return };
-        if !self.trap || view.active || view.view.prior.is_empty() || self.healed.is_some() {
+        if !self.trap || view.active || view.view.previous_members.is_empty() || self.healed.is_some() {
             return;
         }
         self.trap = false;
         self.network.heal();
         let own = self.machines[index].address;
-        let old = |address: SocketAddrV4| view.view.prior.iter().any(|member| member.address == address);
+        let old =
+            |address: SocketAddrV4| view.view.previous_members.iter().any(|member| member.address == address);
         let new = |address: SocketAddrV4| view.view.members.iter().any(|member| member.address == address);
         let beside = |address: SocketAddrV4| address == own || (new(address) && !old(address));
         let addresses: Vec<SocketAddrV4> = self.machines.iter().map(|machine| machine.address).collect();
@@ -520,16 +521,16 @@
         }
     }
 
-    fn persist(&mut self, index: usize, token: gradepaddle_control::Token, records: Vec<Record>) {
+    fn persist(&mut self, index: usize, write_id: gradepaddle_control::WriteId, records: Vec<Record>) {
         if self.trace {
-            eprintln!("{:>10} {} writes {token:?} {records:?}", self.now, self.machines[index].address);
+            eprintln!("{:>10} {} writes {write_id:?} {records:?}", self.now, self.machines[index].address);
         }
         let takes = self.random.between(300, self.disk_takes);
         let now = self.now;
         let machine = &mut self.machines[index];
         let done = (now + takes).max(machine.disk.busy_until + 1).max(machine.disk.hangs_until);
         machine.disk.busy_until = done;
-        machine.disk.begin(token, records);
+        machine.disk.begin(write_id, records);
         let incarnation = machine.incarnation;
         let doom = machine.doom.take();
         self.schedule(done - now, Event::DiskDone { machine: index, incarnation });
@@ -552,10 +553,10 @@
         if machine.frozen.is_some() {
             return machine.held.push(Event::DiskDone { machine: index, incarnation });
         }
-        if let Some((token, durable)) = machine.disk.finish() {
+        if let Some((write_id, durable)) = machine.disk.finish() {
             self.input(
                 index,
-                if durable { Input::Persisted { token } } else { Input::PersistFailed { token } },
+                if durable { Input::WriteCompleted { write_id } } else { Input::WriteFailed { write_id } },
             );
         }
     }
@@ -574,7 +575,7 @@
             .first_boot(machine.first_boot && machine.incarnation == 0)
             .machine_losses(self.plan.machine_losses)
             .seed(seed)
-            .flaw(self.plan.flaw)
+            .injected_fault(self.plan.injected_fault)
             .build();
         machine.incarnation += 1;
         machine.leaving = false;
@@ -614,8 +615,8 @@
         machine.doom = None;
         // The steady clock may start anew with the machine.
         machine.clock_start = clock_start;
-        for ticket in std::mem::take(&mut machine.asked) {
-            self.clients.unanswered(ticket);
+        for proposal_id in std::mem::take(&mut machine.asked) {
+            self.clients.unanswered(proposal_id);
         }
     }
 
@@ -708,35 +709,41 @@
             return;
         }
         self.checker.sent(&change);
-        let ticket = self.clients.ticket(&change);
-        self.machines[index].asked.push(ticket);
+        let proposal_id = self.clients.proposal_id(&change);
+        self.machines[index].asked.push(proposal_id);
         if self.trace {
-            eprintln!("{:>10} {} is asked {ticket:?} {change:?}", self.now, self.machines[index].address);
+            eprintln!(
+                "{:>10} {} is asked {proposal_id:?} {change:?}",
+                self.now, self.machines[index].address
+            );
         }
         self.note_read(index);
-        self.note_asked(ticket, &change);
-        self.input(index, Input::Propose { ticket, change });
+        self.note_asked(proposal_id, &change);
+        self.input(index, Input::Propose { proposal_id, change });
     }
 
-    fn answered(&mut self, index: usize, ticket: Ticket, outcome: Outcome) {
-        let Some(change) = self.clients.open.remove(&ticket) else {
-            return self.checker.report(Violation::Fork(format!("{ticket:?} answered twice")));
+    fn answered(&mut self, index: usize, proposal_id: ProposalId, outcome: Outcome) {
+        let Some(change) = self.clients.open.remove(&proposal_id) else {
+            return self.checker.report(Violation::Fork(format!("{proposal_id:?} answered twice")));
         };
         if self.trace {
-            eprintln!("{:>10} {} answers {ticket:?} {outcome:?}", self.now, self.machines[index].address);
+            eprintln!(
+                "{:>10} {} answers {proposal_id:?} {outcome:?}",
+                self.now, self.machines[index].address
+            );
         }
-        self.note_answered(ticket, outcome);
-        self.machines[index].asked.retain(|asked| *asked != ticket);
-        if outcome == Outcome::Taken && self.plan.replicas > 1 {
+        self.note_answered(proposal_id, outcome);
+        self.machines[index].asked.retain(|asked| *asked != proposal_id);
+        if outcome == Outcome::Committed && self.plan.replicas > 1 {
             let view = self.machines[index].replica.as_ref().and_then(|replica| replica.status().view);
             if view.is_some_and(|known| known.view.backups.is_empty()) {
-                self.checker.report(Violation::Alone(format!("{ticket:?}")));
+                self.checker.report(Violation::Alone(format!("{proposal_id:?}")));
             }
         }
         self.checker.answered(&change, outcome);
         self.clients.learn(&change, outcome);
         let probed = self.probe.as_ref() == Some(&change);
-        if probed && outcome == Outcome::Taken {
+        if probed && outcome == Outcome::Committed {
             self.recovered = self.healed.map(|healed| self.now - healed);
         }
         if let Outcome::NotPrimary { primary: Some(primary) } = outcome {
@@ -878,7 +885,7 @@
             Fault::DiskWell => self.machines.iter_mut().for_each(|machine| machine.disk.full = false),
             Fault::Leave => {
                 self.machines[victim].leaving = true;
-                self.input(victim, Input::Leaving);
+                self.input(victim, Input::ShutDown);
             }
             Fault::Weather => {
                 let severity = self.random.between(0, 4);
--- a/control/tests/simulator/world/rounds.rs
+++ b/control/tests/simulator/world/rounds.rs
@@ -215,7 +215,7 @@
         if self.machines[index].replica.is_none() {
             return self.departed(index);
         }
-        self.input(index, Input::Leaving);
+        self.input(index, Input::ShutDown);
     }
 
     /// SIGKILL, if the process still runs.
@@ -248,7 +248,7 @@
     /// Takes the power of the whole core around the announcement of new members, if that is due.
     pub(super) fn notice_change(&mut self, message: &Message) {
         let announced = match &message.body {
-            Body::Accept { view } => !view.active && !view.view.prior.is_empty(),
+            Body::Accept { view } => !view.active && !view.view.previous_members.is_empty(),
             _ => false,
         };
         if announced && std::mem::take(&mut self.rounds.armed) {
--- a/control/tests/slow_links/mod.rs
+++ b/control/tests/slow_links/mod.rs
@@ -11,8 +11,8 @@
 };
 
 use gradepaddle_control::{
-    Body, Change, ControlState, Input, Member, Message, Outcome, Output, Record, Recovered, Replica,
-    ReplicaConfig, ReplicaId, Ticket, Token, View,
+    Body, Change, ControlState, Input, Member, Message, Outcome, Output, ProposalId, Record, RecoveredState,
+    Replica, ReplicaConfig, ReplicaId, View, WriteId,
 };
 
 pub const MILLISECOND: u64 = 1_000;
@@ -20,7 +20,7 @@
 /// A message without a configuration, in bytes.
 const SMALL_MESSAGE: usize = 150;
 /// An accepted configuration in the state, in bytes.
-const ACCEPTED_BYTES: usize = 24;
+const ACCEPTED_HISTORY_BYTES: usize = 24;
 /// What waits for one connection at most, in bytes; what comes on top is dropped.
 const QUEUED_BYTES: usize = 12 * 1024 * 1024;
 /// Connections take turns on a link after so many bytes.
@@ -41,7 +41,7 @@
     Carried { place: usize, incarnation: u64 },
     Deliver { to: SocketAddrV4, from: SocketAddrV4, message: Message },
     Wake { place: usize, incarnation: u64 },
-    Written { place: usize, incarnation: u64, token: Token, records: Vec<Record> },
+    Written { place: usize, incarnation: u64, write_id: WriteId, records: Vec<Record> },
     Start { place: usize },
     Operator,
 }
@@ -80,7 +80,7 @@
 pub struct Machine {
     pub address: SocketAddrV4,
     pub replica: Option<Replica>,
-    pub kept: Recovered,
+    pub kept: RecoveredState,
     incarnation: u64,
     first_boot: bool,
     connections: VecDeque<Connection>,
@@ -96,8 +96,8 @@
     pause: u64,
     body: usize,
     version: u64,
-    asked: Option<(Ticket, u64)>,
-    next_ticket: u64,
+    asked: Option<(ProposalId, u64)>,
+    next_proposal_id: u64,
 }
 
 /// A few core machines and an operator.
@@ -136,7 +136,7 @@
         let view = fleet.first_view();
         for place in 0..size {
             fleet.start(place);
-            fleet.input(place, Input::Found { view: view.clone() });
+            fleet.input(place, Input::Bootstrap { view: view.clone() });
         }
         fleet.run_for(SECOND);
         fleet
@@ -147,7 +147,7 @@
         self.machines.push(Machine {
             address: format!("10.0.0.{}:7640", place + 1).parse().expect("an address"),
             replica: None,
-            kept: Recovered::empty(ReplicaId(1_000 + place as u64)),
+            kept: RecoveredState::empty(ReplicaId(1_000 + place as u64)),
             incarnation: 0,
             first_boot: true,
             connections: VecDeque::new(),
@@ -168,7 +168,7 @@
             epoch: 1,
             primary: members[0].id,
             backups: members[1..].iter().take(self.losses).map(|member| member.id).collect(),
-            prior: Vec::new(),
+            previous_members: Vec::new(),
             target_size: members.len(),
             members,
         }
@@ -216,7 +216,7 @@
         machine.incarnation += 1;
         machine.next_wake = u64::MAX;
         if self.operator.asked.is_some() {
-            self.operator.asked = self.operator.asked.map(|(ticket, _)| (ticket, 0));
+            self.operator.asked = self.operator.asked.map(|(proposal_id, _)| (proposal_id, 0));
         }
     }
 
@@ -224,7 +224,7 @@
     pub fn wipe(&mut self, place: usize) {
         self.crash(place);
         let machine = &mut self.machines[place];
-        machine.kept = Recovered::empty(ReplicaId(machine.kept.id.0 + 100));
+        machine.kept = RecoveredState::empty(ReplicaId(machine.kept.id.0 + 100));
         machine.first_boot = false;
     }
 
@@ -323,11 +323,11 @@
                     self.input(place, Input::Tick);
                 }
             }
-            Event::Written { place, incarnation, token, records } => {
+            Event::Written { place, incarnation, write_id, records } => {
                 let machine = &mut self.machines[place];
                 if machine.incarnation == incarnation {
                     records.into_iter().for_each(|record| machine.kept.apply(record));
-                    self.input(place, Input::Persisted { token });
+                    self.input(place, Input::WriteCompleted { write_id });
                 }
             }
             Event::Start { place } => self.start(place),
@@ -350,8 +350,8 @@
         for output in out {
             match output {
                 Output::Send { to, message } => self.send(place, to, message),
-                Output::Persist { token, records } => self.write(place, token, records),
-                Output::Answer { ticket, outcome } => self.answered(ticket, outcome),
+                Output::Persist { write_id, records } => self.write(place, write_id, records),
+                Output::Answer { proposal_id, outcome } => self.answered(proposal_id, outcome),
                 _ => {}
             }
         }
@@ -404,11 +404,11 @@
         bytes as u64 * 8 * SECOND / self.speed.bits_per_second
     }
 
-    fn write(&mut self, place: usize, token: Token, records: Vec<Record>) {
+    fn write(&mut self, place: usize, write_id: WriteId, records: Vec<Record>) {
         let machine = &mut self.machines[place];
         machine.disk_free = machine.disk_free.max(self.now) + self.speed.write;
         let (at, incarnation) = (machine.disk_free, machine.incarnation);
-        self.schedule(at, Event::Written { place, incarnation, token, records });
+        self.schedule(at, Event::Written { place, incarnation, write_id, records });
     }
 
     /// Sends the next change, or the one that has no clear answer yet, to whoever leads.
@@ -418,27 +418,27 @@
         if self.operator.asked.is_none_or(|(_, since)| self.now >= since + SILENCE)
             && let Some(leader) = self.leader()
         {
-            self.operator.next_ticket += 1;
-            let ticket = Ticket(self.operator.next_ticket);
-            self.operator.asked = Some((ticket, self.now));
+            self.operator.next_proposal_id += 1;
+            let proposal_id = ProposalId(self.operator.next_proposal_id);
+            self.operator.asked = Some((proposal_id, self.now));
             let change = put(self.operator.version, self.operator.body);
-            self.input(leader, Input::Propose { ticket, change });
+            self.input(leader, Input::Propose { proposal_id, change });
         }
         self.schedule(self.now + LOOK_EVERY, Event::Operator);
     }
 
-    fn answered(&mut self, ticket: Ticket, outcome: Outcome) {
+    fn answered(&mut self, proposal_id: ProposalId, outcome: Outcome) {
         match outcome {
-            Outcome::Taken => {
-                if self.operator.asked.is_some_and(|(asked, _)| asked == ticket) {
+            Outcome::Committed => {
+                if self.operator.asked.is_some_and(|(asked, _)| asked == proposal_id) {
                     self.operator.version += 1;
                     self.acknowledged.insert(self.operator.version, self.now);
                     // The next one is sent as if this one had been silent for all but the pause.
                     let since = (self.now + self.operator.pause).saturating_sub(SECOND);
-                    self.operator.asked = Some((Ticket(u64::MAX), since));
+                    self.operator.asked = Some((ProposalId(u64::MAX), since));
                 }
             }
-            Outcome::Conflict { .. } | Outcome::NotAbove { .. } => panic!("refused: {outcome:?}"),
+            Outcome::Conflict { .. } | Outcome::VersionNotHigher { .. } => panic!("refused: {outcome:?}"),
             Outcome::NotPrimary { .. } | Outcome::Unknown => {}
         }
     }
@@ -462,10 +462,10 @@
 fn size(message: &Message) -> usize {
     let state = |state: &ControlState| {
         let body = state.configuration.as_ref().map_or(0, |configuration| configuration.body.len());
-        body + state.accepted.len() * ACCEPTED_BYTES
+        body + state.accepted.len() * ACCEPTED_HISTORY_BYTES
     };
     let content = match &message.body {
-        Body::Install { state: Some(whole), .. } => state(whole),
+        Body::InstallSnapshot { state: Some(whole), .. } => state(whole),
         Body::Promise { data: Some(data), .. } => state(&data.state),
         Body::Replicate { change: Change::PutConfiguration { body, .. }, .. } => body.len(),
         _ => 0,
--- a/controlplane/src/driver.rs
+++ b/controlplane/src/driver.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use gradepaddle_control::{Record, Token};
+use gradepaddle_control::{Record, WriteId};
 use gradepaddle_engine::ServerEntry;
 use gradepaddle_http::buffers::Pool;
 use gradepaddle_proto::Envelope;
@@ -60,7 +60,7 @@
     /// Something is worth a line in the log.
     fn event(&self, event: Event);
     /// Writes records to disk; the end of the write comes back as an event.
-    fn persist(&self, token: Token, records: Vec<Record>);
+    fn persist(&self, token: WriteId, records: Vec<Record>);
     /// The control state is in other hands.
     fn may_end(&self);
 }
--- a/controlplane/src/founding.rs
+++ b/controlplane/src/founding.rs
@@ -135,7 +135,7 @@
         Some(View {
             epoch: FIRST_EPOCH,
             members,
-            prior: Vec::new(),
+            previous_members: Vec::new(),
             primary: primary.id,
             backups,
             target_size,
--- a/controlplane/src/node.rs
+++ b/controlplane/src/node.rs
@@ -176,8 +176,12 @@
             Input::Tick => {}
             Input::Envelope(Envelope { from, content }) => self.receive(now, from, content, out),
             Input::Call { ticket, call } => self.call(now, ticket, call, out),
-            Input::Persisted(token) => self.tell_replica(now, ReplicaInput::Persisted { token }, out),
-            Input::PersistFailed(token) => self.tell_replica(now, ReplicaInput::PersistFailed { token }, out),
+            Input::Persisted(token) => {
+                self.tell_replica(now, ReplicaInput::WriteCompleted { write_id: token }, out)
+            }
+            Input::PersistFailed(token) => {
+                self.tell_replica(now, ReplicaInput::WriteFailed { write_id: token }, out)
+            }
             Input::OrderAnswered { order, answer } => {
                 let steps = self.rollout.answered(now, &order, answer);
                 out.push(Output::Event(Event::OrderAnswered { order, answer }));
@@ -202,7 +206,7 @@
         self.leaving = true;
         self.spread.leave();
         match self.replica {
-            Some(_) => self.tell_replica(now, ReplicaInput::Leaving, out),
+            Some(_) => self.tell_replica(now, ReplicaInput::ShutDown, out),
             None => out.push(Output::MayEnd),
         }
     }
@@ -221,7 +225,7 @@
             Content::SessionGrant(grant) => {
                 self.session.receive(now, from, &grant);
             }
-            Content::Found(view) => self.tell_replica(now, ReplicaInput::Found { view }, out),
+            Content::Found(view) => self.tell_replica(now, ReplicaInput::Bootstrap { view }, out),
             Content::Forward(forward) => self.forwarded_call(now, from, forward, out),
             Content::Forwarded(answer) => self.forwarded_answer(now, from, &answer, out),
             Content::NewestAsk(ask) => self.newest_asked(now, from, ask, out),
@@ -280,22 +284,24 @@
             ReplicaOutput::Send { to, message } => {
                 out.push(Output::Send { to, content: Content::Control(message) });
             }
-            ReplicaOutput::Persist { token, records } => out.push(Output::Persist { token, records }),
-            ReplicaOutput::Answer { ticket, outcome } => self.decided(now, ticket.0, outcome, out),
+            ReplicaOutput::Persist { write_id: token, records } => {
+                out.push(Output::Persist { token, records })
+            }
+            ReplicaOutput::Answer { proposal_id, outcome } => self.decided(now, proposal_id.0, outcome, out),
             ReplicaOutput::Committed { state } => self.committed(now, &state, out),
-            ReplicaOutput::Leading { epoch } => {
+            ReplicaOutput::BecamePrimary { epoch } => {
                 self.leading = true;
                 self.rollout.lead(now, epoch);
                 self.postpone_weights(now, epoch, out);
                 self.release_marks(now, epoch, out);
                 out.push(Output::Event(Event::Leading { epoch }));
             }
-            ReplicaOutput::NotLeading => {
+            ReplicaOutput::SteppedDown => {
                 self.leading = false;
                 self.rollout.stop();
                 out.push(Output::Event(Event::NotLeading));
             }
-            ReplicaOutput::MayEnd => out.push(Output::MayEnd),
+            ReplicaOutput::ReadyToExit => out.push(Output::MayEnd),
         }
     }
 
--- a/controlplane/src/node/control.rs
+++ b/controlplane/src/node/control.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use gradepaddle_config::{Configuration, Findings, Patch};
-use gradepaddle_control::{Change, ControlState, Input as ReplicaInput, Outcome, Ticket};
+use gradepaddle_control::{Change, ControlState, Input as ReplicaInput, Outcome, ProposalId};
 use gradepaddle_proto::{Content, ControlCall, Forward, Forwarded};
 use gradepaddle_spread::Copies;
 
@@ -157,8 +157,8 @@
                 Change::NameVersion { model: model.to_string(), version }
             }
         };
-        let ticket = Ticket(self.wait(waiting));
-        self.tell_replica(now, ReplicaInput::Propose { ticket, change }, out);
+        let proposal_id = ProposalId(self.wait(waiting));
+        self.tell_replica(now, ReplicaInput::Propose { proposal_id, change }, out);
     }
 
     /// The change that a patch makes of the configuration that it builds on, which is in force; otherwise its answer.
@@ -172,7 +172,7 @@
         };
         let until = reading.lease.until;
         let fingerprint = patch_fingerprint_number(if_match, patch);
-        if let Some(outcome) = reading.state.judge_configuration(if_match, version, fingerprint).outcome() {
+        if let Some(outcome) = reading.state.check_configuration(if_match, version, fingerprint).outcome() {
             return Err(outcome_answer(outcome).before(until));
         }
         let base = reading.state.configuration.as_ref().map_or(EMPTY, |known| &known.body);
@@ -213,7 +213,7 @@
     pub(super) fn decided(&mut self, now: Micros, ticket: u64, outcome: Outcome, out: &mut Vec<Output>) {
         let Some(waiting) = self.waiting.remove(&ticket) else { return };
         let given = outcome_answer(outcome);
-        let lease = self.replica.as_ref().and_then(|replica| replica.held_lease(now));
+        let lease = self.replica.as_ref().and_then(|replica| replica.lease(now));
         let given = given.before(lease.map_or(now, |lease| lease.until).min(waiting.until));
         answer(now, waiting.asker, given, out);
     }
@@ -280,9 +280,9 @@
 /// What a caller is told of a decision.
 fn outcome_answer(outcome: Outcome) -> Answer {
     match outcome {
-        Outcome::Taken => Answer::bare(200),
+        Outcome::Committed => Answer::bare(200),
         Outcome::Conflict { current } => Answer::message(412, &format!("version {current} is in place")),
-        Outcome::NotAbove { current } => {
+        Outcome::VersionNotHigher { current } => {
             Answer::message(400, &format!("the version is not above {current}, which is in place"))
         }
         Outcome::NotPrimary { .. } => Answer::unavailable("this node does not lead"),
--- a/controlplane/src/node/members.rs
+++ b/controlplane/src/node/members.rs
@@ -145,7 +145,7 @@
         }
         for found in told {
             if found.to == self.own {
-                self.tell_replica(now, ReplicaInput::Found { view: found.view }, out);
+                self.tell_replica(now, ReplicaInput::Bootstrap { view: found.view }, out);
             } else {
                 out.push(Output::Send { to: found.to, content: Content::Found(found.view) });
             }
--- a/controlplane/src/node/messages.rs
+++ b/controlplane/src/node/messages.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-use gradepaddle_control::{Record, Replica, Token};
+use gradepaddle_control::{Record, Replica, WriteId};
 use gradepaddle_engine::ServerEntry;
 use gradepaddle_proto::{Content, Envelope};
 
@@ -25,9 +25,9 @@
         call: Call,
     },
     /// A write is on disk.
-    Persisted(Token),
+    Persisted(WriteId),
     /// A write failed.
-    PersistFailed(Token),
+    PersistFailed(WriteId),
     /// A server answered an order.
     OrderAnswered {
         /// The order.
@@ -90,7 +90,7 @@
     /// Write to disk.
     Persist {
         /// Names the end of the write.
-        token: Token,
+        token: WriteId,
         /// What.
         records: Vec<Record>,
     },
--- a/controlplane/src/node/serving.rs
+++ b/controlplane/src/node/serving.rs
@@ -75,7 +75,7 @@
     /// The primary before this one fell silent, so the core was not stable: the time within which servers have to be
     /// brought to what was named counts from now.
     pub(super) fn postpone_weights(&mut self, now: Micros, epoch: u64, out: &mut Vec<Output>) {
-        if !self.replica.as_ref().is_some_and(|replica| replica.followed_silence()) {
+        if !self.replica.as_ref().is_some_and(|replica| replica.took_over_after_timeout()) {
             return;
         }
         let mut results = Vec::new();
@@ -196,7 +196,7 @@
 
     /// Until when an order under this fence may leave, if it may leave now: the end of the lease.
     pub fn order_deadline(&self, now: Micros, fence: u64) -> Option<Micros> {
-        let lease = self.replica.as_ref()?.held_lease(now)?;
+        let lease = self.replica.as_ref()?.lease(now)?;
         (lease.epoch == fence && self.rollout.may_order(fence)).then_some(lease.until)
     }
 }
--- a/controlplane/src/node/status.rs
+++ b/controlplane/src/node/status.rs
@@ -72,7 +72,7 @@
             role: replica.as_ref().map(|replica| format!("{:?}", replica.role).to_lowercase()),
             leading: self.replica.as_ref().and_then(|replica| replica.leading(now)),
             sequence: replica.as_ref().and_then(|replica| replica.sequence),
-            disk_well: replica.as_ref().map(|replica| replica.disk_well),
+            disk_well: replica.as_ref().map(|replica| replica.disk_healthy),
             configuration_version: configuration.map_or(0, |item| item.stamp.major),
             weights: self.named.clone(),
             balancers: self.balancer_status(&view.members),
--- a/controlplane/tests/fleet/disk.rs
+++ b/controlplane/tests/fleet/disk.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use gradepaddle_control::{Record, Recovered, ReplicaId, Token};
+use gradepaddle_control::{Record, RecoveredState, ReplicaId, WriteId};
 
 use super::Micros;
 use super::random::Random;
@@ -10,8 +10,8 @@
 /// The disk of a core machine.
 #[derive(Debug)]
 pub struct Disk {
-    kept: Recovered,
-    under_way: VecDeque<(Token, Vec<Record>)>,
+    kept: RecoveredState,
+    under_way: VecDeque<(WriteId, Vec<Record>)>,
     /// It refuses every write.
     pub full: bool,
     /// No write ends before.
@@ -22,24 +22,24 @@
 
 impl Disk {
     pub fn empty(id: u64) -> Disk {
-        let kept = Recovered::empty(ReplicaId(id));
+        let kept = RecoveredState::empty(ReplicaId(id));
         Disk { kept, under_way: VecDeque::new(), full: false, hangs_until: 0, busy_until: 0 }
     }
 
     /// What a replica that starts now finds.
-    pub fn recovered(&self) -> Recovered {
+    pub fn recovered(&self) -> RecoveredState {
         self.kept.clone()
     }
 
     /// Begins a write; gives the time at which it ends.
-    pub fn begin(&mut self, now: Micros, takes: Micros, token: Token, records: Vec<Record>) -> Micros {
+    pub fn begin(&mut self, now: Micros, takes: Micros, token: WriteId, records: Vec<Record>) -> Micros {
         self.under_way.push_back((token, records));
         self.busy_until = self.busy_until.max(now).max(self.hangs_until) + takes;
         self.busy_until
     }
 
     /// Ends the oldest write; says whether it is durable.
-    pub fn finish(&mut self) -> Option<(Token, bool)> {
+    pub fn finish(&mut self) -> Option<(WriteId, bool)> {
         let (token, records) = self.under_way.pop_front()?;
         if !self.full {
             self.keep(records);
--- a/controlplane/tests/fleet/histories.rs
+++ b/controlplane/tests/fleet/histories.rs
@@ -70,7 +70,7 @@
                 self.history.answer(name, found);
             }
             404 if reads => self.history.answer(name, Response::InForce(None)),
-            200 => self.history.answer(name, Response::Taken),
+            200 => self.history.answer(name, Response::Committed),
             400 | 412 => self.history.answer(name, Response::Refused),
             _ => {}
         }
--- a/controlplane/tests/fleet/machine.rs
+++ b/controlplane/tests/fleet/machine.rs
@@ -4,7 +4,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::sync::Arc;
 
-use gradepaddle_control::{Flaw, Replica, ReplicaConfig};
+use gradepaddle_control::{InjectedFault, Replica, ReplicaConfig};
 use gradepaddle_controlplane::CLOCK_START;
 use gradepaddle_controlplane::founding::Founding;
 use gradepaddle_controlplane::naming::VersionTimes;
@@ -100,7 +100,7 @@
 pub struct ReplicaBoot {
     pub first: bool,
     pub losses: usize,
-    pub flaw: Option<Flaw>,
+    pub injected_fault: Option<InjectedFault>,
 }
 
 impl Machine {
@@ -194,7 +194,7 @@
             .first_boot(boot.first)
             .machine_losses(boot.losses)
             .seed(random.next())
-            .flaw(boot.flaw)
+            .injected_fault(boot.injected_fault)
             .build();
         Replica::new(config, self.disk.recovered(), now)
     }
--- a/controlplane/tests/fleet/plan.rs
+++ b/controlplane/tests/fleet/plan.rs
@@ -1,6 +1,6 @@
 //! What is simulated.
 
-use gradepaddle_control::Flaw;
+use gradepaddle_control::InjectedFault;
 
 use super::outage::Outage;
 use super::{Micros, SECOND};
@@ -42,7 +42,7 @@
     /// Keys that are taken away have to stop working at every node within this.
     pub revoke_within: Option<Micros>,
     /// A fault of the protocol that is built in on purpose.
-    pub flaw: Option<Flaw>,
+    pub injected_fault: Option<InjectedFault>,
 }
 
 impl Plan {
@@ -61,7 +61,7 @@
             strict: true,
             outage: None,
             revoke_within: None,
-            flaw: None,
+            injected_fault: None,
         }
     }
 }
--- a/controlplane/tests/fleet/world.rs
+++ b/controlplane/tests/fleet/world.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-use gradepaddle_control::Token;
+use gradepaddle_control::WriteId;
 use gradepaddle_controlplane::calls::Call;
 use gradepaddle_controlplane::node::{Event as NodeEvent, Input, Output};
 use gradepaddle_controlplane::rollout::{Order, OrderAnswer};
@@ -382,7 +382,7 @@
     fn disk_open(&mut self, number: usize, life: u64, first: bool) {
         let machine = &self.machines[number];
         let Some(process) = machine.process.as_ref().filter(|_| machine.life == life) else { return };
-        let boot = ReplicaBoot { first, losses: self.plan.losses, flaw: self.plan.flaw };
+        let boot = ReplicaBoot { first, losses: self.plan.losses, injected_fault: self.plan.injected_fault };
         let replica = machine.replica(process.clock(self.now), &boot, &mut self.random);
         self.step(number, Input::Replica(Box::new(replica)));
     }
@@ -487,7 +487,7 @@
         }
     }
 
-    fn persist(&mut self, number: usize, token: Token, records: Vec<gradepaddle_control::Record>) {
+    fn persist(&mut self, number: usize, token: WriteId, records: Vec<gradepaddle_control::Record>) {
         let takes = self.random.between(MS, 12 * MS);
         let now = self.now;
         let machine = &mut self.machines[number];
--- a/controlplane/tests/founding.rs
+++ b/controlplane/tests/founding.rs
@@ -151,7 +151,7 @@
     expect_that!(told.iter().all(|found| found.view == told[0].view), eq(true));
     expect_that!(told[0].view.members.len(), eq(5));
     expect_that!((told[0].view.epoch, told[0].view.target_size), eq((1, 5)));
-    expect_that!(told[0].view.prior, is_empty());
+    expect_that!(told[0].view.previous_members, is_empty());
     Ok(())
 }
 
--- a/controlplane/tests/outages.rs
+++ b/controlplane/tests/outages.rs
@@ -4,7 +4,7 @@
 mod simulation;
 
 use googletest::prelude::*;
-use gradepaddle_control::Flaw;
+use gradepaddle_control::InjectedFault;
 use simulation::{MS, Micros, Outage, Plan, Report, SECOND, Trouble, Victim, World};
 
 /// How many seeds each outage is given, unless `FLEET_SEEDS` says otherwise.
@@ -138,7 +138,10 @@
 /// A version that lets its state be read without the lease is found out.
 #[gtest]
 fn a_read_without_the_lease_is_caught() -> Result<()> {
-    let flawed = Plan { flaw: Some(Flaw::ReadsWithoutLease), ..plan(3, 1, Victim::Primary, Trouble::Cut) };
+    let flawed = Plan {
+        injected_fault: Some(InjectedFault::ReadsWithoutLease),
+        ..plan(3, 1, Victim::Primary, Trouble::Cut)
+    };
     let found = (0..SEEDS).find_map(|seed| World::new(flawed.clone(), seed).play().violation);
     verify_that!(found, some(contains_substring("without contact")))
 }
