--- a/proto/src/control.rs
+++ b/proto/src/control.rs
@@ -4,35 +4,35 @@
 use std::sync::Arc;
 
 use gradepaddle_control::{
-    AcceptedConfiguration, AcceptedHistory, Ballot, Body, Change, ControlState, Data, KnownView, Member,
-    Message, Position, Record, ReplicaId, StoredConfiguration, View,
+    AcceptedConfiguration, AcceptedHistory, Body, Change, ControlState, Data, KnownView, LogPosition, Member,
+    Message, ProposalNumber, Record, ReplicaId, StoredConfiguration, View,
 };
 
 use crate::fields::{Decode, DecodeError, Encode, FieldWriter, Fields, UnknownVariantSnafu};
 
-impl Encode for Ballot {
+impl Encode for ProposalNumber {
     fn encode(&self, to: &mut FieldWriter) {
         to.number(1, self.epoch);
         to.number(2, self.candidate.0);
     }
 }
 
-impl Decode for Ballot {
+impl Decode for ProposalNumber {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
-        Ok(Ballot { epoch: fields.number(1), candidate: ReplicaId(fields.number(2)) })
+        Ok(ProposalNumber { epoch: fields.number(1), candidate: ReplicaId(fields.number(2)) })
     }
 }
 
-impl Encode for Position {
+impl Encode for LogPosition {
     fn encode(&self, to: &mut FieldWriter) {
         to.number(1, self.epoch);
         to.number(2, self.sequence);
     }
 }
 
-impl Decode for Position {
+impl Decode for LogPosition {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
-        Ok(Position { epoch: fields.number(1), sequence: fields.number(2) })
+        Ok(LogPosition { epoch: fields.number(1), sequence: fields.number(2) })
     }
 }
 
@@ -58,7 +58,7 @@
     fn encode(&self, to: &mut FieldWriter) {
         to.number(1, self.epoch);
         to.messages(2, &self.members);
-        to.messages(3, &self.prior);
+        to.messages(3, &self.previous_members);
         to.number(4, self.primary.0);
         self.backups.iter().for_each(|backup| to.some_number(5, Some(backup.0)));
         to.number(6, self.target_size as u64);
@@ -70,7 +70,7 @@
         Ok(View {
             epoch: fields.number(1),
             members: fields.messages(2)?,
-            prior: fields.messages(3)?,
+            previous_members: fields.messages(3)?,
             primary: ReplicaId(fields.number(4)),
             backups: fields.all_numbers(5).map(ReplicaId).collect(),
             target_size: fields.number(6) as usize,
@@ -194,7 +194,7 @@
         for (model, version) in &self.models {
             to.message(3, &NamedVersion { model: model.clone(), version: *version });
         }
-        to.number(4, self.accepted.forgotten_through());
+        to.number(4, self.accepted.truncated_through());
     }
 }
 
@@ -231,15 +231,15 @@
 impl Encode for Record {
     fn encode(&self, to: &mut FieldWriter) {
         match self {
-            Record::Promise(ballot) => variant(to, PROMISE_RECORD, ballot),
+            Record::Promise(proposal_number) => variant(to, PROMISE_RECORD, proposal_number),
             Record::View(view) => variant(to, VIEW_RECORD, view),
-            Record::Whole(data) => variant(to, WHOLE_RECORD, data),
+            Record::Snapshot(data) => variant(to, WHOLE_RECORD, data),
             Record::Changed { position, change } => {
                 variant(to, CHANGED_RECORD, position);
                 to.message(3, change);
             }
             Record::Moved(position) => variant(to, MOVED_RECORD, position),
-            Record::Dropped => to.number(1, DROPPED_RECORD),
+            Record::SnapshotDiscarded => to.number(1, DROPPED_RECORD),
         }
     }
 }
@@ -255,12 +255,12 @@
         Ok(match fields.number(1) {
             PROMISE_RECORD => Record::Promise(fields.message(NAME, 2)?),
             VIEW_RECORD => Record::View(fields.message(NAME, 2)?),
-            WHOLE_RECORD => Record::Whole(fields.message(NAME, 2)?),
+            WHOLE_RECORD => Record::Snapshot(fields.message(NAME, 2)?),
             CHANGED_RECORD => {
                 Record::Changed { position: fields.message(NAME, 2)?, change: fields.message(NAME, 3)? }
             }
             MOVED_RECORD => Record::Moved(fields.message(NAME, 2)?),
-            DROPPED_RECORD => Record::Dropped,
+            DROPPED_RECORD => Record::SnapshotDiscarded,
             variant => return UnknownVariantSnafu { message: NAME, variant }.fail(),
         })
     }
@@ -331,18 +331,27 @@
             head(to, HEARTBEAT, *epoch);
             to.number(field::SENT, *sent);
         }
-        Body::Echo { epoch, sent, granted, promised, view_epoch, fit, leaving, settled } => {
+        Body::HeartbeatReply {
+            epoch,
+            sent,
+            granted,
+            promised,
+            view_epoch,
+            healthy,
+            shutting_down,
+            activation_durable,
+        } => {
             head(to, ECHO, *epoch);
             to.number(field::SENT, *sent);
             to.truth(field::GRANTED, *granted);
             some(to, field::PROMISED, promised.as_ref());
             to.number(field::VIEW_EPOCH, *view_epoch);
-            to.truth(field::FIT, *fit);
-            to.truth(field::LEAVING, *leaving);
-            to.truth(field::SETTLED, *settled);
+            to.truth(field::FIT, *healthy);
+            to.truth(field::LEAVING, *shutting_down);
+            to.truth(field::SETTLED, *activation_durable);
         }
-        Body::Poll { epoch } => head(to, POLL, *epoch),
-        Body::PollReply { epoch, granted, promised, view } => {
+        Body::PreVote { epoch } => head(to, POLL, *epoch),
+        Body::PreVoteReply { epoch, granted, promised, view } => {
             head(to, POLL_REPLY, *epoch);
             to.truth(field::GRANTED, *granted);
             some(to, field::PROMISED, promised.as_ref());
@@ -353,26 +362,26 @@
             some(to, field::POSITION, position.as_ref());
             some(to, field::RELEASED, released.as_ref());
         }
-        Body::Promise { epoch, view, position, data, fit } => {
+        Body::Promise { epoch, view, position, data, healthy } => {
             head(to, PROMISE, *epoch);
             some(to, field::VIEW, view.as_ref());
             some(to, field::POSITION, position.as_ref());
             some(to, field::DATA, data.as_ref());
-            to.truth(field::FIT, *fit);
+            to.truth(field::FIT, *healthy);
         }
-        Body::Refuse { epoch, promised, view } => {
+        Body::Reject { epoch, promised, view } => {
             head(to, REFUSE, *epoch);
             some(to, field::PROMISED, promised.as_ref());
             some(to, field::VIEW, view.as_ref());
         }
-        Body::Install { epoch, sequence, source, attempt, state } => {
+        Body::InstallSnapshot { epoch, sequence, source, attempt, state } => {
             head(to, INSTALL, *epoch);
             to.number(field::SEQUENCE, *sequence);
             to.message(field::POSITION, source);
             to.number(field::ATTEMPT, *attempt);
             some(to, field::STATE, state.as_deref());
         }
-        Body::Installed { epoch, complete, attempt } => {
+        Body::SnapshotInstalled { epoch, complete, attempt } => {
             head(to, INSTALLED, *epoch);
             to.number(field::ATTEMPT, *attempt);
             to.truth(field::COMPLETE, *complete);
@@ -396,7 +405,7 @@
             to.message(field::MEMBER, member);
             to.truth(field::FIRST_BOOT, *first_boot);
         }
-        Body::TakeOver { released } => {
+        Body::TransferLeadership { released } => {
             to.number(field::VARIANT, TAKE_OVER);
             to.message(field::RELEASED, released);
         }
@@ -416,18 +425,27 @@
     let sequence = fields.number(field::SEQUENCE);
     let attempt = fields.number(field::ATTEMPT);
     let granted = fields.truth(field::GRANTED);
-    let fit = fields.truth(field::FIT);
+    let healthy = fields.truth(field::FIT);
     Ok(match fields.number(field::VARIANT) {
         HEARTBEAT => Body::Heartbeat { epoch, sent },
         ECHO => {
             let promised = fields.some_message(field::PROMISED)?;
             let view_epoch = fields.number(field::VIEW_EPOCH);
-            let leaving = fields.truth(field::LEAVING);
-            let settled = fields.truth(field::SETTLED);
-            Body::Echo { epoch, sent, granted, promised, view_epoch, fit, leaving, settled }
+            let shutting_down = fields.truth(field::LEAVING);
+            let activation_durable = fields.truth(field::SETTLED);
+            Body::HeartbeatReply {
+                epoch,
+                sent,
+                granted,
+                promised,
+                view_epoch,
+                healthy,
+                shutting_down,
+                activation_durable,
+            }
         }
-        POLL => Body::Poll { epoch },
-        POLL_REPLY => Body::PollReply {
+        POLL => Body::PreVote { epoch },
+        POLL_REPLY => Body::PreVoteReply {
             epoch,
             granted,
             promised: fields.some_message(field::PROMISED)?,
@@ -443,21 +461,21 @@
             view: fields.some_message(field::VIEW)?,
             position: fields.some_message(field::POSITION)?,
             data: fields.some_message(field::DATA)?,
-            fit,
+            healthy,
         },
-        REFUSE => Body::Refuse {
+        REFUSE => Body::Reject {
             epoch,
             promised: fields.some_message(field::PROMISED)?,
             view: fields.some_message(field::VIEW)?,
         },
-        INSTALL => Body::Install {
+        INSTALL => Body::InstallSnapshot {
             epoch,
             sequence,
             source: fields.message(NAME, field::POSITION)?,
             attempt,
             state: fields.some_message::<ControlState>(field::STATE)?.map(Arc::new),
         },
-        INSTALLED => Body::Installed { epoch, complete: fields.truth(field::COMPLETE), attempt },
+        INSTALLED => Body::SnapshotInstalled { epoch, complete: fields.truth(field::COMPLETE), attempt },
         ACCEPT => Body::Accept { view: fields.message(NAME, field::VIEW)? },
         ACCEPTED => Body::Accepted { epoch },
         REPLICATE => Body::Replicate { epoch, sequence, change: fields.message(NAME, field::CHANGE)? },
@@ -466,7 +484,7 @@
             let member = fields.message(NAME, field::MEMBER)?;
             Body::Join { member, first_boot: fields.truth(field::FIRST_BOOT) }
         }
-        TAKE_OVER => Body::TakeOver { released: fields.message(NAME, field::RELEASED)? },
+        TAKE_OVER => Body::TransferLeadership { released: fields.message(NAME, field::RELEASED)? },
         variant => return UnknownVariantSnafu { message: NAME, variant }.fail(),
     })
 }
--- a/proto/tests/common/mod.rs
+++ b/proto/tests/common/mod.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 
 use gradepaddle_control::{
-    AcceptedConfiguration, AcceptedHistory, Ballot, Body, Change, ControlState, Data, KnownView, Member,
-    Message, Position, Record, ReplicaId, StoredConfiguration, View,
+    AcceptedConfiguration, AcceptedHistory, Body, Change, ControlState, Data, KnownView, LogPosition, Member,
+    Message, ProposalNumber, Record, ReplicaId, StoredConfiguration, View,
 };
 use gradepaddle_proto::{
     Content, ControlCall, Encode, Envelope, FieldWriter, Forward, Forwarded, Identity, KeptPrompt, LoadShare,
@@ -56,12 +56,12 @@
     number().prop_map(ReplicaId)
 }
 
-pub fn ballot() -> impl Strategy<Value = Ballot> + Clone {
-    (number(), replica()).prop_map(|(epoch, candidate)| Ballot { epoch, candidate })
+pub fn proposal_number() -> impl Strategy<Value = ProposalNumber> + Clone {
+    (number(), replica()).prop_map(|(epoch, candidate)| ProposalNumber { epoch, candidate })
 }
 
-pub fn position() -> impl Strategy<Value = Position> + Clone {
-    (number(), number()).prop_map(|(epoch, sequence)| Position { epoch, sequence })
+pub fn position() -> impl Strategy<Value = LogPosition> + Clone {
+    (number(), number()).prop_map(|(epoch, sequence)| LogPosition { epoch, sequence })
 }
 
 pub fn member() -> BoxedStrategy<Member> {
@@ -71,10 +71,10 @@
 pub fn view() -> BoxedStrategy<View> {
     let lists = (vec(member(), 0..5), vec(member(), 0..4), vec(replica(), 0..4));
     (number(), lists, replica(), 0..100_usize)
-        .prop_map(|(epoch, (members, prior, backups), primary, target_size)| View {
+        .prop_map(|(epoch, (members, previous_members, backups), primary, target_size)| View {
             epoch,
             members,
-            prior,
+            previous_members,
             primary,
             backups,
             target_size,
@@ -127,53 +127,58 @@
 
 pub fn record() -> BoxedStrategy<Record> {
     prop_oneof![
-        ballot().prop_map(Record::Promise),
+        proposal_number().prop_map(Record::Promise),
         known_view().prop_map(Record::View),
-        data().prop_map(Record::Whole),
+        data().prop_map(Record::Snapshot),
         (position(), change()).prop_map(|(position, change)| Record::Changed { position, change }),
         position().prop_map(Record::Moved),
-        Just(Record::Dropped),
+        Just(Record::SnapshotDiscarded),
     ]
     .boxed()
 }
 
 fn lease_body() -> BoxedStrategy<Body> {
     let health = (any::<bool>(), any::<bool>(), any::<bool>());
-    let echo = (number(), number(), any::<bool>(), option::of(ballot()), number(), health);
+    let echo = (number(), number(), any::<bool>(), option::of(proposal_number()), number(), health);
     prop_oneof![
         (number(), number()).prop_map(|(epoch, sent)| Body::Heartbeat { epoch, sent }),
-        echo.prop_map(|(epoch, sent, granted, promised, view_epoch, (fit, leaving, settled))| Body::Echo {
-            epoch,
-            sent,
-            granted,
-            promised,
-            view_epoch,
-            fit,
-            leaving,
-            settled,
-        }),
-        number().prop_map(|epoch| Body::Poll { epoch }),
-        (number(), any::<bool>(), option::of(ballot()), option::of(known_view()))
-            .prop_map(|(epoch, granted, promised, view)| Body::PollReply { epoch, granted, promised, view }),
+        echo.prop_map(
+            |(epoch, sent, granted, promised, view_epoch, (healthy, shutting_down, activation_durable))| {
+                Body::HeartbeatReply {
+                    epoch,
+                    sent,
+                    granted,
+                    promised,
+                    view_epoch,
+                    healthy,
+                    shutting_down,
+                    activation_durable,
+                }
+            }
+        ),
+        number().prop_map(|epoch| Body::PreVote { epoch }),
+        (number(), any::<bool>(), option::of(proposal_number()), option::of(known_view())).prop_map(
+            |(epoch, granted, promised, view)| Body::PreVoteReply { epoch, granted, promised, view }
+        ),
     ]
     .boxed()
 }
 
 fn election_body() -> BoxedStrategy<Body> {
-    let prepare = (number(), option::of(position()), option::of(ballot()));
+    let prepare = (number(), option::of(position()), option::of(proposal_number()));
     let promise =
         (number(), option::of(known_view()), option::of(position()), option::of(data()), any::<bool>());
-    let refuse = (number(), option::of(ballot()), option::of(known_view()));
+    let refuse = (number(), option::of(proposal_number()), option::of(known_view()));
     prop_oneof![
         prepare.prop_map(|(epoch, position, released)| Body::Prepare { epoch, position, released }),
-        promise.prop_map(|(epoch, view, position, data, fit)| Body::Promise {
+        promise.prop_map(|(epoch, view, position, data, healthy)| Body::Promise {
             epoch,
             view,
             position,
             data,
-            fit
+            healthy,
         }),
-        refuse.prop_map(|(epoch, promised, view)| Body::Refuse { epoch, promised, view }),
+        refuse.prop_map(|(epoch, promised, view)| Body::Reject { epoch, promised, view }),
     ]
     .boxed()
 }
@@ -181,14 +186,14 @@
 fn view_body() -> BoxedStrategy<Body> {
     let install = (number(), number(), position(), number(), option::of(control_state()));
     prop_oneof![
-        install.prop_map(|(epoch, sequence, source, attempt, state)| Body::Install {
+        install.prop_map(|(epoch, sequence, source, attempt, state)| Body::InstallSnapshot {
             epoch,
             sequence,
             source,
             attempt,
             state: state.map(Arc::new),
         }),
-        (number(), any::<bool>(), number()).prop_map(|(epoch, complete, attempt)| Body::Installed {
+        (number(), any::<bool>(), number()).prop_map(|(epoch, complete, attempt)| Body::SnapshotInstalled {
             epoch,
             complete,
             attempt
@@ -202,7 +207,7 @@
         }),
         (number(), number()).prop_map(|(epoch, sequence)| Body::Replicated { epoch, sequence }),
         (member(), any::<bool>()).prop_map(|(member, first_boot)| Body::Join { member, first_boot }),
-        ballot().prop_map(|released| Body::TakeOver { released }),
+        proposal_number().prop_map(|released| Body::TransferLeadership { released }),
     ]
     .boxed()
 }
--- a/proto/tests/messages.rs
+++ b/proto/tests/messages.rs
@@ -7,7 +7,8 @@
 use common::*;
 use googletest::prelude::*;
 use gradepaddle_control::{
-    ACCEPTED_KEPT, Ballot, Change, ControlState, Data, KnownView, Member, Position, Record, View,
+    ACCEPTED_HISTORY_ENTRIES, Change, ControlState, Data, KnownView, LogPosition, Member, ProposalNumber,
+    Record, View,
 };
 use gradepaddle_proto::{
     Content, ControlCall, Decode, DecodeError, Encode, Envelope, FieldWriter, Forward, Forwarded, Identity,
@@ -48,7 +49,7 @@
 }
 
 round_trips! {
-    ballots_come_back: ballot(),
+    ballots_come_back: proposal_number(),
     positions_come_back: position(),
     members_come_back: member(),
     views_come_back: view(),
@@ -75,8 +76,8 @@
 
 /// Reads bytes as every type there is. What is read can be written, and comes back the same.
 fn read_as_everything(bytes: &[u8]) -> std::result::Result<(), TestCaseError> {
-    stable::<Ballot>(bytes)?;
-    stable::<Position>(bytes)?;
+    stable::<ProposalNumber>(bytes)?;
+    stable::<LogPosition>(bytes)?;
     stable::<Member>(bytes)?;
     stable::<View>(bytes)?;
     stable::<KnownView>(bytes)?;
@@ -290,10 +291,10 @@
         body: Arc::from([]),
         fingerprint: u128::from(version) << 64 | 0xFEED,
     };
-    let changes = 1..=ACCEPTED_KEPT as u64 + 5;
+    let changes = 1..=ACCEPTED_HISTORY_ENTRIES as u64 + 5;
     let state = changes.fold(ControlState::default(), |state, version| state.after(&put(version)));
     let bytes = state.to_bytes();
     expect_that!(bytes.len(), lt(HISTORY_AT_MOST));
-    println!("{ACCEPTED_KEPT} accepted orders: {} bytes", bytes.len());
+    println!("{ACCEPTED_HISTORY_ENTRIES} accepted orders: {} bytes", bytes.len());
     expect_that!(ControlState::from_bytes(&bytes), ok(eq(&state)));
 }
--- a/store/src/snapshot.rs
+++ b/store/src/snapshot.rs
@@ -1,6 +1,6 @@
 //! What the frames of the file hold: records, and in the first frame the identity besides.
 
-use gradepaddle_control::{Record, Recovered, ReplicaId};
+use gradepaddle_control::{Record, RecoveredState, ReplicaId};
 use gradepaddle_proto::{Decode, DecodeError, Encode, FieldWriter, Fields};
 
 /// Field of the identity, in the first frame only.
@@ -17,10 +17,10 @@
 
 impl Entry {
     /// Everything that was recovered or written so far.
-    pub fn snapshot(kept: &Recovered) -> Entry {
+    pub fn snapshot(kept: &RecoveredState) -> Entry {
         let mut records: Vec<Record> = kept.promised.map(Record::Promise).into_iter().collect();
         records.extend(kept.view.clone().map(Record::View));
-        records.extend(kept.data.clone().map(Record::Whole));
+        records.extend(kept.data.clone().map(Record::Snapshot));
         Entry { id: Some(kept.id), records }
     }
 }
--- a/store/src/storage.rs
+++ b/store/src/storage.rs
@@ -2,7 +2,7 @@
 
 use std::{io, path::Path};
 
-use gradepaddle_control::{Record, Recovered, ReplicaId};
+use gradepaddle_control::{Record, RecoveredState, ReplicaId};
 use gradepaddle_proto::{Decode, Encode};
 use snafu::ResultExt;
 
@@ -53,7 +53,7 @@
     /// The open state.
     pub storage: Storage,
     /// What it held.
-    pub recovered: Recovered,
+    pub recovered: RecoveredState,
     /// Where it came from.
     pub origin: Origin,
 }
@@ -63,7 +63,7 @@
     folder: Box<dyn Folder>,
     limits: Limits,
     /// All that is durable.
-    kept: Recovered,
+    kept: RecoveredState,
     log: Log,
     names: Names,
 }
@@ -114,7 +114,7 @@
             let storage = Storage { folder, limits, kept: found.kept.clone(), log, names: Names::Lasting };
             return Ok(Opened { storage, recovered: found.kept, origin: Origin::Kept });
         }
-        let recovered = Recovered::empty(fresh);
+        let recovered = RecoveredState::empty(fresh);
         let log = Log::write_fresh(&*folder, &recovered).context(WriteSnafu)?;
         folder.rename(FRESH_FILE, STATE_FILE).context(WriteSnafu)?;
         folder.sync().context(WriteSnafu)?;
@@ -123,7 +123,7 @@
     }
 
     /// All that is durable.
-    pub fn kept(&self) -> &Recovered {
+    pub fn kept(&self) -> &RecoveredState {
         &self.kept
     }
 
@@ -203,7 +203,7 @@
 
 impl Log {
     /// Writes a file that holds a snapshot, durable but not yet in its place.
-    fn write_fresh(folder: &dyn Folder, kept: &Recovered) -> io::Result<Log> {
+    fn write_fresh(folder: &dyn Folder, kept: &RecoveredState) -> io::Result<Log> {
         let mut bytes = frame::head();
         let chain = frame::append(&mut bytes, frame::FIRST_CHAIN, &Entry::snapshot(kept).to_bytes());
         let mut file = folder.open(FRESH_FILE)?;
@@ -237,7 +237,7 @@
 
 /// What a file was found to hold.
 struct Found {
-    kept: Recovered,
+    kept: RecoveredState,
     length: u64,
     chain: u32,
     snapshot_length: u64,
@@ -264,7 +264,7 @@
     }
     let Some(first) = frame::read(file, frame::HEAD_BYTES, frame::FIRST_CHAIN) else { return Ok(None) };
     let Ok(Entry { id: Some(id), records }) = Entry::from_bytes(first.content) else { return Ok(None) };
-    let mut kept = Recovered::empty(id);
+    let mut kept = RecoveredState::empty(id);
     records.into_iter().for_each(|record| kept.apply(record));
     let (mut end, mut chain) = (first.end, first.chain);
     while let Some(next) = frame::read(file, end, chain) {
--- a/store/src/writer.rs
+++ b/store/src/writer.rs
@@ -5,7 +5,7 @@
     thread,
 };
 
-use gradepaddle_control::{Record, Token};
+use gradepaddle_control::{Record, WriteId};
 
 use crate::{Storage, StoreError};
 
@@ -13,7 +13,7 @@
 #[derive(Debug)]
 pub struct Done {
     /// The write.
-    pub token: Token,
+    pub write_id: WriteId,
     /// Whether it is durable.
     pub result: Result<(), StoreError>,
 }
@@ -23,7 +23,7 @@
 /// The thread ends once the writer is dropped and all that was handed over has been tried.
 #[derive(Debug, Clone)]
 pub struct Writer {
-    work: Sender<(Token, Vec<Record>)>,
+    work: Sender<(WriteId, Vec<Record>)>,
 }
 
 impl Writer {
@@ -40,18 +40,18 @@
     }
 
     /// Asks for records to be made durable.
-    pub fn write(&self, token: Token, records: Vec<Record>) {
+    pub fn write(&self, write_id: WriteId, records: Vec<Record>) {
         // The thread ends only with the last writer, so the order always finds it.
-        let _ = self.work.send((token, records));
+        let _ = self.work.send((write_id, records));
     }
 }
 
-fn write_all(mut storage: Storage, orders: &Receiver<(Token, Vec<Record>)>, done: &dyn Fn(Done)) {
-    for (token, records) in orders {
+fn write_all(mut storage: Storage, orders: &Receiver<(WriteId, Vec<Record>)>, done: &dyn Fn(Done)) {
+    for (write_id, records) in orders {
         let result = storage.append_only(records);
         let durable = result.is_ok();
         // Whoever waits for the records needn't wait for the checkpoint.
-        done(Done { token, result });
+        done(Done { write_id, result });
         if durable {
             storage.checkpoint_if_due();
         }
--- a/store/tests/crashes.rs
+++ b/store/tests/crashes.rs
@@ -7,7 +7,8 @@
 use disk::{Disk, Trouble};
 use googletest::prelude::*;
 use gradepaddle_control::{
-    Ballot, Change, ControlState, Data, KnownView, Member, Position, Record, Recovered, ReplicaId, View,
+    Change, ControlState, Data, KnownView, LogPosition, Member, ProposalNumber, Record, RecoveredState,
+    ReplicaId, View,
 };
 use gradepaddle_store::{FRESH_FILE, Limits, Origin, STATE_FILE, Storage};
 
@@ -18,7 +19,7 @@
 /// No checkpoint comes in between.
 const ROOMY: Limits = Limits { checkpoint_after: 1 << 20, log_limit: 1 << 22 };
 
-fn open(disk: &Disk, limits: Limits, fresh: ReplicaId) -> (Storage, Recovered, Origin) {
+fn open(disk: &Disk, limits: Limits, fresh: ReplicaId) -> (Storage, RecoveredState, Origin) {
     let opened = Storage::open_in(Box::new(disk.clone()), limits, fresh).expect("the disk is well");
     (opened.storage, opened.recovered, opened.origin)
 }
@@ -32,7 +33,7 @@
     let view = View {
         epoch,
         members: vec![member(1), member(2), member(3)],
-        prior: vec![member(1), member(2)],
+        previous_members: vec![member(1), member(2)],
         primary: ReplicaId(1),
         backups: vec![ReplicaId(2)],
         target_size: 3,
@@ -42,7 +43,7 @@
 
 /// The records of the n-th write.
 fn records(step: u64) -> Vec<Record> {
-    let position = Position { epoch: 1 + step / 7, sequence: step };
+    let position = LogPosition { epoch: 1 + step / 7, sequence: step };
     let put = Change::PutConfiguration {
         if_match: step,
         version: step + 1,
@@ -53,8 +54,8 @@
         0 => {
             let state = Arc::new(ControlState::default().after(&put));
             vec![
-                Record::Promise(Ballot { epoch: step, candidate: OTHER }),
-                Record::Whole(Data { position, state }),
+                Record::Promise(ProposalNumber { epoch: step, candidate: OTHER }),
+                Record::Snapshot(Data { position, state }),
             ]
         }
         1 => vec![view(step)],
@@ -64,28 +65,28 @@
             vec![Record::Changed { position, change }]
         }
         5 => vec![Record::Moved(position), view(step)],
-        _ if step.is_multiple_of(2) => vec![Record::Dropped],
+        _ if step.is_multiple_of(2) => vec![Record::SnapshotDiscarded],
         _ => Vec::new(),
     }
 }
 
-fn after(mut kept: Recovered, records: Vec<Record>) -> Recovered {
+fn after(mut kept: RecoveredState, records: Vec<Record>) -> RecoveredState {
     records.into_iter().for_each(|record| kept.apply(record));
     kept
 }
 
-fn after_steps(steps: u64) -> Recovered {
-    (0..steps).fold(Recovered::empty(ID), |kept, step| after(kept, records(step)))
+fn after_steps(steps: u64) -> RecoveredState {
+    (0..steps).fold(RecoveredState::empty(ID), |kept, step| after(kept, records(step)))
 }
 
 #[gtest]
 fn an_empty_disk_gets_the_fresh_identity_and_keeps_it() {
     let disk = Disk::new(1);
     let (_, first, origin) = open(&disk, SMALL, ID);
-    expect_that!((first, origin), eq(&(Recovered::empty(ID), Origin::New)));
+    expect_that!((first, origin), eq(&(RecoveredState::empty(ID), Origin::New)));
     disk.lose_power();
     let (_, second, origin) = open(&disk, SMALL, OTHER);
-    expect_that!((second, origin), eq(&(Recovered::empty(ID), Origin::Kept)));
+    expect_that!((second, origin), eq(&(RecoveredState::empty(ID), Origin::Kept)));
 }
 
 #[gtest]
@@ -167,7 +168,7 @@
     bytes[17] ^= 0xFF;
     disk.put(STATE_FILE, &bytes);
     let (_, found, origin) = open(&disk, ROOMY, OTHER);
-    expect_that!((found, origin), eq(&(Recovered::empty(OTHER), Origin::Damaged)));
+    expect_that!((found, origin), eq(&(RecoveredState::empty(OTHER), Origin::Damaged)));
 }
 
 #[gtest]
@@ -214,7 +215,7 @@
     for seed in 0..3_000 {
         let disk = Disk::new(seed);
         let (mut storage, ..) = open(&disk, SMALL, ID);
-        let mut kept = Recovered::empty(ID);
+        let mut kept = RecoveredState::empty(ID);
         let mut doubtful = Vec::new();
         for step in 0..60 {
             let (strikes, kind, falls) = disk.dice();
--- a/store/tests/golden.rs
+++ b/store/tests/golden.rs
@@ -20,8 +20,8 @@
 use disk::Disk;
 use googletest::prelude::*;
 use gradepaddle_control::{
-    AcceptedConfiguration, AcceptedHistory, Ballot, Change, ControlState, Data, KnownView, Member, Position,
-    Record, Recovered, ReplicaId, StoredConfiguration, View,
+    AcceptedConfiguration, AcceptedHistory, Change, ControlState, Data, KnownView, LogPosition, Member,
+    ProposalNumber, Record, RecoveredState, ReplicaId, StoredConfiguration, View,
 };
 use gradepaddle_store::{Limits, Origin, STATE_FILE, Storage};
 
@@ -41,8 +41,8 @@
     Change::PutConfiguration { if_match, version, body: Arc::from(body), fingerprint }
 }
 
-fn position(epoch: u64, sequence: u64) -> Position {
-    Position { epoch, sequence }
+fn position(epoch: u64, sequence: u64) -> LogPosition {
+    LogPosition { epoch, sequence }
 }
 
 /// A promise, a view and data with every field set.
@@ -54,7 +54,11 @@
             member(2, 2, "hal-b"),
             member(u64::MAX, 3, "hal-c"),
         ],
-        prior: vec![member(0x1122_3344_5566_7788, 1, "hal-a"), member(2, 2, "hal-b"), member(3, 4, "hal-c")],
+        previous_members: vec![
+            member(0x1122_3344_5566_7788, 1, "hal-a"),
+            member(2, 2, "hal-b"),
+            member(3, 4, "hal-c"),
+        ],
         primary: ID,
         backups: vec![ReplicaId(2), ReplicaId(u64::MAX)],
         target_size: 3,
@@ -73,9 +77,9 @@
         models: [("llama-70b".to_owned(), 12), ("qwen".to_owned(), 1)].into(),
     };
     vec![
-        Record::Promise(Ballot { epoch: 7, candidate: ID }),
+        Record::Promise(ProposalNumber { epoch: 7, candidate: ID }),
         Record::View(KnownView { view: Arc::new(view), active: false }),
-        Record::Whole(Data { position: position(7, 41), state: Arc::new(state) }),
+        Record::Snapshot(Data { position: position(7, 41), state: Arc::new(state) }),
     ]
 }
 
@@ -88,7 +92,10 @@
             change: put(300, 301, b"{\"version\":301}", u128::MAX),
         }],
         vec![Record::Changed { position: position(7, 43), change: model }],
-        vec![Record::Promise(Ballot { epoch: 9, candidate: ReplicaId(2) }), Record::Moved(position(9, 43))],
+        vec![
+            Record::Promise(ProposalNumber { epoch: 9, candidate: ReplicaId(2) }),
+            Record::Moved(position(9, 43)),
+        ],
     ]
 }
 
@@ -136,7 +143,7 @@
         Copied(path)
     }
 
-    fn recovered(&self) -> Recovered {
+    fn recovered(&self) -> RecoveredState {
         let opened = Storage::open(&self.0, OTHER).expect("an earlier version's folder can be opened");
         assert_eq!(opened.origin, Origin::Kept);
         opened.recovered
@@ -170,7 +177,7 @@
         ])
     );
     expect_that!(
-        text(&view.prior),
+        text(&view.previous_members),
         eq(&[
             "1122334455667788 10.20.0.1:7640 hal-a",
             "0000000000000002 10.20.0.2:7640 hal-b",
@@ -180,12 +187,12 @@
 }
 
 /// Asserts that all is there that was acknowledged after the three later entries.
-fn expect_all_entries(found: &Recovered) {
+fn expect_all_entries(found: &RecoveredState) {
     expect_that!(found.id, eq(ReplicaId(0x1122_3344_5566_7788)));
-    expect_that!(found.promised, some(eq(Ballot { epoch: 9, candidate: ReplicaId(2) })));
+    expect_that!(found.promised, some(eq(ProposalNumber { epoch: 9, candidate: ReplicaId(2) })));
     expect_view(found.view.as_ref());
     let data = found.data.as_ref().expect("the data was written");
-    expect_that!(data.position, eq(Position { epoch: 9, sequence: 43 }));
+    expect_that!(data.position, eq(LogPosition { epoch: 9, sequence: 43 }));
     let configuration = data.state.configuration.as_ref().expect("a configuration is in force");
     expect_that!(configuration.version, eq(301));
     expect_that!(&*configuration.body, eq(b"{\"version\":301}"));
@@ -193,7 +200,7 @@
     let models: Vec<_> =
         data.state.models.iter().map(|(model, version)| (model.as_str(), *version)).collect();
     expect_that!(models, eq(&[("llama-70b", 13), ("qwen", 1)]));
-    expect_that!(data.state.accepted.forgotten_through(), eq(2));
+    expect_that!(data.state.accepted.truncated_through(), eq(2));
     let accepted: Vec<_> =
         data.state.accepted.iter().map(|accepted| (accepted.version, accepted.fingerprint)).collect();
     expect_that!(accepted, eq(&[(3, 0x0102_0304_0506_0708_090a_0b0c_0d0e_0f10), (300, 1), (301, u128::MAX)]));
@@ -216,7 +223,10 @@
 fn discarded_data_of_an_earlier_version_stays_discarded() {
     let found = Copied::new("discarded_data").recovered();
     expect_that!(found.id, eq(ReplicaId(0x1122_3344_5566_7788)));
-    expect_that!(found.promised, some(eq(Ballot { epoch: 7, candidate: ReplicaId(0x1122_3344_5566_7788) })));
+    expect_that!(
+        found.promised,
+        some(eq(ProposalNumber { epoch: 7, candidate: ReplicaId(0x1122_3344_5566_7788) }))
+    );
     expect_view(found.view.as_ref());
     expect_that!(found.data, none());
 }
@@ -224,7 +234,7 @@
 #[gtest]
 fn a_fresh_folder_of_an_earlier_version_holds_its_identity() {
     let found = Copied::new("fresh").recovered();
-    expect_that!(found, eq(&Recovered::empty(ReplicaId(0x1122_3344_5566_7788))));
+    expect_that!(found, eq(&RecoveredState::empty(ReplicaId(0x1122_3344_5566_7788))));
 }
 
 #[gtest]
@@ -255,7 +265,7 @@
     let disk = Disk::new(2);
     let mut storage = open(&disk, ROOMY);
     storage.append(snapshot()).expect("the disk is well");
-    storage.append(vec![Record::Dropped]).expect("the disk is well");
+    storage.append(vec![Record::SnapshotDiscarded]).expect("the disk is well");
     expect_that!(hex(&disk.bytes(STATE_FILE)), eq(&hex(&golden("discarded_data"))));
 }
 
@@ -290,6 +300,6 @@
         eq("1b0000009bc53b471219080412040807102b1a0f0802180d32096c6c616d612d373062")
     );
     expect_that!(appended(vec![Record::Moved(position(9, 43))]), eq("0a00000007289c6c1208080512040809102b"));
-    expect_that!(appended(vec![Record::Dropped]), eq("0400000037831f1b12020806"));
+    expect_that!(appended(vec![Record::SnapshotDiscarded]), eq("0400000037831f1b12020806"));
     expect_that!(appended(Vec::new()), eq("00000000c46d20f5"));
 }
--- a/store/tests/long_days.rs
+++ b/store/tests/long_days.rs
@@ -6,7 +6,7 @@
 
 use disk::{Disk, Trouble};
 use googletest::prelude::*;
-use gradepaddle_control::{Change, ControlState, Data, Position, Record, Recovered, ReplicaId};
+use gradepaddle_control::{Change, ControlState, Data, LogPosition, Record, RecoveredState, ReplicaId};
 use gradepaddle_store::{FRESH_FILE, Limits, Origin, STATE_FILE, Storage};
 
 const ID: ReplicaId = ReplicaId(77);
@@ -18,7 +18,7 @@
 /// What the control state may take of it, in bytes.
 const SPACE_AT_MOST: usize = 2_000 * KILOBYTE;
 
-fn open(disk: &Disk) -> (Storage, Recovered, Origin) {
+fn open(disk: &Disk) -> (Storage, RecoveredState, Origin) {
     let opened =
         Storage::open_in(Box::new(disk.clone()), Limits::default(), OTHER).expect("the disk is well");
     (opened.storage, opened.recovered, opened.origin)
@@ -36,19 +36,19 @@
         body: body(version),
         fingerprint: u128::from(version),
     };
-    Record::Changed { position: Position { epoch: 1, sequence: version }, change }
+    Record::Changed { position: LogPosition { epoch: 1, sequence: version }, change }
 }
 
 fn begun(disk: &Disk) -> Storage {
     let opened = Storage::open_in(Box::new(disk.clone()), Limits::default(), ID).expect("the disk is well");
     let mut storage = opened.storage;
     let data =
-        Data { position: Position { epoch: 1, sequence: 0 }, state: Arc::new(ControlState::default()) };
-    storage.append(vec![Record::Whole(data)]).expect("the disk is well");
+        Data { position: LogPosition { epoch: 1, sequence: 0 }, state: Arc::new(ControlState::default()) };
+    storage.append(vec![Record::Snapshot(data)]).expect("the disk is well");
     storage
 }
 
-fn version(found: &Recovered) -> u64 {
+fn version(found: &RecoveredState) -> u64 {
     found.data.as_ref().map_or(0, |data| data.state.current_version())
 }
 
--- a/store/tests/on_a_real_folder.rs
+++ b/store/tests/on_a_real_folder.rs
@@ -3,7 +3,7 @@
 use std::{path::PathBuf, sync::mpsc::channel};
 
 use googletest::prelude::*;
-use gradepaddle_control::{Ballot, Record, ReplicaId, Token};
+use gradepaddle_control::{ProposalNumber, Record, ReplicaId, WriteId};
 use gradepaddle_store::{Origin, Storage, Writer};
 
 struct Scratch(PathBuf);
@@ -23,7 +23,7 @@
 }
 
 fn promise(epoch: u64) -> Record {
-    Record::Promise(Ballot { epoch, candidate: ReplicaId(3) })
+    Record::Promise(ProposalNumber { epoch, candidate: ReplicaId(3) })
 }
 
 #[gtest]
@@ -36,7 +36,7 @@
     let opened = Storage::open(&scratch.0, ReplicaId(6)).or_fail()?;
     expect_that!(opened.origin, eq(Origin::Kept));
     expect_that!(opened.recovered.id, eq(ReplicaId(5)));
-    expect_that!(opened.recovered.promised, some(eq(Ballot { epoch: 9, candidate: ReplicaId(3) })));
+    expect_that!(opened.recovered.promised, some(eq(ProposalNumber { epoch: 9, candidate: ReplicaId(3) })));
     Ok(())
 }
 
@@ -46,13 +46,13 @@
     let opened = Storage::open(&scratch.0, ReplicaId(5)).or_fail()?;
     let (tell, told) = channel();
     let writer = Writer::start(opened.storage, Box::new(move |done| drop(tell.send(done)))).or_fail()?;
-    for token in 1..=20 {
-        writer.write(Token(token), vec![promise(token)]);
+    for write_id in 1..=20 {
+        writer.write(WriteId(write_id), vec![promise(write_id)]);
     }
     drop(writer);
-    let done: Vec<_> = told.iter().map(|done| (done.token.0, done.result.is_ok())).collect();
-    expect_that!(done, eq(&(1..=20).map(|token| (token, true)).collect::<Vec<_>>()));
+    let done: Vec<_> = told.iter().map(|done| (done.write_id.0, done.result.is_ok())).collect();
+    expect_that!(done, eq(&(1..=20).map(|write_id| (write_id, true)).collect::<Vec<_>>()));
     let opened = Storage::open(&scratch.0, ReplicaId(6)).or_fail()?;
-    expect_that!(opened.recovered.promised.map(|ballot| ballot.epoch), some(eq(20)));
+    expect_that!(opened.recovered.promised.map(|proposal_number| proposal_number.epoch), some(eq(20)));
     Ok(())
 }
--- a/store/tests/writer.rs
+++ b/store/tests/writer.rs
@@ -13,7 +13,7 @@
 
 use disk::Disk;
 use googletest::prelude::*;
-use gradepaddle_control::{Ballot, Record, ReplicaId, Token};
+use gradepaddle_control::{ProposalNumber, Record, ReplicaId, WriteId};
 use gradepaddle_store::{Done, FRESH_FILE, Folder, Limits, OpenFile, Origin, Storage, Writer};
 
 const ID: ReplicaId = ReplicaId(7);
@@ -70,11 +70,11 @@
 
 fn promise(epoch: u64) -> Vec<Record> {
     // Longer than the snapshot, so that the checkpoint is due.
-    vec![Record::Promise(Ballot { epoch, candidate: ID }); 20]
+    vec![Record::Promise(ProposalNumber { epoch, candidate: ID }); 20]
 }
 
 fn told(answers: &Receiver<Done>) -> Option<(u64, bool)> {
-    answers.recv_timeout(PATIENCE).ok().map(|done| (done.token.0, done.result.is_ok()))
+    answers.recv_timeout(PATIENCE).ok().map(|done| (done.write_id.0, done.result.is_ok()))
 }
 
 #[gtest]
@@ -85,16 +85,16 @@
     let (tell, answers) = channel();
     let writer = Writer::start(opened.storage, Box::new(move |done| drop(tell.send(done)))).or_fail()?;
     gate.set_closed(true);
-    writer.write(Token(1), promise(5));
+    writer.write(WriteId(1), promise(5));
     expect_that!(told(&answers), some(eq((1, true))), "while the checkpoint hangs");
     gate.set_closed(false);
-    writer.write(Token(2), promise(6));
+    writer.write(WriteId(2), promise(6));
     expect_that!(told(&answers), some(eq((2, true))));
     drop(writer);
     // The channel ends with the thread.
     expect_that!(answers.recv().is_err(), eq(true));
     let found = Storage::open_in(Box::new(disk), EACH, ReplicaId(8)).or_fail()?;
     expect_that!(found.origin, eq(Origin::Kept));
-    expect_that!(found.recovered.promised.map(|ballot| ballot.epoch), some(eq(6)));
+    expect_that!(found.recovered.promised.map(|proposal_number| proposal_number.epoch), some(eq(6)));
     Ok(())
 }
--- a/system/src/effects.rs
+++ b/system/src/effects.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use gradepaddle_config::Configuration;
-use gradepaddle_control::{Record, Token};
+use gradepaddle_control::{Record, WriteId};
 use gradepaddle_controlplane::clock::Clock;
 use gradepaddle_controlplane::driver::Effects;
 use gradepaddle_controlplane::node::{Event, KeysShown, MemberNode};
@@ -146,7 +146,7 @@
         }
     }
 
-    fn persist(&self, token: Token, records: Vec<Record>) {
+    fn persist(&self, token: WriteId, records: Vec<Record>) {
         if let Some(writer) = &*self.writer.borrow() {
             writer.write(token, records);
         }
--- a/system/src/run.rs
+++ b/system/src/run.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use gradepaddle_config::Settings;
-use gradepaddle_control::{Recovered, Replica, ReplicaConfig, ReplicaId};
+use gradepaddle_control::{RecoveredState, Replica, ReplicaConfig, ReplicaId};
 use gradepaddle_controlplane::CLOCK_START;
 use gradepaddle_controlplane::clock::Clock;
 use gradepaddle_controlplane::door::serve_calls;
@@ -221,7 +221,7 @@
                     .zone(&*settings.zone)
                     .first_boot(settings.first_boot)
                     .machine_losses(settings.survive.machine_losses as usize)
-                    .leave_limit(settings.bounds.grace.saturating_sub(GRACE_MARGIN).as_micros() as u64)
+                    .shutdown_timeout(settings.bounds.grace.saturating_sub(GRACE_MARGIN).as_micros() as u64)
                     .seed(random())
                     .build();
                 let replica = Box::new(Replica::new(config, recovered, clock.now()));
@@ -238,13 +238,13 @@
 fn open_disk(
     path: &Path,
     back: &mpsc::UnboundedSender<DriverEvent>,
-) -> Result<(Writer, Recovered), StoreError> {
+) -> Result<(Writer, RecoveredState), StoreError> {
     let opened = Storage::open(path, ReplicaId(random()))?;
     let back = back.clone();
     let done = move |done: Done| {
         let input = match done.result {
-            Ok(()) => Input::Persisted(done.token),
-            Err(_) => Input::PersistFailed(done.token),
+            Ok(()) => Input::Persisted(done.write_id),
+            Err(_) => Input::PersistFailed(done.write_id),
         };
         // Without a driver nobody waits for it.
         let _ = back.send(DriverEvent::Input(input));
