--- a/proto/tests/golden.rs
+++ b/proto/tests/golden.rs
@@ -10,8 +10,8 @@
 
 use googletest::prelude::*;
 use gradepaddle_control::{
-    AcceptedConfiguration, AcceptedHistory, Ballot, Body, Change, ControlState, Data, KnownView, Member,
-    Message, Position, Record, ReplicaId, StoredConfiguration, View,
+    AcceptedConfiguration, AcceptedHistory, Body, Change, ControlState, Data, KnownView, LogPosition, Member,
+    Message, ProposalNumber, Record, ReplicaId, StoredConfiguration, View,
 };
 use gradepaddle_proto::{
     Content, ControlCall, Decode, Encode, Envelope, Forward, Forwarded, Identity, KeptPrompt, LoadShare,
@@ -67,12 +67,12 @@
     SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 1)
 }
 
-fn ballot() -> Ballot {
-    Ballot { epoch: 300, candidate: ReplicaId(2) }
+fn proposal_number() -> ProposalNumber {
+    ProposalNumber { epoch: 300, candidate: ReplicaId(2) }
 }
 
-fn position() -> Position {
-    Position { epoch: 299, sequence: 70_000 }
+fn position() -> LogPosition {
+    LogPosition { epoch: 299, sequence: 70_000 }
 }
 
 fn member(id: u64) -> Member {
@@ -83,7 +83,7 @@
     View {
         epoch: 300,
         members: vec![member(1), member(2), member(3)],
-        prior: vec![member(1), member(4)],
+        previous_members: vec![member(1), member(4)],
         primary: ReplicaId(2),
         backups: vec![ReplicaId(1), ReplicaId(3)],
         target_size: 5,
@@ -91,7 +91,14 @@
 }
 
 fn empty_view() -> View {
-    View { epoch: 0, members: vec![], prior: vec![], primary: ReplicaId(0), backups: vec![], target_size: 0 }
+    View {
+        epoch: 0,
+        members: vec![],
+        previous_members: vec![],
+        primary: ReplicaId(0),
+        backups: vec![],
+        target_size: 0,
+    }
 }
 
 fn known_view() -> KnownView {
@@ -128,10 +135,10 @@
 #[gtest]
 fn parts_of_the_control_state_keep_their_bytes() {
     let mut golden = Golden::section("state/");
-    golden.check("state/ballot", &ballot());
-    golden.check("state/ballot/default", &Ballot { epoch: 0, candidate: ReplicaId(0) });
+    golden.check("state/ballot", &proposal_number());
+    golden.check("state/ballot/default", &ProposalNumber { epoch: 0, candidate: ReplicaId(0) });
     golden.check("state/position", &position());
-    golden.check("state/position/default", &Position::default());
+    golden.check("state/position/default", &LogPosition::default());
     golden.check("state/member", &member(3));
     golden.check(
         "state/member/default",
@@ -161,13 +168,13 @@
 #[gtest]
 fn records_keep_their_bytes() {
     let mut golden = Golden::section("record/");
-    golden.check("record/promise", &Record::Promise(ballot()));
+    golden.check("record/promise", &Record::Promise(proposal_number()));
     golden.check("record/view", &Record::View(known_view()));
-    golden.check("record/whole", &Record::Whole(data()));
-    golden.check("record/whole/default", &Record::Whole(Data::default()));
+    golden.check("record/whole", &Record::Snapshot(data()));
+    golden.check("record/whole/default", &Record::Snapshot(Data::default()));
     golden.check("record/changed", &Record::Changed { position: position(), change: put() });
     golden.check("record/moved", &Record::Moved(position()));
-    golden.check("record/dropped", &Record::Dropped);
+    golden.check("record/dropped", &Record::SnapshotDiscarded);
     golden.all_seen();
 }
 
@@ -184,33 +191,33 @@
     let mut golden = Golden::section("lease/");
     golden.check("lease/heartbeat", &sent(Body::Heartbeat { epoch: 300, sent: 5_000_000 }));
     golden.check("lease/heartbeat/default", &unsent(Body::Heartbeat { epoch: 0, sent: 0 }));
-    let echo = Body::Echo {
+    let echo = Body::HeartbeatReply {
         epoch: 300,
         sent: 5_000_000,
         granted: true,
-        promised: Some(ballot()),
+        promised: Some(proposal_number()),
         view_epoch: 299,
-        fit: true,
-        leaving: true,
-        settled: true,
+        healthy: true,
+        shutting_down: true,
+        activation_durable: true,
     };
     golden.check("lease/echo", &sent(echo));
-    let echo = Body::Echo {
+    let echo = Body::HeartbeatReply {
         epoch: 0,
         sent: 0,
         granted: false,
         promised: None,
         view_epoch: 0,
-        fit: false,
-        leaving: false,
-        settled: false,
+        healthy: false,
+        shutting_down: false,
+        activation_durable: false,
     };
     golden.check("lease/echo/default", &unsent(echo));
-    golden.check("lease/poll", &sent(Body::Poll { epoch: 301 }));
-    golden.check("lease/poll/default", &unsent(Body::Poll { epoch: 0 }));
-    let (promised, view) = (Some(ballot()), Some(known_view()));
-    golden.check("lease/poll_reply", &sent(Body::PollReply { epoch: 301, granted: true, promised, view }));
-    let reply = Body::PollReply { epoch: 0, granted: false, promised: None, view: None };
+    golden.check("lease/poll", &sent(Body::PreVote { epoch: 301 }));
+    golden.check("lease/poll/default", &unsent(Body::PreVote { epoch: 0 }));
+    let (promised, view) = (Some(proposal_number()), Some(known_view()));
+    golden.check("lease/poll_reply", &sent(Body::PreVoteReply { epoch: 301, granted: true, promised, view }));
+    let reply = Body::PreVoteReply { epoch: 0, granted: false, promised: None, view: None };
     golden.check("lease/poll_reply/default", &unsent(reply));
     golden.all_seen();
 }
@@ -218,7 +225,7 @@
 #[gtest]
 fn messages_of_an_election_keep_their_bytes() {
     let mut golden = Golden::section("election/");
-    let prepare = Body::Prepare { epoch: 301, position: Some(position()), released: Some(ballot()) };
+    let prepare = Body::Prepare { epoch: 301, position: Some(position()), released: Some(proposal_number()) };
     golden.check("election/prepare", &sent(prepare));
     golden.check(
         "election/prepare/default",
@@ -229,15 +236,15 @@
         view: Some(known_view()),
         position: Some(position()),
         data: Some(data()),
-        fit: true,
+        healthy: true,
     };
     golden.check("election/promise", &sent(promise));
-    let promise = Body::Promise { epoch: 0, view: None, position: None, data: None, fit: false };
+    let promise = Body::Promise { epoch: 0, view: None, position: None, data: None, healthy: false };
     golden.check("election/promise/default", &unsent(promise));
-    let refuse = Body::Refuse { epoch: 301, promised: Some(ballot()), view: Some(known_view()) };
+    let refuse = Body::Reject { epoch: 301, promised: Some(proposal_number()), view: Some(known_view()) };
     golden.check("election/refuse", &sent(refuse));
-    golden.check("election/refuse/default", &unsent(Body::Refuse { epoch: 0, promised: None, view: None }));
-    let install = Body::Install {
+    golden.check("election/refuse/default", &unsent(Body::Reject { epoch: 0, promised: None, view: None }));
+    let install = Body::InstallSnapshot {
         epoch: 301,
         sequence: 70_000,
         source: position(),
@@ -245,13 +252,21 @@
         state: Some(Arc::new(state())),
     };
     golden.check("election/install", &sent(install));
-    let install =
-        Body::Install { epoch: 0, sequence: 0, source: Position::default(), attempt: 0, state: None };
+    let install = Body::InstallSnapshot {
+        epoch: 0,
+        sequence: 0,
+        source: LogPosition::default(),
+        attempt: 0,
+        state: None,
+    };
     golden.check("election/install/default", &unsent(install));
-    golden.check("election/installed", &sent(Body::Installed { epoch: 301, complete: true, attempt: 2 }));
+    golden.check(
+        "election/installed",
+        &sent(Body::SnapshotInstalled { epoch: 301, complete: true, attempt: 2 }),
+    );
     golden.check(
         "election/installed/default",
-        &unsent(Body::Installed { epoch: 0, complete: false, attempt: 0 }),
+        &unsent(Body::SnapshotInstalled { epoch: 0, complete: false, attempt: 0 }),
     );
     golden.check("election/accept", &sent(Body::Accept { view: known_view() }));
     let view = KnownView { view: Arc::new(empty_view()), active: false };
@@ -273,9 +288,9 @@
     golden.check("service/join", &sent(Body::Join { member: member(4), first_boot: true }));
     let member = Member { id: ReplicaId(0), address: lowest_address(), zone: "".into() };
     golden.check("service/join/default", &unsent(Body::Join { member, first_boot: false }));
-    golden.check("service/take_over", &sent(Body::TakeOver { released: ballot() }));
-    let released = Ballot { epoch: 0, candidate: ReplicaId(0) };
-    golden.check("service/take_over/default", &unsent(Body::TakeOver { released }));
+    golden.check("service/take_over", &sent(Body::TransferLeadership { released: proposal_number() }));
+    let released = ProposalNumber { epoch: 0, candidate: ReplicaId(0) };
+    golden.check("service/take_over/default", &unsent(Body::TransferLeadership { released }));
     golden.all_seen();
 }
 
