--- a/controlplane/src/node/messages.rs
+++ b/controlplane/src/node/messages.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use gradepaddle_control::{Record, Replica, Token};
-use gradepaddle_engine::ServerEntry;
+use gradepaddle_placement::ServerEntry;
 use gradepaddle_proto::{Content, Envelope};
 
 use crate::Micros;
--- a/controlplane/src/node/serving.rs
+++ b/controlplane/src/node/serving.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use gradepaddle_engine::{ModelVersion, ServerEntry, ServerState};
+use gradepaddle_placement::{ModelVersion, ServerEntry, ServerState};
 use gradepaddle_proto::{Decode, Encode, Registration};
 use gradepaddle_spread::{Item, Stamp};
 
--- a/controlplane/tests/fleet/checks.rs
+++ b/controlplane/tests/fleet/checks.rs
@@ -6,7 +6,7 @@
 
 use gradepaddle_controlplane::calls::Call;
 use gradepaddle_controlplane::node::{Input, Output};
-use gradepaddle_engine::ServerState;
+use gradepaddle_placement::ServerState;
 
 use super::calls::{Caller, Outcome};
 use super::machine::Machine;
--- a/controlplane/tests/fleet/machine.rs
+++ b/controlplane/tests/fleet/machine.rs
@@ -10,7 +10,7 @@
 use gradepaddle_controlplane::naming::VersionTimes;
 use gradepaddle_controlplane::node::{Node, NodeSetup};
 use gradepaddle_controlplane::session::OwnSession;
-use gradepaddle_engine::ServerState;
+use gradepaddle_placement::ServerState;
 use gradepaddle_proto::Identity;
 use gradepaddle_spread::{Spread, SpreadConfig};
 
--- a/controlplane/tests/fleet/world.rs
+++ b/controlplane/tests/fleet/world.rs
@@ -9,7 +9,7 @@
 use gradepaddle_controlplane::calls::Call;
 use gradepaddle_controlplane::node::{Event as NodeEvent, Input, Output};
 use gradepaddle_controlplane::rollout::{Order, OrderAnswer};
-use gradepaddle_engine::{ServerEntry, ServerState};
+use gradepaddle_placement::{ServerEntry, ServerState};
 use gradepaddle_proto::{Content, Envelope};
 
 use super::calls::{Caller, Outcome};
--- a/controlplane/tests/regressions.rs
+++ b/controlplane/tests/regressions.rs
@@ -17,7 +17,7 @@
 use gradepaddle_controlplane::rollout::{OrderAnswer, Ordered, Rollout, Servers, Step};
 use gradepaddle_controlplane::session::OwnSession;
 use gradepaddle_controlplane::sessions::{HeldSessions, Session};
-use gradepaddle_engine::ServerState;
+use gradepaddle_placement::ServerState;
 use gradepaddle_proto::{Content, Decode, Encode, Envelope};
 use gradepaddle_spread::{Aged, Item, Message, Stamp};
 use simulation::{Ending, Plan, World};
--- a/dataplane/src/admission.rs
+++ b/dataplane/src/admission.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use gradepaddle_config::{Configuration, Route, Tenant};
-use gradepaddle_engine::{Part, Wall};
 use gradepaddle_http::Head;
+use gradepaddle_placement::{CacheIsolation, PromptChunk};
 
 use crate::local_response::LocalResponse;
 
@@ -26,7 +26,7 @@
     /// The tenant that holds its key.
     pub tenant: Option<Arc<str>>,
     /// Whose parts of prompts it may meet.
-    pub wall: Wall,
+    pub wall: CacheIsolation,
     /// Its urgency, 0 first.
     pub priority: u8,
     /// How long it may be held, from its arrival.
@@ -48,7 +48,7 @@
     /// The model.
     pub model: Option<String>,
     /// The parts of its prompt, in order.
-    pub prompt: Vec<Part>,
+    pub prompt: Vec<PromptChunk>,
     /// Tokens of its prompt.
     pub prompt_tokens: u32,
     /// Tokens put out at the most.
@@ -77,8 +77,8 @@
     Ok(RoutedRequest {
         service,
         wall: match tenant {
-            Some(tenant) if tenant.isolated => Wall::Tenant(tenant.name.clone()),
-            _ => Wall::Shared(wall),
+            Some(tenant) if tenant.isolated => CacheIsolation::Tenant(tenant.name.clone()),
+            _ => CacheIsolation::Shared(wall),
         },
         priority: tenant.and_then(|tenant| tenant.priority).unwrap_or(route.priority).min(LOWEST_PRIORITY),
         tenant: tenant.map(|tenant| tenant.name.clone()),
@@ -137,13 +137,13 @@
 }
 
 /// The parts of a prompt; what can't be read ends the list.
-fn prompt_chunks(text: &str) -> Vec<Part> {
+fn prompt_chunks(text: &str) -> Vec<PromptChunk> {
     text.split(',').map_while(prompt_chunk).collect()
 }
 
-fn prompt_chunk(text: &str) -> Option<Part> {
+fn prompt_chunk(text: &str) -> Option<PromptChunk> {
     let (id, tokens) = text.trim().split_once(':')?;
-    Some(Part { id: chunk_id(id), tokens: tokens.trim().parse().ok()? })
+    Some(PromptChunk { id: chunk_id(id), tokens: tokens.trim().parse().ok()? })
 }
 
 /// A part's id as a number; one that is no hexadecimal number of 64 bits is hashed.
--- a/dataplane/src/attempt.rs
+++ b/dataplane/src/attempt.rs
@@ -1,8 +1,8 @@
 //! One attempt at one server: the request is written, the head of its answer read.
 
-use gradepaddle_engine::{Choice, LoadReport};
 use gradepaddle_http::buffers::{Chain, Pool};
 use gradepaddle_http::{Body, Connection, Fault, Framing, Head, push_headers};
+use gradepaddle_placement::{Placement, ServerLoadReport};
 
 use crate::admission::{RoutedRequest, priority_field};
 use crate::upstream_pool::PooledConnection;
@@ -62,11 +62,11 @@
     }
 
     /// The server's own account of its load.
-    pub fn load(&self) -> Option<LoadReport> {
+    pub fn load(&self) -> Option<ServerLoadReport> {
         let text = self.head.get("x-server-load")?;
         let mut numbers = text.split(',').map(|number| number.trim().parse::<u32>());
         let mut next = || numbers.next()?.ok();
-        Some(LoadReport { running: next()?, waiting: next()?, slots: next()? })
+        Some(ServerLoadReport { running: next()?, waiting: next()?, slots: next()? })
     }
 
     /// The version of weights that the answer is made by.
@@ -81,7 +81,7 @@
     pool: &Pool,
     head: &Head,
     admitted: &RoutedRequest,
-    choice: &Choice,
+    choice: &Placement,
     body: usize,
     deadline_ms: u64,
     last_event: Option<u64>,
--- a/dataplane/src/cache_events/subscriber.rs
+++ b/dataplane/src/cache_events/subscriber.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use gradepaddle_config::{Configuration, ServiceKind};
-use gradepaddle_engine::{Kept, KeptTokens, StoreChanges, holder_hash, kept_key};
+use gradepaddle_placement::{CacheEvent, CachedTokens, StoreUpdate, chunk_key, holder_hash};
 use tokio::time::{Instant, sleep};
 
 use super::calls::{CachedChunk, Event, EventClient};
@@ -42,7 +42,7 @@
         self.cache_stores.reported_alive.borrow_mut().insert(Arc::from(name), alive);
         if !alive {
             let now = self.now();
-            self.engine.borrow_mut().source_failed(now, name);
+            self.placer.borrow_mut().record_source_failure(now, name);
         }
     }
 
@@ -52,7 +52,7 @@
         let running = self.cache_stores.running.borrow();
         for (name, _) in self.cache_stores.reported_alive.borrow().iter().filter(|(_, alive)| **alive) {
             if !running.keys().any(|(listened, _)| listened == name) {
-                self.engine.borrow_mut().holder_heard(now, name);
+                self.placer.borrow_mut().record_cache_contact(now, name);
             }
         }
     }
@@ -105,7 +105,7 @@
             }
             self.report_health(false);
             let now = self.plane.now();
-            self.plane.engine.borrow_mut().source_failed(now, &self.name);
+            self.plane.placer.borrow_mut().record_source_failure(now, &self.name);
             sleep(PAUSE).await;
         }
     }
@@ -140,7 +140,7 @@
             }
             (epoch, since) = (events.epoch, events.next_token);
             let now = self.plane.now();
-            self.plane.engine.borrow_mut().holder_heard(now, &self.name);
+            self.plane.placer.borrow_mut().record_cache_contact(now, &self.name);
             self.share_changes(&events.events, reset);
             for Event(_, sign, salt, part, tokens, model) in &events.events {
                 match &**sign {
@@ -157,28 +157,28 @@
         if self.plane.cache_stores.rank.get() > 0 || (events.is_empty() && !reset) {
             return;
         }
-        let parts = events.iter().map(|Event(_, _, salt, part, tokens, _)| KeptTokens {
-            key: kept_key(salt, chunk_id(part)),
+        let parts = events.iter().map(|Event(_, _, salt, part, tokens, _)| CachedTokens {
+            key: chunk_key(salt, chunk_id(part)),
             tokens: *tokens,
         });
-        let changes = StoreChanges { store: holder_hash(&self.name), reset, parts: parts.collect() };
-        self.plane.engine.borrow_mut().tell_store_changes(changes);
+        let changes = StoreUpdate { store: holder_hash(&self.name), reset, parts: parts.collect() };
+        self.plane.placer.borrow_mut().queue_store_update(changes);
     }
 
     fn reset(&self) {
         let now = self.plane.now();
-        self.plane.engine.borrow_mut().kept_reset(now, &self.name);
+        self.plane.placer.borrow_mut().reset_cache_holder(now, &self.name);
     }
 
     fn added(&self, salt: &str, part: &str, tokens: u32, model: &str) {
-        let kept = Kept::Added { salt, part: chunk_id(part), tokens, model };
+        let kept = CacheEvent::Added { salt, part: chunk_id(part), tokens, model };
         let now = self.plane.now();
-        self.plane.engine.borrow_mut().kept_event(now, &self.name, kept);
+        self.plane.placer.borrow_mut().apply_cache_event(now, &self.name, kept);
     }
 
     fn dropped(&self, salt: &str, part: &str, tokens: u32, model: &str) {
-        let kept = Kept::Dropped { salt, part: chunk_id(part), tokens, model };
+        let kept = CacheEvent::Dropped { salt, part: chunk_id(part), tokens, model };
         let now = self.plane.now();
-        self.plane.engine.borrow_mut().kept_event(now, &self.name, kept);
+        self.plane.placer.borrow_mut().apply_cache_event(now, &self.name, kept);
     }
 }
--- a/dataplane/src/data_plane.rs
+++ b/dataplane/src/data_plane.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use gradepaddle_config::{Configuration, Service, ServiceKind};
-use gradepaddle_engine::{AttemptId, Engine, Micros, ModelService, ServiceSpec, StoreService};
 use gradepaddle_http::buffers::Pool;
+use gradepaddle_placement::{AttemptId, CacheStoreService, Micros, ModelService, Placer, ServiceSpec};
 use slog::{Logger, info};
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout, timeout_at};
@@ -34,7 +34,7 @@
 /// What the data plane is told at its start.
 pub struct Setup {
     /// Placement of generations.
-    pub engine: Engine,
+    pub placer: Placer,
     /// Where this node stands.
     pub zone: Arc<str>,
     /// Where to log.
@@ -79,7 +79,7 @@
 /// The state that connections, attempts and the control plane share.
 pub struct DataPlane {
     /// Placement, fed by the control plane and by what attempts show.
-    pub engine: RefCell<Engine>,
+    pub placer: RefCell<Placer>,
     /// Counts since the start.
     pub counters: Counters,
     pub(crate) pool: Pool,
@@ -108,7 +108,7 @@
     /// A data plane without a configuration, which is not ready.
     pub fn new(setup: Setup) -> Rc<Self> {
         Rc::new(DataPlane {
-            engine: RefCell::new(setup.engine),
+            placer: RefCell::new(setup.placer),
             counters: Counters::default(),
             pool: Pool::default(),
             upstreams: UpstreamPool::new(),
@@ -160,7 +160,7 @@
         }
         self.shared_isolation.set(hasher.finish());
         let now = self.now();
-        self.engine.borrow_mut().set_services(now, services(&configuration));
+        self.placer.borrow_mut().set_services(now, services(&configuration));
         info!(self.log, "configuration in force"; "version" => configuration.version);
         *self.configuration.borrow_mut() = Some(Rc::new(configuration));
         self.configured.send_replace(true);
@@ -175,14 +175,14 @@
     /// Newer weights were named: nothing older may begin from `binds_in` after now.
     pub fn announce_version(&self, model: &str, version: u64, binds_in: Micros) {
         let binds_at = self.now() + binds_in;
-        self.engine.borrow_mut().name_version(binds_at, model, version);
+        self.placer.borrow_mut().announce_version(binds_at, model, version);
         self.versions_changed.send_replace(());
     }
 
     /// The time within which a version has to be in use began anew: it ends `binds_in` after now.
     pub fn postpone_version(&self, model: &str, version: u64, binds_in: Micros) {
         let binds_at = self.now() + binds_in;
-        self.engine.borrow_mut().postpone_version(binds_at, model, version);
+        self.placer.borrow_mut().extend_version_deadline(binds_at, model, version);
         self.versions_changed.send_replace(());
     }
 
@@ -191,7 +191,7 @@
         let mut changes = self.versions_changed.subscribe();
         loop {
             // The sender lives as long as this does: a change or a time-out ends each wait.
-            let by = self.engine.borrow().must_begin_by(attempt);
+            let by = self.placer.borrow().start_deadline(attempt);
             match by {
                 Some(by) if by <= self.now() => return,
                 Some(by) => {
@@ -332,7 +332,7 @@
             })
         }
         ServiceKind::Store { address, zone, cache_tokens, link_mbps, .. } => ServiceSpec::Store(
-            StoreService::builder()
+            CacheStoreService::builder()
                 .name(service.name.clone())
                 .address(*address)
                 .zone(zone.clone())
--- a/dataplane/src/lib.rs
+++ b/dataplane/src/lib.rs
@@ -1,6 +1,6 @@
 //! The data plane of a node: client connections, routes and tenants, attempts at model servers, streams.
 //!
-//! Everything runs on one thread. Decisions come from `gradepaddle-engine`, the configuration from
+//! Everything runs on one thread. Decisions come from `gradepaddle-placement`, the configuration from
 //! `gradepaddle-config`; this package owns the sockets. No other process is asked for an ordinary request.
 
 mod admission;
--- a/dataplane/src/load_reports/content.rs
+++ b/dataplane/src/load_reports/content.rs
@@ -1,6 +1,6 @@
 //! What a message of loads holds: the engine's figures as they travel, and which are believed.
 
-use gradepaddle_engine::{KeptTokens, OwnLoad, Part, Sighting, StoreChanges};
+use gradepaddle_placement::{CachedTokens, LocalLoad, PrefillReport, PromptChunk, StoreUpdate};
 use gradepaddle_proto::{KeptPrompt, LoadShare, PromptPart, ServerShare, StoreReport};
 
 use super::resend_window::ResendWindow;
@@ -27,20 +27,20 @@
     ResendWindow::new(STORE_REPORTS_MOST)
 }
 
-pub(super) fn store_report(changes: &StoreChanges) -> StoreReport {
+pub(super) fn store_report(changes: &StoreUpdate) -> StoreReport {
     let parts = changes.parts.iter().take(CHANGED_PARTS_MOST);
-    let StoreChanges { store, reset, .. } = *changes;
+    let StoreUpdate { store, reset, .. } = *changes;
     let parts = parts.map(|part| PromptPart { id: part.key, tokens: part.tokens }).collect();
     StoreReport { store, reset, parts }
 }
 
-pub(super) fn store_changes(report: &StoreReport) -> StoreChanges {
-    let parts = report.parts.iter().map(|part| KeptTokens { key: part.id, tokens: part.tokens });
+pub(super) fn store_changes(report: &StoreReport) -> StoreUpdate {
+    let parts = report.parts.iter().map(|part| CachedTokens { key: part.id, tokens: part.tokens });
     let StoreReport { store, reset, .. } = *report;
-    StoreChanges { store, reset, parts: parts.collect() }
+    StoreUpdate { store, reset, parts: parts.collect() }
 }
 
-pub(super) fn share(load: OwnLoad) -> ServerShare {
+pub(super) fn share(load: LocalLoad) -> ServerShare {
     ServerShare {
         server: load.server,
         backlog_ms: load.backlog_ms.max(0.0) as u32,
@@ -49,8 +49,8 @@
     }
 }
 
-pub(super) fn own_load(share: &ServerShare) -> OwnLoad {
-    OwnLoad {
+pub(super) fn own_load(share: &ServerShare) -> LocalLoad {
+    LocalLoad {
         server: share.server,
         backlog_ms: f64::from(share.backlog_ms),
         running: share.running,
@@ -58,16 +58,16 @@
     }
 }
 
-pub(super) fn kept_prompt(sighting: &Sighting) -> KeptPrompt {
+pub(super) fn kept_prompt(sighting: &PrefillReport) -> KeptPrompt {
     let parts = sighting.parts.iter().map(|part| PromptPart { id: part.id, tokens: part.tokens });
-    let Sighting { server, key, version, salt, .. } = *sighting;
+    let PrefillReport { server, key, version, salt, .. } = *sighting;
     KeptPrompt { server, key, version, salt, parts: parts.collect() }
 }
 
-pub(super) fn sighting(kept: &KeptPrompt) -> Sighting {
-    let parts = kept.parts.iter().map(|part| Part { id: part.id, tokens: part.tokens });
+pub(super) fn sighting(kept: &KeptPrompt) -> PrefillReport {
+    let parts = kept.parts.iter().map(|part| PromptChunk { id: part.id, tokens: part.tokens });
     let KeptPrompt { server, key, version, salt, .. } = *kept;
-    Sighting { server, key, version, salt, parts: parts.collect() }
+    PrefillReport { server, key, version, salt, parts: parts.collect() }
 }
 
 /// True if others need not be told: what is read meanwhile they count down themselves.
--- a/dataplane/src/load_reports/mod.rs
+++ b/dataplane/src/load_reports/mod.rs
@@ -133,9 +133,9 @@
 
 fn send_report(plane: &DataPlane, socket: &UdpSocket, own: SocketAddrV4, last: &mut LastReport) {
     let now = plane.now();
-    let servers: Vec<ServerShare> = plane.engine.borrow().own_loads(now).into_iter().map(share).collect();
-    let fresh = plane.engine.borrow_mut().take_sightings();
-    let changed = plane.engine.borrow_mut().take_store_changes();
+    let servers: Vec<ServerShare> = plane.placer.borrow().local_loads(now).into_iter().map(share).collect();
+    let fresh = plane.placer.borrow_mut().take_prefill_reports();
+    let changed = plane.placer.borrow_mut().take_store_updates();
     let news = !fresh.is_empty() || !changed.is_empty();
     last.quiet += 1;
     if same(&servers, &last.servers) && !news && last.quiet < QUIET_SPANS {
@@ -220,12 +220,12 @@
     let peer = u64::from(u32::from(*origin.ip())) << 16 | u64::from(origin.port());
     let now = plane.now();
     let loads = message.servers.iter().map(own_load).collect();
-    let mut engine = plane.engine.borrow_mut();
-    let taken = engine.peer_loads(now, peer, message.sequence, loads);
+    let mut placer = plane.placer.borrow_mut();
+    let taken = placer.apply_peer_loads(now, peer, message.sequence, loads);
     if taken {
         let seen: Vec<_> = message.kept.iter().map(sighting).collect();
-        engine.peer_sightings(now, &seen);
-        message.changes.iter().for_each(|report| engine.peer_store_changes(now, &store_changes(report)));
+        placer.apply_peer_prefill_reports(now, &seen);
+        message.changes.iter().for_each(|report| placer.apply_peer_store_update(now, &store_changes(report)));
     }
     taken
 }
--- a/dataplane/src/load_reports/recipients.rs
+++ b/dataplane/src/load_reports/recipients.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-use gradepaddle_engine::Micros;
+use gradepaddle_placement::Micros;
 
 /// Bytes a second that a balancer may spend in a fleet of up to so many: a sixth of the smallest machine's link.
 const BYTES_PER_S: f64 = 200_000.0;
--- a/dataplane/src/proxied_request.rs
+++ b/dataplane/src/proxied_request.rs
@@ -7,9 +7,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use gradepaddle_engine::{AttemptOutcome, Choice, Refusal, Request as Placement};
 use gradepaddle_http::buffers::Chain;
 use gradepaddle_http::{Connection, Head};
+use gradepaddle_placement::{AttemptOutcome, Placement, PlacementRequest, Rejection};
 use tokio::time::{Instant, sleep_until};
 
 use crate::admission::RoutedRequest;
@@ -63,7 +63,7 @@
 /// How one attempt ended.
 enum AttemptResult {
     /// An answer's head came.
-    Response(Box<UpstreamResponse>, Choice),
+    Response(Box<UpstreamResponse>, Placement),
     /// The request was not sent.
     NotSent,
     /// The server turned it away unseen.
@@ -80,7 +80,7 @@
     /// Carries the request out and answers its client.
     pub async fn run(&self, client: &mut Connection, close: bool) -> RequestOutcome {
         let now = self.plane.now();
-        self.plane.engine.borrow_mut().note_request(now, &self.admitted.service);
+        self.plane.placer.borrow_mut().record_request(now, &self.admitted.service);
         let mut progress = AttemptHistory::default();
         loop {
             match self.attempt(client, &mut progress, self.admitted.last_event_id).await {
@@ -144,7 +144,7 @@
         }
         let now = self.plane.now();
         progress.sent < self.admitted.max_attempts
-            && self.plane.engine.borrow_mut().may_repeat(now, &self.admitted.service)
+            && self.plane.placer.borrow_mut().may_retry(now, &self.admitted.service)
     }
 
     /// True if a server's failure is better tried again elsewhere than passed on.
@@ -152,13 +152,19 @@
         upstream.status >= 500 && self.admitted.idempotent && self.may_send(progress)
     }
 
-    fn discard_response(&self, upstream: &UpstreamResponse, choice: &Choice) {
+    fn discard_response(&self, upstream: &UpstreamResponse, choice: &Placement) {
         let (now, load) = (self.plane.now(), upstream.load());
-        self.plane.engine.borrow_mut().ended(now, choice.attempt, AttemptOutcome::ServerError, load, None);
+        self.plane.placer.borrow_mut().record_end(
+            now,
+            choice.attempt,
+            AttemptOutcome::ServerError,
+            load,
+            None,
+        );
     }
 
-    fn placement(&self, resumed_from: Option<u64>) -> Placement<'_> {
-        Placement {
+    fn placement(&self, resumed_from: Option<u64>) -> PlacementRequest<'_> {
+        PlacementRequest {
             service: &self.admitted.service,
             model: self.admitted.model.as_deref(),
             parts: &self.admitted.prompt,
@@ -179,13 +185,13 @@
         client: &Connection,
         progress: &mut AttemptHistory,
         last_event: Option<u64>,
-    ) -> Result<AttemptResult, Refusal> {
+    ) -> Result<AttemptResult, Rejection> {
         let deadline = self.deadline();
         if Instant::now() >= deadline {
             return Ok(AttemptResult::DeadlineExceeded);
         }
         let now = self.plane.now();
-        let choice = self.plane.engine.borrow_mut().choose(
+        let choice = self.plane.placer.borrow_mut().place(
             now,
             &self.placement(last_event),
             &progress.tried_servers,
@@ -262,7 +268,7 @@
     /// Connects, writes the request and waits for the head of the answer.
     async fn send(
         &self,
-        choice: &Choice,
+        choice: &Placement,
         progress: &mut AttemptHistory,
         last_event: Option<u64>,
         deadline: Instant,
@@ -272,7 +278,7 @@
             return SendResult::ConnectFailed;
         };
         // A drain binds when the request is written, and the connection may have taken its time.
-        if !plane.engine.borrow().takes_requests(&choice.server) {
+        if !plane.placer.borrow().accepts_requests(&choice.server) {
             return SendResult::ServerDraining;
         }
         if Instant::now() >= deadline {
@@ -291,7 +297,7 @@
         progress.sent += 1;
         if progress.sent > 1 {
             let now = plane.now();
-            plane.engine.borrow_mut().note_repeat(now, &self.admitted.service);
+            plane.placer.borrow_mut().record_retry(now, &self.admitted.service);
             count(&plane.counters.retries);
         }
         let idle = lease.idle;
@@ -309,7 +315,7 @@
         &self,
         client: &mut Connection,
         upstream: UpstreamResponse,
-        choice: Choice,
+        choice: Placement,
         progress: &mut AttemptHistory,
         close: bool,
     ) -> RequestOutcome {
@@ -350,7 +356,7 @@
         client: &Connection,
         progress: &mut AttemptHistory,
         from: Option<Option<u64>>,
-    ) -> Option<(UpstreamResponse, Choice)> {
+    ) -> Option<(UpstreamResponse, Placement)> {
         let from = from?;
         loop {
             if !self.may_send(progress) || Instant::now() >= self.deadline() {
@@ -373,11 +379,11 @@
         &self,
         client: &mut Connection,
         progress: &AttemptHistory,
-        refusal: Refusal,
+        refusal: Rejection,
         close: bool,
     ) -> RequestOutcome {
         let pause = match refusal {
-            Refusal::NoServer { retry_after } | Refusal::Overloaded { retry_after } => retry_after,
+            Rejection::NoServer { retry_after } | Rejection::Overloaded { retry_after } => retry_after,
         };
         self.respond_unless_run(
             client,
@@ -445,15 +451,15 @@
 /// Tells the engine of an attempt's end, at the latest when it is dropped.
 struct AttemptGuard<'a> {
     plane: &'a Rc<DataPlane>,
-    choice: &'a Choice,
+    choice: &'a Placement,
     ended: bool,
 }
 
 impl AttemptGuard<'_> {
-    fn end(&mut self, outcome: AttemptOutcome, load: Option<gradepaddle_engine::LoadReport>) {
+    fn end(&mut self, outcome: AttemptOutcome, load: Option<gradepaddle_placement::ServerLoadReport>) {
         if !std::mem::replace(&mut self.ended, true) {
             let now = self.plane.now();
-            self.plane.engine.borrow_mut().ended(now, self.choice.attempt, outcome, load, None);
+            self.plane.placer.borrow_mut().record_end(now, self.choice.attempt, outcome, load, None);
         }
     }
 }
--- a/dataplane/src/response_forwarding.rs
+++ b/dataplane/src/response_forwarding.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use gradepaddle_engine::{AttemptOutcome, Choice, OutdatedBegin, OwnPause};
 use gradepaddle_http::buffers::Chain;
 use gradepaddle_http::{Connection, Framing, chunk, push_framing, push_headers};
+use gradepaddle_placement::{AttemptOutcome, OutdatedStart, Placement, StreamPause};
 use slog::warn;
 use tokio::time::{Instant, sleep_until};
 
@@ -38,7 +38,7 @@
     admitted: &'a RoutedRequest,
     /// The answer; none once its connection can take another request.
     upstream: Option<UpstreamResponse>,
-    choice: Choice,
+    choice: Placement,
     deadline: Instant,
     close: bool,
     /// The client knows no chunks.
@@ -73,7 +73,7 @@
         plane: &'a Rc<DataPlane>,
         admitted: &'a RoutedRequest,
         upstream: UpstreamResponse,
-        choice: Choice,
+        choice: Placement,
         deadline: Instant,
         (close, old): (bool, bool),
     ) -> Self {
@@ -104,7 +104,7 @@
     }
 
     /// Goes on with another server's answer, of which the head is not passed on.
-    pub fn resume_with(&mut self, upstream: UpstreamResponse, choice: Choice) {
+    pub fn resume_with(&mut self, upstream: UpstreamResponse, choice: Placement) {
         self.upstream = Some(upstream);
         self.choice = choice;
         self.started = false;
@@ -190,11 +190,11 @@
             self.started = true;
             let (now, attempt) = (self.plane.now(), self.choice.attempt);
             let reported = self.upstream.as_ref().and_then(UpstreamResponse::version);
-            let mut engine = self.plane.engine.borrow_mut();
-            if let Some(outdated) = engine.begun_outdated(now, attempt, reported) {
+            let mut placer = self.plane.placer.borrow_mut();
+            if let Some(outdated) = placer.outdated_start(now, attempt, reported) {
                 self.warn_outdated(outdated);
             }
-            engine.first_event(now, attempt);
+            placer.record_first_event(now, attempt);
         }
         let Some(events) = &mut self.events else { return bytes };
         let mut whole = Vec::new();
@@ -205,7 +205,7 @@
         if let (Some(version), Some(model)) = (events.take_version(), &self.admitted.model) {
             let now = self.plane.now();
             let server: &Arc<str> = &self.choice.server;
-            self.plane.engine.borrow_mut().observe_version(now, server, model, version);
+            self.plane.placer.borrow_mut().observe_version(now, server, model, version);
         }
         if !whole.is_empty() {
             self.gaps.events_came(Instant::now());
@@ -219,12 +219,12 @@
     fn report_longest_gap(&self) {
         if let Some(longest) = self.gaps.longest {
             let longest = longest.as_micros() as u64;
-            let pause = OwnPause { service: &self.admitted.service, longest };
-            self.plane.engine.borrow_mut().observe_pause(pause);
+            let pause = StreamPause { service: &self.admitted.service, longest };
+            self.plane.placer.borrow_mut().observe_stream_pause(pause);
         }
     }
 
-    fn warn_outdated(&self, begin: OutdatedBegin) {
+    fn warn_outdated(&self, begin: OutdatedStart) {
         warn!(self.plane.log, "request begun on outdated weights"; "server" => &*self.choice.server,
             "version" => begin.version, "binding" => begin.binding, "waited_ms" => begin.waited / MILLISECOND);
     }
@@ -266,11 +266,11 @@
         let failed = upstream.status >= 500 && outcome == AttemptOutcome::Served;
         let outcome = if failed { AttemptOutcome::ServerError } else { outcome };
         let (now, load) = (self.plane.now(), upstream.load());
-        let mut engine = self.plane.engine.borrow_mut();
+        let mut placer = self.plane.placer.borrow_mut();
         if let (Some(version), Some(model)) = (upstream.version(), &self.admitted.model) {
-            engine.observe_version(now, &self.choice.server, model, version);
+            placer.observe_version(now, &self.choice.server, model, version);
         }
-        engine.ended(now, self.choice.attempt, outcome, load, None);
+        placer.record_end(now, self.choice.attempt, outcome, load, None);
     }
 }
 
--- a/dataplane/tests/adversary/main.rs
+++ b/dataplane/tests/adversary/main.rs
@@ -18,7 +18,7 @@
 use client::Caller;
 use common::configuration::SERVICE;
 use common::{Options, World};
-use gradepaddle_engine::ServerState;
+use gradepaddle_placement::ServerState;
 use history::{Counts, KINDS, Ledger};
 use server::Server;
 use tokio::task::{JoinSet, yield_now};
@@ -69,7 +69,7 @@
         }
         yield_now().await;
     }
-    if world.plane.open_requests() > 0 || world.plane.engine.borrow().in_flight() > 0 {
+    if world.plane.open_requests() > 0 || world.plane.placer.borrow().in_flight() > 0 {
         ledger.broke("requests are open though all clients have gone".to_owned());
     }
     let verdict = ledger.verdict();
--- a/dataplane/tests/attempts.rs
+++ b/dataplane/tests/attempts.rs
@@ -12,7 +12,7 @@
 use common::*;
 use googletest::prelude::*;
 use gradepaddle_dataplane::DataPlane;
-use gradepaddle_engine::ServerState;
+use gradepaddle_placement::ServerState;
 use tokio::time::Instant;
 
 /// An answer that begins and breaks off within its head.
@@ -282,7 +282,7 @@
         for _ in 0..12 {
             expect_that!(world.ask(&Ask::post("/unsafe-once/x")).await.status, eq(200));
         }
-        expect_that!(world.plane.engine.borrow().counters().choices, gt(12), "the dead one was never chosen");
+        expect_that!(world.plane.placer.borrow().counters().choices, gt(12), "the dead one was never chosen");
         expect_that!(world.plane.counters.retries.get(), eq(0));
         let world = World::of_servers(&[], vec![]).await;
         world.tell("dead", SERVICE, dead, ServerState::Ready);
@@ -343,7 +343,7 @@
 async fn chosen(plane: Rc<DataPlane>) -> String {
     poll_fn(|context| {
         let now = plane.now();
-        let chosen = plane.engine.borrow().servers(now).find(|server| server.in_flight > 0);
+        let chosen = plane.placer.borrow().server_statuses(now).find(|server| server.in_flight > 0);
         match chosen {
             Some(server) => Poll::Ready(server.id.to_string()),
             None => {
--- a/dataplane/tests/cache_events.rs
+++ b/dataplane/tests/cache_events.rs
@@ -9,9 +9,9 @@
 use googletest::prelude::*;
 use gradepaddle_dataplane::load_reports::recipients::Peer;
 use gradepaddle_dataplane::send_load_reports;
-use gradepaddle_engine::{holder_hash, kept_key};
 use gradepaddle_http::Connection;
 use gradepaddle_http::buffers::Pool;
+use gradepaddle_placement::{chunk_key, holder_hash};
 use gradepaddle_proto::{Decode, LoadShare, StoreReport};
 use serde_json::json;
 use tokio::net::{TcpListener, UdpSocket};
@@ -91,7 +91,7 @@
         let [report, reset] = &reports(&other, 2).await[..] else { panic!("two are told") };
         let parts: Vec<_> = report.parts.iter().map(|part| (part.id, part.tokens)).collect();
         expect_that!((report.store, report.reset), eq((holder_hash(STORE), false)));
-        expect_that!(parts, eq(&[(kept_key(SALT, 0xa1), 64), (kept_key(SALT, 0xb2), 0)]));
+        expect_that!(parts, eq(&[(chunk_key(SALT, 0xa1), 64), (chunk_key(SALT, 0xb2), 0)]));
         expect_that!((reset.reset, reset.parts.len()), eq((true, 0)));
     });
 }
@@ -105,7 +105,7 @@
         let (world, other) = listening(1, vec![list, events]).await;
         let mut bytes = vec![0; 64 * 1024];
         // Told each second at the latest: what was heard before it would be in it.
-        while world.plane.engine.borrow().table_sizes().1 == 0 {
+        while world.plane.placer.borrow().table_sizes().1 == 0 {
             tokio::task::yield_now().await;
         }
         let length = other.recv(&mut bytes).await.expect("a datagram");
--- a/dataplane/tests/common/harness.rs
+++ b/dataplane/tests/common/harness.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use gradepaddle_dataplane::{DataPlane, Setup, serve_clients, serve_readiness};
-use gradepaddle_engine::{Engine, EngineConfig, Micros, ModelVersion, ServerEntry, ServerState};
+use gradepaddle_placement::{Micros, ModelVersion, PlacementConfig, Placer, ServerEntry, ServerState};
 use serde_json::Value;
 use slog::{Discard, Logger, o};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -65,7 +65,7 @@
     }
 
     pub async fn with(options: Options, plays: Vec<Play>) -> Self {
-        let config = EngineConfig::builder()
+        let config = PlacementConfig::builder()
             .own_zone("here")
             .seed(7)
             .retry_slack(options.retry_slack)
@@ -73,7 +73,7 @@
             .begin_margin(options.begin_margin)
             .build();
         let plane = DataPlane::new(Setup {
-            engine: Engine::new(config),
+            placer: Placer::new(config),
             zone: "".into(),
             log: Logger::root(Discard, o!()),
         });
@@ -121,7 +121,7 @@
             warmup_left: 0,
             models: vec![ModelVersion { model: Arc::from(MODEL), version: FIRST_VERSION }],
         };
-        self.plane.engine.borrow_mut().set_server(self.plane.now(), entry);
+        self.plane.placer.borrow_mut().update_server(self.plane.now(), entry);
     }
 
     /// Tells the node that a server's state is another now.
--- a/dataplane/tests/connection_faults.rs
+++ b/dataplane/tests/connection_faults.rs
@@ -11,7 +11,7 @@
 use common::servers::v4;
 use common::*;
 use googletest::prelude::*;
-use gradepaddle_engine::ServerState;
+use gradepaddle_placement::ServerState;
 use serde_json::json;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
--- a/dataplane/tests/golden.rs
+++ b/dataplane/tests/golden.rs
@@ -16,7 +16,7 @@
 use googletest::prelude::*;
 use gradepaddle_dataplane::load_reports::recipients::Peer;
 use gradepaddle_dataplane::{DataPlane, ForwardedReport, KeyValidity, Phase, Setup, send_load_reports};
-use gradepaddle_engine::{Engine, EngineConfig, ServerState};
+use gradepaddle_placement::{PlacementConfig, Placer, ServerState};
 use serde_json::{Value, json};
 use slog::{Discard, Logger, o};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -505,7 +505,7 @@
 #[gtest]
 fn load_reports_that_a_node_forwards() {
     let plane = DataPlane::new(Setup {
-        engine: Engine::new(EngineConfig::builder().build()),
+        placer: Placer::new(PlacementConfig::builder().build()),
         zone: "zone-0".into(),
         log: Logger::root(Discard, o!()),
     });
--- a/dataplane/tests/load_reports.rs
+++ b/dataplane/tests/load_reports.rs
@@ -10,7 +10,7 @@
 use gradepaddle_dataplane::load_reports::recipients::{Peer, Recipient, Recipients};
 use gradepaddle_dataplane::load_reports::resend_window::ResendWindow;
 use gradepaddle_dataplane::{DataPlane, ForwardedReport, Setup, should_report_health};
-use gradepaddle_engine::{Engine, EngineConfig};
+use gradepaddle_placement::{PlacementConfig, Placer};
 use gradepaddle_proto::{Encode, KeptPrompt, LoadShare, PromptPart, ServerShare};
 use slog::{Discard, Logger, o};
 
@@ -135,7 +135,7 @@
 /// A data plane in zone 0 of a fleet of ten nodes in two zones, itself node 0.
 fn plane() -> std::rc::Rc<DataPlane> {
     let plane = DataPlane::new(Setup {
-        engine: Engine::new(EngineConfig::builder().build()),
+        placer: Placer::new(PlacementConfig::builder().build()),
         zone: zone(0, 2),
         log: Logger::root(Discard, o!()),
     });
--- a/dataplane/tests/model_versions.rs
+++ b/dataplane/tests/model_versions.rs
@@ -6,7 +6,7 @@
 use common::harness::FIRST_VERSION;
 use common::*;
 use googletest::prelude::*;
-use gradepaddle_engine::Micros;
+use gradepaddle_placement::Micros;
 
 const MS: Micros = 1_000;
 /// Within which a named version binds here, and how much sooner nothing older is placed.
@@ -29,9 +29,9 @@
 /// All servers but this one have the newer version.
 fn others_hold_newer(world: &World, server: &str) {
     let now = world.plane.now();
-    let mut engine = world.plane.engine.borrow_mut();
+    let mut placer = world.plane.placer.borrow_mut();
     for other in world.servers.iter().filter(|other| other.id != server) {
-        engine.observe_version(now, &other.id, MODEL, NEWER);
+        placer.observe_version(now, &other.id, MODEL, NEWER);
     }
 }
 
--- a/dataplane/tests/responses.rs
+++ b/dataplane/tests/responses.rs
@@ -458,7 +458,7 @@
                 world.connection_ended(arrivals[0].connection).await;
                 expect_that!(left.elapsed(), lt(Duration::from_secs(5)));
                 expect_that!(world.visited().await.len(), eq(1));
-                expect_that!(world.plane.engine.borrow().in_flight(), eq(0));
+                expect_that!(world.plane.placer.borrow().in_flight(), eq(0));
             }
         }
     });
@@ -477,7 +477,7 @@
             tokio::task::yield_now().await;
         }
         expect_that!(begun.elapsed(), lt(Duration::from_secs(5)));
-        expect_that!(world.plane.engine.borrow().in_flight(), eq(0));
+        expect_that!(world.plane.placer.borrow().in_flight(), eq(0));
         if world.stage.connections.get() > 0 {
             world.connection_ended(0).await;
         }
--- a/dataplane/tests/streams.rs
+++ b/dataplane/tests/streams.rs
@@ -227,7 +227,7 @@
     expect_that!(answer.text(), eq(&events(1..=3)), "{target}");
     expect_that!(client.end().await.1, is_empty(), "{target}");
     expect_that!(world.visited().await.len(), eq(visits), "{target}");
-    expect_that!(world.plane.engine.borrow().in_flight(), eq(0), "{target}");
+    expect_that!(world.plane.placer.borrow().in_flight(), eq(0), "{target}");
 }
 
 #[gtest]
--- a/engine/examples/decision_cost.rs
+++ b/placement/examples/decision_cost.rs
@@ -6,22 +6,22 @@
 use std::time::Instant;
 
 use common::*;
-use gradepaddle_engine::*;
+use gradepaddle_placement::*;
 
 const ROUNDS: u64 = 20_000;
 
 fn main() {
     for servers in [18u16, 140, 6_000] {
-        let mut node = engine_of(EngineConfig::builder().own_zone("a").build(), servers);
-        node.set_balancers(78);
-        let salt = choose(&mut node, 0, 0, 0).salt.expect("version known");
+        let mut node = engine_of(PlacementConfig::builder().own_zone("a").build(), servers);
+        node.set_balancer_count(78);
+        let salt = place(&mut node, 0, 0, 0).salt.expect("version known");
         // Every server keeps the four common parts and 30 subjects of its own.
         for number in 0..servers {
             let id = format!("i-{number}");
-            (1..=4).for_each(|group| node.kept_event(0, &id, added(&salt, &part(group, 2_520))));
+            (1..=4).for_each(|group| node.apply_cache_event(0, &id, added(&salt, &part(group, 2_520))));
             for subject in 0..30 {
                 let subject = 1_000 + u64::from(number) * 30 + subject;
-                node.kept_event(0, &id, added(&salt, &part(subject, 3_780)));
+                node.apply_cache_event(0, &id, added(&salt, &part(subject, 3_780)));
             }
         }
         let subjects = u64::from(servers) * 30;
@@ -30,10 +30,10 @@
         for round in 0..ROUNDS {
             // 100 requests a second; each 30 in flight.
             let now = 2_000 * MS + round * 10 * MS;
-            node.holder_heard(now, STORE);
+            node.record_cache_contact(now, STORE);
             let parts = long(gradepaddle::cost::mix(round) % subjects, round);
             let before = Instant::now();
-            let choice = node.choose(now, &request(&parts), &[]).expect("ready");
+            let choice = node.place(now, &request(&parts), &[]).expect("ready");
             times.push(before.elapsed().as_nanos() as u64);
             serve(&mut node, now, &choice);
         }
--- a/engine/examples/fleet_simulation.rs
+++ b/placement/examples/fleet_simulation.rs
@@ -10,7 +10,7 @@
     let given: Vec<f64> = std::env::args().skip(1).filter_map(|word| word.parse().ok()).collect();
     let value = |at: usize, default: f64| given.get(at).copied().unwrap_or(default);
     let times = value(2, 1.0);
-    for policy in [Policy::Engine, Policy::Random, Policy::Hash] {
+    for policy in [Policy::Placer, Policy::Random, Policy::Hash] {
         let mut sums = [0.0; 10];
         let seeds = value(6, 5.0) as u64;
         let from = value(7, 1.0) as u64;
@@ -27,8 +27,9 @@
                 seed,
             };
             let out = Simulation::new(plan).run();
-            let count =
-                |f: fn(&gradepaddle_engine::Counters) -> u64| out.counters.iter().map(f).sum::<u64>() as f64;
+            let count = |f: fn(&gradepaddle_placement::Counters) -> u64| {
+                out.counters.iter().map(f).sum::<u64>() as f64
+            };
             let figures = [
                 out.percentile(0, 0.5),
                 out.percentile(0, 0.95),
--- a/engine/src/api.rs
+++ b/placement/src/api.rs
@@ -79,7 +79,7 @@
 
 /// A store of kept parts, as configured.
 #[derive(Clone, Debug, PartialEq, TypedBuilder)]
-pub struct StoreService {
+pub struct CacheStoreService {
     /// Its name, which also names it as a holder of kept parts.
     #[builder(setter(into))]
     pub name: Arc<str>,
@@ -102,12 +102,12 @@
     /// Servers that run requests.
     Model(ModelService),
     /// A store of kept parts.
-    Store(StoreService),
+    Store(CacheStoreService),
 }
 
 /// One part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Part {
+pub struct PromptChunk {
     /// From its hexadecimal id; longer ids are hashed.
     pub id: u64,
     /// Its length.
@@ -116,7 +116,7 @@
 
 /// Whose kept parts a request may use.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Wall {
+pub enum CacheIsolation {
     /// Those of all tenants that are not isolated; the number is a hash of the set of isolated ones, so that parts
     /// made before a change of that set are left behind.
     Shared(u64),
@@ -126,13 +126,13 @@
 
 /// What the choice of a server depends on.
 #[derive(Clone, Debug)]
-pub struct Request<'a> {
+pub struct PlacementRequest<'a> {
     /// The service that its route leads to.
     pub service: &'a str,
     /// The model that it names.
     pub model: Option<&'a str>,
     /// The parts of its prompt in order; the last belongs to the request or its session.
-    pub parts: &'a [Part],
+    pub parts: &'a [PromptChunk],
     /// Tokens of the prompt.
     pub tokens_in: u32,
     /// The most tokens that it may generate.
@@ -146,28 +146,28 @@
     /// What is left of its deadline.
     pub time_left: Micros,
     /// Whose kept parts it may use.
-    pub wall: Wall,
+    pub wall: CacheIsolation,
     /// The event after which a stream is taken up.
     pub resumed_from: Option<u64>,
 }
 
 /// The longest pause between two events of a stream that came whole.
 #[derive(Clone, Copy, Debug)]
-pub struct OwnPause<'a> {
+pub struct StreamPause<'a> {
     /// The service that served it.
     pub service: &'a str,
     /// The pause.
     pub longest: Micros,
 }
 
-/// Names one attempt that was chosen, until it ends.
+/// Interner one attempt that was chosen, until it ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptId(pub u64);
 
 /// Where a request goes, and with which headers.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Choice {
-    /// Names the attempt in what follows; it counts as in flight until `ended`.
+pub struct Placement {
+    /// Interner the attempt in what follows; it counts as in flight until `record_end`.
     pub attempt: AttemptId,
     /// The chosen server's id (`X-Target-Server`).
     pub server: Arc<str>,
@@ -185,7 +185,7 @@
 
 /// Why no server was chosen. No attempt was made for the request, as far as this choice goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum Rejection {
     /// No server is ready, or none has the version that is due.
     NoServer {
         /// When to come back.
@@ -200,7 +200,7 @@
 
 /// An attempt whose first event came on weights that were too old by then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct OutdatedBegin {
+pub struct OutdatedStart {
     /// The version that it began on.
     pub version: u64,
     /// The oldest version that may begin.
@@ -236,7 +236,7 @@
 
 /// What `X-Server-Load` says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LoadReport {
+pub struct ServerLoadReport {
     /// Requests running.
     pub running: u32,
     /// Requests waiting.
@@ -247,12 +247,12 @@
 
 /// One event of a holder's `kv-events`. A repeat of what is known changes nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kept<'a> {
+pub enum CacheEvent<'a> {
     /// A part is kept now, with this many tokens.
     Added {
         /// The salt that it is kept under.
         salt: &'a str,
-        /// The part's id, as in `Part`.
+        /// The part's id, as in `PromptChunk`.
         part: u64,
         /// Tokens kept now.
         tokens: u32,
@@ -263,7 +263,7 @@
     Dropped {
         /// The salt that it was kept under.
         salt: &'a str,
-        /// The part's id, as in `Part`.
+        /// The part's id, as in `PromptChunk`.
         part: u64,
         /// Tokens kept now: 0 when all is gone.
         tokens: u32,
@@ -274,7 +274,7 @@
 
 /// Settings of an engine. The defaults are those of docs/placement.md.
 #[derive(Clone, Debug, PartialEq, TypedBuilder)]
-pub struct EngineConfig {
+pub struct PlacementConfig {
     /// Where this node stands.
     #[builder(default = Arc::from(""), setter(into))]
     pub own_zone: Arc<str>,
--- a/engine/src/attempts.rs
+++ b/placement/src/attempts.rs
@@ -1,13 +1,13 @@
 //! The life of an attempt: it counts as in flight from its choice to its end, and what it shows is learnt.
 
 use crate::api::*;
-use crate::choice::Pick;
-use crate::engine::Engine;
+use crate::choice::Selection;
+use crate::engine::Placer;
 use crate::fleet::STORES;
-use crate::load::{Work, ms};
-use crate::moves::{Source, read_ms};
+use crate::load::{RequestWork, ms};
+use crate::moves::{TransferSource, read_ms};
 use crate::prompt::shared;
-use crate::sightings::Sighting;
+use crate::sightings::PrefillReport;
 
 /// An attempt in flight.
 #[derive(Clone, Debug)]
@@ -16,7 +16,7 @@
     pub life: u32,
     pub service: u32,
     pub sent: Micros,
-    pub work: Work,
+    pub work: RequestWork,
     /// What the first event was expected to take, if nothing stood before it.
     pub predicted_ms: Option<f64>,
     pub first_at: Option<Micros>,
@@ -25,20 +25,20 @@
     pub version: Option<u64>,
     pub key: u64,
     pub salt: u64,
-    pub parts: Box<[Part]>,
+    pub parts: Box<[PromptChunk]>,
 }
 
-impl Engine {
+impl Placer {
     #[expect(clippy::too_many_arguments, reason = "the parts of one attempt")]
     pub(crate) fn begin(
         &mut self,
         now: Micros,
         service: usize,
         server: u32,
-        request: &Request<'_>,
-        pick: &Pick,
+        request: &PlacementRequest<'_>,
+        pick: &Selection,
         reads: u32,
-        source: Option<Source>,
+        source: Option<TransferSource>,
         (key, salt): (u64, u64),
     ) -> AttemptId {
         let own = request.tokens_in.saturating_sub(shared(request).iter().map(|part| part.tokens).sum());
@@ -47,7 +47,7 @@
         let chosen = &mut self.fleet.servers[server as usize];
         let read = read_ms(own + reads) * chosen.speed(now);
         let tokens = u64::from(request.tokens_in) + u64::from(request.tokens_out);
-        let work = Work { read_ms: read, tokens };
+        let work = RequestWork { read_ms: read, tokens };
         let moving = source.map_or(0.0, |source| source.takes_ms);
         // A first event tells of the server's speed only where no move and no other request stood before it.
         let clean = alone && source.is_none();
@@ -76,23 +76,23 @@
 
     /// Whether an attempt whose first event comes now began on an older version than the one that binds. `told` is the
     /// version that its answer bears, if any.
-    pub fn begun_outdated(
+    pub fn outdated_start(
         &mut self,
         now: Micros,
         attempt: AttemptId,
         told: Option<u64>,
-    ) -> Option<OutdatedBegin> {
+    ) -> Option<OutdatedStart> {
         let attempt = self.attempts.get(&attempt.0)?;
         let version = told.or(attempt.version)?;
         let binding = self.versions.binding(now, &self.fleet.models.name(attempt.model?));
         let waited = now.saturating_sub(attempt.sent);
-        let outdated = (version < binding).then_some(OutdatedBegin { version, binding, waited });
-        self.counters.begun_outdated += u64::from(outdated.is_some());
+        let outdated = (version < binding).then_some(OutdatedStart { version, binding, waited });
+        self.counters.outdated_start += u64::from(outdated.is_some());
         outdated
     }
 
     /// The first event of an attempt came: its prompt is read, and its parts are kept there.
-    pub fn first_event(&mut self, now: Micros, attempt: AttemptId) {
+    pub fn record_first_event(&mut self, now: Micros, attempt: AttemptId) {
         let Some(attempt) = self.attempts.get_mut(&attempt.0).filter(|a| a.first_at.is_none()) else {
             return;
         };
@@ -108,7 +108,7 @@
             self.kept.set(now, attempt.server + STORES, attempt.salt, part.id, part.tokens);
         }
         if let Some(version) = attempt.version.filter(|_| !attempt.parts.is_empty()) {
-            self.sightings.add(Sighting {
+            self.sightings.add(PrefillReport {
                 server: server.hash,
                 key: attempt.key,
                 version,
@@ -122,12 +122,12 @@
 
     /// An attempt ended; `load` and `versions` are what its answer said, unless that was told before. The load is
     /// taken to be as old as the first event.
-    pub fn ended(
+    pub fn record_end(
         &mut self,
         now: Micros,
         attempt: AttemptId,
         outcome: AttemptOutcome,
-        load: Option<LoadReport>,
+        load: Option<ServerLoadReport>,
         versions: Option<&[ModelVersion]>,
     ) {
         let Some(attempt) = self.attempts.remove(&attempt.0) else { return };
@@ -168,7 +168,7 @@
     }
 
     /// What `X-Server-Load` of a server said, as soon as the head is there.
-    pub fn observe_load(&mut self, now: Micros, server: &str, load: LoadReport) {
+    pub fn observe_server_load(&mut self, now: Micros, server: &str, load: ServerLoadReport) {
         let Some(at) = self.fleet.find(server) else { return };
         let server = &mut self.fleet.servers[at as usize];
         server.seen = true;
@@ -185,7 +185,7 @@
     }
 
     /// A server failed outside of any attempt: it is left out for a short, growing time.
-    pub fn suspect_server(&mut self, now: Micros, server: &str) {
+    pub fn record_server_failure(&mut self, now: Micros, server: &str) {
         let Some(at) = self.fleet.find(server) else { return };
         self.fleet.servers[at as usize].suspect(now, now);
         self.fleet.seat(now, at);
--- a/engine/src/budget.rs
+++ b/placement/src/budget.rs
@@ -74,7 +74,7 @@
     }
 
     /// How many balancers share the slack. More count at once, fewer only after some windows.
-    pub fn set_balancers(&mut self, now: Micros, count: usize) {
+    pub fn set_balancer_count(&mut self, now: Micros, count: usize) {
         let count = count.max(1);
         if count >= self.balancers || now >= self.fewer_since + REMEMBERED * self.length {
             self.balancers = count;
@@ -83,17 +83,17 @@
     }
 
     /// A request of a client came.
-    pub fn note_request(&mut self, now: Micros) {
+    pub fn record_request(&mut self, now: Micros) {
         self.requests.note(now);
     }
 
     /// A request was sent to another server.
-    pub fn note_repeat(&mut self, now: Micros) {
+    pub fn record_retry(&mut self, now: Micros) {
         self.repeats.note(now);
     }
 
     /// Whether one more repeat stays within this node's share.
-    pub fn may_repeat(&mut self, now: Micros) -> bool {
+    pub fn may_retry(&mut self, now: Micros) -> bool {
         let share = self.ratio * self.requests.least(now) as f64 + self.slack / self.balancers as f64;
         (self.repeats.most(now) + 1) as f64 <= USED * share
     }
--- a/engine/src/choice.rs
+++ b/placement/src/choice.rs
@@ -3,10 +3,10 @@
 use gradepaddle::cost::{balancing, locality, mix, order, replacement};
 
 use crate::api::Micros;
-use crate::fleet::Row;
+use crate::fleet::Candidate;
 use crate::load::micros;
-use crate::server::{Bar, Server};
-use crate::version::Binding;
+use crate::server::{Ejection, Server};
+use crate::version::VersionDeadline;
 
 /// What crossing zones costs in milliseconds: less than any miss, so that it decides between holders.
 const FAR_MS: f64 = 1.0;
@@ -31,7 +31,7 @@
 
 /// What one choice goes by; times in milliseconds.
 #[derive(Clone, Debug)]
-pub(crate) struct Terms {
+pub(crate) struct CostTerms {
     pub(crate) now: Micros,
     pub(crate) key: u64,
     pub(crate) idle: f64,
@@ -53,7 +53,7 @@
     pub(crate) newest: u64,
     pub(crate) floor: u64,
     /// The versions of the model that are about to bind.
-    pub(crate) ahead: Vec<Binding>,
+    pub(crate) ahead: Vec<VersionDeadline>,
     /// How long before that an attempt has to have begun.
     pub(crate) begin_margin: Micros,
     pub(crate) zone: u16,
@@ -61,7 +61,7 @@
 
 /// The winner.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Pick {
+pub(crate) struct Selection {
     pub(crate) row: usize,
     pub(crate) version: Option<u64>,
     pub(crate) warm: f64,
@@ -74,11 +74,11 @@
 
 /// Lower is better: whether the server is left out, whether its sum is infinite, the sum or then the Load, and the
 /// order of the hash.
-type Rank = (Bar, bool, i64, u64);
+type Rank = (Ejection, bool, i64, u64);
 
-impl Terms {
+impl CostTerms {
     /// The version of the request's model there; None within if unknown, None if it may not be used.
-    fn version(&self, row: &Row, servers: &[Server]) -> Option<Option<u64>> {
+    fn version(&self, row: &Candidate, servers: &[Server]) -> Option<Option<u64>> {
         let Some(model) = self.model else { return Some(None) };
         let version =
             if row.model == model { row.version } else { servers[row.server as usize].version_of(model) };
@@ -87,23 +87,23 @@
     }
 
     /// Whether a request that waits there as long as is expected begins before the version is too old.
-    fn begins_in_time(&self, row: &Row, version: u64) -> bool {
+    fn begins_in_time(&self, row: &Candidate, version: u64) -> bool {
         let expected = self.now + micros(self.load(row)) + self.begin_margin;
         !self.ahead.iter().any(|newer| newer.version > version && newer.at < expected)
     }
 
-    fn load(&self, row: &Row) -> f64 {
+    fn load(&self, row: &Candidate) -> f64 {
         // A long prompt takes longer at a slow server, and whoever follows it waits as long.
         f64::from(row.load) + self.read_ms * (f64::from(row.speed) - 1.0).max(0.0)
     }
 
-    fn overloaded(&self, row: &Row, load: f64) -> bool {
+    fn overloaded(&self, row: &Candidate, load: f64) -> bool {
         let crowded = self.memory > 0.0 && f64::from(row.tokens) + self.tokens > MEMORY * self.memory;
         crowded || balancing(load, self.idle, self.overload).is_infinite()
     }
 
     /// The sum of the three costs without its infinite part, and what is charged besides.
-    fn sum(&self, row: &Row, load: f64, warm: f64, version: Option<u64>) -> f64 {
+    fn sum(&self, row: &Candidate, load: f64, warm: f64, version: Option<u64>) -> f64 {
         let wait = balancing(load, self.idle, f64::INFINITY);
         let far = if row.zone == self.zone { 0.0 } else { FAR_MS };
         let old = match version {
@@ -127,7 +127,7 @@
     }
 
     /// What it costs the streams that run there if the server reads on for so long that they pause beyond their bound.
-    fn paused(&self, row: &Row, load: f64, warm: f64) -> f64 {
+    fn paused(&self, row: &Candidate, load: f64, warm: f64) -> f64 {
         if self.paused <= 0.0 {
             return 0.0;
         }
@@ -136,7 +136,7 @@
         if reads_for < LONG_READING * self.pause_ms { 0.0 } else { self.paused * f64::from(row.running) }
     }
 
-    fn order(&self, row: &Row) -> u64 {
+    fn order(&self, row: &Candidate) -> u64 {
         order(mix(row.hash ^ self.key), 1.0, true)
     }
 }
@@ -144,25 +144,25 @@
 /// Scans the rows; `warm` has each row's share of the shared tokens that it is believed to keep. A server that was
 /// tried is chosen again only if nothing else is left and nothing speaks against it.
 pub(crate) fn pick(
-    terms: &Terms,
-    rows: &[Row],
+    terms: &CostTerms,
+    rows: &[Candidate],
     warm: &[f32],
     servers: &[Server],
     tried: &[u32],
-) -> Option<Pick> {
+) -> Option<Selection> {
     let quantum = (EQUAL * terms.miss).clamp(EQUAL_MS[0], EQUAL_MS[1]);
     let mut best: Option<((bool, Rank), usize, Option<u64>)> = None;
     let (mut full, mut least_ms) = (true, f64::INFINITY);
     for (at, row) in rows.iter().enumerate() {
         let Some(version) = terms.version(row, servers) else { continue };
-        let bar = if row.barred_until > terms.now { row.bar } else { Bar::None };
+        let bar = if row.barred_until > terms.now { row.bar } else { Ejection::None };
         let again = !tried.is_empty() && tried.contains(&row.server);
-        if again && bar != Bar::None {
+        if again && bar != Ejection::None {
             continue;
         }
         let load = terms.load(row);
-        if bar <= Bar::Closed && !again {
-            full &= bar == Bar::Closed || row.running >= row.slots;
+        if bar <= Ejection::Closed && !again {
+            full &= bar == Ejection::Closed || row.running >= row.slots;
             least_ms = least_ms.min(load);
         }
         let infinite = terms.overloaded(row, load);
@@ -184,12 +184,18 @@
     let ((_, (_, infinite, ..)), row, version) = best?;
     // Where only servers that are otherwise left out remain, nothing is known of a queue.
     let full = full && least_ms.is_finite();
-    Some(Pick { row, version, warm: f64::from(warm[row]), infinite, full, least_ms })
+    Some(Selection { row, version, warm: f64::from(warm[row]), infinite, full, least_ms })
 }
 
 /// The server that a key belongs to as long as all are idle: of those with this version, the first in hash order.
-pub(crate) fn home(terms: &Terms, rows: &[Row], servers: &[Server], version: Option<u64>) -> Option<usize> {
-    let fits = |row: &Row| row.barred_until <= terms.now && terms.version(row, servers) == Some(version);
+pub(crate) fn home(
+    terms: &CostTerms,
+    rows: &[Candidate],
+    servers: &[Server],
+    version: Option<u64>,
+) -> Option<usize> {
+    let fits =
+        |row: &Candidate| row.barred_until <= terms.now && terms.version(row, servers) == Some(version);
     let rows = rows.iter().enumerate().filter(|(_, row)| fits(row));
     rows.min_by_key(|(_, row)| terms.order(row)).map(|(at, _)| at)
 }
--- a/engine/src/engine.rs
+++ b/placement/src/engine.rs
@@ -7,19 +7,19 @@
 
 use crate::api::*;
 use crate::attempts::Attempt;
-use crate::choice::{Pick, Terms, pick};
+use crate::choice::{CostTerms, Selection, pick};
 use crate::fleet::{Fleet, STORES};
-use crate::kept::{Head, KeptIndex};
-use crate::kept_changes::{StoreChanges, kept_key};
-use crate::keys::{KeyTable, Member};
-use crate::moves::{Need, Source};
-use crate::prompt::{Salts, lone_salt, shared};
-use crate::sharing::Tellers;
-use crate::sightings::Sightings;
-use crate::sources::ReadPrompt;
+use crate::kept::{CachedPrefix, PrefixCacheIndex};
+use crate::kept_changes::{StoreUpdate, chunk_key};
+use crate::keys::{KeyHolder, KeyTable};
+use crate::moves::{TransferNeed, TransferSource};
+use crate::prompt::{CacheSalts, lone_salt, shared};
+use crate::sharing::ReportingPeers;
+use crate::sightings::PendingPrefillReports;
+use crate::sources::PrefillPlan;
 use crate::status::Counters;
-use crate::store::Store;
-use crate::version::Versions;
+use crate::store::CacheStore;
+use crate::version::VersionDeadlines;
 
 /// A server that is warm by more than this is a source.
 pub(crate) const SOURCE_WARM: f64 = 0.5;
@@ -29,38 +29,38 @@
 
 /// Which model server gets a generation. No I/O, no clock: equal settings and calls give equal choices.
 #[derive(Debug)]
-pub struct Engine {
-    pub(crate) config: EngineConfig,
+pub struct Placer {
+    pub(crate) config: PlacementConfig,
     pub(crate) own_zone: u16,
     pub(crate) fleet: Fleet,
     pub(crate) keys: KeyTable,
-    pub(crate) kept: KeptIndex,
-    pub(crate) versions: Versions,
-    pub(crate) salts: Salts,
+    pub(crate) kept: PrefixCacheIndex,
+    pub(crate) versions: VersionDeadlines,
+    pub(crate) salts: CacheSalts,
     pub(crate) attempts: HashMap<u64, Attempt>,
-    pub(crate) tellers: Tellers,
-    pub(crate) sightings: Sightings,
-    pub(crate) store_changes: Vec<StoreChanges>,
+    pub(crate) tellers: ReportingPeers,
+    pub(crate) sightings: PendingPrefillReports,
+    pub(crate) store_changes: Vec<StoreUpdate>,
     pub(crate) made: u64,
     pub(crate) warm: Vec<f32>,
     pub(crate) counters: Counters,
 }
 
-impl Engine {
+impl Placer {
     /// An engine that knows no server yet.
-    pub fn new(config: EngineConfig) -> Engine {
+    pub fn new(config: PlacementConfig) -> Placer {
         let mut fleet = Fleet::new(&config);
         let own_zone = fleet.zones.number(&config.own_zone) as u16;
-        Engine {
+        Placer {
             own_zone,
             fleet,
             keys: KeyTable::new(config.keys),
-            kept: KeptIndex::new(config.kept),
-            versions: Versions::default(),
-            salts: Salts::default(),
+            kept: PrefixCacheIndex::new(config.kept),
+            versions: VersionDeadlines::default(),
+            salts: CacheSalts::default(),
             attempts: HashMap::new(),
-            tellers: Tellers::default(),
-            sightings: Sightings::default(),
+            tellers: ReportingPeers::default(),
+            sightings: PendingPrefillReports::default(),
             store_changes: Vec::new(),
             made: 0,
             warm: Vec::new(),
@@ -70,7 +70,7 @@
     }
 
     /// Inserts or updates a server; one that is gone is forgotten.
-    pub fn set_server(&mut self, now: Micros, entry: ServerEntry) {
+    pub fn update_server(&mut self, now: Micros, entry: ServerEntry) {
         if entry.state == ServerState::Gone {
             return self.remove_server(now, &entry.id);
         }
@@ -112,7 +112,7 @@
         }
     }
 
-    fn set_stores(&mut self, now: Micros, specs: Vec<StoreService>) {
+    fn set_stores(&mut self, now: Micros, specs: Vec<CacheStoreService>) {
         let same = self.fleet.stores.len() == specs.len()
             && self
                 .fleet
@@ -129,30 +129,30 @@
             self.kept.set_room(now, at as u32, spec.cache_tokens);
             match self.fleet.stores.get_mut(at) {
                 Some(store) => (store.spec, store.zone) = (spec, zone),
-                None => self.fleet.stores.push(Store::new(spec, zone)),
+                None => self.fleet.stores.push(CacheStore::new(spec, zone)),
             }
         }
     }
 
     /// How many balancers share the servers.
-    pub fn set_balancers(&mut self, count: usize) {
-        self.fleet.set_balancers(count);
+    pub fn set_balancer_count(&mut self, count: usize) {
+        self.fleet.set_balancer_count(count);
     }
 
     /// Newer weights were named: from `binds_at` on nothing older may begin. Servers that have them are preferred from
     /// now on; those that don't are left out where a request could not be sure to begin in time.
-    pub fn name_version(&mut self, binds_at: Micros, model: &str, version: u64) {
+    pub fn announce_version(&mut self, binds_at: Micros, model: &str, version: u64) {
         self.versions.name(model, version, binds_at);
     }
 
     /// Chooses a server and counts the attempt as in flight. Servers that were `tried` are chosen again only if no
     /// other is left and nothing speaks against them.
-    pub fn choose(
+    pub fn place(
         &mut self,
         now: Micros,
-        request: &Request<'_>,
+        request: &PlacementRequest<'_>,
         tried: &[Arc<str>],
-    ) -> Result<Choice, Refusal> {
+    ) -> Result<Placement, Rejection> {
         self.fleet.pass(now);
         let Some(service) = self.fleet.service(request.service) else { return self.no_server() };
         self.forget_silent(now);
@@ -165,25 +165,25 @@
         if pick.full && pick.least_ms * 1e3 > request.time_left as f64 {
             self.counters.overloaded += 1;
             let retry_after = ((pick.least_ms * 1e3) as Micros / 2).clamp(PAUSE[0], PAUSE[1]);
-            return Err(Refusal::Overloaded { retry_after });
+            return Err(Rejection::Overloaded { retry_after });
         }
         Ok(self.send(now, service, request, &terms, pick, &heads))
     }
 
-    fn no_server(&mut self) -> Result<Choice, Refusal> {
+    fn no_server(&mut self) -> Result<Placement, Rejection> {
         self.counters.no_server += 1;
-        Err(Refusal::NoServer { retry_after: NO_SERVER })
+        Err(Rejection::NoServer { retry_after: NO_SERVER })
     }
 
     fn send(
         &mut self,
         now: Micros,
         service: usize,
-        request: &Request<'_>,
-        terms: &Terms,
-        pick: Pick,
-        heads: &[(u64, Vec<Head>)],
-    ) -> Choice {
+        request: &PlacementRequest<'_>,
+        terms: &CostTerms,
+        pick: Selection,
+        heads: &[(u64, Vec<CachedPrefix>)],
+    ) -> Placement {
         let server = self.fleet.services[service].rows[pick.row].server;
         let tokens: u32 = shared(request).iter().map(|part| part.tokens).sum();
         let (salt, found) = match (request.model, pick.version) {
@@ -192,22 +192,22 @@
         };
         let known = self.kept.head_of(server + STORES, hash(&salt), shared(request));
         let held = known.min(tokens).max((pick.warm * f64::from(tokens)) as u32);
-        let need = Need { server, shared: tokens, held };
+        let need = TransferNeed { server, shared: tokens, held };
         let source = if found { self.find_source(now, service, terms, &pick, need, heads) } else { None };
         if let Some(source) = &source {
             self.fleet.begin_move(now, source);
         }
         let reads = tokens - held.min(tokens) - source.map_or(0, |s| s.gains.min(tokens));
-        let last = shared(request).last().map_or(0, |part| kept_key(&salt, part.id));
+        let last = shared(request).last().map_or(0, |part| chunk_key(&salt, part.id));
         let own = request.tokens_in.saturating_sub(tokens);
-        let prompt = ReadPrompt { shared: tokens, reads, own, last };
+        let prompt = PrefillPlan { shared: tokens, reads, own, last };
         let save = if found { self.save(now, terms.key, pick.version, prompt, heads) } else { None };
         self.note(&pick, found, &source, save.is_some());
         let attempt =
             self.begin(now, service, server, request, &pick, reads, source, (terms.key, hash(&salt)));
         let chosen = &self.fleet.servers[server as usize];
-        let member = Member { server, life: chosen.life, version: pick.version, used: now };
-        let choice = Choice {
+        let member = KeyHolder { server, life: chosen.life, version: pick.version, used: now };
+        let choice = Placement {
             attempt,
             server: chosen.id.clone(),
             address: chosen.address,
@@ -220,7 +220,7 @@
         choice
     }
 
-    fn note(&mut self, pick: &Pick, found: bool, source: &Option<Source>, saves: bool) {
+    fn note(&mut self, pick: &Selection, found: bool, source: &Option<TransferSource>, saves: bool) {
         let count = &mut self.counters;
         count.choices += 1;
         count.warm += u64::from(pick.warm >= SOURCE_WARM);
@@ -232,22 +232,22 @@
     }
 
     /// Whether this node may send a request of the service to another server.
-    pub fn may_repeat(&mut self, now: Micros, service: &str) -> bool {
+    pub fn may_retry(&mut self, now: Micros, service: &str) -> bool {
         self.fleet.pass(now);
         let service = self.fleet.service_or_new(service);
-        self.fleet.services[service].budget.may_repeat(now)
+        self.fleet.services[service].budget.may_retry(now)
     }
 
     /// A request of a client for the service came.
-    pub fn note_request(&mut self, now: Micros, service: &str) {
+    pub fn record_request(&mut self, now: Micros, service: &str) {
         self.fleet.pass(now);
         let service = self.fleet.service_or_new(service);
-        self.fleet.services[service].budget.note_request(now);
+        self.fleet.services[service].budget.record_request(now);
     }
 
     /// A request was sent to another server.
-    pub fn note_repeat(&mut self, now: Micros, service: &str) {
+    pub fn record_retry(&mut self, now: Micros, service: &str) {
         let service = self.fleet.service_or_new(service);
-        self.fleet.services[service].budget.note_repeat(now);
+        self.fleet.services[service].budget.record_retry(now);
     }
 }
--- a/engine/src/fleet.rs
+++ b/placement/src/fleet.rs
@@ -7,12 +7,12 @@
 
 use crate::api::*;
 use crate::budget::RetryBudget;
-use crate::load::{Common, ServerLoad, Tick, Usual};
-use crate::names::Names;
-use crate::pauses::Pauses;
-use crate::server::{Bar, Server};
-use crate::store::Store;
-use crate::version::Weights;
+use crate::load::{Decay, ServerLoad, ServiceAverages, Workload};
+use crate::names::Interner;
+use crate::pauses::StreamPauses;
+use crate::server::{Ejection, Server};
+use crate::store::CacheStore;
+use crate::version::LoadedVersion;
 
 /// The first holders of kept parts are the stores, then come the servers.
 pub(crate) const STORES: u32 = 16;
@@ -32,7 +32,7 @@
 
 /// What a choice reads of a server.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Row {
+pub(crate) struct Candidate {
     pub(crate) hash: u64,
     pub(crate) barred_until: Micros,
     /// Of the first model; the others are looked up.
@@ -46,23 +46,23 @@
     pub(crate) tokens: f32,
     pub(crate) speed: f32,
     pub(crate) zone: u16,
-    pub(crate) bar: Bar,
+    pub(crate) bar: Ejection,
 }
 
 /// A service of model servers.
 #[derive(Debug)]
-pub(crate) struct Service {
+pub(crate) struct ServicePool {
     pub(crate) name: Arc<str>,
     pub(crate) spec: ModelService,
     /// One for each server that is ready or lost.
-    pub(crate) rows: Vec<Row>,
-    pub(crate) common: Common,
+    pub(crate) rows: Vec<Candidate>,
+    pub(crate) common: ServiceAverages,
     /// Mean Load of the servers that were seen.
     pub(crate) mean_load: f64,
     /// The tightest aim of late, in milliseconds.
     pub(crate) tightest_ms: f64,
     /// What reading does to the streams that run beside it.
-    pub(crate) pauses: Pauses,
+    pub(crate) pauses: StreamPauses,
     /// The versions that its servers have, by model.
     pub(crate) versions: Vec<(u32, u64)>,
     stale: bool,
@@ -70,7 +70,7 @@
     pub(crate) budget: RetryBudget,
 }
 
-impl Service {
+impl ServicePool {
     /// Learns what its requests are like.
     pub(crate) fn learn_request(&mut self, aim_ms: f64, read_ms: f64, tokens: f64) {
         let near = |mean: &mut f64, x: f64| *mean += (x - *mean) * LEARN;
@@ -92,18 +92,18 @@
     ids: HashMap<Arc<str>, u32>,
     hashes: HashMap<u64, u32>,
     free: Vec<u32>,
-    pub(crate) services: Vec<Service>,
+    pub(crate) services: Vec<ServicePool>,
     service_numbers: HashMap<Arc<str>, u32>,
-    pub(crate) stores: Vec<Store>,
-    pub(crate) zones: Names,
-    pub(crate) models: Names,
+    pub(crate) stores: Vec<CacheStore>,
+    pub(crate) zones: Interner,
+    pub(crate) models: Interner,
     balancers: usize,
     balancers_since: Micros,
     retry: (f64, f64, Micros),
 }
 
 impl Fleet {
-    pub(crate) fn new(config: &EngineConfig) -> Fleet {
+    pub(crate) fn new(config: &PlacementConfig) -> Fleet {
         let retry = (config.retry_ratio, config.retry_slack, config.retry_window);
         Fleet { balancers: 1, retry, ..Fleet::default() }
     }
@@ -132,16 +132,21 @@
         let name: Arc<str> = Arc::from(name);
         let (ratio, slack, window) = self.retry;
         let mut budget = RetryBudget::new(ratio, slack, window);
-        budget.set_balancers(0, self.balancers);
+        budget.set_balancer_count(0, self.balancers);
         let others = self.balancers.saturating_sub(1) as f64;
-        self.services.push(Service {
+        self.services.push(ServicePool {
             spec: ModelService::builder().name(name.clone()).build(),
             name: name.clone(),
             rows: Vec::new(),
-            common: Common { others, read_ms: READ_MS, hold_ms: HOLD_MS, ..Common::default() },
+            common: ServiceAverages {
+                others,
+                read_ms: READ_MS,
+                hold_ms: HOLD_MS,
+                ..ServiceAverages::default()
+            },
             mean_load: 0.0,
             tightest_ms: f64::INFINITY,
-            pauses: Pauses::default(),
+            pauses: StreamPauses::default(),
             versions: Vec::new(),
             stale: false,
             ticked: 0,
@@ -151,11 +156,11 @@
         self.services.len() - 1
     }
 
-    pub(crate) fn set_balancers(&mut self, count: usize) {
+    pub(crate) fn set_balancer_count(&mut self, count: usize) {
         self.balancers = count.max(1);
         for service in &mut self.services {
             service.common.others = self.balancers.saturating_sub(1) as f64;
-            service.budget.set_balancers(self.balancers_since, self.balancers);
+            service.budget.set_balancer_count(self.balancers_since, self.balancers);
         }
     }
 
@@ -221,7 +226,7 @@
             load: ServerLoad::default(),
             seen: false,
             since: now,
-            bar: Bar::None,
+            bar: Ejection::None,
             barred_until: 0,
             suspicion: 0,
             closings: 0,
@@ -258,7 +263,7 @@
         let news = match server.weights.iter_mut().find(|w| w.model == model) {
             Some(known) => known.observe(version),
             None => {
-                server.weights.push(Weights::new(model, version));
+                server.weights.push(LoadedVersion::new(model, version));
                 true
             }
         };
@@ -324,9 +329,9 @@
 
     fn tick(&mut self, now: Micros, service: usize) {
         let service = &mut self.services[service];
-        let tick = Tick::over(now.saturating_sub(service.ticked));
+        let tick = Decay::over(now.saturating_sub(service.ticked));
         service.ticked = now;
-        let (mut sum, mut load, mut seen) = (Usual::default(), 0.0, 0.0);
+        let (mut sum, mut load, mut seen) = (Workload::default(), 0.0, 0.0);
         for row in &service.rows {
             let server = &mut self.servers[row.server as usize];
             sum = sum.add(server.load.tick(now, tick));
@@ -358,7 +363,7 @@
     }
 }
 
-fn row(now: Micros, at: u32, server: &Server, service: &Service) -> Row {
+fn row(now: Micros, at: u32, server: &Server, service: &ServicePool) -> Candidate {
     let estimate = server.load.estimate(now, server.slots, &service.common);
     // One that was never seen counts at the mean Load of the others. Not for ever: among jammed ones it would never
     // be chosen.
@@ -366,7 +371,7 @@
     let load = if new { service.mean_load } else { estimate.load_ms };
     let first = server.weights.first();
     let lost = server.state != ServerState::Ready;
-    Row {
+    Candidate {
         hash: server.hash,
         barred_until: if lost { Micros::MAX } else { server.barred_until },
         version: first.and_then(|w| w.version),
@@ -379,6 +384,6 @@
         tokens: estimate.tokens as f32,
         speed: server.speed(now) as f32,
         zone: server.zone,
-        bar: if lost { Bar::Lost } else { server.bar },
+        bar: if lost { Ejection::Lost } else { server.bar },
     }
 }
--- a/engine/src/kept.rs
+++ b/placement/src/kept.rs
@@ -6,9 +6,9 @@
 
 use gradepaddle::cost::mix;
 
-use crate::api::{Micros, Part};
+use crate::api::{Micros, PromptChunk};
 use crate::fleet::STORES;
-use crate::keys::PlainMap;
+use crate::keys::PremixedMap;
 
 /// So many of those that keep only a common part are looked at as sources.
 const PARTIAL: usize = 16;
@@ -120,7 +120,7 @@
 
 /// What a holder has of a prompt: tokens of its head, without a gap.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Head {
+pub(crate) struct CachedPrefix {
     pub(crate) holder: u32,
     pub(crate) tokens: u32,
     /// How far it is believed to have them still: a server drops without a word what was unused for long.
@@ -129,8 +129,8 @@
 
 /// The index.
 #[derive(Debug, Default)]
-pub(crate) struct KeptIndex {
-    places: PlainMap<Holds>,
+pub(crate) struct PrefixCacheIndex {
+    places: PremixedMap<Holds>,
     holders: Vec<Holder>,
     active: usize,
     most: usize,
@@ -147,7 +147,7 @@
 }
 
 /// Tokens of a chain of parts that a holder has without a gap, and when the last part of them was used.
-fn kept_of(holder: u32, parts: &[Part], chain: &[Option<&Holds>]) -> (u32, u32) {
+fn kept_of(holder: u32, parts: &[PromptChunk], chain: &[Option<&Holds>]) -> (u32, u32) {
     let (mut sum, mut used_ms) = (0, 0);
     for (part, holds) in parts.iter().zip(chain) {
         let Some(hold) = holds.and_then(|holds| holds.find(holder)) else { break };
@@ -161,9 +161,9 @@
     (sum, used_ms)
 }
 
-impl KeptIndex {
-    pub(crate) fn new(most: usize) -> KeptIndex {
-        KeptIndex { most, ..KeptIndex::default() }
+impl PrefixCacheIndex {
+    pub(crate) fn new(most: usize) -> PrefixCacheIndex {
+        PrefixCacheIndex { most, ..PrefixCacheIndex::default() }
     }
 
     /// How many pairs of part and holder are known.
@@ -292,18 +292,18 @@
         self.holders.get(holder as usize).map_or(1.0, |holder| holder.trust(unused_ms))
     }
 
-    fn chain(&self, salt: u64, parts: &[Part]) -> Vec<Option<&Holds>> {
+    fn chain(&self, salt: u64, parts: &[PromptChunk]) -> Vec<Option<&Holds>> {
         parts.iter().map(|part| self.places.get(&place(salt, part.id))).collect()
     }
 
     /// What a holder keeps of a chain of parts under a salt, from its first part on.
-    pub(crate) fn head_of(&self, holder: u32, salt: u64, parts: &[Part]) -> u32 {
+    pub(crate) fn head_of(&self, holder: u32, salt: u64, parts: &[PromptChunk]) -> u32 {
         kept_of(holder, parts, &self.chain(salt, parts)).0
     }
 
     /// Who keeps how much of a chain: all that keep of its last part, and of those that keep only what other chains
     /// share, a few, which differ by chain. In the order of holders.
-    pub(crate) fn heads(&self, now: Micros, salt: u64, parts: &[Part]) -> Vec<Head> {
+    pub(crate) fn heads(&self, now: Micros, salt: u64, parts: &[PromptChunk]) -> Vec<CachedPrefix> {
         let chain = self.chain(salt, parts);
         let Some((last, before)) = chain.split_last() else { return Vec::new() };
         let mut holders: Vec<u32> =
@@ -318,7 +318,7 @@
         let now_ms = milliseconds(now);
         let head = |holder| {
             let (tokens, used_ms) = kept_of(holder, parts, &chain);
-            Head { holder, tokens, trust: self.trust(holder, now_ms.saturating_sub(used_ms)) }
+            CachedPrefix { holder, tokens, trust: self.trust(holder, now_ms.saturating_sub(used_ms)) }
         };
         holders.into_iter().map(head).filter(|head| head.tokens > 0).collect()
     }
--- a/engine/src/kept_changes.rs
+++ b/placement/src/kept_changes.rs
@@ -4,7 +4,7 @@
 use gradepaddle::cost::hash;
 
 use crate::api::Micros;
-use crate::engine::Engine;
+use crate::engine::Placer;
 use crate::kept::place;
 
 /// Changes that wait to be told; further ones are not told, which costs a reading or a save at most.
@@ -12,8 +12,8 @@
 
 /// A part that a store keeps another number of tokens of than before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct KeptTokens {
-    /// The part under its salt, as [`kept_key`] gives it.
+pub struct CachedTokens {
+    /// The part under its salt, as [`chunk_key`] gives it.
     pub key: u64,
     /// Tokens that are kept now; 0 is none.
     pub tokens: u32,
@@ -21,17 +21,17 @@
 
 /// What changed at a store since it was last told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct StoreChanges {
+pub struct StoreUpdate {
     /// A hash of the store's name, the same at all nodes.
     pub store: u64,
     /// Nothing that it kept before is known to be left: it restarted, or its events have a gap.
     pub reset: bool,
     /// The parts, in the order of their changes.
-    pub parts: Vec<KeptTokens>,
+    pub parts: Vec<CachedTokens>,
 }
 
 /// The key of a part under a salt, which is the same at all nodes.
-pub fn kept_key(salt: &str, part: u64) -> u64 {
+pub fn chunk_key(salt: &str, part: u64) -> u64 {
     place(hash(salt), part)
 }
 
@@ -40,21 +40,21 @@
     hash(name)
 }
 
-impl Engine {
+impl Placer {
     /// Has others told what changed at a store.
-    pub fn tell_store_changes(&mut self, changes: StoreChanges) {
+    pub fn queue_store_update(&mut self, changes: StoreUpdate) {
         if self.store_changes.len() < WAITING_MOST {
             self.store_changes.push(changes);
         }
     }
 
     /// What is to be told to others since this was last asked.
-    pub fn take_store_changes(&mut self) -> Vec<StoreChanges> {
+    pub fn take_store_updates(&mut self) -> Vec<StoreUpdate> {
         std::mem::take(&mut self.store_changes)
     }
 
     /// Takes in what another balancer heard of a store.
-    pub fn peer_store_changes(&mut self, now: Micros, changes: &StoreChanges) {
+    pub fn apply_peer_store_update(&mut self, now: Micros, changes: &StoreUpdate) {
         let Some(store) = self.fleet.store_by_hash(changes.store) else { return };
         if changes.reset {
             self.kept.forget(store);
--- a/engine/src/keys.rs
+++ b/placement/src/keys.rs
@@ -11,9 +11,9 @@
 
 /// Keys are mixed already.
 #[derive(Clone, Default)]
-pub(crate) struct Plain(u64);
+pub(crate) struct PremixedHasher(u64);
 
-impl Hasher for Plain {
+impl Hasher for PremixedHasher {
     fn write(&mut self, bytes: &[u8]) {
         bytes.iter().for_each(|byte| self.0 = (self.0 << 8) | u64::from(*byte));
     }
@@ -25,11 +25,11 @@
     }
 }
 
-pub(crate) type PlainMap<V> = HashMap<u64, V, BuildHasherDefault<Plain>>;
+pub(crate) type PremixedMap<V> = HashMap<u64, V, BuildHasherDefault<PremixedHasher>>;
 
 /// A server in a key's set: its place and incarnation, the version it served under, and when last.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Member {
+pub(crate) struct KeyHolder {
     pub(crate) server: u32,
     pub(crate) life: u32,
     pub(crate) version: Option<u64>,
@@ -39,7 +39,7 @@
 /// What is known of a key.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Entry {
-    pub(crate) members: Vec<Member>,
+    pub(crate) members: Vec<KeyHolder>,
     /// When a server was last told to save its parts in a store, and under which version.
     pub(crate) saved: Option<(Micros, u64)>,
 }
@@ -47,14 +47,14 @@
 /// Keys and their sets.
 #[derive(Debug)]
 pub(crate) struct KeyTable {
-    young: PlainMap<Entry>,
-    old: PlainMap<Entry>,
+    young: PremixedMap<Entry>,
+    old: PremixedMap<Entry>,
     half: usize,
 }
 
 impl KeyTable {
     pub(crate) fn new(half: usize) -> KeyTable {
-        KeyTable { young: PlainMap::default(), old: PlainMap::default(), half: half.max(1) }
+        KeyTable { young: PremixedMap::default(), old: PremixedMap::default(), half: half.max(1) }
     }
 
     pub(crate) fn len(&self) -> usize {
@@ -74,7 +74,7 @@
     }
 
     /// The server that won joins the key's set.
-    pub(crate) fn join(&mut self, key: u64, member: Member) {
+    pub(crate) fn join(&mut self, key: u64, member: KeyHolder) {
         let members = &mut self.recall(key).members;
         if let Some(same) = members.iter_mut().find(|m| m.server == member.server) {
             *same = member;
--- a/engine/src/lib.rs
+++ b/placement/src/lib.rs
@@ -1,7 +1,7 @@
 //! Placement of generations on model servers: LARD costs, index of kept prompts, load model, sans-I/O.
 //!
-//! The data plane tells an [`Engine`] of servers, configuration, versions and kept parts, asks it to
-//! [`choose`](Engine::choose) for each attempt, and tells it what came of that. docs/placement.md has the reasons.
+//! The data plane tells an [`Placer`] of servers, configuration, versions and kept parts, asks it to
+//! [`place`](Placer::place) for each attempt, and tells it what came of that. docs/placement.md has the reasons.
 
 mod api;
 mod attempts;
@@ -31,8 +31,8 @@
 
 pub use api::*;
 pub use budget::RetryBudget;
-pub use engine::Engine;
-pub use kept_changes::{KeptTokens, StoreChanges, holder_hash, kept_key};
-pub use sharing::OwnLoad;
-pub use sightings::Sighting;
+pub use engine::Placer;
+pub use kept_changes::{CachedTokens, StoreUpdate, chunk_key, holder_hash};
+pub use sharing::LocalLoad;
+pub use sightings::PrefillReport;
 pub use status::{Counters, ServerStatus};
--- a/engine/src/load.rs
+++ b/placement/src/load.rs
@@ -5,8 +5,8 @@
 //! an answer told the server's own figures, those count for the others' part, less as they age. Balancers that tell what
 //! they have in flight ([`crate::sharing`]) count by that.
 
-use crate::api::{LoadReport, Micros};
-use crate::sharing::ToldLoads;
+use crate::api::{Micros, ServerLoadReport};
+use crate::sharing::PeerLoads;
 
 /// Prompt tokens that a server of usual speed reads in a millisecond.
 pub(crate) const READ_TOKENS_PER_MS: f64 = 38.0;
@@ -45,38 +45,38 @@
 
 /// A recent mean of one node's own work at a server, or its mean over the servers of a service.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Usual {
+pub(crate) struct Workload {
     pub(crate) backlog_ms: f64,
     pub(crate) running: f64,
     pub(crate) tokens: f64,
 }
 
-impl Usual {
-    fn map(self, other: Usual, f: impl Fn(f64, f64) -> f64) -> Usual {
-        Usual {
+impl Workload {
+    fn map(self, other: Workload, f: impl Fn(f64, f64) -> f64) -> Workload {
+        Workload {
             backlog_ms: f(self.backlog_ms, other.backlog_ms),
             running: f(self.running, other.running),
             tokens: f(self.tokens, other.tokens),
         }
     }
 
-    pub(crate) fn add(self, other: Usual) -> Usual {
+    pub(crate) fn add(self, other: Workload) -> Workload {
         self.map(other, |a, b| a + b)
     }
 
-    pub(crate) fn times(self, factor: f64) -> Usual {
+    pub(crate) fn times(self, factor: f64) -> Workload {
         self.map(self, |a, _| a * factor)
     }
 }
 
 /// What the servers of a service have in common.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Common {
+pub(crate) struct ServiceAverages {
     /// Other balancers, and those of them that tell what they have in flight.
     pub(crate) others: f64,
     pub(crate) told_by: f64,
     /// The mean of this node's own work per server.
-    pub(crate) usual: Usual,
+    pub(crate) usual: Workload,
     /// What a request takes to read, and how long it stays, in milliseconds.
     pub(crate) read_ms: f64,
     pub(crate) hold_ms: f64,
@@ -86,15 +86,15 @@
 
 /// How the recent means move in one tick.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Tick {
+pub(crate) struct Decay {
     recent: f64,
     speed: f64,
 }
 
-impl Tick {
-    pub(crate) fn over(span: Micros) -> Tick {
+impl Decay {
+    pub(crate) fn over(span: Micros) -> Decay {
         let keep = |constant: f64| (-(span as f64) / constant).exp();
-        Tick { recent: keep(RECENT_US), speed: keep(SPEED_US) }
+        Decay { recent: keep(RECENT_US), speed: keep(SPEED_US) }
     }
 }
 
@@ -107,7 +107,7 @@
 
 /// What a request adds to a server's work.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Work {
+pub(crate) struct RequestWork {
     /// Reading what is not kept, in milliseconds at this server.
     pub(crate) read_ms: f64,
     /// Tokens of prompt and answer.
@@ -124,7 +124,7 @@
     /// When the server would have read all own prompts, and the last first event that is expected.
     backlog_until: Micros,
     expected_by: Micros,
-    usual: Usual,
+    usual: Workload,
     weight: f64,
     report: Option<Report>,
     observed_ms: f64,
@@ -132,12 +132,12 @@
     /// The recent share of time in which prompts were read there.
     pub(crate) busy: f64,
     /// What other balancers tell.
-    pub(crate) told: ToldLoads,
+    pub(crate) told: PeerLoads,
 }
 
 /// The estimate for one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) struct Estimate {
+pub(crate) struct LoadEstimate {
     /// Load.
     pub(crate) load_ms: f64,
     /// Requests there, of all balancers.
@@ -155,7 +155,7 @@
         ((self.observed_ms + SPEED_PRIOR_MS) / (self.predicted_ms + SPEED_PRIOR_MS)).clamp(low, high)
     }
 
-    pub(crate) fn sent(&mut self, now: Micros, work: Work, expected_ms: f64) {
+    pub(crate) fn sent(&mut self, now: Micros, work: RequestWork, expected_ms: f64) {
         self.in_flight += 1;
         self.waiting += 1;
         self.tokens += work.tokens;
@@ -165,7 +165,7 @@
     }
 
     /// A prompt is read, or no longer needs to be.
-    pub(crate) fn read(&mut self, now: Micros, work: Work, whole: bool) {
+    pub(crate) fn read(&mut self, now: Micros, work: RequestWork, whole: bool) {
         self.waiting = self.waiting.saturating_sub(1);
         if self.waiting == 0 {
             (self.backlog_until, self.expected_by) = (now, now);
@@ -174,7 +174,7 @@
         }
     }
 
-    pub(crate) fn ended(&mut self, work: Work) {
+    pub(crate) fn ended(&mut self, work: RequestWork) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.tokens = self.tokens.saturating_sub(work.tokens);
     }
@@ -189,7 +189,7 @@
         self.predicted_ms += usual;
     }
 
-    pub(crate) fn report(&mut self, at: Micros, report: LoadReport) {
+    pub(crate) fn report(&mut self, at: Micros, report: ServerLoadReport) {
         if self.report.is_none_or(|last| at >= last.at) {
             let waiting = f64::from(report.waiting.saturating_sub(self.waiting));
             let all = f64::from(report.running) + f64::from(report.waiting);
@@ -198,13 +198,13 @@
         }
     }
 
-    pub(crate) fn own(&self, now: Micros) -> Usual {
+    pub(crate) fn own(&self, now: Micros) -> Workload {
         let backlog_ms = if self.waiting > 0 { ms(self.backlog_until.saturating_sub(now)) } else { 0.0 };
-        Usual { backlog_ms, running: f64::from(self.in_flight), tokens: self.tokens as f64 }
+        Workload { backlog_ms, running: f64::from(self.in_flight), tokens: self.tokens as f64 }
     }
 
     /// Moves the recent means on; what they are now.
-    pub(crate) fn tick(&mut self, now: Micros, tick: Tick) -> Usual {
+    pub(crate) fn tick(&mut self, now: Micros, tick: Decay) -> Workload {
         let own = self.own(now);
         self.usual = self.usual.map(own, |mean, now| now + (mean - now) * tick.recent);
         self.weight *= tick.recent;
@@ -216,7 +216,7 @@
     }
 
     /// What the other balancers have there.
-    fn others(&self, now: Micros, common: &Common) -> Usual {
+    fn others(&self, now: Micros, common: &ServiceAverages) -> Workload {
         let drawn = |mine: f64, mean: f64| (mine * self.weight + mean * EVIDENCE) / (self.weight + EVIDENCE);
         let silent = (common.others - common.told_by).max(0.0);
         let expected = self.usual.map(common.usual, drawn).times(silent);
@@ -225,7 +225,7 @@
         }
         let Some(report) = self.report else { return expected };
         let fresh = (1.0 - now.saturating_sub(report.at) as f64 / REPORT_AGE as f64).max(0.0);
-        let told = Usual {
+        let told = Workload {
             backlog_ms: report.waiting * common.read_ms,
             running: report.running,
             tokens: report.running * common.tokens,
@@ -233,7 +233,7 @@
         told.times(fresh).add(expected.times(1.0 - fresh))
     }
 
-    pub(crate) fn estimate(&self, now: Micros, slots: u32, common: &Common) -> Estimate {
+    pub(crate) fn estimate(&self, now: Micros, slots: u32, common: &ServiceAverages) -> LoadEstimate {
         let (own, others, speed) = (self.own(now), self.others(now, common), self.speed());
         let overdue = if self.waiting > 0 { ms(now.saturating_sub(self.expected_by)) } else { 0.0 };
         let running = own.running + others.running;
@@ -242,6 +242,6 @@
         let queue = if running >= slots { (running - slots + 1.0) * common.hold_ms / slots } else { 0.0 };
         let load_ms = own.backlog_ms + others.backlog_ms * speed + overdue + step + queue;
         let slowed = self.busy.min(BUSY_MOST) / (1.0 - self.busy.min(BUSY_MOST));
-        Estimate { load_ms, running, slowed, tokens: own.tokens + others.tokens }
+        LoadEstimate { load_ms, running, slowed, tokens: own.tokens + others.tokens }
     }
 }
--- a/engine/src/moves.rs
+++ b/placement/src/moves.rs
@@ -4,9 +4,9 @@
 
 use crate::api::{Micros, ModelService};
 use crate::fleet::{Fleet, STORES};
-use crate::kept::Head;
+use crate::kept::CachedPrefix;
 use crate::load::{READ_TOKENS_PER_MS, micros, ms};
-use crate::server::Bar;
+use crate::server::Ejection;
 
 /// Setting up a move, in milliseconds.
 const SETUP_MS: f64 = 2.0;
@@ -48,7 +48,7 @@
 
 /// Who needs parts, and what it has of them.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Need {
+pub(crate) struct TransferNeed {
     pub(crate) server: u32,
     /// Shared tokens, and those of them that it is believed to keep.
     pub(crate) shared: u32,
@@ -57,7 +57,7 @@
 
 /// A chosen source.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Source {
+pub(crate) struct TransferSource {
     pub(crate) holder: u32,
     pub(crate) address: SocketAddrV4,
     /// Tokens that it has beyond what the server has; 0 where it was only guessed to have them.
@@ -74,11 +74,16 @@
         }
         let server = &self.servers[(holder - STORES) as usize];
         let link = self.services[server.service as usize].spec.link_mbps;
-        (server.bar(now) <= Bar::Closed).then_some((server.address, server.zone, link, server.moving_until))
+        (server.bar(now) <= Ejection::Closed).then_some((
+            server.address,
+            server.zone,
+            link,
+            server.moving_until,
+        ))
     }
 
     /// Counts a move: later ones from the same source wait for it.
-    pub(crate) fn begin_move(&mut self, now: Micros, source: &Source) {
+    pub(crate) fn begin_move(&mut self, now: Micros, source: &TransferSource) {
         let until = match source.holder.checked_sub(STORES) {
             Some(server) => &mut self.servers[server as usize].moving_until,
             None => &mut self.stores[source.holder as usize].moving_until,
@@ -87,10 +92,15 @@
     }
 
     /// The best of those that are believed to keep more of the prompt than the server.
-    pub(crate) fn source(&self, now: Micros, need: Need, heads: &[Head]) -> Option<Source> {
+    pub(crate) fn source(
+        &self,
+        now: Micros,
+        need: TransferNeed,
+        heads: &[CachedPrefix],
+    ) -> Option<TransferSource> {
         let taker = &self.servers[need.server as usize];
         let (zone, spec) = (taker.zone, &self.services[taker.service as usize].spec);
-        let value = |head: &Head| {
+        let value = |head: &CachedPrefix| {
             let gains = head.tokens.min(need.shared).checked_sub(need.held).filter(|g| *g >= LEAST_TOKENS)?;
             if head.holder == need.server + STORES {
                 return None;
@@ -100,7 +110,7 @@
             let far = if from == zone { 1.0 } else { BETWEEN_ZONES };
             let takes_ms = move_ms(spec, link, gains) * far;
             let saves = read_ms(gains) * f64::from(head.trust) - takes_ms - wait;
-            let source = Source { holder: head.holder, address, gains, takes_ms };
+            let source = TransferSource { holder: head.holder, address, gains, takes_ms };
             (saves > 0.0 && wait < LONGEST_WAIT_MS).then_some((saves, source))
         };
         let (_, source) = heads.iter().filter_map(value).max_by(|a, b| a.0.total_cmp(&b.0))?;
@@ -108,12 +118,12 @@
     }
 
     /// One that may well have the parts, though nothing is known: a miss costs it a millisecond.
-    pub(crate) fn guess(&self, now: Micros, need: Need, holder: u32) -> Option<Source> {
+    pub(crate) fn guess(&self, now: Micros, need: TransferNeed, holder: u32) -> Option<TransferSource> {
         if need.shared - need.held.min(need.shared) < LEAST_TOKENS || holder == need.server + STORES {
             return None;
         }
         let (address, ..) = self.askable(now, holder)?;
-        Some(Source { holder, address, gains: 0, takes_ms: 0.0 })
+        Some(TransferSource { holder, address, gains: 0, takes_ms: 0.0 })
     }
 
     /// The store that keeps a key's parts: by agreement, among those that can be asked.
--- a/engine/src/names.rs
+++ b/placement/src/names.rs
@@ -1,16 +1,16 @@
-//! Names and their numbers.
+//! Interner and their numbers.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Names given numbers in the order of their coming.
+/// Interner given numbers in the order of their coming.
 #[derive(Debug, Default)]
-pub(crate) struct Names {
+pub(crate) struct Interner {
     numbers: HashMap<Arc<str>, u32>,
     names: Vec<Arc<str>>,
 }
 
-impl Names {
+impl Interner {
     pub(crate) fn number(&mut self, name: &str) -> u32 {
         if let Some(number) = self.numbers.get(name) {
             return *number;
--- a/engine/src/prompt.rs
+++ b/placement/src/prompt.rs
@@ -5,14 +5,14 @@
 
 use gradepaddle::cost::{hash, mix};
 
-use crate::api::{Part, Request, Wall};
+use crate::api::{CacheIsolation, PlacementRequest, PromptChunk};
 
 /// Keeps the hash of a tenant's wall apart from those of the shared ones.
 const TENANT_MARK: u64 = 0x7465_6e61_6e74_3a3a;
-/// Salts that are remembered; more than that and they are made anew.
+/// CacheSalts that are remembered; more than that and they are made anew.
 const SALTS: usize = 4_096;
 
-impl Part {
+impl PromptChunk {
     /// The number of a part from its id: the value of up to 16 hexadecimal digits, otherwise a hash of the text.
     pub fn id(text: &str) -> u64 {
         let digits = text.len() <= 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
@@ -20,32 +20,33 @@
     }
 
     /// Reads the value of `X-Prompt-Prefix`, `ID:TOKENS` separated by commas. None if it is malformed.
-    pub fn list(text: &str) -> Option<Vec<Part>> {
+    pub fn list(text: &str) -> Option<Vec<PromptChunk>> {
         let part = |item: &str| {
             let (id, tokens) = item.trim().split_once(':')?;
-            Some(Part { id: Part::id(id), tokens: tokens.parse().ok()? })
+            Some(PromptChunk { id: PromptChunk::id(id), tokens: tokens.parse().ok()? })
         };
         text.split(',').map(part).collect()
     }
 }
 
 /// The head of a prompt that other requests share: all parts but the last.
-pub(crate) fn shared<'a>(request: &Request<'a>) -> &'a [Part] {
+pub(crate) fn shared<'a>(request: &PlacementRequest<'a>) -> &'a [PromptChunk] {
     request.parts.split_last().map_or(&[], |(_, head)| head)
 }
 
-pub(crate) fn wall_hash(wall: &Wall) -> u64 {
+pub(crate) fn wall_hash(wall: &CacheIsolation) -> u64 {
     match wall {
-        Wall::Shared(set) => mix(*set),
-        Wall::Tenant(name) => mix(hash(name) ^ TENANT_MARK),
+        CacheIsolation::Shared(set) => mix(*set),
+        CacheIsolation::Tenant(name) => mix(hash(name) ^ TENANT_MARK),
     }
 }
 
 /// The key of a prompt: a chain over its shared parts, or its only part, under model and wall. Requests without
 /// any part share no key: each is its own.
-pub(crate) fn key(request: &Request<'_>, lone: u64) -> u64 {
+pub(crate) fn key(request: &PlacementRequest<'_>, lone: u64) -> u64 {
     let start = mix(wall_hash(&request.wall) ^ hash(request.model.unwrap_or_default()));
-    let chain = |parts: &[Part]| parts.iter().fold(start, |key, part| mix(key.rotate_left(5) ^ part.id));
+    let chain =
+        |parts: &[PromptChunk]| parts.iter().fold(start, |key, part| mix(key.rotate_left(5) ^ part.id));
     match request.parts {
         [] => mix(start ^ lone),
         [only] => chain(&[*only]),
@@ -55,13 +56,13 @@
 
 /// The texts under which parts are kept, each for one version of one model's weights and one wall.
 #[derive(Debug, Default)]
-pub(crate) struct Salts {
+pub(crate) struct CacheSalts {
     known: HashMap<(u64, u64, u64), Arc<str>>,
 }
 
-impl Salts {
+impl CacheSalts {
     /// The salt of a version of a model within a wall: equal at every node.
-    pub(crate) fn of(&mut self, model: &str, version: u64, wall: &Wall) -> Arc<str> {
+    pub(crate) fn of(&mut self, model: &str, version: u64, wall: &CacheIsolation) -> Arc<str> {
         let (model, wall) = (hash(model), wall_hash(wall));
         if self.known.len() >= SALTS {
             self.known.clear();
--- a/engine/src/saves.rs
+++ b/placement/src/saves.rs
@@ -11,24 +11,24 @@
 const LEARN: f64 = 1.0 / 8.0;
 /// From this share on that arrives, the link has room.
 const ARRIVING: f64 = 0.75;
-/// Saves that are looked after at once; further ones tell nothing.
+/// SaveTracker that are looked after at once; further ones tell nothing.
 const WAITING_MOST: usize = 64;
 
 /// The saves that this node ordered, and the share of them that arrived.
 #[derive(Debug)]
-pub(crate) struct Saves {
+pub(crate) struct SaveTracker {
     /// When each should have arrived, and the part that shows it.
     waiting: VecDeque<(Micros, u64)>,
     arrived: f64,
 }
 
-impl Default for Saves {
+impl Default for SaveTracker {
     fn default() -> Self {
-        Saves { waiting: VecDeque::new(), arrived: 1.0 }
+        SaveTracker { waiting: VecDeque::new(), arrived: 1.0 }
     }
 }
 
-impl Saves {
+impl SaveTracker {
     /// A server was told to save a prompt whose last shared part this is.
     pub(crate) fn ordered(&mut self, now: Micros, part: u64) {
         if self.waiting.len() < WAITING_MOST {
--- a/engine/src/server.rs
+++ b/placement/src/server.rs
@@ -7,7 +7,7 @@
 
 use crate::api::*;
 use crate::load::ServerLoad;
-use crate::version::Weights;
+use crate::version::LoadedVersion;
 
 /// A server that failed is left out this long at first, then twice as long, up to the most.
 const SUSPECT: Micros = 200_000;
@@ -21,7 +21,7 @@
 
 /// Why a server is left out for a moment; the higher, the later it is resorted to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Bar {
+pub(crate) enum Ejection {
     None,
     Closed,
     Suspect,
@@ -40,12 +40,12 @@
     /// Which incarnation has this place among the servers.
     pub(crate) life: u32,
     pub(crate) hash: u64,
-    pub(crate) weights: Vec<Weights>,
+    pub(crate) weights: Vec<LoadedVersion>,
     pub(crate) load: ServerLoad,
     /// Whether this node has sent it anything or had a report.
     pub(crate) seen: bool,
     pub(crate) since: Micros,
-    pub(crate) bar: Bar,
+    pub(crate) bar: Ejection,
     pub(crate) barred_until: Micros,
     pub(crate) suspicion: u32,
     /// Requests turned away in a row.
@@ -64,11 +64,11 @@
         self.weights.iter().find(|w| w.model == model).and_then(|w| w.version)
     }
 
-    pub(crate) fn bar(&self, now: Micros) -> Bar {
+    pub(crate) fn bar(&self, now: Micros) -> Ejection {
         match self.state {
             ServerState::Ready if self.barred_until > now => self.bar,
-            ServerState::Ready => Bar::None,
-            _ => Bar::Lost,
+            ServerState::Ready => Ejection::None,
+            _ => Ejection::Lost,
         }
     }
 
@@ -78,15 +78,15 @@
         let span = CLOSED << self.closings.min(CLOSINGS_MOST);
         self.closings += 1;
         let until = now + span + mix(self.hash ^ salt ^ now) % span;
-        if self.bar != Bar::Suspect || self.barred_until <= now {
-            (self.bar, self.barred_until) = (Bar::Closed, until);
+        if self.bar != Ejection::Suspect || self.barred_until <= now {
+            (self.bar, self.barred_until) = (Ejection::Closed, until);
         }
     }
 
     /// It is about to load weights: it is left out for this long, or no longer.
     pub(crate) fn hold(&mut self, now: Micros, span: Micros) {
-        if self.bar != Bar::Suspect || self.barred_until <= now {
-            (self.bar, self.barred_until) = (Bar::Closed, now + span);
+        if self.bar != Ejection::Suspect || self.barred_until <= now {
+            (self.bar, self.barred_until) = (Ejection::Closed, now + span);
         }
     }
 
@@ -98,14 +98,14 @@
         let span = (SUSPECT << self.suspicion.min(4)).min(SUSPECT_MOST);
         self.suspicion += 1;
         self.suspect_since = now;
-        (self.bar, self.barred_until) = (Bar::Suspect, now + span);
+        (self.bar, self.barred_until) = (Ejection::Suspect, now + span);
     }
 
     /// It answered an attempt that was sent then.
     pub(crate) fn trust(&mut self, sent: Micros) {
         if self.suspicion > 0 && sent >= self.suspect_since {
             self.suspicion = 0;
-            if self.bar == Bar::Suspect {
+            if self.bar == Ejection::Suspect {
                 self.barred_until = 0;
             }
         }
--- a/engine/src/sharing.rs
+++ b/placement/src/sharing.rs
@@ -3,15 +3,15 @@
 use std::collections::HashMap;
 
 use crate::api::Micros;
-use crate::engine::Engine;
-use crate::load::{Usual, micros, ms};
+use crate::engine::Placer;
+use crate::load::{Workload, micros, ms};
 
 /// What was told counts for this long.
 const TOLD_FOR: Micros = 2_000_000;
 
 /// What one balancer has in flight at one server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct OwnLoad {
+pub struct LocalLoad {
     /// A hash of the server's id, the same at all nodes.
     pub server: u64,
     /// Reading of prompts that is still to be done there, in milliseconds.
@@ -33,10 +33,10 @@
 
 /// What others told of one server.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct ToldLoads(Vec<Told>);
+pub(crate) struct PeerLoads(Vec<Told>);
 
-impl ToldLoads {
-    fn set(&mut self, now: Micros, peer: u64, load: &OwnLoad) {
+impl PeerLoads {
+    fn set(&mut self, now: Micros, peer: u64, load: &LocalLoad) {
         self.clear(peer);
         self.0.push(Told {
             peer,
@@ -51,17 +51,17 @@
     }
 
     /// The sum of what was told.
-    pub(crate) fn sum(&self, now: Micros) -> Usual {
-        self.0.iter().fold(Usual::default(), |sum, told| {
+    pub(crate) fn sum(&self, now: Micros) -> Workload {
+        self.0.iter().fold(Workload::default(), |sum, told| {
             let backlog_ms = ms(told.backlog_until.saturating_sub(now));
-            sum.add(Usual { backlog_ms, running: told.running, tokens: told.tokens })
+            sum.add(Workload { backlog_ms, running: told.running, tokens: told.tokens })
         })
     }
 }
 
 /// A balancer that tells.
 #[derive(Debug)]
-struct Teller {
+struct ReportingPeer {
     sequence: u64,
     heard: Micros,
     /// Places of the servers that it has something at.
@@ -70,19 +70,19 @@
 
 /// The balancers that tell.
 #[derive(Debug, Default)]
-pub(crate) struct Tellers {
-    heard: HashMap<u64, Teller>,
+pub(crate) struct ReportingPeers {
+    heard: HashMap<u64, ReportingPeer>,
     looked: Micros,
 }
 
-impl Engine {
+impl Placer {
     /// What this node has in flight, by server; servers with nothing are left out. In a fixed order.
-    pub fn own_loads(&self, now: Micros) -> Vec<OwnLoad> {
+    pub fn local_loads(&self, now: Micros) -> Vec<LocalLoad> {
         let servers = self.fleet.servers.iter().filter(|server| server.load.in_flight > 0);
         servers
             .map(|server| {
                 let own = server.load.own(now);
-                OwnLoad {
+                LocalLoad {
                     server: server.hash,
                     backlog_ms: own.backlog_ms,
                     running: server.load.in_flight,
@@ -93,7 +93,7 @@
     }
 
     /// Takes in what another balancer has in flight. False for a message that was overtaken, which changes nothing.
-    pub fn peer_loads(&mut self, now: Micros, peer: u64, sequence: u64, loads: Vec<OwnLoad>) -> bool {
+    pub fn apply_peer_loads(&mut self, now: Micros, peer: u64, sequence: u64, loads: Vec<LocalLoad>) -> bool {
         let known = self.tellers.heard.get(&peer);
         // A lower number long after is that of a new process at the same address.
         if known.is_some_and(|known| known.sequence >= sequence && now < known.heard + TOLD_FOR) {
@@ -106,7 +106,7 @@
             self.fleet.servers[at as usize].load.told.set(now, peer, load);
             servers.push(at);
         }
-        self.tellers.heard.insert(peer, Teller { sequence, heard: now, servers });
+        self.tellers.heard.insert(peer, ReportingPeer { sequence, heard: now, servers });
         self.forget_silent(now);
         self.fleet.set_told_by(self.tellers.heard.len());
         true
@@ -125,7 +125,7 @@
             return;
         }
         self.tellers.looked = now;
-        let old = |teller: &Teller| now > teller.heard + TOLD_FOR;
+        let old = |teller: &ReportingPeer| now > teller.heard + TOLD_FOR;
         let silent: Vec<u64> =
             self.tellers.heard.iter().filter(|(_, teller)| old(teller)).map(|(peer, _)| *peer).collect();
         silent.into_iter().for_each(|peer| self.forget_teller(peer));
--- a/engine/src/sightings.rs
+++ b/placement/src/sightings.rs
@@ -1,16 +1,16 @@
 //! What balancers see kept where, told to each other: one index of kept prompts for the fleet, as each balancer holds it.
 
-use crate::api::{Micros, Part};
-use crate::engine::Engine;
+use crate::api::{Micros, PromptChunk};
+use crate::engine::Placer;
 use crate::fleet::STORES;
-use crate::keys::Member;
+use crate::keys::KeyHolder;
 
-/// Sightings that wait to be told; further ones are dropped, which costs a miss at most.
+/// PendingPrefillReports that wait to be told; further ones are dropped, which costs a miss at most.
 const WAITING_MOST: usize = 512;
 
 /// A server was seen to read a prompt, and so to keep its parts.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Sighting {
+pub struct PrefillReport {
     /// A hash of the server's id, the same at all nodes.
     pub server: u64,
     /// The prompt's key.
@@ -20,34 +20,34 @@
     /// A hash of the salt that the parts are kept under.
     pub salt: u64,
     /// The parts in order.
-    pub parts: Vec<Part>,
+    pub parts: Vec<PromptChunk>,
 }
 
 /// What this node has seen and not yet told.
 #[derive(Debug, Default)]
-pub(crate) struct Sightings(Vec<Sighting>);
+pub(crate) struct PendingPrefillReports(Vec<PrefillReport>);
 
-impl Sightings {
-    pub(crate) fn add(&mut self, sighting: Sighting) {
+impl PendingPrefillReports {
+    pub(crate) fn add(&mut self, sighting: PrefillReport) {
         if self.0.len() < WAITING_MOST {
             self.0.push(sighting);
         }
     }
 }
 
-impl Engine {
+impl Placer {
     /// What this node has seen since it was last asked.
-    pub fn take_sightings(&mut self) -> Vec<Sighting> {
+    pub fn take_prefill_reports(&mut self) -> Vec<PrefillReport> {
         std::mem::take(&mut self.sightings.0)
     }
 
     /// Takes in what another balancer has seen.
-    pub fn peer_sightings(&mut self, now: Micros, sightings: &[Sighting]) {
+    pub fn apply_peer_prefill_reports(&mut self, now: Micros, sightings: &[PrefillReport]) {
         for sighting in sightings {
             let Some(server) = self.fleet.by_hash(sighting.server) else { continue };
             let life = self.fleet.servers[server as usize].life;
             let version = Some(sighting.version);
-            self.keys.join(sighting.key, Member { server, life, version, used: now });
+            self.keys.join(sighting.key, KeyHolder { server, life, version, used: now });
             for part in &sighting.parts {
                 self.kept.set(now, server + STORES, sighting.salt, part.id, part.tokens);
             }
--- a/engine/src/sources.rs
+++ b/placement/src/sources.rs
@@ -1,11 +1,11 @@
 //! Where a chosen server takes the shared parts of a prompt from, and where it saves them.
 
 use crate::api::*;
-use crate::choice::{Pick, Terms, home};
-use crate::engine::{Engine, SOURCE_WARM};
+use crate::choice::{CostTerms, Selection, home};
+use crate::engine::{Placer, SOURCE_WARM};
 use crate::fleet::STORES;
-use crate::kept::Head;
-use crate::moves::{LEAST_TOKENS, Need, Source};
+use crate::kept::CachedPrefix;
+use crate::moves::{LEAST_TOKENS, TransferNeed, TransferSource};
 
 /// Parts are saved again after this long if the store has not told of them.
 const SAVE_AGAIN: Micros = 5_000_000;
@@ -15,7 +15,7 @@
 
 /// A prompt that a server reads, in tokens.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct ReadPrompt {
+pub(crate) struct PrefillPlan {
     /// Of the shared parts in all, and those of them that are neither kept there nor moved.
     pub(crate) shared: u32,
     pub(crate) reads: u32,
@@ -25,24 +25,24 @@
     pub(crate) last: u64,
 }
 
-impl ReadPrompt {
+impl PrefillPlan {
     fn is_mostly_own(&self) -> bool {
         f64::from(self.own) > OWN_MOST * f64::from(self.shared)
     }
 }
 
-impl Engine {
+impl Placer {
     /// Where the chosen server takes the shared parts from: one that is known to have them, else the key's store, one
     /// in the key's set, or the key's home, which at most don't have them. The store first: it keeps parts for longer.
     pub(crate) fn find_source(
         &mut self,
         now: Micros,
         service: usize,
-        terms: &Terms,
-        pick: &Pick,
-        need: Need,
-        heads: &[(u64, Vec<Head>)],
-    ) -> Option<Source> {
+        terms: &CostTerms,
+        pick: &Selection,
+        need: TransferNeed,
+        heads: &[(u64, Vec<CachedPrefix>)],
+    ) -> Option<TransferSource> {
         let same = heads.iter().find(|(version, _)| Some(*version) == pick.version);
         if let Some(source) = same.and_then(|(_, heads)| self.fleet.source(now, need, heads)) {
             return Some(source);
@@ -63,9 +63,9 @@
 
     /// A source for parts that the server is believed to keep: it may have dropped them to make room, and reading them
     /// anew costs a hundred times what asking in vain does.
-    fn in_case_it_was_dropped(&self, now: Micros, key: u64, need: Need) -> Option<Source> {
+    fn in_case_it_was_dropped(&self, now: Micros, key: u64, need: TransferNeed) -> Option<TransferSource> {
         let store = self.fleet.store_of(now, key)?;
-        self.fleet.guess(now, Need { held: 0, ..need }, store)
+        self.fleet.guess(now, TransferNeed { held: 0, ..need }, store)
     }
 
     /// The store that gets the shared parts, if some are read anew and no store has them.
@@ -74,8 +74,8 @@
         now: Micros,
         key: u64,
         version: Option<u64>,
-        prompt: ReadPrompt,
-        heads: &[(u64, Vec<Head>)],
+        prompt: PrefillPlan,
+        heads: &[(u64, Vec<CachedPrefix>)],
     ) -> Option<u32> {
         let version = version.filter(|_| prompt.reads >= LEAST_TOKENS)?;
         let store = self.fleet.store_of(now, key)?;
--- a/engine/src/status.rs
+++ b/placement/src/status.rs
@@ -3,9 +3,9 @@
 use std::sync::Arc;
 
 use crate::api::*;
-use crate::engine::Engine;
+use crate::engine::Placer;
 use crate::fleet::STORES;
-use crate::server::Bar;
+use crate::server::Ejection;
 
 /// What the engine has done so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -25,7 +25,7 @@
     /// Attempts without a known version.
     pub unknown_versions: u64,
     /// Attempts that began on an older version than the one that binds.
-    pub begun_outdated: u64,
+    pub outdated_start: u64,
     /// Requests refused because no server was ready.
     pub no_server: u64,
     /// Requests refused because all were full.
@@ -57,7 +57,7 @@
     pub models: Vec<ModelVersion>,
 }
 
-impl Engine {
+impl Placer {
     /// What was done so far.
     pub fn counters(&self) -> Counters {
         self.counters
@@ -87,7 +87,7 @@
             id: server.id.clone(),
             service: service.name.clone(),
             state: server.state,
-            left_out: server.bar(now) != Bar::None,
+            left_out: server.bar(now) != Ejection::None,
             load_ms: row.map_or(0.0, |row| f64::from(row.load)),
             running: row.map_or(0.0, |row| f64::from(row.running)),
             in_flight: server.load.in_flight,
--- a/engine/src/version.rs
+++ b/placement/src/version.rs
@@ -1,22 +1,22 @@
-//! Versions of models' weights: which were named, from when on each binds, and what a server is known to have.
+//! VersionDeadlines of models' weights: which were named, from when on each binds, and what a server is known to have.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
 use crate::api::Micros;
 
-/// One model at one server. Versions at a server only grow, so that late news changes nothing.
+/// One model at one server. VersionDeadlines at a server only grow, so that late news changes nothing.
 #[derive(Clone, Debug)]
-pub(crate) struct Weights {
+pub(crate) struct LoadedVersion {
     pub(crate) model: u32,
     /// Unknown after the server denied the one that it was believed to have.
     pub(crate) version: Option<u64>,
     least: u64,
 }
 
-impl Weights {
-    pub(crate) fn new(model: u32, version: u64) -> Weights {
-        Weights { model, version: Some(version), least: version }
+impl LoadedVersion {
+    pub(crate) fn new(model: u32, version: u64) -> LoadedVersion {
+        LoadedVersion { model, version: Some(version), least: version }
     }
 
     /// Takes in news; true if they change anything.
@@ -38,23 +38,23 @@
 
 /// A version that was named, with the time from which on nothing older may begin at a server.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Binding {
+pub(crate) struct VersionDeadline {
     pub(crate) at: Micros,
     pub(crate) version: u64,
 }
 
 #[derive(Debug, Default)]
-struct Named {
+struct AnnouncedVersions {
     newest: u64,
     /// The oldest version that requests are placed with.
     floor: u64,
     /// The oldest version that may still begin.
     binding: u64,
-    /// Versions above `binding`.
-    ahead: Vec<Binding>,
+    /// VersionDeadlines above `binding`.
+    ahead: Vec<VersionDeadline>,
 }
 
-impl Named {
+impl AnnouncedVersions {
     /// The newest version that binds by this time.
     fn ripe(&self, by: Micros) -> u64 {
         self.ahead.iter().filter(|one| one.at <= by).map(|one| one.version).max().unwrap_or(0)
@@ -69,17 +69,17 @@
 
 /// The versions that were named, by model.
 #[derive(Debug, Default)]
-pub(crate) struct Versions {
-    models: HashMap<Arc<str>, Named>,
+pub(crate) struct VersionDeadlines {
+    models: HashMap<Arc<str>, AnnouncedVersions>,
 }
 
-impl Versions {
+impl VersionDeadlines {
     /// A version was named; from `binds_at` on nothing older may begin.
     pub(crate) fn name(&mut self, model: &str, version: u64, binds_at: Micros) {
         let named = self.models.entry(Arc::from(model)).or_default();
-        let implied = |one: &Binding| one.version >= version && one.at <= binds_at;
+        let implied = |one: &VersionDeadline| one.version >= version && one.at <= binds_at;
         if version > named.binding && !named.ahead.iter().any(implied) {
-            named.ahead.push(Binding { at: binds_at, version });
+            named.ahead.push(VersionDeadline { at: binds_at, version });
         }
         named.newest = named.newest.max(version);
     }
@@ -104,7 +104,7 @@
     }
 
     /// The versions that bind later than this time, with the time of each.
-    pub(crate) fn ahead(&self, now: Micros, model: &str) -> Vec<Binding> {
+    pub(crate) fn ahead(&self, now: Micros, model: &str) -> Vec<VersionDeadline> {
         let named = self.models.get(model);
         named.into_iter().flat_map(|named| &named.ahead).filter(|one| one.at > now).copied().collect()
     }
--- a/engine/src/warmth.rs
+++ b/placement/src/warmth.rs
@@ -3,10 +3,10 @@
 use gradepaddle::cost::{hash, mix};
 
 use crate::api::*;
-use crate::choice::Terms;
-use crate::engine::{Engine, SOURCE_WARM};
+use crate::choice::CostTerms;
+use crate::engine::{Placer, SOURCE_WARM};
 use crate::fleet::STORES;
-use crate::kept::Head;
+use crate::kept::CachedPrefix;
 use crate::load::{STEP_MS, ms};
 use crate::moves::{miss_ms, read_ms};
 use crate::prompt::{key, shared};
@@ -23,14 +23,14 @@
 const TOLD: f64 = 0.3;
 const TOLD_AFTER: Micros = 1_000_000;
 
-impl Engine {
+impl Placer {
     /// Consults key table and index: what the scan goes by, each row's warmth, and who keeps what at which version.
     pub(crate) fn terms(
         &mut self,
         now: Micros,
         service: usize,
-        request: &Request<'_>,
-    ) -> (Terms, Vec<(u64, Vec<Head>)>) {
+        request: &PlacementRequest<'_>,
+    ) -> (CostTerms, Vec<(u64, Vec<CachedPrefix>)>) {
         let key = key(request, mix(self.config.seed ^ self.made));
         let head = shared(request);
         let tokens: u32 = head.iter().map(|part| part.tokens).sum();
@@ -50,7 +50,7 @@
         let own = read_ms(request.tokens_in.saturating_sub(tokens));
         service.learn_request(aim_ms, own, all);
         service.pauses.learn_bound(request.gap);
-        let terms = Terms {
+        let terms = CostTerms {
             now,
             key,
             idle: IDLE * service.tightest_ms,
@@ -78,9 +78,9 @@
         &mut self,
         now: Micros,
         service: usize,
-        request: &Request<'_>,
+        request: &PlacementRequest<'_>,
         floor: u64,
-    ) -> Vec<(u64, Vec<Head>)> {
+    ) -> Vec<(u64, Vec<CachedPrefix>)> {
         let (head, Some(name)) = (shared(request), request.model) else { return Vec::new() };
         let Some(model) = self.fleet.models.find(name).filter(|_| !head.is_empty()) else {
             return Vec::new();
@@ -103,7 +103,7 @@
 
     /// Only who keeps of the deepest shared part counts as warm. What lies before it is common to many keys: were
     /// its first holders preferred, they would become the home of all those keys, instead of each key's own.
-    fn warm_by_index(&mut self, service: usize, heads: &[(u64, Vec<Head>)], parts: &[Part]) {
+    fn warm_by_index(&mut self, service: usize, heads: &[(u64, Vec<CachedPrefix>)], parts: &[PromptChunk]) {
         let shared: u32 = parts.iter().map(|part| part.tokens).sum();
         let common = shared - parts.last().map_or(0, |part| part.tokens);
         let servers = heads.iter().flat_map(|(_, heads)| heads);
--- a/engine/tests/budget.rs
+++ b/placement/tests/budget.rs
@@ -4,7 +4,7 @@
 
 use common::MS;
 use googletest::prelude::*;
-use gradepaddle_engine::RetryBudget;
+use gradepaddle_placement::RetryBudget;
 
 const WINDOW: u64 = 10_000 * MS;
 const TICK: u64 = 20 * MS;
@@ -20,7 +20,7 @@
 impl Fleet {
     fn new(count: usize, ratio: f64, slack: f64, uneven: f64) -> Fleet {
         let mut nodes = vec![RetryBudget::new(ratio, slack, WINDOW); count];
-        nodes.iter_mut().for_each(|node| node.set_balancers(0, count));
+        nodes.iter_mut().for_each(|node| node.set_balancer_count(0, count));
         let shares: Vec<f64> = (1..=count).map(|rank| (rank as f64).powf(-uneven)).collect();
         let all: f64 = shares.iter().sum();
         let shares = shares.iter().map(|share| share / all).collect();
@@ -35,11 +35,11 @@
             self.owed[at] += rate * self.shares[at] * TICK as f64 / 1e6;
             while self.owed[at] >= 1.0 {
                 self.owed[at] -= 1.0;
-                node.note_request(now);
+                node.record_request(now);
                 requests += 1;
             }
-            while node.may_repeat(now) {
-                node.note_repeat(now);
+            while node.may_retry(now) {
+                node.record_retry(now);
                 repeats += 1;
             }
         }
@@ -91,38 +91,38 @@
 #[gtest]
 fn a_node_alone_repeats_within_its_share_of_the_slack() {
     let mut node = RetryBudget::new(0.2, 58.0, WINDOW);
-    node.set_balancers(0, 9);
+    node.set_balancer_count(0, 9);
     let repeats = (0..100).filter(|_| {
-        let may = node.may_repeat(WINDOW);
+        let may = node.may_retry(WINDOW);
         if may {
-            node.note_repeat(WINDOW);
+            node.record_retry(WINDOW);
         }
         may
     });
     expect_that!(repeats.count(), eq(5));
     // A window later, again.
-    expect_that!(node.may_repeat(2 * WINDOW), eq(false));
-    expect_that!(node.may_repeat(2 * WINDOW + WINDOW / 50), eq(true));
+    expect_that!(node.may_retry(2 * WINDOW), eq(false));
+    expect_that!(node.may_retry(2 * WINDOW + WINDOW / 50), eq(true));
 }
 
 #[gtest]
 fn fewer_balancers_count_only_after_some_windows() {
     let mut node = RetryBudget::new(0.2, 58.0, WINDOW);
-    node.set_balancers(WINDOW, 78);
-    node.set_balancers(2 * WINDOW, 1);
-    expect_that!(node.may_repeat(2 * WINDOW), eq(false));
-    node.set_balancers(5 * WINDOW, 1);
-    expect_that!(node.may_repeat(5 * WINDOW), eq(true));
+    node.set_balancer_count(WINDOW, 78);
+    node.set_balancer_count(2 * WINDOW, 1);
+    expect_that!(node.may_retry(2 * WINDOW), eq(false));
+    node.set_balancer_count(5 * WINDOW, 1);
+    expect_that!(node.may_retry(5 * WINDOW), eq(true));
 }
 
 #[gtest]
 fn the_engine_keeps_one_budget_for_each_service() {
     let mut node = common::engine(1);
-    node.set_balancers(78);
-    expect_that!(node.may_repeat(WINDOW, "a"), eq(false));
-    (0..100).for_each(|_| node.note_request(WINDOW, "a"));
-    expect_that!(node.may_repeat(WINDOW, "a"), eq(true));
-    expect_that!(node.may_repeat(WINDOW, "b"), eq(false));
-    (0..16).for_each(|_| node.note_repeat(WINDOW, "a"));
-    expect_that!(node.may_repeat(WINDOW, "a"), eq(false));
+    node.set_balancer_count(78);
+    expect_that!(node.may_retry(WINDOW, "a"), eq(false));
+    (0..100).for_each(|_| node.record_request(WINDOW, "a"));
+    expect_that!(node.may_retry(WINDOW, "a"), eq(true));
+    expect_that!(node.may_retry(WINDOW, "b"), eq(false));
+    (0..16).for_each(|_| node.record_retry(WINDOW, "a"));
+    expect_that!(node.may_retry(WINDOW, "a"), eq(false));
 }
--- a/engine/tests/common/mod.rs
+++ b/placement/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::sync::Arc;
 
-use gradepaddle_engine::*;
+use gradepaddle_placement::*;
 
 pub mod simulation;
 
@@ -47,8 +47,8 @@
     SocketAddrV4::new(Ipv4Addr::new(172, 20, 0, 2), 8080)
 }
 
-pub fn shelf() -> StoreService {
-    StoreService::builder()
+pub fn shelf() -> CacheStoreService {
+    CacheStoreService::builder()
         .name(STORE)
         .address(store_address())
         .zone("b")
@@ -58,28 +58,28 @@
 }
 
 /// An engine over `count` servers of version 1, in zone a.
-pub fn engine(count: u16) -> Engine {
-    engine_of(EngineConfig::builder().own_zone("a").seed(7).build(), count)
+pub fn engine(count: u16) -> Placer {
+    engine_of(PlacementConfig::builder().own_zone("a").seed(7).build(), count)
 }
 
-pub fn engine_of(config: EngineConfig, count: u16) -> Engine {
-    let mut engine = Engine::new(config);
+pub fn engine_of(config: PlacementConfig, count: u16) -> Placer {
+    let mut engine = Placer::new(config);
     engine.set_services(0, vec![ServiceSpec::Model(pool()), ServiceSpec::Store(shelf())]);
-    (0..count).for_each(|number| engine.set_server(0, entry(number, 1)));
+    (0..count).for_each(|number| engine.update_server(0, entry(number, 1)));
     engine
 }
 
-pub fn part(id: u64, tokens: u32) -> Part {
-    Part { id, tokens }
+pub fn part(id: u64, tokens: u32) -> PromptChunk {
+    PromptChunk { id, tokens }
 }
 
 /// A long prompt: two shared parts of 2,520 and 3,780 tokens and 2,890 of its own.
-pub fn long(subject: u64, own: u64) -> Vec<Part> {
+pub fn long(subject: u64, own: u64) -> Vec<PromptChunk> {
     vec![part(1 + subject % 4, 2_520), part(1_000 + subject, 3_780), part(1_000_000 + own, 2_890)]
 }
 
-pub fn request(parts: &[Part]) -> Request<'_> {
-    Request {
+pub fn request(parts: &[PromptChunk]) -> PlacementRequest<'_> {
+    PlacementRequest {
         service: SERVICE,
         model: Some(MODEL),
         parts,
@@ -89,22 +89,22 @@
         aim: 800 * MS,
         gap: 0,
         time_left: 6_000 * MS,
-        wall: Wall::Shared(0),
+        wall: CacheIsolation::Shared(0),
         resumed_from: None,
     }
 }
 
 /// Chooses for a long prompt.
-pub fn choose(engine: &mut Engine, now: Micros, subject: u64, own: u64) -> Choice {
-    engine.choose(now, &request(&long(subject, own)), &[]).expect("a server is ready")
+pub fn place(engine: &mut Placer, now: Micros, subject: u64, own: u64) -> Placement {
+    engine.place(now, &request(&long(subject, own)), &[]).expect("a server is ready")
 }
 
 /// Runs an attempt to its end within 100 ms.
-pub fn serve(engine: &mut Engine, now: Micros, choice: &Choice) {
-    engine.first_event(now + 60 * MS, choice.attempt);
-    engine.ended(now + 100 * MS, choice.attempt, AttemptOutcome::Served, None, None);
+pub fn serve(engine: &mut Placer, now: Micros, choice: &Placement) {
+    engine.record_first_event(now + 60 * MS, choice.attempt);
+    engine.record_end(now + 100 * MS, choice.attempt, AttemptOutcome::Served, None, None);
 }
 
-pub fn added<'a>(salt: &'a str, part: &Part) -> Kept<'a> {
-    Kept::Added { salt, part: part.id, tokens: part.tokens, model: MODEL }
+pub fn added<'a>(salt: &'a str, part: &PromptChunk) -> CacheEvent<'a> {
+    CacheEvent::Added { salt, part: part.id, tokens: part.tokens, model: MODEL }
 }
--- a/engine/tests/common/simulation.rs
+++ b/placement/tests/common/simulation.rs
@@ -19,7 +19,7 @@
 /// How requests are spread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    Engine,
+    Placer,
     Random,
     Hash,
 }
@@ -89,7 +89,7 @@
     came: Micros,
     balancer: usize,
     attempt: Option<AttemptId>,
-    parts: Vec<Part>,
+    parts: Vec<PromptChunk>,
     salt: Arc<str>,
     unread: u32,
     out: u32,
@@ -106,7 +106,7 @@
 }
 
 impl Cache {
-    fn touch(&mut self, salt: &Arc<str>, part: &Part) {
+    fn touch(&mut self, salt: &Arc<str>, part: &PromptChunk) {
         self.clock += 1;
         let clock = self.clock;
         if let Some((tokens, stamp)) = self.parts.get_mut(&(salt.clone(), part.id)) {
@@ -131,7 +131,7 @@
         dropped
     }
 
-    fn head(&self, salt: &Arc<str>, parts: &[Part]) -> usize {
+    fn head(&self, salt: &Arc<str>, parts: &[PromptChunk]) -> usize {
         parts.iter().take_while(|part| self.parts.contains_key(&(salt.clone(), part.id))).count()
     }
 }
@@ -158,7 +158,7 @@
 pub struct Simulation {
     plan: Plan,
     random: Random,
-    engines: Vec<Engine>,
+    engines: Vec<Placer>,
     machines: Vec<Machine>,
     store: Cache,
     store_link: Micros,
@@ -185,15 +185,15 @@
         });
         let machines: Vec<Machine> = machines.collect();
         let engines = (0..plan.balancers).map(|node| {
-            let config = EngineConfig::builder().own_zone(ZONES[node % 3]).seed(node as u64).build();
-            let mut engine = Engine::new(config);
+            let config = PlacementConfig::builder().own_zone(ZONES[node % 3]).seed(node as u64).build();
+            let mut engine = Placer::new(config);
             let mut services = vec![ServiceSpec::Model(pool())];
             if plan.with_store {
                 services.push(ServiceSpec::Store(shelf()));
             }
             engine.set_services(0, services);
-            engine.set_balancers(plan.balancers);
-            machines.iter().for_each(|machine| engine.set_server(0, machine.entry.clone()));
+            engine.set_balancer_count(plan.balancers);
+            machines.iter().for_each(|machine| engine.update_server(0, machine.entry.clone()));
             engine
         });
         Simulation {
@@ -229,23 +229,23 @@
                 Happening::Step(machine) => self.stepped(now, machine),
                 Happening::Told(node, holder, salt, part, tokens, added) => {
                     let kept = match added {
-                        true => Kept::Added { salt: &salt, part, tokens, model: MODEL },
-                        false => Kept::Dropped { salt: &salt, part, tokens: 0, model: MODEL },
+                        true => CacheEvent::Added { salt: &salt, part, tokens, model: MODEL },
+                        false => CacheEvent::Dropped { salt: &salt, part, tokens: 0, model: MODEL },
                     };
-                    self.engines[node].kept_event(now, &holder, kept);
+                    self.engines[node].apply_cache_event(now, &holder, kept);
                 }
             }
         }
-        self.outcome.counters = self.engines.iter().map(Engine::counters).collect();
+        self.outcome.counters = self.engines.iter().map(Placer::counters).collect();
         self.outcome
     }
 
-    fn size(&mut self, id: u64, mean: f64, spread: f64, most: f64) -> Part {
+    fn size(&mut self, id: u64, mean: f64, spread: f64, most: f64) -> PromptChunk {
         let mut random = Random(id ^ self.plan.seed << 20);
         part(id, *self.sizes.entry(id).or_insert_with(|| random.around(mean, spread, most)))
     }
 
-    fn prompt(&mut self, kind: usize) -> (Vec<Part>, u32) {
+    fn prompt(&mut self, kind: usize) -> (Vec<PromptChunk>, u32) {
         let own = self.random.next() | 1 << 63;
         let draw = self.random.unit();
         if kind == 0 {
@@ -284,19 +284,19 @@
                 let hash = |at: &usize| gradepaddle::cost::mix(key ^ gradepaddle::cost::mix(*at as u64 + 1));
                 (0..self.machines.len()).max_by_key(hash).expect("there are servers")
             }
-            Policy::Engine => return self.choose(now, job),
+            Policy::Placer => return self.place(now, job),
         };
         self.deliver(now + WAY, machine, job);
     }
 
-    fn choose(&mut self, now: Micros, mut job: Job) {
-        let request = Request {
+    fn place(&mut self, now: Micros, mut job: Job) {
+        let request = PlacementRequest {
             tokens_out: job.out,
             priority: 1 - job.kind as u8,
             aim: [800 * MS, 400 * MS][job.kind],
             ..request(&job.parts)
         };
-        let Ok(choice) = self.engines[job.balancer].choose(now, &request, &[]) else {
+        let Ok(choice) = self.engines[job.balancer].place(now, &request, &[]) else {
             self.outcome.refused += 1;
             return;
         };
@@ -324,7 +324,7 @@
         if there <= own {
             return now + (MISS_MS * 1e3) as Micros;
         }
-        let moved: Vec<Part> = job.parts[own..there].to_vec();
+        let moved: Vec<PromptChunk> = job.parts[own..there].to_vec();
         let tokens: u32 = moved.iter().map(|part| part.tokens).sum();
         self.outcome.moved += u64::from(tokens);
         let takes = SETUP_MS + f64::from(tokens) * 327_680.0 * 8.0 / (link * 1e3);
@@ -339,7 +339,7 @@
         end
     }
 
-    fn keep(&mut self, now: Micros, machine: usize, salt: &Arc<str>, part: &Part) {
+    fn keep(&mut self, now: Micros, machine: usize, salt: &Arc<str>, part: &PromptChunk) {
         let server = &mut self.machines[machine];
         server.cache.touch(salt, part);
         let running: u64 = server.jobs.iter().map(|job| u64::from(job.out)).sum();
@@ -351,8 +351,8 @@
         }
     }
 
-    fn tell(&mut self, now: Micros, holder: &str, salt: &Arc<str>, part: &Part, added: bool) {
-        if self.plan.policy != Policy::Engine {
+    fn tell(&mut self, now: Micros, holder: &str, salt: &Arc<str>, part: &PromptChunk, added: bool) {
+        if self.plan.policy != Policy::Placer {
             return;
         }
         for node in 0..self.plan.balancers {
@@ -426,7 +426,7 @@
                 first.push(server.jobs[at].clone());
             }
         }
-        let report = LoadReport {
+        let report = ServerLoadReport {
             running: server.jobs.iter().filter(|job| job.unread == 0).count() as u32,
             waiting: (server.jobs.iter().filter(|job| job.unread > 0).count() + server.queue.len()) as u32,
             slots: server.entry.slots,
@@ -447,13 +447,13 @@
         }
         for job in ended {
             if let Some(attempt) = job.attempt {
-                self.engines[job.balancer].ended(now + WAY, attempt, AttemptOutcome::Served, None, None);
+                self.engines[job.balancer].record_end(now + WAY, attempt, AttemptOutcome::Served, None, None);
             }
         }
         self.step(now, machine);
     }
 
-    fn begun(&mut self, now: Micros, machine: usize, job: &Job, report: LoadReport) {
+    fn begun(&mut self, now: Micros, machine: usize, job: &Job, report: ServerLoadReport) {
         let took = (now + WAY - job.came) as f64 / 1e3;
         // The first seconds are left out: all caches are empty.
         if job.came > 5_000_000 {
@@ -469,9 +469,9 @@
         }
         if let Some(attempt) = job.attempt {
             let id = self.machines[machine].entry.id.clone();
-            self.engines[job.balancer].first_event(now + WAY, attempt);
-            self.engines[job.balancer].observe_load(now + WAY, &id, report);
-            self.engines[job.balancer].holder_heard(now + WAY, STORE);
+            self.engines[job.balancer].record_first_event(now + WAY, attempt);
+            self.engines[job.balancer].observe_server_load(now + WAY, &id, report);
+            self.engines[job.balancer].record_cache_contact(now + WAY, STORE);
         }
     }
 }
--- a/engine/tests/golden.rs
+++ b/placement/tests/golden.rs
@@ -10,10 +10,11 @@
 use common::{MODEL, MS, STORE, ZONES, entry, pool, shelf};
 use googletest::prelude::*;
 use gradepaddle::cost::{hash, mix};
-use gradepaddle_engine::{
-    AttemptId, AttemptOutcome, Choice, Engine, EngineConfig, Kept, KeptTokens, LoadReport, Micros,
-    ModelService, ModelVersion, OwnPause, Part, Refusal, Request, ServerEntry, ServerState, ServiceSpec,
-    StoreChanges, StoreService, Wall, holder_hash, kept_key,
+use gradepaddle_placement::{
+    AttemptId, AttemptOutcome, CacheEvent, CacheIsolation, CacheStoreService, CachedTokens, Micros,
+    ModelService, ModelVersion, Placement, PlacementConfig, PlacementRequest, Placer, PromptChunk, Rejection,
+    ServerEntry, ServerLoadReport, ServerState, ServiceSpec, StoreUpdate, StreamPause, chunk_key,
+    holder_hash,
 };
 
 const SERVERS: u16 = 14;
@@ -69,7 +70,7 @@
         self.text(&address.map_or_else(String::new, |address| address.to_string()));
     }
 
-    fn choice(&mut self, choice: &Choice) {
+    fn choice(&mut self, choice: &Placement) {
         self.number(choice.attempt.0);
         self.text(&choice.server);
         self.address(Some(choice.address));
@@ -79,10 +80,10 @@
         self.text(choice.salt.as_deref().unwrap_or_default());
     }
 
-    fn refusal(&mut self, refusal: Refusal) {
+    fn refusal(&mut self, refusal: Rejection) {
         let (kind, retry_after) = match refusal {
-            Refusal::NoServer { retry_after } => (1, retry_after),
-            Refusal::Overloaded { retry_after } => (2, retry_after),
+            Rejection::NoServer { retry_after } => (1, retry_after),
+            Rejection::Overloaded { retry_after } => (2, retry_after),
         };
         self.number(kind);
         self.number(retry_after);
@@ -91,7 +92,7 @@
 
 /// One engine with the attempts that are in flight there.
 struct Node {
-    engine: Engine,
+    engine: Placer,
     attempts: Vec<(AttemptId, Arc<str>)>,
     sequence: u64,
 }
@@ -99,11 +100,11 @@
 impl Node {
     fn new(zone: &str, seed: u64) -> Node {
         let config =
-            EngineConfig::builder().own_zone(zone).seed(seed).keys(40).kept(900).retry_slack(3.0).build();
-        let mut engine = Engine::new(config);
+            PlacementConfig::builder().own_zone(zone).seed(seed).keys(40).kept(900).retry_slack(3.0).build();
+        let mut engine = Placer::new(config);
         engine.set_services(0, services(105_065));
-        engine.set_balancers(2);
-        (0..SERVERS).for_each(|number| engine.set_server(0, server(number, 1, ServerState::Ready)));
+        engine.set_balancer_count(2);
+        (0..SERVERS).for_each(|number| engine.update_server(0, server(number, 1, ServerState::Ready)));
         Node { engine, attempts: Vec::new(), sequence: 0 }
     }
 }
@@ -117,7 +118,7 @@
         .link_mbps(9_000.0)
         .models(vec![Arc::from(SECOND_MODEL)])
         .build();
-    let cellar = StoreService::builder()
+    let cellar = CacheStoreService::builder()
         .name(SECOND_STORE)
         .address(SocketAddrV4::new([172, 20, 0, 3].into(), 8080))
         .zone("c")
@@ -155,18 +156,18 @@
     if random.chance(75) { MODEL } else { SECOND_MODEL }
 }
 
-fn parts(random: &mut Random) -> Vec<Part> {
+fn parts(random: &mut Random) -> Vec<PromptChunk> {
     let subject = random.below(30);
     let chain = [
-        Part { id: 1 + subject % 4, tokens: 2_520 },
-        Part { id: 1_000 + subject, tokens: 1_000 + 200 * (subject as u32 % 9) },
-        Part { id: 1_000_000 + random.below(200), tokens: 40 + random.below(3_000) as u32 },
+        PromptChunk { id: 1 + subject % 4, tokens: 2_520 },
+        PromptChunk { id: 1_000 + subject, tokens: 1_000 + 200 * (subject as u32 % 9) },
+        PromptChunk { id: 1_000_000 + random.below(200), tokens: 40 + random.below(3_000) as u32 },
     ];
     chain[random.below(3) as usize..].to_vec()
 }
 
-fn load(random: &mut Random) -> Option<LoadReport> {
-    let report = LoadReport {
+fn load(random: &mut Random) -> Option<ServerLoadReport> {
+    let report = ServerLoadReport {
         running: random.below(60) as u32,
         waiting: random.below(6) as u32,
         slots: 2 + random.below(47) as u32,
@@ -189,16 +190,16 @@
     if random.chance(80) { AttemptOutcome::Served } else { outcomes[random.below(9) as usize] }
 }
 
-fn choose(node: &mut Node, now: Micros, random: &mut Random, digest: &mut Digest) {
+fn place(node: &mut Node, now: Micros, random: &mut Random, digest: &mut Digest) {
     let parts = parts(random);
     let known_model = random.chance(92);
     let second = random.chance(20);
     let (service, model) = if second { (SECOND_SERVICE, SECOND_MODEL) } else { (common::SERVICE, MODEL) };
     let wall = match random.below(4) {
-        0 => Wall::Tenant(Arc::from("alone")),
-        _ => Wall::Shared(3),
+        0 => CacheIsolation::Tenant(Arc::from("alone")),
+        _ => CacheIsolation::Shared(3),
     };
-    let request = Request {
+    let request = PlacementRequest {
         service: if random.chance(99) { service } else { "nowhere" },
         model: known_model.then_some(model),
         parts: &parts,
@@ -212,11 +213,11 @@
         resumed_from: None,
     };
     let tried: Vec<Arc<str>> = (0..random.below(3)).map(|_| Arc::from(server_id(random))).collect();
-    node.engine.note_request(now, request.service);
-    match node.engine.choose(now, &request, &tried) {
+    node.engine.record_request(now, request.service);
+    match node.engine.place(now, &request, &tried) {
         Ok(choice) => {
             digest.choice(&choice);
-            digest.number(node.engine.must_begin_by(choice.attempt).unwrap_or(u64::MAX));
+            digest.number(node.engine.start_deadline(choice.attempt).unwrap_or(u64::MAX));
             node.attempts.push((choice.attempt, choice.server));
         }
         Err(refusal) => digest.refusal(refusal),
@@ -231,9 +232,9 @@
     let (attempt, server) = node.attempts[at].clone();
     if random.chance(55) {
         let told = random.chance(50).then(|| random.below(4));
-        let begun = node.engine.begun_outdated(now, attempt, told);
+        let begun = node.engine.outdated_start(now, attempt, told);
         digest.number(begun.map_or(0, |begun| mix(begun.version ^ (begun.binding << 8)) ^ begun.waited));
-        node.engine.first_event(now, attempt);
+        node.engine.record_first_event(now, attempt);
         return;
     }
     node.attempts.swap_remove(at);
@@ -241,8 +242,8 @@
         .chance(30)
         .then(|| vec![ModelVersion { model: Arc::from(model(random)), version: 1 + random.below(3) }]);
     let load = load(random);
-    node.engine.ended(now, attempt, outcome(random), load, versions.as_deref());
-    digest.number(u64::from(node.engine.takes_requests(&server)));
+    node.engine.record_end(now, attempt, outcome(random), load, versions.as_deref());
+    digest.number(u64::from(node.engine.accepts_requests(&server)));
 }
 
 fn change_server(node: &mut Node, now: Micros, random: &mut Random) {
@@ -254,17 +255,17 @@
             let lost = random.chance(10);
             let state = if lost { ServerState::Lost } else { states[random.below(4) as usize] };
             let number = random.below(u64::from(SERVERS)) as u16;
-            node.engine.set_server(now, server(number, 1 + random.below(3), state));
+            node.engine.update_server(now, server(number, 1 + random.below(3), state));
         }
-        5 => node.engine.hold_server(now, &id, span),
-        6 => node.engine.suspect_server(now, &id),
+        5 => node.engine.pause_server(now, &id, span),
+        6 => node.engine.record_server_failure(now, &id),
         7 => node.engine.observe_version(now, &id, model(random), 1 + random.below(3)),
         8..=10 => {
             if let Some(load) = load(random) {
-                node.engine.observe_load(now, &id, load);
+                node.engine.observe_server_load(now, &id, load);
             }
         }
-        _ => node.engine.set_balancers(1 + random.below(5) as usize),
+        _ => node.engine.set_balancer_count(1 + random.below(5) as usize),
     }
 }
 
@@ -272,9 +273,9 @@
     let (model, version) = (model(random), 1 + random.below(3));
     let binds_at = now + random.below(3_000) * MS;
     if random.chance(70) {
-        node.engine.name_version(binds_at, model, version);
+        node.engine.announce_version(binds_at, model, version);
     } else {
-        node.engine.postpone_version(binds_at, model, version);
+        node.engine.extend_version_deadline(binds_at, model, version);
     }
 }
 
@@ -286,22 +287,22 @@
     let part = parts(random)[0];
     let (id, tokens) = (part.id, part.tokens);
     match random.below(20) {
-        0 => node.engine.kept_reset(now, &holder),
-        1 => node.engine.source_failed(now, &holder),
-        2..=5 => node.engine.holder_heard(now, &holder),
+        0 => node.engine.reset_cache_holder(now, &holder),
+        1 => node.engine.record_source_failure(now, &holder),
+        2..=5 => node.engine.record_cache_contact(now, &holder),
         6..=8 => {
-            let dropped = Kept::Dropped { salt: &salt, part: id, tokens: 0, model: MODEL };
-            node.engine.kept_event(now, &holder, dropped);
+            let dropped = CacheEvent::Dropped { salt: &salt, part: id, tokens: 0, model: MODEL };
+            node.engine.apply_cache_event(now, &holder, dropped);
         }
         _ => {
-            let added = Kept::Added { salt: &salt, part: id, tokens, model: MODEL };
-            node.engine.kept_event(now, &holder, added);
+            let added = CacheEvent::Added { salt: &salt, part: id, tokens, model: MODEL };
+            node.engine.apply_cache_event(now, &holder, added);
         }
     }
     if random.chance(30) {
-        let parts = vec![KeptTokens { key: kept_key(&salt, id), tokens }];
-        let changes = StoreChanges { store: holder_hash(&holder), reset: random.chance(4), parts };
-        node.engine.tell_store_changes(changes);
+        let parts = vec![CachedTokens { key: chunk_key(&salt, id), tokens }];
+        let changes = StoreUpdate { store: holder_hash(&holder), reset: random.chance(4), parts };
+        node.engine.queue_store_update(changes);
     }
 }
 
@@ -309,24 +310,24 @@
 fn exchange(nodes: &mut [Node; 2], from: usize, now: Micros, digest: &mut Digest) {
     let sender = &mut nodes[from];
     sender.sequence += 1;
-    let (sequence, loads) = (sender.sequence, sender.engine.own_loads(now));
+    let (sequence, loads) = (sender.sequence, sender.engine.local_loads(now));
     for load in &loads {
         digest.number(load.server ^ u64::from(load.running) ^ load.tokens);
         digest.float(load.backlog_ms);
     }
-    let sightings = sender.engine.take_sightings();
+    let sightings = sender.engine.take_prefill_reports();
     for sighting in &sightings {
         digest.number(sighting.server ^ sighting.key ^ sighting.version ^ sighting.salt);
         sighting.parts.iter().for_each(|part| digest.number(part.id ^ u64::from(part.tokens)));
     }
-    let changes = sender.engine.take_store_changes();
+    let changes = sender.engine.take_store_updates();
     let receiver = &mut nodes[1 - from].engine;
-    digest.number(u64::from(receiver.peer_loads(now, from as u64, sequence, loads)));
-    receiver.peer_sightings(now, &sightings);
+    digest.number(u64::from(receiver.apply_peer_loads(now, from as u64, sequence, loads)));
+    receiver.apply_peer_prefill_reports(now, &sightings);
     for change in &changes {
         digest.number(change.store ^ u64::from(change.reset));
         change.parts.iter().for_each(|part| digest.number(part.key ^ u64::from(part.tokens)));
-        receiver.peer_store_changes(now, change);
+        receiver.apply_peer_store_update(now, change);
     }
 }
 
@@ -356,7 +357,7 @@
         counters.guesses,
         counters.saves,
         counters.unknown_versions,
-        counters.begun_outdated,
+        counters.outdated_start,
         counters.no_server,
         counters.overloaded,
     ];
@@ -368,13 +369,13 @@
 
 fn count_repeats(node: &mut Node, now: Micros, random: &mut Random, digest: &mut Digest) {
     let service = if random.chance(70) { common::SERVICE } else { SECOND_SERVICE };
-    let allowed = node.engine.may_repeat(now, service);
+    let allowed = node.engine.may_retry(now, service);
     digest.number(u64::from(allowed));
     if allowed {
-        node.engine.note_repeat(now, service);
+        node.engine.record_retry(now, service);
     }
     let longest = 100 * MS + random.below(300) * MS;
-    node.engine.observe_pause(OwnPause { service, longest });
+    node.engine.observe_stream_pause(StreamPause { service, longest });
 }
 
 fn play(seed: u64) -> u64 {
@@ -387,7 +388,7 @@
         let at = random.below(2) as usize;
         let node = &mut nodes[at];
         match random.below(100) {
-            0..=41 => choose(node, now, &mut random, &mut digest),
+            0..=41 => place(node, now, &mut random, &mut digest),
             42..=82 => advance_attempt(node, now, &mut random, &mut digest),
             83..=84 => change_server(node, now, &mut random),
             85 if random.chance(20) => change_versions(node, now, &mut random),
--- a/engine/tests/pauses.rs
+++ b/placement/tests/pauses.rs
@@ -1,4 +1,4 @@
-//! Pauses in streams: learned from streams that came whole, and heeded only where they are near the streams' bound.
+//! StreamPauses in streams: learned from streams that came whole, and heeded only where they are near the streams' bound.
 
 mod common;
 
@@ -6,36 +6,36 @@
 
 use common::*;
 use googletest::prelude::*;
-use gradepaddle_engine::*;
+use gradepaddle_placement::*;
 
 const NOW: Micros = 20_000 * MS;
 const PEER: u64 = 9;
 const BOUND: Micros = 300 * MS;
 
-fn long_request(parts: &[Part], gap: Micros) -> Request<'_> {
-    Request { gap, ..request(parts) }
+fn long_request(parts: &[PromptChunk], gap: Micros) -> PlacementRequest<'_> {
+    PlacementRequest { gap, ..request(parts) }
 }
 
 /// The home of a long prompt that nobody has read, and a node where two streams of another balancer run there.
 fn streams_at_home(pauses: &[Micros], gap: Micros) -> (Arc<str>, Arc<str>) {
     let parts = long(1, 1);
     let mut node = engine(4);
-    let home = node.choose(NOW, &long_request(&parts, gap), &[]).expect("a server").server;
+    let home = node.place(NOW, &long_request(&parts, gap), &[]).expect("a server").server;
     let mut node = engine(4);
-    node.set_balancers(2);
+    node.set_balancer_count(2);
     // Some request has told of the bound before.
-    node.choose(NOW - 5_000 * MS, &long_request(&long(2, 2), gap), &[]).expect("a server");
+    node.place(NOW - 5_000 * MS, &long_request(&long(2, 2), gap), &[]).expect("a server");
     for longest in pauses {
-        node.observe_pause(OwnPause { service: SERVICE, longest: *longest });
+        node.observe_stream_pause(StreamPause { service: SERVICE, longest: *longest });
     }
     // The server's own hash is what others name it by.
     let mut other = engine(4);
-    let chosen = other.choose(NOW, &long_request(&parts, gap), &[]).expect("a server");
-    let mut told = other.own_loads(NOW);
+    let chosen = other.place(NOW, &long_request(&parts, gap), &[]).expect("a server");
+    let mut told = other.local_loads(NOW);
     told.iter_mut().for_each(|load| (load.backlog_ms, load.running) = (0.0, 2));
     assert_eq!(chosen.server, home);
-    node.peer_loads(NOW - MS, PEER, 1, told);
-    let taken = node.choose(NOW, &long_request(&parts, gap), &[]).expect("a server").server;
+    node.apply_peer_loads(NOW - MS, PEER, 1, told);
+    let taken = node.place(NOW, &long_request(&parts, gap), &[]).expect("a server").server;
     (home, taken)
 }
 
@@ -70,6 +70,6 @@
 #[gtest]
 fn a_service_that_is_not_known_learns_nothing() {
     let mut node = engine(2);
-    node.observe_pause(OwnPause { service: "other", longest: 9_000 * MS });
-    expect_that!(choose(&mut node, NOW, 1, 1).server.len(), gt(0));
+    node.observe_stream_pause(StreamPause { service: "other", longest: 9_000 * MS });
+    expect_that!(place(&mut node, NOW, 1, 1).server.len(), gt(0));
 }
--- a/engine/tests/placement.rs
+++ b/placement/tests/placement.rs
@@ -6,18 +6,18 @@
 
 use common::*;
 use googletest::prelude::*;
-use gradepaddle_engine::*;
+use gradepaddle_placement::*;
 
 #[gtest]
 fn nodes_agree_on_the_home_of_a_fresh_key() {
     let nodes = [("a", 1), ("b", 2), ("c", 3)];
     let mut nodes =
-        nodes.map(|(zone, seed)| engine_of(EngineConfig::builder().own_zone(zone).seed(seed).build(), 18));
+        nodes.map(|(zone, seed)| engine_of(PlacementConfig::builder().own_zone(zone).seed(seed).build(), 18));
     let mut used = BTreeSet::new();
     for subject in 0..200 {
         let now = 2_000 * MS + subject * 1_000 * MS;
         let homes = nodes.each_mut().map(|node| {
-            let choice = choose(node, now, subject, subject);
+            let choice = place(node, now, subject, subject);
             serve(node, now, &choice);
             choice.server
         });
@@ -34,7 +34,7 @@
         let mut node = engine(count);
         (0..100u64).map(move |subject| {
             let now = 2_000 * MS + subject * 1_000 * MS;
-            let choice = choose(&mut node, now, subject, subject);
+            let choice = place(&mut node, now, subject, subject);
             serve(&mut node, now, &choice);
             choice.server
         })
@@ -50,16 +50,16 @@
 fn a_key_stays_where_it_is_warm_spreads_under_load_and_comes_back() {
     let mut node = engine(6);
     let mut now = 2_000 * MS;
-    let first = choose(&mut node, now, 1, 1);
+    let first = place(&mut node, now, 1, 1);
     serve(&mut node, now, &first);
     now += 300 * MS;
-    let again = choose(&mut node, now, 1, 2);
+    let again = place(&mut node, now, 1, 2);
     expect_that!(again.server, eq(&first.server));
     // Nothing ends: the key's set widens, each time to one that fetches from a holder.
     let mut used = BTreeSet::new();
     let mut open = vec![again];
     for own in 0..30 {
-        let choice = choose(&mut node, now + own * MS, 1, 10 + own);
+        let choice = place(&mut node, now + own * MS, 1, 10 + own);
         used.insert(choice.server.clone());
         open.push(choice);
     }
@@ -72,7 +72,7 @@
     let later: BTreeSet<_> = (0..5)
         .map(|own| {
             let at = now + own * 1_000 * MS;
-            let choice = choose(&mut node, at, 1, 100 + own);
+            let choice = place(&mut node, at, 1, 100 + own);
             serve(&mut node, at, &choice);
             choice.server
         })
@@ -87,7 +87,7 @@
     let mut used = BTreeSet::new();
     for turn in 0..20u64 {
         let now = 2_000 * MS + turn * 1_000 * MS;
-        let choice = choose(&mut node, now, 4 * turn, turn);
+        let choice = place(&mut node, now, 4 * turn, turn);
         serve(&mut node, now, &choice);
         used.insert(choice.server);
     }
@@ -98,16 +98,16 @@
 fn a_server_that_has_the_parts_by_its_own_word_is_preferred() {
     for holder in 0..6 {
         let mut node = engine(6);
-        let salt = choose(&mut node, 0, 9, 1).salt.expect("version known");
+        let salt = place(&mut node, 0, 9, 1).salt.expect("version known");
         let mut node = engine(6);
         for shared in &long(9, 1)[..2] {
-            node.kept_event(1_900 * MS, &format!("i-{holder}"), added(&salt, shared));
+            node.apply_cache_event(1_900 * MS, &format!("i-{holder}"), added(&salt, shared));
         }
-        expect_that!(&*choose(&mut node, 2_000 * MS, 9, 2).server, eq(&*format!("i-{holder}")));
+        expect_that!(&*place(&mut node, 2_000 * MS, 9, 2).server, eq(&*format!("i-{holder}")));
         // Once dropped it is no holder any more, and the home has it.
         for shared in &long(9, 1)[..2] {
-            let event = Kept::Dropped { salt: &salt, part: shared.id, tokens: 0, model: MODEL };
-            node.kept_event(2_100 * MS, &format!("i-{holder}"), event);
+            let event = CacheEvent::Dropped { salt: &salt, part: shared.id, tokens: 0, model: MODEL };
+            node.apply_cache_event(2_100 * MS, &format!("i-{holder}"), event);
         }
         expect_that!(node.table_sizes().1, eq(0));
     }
@@ -118,12 +118,12 @@
     for state in [ServerState::Draining, ServerState::Lost, ServerState::Gone] {
         let mut node = engine(4);
         for number in 0..3 {
-            node.set_server(0, ServerEntry { state, ..entry(number, 1) });
+            node.update_server(0, ServerEntry { state, ..entry(number, 1) });
         }
         for subject in 0..50 {
-            let choice = choose(&mut node, 2_000 * MS + subject, subject, subject);
+            let choice = place(&mut node, 2_000 * MS + subject, subject, subject);
             expect_that!(&*choice.server, eq("i-3"));
-            node.ended(2_000 * MS + subject, choice.attempt, AttemptOutcome::ClientGone, None, None);
+            node.record_end(2_000 * MS + subject, choice.attempt, AttemptOutcome::ClientGone, None, None);
         }
     }
 }
@@ -131,12 +131,12 @@
 #[gtest]
 fn lost_ones_are_used_only_where_nothing_else_is_left_and_the_leaving_never() {
     let mut node = engine(2);
-    node.set_server(0, ServerEntry { state: ServerState::Lost, ..entry(0, 1) });
-    node.set_server(0, ServerEntry { state: ServerState::Draining, ..entry(1, 1) });
-    expect_that!(&*choose(&mut node, 1, 1, 1).server, eq("i-0"));
+    node.update_server(0, ServerEntry { state: ServerState::Lost, ..entry(0, 1) });
+    node.update_server(0, ServerEntry { state: ServerState::Draining, ..entry(1, 1) });
+    expect_that!(&*place(&mut node, 1, 1, 1).server, eq("i-0"));
     node.remove_server(2, "i-0");
-    let refused = node.choose(3, &request(&long(1, 2)), &[]);
-    expect_that!(refused, err(eq(&Refusal::NoServer { retry_after: 300 * MS })));
+    let refused = node.place(3, &request(&long(1, 2)), &[]);
+    expect_that!(refused, err(eq(&Rejection::NoServer { retry_after: 300 * MS })));
 }
 
 #[gtest]
@@ -150,11 +150,11 @@
         let mut node = engine(3);
         let mut now = 2_000 * MS;
         for span in [200, 400, 800, 1_600, 2_000, 2_000] {
-            let home = choose(&mut node, now, 5, now);
-            node.ended(now, home.attempt, outcome, None, None);
-            let other = choose(&mut node, now + span * MS - 2, 5, now + 1);
+            let home = place(&mut node, now, 5, now);
+            node.record_end(now, home.attempt, outcome, None, None);
+            let other = place(&mut node, now + span * MS - 2, 5, now + 1);
             expect_that!(other.server, not(eq(&home.server)));
-            node.ended(now + span * MS - 1, other.attempt, AttemptOutcome::ClientGone, None, None);
+            node.record_end(now + span * MS - 1, other.attempt, AttemptOutcome::ClientGone, None, None);
             // The members of the key's set since don't matter here: a fresh key with that home.
             now += span * MS;
             let status = node.servers(now).find(|s| s.id == home.server).expect("known");
@@ -163,10 +163,10 @@
                 node.remove_server(now, &rest.id);
             }
             let number: u16 = home.server[2..].parse().expect("a number");
-            let trial = choose(&mut node, now, 5, now + 2);
+            let trial = place(&mut node, now, 5, now + 2);
             expect_that!(trial.server, eq(&home.server));
-            node.ended(now, trial.attempt, AttemptOutcome::ClientGone, None, None);
-            (0..3).filter(|n| *n != number).for_each(|n| node.set_server(now, entry(n, 1)));
+            node.record_end(now, trial.attempt, AttemptOutcome::ClientGone, None, None);
+            (0..3).filter(|n| *n != number).for_each(|n| node.update_server(now, entry(n, 1)));
         }
     }
 }
@@ -175,16 +175,16 @@
 fn failures_of_one_moment_count_once_and_an_answer_clears_them() {
     let mut node = engine(1);
     let now = 2_000 * MS;
-    let many: Vec<_> = (0..8).map(|own| choose(&mut node, now, 1, own)).collect();
+    let many: Vec<_> = (0..8).map(|own| place(&mut node, now, 1, own)).collect();
     for choice in &many {
-        node.ended(now + 10, choice.attempt, AttemptOutcome::Broken, None, None);
+        node.record_end(now + 10, choice.attempt, AttemptOutcome::Broken, None, None);
     }
-    let left_out = |node: &Engine, now| node.servers(now).next().expect("one").left_out;
+    let left_out = |node: &Placer, now| node.servers(now).next().expect("one").left_out;
     expect_that!(left_out(&node, now + 199 * MS), eq(true));
     expect_that!(left_out(&node, now + 201 * MS), eq(false));
     // All are suspect: the only one is used all the same.
-    let trial = choose(&mut node, now + 20, 1, 100);
-    node.first_event(now + 50 * MS, trial.attempt);
+    let trial = place(&mut node, now + 20, 1, 100);
+    node.record_first_event(now + 50 * MS, trial.attempt);
     expect_that!(left_out(&node, now + 51 * MS), eq(false));
 }
 
@@ -192,9 +192,9 @@
 fn one_that_turned_a_request_away_rests_for_a_moment() {
     let mut node = engine(3);
     let now = 2_000 * MS;
-    let home = choose(&mut node, now, 5, 1);
-    node.ended(now, home.attempt, AttemptOutcome::NotRun, None, None);
-    expect_that!(choose(&mut node, now + 149 * MS, 5, 2).server, not(eq(&home.server)));
+    let home = place(&mut node, now, 5, 1);
+    node.record_end(now, home.attempt, AttemptOutcome::NotRun, None, None);
+    expect_that!(place(&mut node, now + 149 * MS, 5, 2).server, not(eq(&home.server)));
     let back = node.servers(now + 301 * MS).find(|s| s.id == home.server).expect("known");
     expect_that!(back.left_out, eq(false));
 }
@@ -205,31 +205,31 @@
     let now = 2_000 * MS;
     let mut tried = Vec::new();
     for turn in 0..3 {
-        let choice = node.choose(now + turn, &request(&long(5, turn)), &tried).expect("one is left");
+        let choice = node.place(now + turn, &request(&long(5, turn)), &tried).expect("one is left");
         expect_that!(tried.contains(&choice.server), eq(false));
-        node.ended(now + turn, choice.attempt, AttemptOutcome::NotRun, None, None);
+        node.record_end(now + turn, choice.attempt, AttemptOutcome::NotRun, None, None);
         tried.push(choice.server);
     }
-    expect_that!(node.choose(now + 5, &request(&long(5, 9)), &tried), err(anything()));
-    expect_that!(node.choose(now + 400 * MS, &request(&long(5, 10)), &tried), ok(anything()));
+    expect_that!(node.place(now + 5, &request(&long(5, 9)), &tried), err(anything()));
+    expect_that!(node.place(now + 400 * MS, &request(&long(5, 10)), &tried), ok(anything()));
 }
 
 #[gtest]
 fn load_counts_what_others_are_seen_to_have_there() {
     let mut node = engine(3);
-    node.set_balancers(9);
+    node.set_balancer_count(9);
     let now = 2_000 * MS;
-    let home = choose(&mut node, now, 5, 1);
+    let home = place(&mut node, now, 5, 1);
     serve(&mut node, now, &home);
-    let busy = LoadReport { running: 20, waiting: 9, slots: 48 };
-    node.observe_load(now + 200 * MS, &home.server, busy);
-    expect_that!(choose(&mut node, now + 210 * MS, 5, 2).server, not(eq(&home.server)));
+    let busy = ServerLoadReport { running: 20, waiting: 9, slots: 48 };
+    node.observe_server_load(now + 200 * MS, &home.server, busy);
+    expect_that!(place(&mut node, now + 210 * MS, 5, 2).server, not(eq(&home.server)));
     // The report ages.
     let loads: Vec<f64> = [220, 700, 1_300]
         .map(|at| {
             let parts = long(6 + at, 3);
-            let choice = node.choose(now + at * MS, &request(&parts), &[]).expect("ready");
-            node.ended(now + at * MS, choice.attempt, AttemptOutcome::ClientGone, None, None);
+            let choice = node.place(now + at * MS, &request(&parts), &[]).expect("ready");
+            node.record_end(now + at * MS, choice.attempt, AttemptOutcome::ClientGone, None, None);
             node.servers(now + at * MS).find(|s| s.id == home.server).expect("known").load_ms
         })
         .to_vec();
@@ -244,9 +244,9 @@
     for own in 0..20 {
         // Nothing of it is kept yet, so that 7,600 tokens are read: 200 ms at usual speed.
         let parts = [part(10 * own, 2_600), part(10 * own + 1, 5_000)];
-        let choice = node.choose(now, &request(&parts), &[]).expect("ready");
-        node.first_event(now + 262 * MS, choice.attempt);
-        node.ended(now + 400 * MS, choice.attempt, AttemptOutcome::Served, None, None);
+        let choice = node.place(now, &request(&parts), &[]).expect("ready");
+        node.record_first_event(now + 262 * MS, choice.attempt);
+        node.record_end(now + 400 * MS, choice.attempt, AttemptOutcome::Served, None, None);
         now += 1_000 * MS;
     }
     let speed = node.servers(now).next().expect("one").speed;
@@ -258,17 +258,17 @@
     let mut node = engine(3);
     let now = 2_000 * MS;
     for own in 0..30 {
-        choose(&mut node, now, own, own);
+        place(&mut node, now, own, own);
     }
     let at = now + 30 * MS;
-    choose(&mut node, at, 77, 77);
+    place(&mut node, at, 77, 77);
     let loads: Vec<f64> = node.servers(at).map(|s| s.load_ms).collect();
     let mean = loads.iter().sum::<f64>() / 3.0;
-    node.set_server(at, entry(9, 1));
-    let fresh = |node: &Engine, now| node.servers(now).find(|s| &*s.id == "i-9").expect("known").load_ms;
+    node.update_server(at, entry(9, 1));
+    let fresh = |node: &Placer, now| node.servers(now).find(|s| &*s.id == "i-9").expect("known").load_ms;
     expect_that!(fresh(&node, at), near(mean, 0.2 * mean));
     // Not for ever, or it would never be chosen among jammed ones.
-    let choice = choose(&mut node, at + 1_100 * MS, 78, 78);
+    let choice = place(&mut node, at + 1_100 * MS, 78, 78);
     expect_that!(&*choice.server, eq("i-9"));
 }
 
@@ -276,14 +276,14 @@
 fn memory_that_running_requests_would_fill_is_avoided() {
     let mut node = engine(2);
     let now = 2_000 * MS;
-    let home = choose(&mut node, now, 5, 1);
+    let home = place(&mut node, now, 5, 1);
     serve(&mut node, now, &home);
     // Ten of 9,203 tokens fit into nine tenths of 105,065; they decode, so that nothing waits.
     let mut at_home = 0;
     for own in 0..20 {
         let at = now + (own + 1) * 300 * MS;
-        let choice = choose(&mut node, at, 5, 10 + own);
-        node.first_event(at + 80 * MS, choice.attempt);
+        let choice = place(&mut node, at, 5, 10 + own);
+        node.record_first_event(at + 80 * MS, choice.attempt);
         at_home += u32::from(choice.server == home.server);
     }
     expect_that!(at_home, eq(10));
@@ -291,23 +291,23 @@
 
 #[gtest]
 fn only_a_full_fleet_refuses_and_only_what_would_come_too_late() {
-    let mut node = engine_of(EngineConfig::builder().own_zone("a").build(), 0);
-    (0..2).for_each(|n| node.set_server(0, ServerEntry { slots: 4, ..entry(n, 1) }));
+    let mut node = engine_of(PlacementConfig::builder().own_zone("a").build(), 0);
+    (0..2).for_each(|n| node.update_server(0, ServerEntry { slots: 4, ..entry(n, 1) }));
     let now = 2_000 * MS;
     let parts = long(1, 1);
-    let hurried = Request { time_left: 300 * MS, ..request(&parts) };
+    let hurried = PlacementRequest { time_left: 300 * MS, ..request(&parts) };
     // Free places: never refused, however late.
     for _ in 0..7 {
-        expect_that!(node.choose(now, &hurried, &[]), ok(anything()));
+        expect_that!(node.place(now, &hurried, &[]), ok(anything()));
     }
     let mut refused = 0;
     for _ in 0..4 {
-        refused += u32::from(matches!(node.choose(now, &hurried, &[]), Err(Refusal::Overloaded { .. })));
+        refused += u32::from(matches!(node.place(now, &hurried, &[]), Err(Rejection::Overloaded { .. })));
     }
     expect_that!(refused, ge(3));
     // One with time left waits.
-    expect_that!(node.choose(now, &request(&parts), &[]), ok(anything()));
-    let Err(Refusal::Overloaded { retry_after }) = node.choose(now, &hurried, &[]) else {
+    expect_that!(node.place(now, &request(&parts), &[]), ok(anything()));
+    let Err(Rejection::Overloaded { retry_after }) = node.place(now, &hurried, &[]) else {
         panic!("all places are taken");
     };
     expect_that!(retry_after, all!(ge(50 * MS), le(2_000 * MS)));
@@ -319,8 +319,8 @@
     let mut node = engine(0);
     let parts = long(1, 1);
     for service in [SERVICE, "elsewhere"] {
-        let request = Request { service, ..request(&parts) };
-        expect_that!(node.choose(1, &request, &[]), err(matches_pattern!(Refusal::NoServer { .. })));
+        let request = PlacementRequest { service, ..request(&parts) };
+        expect_that!(node.place(1, &request, &[]), err(matches_pattern!(Rejection::NoServer { .. })));
     }
 }
 
@@ -330,8 +330,8 @@
     let used: BTreeSet<_> = (0..60u64)
         .map(|turn| {
             let now = 2_000 * MS + turn * 1_000 * MS;
-            let request = Request { model: None, tokens_in: 0, tokens_out: 0, ..request(&[]) };
-            let choice = node.choose(now, &request, &[]).expect("ready");
+            let request = PlacementRequest { model: None, tokens_in: 0, tokens_out: 0, ..request(&[]) };
+            let choice = node.place(now, &request, &[]).expect("ready");
             expect_that!(choice.expect_version, none());
             expect_that!(choice.fetch, none());
             serve(&mut node, now, &choice);
@@ -344,11 +344,11 @@
 #[gtest]
 fn attempts_of_a_server_that_is_gone_trouble_nobody() {
     let mut node = engine(1);
-    let old = choose(&mut node, 1, 1, 1);
+    let old = place(&mut node, 1, 1, 1);
     node.remove_server(2, "i-0");
-    node.set_server(3, entry(5, 1));
-    node.first_event(4, old.attempt);
-    node.ended(5, old.attempt, AttemptOutcome::Broken, None, None);
+    node.update_server(3, entry(5, 1));
+    node.record_first_event(4, old.attempt);
+    node.record_end(5, old.attempt, AttemptOutcome::Broken, None, None);
     let status: Vec<_> = node.servers(6).collect();
     expect_that!(status.len(), eq(1));
     expect_that!(status[0].in_flight, eq(0));
--- a/engine/tests/saves.rs
+++ b/placement/tests/saves.rs
@@ -4,32 +4,32 @@
 
 use common::*;
 use googletest::prelude::*;
-use gradepaddle_engine::*;
+use gradepaddle_placement::*;
 
 const NOW: Micros = 20_000 * MS;
 /// Later than any save that arrives.
 const ARRIVED: Micros = 3_000 * MS;
 
 /// A prompt of a subject with this many tokens of its own, and whether the store is to get it.
-fn is_saved(node: &mut Engine, now: Micros, subject: u64, own: u32) -> bool {
-    node.holder_heard(now, STORE);
+fn is_saved(node: &mut Placer, now: Micros, subject: u64, own: u32) -> bool {
+    node.record_cache_contact(now, STORE);
     let mut parts = long(subject, subject);
     parts[2].tokens = own;
-    let choice = node.choose(now, &request(&parts), &[]).expect("a server is ready");
+    let choice = node.place(now, &request(&parts), &[]).expect("a server is ready");
     serve(node, now, &choice);
     choice.save.is_some()
 }
 
 /// Has this many saves ordered one after the other, of which the store tells or not.
-fn save_some(node: &mut Engine, from: Micros, subjects: std::ops::Range<u64>, arrive: bool) -> Micros {
-    let salt = choose(&mut engine(6), NOW, 1, 1).salt.expect("version known").to_string();
+fn save_some(node: &mut Placer, from: Micros, subjects: std::ops::Range<u64>, arrive: bool) -> Micros {
+    let salt = place(&mut engine(6), NOW, 1, 1).salt.expect("version known").to_string();
     let mut now = from;
     for subject in subjects {
         expect_that!(is_saved(node, now, subject, 1_000), eq(true), "{subject}");
         if arrive {
             long(subject, subject)[..2]
                 .iter()
-                .for_each(|part| node.kept_event(now, STORE, added(&salt, part)));
+                .for_each(|part| node.apply_cache_event(now, STORE, added(&salt, part)));
         }
         now += 100 * MS;
     }
@@ -41,7 +41,7 @@
     let mut node = engine(6);
     expect_that!(is_saved(&mut node, NOW, 1, 20_000), eq(true));
     let now = save_some(&mut node, NOW + 100 * MS, 2..12, false);
-    // Saves of mostly shared prompts go on, which tell when the link has room again.
+    // SaveTracker of mostly shared prompts go on, which tell when the link has room again.
     expect_that!(is_saved(&mut node, now, 20, 1_000), eq(true));
     expect_that!(is_saved(&mut node, now, 21, 20_000), eq(false));
     let now = save_some(&mut node, now, 30..50, true);
@@ -51,13 +51,13 @@
 
 #[gtest]
 fn what_is_read_beside_a_move_is_saved() {
-    let salt = choose(&mut engine(6), NOW, 1, 1).salt.expect("version known").to_string();
+    let salt = place(&mut engine(6), NOW, 1, 1).salt.expect("version known").to_string();
     let mut node = engine(6);
     // Another server keeps only the common part.
-    node.kept_event(NOW - MS, "i-1", added(&salt, &long(1, 1)[0]));
-    node.observe_load(NOW - MS, "i-1", LoadReport { running: 40, waiting: 40, slots: 48 });
-    node.holder_heard(NOW, STORE);
-    let choice = choose(&mut node, NOW, 1, 1);
+    node.apply_cache_event(NOW - MS, "i-1", added(&salt, &long(1, 1)[0]));
+    node.observe_server_load(NOW - MS, "i-1", ServerLoadReport { running: 40, waiting: 40, slots: 48 });
+    node.record_cache_contact(NOW, STORE);
+    let choice = place(&mut node, NOW, 1, 1);
     expect_that!(choice.fetch, some(eq(address(1))));
     expect_that!(choice.save, some(eq(store_address())));
 }
@@ -67,12 +67,12 @@
 fn a_short_wait_at_the_holder_is_better_than_a_move() {
     for (backlog_ms, stays) in [(80.0, true), (400.0, false)] {
         let mut node = engine(3);
-        node.set_balancers(2);
-        let first = choose(&mut node, NOW, 1, 1);
+        node.set_balancer_count(2);
+        let first = place(&mut node, NOW, 1, 1);
         serve(&mut node, NOW, &first);
         let now = NOW + 200 * MS;
-        let load = OwnLoad { server: holder_hash(&first.server), backlog_ms, running: 1, tokens: 9_000 };
-        node.peer_loads(now, 99, 1, vec![load]);
-        expect_that!(choose(&mut node, now, 1, 2).server == first.server, eq(stays), "{backlog_ms} ms");
+        let load = LocalLoad { server: holder_hash(&first.server), backlog_ms, running: 1, tokens: 9_000 };
+        node.apply_peer_loads(now, 99, 1, vec![load]);
+        expect_that!(place(&mut node, now, 1, 2).server == first.server, eq(stays), "{backlog_ms} ms");
     }
 }
--- /dev/null
+++ b/placement/tests/sharing.rs
@@ -0,0 +1,143 @@
+//! What balancers tell each other: loads in flight, prompts read; and what the control plane says of single servers.
+
+mod common;
+
+use common::*;
+use googletest::prelude::*;
+use gradepaddle::cost::hash;
+use gradepaddle_placement::*;
+
+const NOW: Micros = 20_000 * MS;
+const PEER: u64 = 99;
+/// Within which a named version binds.
+const WITHIN: Micros = 8_000 * MS;
+
+fn load(server: &str, backlog_ms: f64) -> LocalLoad {
+    LocalLoad { server: hash(server), backlog_ms, running: 1, tokens: 9_000 }
+}
+
+/// A node that knows of one other balancer.
+fn pair(servers: u16) -> Placer {
+    let mut node = engine(servers);
+    node.set_balancer_count(2);
+    node
+}
+
+/// Where a fresh prompt of this subject goes.
+fn home(servers: u16, subject: u64) -> String {
+    place(&mut pair(servers), NOW, subject, 1).server.to_string()
+}
+
+#[gtest]
+fn a_long_reading_that_another_balancer_sent_is_avoided() {
+    let home = home(3, 1);
+    let mut node = pair(3);
+    node.apply_peer_loads(NOW - MS, PEER, 1, vec![load(&home, 900.0)]);
+    expect_that!(&*place(&mut node, NOW, 1, 1).server, not(eq(&*home)));
+}
+
+#[gtest]
+fn what_was_told_counts_down_and_is_forgotten() {
+    let home = home(3, 1);
+    for (told_ago, what) in [(1_000 * MS, "read meanwhile"), (3_000 * MS, "too old")] {
+        let mut node = pair(3);
+        node.apply_peer_loads(NOW - told_ago, PEER, 1, vec![load(&home, 900.0)]);
+        expect_that!(&*place(&mut node, NOW, 1, 1).server, eq(&*home), "{what}");
+    }
+}
+
+#[gtest]
+fn a_message_that_was_overtaken_changes_nothing() {
+    let home = home(3, 1);
+    let mut node = pair(3);
+    node.apply_peer_loads(NOW - 2 * MS, PEER, 5, vec![load(&home, 900.0)]);
+    node.apply_peer_loads(NOW - MS, PEER, 4, Vec::new());
+    expect_that!(&*place(&mut node, NOW, 1, 1).server, not(eq(&*home)));
+    let mut node = pair(3);
+    node.apply_peer_loads(NOW - 2 * MS, PEER, 5, vec![load(&home, 900.0)]);
+    node.apply_peer_loads(NOW - MS, PEER, 6, Vec::new());
+    expect_that!(&*place(&mut node, NOW, 1, 1).server, eq(&*home));
+}
+
+#[gtest]
+fn own_loads_are_told_until_they_end() {
+    let mut node = pair(3);
+    let choice = place(&mut node, NOW, 1, 1);
+    let told = node.local_loads(NOW);
+    expect_that!(told.len(), eq(1));
+    expect_that!((told[0].server, told[0].running), eq((hash(&choice.server), 1)));
+    expect_that!(told[0].backlog_ms, gt(100.0));
+    serve(&mut node, NOW, &choice);
+    expect_that!(node.local_loads(NOW + 200 * MS), is_empty());
+}
+
+#[gtest]
+fn a_prompt_read_at_one_balancer_is_fetched_from_there_at_another() {
+    let (mut one, mut other) = (pair(6), pair(6));
+    let first = place(&mut one, NOW, 1, 1);
+    serve(&mut one, NOW, &first);
+    let seen = one.take_prefill_reports();
+    expect_that!(seen.len(), eq(1));
+    expect_that!(one.take_prefill_reports(), is_empty());
+    other.apply_peer_prefill_reports(NOW + 200 * MS, &seen);
+    // The holder is busy, so the next goes elsewhere and takes the parts along.
+    other.apply_peer_loads(NOW + 200 * MS, PEER, 1, vec![load(&first.server, 900.0)]);
+    let next = place(&mut other, NOW + 201 * MS, 1, 2);
+    expect_that!(&*next.server, not(eq(&*first.server)));
+    expect_that!(next.fetch, some(eq(first.address)));
+}
+
+#[gtest]
+fn a_store_is_named_even_where_the_parts_are_believed_to_be_kept() {
+    let mut node = pair(3);
+    node.record_cache_contact(NOW - MS, STORE);
+    let first = place(&mut node, NOW, 1, 1);
+    serve(&mut node, NOW, &first);
+    node.record_cache_contact(NOW + 200 * MS, STORE);
+    let next = place(&mut node, NOW + 200 * MS, 1, 2);
+    expect_that!(&next.server, eq(&first.server));
+    expect_that!(next.fetch, some(eq(store_address())));
+}
+
+#[gtest]
+fn a_long_reading_goes_where_nobody_is_held_up() {
+    let parts = [part(1, 2_520), part(1_001, 3_780), part(7, 30_000)];
+    let home = pair(2).place(NOW, &request(&parts), &[]).expect("a server is ready").server;
+    let mut node = pair(2);
+    let streams = LocalLoad { server: hash(&home), backlog_ms: 0.0, running: 20, tokens: 20_000 };
+    node.apply_peer_loads(NOW - MS, PEER, 1, vec![streams]);
+    let choice = node.place(NOW, &request(&parts), &[]).expect("a server is ready");
+    expect_that!(&*choice.server, not(eq(&*home)));
+    // A short reading stays with its key's home.
+    let mut node = pair(2);
+    node.apply_peer_loads(NOW - MS, PEER, 1, vec![streams]);
+    let short = [part(1, 2_520), part(1_001, 3_780), part(7, 600)];
+    let kept = pair(2).place(NOW, &request(&short), &[]).expect("a server is ready").server;
+    expect_that!(node.place(NOW, &request(&short), &[]).expect("a server is ready").server, eq(&kept));
+}
+
+#[gtest]
+fn a_server_that_is_held_back_gets_nothing_until_it_is_released() {
+    let home = home(2, 1);
+    let mut node = pair(2);
+    node.pause_server(NOW, &home, 8_000 * MS);
+    expect_that!(&*place(&mut node, NOW + 4_000 * MS, 1, 1).server, not(eq(&*home)));
+    node.pause_server(NOW + 4_000 * MS, &home, 0);
+    expect_that!(&*place(&mut node, NOW + 4_001 * MS, 2, 2).server, anything());
+    let mut released = pair(2);
+    released.pause_server(NOW, &home, 8_000 * MS);
+    released.pause_server(NOW + MS, &home, 0);
+    expect_that!(&*place(&mut released, NOW + 2 * MS, 1, 1).server, eq(&*home));
+}
+
+#[gtest]
+fn a_postponed_version_binds_later_and_one_that_binds_stays() {
+    let mut node = pair(2);
+    node.announce_version(NOW + WITHIN, MODEL, 2);
+    node.extend_version_deadline(NOW + WITHIN + 6_000 * MS, MODEL, 2);
+    // 8 s less the margin of 1.5 s: it would have bound at 6.5 s, and does at 12.5 s.
+    expect_that!(node.place(NOW + 12_000 * MS, &request(&long(1, 1)), &[]).is_ok(), eq(true));
+    expect_that!(node.place(NOW + 13_000 * MS, &request(&long(1, 2)), &[]).is_err(), eq(true));
+    node.extend_version_deadline(NOW + WITHIN + 13_000 * MS, MODEL, 2);
+    expect_that!(node.place(NOW + 14_000 * MS, &request(&long(1, 3)), &[]).is_err(), eq(true));
+}
--- a/engine/tests/simulation.rs
+++ b/placement/tests/simulation.rs
@@ -41,7 +41,7 @@
 fn first_tokens_come_sooner_than_by_chance_or_by_hash_alone() {
     for times in [1.0, 3.0] {
         for seed in [1, 2, 3] {
-            let all = [Policy::Engine, Policy::Random, Policy::Hash];
+            let all = [Policy::Placer, Policy::Random, Policy::Hash];
             let [ours, random, hash] = all.map(|policy| Simulation::new(plan(policy, times, seed)).run());
             report("engine", times, &ours);
             report("random", times, &random);
@@ -58,7 +58,7 @@
 
 #[gtest]
 fn equal_seeds_give_equal_choices() {
-    let run = || Simulation::new(plan(Policy::Engine, 1.0, 5)).run();
+    let run = || Simulation::new(plan(Policy::Placer, 1.0, 5)).run();
     let (one, other) = (run(), run());
     expect_that!(one.first_ms, eq(&other.first_ms));
     expect_that!(one.counters, eq(&other.counters));
--- a/engine/tests/sources.rs
+++ b/placement/tests/sources.rs
@@ -4,18 +4,18 @@
 
 use common::*;
 use googletest::prelude::*;
-use gradepaddle_engine::*;
+use gradepaddle_placement::*;
 
 const NOW: Micros = 20_000 * MS;
 
 /// The home of a subject, the salt, and a node that knows nothing of either.
-fn fresh(subject: u64, servers: u16) -> (std::sync::Arc<str>, String, Engine) {
-    let choice = choose(&mut engine(servers), NOW, subject, 1);
+fn fresh(subject: u64, servers: u16) -> (std::sync::Arc<str>, String, Placer) {
+    let choice = place(&mut engine(servers), NOW, subject, 1);
     (choice.server, choice.salt.expect("version known").to_string(), engine(servers))
 }
 
-fn keep(node: &mut Engine, holder: &str, salt: &str, parts: &[Part]) {
-    parts.iter().for_each(|part| node.kept_event(NOW - 100 * MS, holder, added(salt, part)));
+fn keep(node: &mut Placer, holder: &str, salt: &str, parts: &[PromptChunk]) {
+    parts.iter().for_each(|part| node.apply_cache_event(NOW - 100 * MS, holder, added(salt, part)));
 }
 
 fn address_of(id: &str) -> std::net::SocketAddrV4 {
@@ -26,9 +26,9 @@
 fn a_busy_holder_is_the_source_of_the_next() {
     let (_, salt, mut node) = fresh(1, 3);
     keep(&mut node, "i-1", &salt, &long(1, 1)[..2]);
-    let report = LoadReport { running: 30, waiting: 10, slots: 48 };
-    node.observe_load(NOW - MS, "i-1", report);
-    let choice = choose(&mut node, NOW, 1, 2);
+    let report = ServerLoadReport { running: 30, waiting: 10, slots: 48 };
+    node.observe_server_load(NOW - MS, "i-1", report);
+    let choice = place(&mut node, NOW, 1, 2);
     expect_that!(&*choice.server, not(eq("i-1")));
     expect_that!(choice.fetch, some(eq(address_of("i-1"))));
     expect_that!(choice.save, none());
@@ -47,14 +47,14 @@
         for (holder, count) in &holders {
             keep(&mut node, holder, &salt, &long(1, 1)[..*count]);
         }
-        let busy = LoadReport { running: 40, waiting: 40, slots: 48 };
+        let busy = ServerLoadReport { running: 40, waiting: 40, slots: 48 };
         for number in 0..6 {
             let id = format!("i-{number}");
             if id != chosen {
-                node.observe_load(NOW - MS, &id, busy);
+                node.observe_server_load(NOW - MS, &id, busy);
             }
         }
-        let choice = choose(&mut node, NOW, 1, 2);
+        let choice = place(&mut node, NOW, 1, 2);
         expect_that!(&*choice.server, eq(chosen));
         expect_that!(choice.fetch, some(eq(address_of(source))));
     }
@@ -62,21 +62,21 @@
 
 #[gtest]
 fn a_source_that_failed_left_or_has_other_weights_is_not_named() {
-    type Change = fn(&mut Engine);
+    type Change = fn(&mut Placer);
     let changes: [Change; 6] = [
-        |node| node.suspect_server(NOW - 10 * MS, "i-1"),
-        |node| node.source_failed(NOW - 10 * MS, "i-1"),
+        |node| node.record_server_failure(NOW - 10 * MS, "i-1"),
+        |node| node.record_source_failure(NOW - 10 * MS, "i-1"),
         |node| node.remove_server(NOW - 10 * MS, "i-1"),
-        |node| node.set_server(NOW, ServerEntry { state: ServerState::Lost, ..entry(1, 1) }),
+        |node| node.update_server(NOW, ServerEntry { state: ServerState::Lost, ..entry(1, 1) }),
         |node| node.observe_version(NOW - 10 * MS, "i-1", MODEL, 2),
-        |node| node.kept_reset(NOW - 10 * MS, "i-1"),
+        |node| node.reset_cache_holder(NOW - 10 * MS, "i-1"),
     ];
     for change in changes {
         let (_, salt, mut node) = fresh(1, 3);
         keep(&mut node, "i-1", &salt, &long(1, 1)[..2]);
         change(&mut node);
         let tried = ["i-1".into()];
-        let choice = node.choose(NOW, &request(&long(1, 2)), &tried).expect("two are left");
+        let choice = node.place(NOW, &request(&long(1, 2)), &tried).expect("two are left");
         expect_that!(choice.fetch == Some(address_of("i-1")) && node.counters().guesses == 0, eq(false));
     }
 }
@@ -85,67 +85,67 @@
 fn the_store_serves_what_no_server_keeps_while_it_is_heard() {
     let (home, salt, mut node) = fresh(1, 3);
     keep(&mut node, STORE, &salt, &long(1, 1)[..2]);
-    let choice = choose(&mut node, NOW, 1, 2);
+    let choice = place(&mut node, NOW, 1, 2);
     expect_that!(choice.server, eq(&home));
     expect_that!(choice.fetch, some(eq(store_address())));
     expect_that!(choice.save, none());
     expect_that!(node.counters().guesses, eq(0));
     // Failed, silent or emptied, it is not named.
-    type Change = (fn(&mut Engine), Micros);
+    type Change = (fn(&mut Placer), Micros);
     let changes: [Change; 2] =
-        [(|node| node.source_failed(NOW - 10 * MS, STORE), NOW), (|_| {}, NOW + 3_000 * MS)];
+        [(|node| node.record_source_failure(NOW - 10 * MS, STORE), NOW), (|_| {}, NOW + 3_000 * MS)];
     for (change, at) in changes {
         let (_, salt, mut node) = fresh(1, 3);
         keep(&mut node, STORE, &salt, &long(1, 1)[..2]);
         change(&mut node);
-        let choice = choose(&mut node, at, 1, 2);
+        let choice = place(&mut node, at, 1, 2);
         expect_that!((choice.fetch, choice.save), eq((None, None)));
     }
     let (_, salt, mut node) = fresh(1, 3);
     keep(&mut node, STORE, &salt, &long(1, 1)[..2]);
-    node.kept_reset(NOW - 10 * MS, STORE);
-    let choice = choose(&mut node, NOW, 1, 2);
+    node.reset_cache_holder(NOW - 10 * MS, STORE);
+    let choice = place(&mut node, NOW, 1, 2);
     expect_that!(choice.save, some(eq(store_address())));
 }
 
 #[gtest]
 fn new_parts_are_saved_once() {
     let mut node = engine(3);
-    node.holder_heard(NOW, STORE);
-    let first = choose(&mut node, NOW, 1, 1);
+    node.record_cache_contact(NOW, STORE);
+    let first = place(&mut node, NOW, 1, 1);
     expect_that!(first.save, some(eq(store_address())));
     // Another that reads them meanwhile does not send them too.
-    let meanwhile = node.choose(NOW, &request(&long(1, 9)), std::slice::from_ref(&first.server));
+    let meanwhile = node.place(NOW, &request(&long(1, 9)), std::slice::from_ref(&first.server));
     let meanwhile = meanwhile.expect("others are ready");
     expect_that!(meanwhile.save, none());
-    node.ended(NOW, meanwhile.attempt, AttemptOutcome::ClientGone, None, None);
+    node.record_end(NOW, meanwhile.attempt, AttemptOutcome::ClientGone, None, None);
     serve(&mut node, NOW, &first);
-    node.holder_heard(NOW + 200 * MS, STORE);
-    expect_that!(choose(&mut node, NOW + 200 * MS, 1, 2).save, none());
+    node.record_cache_contact(NOW + 200 * MS, STORE);
+    expect_that!(place(&mut node, NOW + 200 * MS, 1, 2).save, none());
     // Elsewhere, before the store has told: not again either.
-    let elsewhere = node.choose(NOW + 210 * MS, &request(&long(1, 3)), std::slice::from_ref(&first.server));
+    let elsewhere = node.place(NOW + 210 * MS, &request(&long(1, 3)), std::slice::from_ref(&first.server));
     expect_that!(elsewhere.expect("others are ready").save, none());
 }
 
 #[gtest]
 fn short_heads_are_not_moved() {
     let mut node = engine(3);
-    node.holder_heard(NOW, STORE);
+    node.record_cache_contact(NOW, STORE);
     let parts = [part(1, 20), part(2, 40), part(3, 600)];
-    let choice = node.choose(NOW, &request(&parts), &[]).expect("ready");
+    let choice = node.place(NOW, &request(&parts), &[]).expect("ready");
     expect_that!((choice.fetch, choice.save), eq((None, None)));
 }
 
 #[gtest]
 fn what_began_at_a_server_is_kept_there() {
     let mut node = engine(3);
-    let choice = choose(&mut node, NOW, 1, 1);
+    let choice = place(&mut node, NOW, 1, 1);
     expect_that!(node.table_sizes().1, eq(0));
-    node.first_event(NOW + 200 * MS, choice.attempt);
+    node.record_first_event(NOW + 200 * MS, choice.attempt);
     expect_that!(node.table_sizes().1, eq(3));
-    node.first_event(NOW + 300 * MS, choice.attempt);
+    node.record_first_event(NOW + 300 * MS, choice.attempt);
     expect_that!(node.table_sizes().1, eq(3));
-    node.kept_reset(NOW + 400 * MS, &choice.server);
+    node.reset_cache_holder(NOW + 400 * MS, &choice.server);
     expect_that!(node.table_sizes().1, eq(0));
 }
 
@@ -153,19 +153,19 @@
 fn the_index_is_bounded_by_each_holders_memory_and_in_all() {
     let mut node = engine(2);
     for id in 0..1_000 {
-        node.kept_event(NOW, "i-0", added("s", &part(id, 3_000)));
+        node.apply_cache_event(NOW, "i-0", added("s", &part(id, 3_000)));
     }
     // 105,065 tokens: what all balancers see read counts, so nothing beyond the memory can still be kept.
     expect_that!(node.table_sizes().1, eq(35));
     // The oldest went.
     let before = node.table_sizes().1;
-    node.kept_event(NOW, "i-0", Kept::Dropped { salt: "s", part: 999, tokens: 0, model: MODEL });
-    node.kept_event(NOW, "i-0", Kept::Dropped { salt: "s", part: 0, tokens: 0, model: MODEL });
+    node.apply_cache_event(NOW, "i-0", CacheEvent::Dropped { salt: "s", part: 999, tokens: 0, model: MODEL });
+    node.apply_cache_event(NOW, "i-0", CacheEvent::Dropped { salt: "s", part: 0, tokens: 0, model: MODEL });
     expect_that!(node.table_sizes().1, eq(before - 1));
-    let mut node = engine_of(EngineConfig::builder().kept(1_000).build(), 4);
+    let mut node = engine_of(PlacementConfig::builder().kept(1_000).build(), 4);
     for id in 0..2_000 {
         for number in 0..4 {
-            node.kept_event(NOW, &format!("i-{number}"), added("s", &part(id, 10)));
+            node.apply_cache_event(NOW, &format!("i-{number}"), added("s", &part(id, 10)));
         }
     }
     expect_that!(node.table_sizes().1, le(1_000));
@@ -175,28 +175,32 @@
 fn what_is_dropped_and_added_again_takes_no_more_room() {
     let mut node = engine(1);
     for id in 0..100 {
-        node.kept_event(NOW, "i-0", added("s", &part(id, 16)));
+        node.apply_cache_event(NOW, "i-0", added("s", &part(id, 16)));
     }
     let bytes = node.table_sizes().2;
     for turn in 0..10_000 {
         let id = turn % 100;
-        node.kept_event(NOW, "i-0", Kept::Dropped { salt: "s", part: id, tokens: 0, model: MODEL });
-        node.kept_event(NOW, "i-0", added("s", &part(id, 16)));
+        node.apply_cache_event(
+            NOW,
+            "i-0",
+            CacheEvent::Dropped { salt: "s", part: id, tokens: 0, model: MODEL },
+        );
+        node.apply_cache_event(NOW, "i-0", added("s", &part(id, 16)));
     }
     expect_that!(node.table_sizes().1, eq(100));
     expect_that!(node.table_sizes().2, le(2 * bytes + 8_192));
     // A part that shrank counts with what is left of it.
-    node.kept_event(NOW, "i-0", Kept::Dropped { salt: "s", part: 1, tokens: 8, model: MODEL });
+    node.apply_cache_event(NOW, "i-0", CacheEvent::Dropped { salt: "s", part: 1, tokens: 8, model: MODEL });
     expect_that!(node.table_sizes().1, eq(100));
 }
 
 #[gtest]
 fn an_entry_takes_few_bytes() {
-    let mut node = engine_of(EngineConfig::builder().kept(200_000).build(), 100);
+    let mut node = engine_of(PlacementConfig::builder().kept(200_000).build(), 100);
     let mut count = 0;
     for number in 0..100u64 {
         for id in 0..1_500 {
-            node.kept_event(NOW, &format!("i-{number}"), added("s", &part(number * 1_500 + id, 16)));
+            node.apply_cache_event(NOW, &format!("i-{number}"), added("s", &part(number * 1_500 + id, 16)));
             count += 1;
         }
     }
@@ -209,13 +213,19 @@
 
 #[gtest]
 fn ids_and_lists_of_parts_are_read() {
-    let list = Part::list("5c1e07a2:800,91bd3f06:410,e4402b7d:250").expect("well formed");
+    let list = PromptChunk::list("5c1e07a2:800,91bd3f06:410,e4402b7d:250").expect("well formed");
     expect_that!(list, eq(&[part(0x5c1e_07a2, 800), part(0x91bd_3f06, 410), part(0xe440_2b7d, 250)]));
-    expect_that!(Part::id("00000000000000ff"), eq(255));
-    expect_that!(Part::id("5c1e07a25c1e07a25c1e07a2"), eq(Part::id("5c1e07a25c1e07a25c1e07a2")));
-    expect_that!(Part::id("5c1e07a25c1e07a25c1e07a2"), not(eq(Part::id("5c1e07a25c1e07a25c1e07a3"))));
+    expect_that!(PromptChunk::id("00000000000000ff"), eq(255));
+    expect_that!(
+        PromptChunk::id("5c1e07a25c1e07a25c1e07a2"),
+        eq(PromptChunk::id("5c1e07a25c1e07a25c1e07a2"))
+    );
+    expect_that!(
+        PromptChunk::id("5c1e07a25c1e07a25c1e07a2"),
+        not(eq(PromptChunk::id("5c1e07a25c1e07a25c1e07a3")))
+    );
     for wrong in ["", "a", "a:", "a:b", "a:1,", "a:-1"] {
-        expect_that!(Part::list(wrong), none());
+        expect_that!(PromptChunk::list(wrong), none());
     }
 }
 
@@ -228,15 +238,15 @@
         // It had to make room for what was read there: ten prompts a second, each of a sixteenth of its memory.
         for number in 0..100 {
             let event = part(5_000 + number, 6_500);
-            node.kept_event(number * 100 * MS, "i-1", added(&salt, &event));
+            node.apply_cache_event(number * 100 * MS, "i-1", added(&salt, &event));
         }
         for part in &long(1, 1)[..2] {
-            node.kept_event(NOW - unused, "i-1", added(&salt, part));
+            node.apply_cache_event(NOW - unused, "i-1", added(&salt, part));
         }
-        node.holder_heard(NOW, STORE);
-        let busy = LoadReport { running: 40, waiting: 40, slots: 48 };
-        node.observe_load(NOW - MS, "i-1", busy);
-        let choice = choose(&mut node, NOW, 1, 2);
+        node.record_cache_contact(NOW, STORE);
+        let busy = ServerLoadReport { running: 40, waiting: 40, slots: 48 };
+        node.observe_server_load(NOW - MS, "i-1", busy);
+        let choice = place(&mut node, NOW, 1, 2);
         expect_that!(choice.fetch, some(eq(source)), "unused for {unused}");
     }
 }
