--- a/engine/tests/store_changes.rs
+++ b/placement/tests/store_changes.rs
@@ -4,35 +4,36 @@
 
 use common::*;
 use googletest::prelude::*;
-use gradepaddle_engine::*;
+use gradepaddle_placement::*;
 
 const NOW: Micros = 20_000 * MS;
 
 /// The salt of version 1.
 fn salt() -> String {
-    choose(&mut engine(3), NOW, 1, 1).salt.expect("version known").to_string()
+    place(&mut engine(3), NOW, 1, 1).salt.expect("version known").to_string()
 }
 
 /// Changes at a store: parts of a subject by number, and the tokens that are kept now.
-fn changes(store: &str, parts: &[(usize, u32)]) -> StoreChanges {
+fn changes(store: &str, parts: &[(usize, u32)]) -> StoreUpdate {
     let ids = long(1, 1);
-    let parts =
-        parts.iter().map(|(at, tokens)| KeptTokens { key: kept_key(&salt(), ids[*at].id), tokens: *tokens });
-    StoreChanges { store: holder_hash(store), reset: false, parts: parts.collect() }
+    let parts = parts
+        .iter()
+        .map(|(at, tokens)| CachedTokens { key: chunk_key(&salt(), ids[*at].id), tokens: *tokens });
+    StoreUpdate { store: holder_hash(store), reset: false, parts: parts.collect() }
 }
 
 /// A node that does not listen, after it was told these changes one after the other.
-fn told(all: &[StoreChanges]) -> Engine {
+fn told(all: &[StoreUpdate]) -> Placer {
     let mut node = engine(3);
-    node.holder_heard(NOW, STORE);
-    all.iter().for_each(|changes| node.peer_store_changes(NOW - 100 * MS, changes));
+    node.record_cache_contact(NOW, STORE);
+    all.iter().for_each(|changes| node.apply_peer_store_update(NOW - 100 * MS, changes));
     node
 }
 
 #[gtest]
 fn what_a_store_keeps_is_known_where_nobody_listens_to_it() {
     let whole = changes(STORE, &[(0, 2_520), (1, 3_780)]);
-    let reset = StoreChanges { reset: true, ..changes(STORE, &[]) };
+    let reset = StoreUpdate { reset: true, ..changes(STORE, &[]) };
     // What was told, whether the store is known to have the parts, and whether it is sent them.
     let rows = [
         ("nothing", vec![], false, true),
@@ -51,7 +52,7 @@
     ];
     for (what, all, known, saves) in rows {
         let mut node = told(&all);
-        let choice = choose(&mut node, NOW, 1, 2);
+        let choice = place(&mut node, NOW, 1, 2);
         expect_that!(choice.fetch, some(eq(store_address())), "{what}");
         expect_that!(node.counters().guesses == 0, eq(known), "{what}");
         expect_that!(choice.save.is_some(), eq(saves), "{what}");
@@ -61,7 +62,7 @@
 #[gtest]
 fn what_is_to_be_told_is_taken_once_and_bounded() {
     let mut node = engine(3);
-    (0..1_000).for_each(|_| node.tell_store_changes(changes(STORE, &[(0, 2_520)])));
-    expect_that!(node.take_store_changes(), len(all![gt(100), le(256)]));
-    expect_that!(node.take_store_changes(), is_empty());
+    (0..1_000).for_each(|_| node.queue_store_update(changes(STORE, &[(0, 2_520)])));
+    expect_that!(node.take_store_updates(), len(all![gt(100), le(256)]));
+    expect_that!(node.take_store_updates(), is_empty());
 }
--- a/engine/tests/versions.rs
+++ b/placement/tests/versions.rs
@@ -1,4 +1,4 @@
-//! Versions of weights, walls and the salts that keep them apart.
+//! VersionDeadlines of weights, walls and the salts that keep them apart.
 
 mod common;
 
@@ -6,18 +6,18 @@
 
 use common::*;
 use googletest::prelude::*;
-use gradepaddle_engine::*;
+use gradepaddle_placement::*;
 
 const NAMED: Micros = 10_000 * MS;
 /// Within which a named version binds.
 const WITHIN: Micros = 8_000 * MS;
 
-fn servers_chosen(node: &mut Engine, now: Micros) -> BTreeSet<std::sync::Arc<str>> {
+fn servers_chosen(node: &mut Placer, now: Micros) -> BTreeSet<std::sync::Arc<str>> {
     (0..40)
         .filter_map(|subject| {
             let parts = long(subject, subject);
-            let choice = node.choose(now, &request(&parts), &[]).ok()?;
-            node.ended(now, choice.attempt, AttemptOutcome::ClientGone, None, None);
+            let choice = node.place(now, &request(&parts), &[]).ok()?;
+            node.record_end(now, choice.attempt, AttemptOutcome::ClientGone, None, None);
             Some(choice.server)
         })
         .collect()
@@ -25,18 +25,24 @@
 
 #[gtest]
 fn salts_differ_by_version_wall_and_model_and_agree_between_nodes() {
-    let walls = [Wall::Shared(0), Wall::Shared(1), Wall::Tenant("x".into()), Wall::Tenant("y".into())];
+    let walls = [
+        CacheIsolation::Shared(0),
+        CacheIsolation::Shared(1),
+        CacheIsolation::Tenant("x".into()),
+        CacheIsolation::Tenant("y".into()),
+    ];
     let mut salts = BTreeSet::new();
     for version in [1, 2] {
         for wall in &walls {
             for model in [MODEL, "m1"] {
                 let salt = |seed| {
-                    let mut node = engine_of(EngineConfig::builder().seed(seed).build(), 0);
+                    let mut node = engine_of(PlacementConfig::builder().seed(seed).build(), 0);
                     let models = vec![ModelVersion { model: model.into(), version }];
-                    node.set_server(0, ServerEntry { models, ..entry(0, version) });
+                    node.update_server(0, ServerEntry { models, ..entry(0, version) });
                     let parts = long(1, 1);
-                    let request = Request { model: Some(model), wall: wall.clone(), ..request(&parts) };
-                    let choice = node.choose(1, &request, &[]).expect("ready");
+                    let request =
+                        PlacementRequest { model: Some(model), wall: wall.clone(), ..request(&parts) };
+                    let choice = node.place(1, &request, &[]).expect("ready");
                     expect_that!(choice.expect_version, some(eq(version)));
                     choice.salt.expect("always set")
                 };
@@ -52,10 +58,10 @@
 fn where_the_version_is_unknown_nothing_is_shared() {
     let mut salts = BTreeSet::new();
     for seed in [1, 2] {
-        let mut node = engine_of(EngineConfig::builder().seed(seed).build(), 0);
-        node.set_server(0, ServerEntry { models: vec![], ..entry(0, 1) });
+        let mut node = engine_of(PlacementConfig::builder().seed(seed).build(), 0);
+        node.update_server(0, ServerEntry { models: vec![], ..entry(0, 1) });
         for own in 0..20 {
-            let choice = choose(&mut node, 1 + own, 1, own);
+            let choice = place(&mut node, 1 + own, 1, own);
             expect_that!(choice.expect_version, none());
             expect_that!((choice.fetch, choice.save), eq((None, None)));
             salts.insert(choice.salt.expect("never the text that all share"));
@@ -68,15 +74,15 @@
 #[gtest]
 fn parts_beyond_a_wall_are_neither_warm_nor_a_source() {
     let mut node = engine(6);
-    node.holder_heard(0, "none");
+    node.record_cache_contact(0, "none");
     let parts = long(3, 1);
-    let mine = |wall: Wall| Request { wall, ..request(&parts) };
-    let shared = node.choose(2_000 * MS, &mine(Wall::Shared(0)), &[]).expect("ready");
+    let mine = |wall: CacheIsolation| PlacementRequest { wall, ..request(&parts) };
+    let shared = node.place(2_000 * MS, &mine(CacheIsolation::Shared(0)), &[]).expect("ready");
     serve(&mut node, 2_000 * MS, &shared);
-    let walled = node.choose(3_000 * MS, &mine(Wall::Tenant("t".into())), &[]).expect("ready");
+    let walled = node.place(3_000 * MS, &mine(CacheIsolation::Tenant("t".into())), &[]).expect("ready");
     expect_that!(walled.salt, not(eq(&shared.salt)));
     expect_that!(node.counters().warm, eq(0));
-    let again = node.choose(3_000 * MS, &mine(Wall::Shared(0)), &[]).expect("ready");
+    let again = node.place(3_000 * MS, &mine(CacheIsolation::Shared(0)), &[]).expect("ready");
     expect_that!(again.salt, eq(&shared.salt));
     expect_that!(node.counters().warm, eq(1));
 }
@@ -84,23 +90,23 @@
 #[gtest]
 fn newer_weights_are_preferred_and_the_older_left_out_in_time() {
     let mut node = engine(6);
-    node.name_version(NAMED + WITHIN, MODEL, 2);
+    node.announce_version(NAMED + WITHIN, MODEL, 2);
     node.observe_version(NAMED + 1, "i-0", MODEL, 2);
     node.observe_version(NAMED + 1, "i-1", MODEL, 2);
     let new = BTreeSet::from(["i-0".into(), "i-1".into()]);
     let at = NAMED + 2_000 * MS;
     expect_that!(servers_chosen(&mut node, at), eq(&new));
     // Until it is due, the old ones take what the new ones are too loaded for.
-    let open: Vec<_> = (0..40).map(|own| choose(&mut node, at, own, own)).collect();
+    let open: Vec<_> = (0..40).map(|own| place(&mut node, at, own, own)).collect();
     expect_that!(node.servers(at).filter(|s| s.in_flight > 0).count(), gt(2));
     for choice in open {
-        node.ended(at, choice.attempt, AttemptOutcome::ClientGone, None, None);
+        node.record_end(at, choice.attempt, AttemptOutcome::ClientGone, None, None);
     }
     // 8 s less 1.5 s after it was named, they get nothing, however loaded the others are.
     let due = NAMED + 6_500 * MS;
     expect_that!(servers_chosen(&mut node, due), eq(&new));
     for subject in 0..80 {
-        let choice = choose(&mut node, due, subject, subject);
+        let choice = place(&mut node, due, subject, subject);
         expect_that!(choice.expect_version, some(eq(2)));
     }
 }
@@ -108,34 +114,34 @@
 #[gtest]
 fn while_none_has_the_version_that_is_due_there_is_no_server() {
     let mut node = engine(3);
-    node.name_version(NAMED + WITHIN, MODEL, 2);
+    node.announce_version(NAMED + WITHIN, MODEL, 2);
     expect_that!(servers_chosen(&mut node, NAMED + 6_499 * MS).len(), gt(0));
     expect_that!(servers_chosen(&mut node, NAMED + 6_500 * MS).len(), eq(0));
     // A late heartbeat with the old version does not help; the news of the new one does.
-    node.set_server(NAMED + 6_600 * MS, entry(0, 1));
+    node.update_server(NAMED + 6_600 * MS, entry(0, 1));
     expect_that!(servers_chosen(&mut node, NAMED + 6_600 * MS).len(), eq(0));
-    node.set_server(NAMED + 6_700 * MS, entry(0, 2));
+    node.update_server(NAMED + 6_700 * MS, entry(0, 2));
     expect_that!(servers_chosen(&mut node, NAMED + 6_700 * MS).len(), eq(1));
     // A server without a known version is left out too, and so is a new one with the old.
-    node.set_server(NAMED + 6_800 * MS, ServerEntry { models: vec![], ..entry(7, 1) });
-    node.set_server(NAMED + 6_800 * MS, entry(8, 1));
+    node.update_server(NAMED + 6_800 * MS, ServerEntry { models: vec![], ..entry(7, 1) });
+    node.update_server(NAMED + 6_800 * MS, entry(8, 1));
     expect_that!(servers_chosen(&mut node, NAMED + 6_800 * MS).len(), eq(1));
 }
 
 #[gtest]
 fn two_names_each_bind_in_their_time() {
-    let mut node = engine_of(EngineConfig::builder().build(), 0);
-    (0..3).for_each(|n| node.set_server(0, entry(n, u64::from(n) + 1)));
-    node.name_version(NAMED + WITHIN, MODEL, 2);
-    node.name_version(NAMED + WITHIN + 3_000 * MS, MODEL, 3);
+    let mut node = engine_of(PlacementConfig::builder().build(), 0);
+    (0..3).for_each(|n| node.update_server(0, entry(n, u64::from(n) + 1)));
+    node.announce_version(NAMED + WITHIN, MODEL, 2);
+    node.announce_version(NAMED + WITHIN + 3_000 * MS, MODEL, 3);
     // An old name that comes late changes nothing.
-    node.name_version(NAMED + WITHIN + 4_000 * MS, MODEL, 1);
-    let least = |node: &mut Engine, at| {
+    node.announce_version(NAMED + WITHIN + 4_000 * MS, MODEL, 1);
+    let least = |node: &mut Placer, at| {
         let parts = long(1, 1);
         let mut tried = Vec::new();
-        while let Ok(choice) = node.choose(at, &request(&parts), &tried) {
+        while let Ok(choice) = node.place(at, &request(&parts), &tried) {
             // None is left open: a server that is silent for long is taken to let others wait as long.
-            node.ended(at, choice.attempt, AttemptOutcome::ClientGone, None, None);
+            node.record_end(at, choice.attempt, AttemptOutcome::ClientGone, None, None);
             if tried.contains(&choice.server) {
                 break;
             }
@@ -155,9 +161,9 @@
     // 8 s. Nothing else leaves it out before 6.5 s.
     for (waited, chosen) in [(3_000, true), (3_700, true), (4_100, false), (5_000, false)] {
         let mut node = engine(1);
-        node.name_version(NAMED + WITHIN, MODEL, 2);
-        choose(&mut node, NAMED, 1, 1);
-        let choice = node.choose(NAMED + waited * MS, &request(&long(1, 2)), &[]);
+        node.announce_version(NAMED + WITHIN, MODEL, 2);
+        place(&mut node, NAMED, 1, 1);
+        let choice = node.place(NAMED + waited * MS, &request(&long(1, 2)), &[]);
         expect_that!(choice.is_ok(), eq(chosen), "after {waited} ms");
     }
 }
@@ -165,66 +171,66 @@
 #[gtest]
 fn what_has_not_begun_is_to_be_taken_back_before_its_version_is_outdated() {
     let mut node = engine(3);
-    let waiting = choose(&mut node, NAMED, 1, 1);
-    let begun = choose(&mut node, NAMED, 2, 2);
-    node.first_event(NAMED + MS, begun.attempt);
-    expect_that!(node.must_begin_by(waiting.attempt), none());
-    node.name_version(NAMED + WITHIN, MODEL, 2);
-    node.name_version(NAMED + WITHIN + 2_000 * MS, MODEL, 3);
+    let waiting = place(&mut node, NAMED, 1, 1);
+    let begun = place(&mut node, NAMED, 2, 2);
+    node.record_first_event(NAMED + MS, begun.attempt);
+    expect_that!(node.start_deadline(waiting.attempt), none());
+    node.announce_version(NAMED + WITHIN, MODEL, 2);
+    node.announce_version(NAMED + WITHIN + 2_000 * MS, MODEL, 3);
     // A quarter of a second before version 2 binds, whatever was named since.
-    expect_that!(node.must_begin_by(waiting.attempt), some(eq(NAMED + WITHIN - 250 * MS)));
-    expect_that!(node.must_begin_by(begun.attempt), none());
-    node.postpone_version(NAMED + WITHIN + 1_000 * MS, MODEL, 2);
-    expect_that!(node.must_begin_by(waiting.attempt), some(eq(NAMED + WITHIN + 750 * MS)));
+    expect_that!(node.start_deadline(waiting.attempt), some(eq(NAMED + WITHIN - 250 * MS)));
+    expect_that!(node.start_deadline(begun.attempt), none());
+    node.extend_version_deadline(NAMED + WITHIN + 1_000 * MS, MODEL, 2);
+    expect_that!(node.start_deadline(waiting.attempt), some(eq(NAMED + WITHIN + 750 * MS)));
     // One on version 2 may wait until version 3 binds.
     node.observe_version(NAMED + 2 * MS, "i-0", MODEL, 2);
     node.observe_version(NAMED + 2 * MS, "i-1", MODEL, 2);
     node.observe_version(NAMED + 2 * MS, "i-2", MODEL, 2);
-    let newer = choose(&mut node, NAMED + 3 * MS, 3, 3);
-    expect_that!(node.must_begin_by(newer.attempt), some(eq(NAMED + WITHIN + 1_750 * MS)));
+    let newer = place(&mut node, NAMED + 3 * MS, 3, 3);
+    expect_that!(node.start_deadline(newer.attempt), some(eq(NAMED + WITHIN + 1_750 * MS)));
 }
 
 #[gtest]
 fn what_begins_too_late_is_told_and_counted() {
     let mut node = engine(1);
-    let late = choose(&mut node, NAMED, 1, 1);
-    let loaded = choose(&mut node, NAMED, 2, 2);
-    node.name_version(NAMED + WITHIN, MODEL, 2);
-    expect_that!(node.begun_outdated(NAMED + WITHIN - 1, late.attempt, None), none());
-    let begin = node.begun_outdated(NAMED + WITHIN, late.attempt, None);
-    expect_that!(begin, some(eq(OutdatedBegin { version: 1, binding: 2, waited: WITHIN })));
+    let late = place(&mut node, NAMED, 1, 1);
+    let loaded = place(&mut node, NAMED, 2, 2);
+    node.announce_version(NAMED + WITHIN, MODEL, 2);
+    expect_that!(node.outdated_start(NAMED + WITHIN - 1, late.attempt, None), none());
+    let begin = node.outdated_start(NAMED + WITHIN, late.attempt, None);
+    expect_that!(begin, some(eq(OutdatedStart { version: 1, binding: 2, waited: WITHIN })));
     // Its answer says that the server has loaded the newer version meanwhile.
-    expect_that!(node.begun_outdated(NAMED + WITHIN, loaded.attempt, Some(2)), none());
-    expect_that!(node.counters().begun_outdated, eq(1));
+    expect_that!(node.outdated_start(NAMED + WITHIN, loaded.attempt, Some(2)), none());
+    expect_that!(node.counters().outdated_start, eq(1));
 }
 
 #[gtest]
 fn versions_at_a_server_only_grow() {
     let mut node = engine(1);
-    let expected = |node: &mut Engine, now| choose(node, now, 1, now).expect_version;
+    let expected = |node: &mut Placer, now| place(node, now, 1, now).expect_version;
     node.observe_version(1, "i-0", MODEL, 3);
-    node.set_server(2, entry(0, 2));
+    node.update_server(2, entry(0, 2));
     node.observe_version(3, "i-0", MODEL, 1);
     expect_that!(expected(&mut node, 4), some(eq(3)));
     // One that denies it has an unknown version until it tells, and no longer the one denied.
-    let choice = choose(&mut node, 5, 1, 5);
-    node.ended(6, choice.attempt, AttemptOutcome::VersionMismatch, None, None);
+    let choice = place(&mut node, 5, 1, 5);
+    node.record_end(6, choice.attempt, AttemptOutcome::VersionMismatch, None, None);
     expect_that!(expected(&mut node, 7), none());
-    node.set_server(8, entry(0, 3));
+    node.update_server(8, entry(0, 3));
     expect_that!(expected(&mut node, 9), none());
-    let choice = choose(&mut node, 10, 1, 10);
+    let choice = place(&mut node, 10, 1, 10);
     let told = [ModelVersion { model: MODEL.into(), version: 4 }];
-    node.ended(11, choice.attempt, AttemptOutcome::Served, None, Some(&told));
+    node.record_end(11, choice.attempt, AttemptOutcome::Served, None, Some(&told));
     expect_that!(expected(&mut node, 12), some(eq(4)));
 }
 
 #[gtest]
 fn parts_of_an_older_version_are_not_warm() {
     let mut node = engine(3);
-    let old = choose(&mut node, 2_000 * MS, 1, 1);
+    let old = place(&mut node, 2_000 * MS, 1, 1);
     serve(&mut node, 2_000 * MS, &old);
     (0..3).for_each(|n| node.observe_version(3_000 * MS, &format!("i-{n}"), MODEL, 2));
-    let new = choose(&mut node, 4_000 * MS, 1, 2);
+    let new = place(&mut node, 4_000 * MS, 1, 2);
     expect_that!(new.salt, not(eq(&old.salt)));
     expect_that!(node.counters().warm, eq(0));
     // The home stays the same.
--- a/system/src/effects.rs
+++ b/system/src/effects.rs
@@ -12,7 +12,7 @@
 use gradepaddle_controlplane::rollout::OrderAnswer;
 use gradepaddle_dataplane::load_reports::recipients::Peer;
 use gradepaddle_dataplane::{DataPlane, KeyValidity};
-use gradepaddle_engine::{Micros, ServerEntry, ServerState};
+use gradepaddle_placement::{Micros, ServerEntry, ServerState};
 use gradepaddle_store::Writer;
 use slog::{Logger, info, warn};
 use tokio::sync::Notify;
@@ -62,18 +62,18 @@
             self.plane.close_idle_connections(&entry.id);
         }
         let now = self.plane.now();
-        self.plane.engine.borrow_mut().set_server(now, entry);
+        self.plane.placer.borrow_mut().update_server(now, entry);
     }
 
     fn server_gone(&self, id: &str) {
         self.plane.close_idle_connections(id);
         let now = self.plane.now();
-        self.plane.engine.borrow_mut().remove_server(now, id);
+        self.plane.placer.borrow_mut().remove_server(now, id);
     }
 
     fn peers(&self, peers: Vec<MemberNode>) {
         let balancers = peers.len() + 1;
-        self.plane.engine.borrow_mut().set_balancers(balancers);
+        self.plane.placer.borrow_mut().set_balancer_count(balancers);
         let peers = peers.into_iter().map(|node| Peer { address: node.address, zone: node.zone });
         self.plane.set_peers(&peers.collect::<Vec<_>>());
         info!(self.log, "members"; "count" => balancers);
@@ -97,12 +97,12 @@
 
     fn hold(&self, server: &str, span: Micros) {
         let now = self.plane.now();
-        self.plane.engine.borrow_mut().hold_server(now, server, span);
+        self.plane.placer.borrow_mut().pause_server(now, server, span);
     }
 
     fn holds(&self, server: &str, model: &str, version: u64) {
         let now = self.plane.now();
-        self.plane.engine.borrow_mut().observe_version(now, server, model, version);
+        self.plane.placer.borrow_mut().observe_version(now, server, model, version);
     }
 
     fn in_touch(&self, in_touch: bool) {
--- a/system/src/run.rs
+++ b/system/src/run.rs
@@ -24,7 +24,7 @@
     DataPlane, Setup, ShutdownTimes, receive_load_reports, send_load_reports, serve_clients, serve_readiness,
     shut_down,
 };
-use gradepaddle_engine::{Engine, EngineConfig};
+use gradepaddle_placement::{PlacementConfig, Placer};
 use gradepaddle_proto::Identity;
 use gradepaddle_spread::{Spread, SpreadConfig};
 use gradepaddle_store::{Done, Storage, StoreError, Writer};
@@ -194,14 +194,14 @@
 fn data_plane(settings: &Settings, log: &Logger) -> Rc<DataPlane> {
     let bounds = &settings.bounds;
     let micros = |span: Duration| span.as_micros() as u64;
-    let engine = EngineConfig::builder()
+    let engine = PlacementConfig::builder()
         .own_zone(&*settings.zone)
         .seed(random())
         .retry_ratio(bounds.retry_ratio)
         .retry_slack(bounds.retry_slack)
         .retry_window(micros(bounds.retry_window))
         .build();
-    DataPlane::new(Setup { engine: Engine::new(engine), zone: Arc::from(&*settings.zone), log: log.clone() })
+    DataPlane::new(Setup { placer: Placer::new(engine), zone: Arc::from(&*settings.zone), log: log.clone() })
 }
 
 /// Opens the disk, where there is one whose loss counts, and starts the replica on it. A disk that refuses is tried again
