--- a/placement/src/status.rs
+++ b/placement/src/status.rs
@@ -74,7 +74,7 @@
     }
 
     /// All servers, for operators, in no particular order.
-    pub fn servers(&self, now: Micros) -> impl Iterator<Item = ServerStatus> + '_ {
+    pub fn server_statuses(&self, now: Micros) -> impl Iterator<Item = ServerStatus> + '_ {
         self.fleet.ids().map(move |at| self.status(now, at))
     }
 
--- a/placement/tests/golden.rs
+++ b/placement/tests/golden.rs
@@ -332,7 +332,7 @@
 }
 
 fn look(node: &Node, now: Micros, digest: &mut Digest) {
-    let mut servers: Vec<_> = node.engine.servers(now).collect();
+    let mut servers: Vec<_> = node.engine.server_statuses(now).collect();
     servers.sort_by(|a, b| a.id.cmp(&b.id));
     for server in servers {
         digest.text(&server.id);
--- a/placement/tests/placement.rs
+++ b/placement/tests/placement.rs
@@ -157,9 +157,9 @@
             node.record_end(now + span * MS - 1, other.attempt, AttemptOutcome::ClientGone, None, None);
             // The members of the key's set since don't matter here: a fresh key with that home.
             now += span * MS;
-            let status = node.servers(now).find(|s| s.id == home.server).expect("known");
+            let status = node.server_statuses(now).find(|s| s.id == home.server).expect("known");
             expect_that!(status.left_out, eq(false));
-            for rest in node.servers(now).filter(|s| s.id != home.server).collect::<Vec<_>>() {
+            for rest in node.server_statuses(now).filter(|s| s.id != home.server).collect::<Vec<_>>() {
                 node.remove_server(now, &rest.id);
             }
             let number: u16 = home.server[2..].parse().expect("a number");
@@ -179,7 +179,7 @@
     for choice in &many {
         node.record_end(now + 10, choice.attempt, AttemptOutcome::Broken, None, None);
     }
-    let left_out = |node: &Placer, now| node.servers(now).next().expect("one").left_out;
+    let left_out = |node: &Placer, now| node.server_statuses(now).next().expect("one").left_out;
     expect_that!(left_out(&node, now + 199 * MS), eq(true));
     expect_that!(left_out(&node, now + 201 * MS), eq(false));
     // All are suspect: the only one is used all the same.
@@ -195,7 +195,7 @@
     let home = place(&mut node, now, 5, 1);
     node.record_end(now, home.attempt, AttemptOutcome::NotRun, None, None);
     expect_that!(place(&mut node, now + 149 * MS, 5, 2).server, not(eq(&home.server)));
-    let back = node.servers(now + 301 * MS).find(|s| s.id == home.server).expect("known");
+    let back = node.server_statuses(now + 301 * MS).find(|s| s.id == home.server).expect("known");
     expect_that!(back.left_out, eq(false));
 }
 
@@ -230,7 +230,7 @@
             let parts = long(6 + at, 3);
             let choice = node.place(now + at * MS, &request(&parts), &[]).expect("ready");
             node.record_end(now + at * MS, choice.attempt, AttemptOutcome::ClientGone, None, None);
-            node.servers(now + at * MS).find(|s| s.id == home.server).expect("known").load_ms
+            node.server_statuses(now + at * MS).find(|s| s.id == home.server).expect("known").load_ms
         })
         .to_vec();
     expect_that!(loads[1], lt(loads[0]));
@@ -249,7 +249,7 @@
         node.record_end(now + 400 * MS, choice.attempt, AttemptOutcome::Served, None, None);
         now += 1_000 * MS;
     }
-    let speed = node.servers(now).next().expect("one").speed;
+    let speed = node.server_statuses(now).next().expect("one").speed;
     expect_that!(speed, all!(gt(1.2), lt(1.35)));
 }
 
@@ -265,7 +265,8 @@
     let loads: Vec<f64> = node.servers(at).map(|s| s.load_ms).collect();
     let mean = loads.iter().sum::<f64>() / 3.0;
     node.update_server(at, entry(9, 1));
-    let fresh = |node: &Placer, now| node.servers(now).find(|s| &*s.id == "i-9").expect("known").load_ms;
+    let fresh =
+        |node: &Placer, now| node.server_statuses(now).find(|s| &*s.id == "i-9").expect("known").load_ms;
     expect_that!(fresh(&node, at), near(mean, 0.2 * mean));
     // Not for ever, or it would never be chosen among jammed ones.
     let choice = place(&mut node, at + 1_100 * MS, 78, 78);
