--- a/placement/tests/versions.rs
+++ b/placement/tests/versions.rs
@@ -98,7 +98,7 @@
     expect_that!(servers_chosen(&mut node, at), eq(&new));
     // Until it is due, the old ones take what the new ones are too loaded for.
     let open: Vec<_> = (0..40).map(|own| place(&mut node, at, own, own)).collect();
-    expect_that!(node.servers(at).filter(|s| s.in_flight > 0).count(), gt(2));
+    expect_that!(node.server_statuses(at).filter(|s| s.in_flight > 0).count(), gt(2));
     for choice in open {
         node.record_end(at, choice.attempt, AttemptOutcome::ClientGone, None, None);
     }
