--- a/controlplane/src/driver.rs
+++ b/controlplane/src/driver.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 
 use gradepaddle_control::{Record, WriteId};
-use gradepaddle_placement::ServerEntry;
 use gradepaddle_http::buffers::Pool;
+use gradepaddle_placement::ServerEntry;
 use gradepaddle_proto::Envelope;
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::sleep_until;
