--- a/control/src/election.rs
+++ b/control/src/election.rs
@@ -7,7 +7,8 @@
 };
 
 use crate::{
-    Body, Data, InjectedFault, KnownView, LogPosition, Output, ProposalNumber, Record, Replica, ReplicaId,
+    Body, Data, InjectedFault, KnownView, LogPosition, Output, PreVoteReply, Prepare, Promise,
+    ProposalNumber, Record, Reject, Replica, ReplicaId,
     campaign::{Campaign, DataSent, Poll, Promised, Stage},
     config::MILLISECOND,
     disk::Effect,
@@ -130,17 +131,19 @@
         let known =
             self.view.as_ref().is_none_or(|known| known.view.everyone().iter().any(|m| m.id == sender));
         let granted = known && !self.barred(sender, None);
-        let reply = Body::PreVoteReply { epoch, granted, promised: self.promised, view: self.view.clone() };
+        let reply = Body::PreVoteReply(PreVoteReply {
+            epoch,
+            granted,
+            promised: self.promised,
+            view: self.view.clone(),
+        });
         self.send(from, reply, out);
     }
 
     pub(crate) fn on_poll_reply(
         &mut self,
         sender: ReplicaId,
-        round: u64,
-        granted: bool,
-        promised: Option<ProposalNumber>,
-        view: Option<KnownView>,
+        PreVoteReply { epoch: round, granted, promised, view }: PreVoteReply,
         out: &mut Vec<Output>,
     ) {
         self.note_epoch(promised.map_or(0, |proposal_number| proposal_number.epoch));
@@ -224,7 +227,7 @@
         let Campaign { epoch, position, released, .. } = *campaign;
         for member in campaign.base.view.everyone() {
             if !campaign.promises.contains_key(&member.id) {
-                self.send(member.address, Body::Prepare { epoch, position, released }, out);
+                self.send(member.address, Body::Prepare(Prepare { epoch, position, released }), out);
             }
         }
     }
@@ -233,9 +236,7 @@
         &mut self,
         from: SocketAddrV4,
         sender: ReplicaId,
-        epoch: u64,
-        position: Option<LogPosition>,
-        released: Option<ProposalNumber>,
+        Prepare { epoch, position, released }: Prepare,
         out: &mut Vec<Output>,
     ) {
         self.note_epoch(epoch);
@@ -244,7 +245,7 @@
         let member =
             self.view.as_ref().is_none_or(|known| known.view.everyone().iter().any(|m| m.id == sender));
         if !repeated && (epoch <= self.promised_epoch() || !member || self.barred(sender, released)) {
-            let refusal = Body::Reject { epoch, promised: self.promised, view: self.view.clone() };
+            let refusal = Body::Reject(Reject { epoch, promised: self.promised, view: self.view.clone() });
             return self.send(from, refusal, out);
         }
         let mut records = Vec::new();
@@ -266,13 +267,13 @@
     fn promise_for(&mut self, proposal_number: ProposalNumber, held: Option<LogPosition>) -> Body {
         let newer = self.data.clone().filter(|data| held.is_none_or(|held| held < data.position));
         let data = newer.filter(|data| self.may_send_data(proposal_number, held, data));
-        Body::Promise {
+        Body::Promise(Promise {
             epoch: proposal_number.epoch,
             view: self.view.clone(),
             position: self.data.as_ref().map(|data| data.position),
             data,
             healthy: self.healthy(),
-        }
+        })
     }
 
     /// Notes that the data goes to a candidate, unless it went before and may still be on its way.
@@ -293,15 +294,10 @@
         true
     }
 
-    #[expect(clippy::too_many_arguments, reason = "the fields of one message")]
     pub(crate) fn on_promise(
         &mut self,
         sender: ReplicaId,
-        epoch: u64,
-        view: Option<KnownView>,
-        position: Option<LogPosition>,
-        data: Option<Data>,
-        healthy: bool,
+        Promise { epoch, view, position, data, healthy }: Promise,
         out: &mut Vec<Output>,
     ) {
         let Some(campaign) = self.campaign.as_mut() else { return };
@@ -388,9 +384,7 @@
     pub(crate) fn on_refuse(
         &mut self,
         sender: ReplicaId,
-        epoch: u64,
-        promised: Option<ProposalNumber>,
-        view: Option<KnownView>,
+        Reject { epoch, promised, view }: Reject,
         out: &mut Vec<Output>,
     ) {
         let now = self.now();
--- a/control/src/heartbeat.rs
+++ b/control/src/heartbeat.rs
@@ -3,8 +3,8 @@
 use std::{net::SocketAddrV4, sync::Arc};
 
 use crate::{
-    Body, KnownView, Output, ProposalNumber, Replica, ReplicaId,
-    lease::{Grant, Health, PrimaryClock, lease_until},
+    Body, HeartbeatReply, KnownView, Output, ProposalNumber, Replica, ReplicaId,
+    lease::{Grant, PrimaryClock, lease_until},
 };
 
 impl Replica {
@@ -92,10 +92,10 @@
             }
         }
         let activation_durable = self.activation_durable();
-        self.send(from, self.echo((epoch, sent), granted.is_some(), activation_durable), out);
+        self.send(from, self.echo(epoch, sent, granted.is_some(), activation_durable), out);
         if granted.is_some() && !activation_durable && self.view.as_ref().is_some_and(|known| known.active) {
             // The primary needn't wait for its next heartbeat to learn that this one knows of the view for good.
-            let effect = self.reply_once_durable(from, self.echo((epoch, sent), true, true));
+            let effect = self.reply_once_durable(from, self.echo(epoch, sent, true, true));
             self.persist(Vec::new(), effect, out);
         }
     }
@@ -123,8 +123,8 @@
         }
     }
 
-    fn echo(&self, (epoch, sent): (u64, u64), granted: bool, activation_durable: bool) -> Body {
-        Body::HeartbeatReply {
+    fn echo(&self, epoch: u64, sent: u64, granted: bool, activation_durable: bool) -> Body {
+        Body::HeartbeatReply(HeartbeatReply {
             epoch,
             sent,
             granted,
@@ -133,34 +133,30 @@
             healthy: self.healthy(),
             shutting_down: self.is_shutting_down(),
             activation_durable,
-        }
+        })
     }
 
-    #[expect(clippy::too_many_arguments, reason = "the fields of one message")]
     pub(crate) fn on_echo(
         &mut self,
         from: SocketAddrV4,
         sender: ReplicaId,
-        (epoch, sent): (u64, u64),
-        granted: bool,
-        promised: Option<ProposalNumber>,
-        view_epoch: u64,
-        health: Health,
+        reply: HeartbeatReply,
         out: &mut Vec<Output>,
     ) {
+        let HeartbeatReply { epoch, sent, granted, promised, view_epoch, .. } = reply;
         let (now, own) = (self.now(), self.promised);
         self.note_epoch(promised.map_or(0, |proposal_number| proposal_number.epoch));
         let Some(leadership) = self.leadership.as_mut() else { return };
         let ours = (leadership.first_epoch..=leadership.epoch).contains(&epoch) && sent <= now;
         if let Some(joiner) = leadership.joiners.get_mut(&sender).filter(|_| ours) {
-            joiner.note_echo(now, sent, health.healthy);
+            joiner.note_echo(now, sent, reply.healthy);
         }
         let Some(contact) = leadership.contacts.get_mut(&sender).filter(|_| ours) else { return };
         contact.heard = now;
         contact.answered = true;
-        contact.healthy = health.healthy;
-        contact.shutting_down = health.shutting_down;
-        if health.activation_durable {
+        contact.healthy = reply.healthy;
+        contact.shutting_down = reply.shutting_down;
+        if reply.activation_durable {
             contact.active_epoch_durable = contact.active_epoch_durable.max(view_epoch);
         }
         if granted {
--- a/control/src/installation.rs
+++ b/control/src/installation.rs
@@ -7,8 +7,8 @@
 };
 
 use crate::{
-    AcceptedHistory, Body, ControlState, Data, InjectedFault, KnownView, LogPosition, Member, Output,
-    ProposalNumber, Record, Replica, ReplicaId, View,
+    AcceptedHistory, Body, ControlState, Data, InjectedFault, InstallSnapshot, KnownView, LogPosition,
+    Member, Output, Prepare, ProposalNumber, Record, Reject, Replica, ReplicaId, SnapshotInstalled, View,
     campaign::{Campaign, Stage},
     config::MILLISECOND,
     disk::Effect,
@@ -161,7 +161,7 @@
         for member in campaign.base.view.everyone() {
             if member.id != self.id && !waiting.contains(&member.id) {
                 let position = Some(source.position);
-                self.send(member.address, Body::Prepare { epoch, position, released }, out);
+                self.send(member.address, Body::Prepare(Prepare { epoch, position, released }), out);
             }
         }
     }
@@ -178,13 +178,13 @@
         if whole {
             attempts.insert(to, 1);
         }
-        let install = Body::InstallSnapshot {
+        let install = Body::InstallSnapshot(InstallSnapshot {
             epoch,
             sequence: source.position.sequence,
             source: source.position,
             attempt: attempts.get(&to).copied().unwrap_or(0),
             state: whole.then(|| Arc::clone(&source.state)),
-        };
+        });
         self.send(address, install, out);
     }
 
@@ -213,25 +213,23 @@
         }
     }
 
-    #[expect(clippy::too_many_arguments, reason = "the fields of one message")]
     pub(crate) fn on_install(
         &mut self,
         from: SocketAddrV4,
         sender: ReplicaId,
-        position: LogPosition,
-        source: LogPosition,
-        attempt: u64,
-        state: Option<Arc<ControlState>>,
+        InstallSnapshot { epoch, sequence, source, attempt, state }: InstallSnapshot,
         out: &mut Vec<Output>,
     ) {
-        let epoch = position.epoch;
+        let position = LogPosition { epoch, sequence };
         if self.promised != Some(ProposalNumber { epoch, candidate: sender }) {
             return;
         }
         self.hear();
         let held = self.data.as_ref().map(|data| data.position);
-        let complete =
-            self.reply_once_durable(from, Body::SnapshotInstalled { epoch, complete: true, attempt });
+        let complete = self.reply_once_durable(
+            from,
+            Body::SnapshotInstalled(SnapshotInstalled { epoch, complete: true, attempt }),
+        );
         if held.is_some_and(|held| held.epoch == epoch) {
             return self.persist(Vec::new(), complete, out);
         }
@@ -239,7 +237,11 @@
             self.data.as_ref().filter(|data| data.position == source).map(|data| Arc::clone(&data.state))
         });
         let Some(state) = state else {
-            return self.send(from, Body::SnapshotInstalled { epoch, complete: false, attempt }, out);
+            return self.send(
+                from,
+                Body::SnapshotInstalled(SnapshotInstalled { epoch, complete: false, attempt }),
+                out,
+            );
         };
         let (position, state) = self.as_installed(position, source, state);
         let record = self.take_state(position, source, &state);
@@ -282,13 +284,13 @@
         let known = attempts.get(&sender).copied().unwrap_or(0);
         let Some(member) = view.member(sender).filter(|_| attempt == known) else { return };
         attempts.insert(sender, known + 1);
-        let install = Body::InstallSnapshot {
+        let install = Body::InstallSnapshot(InstallSnapshot {
             epoch,
             sequence: source.position.sequence,
             source: source.position,
             attempt: known + 1,
             state: Some(Arc::clone(&source.state)),
-        };
+        });
         let address = member.address;
         self.send(address, install, out);
     }
@@ -325,7 +327,7 @@
         self.learn_view(known, out);
         let accepted = self.promised == Some(proposal_number) && self.view_epoch() == epoch;
         if !accepted {
-            let refusal = Body::Reject { epoch, promised: self.promised, view: self.view.clone() };
+            let refusal = Body::Reject(Reject { epoch, promised: self.promised, view: self.view.clone() });
             return self.send(from, refusal, out);
         }
         self.hear();
--- a/control/src/lease.rs
+++ b/control/src/lease.rs
@@ -59,17 +59,6 @@
     }
 }
 
-/// What a replica tells of itself with each echo.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Health {
-    /// Whether it may hold data.
-    pub healthy: bool,
-    /// Whether its process is about to end in good order.
-    pub shutting_down: bool,
-    /// Whether it would know after a restart that its view is active.
-    pub activation_durable: bool,
-}
-
 /// What the primary knows of another member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Contact {
--- a/control/src/lib.rs
+++ b/control/src/lib.rs
@@ -34,7 +34,10 @@
 pub use input::{Input, Outcome, Output, ProposalId, WriteId};
 pub use lease::Lease;
 pub use member::{Member, ReplicaId};
-pub use message::{Body, Message};
+pub use message::{
+    Body, HeartbeatReply, InstallSnapshot, Message, PreVoteReply, Prepare, Promise, Reject, Replicate,
+    SnapshotInstalled,
+};
 pub use record::{Data, LogPosition, Record, RecoveredState};
 pub use replica::{LeaseRead, Replica};
 pub use state::{Change, ChangeCheck, ControlState, Fingerprint, StoredConfiguration};
--- a/control/src/message.rs
+++ b/control/src/message.rs
@@ -24,93 +24,24 @@
         sent: u64,
     },
     /// Answer to a heartbeat.
-    HeartbeatReply {
-        /// The epoch of the heartbeat.
-        epoch: u64,
-        /// The time of the heartbeat.
-        sent: u64,
-        /// Whether the lease is granted.
-        granted: bool,
-        /// The latest promise of the sender.
-        promised: Option<ProposalNumber>,
-        /// The epoch of the view that the sender has accepted, 0 if none.
-        view_epoch: u64,
-        /// Whether the sender may hold data: its disk is well and it isn't leaving.
-        healthy: bool,
-        /// Whether the process of the sender is about to end in good order.
-        shutting_down: bool,
-        /// Whether the sender would know after a restart that its view is active.
-        activation_durable: bool,
-    },
+    HeartbeatReply(HeartbeatReply),
     /// Would the receiver promise this epoch? Binds nobody.
     PreVote {
         /// The epoch that would be asked for.
         epoch: u64,
     },
     /// Answer to a poll.
-    PreVoteReply {
-        /// The epoch of the poll.
-        epoch: u64,
-        /// Whether it would be promised.
-        granted: bool,
-        /// The latest promise of the sender.
-        promised: Option<ProposalNumber>,
-        /// The view that the sender has accepted.
-        view: Option<KnownView>,
-    },
+    PreVoteReply(PreVoteReply),
     /// The sender asks to be promised an epoch.
-    Prepare {
-        /// The epoch.
-        epoch: u64,
-        /// What the sender holds of the data.
-        position: Option<LogPosition>,
-        /// The proposal number up to which the primary of before has given up its lead, for a hand-over.
-        released: Option<ProposalNumber>,
-    },
+    Prepare(Prepare),
     /// The epoch is promised to the receiver.
-    Promise {
-        /// The epoch.
-        epoch: u64,
-        /// The view that the sender has accepted.
-        view: Option<KnownView>,
-        /// The position of the data that the sender holds.
-        position: Option<LogPosition>,
-        /// The data itself, where it is newer than what the candidate holds.
-        data: Option<Data>,
-        /// Whether the sender may hold data.
-        healthy: bool,
-    },
+    Promise(Promise),
     /// The receiver's epoch has been overtaken, or a lease stands against it.
-    Reject {
-        /// The epoch that is refused.
-        epoch: u64,
-        /// The latest promise of the sender.
-        promised: Option<ProposalNumber>,
-        /// The view that the sender has accepted.
-        view: Option<KnownView>,
-    },
+    Reject(Reject),
     /// A candidate hands its state to a future backup.
-    InstallSnapshot {
-        /// The epoch of the candidate.
-        epoch: u64,
-        /// The sequence of the state.
-        sequence: u64,
-        /// The position under which the state was known before.
-        source: LogPosition,
-        /// How often the state has been sent to the receiver so far, this time included.
-        attempt: u64,
-        /// The state; left out where the receiver holds the source, or has been sent the state before.
-        state: Option<Arc<ControlState>>,
-    },
+    InstallSnapshot(InstallSnapshot),
     /// Answer to an installation.
-    SnapshotInstalled {
-        /// The epoch.
-        epoch: u64,
-        /// Whether the state is durable at the sender; otherwise it has to be sent whole.
-        complete: bool,
-        /// The attempt of the installation that is answered.
-        attempt: u64,
-    },
+    SnapshotInstalled(SnapshotInstalled),
     /// A view to accept. It is only ever sent once all of its backups hold the data.
     Accept {
         /// The view.
@@ -122,14 +53,7 @@
         epoch: u64,
     },
     /// The primary hands a change to a backup.
-    Replicate {
-        /// The epoch of the view.
-        epoch: u64,
-        /// The sequence after the change.
-        sequence: u64,
-        /// The change.
-        change: Change,
-    },
+    Replicate(Replicate),
     /// The change is durable at the sender.
     Replicated {
         /// The epoch of the view.
@@ -150,3 +74,111 @@
         released: ProposalNumber,
     },
 }
+
+/// Answer to a heartbeat.
+#[derive(Debug, Clone, PartialEq)]
+pub struct HeartbeatReply {
+    /// The epoch of the heartbeat.
+    pub epoch: u64,
+    /// The time of the heartbeat.
+    pub sent: u64,
+    /// Whether the lease is granted.
+    pub granted: bool,
+    /// The latest promise of the sender.
+    pub promised: Option<ProposalNumber>,
+    /// The epoch of the view that the sender has accepted, 0 if none.
+    pub view_epoch: u64,
+    /// Whether the sender may hold data: its disk is well and it isn't leaving.
+    pub healthy: bool,
+    /// Whether the process of the sender is about to end in good order.
+    pub shutting_down: bool,
+    /// Whether the sender would know after a restart that its view is active.
+    pub activation_durable: bool,
+}
+
+/// Answer to a poll.
+#[derive(Debug, Clone, PartialEq)]
+pub struct PreVoteReply {
+    /// The epoch of the poll.
+    pub epoch: u64,
+    /// Whether it would be promised.
+    pub granted: bool,
+    /// The latest promise of the sender.
+    pub promised: Option<ProposalNumber>,
+    /// The view that the sender has accepted.
+    pub view: Option<KnownView>,
+}
+
+/// The sender asks to be promised an epoch.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Prepare {
+    /// The epoch.
+    pub epoch: u64,
+    /// What the sender holds of the data.
+    pub position: Option<LogPosition>,
+    /// The proposal number up to which the primary of before has given up its lead, for a hand-over.
+    pub released: Option<ProposalNumber>,
+}
+
+/// The epoch is promised to the receiver.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Promise {
+    /// The epoch.
+    pub epoch: u64,
+    /// The view that the sender has accepted.
+    pub view: Option<KnownView>,
+    /// The position of the data that the sender holds.
+    pub position: Option<LogPosition>,
+    /// The data itself, where it is newer than what the candidate holds.
+    pub data: Option<Data>,
+    /// Whether the sender may hold data.
+    pub healthy: bool,
+}
+
+/// The receiver's epoch has been overtaken, or a lease stands against it.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Reject {
+    /// The epoch that is refused.
+    pub epoch: u64,
+    /// The latest promise of the sender.
+    pub promised: Option<ProposalNumber>,
+    /// The view that the sender has accepted.
+    pub view: Option<KnownView>,
+}
+
+/// A candidate hands its state to a future backup.
+#[derive(Debug, Clone, PartialEq)]
+pub struct InstallSnapshot {
+    /// The epoch of the candidate.
+    pub epoch: u64,
+    /// The sequence of the state.
+    pub sequence: u64,
+    /// The position under which the state was known before.
+    pub source: LogPosition,
+    /// How often the state has been sent to the receiver so far, this time included.
+    pub attempt: u64,
+    /// The state; left out where the receiver holds the source, or has been sent the state before.
+    pub state: Option<Arc<ControlState>>,
+}
+
+/// Answer to an installation.
+#[derive(Debug, Clone, PartialEq)]
+pub struct SnapshotInstalled {
+    /// The epoch.
+    pub epoch: u64,
+    /// Whether the state is durable at the sender; otherwise it has to be sent whole.
+    pub complete: bool,
+    /// The attempt of the installation that is answered.
+    pub attempt: u64,
+}
+
+/// The primary hands a change to a backup.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Replicate {
+    /// The epoch of the view.
+    pub epoch: u64,
+    /// The sequence after the change.
+    pub sequence: u64,
+    /// The change.
+    pub change: Change,
+}
--- a/control/src/replica.rs
+++ b/control/src/replica.rs
@@ -4,13 +4,13 @@
 
 use crate::{
     Body, ControlState, Data, InjectedFault, Input, KnownView, LogPosition, Member, Message, Output,
-    ProposalNumber, Record, RecoveredState, ReplicaConfig, ReplicaId, Role, Status, View,
+    ProposalNumber, Record, RecoveredState, ReplicaConfig, ReplicaId, Role, SnapshotInstalled, Status, View,
     campaign::{Campaign, DataSent, Poll},
     config::MILLISECOND,
     disk::{Disk, Effect},
     handover::Handover,
     leadership::{Leadership, Proposal},
-    lease::{Grant, Health, Lease, PrimaryClock},
+    lease::{Grant, Lease, PrimaryClock},
 };
 
 /// A replica that isn't a member asks to join this often.
@@ -226,43 +226,22 @@
         }
         match message.body {
             Body::Heartbeat { epoch, sent } => self.on_heartbeat(from, sender, epoch, sent, out),
-            Body::HeartbeatReply {
-                epoch,
-                sent,
-                granted,
-                promised,
-                view_epoch,
-                healthy,
-                shutting_down,
-                activation_durable,
-            } => {
-                let health = Health { healthy, shutting_down, activation_durable };
-                self.on_echo(from, sender, (epoch, sent), granted, promised, view_epoch, health, out);
-            }
+            Body::HeartbeatReply(reply) => self.on_echo(from, sender, reply, out),
             Body::PreVote { epoch } => self.on_poll(from, sender, epoch, out),
-            Body::PreVoteReply { epoch, granted, promised, view } => {
-                self.on_poll_reply(sender, epoch, granted, promised, view, out);
-            }
-            Body::Prepare { epoch, position, released } => {
-                self.on_prepare(from, sender, epoch, position, released, out);
-            }
-            Body::Promise { epoch, view, position, data, healthy } => {
-                self.on_promise(sender, epoch, view, position, data, healthy, out);
+            Body::PreVoteReply(reply) => self.on_poll_reply(sender, reply, out),
+            Body::Prepare(prepare) => self.on_prepare(from, sender, prepare, out),
+            Body::Promise(promise) => self.on_promise(sender, promise, out),
+            Body::Reject(reject) => self.on_refuse(sender, reject, out),
+            Body::InstallSnapshot(install) => self.on_install(from, sender, install, out),
+            Body::SnapshotInstalled(SnapshotInstalled { epoch, complete: true, .. }) => {
+                self.on_installed(sender, epoch, out);
             }
-            Body::Reject { epoch, promised, view } => self.on_refuse(sender, epoch, promised, view, out),
-            Body::InstallSnapshot { epoch, sequence, source, attempt, state } => {
-                let position = LogPosition { epoch, sequence };
-                self.on_install(from, sender, position, source, attempt, state, out);
-            }
-            Body::SnapshotInstalled { epoch, complete: true, .. } => self.on_installed(sender, epoch, out),
-            Body::SnapshotInstalled { epoch, complete: false, attempt } => {
+            Body::SnapshotInstalled(SnapshotInstalled { epoch, complete: false, attempt }) => {
                 self.on_incomplete(sender, epoch, attempt, out);
             }
             Body::Accept { view } => self.on_accept(from, view, out),
             Body::Accepted { epoch } => self.on_accepted(sender, epoch, out),
-            Body::Replicate { epoch, sequence, change } => {
-                self.on_replicate(from, sender, LogPosition { epoch, sequence }, change, out);
-            }
+            Body::Replicate(replicate) => self.on_replicate(from, sender, replicate, out),
             Body::Replicated { epoch, sequence } => {
                 self.on_replicated(sender, LogPosition { epoch, sequence }, out);
             }
--- a/control/src/replication.rs
+++ b/control/src/replication.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     Body, Change, ControlState, Data, InjectedFault, KnownView, LogPosition, Outcome, Output, ProposalId,
-    ProposalNumber, Record, Replica, ReplicaId, View,
+    ProposalNumber, Record, Replica, ReplicaId, Replicate, SnapshotInstalled, View,
     config::MILLISECOND,
     disk::Effect,
     leadership::{Leadership, Pending, Proposal, VIEW_PAUSE},
@@ -264,7 +264,7 @@
         let change = pending.change.clone();
         let position = pending.position;
         for address in addresses {
-            self.send(address, Body::Replicate { epoch, sequence, change: change.clone() }, out);
+            self.send(address, Body::Replicate(Replicate { epoch, sequence, change: change.clone() }), out);
         }
         if repeat {
             self.persist(Vec::new(), Some(Effect::OwnWrite { position }), out);
@@ -275,11 +275,10 @@
         &mut self,
         from: SocketAddrV4,
         sender: ReplicaId,
-        position: LogPosition,
-        change: Change,
+        Replicate { epoch, sequence, change }: Replicate,
         out: &mut Vec<Output>,
     ) {
-        let LogPosition { epoch, sequence } = position;
+        let position = LogPosition { epoch, sequence };
         let bound = self.promised == Some(ProposalNumber { epoch, candidate: sender });
         let backs =
             self.current_view().is_some_and(|view| view.epoch == epoch && view.backups.contains(&self.id));
@@ -289,7 +288,11 @@
         let follows = |data: &Data| data.position.epoch == epoch && data.position.sequence + 1 >= sequence;
         let Some(data) = self.data.clone().filter(follows) else {
             // Only a disk that went back to an older copy leads here. The primary would wait for ever.
-            return self.send(from, Body::SnapshotInstalled { epoch, complete: false, attempt: 0 }, out);
+            return self.send(
+                from,
+                Body::SnapshotInstalled(SnapshotInstalled { epoch, complete: false, attempt: 0 }),
+                out,
+            );
         };
         let reply = self.reply_once_durable(from, Body::Replicated { epoch, sequence });
         if data.position.sequence + 1 == sequence {
--- a/control/tests/conformance.rs
+++ b/control/tests/conformance.rs
@@ -5,7 +5,7 @@
 use bench::{Bench, Disk, MILLISECOND, name, put};
 use googletest::prelude::*;
 use gradepaddle_control::{
-    Body, Input, Message, Outcome, Output, ProposalNumber, Replica, ReplicaConfig, ReplicaId, Role,
+    Body, Input, Message, Outcome, Output, Prepare, ProposalNumber, Replica, ReplicaConfig, ReplicaId, Role,
 };
 
 const TAKEN: Option<Outcome> = Some(Outcome::Committed);
@@ -165,7 +165,7 @@
     let now = bench.now;
     let seat = &mut bench.seats[place];
     let from = "10.0.0.250:7640".parse().expect("an address");
-    let body = Body::Prepare { epoch, position: None, released };
+    let body = Body::Prepare(Prepare { epoch, position: None, released });
     let mut out = Vec::new();
     let replica = seat.replica.as_mut().expect("it runs");
     replica.handle(now, Input::Message { from, message: message(sender, body) }, &mut out);
@@ -206,7 +206,7 @@
         let mut bench = with_state(3, 1);
         bench.now += wait * MILLISECOND;
         let answer = prepare(&mut bench, 1, candidate, epoch, released);
-        let is_promise = matches!(answer, Some(Body::Promise { .. }));
+        let is_promise = matches!(answer, Some(Body::Promise(_)));
         expect_that!(is_promise, eq(promised), "{what}: {answer:?}");
     }
 }
@@ -217,7 +217,7 @@
     bench.now += 1_600 * MILLISECOND;
     for (candidate, promised) in [(1_002, true), (1_000, false), (1_002, true)] {
         let answer = prepare(&mut bench, 1, candidate, 2, None);
-        expect_that!(matches!(answer, Some(Body::Promise { .. })), eq(promised), "{candidate}");
+        expect_that!(matches!(answer, Some(Body::Promise(_))), eq(promised), "{candidate}");
     }
 }
 
@@ -232,7 +232,7 @@
         bench.start(1);
         bench.now += wait * MILLISECOND;
         let answer = prepare(&mut bench, 1, candidate, 2, None);
-        expect_that!(matches!(answer, Some(Body::Promise { .. })), eq(promised), "{candidate} after {wait}");
+        expect_that!(matches!(answer, Some(Body::Promise(_))), eq(promised), "{candidate} after {wait}");
     }
 }
 
@@ -243,11 +243,13 @@
     bench.set_disk(1, Disk::Hanging);
     let now = bench.now;
     let from = bench.seats[2].address;
-    let body = Body::Prepare { epoch: 2, position: None, released: None };
+    let body = Body::Prepare(Prepare { epoch: 2, position: None, released: None });
     let mut out = Vec::new();
     let replica = bench.seats[1].replica.as_mut().expect("it runs");
     replica.handle(now, Input::Message { from, message: message(1_002, body) }, &mut out);
-    let said = out.iter().any(|output| matches!(output, Output::Send { message, .. } if matches!(message.body, Body::Promise { .. })));
+    let said = out.iter().any(
+        |output| matches!(output, Output::Send { message, .. } if matches!(message.body, Body::Promise(_))),
+    );
     expect_that!(said, eq(false));
 }
 
--- a/control/tests/late_heartbeats.rs
+++ b/control/tests/late_heartbeats.rs
@@ -4,7 +4,7 @@
 
 use bench::{Bench, MILLISECOND};
 use googletest::prelude::*;
-use gradepaddle_control::{Body, Input, Message, Output};
+use gradepaddle_control::{Body, HeartbeatReply, Input, Message, Output, PreVoteReply, Prepare};
 
 /// A founded core whose primary (place 0) is gone since this moment. Its latest heartbeats came in time.
 fn without_primary() -> Bench {
@@ -29,14 +29,15 @@
 
 fn heartbeat(bench: &mut Bench, at: u64, epoch: u64, sent: u64) {
     let said = answers(bench, at, 0, Body::Heartbeat { epoch, sent });
-    let granted = said.iter().any(|body| matches!(body, Body::HeartbeatReply { granted: true, .. }));
+    let granted =
+        said.iter().any(|body| matches!(body, Body::HeartbeatReply(HeartbeatReply { granted: true, .. })));
     assert!(granted, "it is the primary's");
 }
 
 /// Whether place 1 would promise an epoch to place 2 at this time.
 fn is_free(bench: &mut Bench, at: u64) -> bool {
     let said = answers(bench, at, 2, Body::PreVote { epoch: 9 });
-    said.iter().any(|body| matches!(body, Body::PreVoteReply { granted: true, .. }))
+    said.iter().any(|body| matches!(body, Body::PreVoteReply(PreVoteReply { granted: true, .. })))
 }
 
 #[gtest]
@@ -85,7 +86,7 @@
     let restarted = bench.now + 300 * MILLISECOND;
     // The next epoch of a process whose clock shows less than any before.
     let next = epoch + 1;
-    let prepare = Body::Prepare { epoch: next, position: None, released: None };
+    let prepare = Body::Prepare(Prepare { epoch: next, position: None, released: None });
     answers(&mut bench, restarted, 0, prepare);
     bench.settle();
     heartbeat(&mut bench, restarted, next, 5 * MILLISECOND);
--- a/control/tests/slow_links/mod.rs
+++ b/control/tests/slow_links/mod.rs
@@ -11,8 +11,8 @@
 };
 
 use gradepaddle_control::{
-    Body, Change, ControlState, Input, Member, Message, Outcome, Output, ProposalId, Record, RecoveredState,
-    Replica, ReplicaConfig, ReplicaId, View, WriteId,
+    Body, Change, ControlState, Input, InstallSnapshot, Member, Message, Outcome, Output, Promise,
+    ProposalId, Record, RecoveredState, Replica, ReplicaConfig, ReplicaId, Replicate, View, WriteId,
 };
 
 pub const MILLISECOND: u64 = 1_000;
@@ -465,9 +465,9 @@
         body + state.accepted.len() * ACCEPTED_HISTORY_BYTES
     };
     let content = match &message.body {
-        Body::InstallSnapshot { state: Some(whole), .. } => state(whole),
-        Body::Promise { data: Some(data), .. } => state(&data.state),
-        Body::Replicate { change: Change::PutConfiguration { body, .. }, .. } => body.len(),
+        Body::InstallSnapshot(InstallSnapshot { state: Some(whole), .. }) => state(whole),
+        Body::Promise(Promise { data: Some(data), .. }) => state(&data.state),
+        Body::Replicate(Replicate { change: Change::PutConfiguration { body, .. }, .. }) => body.len(),
         _ => 0,
     };
     SMALL_MESSAGE + content
--- a/proto/src/control.rs
+++ b/proto/src/control.rs
@@ -4,8 +4,9 @@
 use std::sync::Arc;
 
 use gradepaddle_control::{
-    AcceptedConfiguration, AcceptedHistory, Body, Change, ControlState, Data, KnownView, LogPosition, Member,
-    Message, ProposalNumber, Record, ReplicaId, StoredConfiguration, View,
+    AcceptedConfiguration, AcceptedHistory, Body, Change, ControlState, Data, HeartbeatReply,
+    InstallSnapshot, KnownView, LogPosition, Member, Message, PreVoteReply, Prepare, Promise, ProposalNumber,
+    Record, Reject, ReplicaId, Replicate, SnapshotInstalled, StoredConfiguration, View,
 };
 
 use crate::fields::{Decode, DecodeError, Encode, FieldWriter, Fields, UnknownVariantSnafu};
@@ -331,7 +332,7 @@
             head(to, HEARTBEAT, *epoch);
             to.number(field::SENT, *sent);
         }
-        Body::HeartbeatReply {
+        Body::HeartbeatReply(HeartbeatReply {
             epoch,
             sent,
             granted,
@@ -340,7 +341,7 @@
             healthy,
             shutting_down,
             activation_durable,
-        } => {
+        }) => {
             head(to, ECHO, *epoch);
             to.number(field::SENT, *sent);
             to.truth(field::GRANTED, *granted);
@@ -351,37 +352,37 @@
             to.truth(field::SETTLED, *activation_durable);
         }
         Body::PreVote { epoch } => head(to, POLL, *epoch),
-        Body::PreVoteReply { epoch, granted, promised, view } => {
+        Body::PreVoteReply(PreVoteReply { epoch, granted, promised, view }) => {
             head(to, POLL_REPLY, *epoch);
             to.truth(field::GRANTED, *granted);
             some(to, field::PROMISED, promised.as_ref());
             some(to, field::VIEW, view.as_ref());
         }
-        Body::Prepare { epoch, position, released } => {
+        Body::Prepare(Prepare { epoch, position, released }) => {
             head(to, PREPARE, *epoch);
             some(to, field::POSITION, position.as_ref());
             some(to, field::RELEASED, released.as_ref());
         }
-        Body::Promise { epoch, view, position, data, healthy } => {
+        Body::Promise(Promise { epoch, view, position, data, healthy }) => {
             head(to, PROMISE, *epoch);
             some(to, field::VIEW, view.as_ref());
             some(to, field::POSITION, position.as_ref());
             some(to, field::DATA, data.as_ref());
             to.truth(field::FIT, *healthy);
         }
-        Body::Reject { epoch, promised, view } => {
+        Body::Reject(Reject { epoch, promised, view }) => {
             head(to, REFUSE, *epoch);
             some(to, field::PROMISED, promised.as_ref());
             some(to, field::VIEW, view.as_ref());
         }
-        Body::InstallSnapshot { epoch, sequence, source, attempt, state } => {
+        Body::InstallSnapshot(InstallSnapshot { epoch, sequence, source, attempt, state }) => {
             head(to, INSTALL, *epoch);
             to.number(field::SEQUENCE, *sequence);
             to.message(field::POSITION, source);
             to.number(field::ATTEMPT, *attempt);
             some(to, field::STATE, state.as_deref());
         }
-        Body::SnapshotInstalled { epoch, complete, attempt } => {
+        Body::SnapshotInstalled(SnapshotInstalled { epoch, complete, attempt }) => {
             head(to, INSTALLED, *epoch);
             to.number(field::ATTEMPT, *attempt);
             to.truth(field::COMPLETE, *complete);
@@ -391,7 +392,7 @@
             to.message(field::VIEW, view);
         }
         Body::Accepted { epoch } => head(to, ACCEPTED, *epoch),
-        Body::Replicate { epoch, sequence, change } => {
+        Body::Replicate(Replicate { epoch, sequence, change }) => {
             head(to, REPLICATE, *epoch);
             to.number(field::SEQUENCE, *sequence);
             to.message(field::CHANGE, change);
@@ -433,7 +434,7 @@
             let view_epoch = fields.number(field::VIEW_EPOCH);
             let shutting_down = fields.truth(field::LEAVING);
             let activation_durable = fields.truth(field::SETTLED);
-            Body::HeartbeatReply {
+            Body::HeartbeatReply(HeartbeatReply {
                 epoch,
                 sent,
                 granted,
@@ -442,43 +443,49 @@
                 healthy,
                 shutting_down,
                 activation_durable,
-            }
+            })
         }
         POLL => Body::PreVote { epoch },
-        POLL_REPLY => Body::PreVoteReply {
+        POLL_REPLY => Body::PreVoteReply(PreVoteReply {
             epoch,
             granted,
             promised: fields.some_message(field::PROMISED)?,
             view: fields.some_message(field::VIEW)?,
-        },
-        PREPARE => Body::Prepare {
+        }),
+        PREPARE => Body::Prepare(Prepare {
             epoch,
             position: fields.some_message(field::POSITION)?,
             released: fields.some_message(field::RELEASED)?,
-        },
-        PROMISE => Body::Promise {
+        }),
+        PROMISE => Body::Promise(Promise {
             epoch,
             view: fields.some_message(field::VIEW)?,
             position: fields.some_message(field::POSITION)?,
             data: fields.some_message(field::DATA)?,
             healthy,
-        },
-        REFUSE => Body::Reject {
+        }),
+        REFUSE => Body::Reject(Reject {
             epoch,
             promised: fields.some_message(field::PROMISED)?,
             view: fields.some_message(field::VIEW)?,
-        },
-        INSTALL => Body::InstallSnapshot {
+        }),
+        INSTALL => Body::InstallSnapshot(InstallSnapshot {
             epoch,
             sequence,
             source: fields.message(NAME, field::POSITION)?,
             attempt,
             state: fields.some_message::<ControlState>(field::STATE)?.map(Arc::new),
-        },
-        INSTALLED => Body::SnapshotInstalled { epoch, complete: fields.truth(field::COMPLETE), attempt },
+        }),
+        INSTALLED => Body::SnapshotInstalled(SnapshotInstalled {
+            epoch,
+            complete: fields.truth(field::COMPLETE),
+            attempt,
+        }),
         ACCEPT => Body::Accept { view: fields.message(NAME, field::VIEW)? },
         ACCEPTED => Body::Accepted { epoch },
-        REPLICATE => Body::Replicate { epoch, sequence, change: fields.message(NAME, field::CHANGE)? },
+        REPLICATE => {
+            Body::Replicate(Replicate { epoch, sequence, change: fields.message(NAME, field::CHANGE)? })
+        }
         REPLICATED => Body::Replicated { epoch, sequence },
         JOIN => {
             let member = fields.message(NAME, field::MEMBER)?;
--- a/proto/tests/common/mod.rs
+++ b/proto/tests/common/mod.rs
@@ -6,8 +6,9 @@
 use std::sync::Arc;
 
 use gradepaddle_control::{
-    AcceptedConfiguration, AcceptedHistory, Body, Change, ControlState, Data, KnownView, LogPosition, Member,
-    Message, ProposalNumber, Record, ReplicaId, StoredConfiguration, View,
+    AcceptedConfiguration, AcceptedHistory, Body, Change, ControlState, Data, HeartbeatReply,
+    InstallSnapshot, KnownView, LogPosition, Member, Message, PreVoteReply, Prepare, Promise, ProposalNumber,
+    Record, Reject, ReplicaId, Replicate, SnapshotInstalled, StoredConfiguration, View,
 };
 use gradepaddle_proto::{
     Content, ControlCall, Encode, Envelope, FieldWriter, Forward, Forwarded, Identity, KeptPrompt, LoadShare,
@@ -144,7 +145,7 @@
         (number(), number()).prop_map(|(epoch, sent)| Body::Heartbeat { epoch, sent }),
         echo.prop_map(
             |(epoch, sent, granted, promised, view_epoch, (healthy, shutting_down, activation_durable))| {
-                Body::HeartbeatReply {
+                Body::HeartbeatReply(HeartbeatReply {
                     epoch,
                     sent,
                     granted,
@@ -153,12 +154,17 @@
                     healthy,
                     shutting_down,
                     activation_durable,
-                }
+                })
             }
         ),
         number().prop_map(|epoch| Body::PreVote { epoch }),
         (number(), any::<bool>(), option::of(proposal_number()), option::of(known_view())).prop_map(
-            |(epoch, granted, promised, view)| Body::PreVoteReply { epoch, granted, promised, view }
+            |(epoch, granted, promised, view)| Body::PreVoteReply(PreVoteReply {
+                epoch,
+                granted,
+                promised,
+                view
+            })
         ),
     ]
     .boxed()
@@ -170,15 +176,15 @@
         (number(), option::of(known_view()), option::of(position()), option::of(data()), any::<bool>());
     let refuse = (number(), option::of(proposal_number()), option::of(known_view()));
     prop_oneof![
-        prepare.prop_map(|(epoch, position, released)| Body::Prepare { epoch, position, released }),
-        promise.prop_map(|(epoch, view, position, data, healthy)| Body::Promise {
+        prepare.prop_map(|(epoch, position, released)| Body::Prepare(Prepare { epoch, position, released })),
+        promise.prop_map(|(epoch, view, position, data, healthy)| Body::Promise(Promise {
             epoch,
             view,
             position,
             data,
             healthy,
-        }),
-        refuse.prop_map(|(epoch, promised, view)| Body::Reject { epoch, promised, view }),
+        })),
+        refuse.prop_map(|(epoch, promised, view)| Body::Reject(Reject { epoch, promised, view })),
     ]
     .boxed()
 }
@@ -186,25 +192,19 @@
 fn view_body() -> BoxedStrategy<Body> {
     let install = (number(), number(), position(), number(), option::of(control_state()));
     prop_oneof![
-        install.prop_map(|(epoch, sequence, source, attempt, state)| Body::InstallSnapshot {
-            epoch,
-            sequence,
-            source,
-            attempt,
-            state: state.map(Arc::new),
-        }),
-        (number(), any::<bool>(), number()).prop_map(|(epoch, complete, attempt)| Body::SnapshotInstalled {
-            epoch,
-            complete,
-            attempt
-        }),
+        install.prop_map(|(epoch, sequence, source, attempt, state)| Body::InstallSnapshot(
+            InstallSnapshot { epoch, sequence, source, attempt, state: state.map(Arc::new) }
+        )),
+        (number(), any::<bool>(), number()).prop_map(|(epoch, complete, attempt)| Body::SnapshotInstalled(
+            SnapshotInstalled { epoch, complete, attempt }
+        )),
         known_view().prop_map(|view| Body::Accept { view }),
         number().prop_map(|epoch| Body::Accepted { epoch }),
-        (number(), number(), change()).prop_map(|(epoch, sequence, change)| Body::Replicate {
+        (number(), number(), change()).prop_map(|(epoch, sequence, change)| Body::Replicate(Replicate {
             epoch,
             sequence,
             change
-        }),
+        })),
         (number(), number()).prop_map(|(epoch, sequence)| Body::Replicated { epoch, sequence }),
         (member(), any::<bool>()).prop_map(|(member, first_boot)| Body::Join { member, first_boot }),
         proposal_number().prop_map(|released| Body::TransferLeadership { released }),
--- a/proto/tests/golden.rs
+++ b/proto/tests/golden.rs
@@ -10,8 +10,9 @@
 
 use googletest::prelude::*;
 use gradepaddle_control::{
-    AcceptedConfiguration, AcceptedHistory, Body, Change, ControlState, Data, KnownView, LogPosition, Member,
-    Message, ProposalNumber, Record, ReplicaId, StoredConfiguration, View,
+    AcceptedConfiguration, AcceptedHistory, Body, Change, ControlState, Data, HeartbeatReply,
+    InstallSnapshot, KnownView, LogPosition, Member, Message, PreVoteReply, Prepare, Promise, ProposalNumber,
+    Record, Reject, ReplicaId, Replicate, SnapshotInstalled, StoredConfiguration, View,
 };
 use gradepaddle_proto::{
     Content, ControlCall, Decode, Encode, Envelope, Forward, Forwarded, Identity, KeptPrompt, LoadShare,
@@ -191,7 +192,7 @@
     let mut golden = Golden::section("lease/");
     golden.check("lease/heartbeat", &sent(Body::Heartbeat { epoch: 300, sent: 5_000_000 }));
     golden.check("lease/heartbeat/default", &unsent(Body::Heartbeat { epoch: 0, sent: 0 }));
-    let echo = Body::HeartbeatReply {
+    let echo = Body::HeartbeatReply(HeartbeatReply {
         epoch: 300,
         sent: 5_000_000,
         granted: true,
@@ -200,9 +201,9 @@
         healthy: true,
         shutting_down: true,
         activation_durable: true,
-    };
+    });
     golden.check("lease/echo", &sent(echo));
-    let echo = Body::HeartbeatReply {
+    let echo = Body::HeartbeatReply(HeartbeatReply {
         epoch: 0,
         sent: 0,
         granted: false,
@@ -211,13 +212,16 @@
         healthy: false,
         shutting_down: false,
         activation_durable: false,
-    };
+    });
     golden.check("lease/echo/default", &unsent(echo));
     golden.check("lease/poll", &sent(Body::PreVote { epoch: 301 }));
     golden.check("lease/poll/default", &unsent(Body::PreVote { epoch: 0 }));
     let (promised, view) = (Some(proposal_number()), Some(known_view()));
-    golden.check("lease/poll_reply", &sent(Body::PreVoteReply { epoch: 301, granted: true, promised, view }));
-    let reply = Body::PreVoteReply { epoch: 0, granted: false, promised: None, view: None };
+    golden.check(
+        "lease/poll_reply",
+        &sent(Body::PreVoteReply(PreVoteReply { epoch: 301, granted: true, promised, view })),
+    );
+    let reply = Body::PreVoteReply(PreVoteReply { epoch: 0, granted: false, promised: None, view: None });
     golden.check("lease/poll_reply/default", &unsent(reply));
     golden.all_seen();
 }
@@ -225,48 +229,53 @@
 #[gtest]
 fn messages_of_an_election_keep_their_bytes() {
     let mut golden = Golden::section("election/");
-    let prepare = Body::Prepare { epoch: 301, position: Some(position()), released: Some(proposal_number()) };
+    let prepare =
+        Body::Prepare(Prepare { epoch: 301, position: Some(position()), released: Some(proposal_number()) });
     golden.check("election/prepare", &sent(prepare));
     golden.check(
         "election/prepare/default",
-        &unsent(Body::Prepare { epoch: 0, position: None, released: None }),
+        &unsent(Body::Prepare(Prepare { epoch: 0, position: None, released: None })),
     );
-    let promise = Body::Promise {
+    let promise = Body::Promise(Promise {
         epoch: 301,
         view: Some(known_view()),
         position: Some(position()),
         data: Some(data()),
         healthy: true,
-    };
+    });
     golden.check("election/promise", &sent(promise));
-    let promise = Body::Promise { epoch: 0, view: None, position: None, data: None, healthy: false };
+    let promise = Body::Promise(Promise { epoch: 0, view: None, position: None, data: None, healthy: false });
     golden.check("election/promise/default", &unsent(promise));
-    let refuse = Body::Reject { epoch: 301, promised: Some(proposal_number()), view: Some(known_view()) };
+    let refuse =
+        Body::Reject(Reject { epoch: 301, promised: Some(proposal_number()), view: Some(known_view()) });
     golden.check("election/refuse", &sent(refuse));
-    golden.check("election/refuse/default", &unsent(Body::Reject { epoch: 0, promised: None, view: None }));
-    let install = Body::InstallSnapshot {
+    golden.check(
+        "election/refuse/default",
+        &unsent(Body::Reject(Reject { epoch: 0, promised: None, view: None })),
+    );
+    let install = Body::InstallSnapshot(InstallSnapshot {
         epoch: 301,
         sequence: 70_000,
         source: position(),
         attempt: 2,
         state: Some(Arc::new(state())),
-    };
+    });
     golden.check("election/install", &sent(install));
-    let install = Body::InstallSnapshot {
+    let install = Body::InstallSnapshot(InstallSnapshot {
         epoch: 0,
         sequence: 0,
         source: LogPosition::default(),
         attempt: 0,
         state: None,
-    };
+    });
     golden.check("election/install/default", &unsent(install));
     golden.check(
         "election/installed",
-        &sent(Body::SnapshotInstalled { epoch: 301, complete: true, attempt: 2 }),
+        &sent(Body::SnapshotInstalled(SnapshotInstalled { epoch: 301, complete: true, attempt: 2 })),
     );
     golden.check(
         "election/installed/default",
-        &unsent(Body::SnapshotInstalled { epoch: 0, complete: false, attempt: 0 }),
+        &unsent(Body::SnapshotInstalled(SnapshotInstalled { epoch: 0, complete: false, attempt: 0 })),
     );
     golden.check("election/accept", &sent(Body::Accept { view: known_view() }));
     let view = KnownView { view: Arc::new(empty_view()), active: false };
@@ -279,10 +288,13 @@
 #[gtest]
 fn messages_of_a_view_in_service_keep_their_bytes() {
     let mut golden = Golden::section("service/");
-    let replicate = Body::Replicate { epoch: 301, sequence: 70_001, change: put() };
+    let replicate = Body::Replicate(Replicate { epoch: 301, sequence: 70_001, change: put() });
     golden.check("service/replicate", &sent(replicate));
     let change = Change::NameVersion { model: "model-a".into(), version: 10_000 };
-    golden.check("service/replicate/default", &unsent(Body::Replicate { epoch: 0, sequence: 0, change }));
+    golden.check(
+        "service/replicate/default",
+        &unsent(Body::Replicate(Replicate { epoch: 0, sequence: 0, change })),
+    );
     golden.check("service/replicated", &sent(Body::Replicated { epoch: 301, sequence: 70_001 }));
     golden.check("service/replicated/default", &unsent(Body::Replicated { epoch: 0, sequence: 0 }));
     golden.check("service/join", &sent(Body::Join { member: member(4), first_boot: true }));
