--- a/controlplane/tests/golden/lone_node.rs
+++ b/controlplane/tests/golden/lone_node.rs
@@ -3,7 +3,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::sync::Arc;
 
-use gradepaddle_control::{Recovered, Replica, ReplicaConfig, ReplicaId};
+use gradepaddle_control::{RecoveredState, Replica, ReplicaConfig, ReplicaId};
 use gradepaddle_controlplane::calls::{Answer, Call};
 use gradepaddle_controlplane::founding::Founding;
 use gradepaddle_controlplane::naming::VersionTimes;
@@ -69,7 +69,7 @@
             .machine_losses(0)
             .seed(1)
             .build();
-        let replica = Replica::new(config, Recovered::empty(ReplicaId(501)), self.now);
+        let replica = Replica::new(config, RecoveredState::empty(ReplicaId(501)), self.now);
         self.hand(Input::Replica(Box::new(replica)));
     }
 
