--- a/placement/tests/placement.rs
+++ b/placement/tests/placement.rs
@@ -262,7 +262,7 @@
     }
     let at = now + 30 * MS;
     place(&mut node, at, 77, 77);
-    let loads: Vec<f64> = node.servers(at).map(|s| s.load_ms).collect();
+    let loads: Vec<f64> = node.server_statuses(at).map(|s| s.load_ms).collect();
     let mean = loads.iter().sum::<f64>() / 3.0;
     node.update_server(at, entry(9, 1));
     let fresh =
@@ -350,7 +350,7 @@
     node.update_server(3, entry(5, 1));
     node.record_first_event(4, old.attempt);
     node.record_end(5, old.attempt, AttemptOutcome::Broken, None, None);
-    let status: Vec<_> = node.servers(6).collect();
+    let status: Vec<_> = node.server_statuses(6).collect();
     expect_that!(status.len(), eq(1));
     expect_that!(status[0].in_flight, eq(0));
     expect_that!(status[0].left_out, eq(false));
