--- a/dataplane/src/load_sharing/content.rs
+++ b/dataplane/src/load_reports/content.rs
@@ -1,9 +1,11 @@
 //! What a message of loads holds: the engine's figures as they travel, and which are believed.
 
-use gradepaddle_engine::{KeptTokens, OwnLoad, Part, Sighting, StoreChanges};
-use gradepaddle_proto::{CacheStoreReport, CachedPrefix, PeerLoadReport, PromptChunk, ServerLoad};
+use gradepaddle_placement::{CachedTokens, LocalLoad, PrefillReport, PromptChunk, StoreUpdate};
+use gradepaddle_proto::{
+    CacheStoreReport, CachedPrefix, PeerLoadReport, PromptChunk as ReportedChunk, ServerLoad,
+};
 
-use super::recent_rounds::RecentRounds;
+use super::resend_window::ResendWindow;
 
 /// Prompts told in one message at most.
 const PROMPTS_MOST: usize = 96;
@@ -18,29 +20,29 @@
 const PARTS_MOST: usize = 256;
 
 /// Prompts seen kept in the last rounds.
-pub(super) fn recent_prompts() -> RecentRounds<CachedPrefix> {
-    RecentRounds::new(PROMPTS_MOST)
+pub(super) fn recent_prompts() -> ResendWindow<CachedPrefix> {
+    ResendWindow::new(PROMPTS_MOST)
 }
 
 /// What changed at stores in the last rounds.
-pub(super) fn recent_changes() -> RecentRounds<CacheStoreReport> {
-    RecentRounds::new(STORE_REPORTS_MOST)
+pub(super) fn recent_changes() -> ResendWindow<CacheStoreReport> {
+    ResendWindow::new(STORE_REPORTS_MOST)
 }
 
-pub(super) fn store_report(changes: &StoreChanges) -> CacheStoreReport {
+pub(super) fn store_report(changes: &StoreUpdate) -> CacheStoreReport {
     let parts = changes.parts.iter().take(CHANGED_PARTS_MOST);
-    let StoreChanges { store, reset, .. } = *changes;
-    let parts = parts.map(|part| PromptChunk { id: part.key, tokens: part.tokens }).collect();
+    let StoreUpdate { store, reset, .. } = *changes;
+    let parts = parts.map(|part| ReportedChunk { id: part.key, tokens: part.tokens }).collect();
     CacheStoreReport { store, reset, chunks: parts }
 }
 
-pub(super) fn store_changes(report: &CacheStoreReport) -> StoreChanges {
-    let parts = report.chunks.iter().map(|part| KeptTokens { key: part.id, tokens: part.tokens });
+pub(super) fn store_changes(report: &CacheStoreReport) -> StoreUpdate {
+    let parts = report.chunks.iter().map(|part| CachedTokens { key: part.id, tokens: part.tokens });
     let CacheStoreReport { store, reset, .. } = *report;
-    StoreChanges { store, reset, parts: parts.collect() }
+    StoreUpdate { store, reset, parts: parts.collect() }
 }
 
-pub(super) fn share(load: OwnLoad) -> ServerLoad {
+pub(super) fn share(load: LocalLoad) -> ServerLoad {
     ServerLoad {
         server: load.server,
         backlog_ms: load.backlog_ms.max(0.0) as u32,
@@ -49,8 +51,8 @@
     }
 }
 
-pub(super) fn own_load(share: &ServerLoad) -> OwnLoad {
-    OwnLoad {
+pub(super) fn own_load(share: &ServerLoad) -> LocalLoad {
+    LocalLoad {
         server: share.server,
         backlog_ms: f64::from(share.backlog_ms),
         running: share.running,
@@ -58,16 +60,16 @@
     }
 }
 
-pub(super) fn kept_prompt(sighting: &Sighting) -> CachedPrefix {
-    let parts = sighting.parts.iter().map(|part| PromptChunk { id: part.id, tokens: part.tokens });
-    let Sighting { server, key, version, salt, .. } = *sighting;
+pub(super) fn kept_prompt(sighting: &PrefillReport) -> CachedPrefix {
+    let parts = sighting.parts.iter().map(|part| ReportedChunk { id: part.id, tokens: part.tokens });
+    let PrefillReport { server, key, version, salt, .. } = *sighting;
     CachedPrefix { server, key, version, salt, chunks: parts.collect() }
 }
 
-pub(super) fn sighting(kept: &CachedPrefix) -> Sighting {
-    let parts = kept.chunks.iter().map(|part| Part { id: part.id, tokens: part.tokens });
+pub(super) fn sighting(kept: &CachedPrefix) -> PrefillReport {
+    let parts = kept.chunks.iter().map(|part| PromptChunk { id: part.id, tokens: part.tokens });
     let CachedPrefix { server, key, version, salt, .. } = *kept;
-    Sighting { server, key, version, salt, parts: parts.collect() }
+    PrefillReport { server, key, version, salt, parts: parts.collect() }
 }
 
 /// True if others need not be told: what is read meanwhile they count down themselves.
--- a/dataplane/tests/versions.rs
+++ b/dataplane/tests/model_versions.rs
@@ -3,10 +3,10 @@
 mod common;
 
 use common::configuration::MODEL;
-use common::world::FIRST_VERSION;
+use common::harness::FIRST_VERSION;
 use common::*;
 use googletest::prelude::*;
-use gradepaddle_engine::Micros;
+use gradepaddle_placement::Micros;
 
 const MS: Micros = 1_000;
 /// Within which a named version binds here, and how much sooner nothing older is placed.
@@ -23,15 +23,15 @@
 
 /// Names the newer version, as the control plane does.
 fn name_newer(world: &World) {
-    world.plane.name_version(MODEL, NEWER, WITHIN);
+    world.plane.announce_version(MODEL, NEWER, WITHIN);
 }
 
 /// All servers but this one have the newer version.
 fn others_hold_newer(world: &World, server: &str) {
     let now = world.plane.now();
-    let mut engine = world.plane.engine.borrow_mut();
+    let mut placer = world.plane.placer.borrow_mut();
     for other in world.servers.iter().filter(|other| other.id != server) {
-        engine.observe_version(now, &other.id, MODEL, NEWER);
+        placer.observe_version(now, &other.id, MODEL, NEWER);
     }
 }
 
--- a/system/src/run.rs
+++ b/system/src/run.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use gradepaddle_config::Settings;
-use gradepaddle_control::{Recovered, Replica, ReplicaConfig, ReplicaId};
+use gradepaddle_control::{RecoveredState, Replica, ReplicaConfig, ReplicaId};
 use gradepaddle_controlplane::CLOCK_START;
 use gradepaddle_controlplane::clock::Clock;
 use gradepaddle_controlplane::door::serve_calls;
@@ -21,10 +21,11 @@
 use gradepaddle_controlplane::node::{Input, Node, NodeSetup};
 use gradepaddle_controlplane::session::OwnSession;
 use gradepaddle_dataplane::{
-    DataPlane, Setup, ShutdownTimes, hear_loads, serve_clients, serve_readiness, shut_down, tell_loads,
+    DataPlane, Setup, ShutdownTimes, receive_load_reports, send_load_reports, serve_clients, serve_readiness,
+    shut_down,
 };
-use gradepaddle_engine::{Engine, EngineConfig};
 use gradepaddle_gossip::{Gossip, GossipConfig};
+use gradepaddle_placement::{PlacementConfig, Placer};
 use gradepaddle_proto::Identity;
 use gradepaddle_store::{Done, Storage, StoreError, Writer};
 use slog::{Logger, info, warn};
@@ -138,7 +139,7 @@
     });
     let settings = Rc::new(settings);
     let told = back.clone();
-    plane.watch_stores(Box::new(move |name, alive| {
+    plane.set_store_health_listener(Box::new(move |name, alive| {
         let input = Input::Store { name: Arc::from(name), alive };
         // Without a driver nobody has to know.
         let _ = told.send(DriverEvent::Input(input));
@@ -156,8 +157,8 @@
     tokio::task::spawn_local(serve_readiness(plane.clone(), listeners.readiness));
     tokio::task::spawn_local(serve_clients(plane.clone(), listeners.front));
     tokio::task::spawn_local(sweep(plane.clone()));
-    tokio::task::spawn_local(hear_loads(plane.clone(), listeners.loads.clone()));
-    tokio::task::spawn_local(tell_loads(plane.clone(), listeners.loads));
+    tokio::task::spawn_local(receive_load_reports(plane.clone(), listeners.loads.clone()));
+    tokio::task::spawn_local(send_load_reports(plane.clone(), listeners.loads));
     info!(log, "started"; "zone" => &settings.zone, "first_boot" => settings.first_boot);
     loop {
         tokio::select! {
@@ -167,7 +168,7 @@
     }
     info!(log, "ending");
     end(&settings, &plane, &back, &effects.may_end).await;
-    info!(log, "ended"; "requests" => plane.counters.requests.get(), "served" => plane.counters.served.get());
+    info!(log, "ended"; "requests" => plane.counters.requests.get(), "served" => plane.counters.responses.get());
     Ok(())
 }
 
@@ -193,14 +194,14 @@
 fn data_plane(settings: &Settings, log: &Logger) -> Rc<DataPlane> {
     let bounds = &settings.bounds;
     let micros = |span: Duration| span.as_micros() as u64;
-    let engine = EngineConfig::builder()
+    let engine = PlacementConfig::builder()
         .own_zone(&*settings.zone)
         .seed(random())
         .retry_ratio(bounds.retry_ratio)
         .retry_slack(bounds.retry_slack)
         .retry_window(micros(bounds.retry_window))
         .build();
-    DataPlane::new(Setup { engine: Engine::new(engine), zone: Arc::from(&*settings.zone), log: log.clone() })
+    DataPlane::new(Setup { placer: Placer::new(engine), zone: Arc::from(&*settings.zone), log: log.clone() })
 }
 
 /// Opens the disk, where there is one whose loss counts, and starts the replica on it. A disk that refuses is tried again
@@ -221,7 +222,7 @@
                     .zone(&*settings.zone)
                     .first_boot(settings.first_boot)
                     .machine_losses(settings.survive.machine_losses as usize)
-                    .leave_limit(settings.bounds.grace.saturating_sub(GRACE_MARGIN).as_micros() as u64)
+                    .shutdown_timeout(settings.bounds.grace.saturating_sub(GRACE_MARGIN).as_micros() as u64)
                     .seed(random())
                     .build();
                 let replica = Box::new(Replica::new(config, recovered, clock.now()));
@@ -238,13 +239,13 @@
 fn open_disk(
     path: &Path,
     back: &mpsc::UnboundedSender<DriverEvent>,
-) -> Result<(Writer, Recovered), StoreError> {
+) -> Result<(Writer, RecoveredState), StoreError> {
     let opened = Storage::open(path, ReplicaId(random()))?;
     let back = back.clone();
     let done = move |done: Done| {
         let input = match done.result {
-            Ok(()) => Input::Persisted(done.token),
-            Err(_) => Input::PersistFailed(done.token),
+            Ok(()) => Input::Persisted(done.write_id),
+            Err(_) => Input::PersistFailed(done.write_id),
         };
         // Without a driver nobody waits for it.
         let _ = back.send(DriverEvent::Input(input));
@@ -315,11 +316,11 @@
     // Without a driver there is nothing to hand over.
     let _ = back.send(DriverEvent::Input(Input::Leaving));
     let times = ShutdownTimes {
-        begins_requests_for: BEGINS_REQUESTS_FOR,
-        ends_after: settings.bounds.grace.saturating_sub(GRACE_MARGIN),
+        accepts_requests_for: BEGINS_REQUESTS_FOR,
+        grace_period: settings.bounds.grace.saturating_sub(GRACE_MARGIN),
     };
     // What this machine holds may be needed for longer than its clients need it. A control state that nobody has taken
     // over in time stays on the disk.
-    let hand_over = timeout(times.ends_after, may_end.notified());
+    let hand_over = timeout(times.grace_period, may_end.notified());
     let (_, _) = tokio::join!(shut_down(plane, times, ready(())), hand_over);
 }
