--- a/controlplane/tests/golden.rs
+++ b/controlplane/tests/golden.rs
@@ -26,9 +26,11 @@
 use gradepaddle_controlplane::orders::{self, OrderPermit};
 use gradepaddle_controlplane::rollout::{Order, Ordered, Rollout, Step};
 use gradepaddle_controlplane::sessions::Session;
+use gradepaddle_gossip::Item;
 use gradepaddle_http::buffers::Pool;
-use gradepaddle_proto::{Content, Encode, Envelope, Registration, SessionGrant, ViewSummary, Weights};
-use gradepaddle_spread::Item;
+use gradepaddle_proto::{
+    Content, Encode, Envelope, ModelVersion, Registration, SessionHeartbeatReply, ViewSummary,
+};
 use lone_node::{LoneNode, address, identity};
 use simulation::{MS, Plan, SECOND, World};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -215,8 +217,10 @@
     leading.run_for(10 * SECOND, true);
     let mut follower = LoneNode::new();
     let view = ViewSummary { epoch: 5, primary: Some(address(3)), members: vec![address(3)] };
-    let reply = SessionGrant { incarnation: 0, stands: false, seen_incarnation: 0, view: Some(view) };
-    follower.hand(Input::Envelope(Envelope { from: address(3), content: Content::SessionGrant(reply) }));
+    let reply =
+        SessionHeartbeatReply { incarnation: 0, granted: false, seen_incarnation: 0, view: Some(view) };
+    follower
+        .hand(Input::Envelope(Envelope { from: address(3), content: Content::SessionHeartbeatReply(reply) }));
     follower.call(Call::GetConfiguration);
     follower.run_for(2 * SECOND, false);
     for (title, node) in [("held by nobody else", leading), ("the primary is silent", follower)] {
@@ -363,7 +367,7 @@
     let kinds = [CONFIGURATION, WEIGHTS, SERVER, SESSION, ORDERED, STORE].map(|kind| kind.0);
     expect_that!(kinds, eq([1, 2, 3, 4, 5, 6]));
     expect_that!(CONFIGURATION_KEY, eq("current"));
-    let stamp = |stamp: gradepaddle_spread::Stamp| (stamp.major, stamp.minor);
+    let stamp = |stamp: gradepaddle_gossip::Stamp| (stamp.major, stamp.minor);
     expect_that!(stamp(server_stamp(9, Conclusion::Told)), eq((9, 0)));
     expect_that!(stamp(server_stamp(9, Conclusion::Lost)), eq((9, 1)));
     expect_that!(stamp(SERVER_GONE), eq((u64::MAX, 0)));
@@ -393,7 +397,7 @@
         draining: true,
         lost: true,
         warmup_left_ms: 250,
-        weights: vec![Weights { model, version: 3 }],
+        models: vec![ModelVersion { model, version: 3 }],
         owner: address(1),
     };
     note("server", registration.to_bytes());
@@ -412,7 +416,7 @@
         draining: false,
         lost: false,
         warmup_left_ms: 0,
-        weights: vec![Weights { model: Arc::from("advisor"), version: 1 }],
+        models: vec![ModelVersion { model: Arc::from("advisor"), version: 1 }],
         owner: address(1),
     };
     let servers = BTreeMap::from([(server.id.clone(), server)]);
--- a/controlplane/tests/golden/lone_node.rs
+++ b/controlplane/tests/golden/lone_node.rs
@@ -10,8 +10,8 @@
 use gradepaddle_controlplane::node::{Input, Node, NodeSetup, Output};
 use gradepaddle_controlplane::session::OwnSession;
 use gradepaddle_controlplane::{CLOCK_START, Micros};
-use gradepaddle_proto::{Content, Envelope, Identity, SessionBeat};
-use gradepaddle_spread::{Item, Message, Spread, SpreadConfig};
+use gradepaddle_gossip::{Gossip, GossipConfig, Item, Message};
+use gradepaddle_proto::{Content, Envelope, Identity, SessionHeartbeat};
 
 const SECOND: Micros = 1_000_000;
 /// Names the calls of these tests.
@@ -48,7 +48,7 @@
         let own = address(1);
         let node = Node::new(NodeSetup {
             session: OwnSession::new(identity(1, Some(501)), vec![own], CLOCK_START),
-            spread: Spread::new(SpreadConfig::builder().address(own).seed(1).build(), CLOCK_START),
+            spread: Gossip::new(GossipConfig::builder().address(own).seed(1).build(), CLOCK_START),
             founding: Founding::new(own, &[own], 1, true, CLOCK_START),
             beat_every: 1_200_000,
             order_lease: 3 * SECOND,
@@ -82,7 +82,7 @@
             for output in out {
                 match output {
                     Output::Persist { token, .. } => inputs.push(Input::Persisted(token)),
-                    Output::Send { content: Content::Spread(Message::Push { items, .. }), .. } => {
+                    Output::Send { content: Content::Gossip(Message::Push { items, .. }), .. } => {
                         self.pushed.extend(items.into_iter().map(|aged| aged.item));
                     }
                     Output::Answer { ticket: TICKET, answer } => {
@@ -110,8 +110,8 @@
 
     /// A heartbeat of the second node.
     pub fn session_heartbeat(&mut self) {
-        let beat = SessionBeat { identity: identity(2, None), view_epoch: 1 };
-        self.hand(Input::Envelope(Envelope { from: address(2), content: Content::SessionBeat(beat) }));
+        let beat = SessionHeartbeat { identity: identity(2, None), view_epoch: 1 };
+        self.hand(Input::Envelope(Envelope { from: address(2), content: Content::SessionHeartbeat(beat) }));
     }
 
     /// Makes a call and gives its answer, if that comes at once.
--- a/dataplane/src/load_reports/content.rs
+++ b/dataplane/src/load_reports/content.rs
@@ -1,7 +1,9 @@
 //! What a message of loads holds: the engine's figures as they travel, and which are believed.
 
 use gradepaddle_placement::{CachedTokens, LocalLoad, PrefillReport, PromptChunk, StoreUpdate};
-use gradepaddle_proto::{KeptPrompt, LoadShare, PromptPart, ServerShare, StoreReport};
+use gradepaddle_proto::{
+    CacheStoreReport, CachedPrefix, PeerLoadReport, PromptChunk as ReportedChunk, ServerLoad,
+};
 
 use super::resend_window::ResendWindow;
 
@@ -18,30 +20,30 @@
 const PARTS_MOST: usize = 256;
 
 /// Prompts seen kept in the last rounds.
-pub(super) fn recent_prompts() -> ResendWindow<KeptPrompt> {
+pub(super) fn recent_prompts() -> ResendWindow<CachedPrefix> {
     ResendWindow::new(PROMPTS_MOST)
 }
 
 /// What changed at stores in the last rounds.
-pub(super) fn recent_changes() -> ResendWindow<StoreReport> {
+pub(super) fn recent_changes() -> ResendWindow<CacheStoreReport> {
     ResendWindow::new(STORE_REPORTS_MOST)
 }
 
-pub(super) fn store_report(changes: &StoreUpdate) -> StoreReport {
+pub(super) fn store_report(changes: &StoreUpdate) -> CacheStoreReport {
     let parts = changes.parts.iter().take(CHANGED_PARTS_MOST);
     let StoreUpdate { store, reset, .. } = *changes;
-    let parts = parts.map(|part| PromptPart { id: part.key, tokens: part.tokens }).collect();
-    StoreReport { store, reset, parts }
+    let parts = parts.map(|part| ReportedChunk { id: part.key, tokens: part.tokens }).collect();
+    CacheStoreReport { store, reset, chunks: parts }
 }
 
-pub(super) fn store_changes(report: &StoreReport) -> StoreUpdate {
-    let parts = report.parts.iter().map(|part| CachedTokens { key: part.id, tokens: part.tokens });
-    let StoreReport { store, reset, .. } = *report;
+pub(super) fn store_changes(report: &CacheStoreReport) -> StoreUpdate {
+    let parts = report.chunks.iter().map(|part| CachedTokens { key: part.id, tokens: part.tokens });
+    let CacheStoreReport { store, reset, .. } = *report;
     StoreUpdate { store, reset, parts: parts.collect() }
 }
 
-pub(super) fn share(load: LocalLoad) -> ServerShare {
-    ServerShare {
+pub(super) fn share(load: LocalLoad) -> ServerLoad {
+    ServerLoad {
         server: load.server,
         backlog_ms: load.backlog_ms.max(0.0) as u32,
         running: load.running,
@@ -49,7 +51,7 @@
     }
 }
 
-pub(super) fn own_load(share: &ServerShare) -> LocalLoad {
+pub(super) fn own_load(share: &ServerLoad) -> LocalLoad {
     LocalLoad {
         server: share.server,
         backlog_ms: f64::from(share.backlog_ms),
@@ -58,34 +60,34 @@
     }
 }
 
-pub(super) fn kept_prompt(sighting: &PrefillReport) -> KeptPrompt {
-    let parts = sighting.parts.iter().map(|part| PromptPart { id: part.id, tokens: part.tokens });
+pub(super) fn kept_prompt(sighting: &PrefillReport) -> CachedPrefix {
+    let parts = sighting.parts.iter().map(|part| ReportedChunk { id: part.id, tokens: part.tokens });
     let PrefillReport { server, key, version, salt, .. } = *sighting;
-    KeptPrompt { server, key, version, salt, parts: parts.collect() }
+    CachedPrefix { server, key, version, salt, chunks: parts.collect() }
 }
 
-pub(super) fn sighting(kept: &KeptPrompt) -> PrefillReport {
-    let parts = kept.parts.iter().map(|part| PromptChunk { id: part.id, tokens: part.tokens });
-    let KeptPrompt { server, key, version, salt, .. } = *kept;
+pub(super) fn sighting(kept: &CachedPrefix) -> PrefillReport {
+    let parts = kept.chunks.iter().map(|part| PromptChunk { id: part.id, tokens: part.tokens });
+    let CachedPrefix { server, key, version, salt, .. } = *kept;
     PrefillReport { server, key, version, salt, parts: parts.collect() }
 }
 
 /// True if others need not be told: what is read meanwhile they count down themselves.
-pub(super) fn same(now: &[ServerShare], told: &[ServerShare]) -> bool {
-    let timeless = |share: &ServerShare| (share.server, share.running, share.tokens);
+pub(super) fn same(now: &[ServerLoad], told: &[ServerLoad]) -> bool {
+    let timeless = |share: &ServerLoad| (share.server, share.running, share.tokens);
     now.len() == told.len() && now.iter().map(timeless).eq(told.iter().map(timeless))
 }
 
 /// False for figures that no balancer can have.
-pub(super) fn believable(message: &LoadShare) -> bool {
-    let possible = |share: &ServerShare| {
+pub(super) fn believable(message: &PeerLoadReport) -> bool {
+    let possible = |share: &ServerLoad| {
         share.running <= RUNNING_MOST
             && share.backlog_ms <= BACKLOG_MOST_MS
             && share.tokens <= u64::from(u32::MAX)
     };
     message.servers.iter().all(possible)
-        && message.kept.len() <= PROMPTS_MOST
-        && message.kept.iter().all(|kept| kept.parts.len() <= PARTS_MOST)
-        && message.changes.len() <= STORE_REPORTS_MOST
-        && message.changes.iter().all(|changes| changes.parts.len() <= CHANGED_PARTS_MOST)
+        && message.cached_prefixes.len() <= PROMPTS_MOST
+        && message.cached_prefixes.iter().all(|kept| kept.chunks.len() <= PARTS_MOST)
+        && message.cache_store_reports.len() <= STORE_REPORTS_MOST
+        && message.cache_store_reports.iter().all(|changes| changes.chunks.len() <= CHANGED_PARTS_MOST)
 }
--- a/dataplane/src/load_reports/mod.rs
+++ b/dataplane/src/load_reports/mod.rs
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use gradepaddle_proto::{Decode, Encode, KeptPrompt, LoadShare, ServerShare, StoreReport};
+use gradepaddle_proto::{CacheStoreReport, CachedPrefix, Decode, Encode, PeerLoadReport, ServerLoad};
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep, timeout};
@@ -109,9 +109,9 @@
 
 /// What others were told last.
 struct LastReport {
-    servers: Vec<ServerShare>,
-    kept: ResendWindow<KeptPrompt>,
-    changes: ResendWindow<StoreReport>,
+    servers: Vec<ServerLoad>,
+    kept: ResendWindow<CachedPrefix>,
+    changes: ResendWindow<CacheStoreReport>,
     /// Spans without a change.
     quiet: u32,
 }
@@ -133,7 +133,7 @@
 
 fn send_report(plane: &DataPlane, socket: &UdpSocket, own: SocketAddrV4, last: &mut LastReport) {
     let now = plane.now();
-    let servers: Vec<ServerShare> = plane.placer.borrow().local_loads(now).into_iter().map(share).collect();
+    let servers: Vec<ServerLoad> = plane.placer.borrow().local_loads(now).into_iter().map(share).collect();
     let fresh = plane.placer.borrow_mut().take_prefill_reports();
     let changed = plane.placer.borrow_mut().take_store_updates();
     let news = !fresh.is_empty() || !changed.is_empty();
@@ -147,16 +147,16 @@
     last.kept.push_round(fresh.iter().map(kept_prompt), recipients.rounds_to_reach_all());
     last.changes.push_round(changed.iter().map(store_report), recipients.rounds_to_reach_all());
     last.servers = servers;
-    let message = LoadShare {
+    let message = PeerLoadReport {
         sequence: load_reports.next_sequence(),
         origin: Some(own),
         relay: false,
         servers: last.servers.clone(),
-        kept: last.kept.items(),
-        changes: last.changes.items(),
+        cached_prefixes: last.kept.items(),
+        cache_store_reports: last.changes.items(),
     };
     let direct = message.to_bytes();
-    let to_forward = LoadShare { relay: true, ..message }.to_bytes();
+    let to_forward = PeerLoadReport { relay: true, ..message }.to_bytes();
     for recipient in recipients.select(now, direct.len()) {
         let bytes = if recipient.forwards { &to_forward } else { &direct };
         load_reports.send(socket, bytes, recipient.address);
@@ -189,7 +189,7 @@
     /// counters. Gives what is to be passed on.
     pub fn receive_load_report(&self, from: SocketAddrV4, bytes: &[u8]) -> Option<ForwardedReport> {
         let counters = &self.load_reports.counters;
-        let Ok(message) = LoadShare::from_bytes(bytes) else {
+        let Ok(message) = PeerLoadReport::from_bytes(bytes) else {
             count(&counters.unreadable);
             return None;
         };
@@ -210,22 +210,25 @@
         count(&counters.received);
         let recipients =
             known.zone_peers().filter(|address| *address != from && *address != origin).collect();
-        let bytes = || LoadShare { relay: false, origin: Some(origin), ..message.clone() }.to_bytes();
+        let bytes = || PeerLoadReport { relay: false, origin: Some(origin), ..message.clone() }.to_bytes();
         message.relay.then(|| ForwardedReport { bytes: bytes(), recipients })
     }
 }
 
 /// Has the engine take a message in. False if a later one of the same node came first.
-fn take(plane: &DataPlane, origin: SocketAddrV4, message: &LoadShare) -> bool {
+fn take(plane: &DataPlane, origin: SocketAddrV4, message: &PeerLoadReport) -> bool {
     let peer = u64::from(u32::from(*origin.ip())) << 16 | u64::from(origin.port());
     let now = plane.now();
     let loads = message.servers.iter().map(own_load).collect();
     let mut placer = plane.placer.borrow_mut();
     let taken = placer.apply_peer_loads(now, peer, message.sequence, loads);
     if taken {
-        let seen: Vec<_> = message.kept.iter().map(sighting).collect();
+        let seen: Vec<_> = message.cached_prefixes.iter().map(sighting).collect();
         placer.apply_peer_prefill_reports(now, &seen);
-        message.changes.iter().for_each(|report| placer.apply_peer_store_update(now, &store_changes(report)));
+        message
+            .cache_store_reports
+            .iter()
+            .for_each(|report| placer.apply_peer_store_update(now, &store_changes(report)));
     }
     taken
 }
