--- a/placement/src/names.rs
+++ b/placement/src/interner.rs
@@ -1,9 +1,9 @@
-//! Interner and their numbers.
+//! Small numbers for names that come up often.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Interner given numbers in the order of their coming.
+/// Numbers names in the order in which they first come up.
 #[derive(Debug, Default)]
 pub(crate) struct Interner {
     numbers: HashMap<Arc<str>, u32>,
@@ -11,20 +11,24 @@
 }
 
 impl Interner {
-    pub(crate) fn number(&mut self, name: &str) -> u32 {
+    /// The number of a name; a new one for a new name.
+    pub(crate) fn intern(&mut self, name: &str) -> u32 {
         if let Some(number) = self.numbers.get(name) {
             return *number;
         }
-        let (number, name) = (self.numbers.len() as u32, Arc::<str>::from(name));
+        let number = self.names.len() as u32;
+        let name = Arc::<str>::from(name);
         self.numbers.insert(name.clone(), number);
         self.names.push(name);
         number
     }
 
+    /// The number of a name that came up before.
     pub(crate) fn find(&self, name: &str) -> Option<u32> {
         self.numbers.get(name).copied()
     }
 
+    /// The name with this number, which [`Interner::intern`] has given.
     pub(crate) fn name(&self, number: u32) -> Arc<str> {
         self.names[number as usize].clone()
     }
--- /dev/null
+++ b/placement/src/placer/peers.rs
@@ -0,0 +1,76 @@
+//! What balancers report to each other: what they have in flight, and which prefills they saw.
+
+use super::Placer;
+use crate::cache_holder::CacheHolder;
+use crate::key_table::KeyServer;
+use crate::peer_loads::LocalLoad;
+use crate::prefill_report::PrefillReport;
+use crate::time::Micros;
+
+impl Placer {
+    /// What this node has in flight, by server, in a fixed order; servers with nothing are left out.
+    pub fn local_loads(&self, now: Micros) -> Vec<LocalLoad> {
+        let servers = self.fleet.servers.iter().filter(|server| server.load.in_flight > 0);
+        let load = |server: &crate::server::Server| {
+            let own = server.load.own_work(now);
+            LocalLoad {
+                server: server.hash,
+                backlog_ms: own.backlog_ms,
+                running: server.load.in_flight,
+                tokens: own.tokens as u64,
+            }
+        };
+        servers.map(load).collect()
+    }
+
+    /// Takes in what another balancer has in flight. False for a report that was overtaken, which changes nothing.
+    pub fn apply_peer_loads(&mut self, now: Micros, peer: u64, sequence: u64, loads: Vec<LocalLoad>) -> bool {
+        if self.peers.is_overtaken(now, peer, sequence) {
+            return false;
+        }
+        self.forget_peer(peer);
+        let mut servers = Vec::with_capacity(loads.len());
+        for load in &loads {
+            let Some(index) = self.fleet.server_index_by_hash(load.server) else { continue };
+            self.fleet.servers[index as usize].load.peers.set(now, peer, load);
+            servers.push(index);
+        }
+        self.peers.insert(now, peer, sequence, servers);
+        self.expire_peers(now);
+        self.fleet.set_reporting_peers(self.peers.len());
+        true
+    }
+
+    fn forget_peer(&mut self, peer: u64) {
+        for server in self.peers.remove(peer) {
+            self.fleet.servers[server as usize].load.peers.remove(peer);
+        }
+    }
+
+    /// Peers that have reported nothing for a while are estimated again.
+    pub(super) fn expire_peers(&mut self, now: Micros) {
+        let Some(expired) = self.peers.expired(now) else { return };
+        for peer in expired {
+            self.forget_peer(peer);
+        }
+        self.fleet.set_reporting_peers(self.peers.len());
+    }
+
+    /// Takes the prefills that this node saw since the last call.
+    pub fn take_prefill_reports(&mut self) -> Vec<PrefillReport> {
+        self.prefill_reports.take()
+    }
+
+    /// Takes in the prefills that another balancer saw.
+    pub fn apply_peer_prefill_reports(&mut self, now: Micros, reports: &[PrefillReport]) {
+        for report in reports {
+            let Some(index) = self.fleet.server_index_by_hash(report.server) else { continue };
+            let server = self.fleet.server_ref(index);
+            let known = KeyServer { server, version: Some(report.version), last_used: now };
+            self.keys.insert(report.key, known);
+            for chunk in &report.parts {
+                self.prefix_index.set(now, CacheHolder::server(index), report.salt, chunk.id, chunk.tokens);
+            }
+        }
+    }
+}
--- a/placement/src/server.rs
+++ b/placement/src/server.rs
@@ -1,31 +1,24 @@
-//! One model server as this node knows it: its state, its load, and for how long it is left out.
+//! One model server as this node knows it.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-use gradepaddle::cost::mix;
+use gradepaddle::cost::hash;
 
-use crate::api::*;
-use crate::load::ServerLoad;
-use crate::version::LoadedVersion;
+use crate::ejection::{EjectionReason, EjectionState};
+use crate::endpoint::{ServerEntry, ServerState};
+use crate::loaded_version::LoadedVersion;
+use crate::server_load::ServerLoad;
+use crate::time::Micros;
 
-/// A server that failed is left out this long at first, then twice as long, up to the most.
-const SUSPECT: Micros = 200_000;
-const SUSPECT_MOST: Micros = 2_000_000;
-/// One that turned a request away is left out for this long, and up to as long again.
-const CLOSED: Micros = 150_000;
-/// How often that doubles.
-const CLOSINGS_MOST: u32 = 3;
-/// A server counts as slow by this factor while it warms up.
-const WARMING: f64 = 1.5;
+/// The factor by which a server counts as slower during its slow start.
+const SLOW_START_FACTOR: f64 = 1.5;
 
-/// Why a server is left out for a moment; the higher, the later it is resorted to.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Ejection {
-    None,
-    Closed,
-    Suspect,
-    Lost,
+/// An index in the table of servers with the generation of its entry: entries are reused.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct ServerRef {
+    pub(crate) index: u32,
+    pub(crate) generation: u32,
 }
 
 /// One incarnation of a server.
@@ -37,87 +30,72 @@
     pub(crate) zone: u16,
     pub(crate) slots: u32,
     pub(crate) state: ServerState,
-    /// Which incarnation has this place among the servers.
-    pub(crate) life: u32,
+    /// Which incarnation has this entry of the table.
+    pub(crate) generation: u32,
     pub(crate) hash: u64,
-    pub(crate) weights: Vec<LoadedVersion>,
+    pub(crate) loaded_versions: Vec<LoadedVersion>,
     pub(crate) load: ServerLoad,
     /// Whether this node has sent it anything or had a report.
-    pub(crate) seen: bool,
-    pub(crate) since: Micros,
-    pub(crate) bar: Ejection,
-    pub(crate) barred_until: Micros,
-    pub(crate) suspicion: u32,
-    /// Requests turned away in a row.
-    pub(crate) closings: u32,
-    pub(crate) suspect_since: Micros,
+    pub(crate) has_evidence: bool,
+    pub(crate) known_since: Micros,
+    pub(crate) ejection: EjectionState,
+    /// The end of its slow start.
     pub(crate) warm_at: Micros,
-    /// When its link is done with the moves that this node ordered.
-    pub(crate) moving_until: Micros,
-    /// When it last told of kept parts.
-    pub(crate) heard: Option<Micros>,
-    pub(crate) row: u32,
+    /// When its link is done with the transfers that this node caused.
+    pub(crate) link_busy_until: Micros,
+    /// When it last answered a call for its cache events.
+    pub(crate) last_contact: Option<Micros>,
+    /// Its place among the candidates of its service, if it may be selected.
+    pub(crate) candidate: Option<u32>,
 }
 
 impl Server {
-    pub(crate) fn version_of(&self, model: u32) -> Option<u64> {
-        self.weights.iter().find(|w| w.model == model).and_then(|w| w.version)
-    }
-
-    pub(crate) fn bar(&self, now: Micros) -> Ejection {
-        match self.state {
-            ServerState::Ready if self.barred_until > now => self.bar,
-            ServerState::Ready => Ejection::None,
-            _ => Ejection::Lost,
+    pub(crate) fn new(now: Micros, entry: &ServerEntry, service: u32, zone: u16, generation: u32) -> Server {
+        Server {
+            id: entry.id.clone(),
+            service,
+            address: entry.address,
+            zone,
+            slots: entry.slots,
+            state: entry.state,
+            generation,
+            hash: hash(&entry.id),
+            loaded_versions: Vec::new(),
+            load: ServerLoad::default(),
+            has_evidence: false,
+            known_since: now,
+            ejection: EjectionState::new(),
+            warm_at: 0,
+            link_busy_until: 0,
+            last_contact: None,
+            candidate: None,
         }
     }
 
-    /// It turned a request away: it is left out for a moment, not equally long at all nodes.
-    pub(crate) fn close(&mut self, now: Micros, salt: u64) {
-        // One that loads weights turns all away until it has done: it is asked at growing intervals.
-        let span = CLOSED << self.closings.min(CLOSINGS_MOST);
-        self.closings += 1;
-        let until = now + span + mix(self.hash ^ salt ^ now) % span;
-        if self.bar != Ejection::Suspect || self.barred_until <= now {
-            (self.bar, self.barred_until) = (Ejection::Closed, until);
-        }
+    /// Whether it may be selected at all.
+    pub(crate) fn is_selectable(&self) -> bool {
+        matches!(self.state, ServerState::Ready | ServerState::Lost)
     }
 
-    /// It is about to load weights: it is left out for this long, or no longer.
-    pub(crate) fn hold(&mut self, now: Micros, span: Micros) {
-        if self.bar != Ejection::Suspect || self.barred_until <= now {
-            (self.bar, self.barred_until) = (Ejection::Closed, now + span);
-        }
-    }
-
-    /// It failed. What fails at one moment counts once.
-    pub(crate) fn suspect(&mut self, now: Micros, sent: Micros) {
-        if self.suspicion > 0 && sent < self.suspect_since {
-            return;
-        }
-        let span = (SUSPECT << self.suspicion.min(4)).min(SUSPECT_MOST);
-        self.suspicion += 1;
-        self.suspect_since = now;
-        (self.bar, self.barred_until) = (Ejection::Suspect, now + span);
+    pub(crate) fn version_of(&self, model: u32) -> Option<u64> {
+        self.loaded_versions.iter().find(|loaded| loaded.model == model).and_then(|loaded| loaded.version)
     }
 
-    /// It answered an attempt that was sent then.
-    pub(crate) fn trust(&mut self, sent: Micros) {
-        if self.suspicion > 0 && sent >= self.suspect_since {
-            self.suspicion = 0;
-            if self.bar == Ejection::Suspect {
-                self.barred_until = 0;
-            }
+    /// Why it is left out at this time.
+    pub(crate) fn ejection_reason(&self, now: Micros) -> EjectionReason {
+        match self.state {
+            ServerState::Ready => self.ejection.reason_at(now),
+            _ => EjectionReason::Lost,
         }
     }
 
-    /// It is not the one that answers at its address.
-    pub(crate) fn misdirected(&mut self, now: Micros) {
-        self.suspicion = self.suspicion.max(3);
-        self.suspect(now, now);
+    /// It rejected a request.
+    pub(crate) fn record_rejection(&mut self, now: Micros, node_seed: u64) {
+        self.ejection.record_rejection(now, self.hash ^ node_seed);
     }
 
-    pub(crate) fn speed(&self, now: Micros) -> f64 {
-        self.load.speed() * if self.warm_at > now { WARMING } else { 1.0 }
+    /// The factor by which it takes longer than one of standard speed.
+    pub(crate) fn slowness(&self, now: Micros) -> f64 {
+        self.load.slowness() * if self.warm_at > now { SLOW_START_FACTOR } else { 1.0 }
     }
 }
--- a/placement/tests/golden.rs
+++ b/placement/tests/golden.rs
@@ -13,7 +13,7 @@
 use gradepaddle_placement::{
     AttemptId, AttemptOutcome, CacheEvent, CacheIsolation, CacheStoreService, CachedTokens, Micros,
     ModelService, ModelVersion, Placement, PlacementConfig, PlacementRequest, Placer, PromptChunk, Rejection,
-    ServerEntry, ServerLoadReport, ServerState, ServiceSpec, StoreUpdate, StreamPause, chunk_key,
+    ServerEntry, ServerLoadReport, ServerState, ServiceSpec, StoreUpdate, StreamPause, TableSizes, chunk_key,
     holder_hash,
 };
 
@@ -357,14 +357,14 @@
         counters.guesses,
         counters.saves,
         counters.unknown_versions,
-        counters.outdated_start,
+        counters.begun_outdated,
         counters.no_server,
         counters.overloaded,
     ];
     counts.into_iter().for_each(|count| digest.number(count));
     digest.number(node.engine.in_flight() as u64);
-    let (keys, kept, _) = node.engine.table_sizes();
-    [keys, kept].into_iter().for_each(|size| digest.number(size as u64));
+    let TableSizes { keys, cached_chunks, .. } = node.engine.table_sizes();
+    [keys, cached_chunks].into_iter().for_each(|size| digest.number(size as u64));
 }
 
 fn count_repeats(node: &mut Node, now: Micros, random: &mut Random, digest: &mut Digest) {
--- a/placement/tests/placement.rs
+++ b/placement/tests/placement.rs
@@ -109,7 +109,7 @@
             let event = CacheEvent::Dropped { salt: &salt, part: shared.id, tokens: 0, model: MODEL };
             node.apply_cache_event(2_100 * MS, &format!("i-{holder}"), event);
         }
-        expect_that!(node.table_sizes().1, eq(0));
+        expect_that!(node.table_sizes().cached_chunks, eq(0));
     }
 }
 
--- a/placement/tests/sources.rs
+++ b/placement/tests/sources.rs
@@ -140,13 +140,13 @@
 fn what_began_at_a_server_is_kept_there() {
     let mut node = engine(3);
     let choice = place(&mut node, NOW, 1, 1);
-    expect_that!(node.table_sizes().1, eq(0));
+    expect_that!(node.table_sizes().cached_chunks, eq(0));
     node.record_first_event(NOW + 200 * MS, choice.attempt);
-    expect_that!(node.table_sizes().1, eq(3));
+    expect_that!(node.table_sizes().cached_chunks, eq(3));
     node.record_first_event(NOW + 300 * MS, choice.attempt);
-    expect_that!(node.table_sizes().1, eq(3));
+    expect_that!(node.table_sizes().cached_chunks, eq(3));
     node.reset_cache_holder(NOW + 400 * MS, &choice.server);
-    expect_that!(node.table_sizes().1, eq(0));
+    expect_that!(node.table_sizes().cached_chunks, eq(0));
 }
 
 #[gtest]
@@ -156,19 +156,19 @@
         node.apply_cache_event(NOW, "i-0", added("s", &part(id, 3_000)));
     }
     // 105,065 tokens: what all balancers see read counts, so nothing beyond the memory can still be kept.
-    expect_that!(node.table_sizes().1, eq(35));
+    expect_that!(node.table_sizes().cached_chunks, eq(35));
     // The oldest went.
-    let before = node.table_sizes().1;
+    let before = node.table_sizes().cached_chunks;
     node.apply_cache_event(NOW, "i-0", CacheEvent::Dropped { salt: "s", part: 999, tokens: 0, model: MODEL });
     node.apply_cache_event(NOW, "i-0", CacheEvent::Dropped { salt: "s", part: 0, tokens: 0, model: MODEL });
-    expect_that!(node.table_sizes().1, eq(before - 1));
+    expect_that!(node.table_sizes().cached_chunks, eq(before - 1));
     let mut node = engine_of(PlacementConfig::builder().kept(1_000).build(), 4);
     for id in 0..2_000 {
         for number in 0..4 {
             node.apply_cache_event(NOW, &format!("i-{number}"), added("s", &part(id, 10)));
         }
     }
-    expect_that!(node.table_sizes().1, le(1_000));
+    expect_that!(node.table_sizes().cached_chunks, le(1_000));
 }
 
 #[gtest]
@@ -177,7 +177,7 @@
     for id in 0..100 {
         node.apply_cache_event(NOW, "i-0", added("s", &part(id, 16)));
     }
-    let bytes = node.table_sizes().2;
+    let bytes = node.table_sizes().index_bytes;
     for turn in 0..10_000 {
         let id = turn % 100;
         node.apply_cache_event(
@@ -187,11 +187,11 @@
         );
         node.apply_cache_event(NOW, "i-0", added("s", &part(id, 16)));
     }
-    expect_that!(node.table_sizes().1, eq(100));
-    expect_that!(node.table_sizes().2, le(2 * bytes + 8_192));
+    expect_that!(node.table_sizes().cached_chunks, eq(100));
+    expect_that!(node.table_sizes().index_bytes, le(2 * bytes + 8_192));
     // A part that shrank counts with what is left of it.
     node.apply_cache_event(NOW, "i-0", CacheEvent::Dropped { salt: "s", part: 1, tokens: 8, model: MODEL });
-    expect_that!(node.table_sizes().1, eq(100));
+    expect_that!(node.table_sizes().cached_chunks, eq(100));
 }
 
 #[gtest]
@@ -204,7 +204,7 @@
             count += 1;
         }
     }
-    let (_, entries, bytes) = node.table_sizes();
+    let TableSizes { cached_chunks: entries, index_bytes: bytes, .. } = node.table_sizes();
     expect_that!(entries, eq(count));
     let each = bytes as f64 / count as f64;
     println!("{entries} entries of one holder each, {each:.0} bytes an entry");
--- a/placement/tests/versions.rs
+++ b/placement/tests/versions.rs
@@ -201,7 +201,7 @@
     expect_that!(begin, some(eq(OutdatedStart { version: 1, binding: 2, waited: WITHIN })));
     // Its answer says that the server has loaded the newer version meanwhile.
     expect_that!(node.outdated_start(NAMED + WITHIN, loaded.attempt, Some(2)), none());
-    expect_that!(node.counters().outdated_start, eq(1));
+    expect_that!(node.counters().begun_outdated, eq(1));
 }
 
 #[gtest]
