--- a/dataplane/src/attempt.rs
+++ b/dataplane/src/attempt.rs
@@ -1,232 +1,224 @@
-//! One attempt at one server: the request is written, the head of its answer read.
-
-use gradepaddle_engine::{Choice, LoadReport};
-use gradepaddle_http::buffers::{Chain, Pool};
-use gradepaddle_http::{Body, Connection, Fault, Framing, Head, push_headers};
-
-use crate::admission::{RoutedRequest, priority_field};
-use crate::upstream_pool::PooledConnection;
-
-/// Fields that the node sets itself, whatever the client sent.
-const OWN_FIELDS: [&str; 12] = [
-    "x-api-key",
-    "x-tenant",
-    "x-deadline-ms",
-    "x-target-server",
-    "priority",
-    "expect-version",
-    "cache-salt",
-    "kv-fetch",
-    "kv-save",
-    "last-event-id",
-    "x-not-run",
-    "accept-encoding",
-];
-/// Fields that a server needs as the client sent them, also where the client lists them as fields of its connection.
-const END_TO_END: [&str; 5] = ["host", "x-request-id", "x-model", "x-token-count", "x-prompt-prefix"];
-/// Answers of other requests that are passed over before this one's.
-const SURPLUS_MOST: usize = 4;
-/// The longest surplus answer that is read to its end.
-const SURPLUS_BYTES: usize = 1 << 20;
-/// Interim (1xx) answers that are passed over.
-const INTERIM_MOST: usize = 16;
-
-/// Why an attempt brought no answer.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum AttemptFailure {
-    /// The connection broke before any of the answer came; the request may have run.
-    ConnectionLost,
-    /// What came is no answer to this request; it may have run.
-    InvalidResponse,
+//! One attempt: a server is selected, the request is written to it, the head of its response is read.
+//!
+//! The engine counts an attempt as in flight from its selection until it is told of the end; [`AttemptGuard`] sees to that
+//! wherever the attempt is dropped.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use gradepaddle_engine::{AttemptId, AttemptOutcome, Choice, LoadReport, Refusal};
+use gradepaddle_http::Connection;
+use tokio::time::{Instant, sleep_until};
+
+use crate::counters::increment;
+use crate::data_plane::DataPlane;
+use crate::proxied_request::ProxiedRequest;
+use crate::retry::AttemptHistory;
+use crate::upstream_request::upstream_request_head;
+use crate::upstream_response::{ExchangeError, UpstreamResponse, exchange};
+
+/// Statuses by which a client knows that its request was not processed.
+const NOT_PROCESSED_STATUSES: [u16; 4] = [408, 421, 429, 503];
+/// A server is given this much less than the time that is left, so that its own 504 comes before the node's.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(15);
+
+/// How an attempt ended.
+pub(crate) enum AttemptResult {
+    /// The head of a response came. The engine has still to be told of the attempt's end.
+    Response(Box<UpstreamResponse>, Choice),
+    /// The request was not written.
+    NotSent,
+    /// The server rejected it without processing it.
+    Rejected,
+    /// It failed; the request may have been processed.
+    Failed,
+    /// The request's deadline has passed.
+    DeadlineExceeded,
+    /// The client has closed its connection.
+    ClientGone,
 }
 
-/// A server's answer, of which the head has been read.
-pub(crate) struct UpstreamResponse {
-    /// The connection, with the body behind the head.
-    pub connection: Connection,
-    /// The head.
-    pub head: Head,
-    /// Its status.
-    pub status: u16,
-    /// What is left of the body.
-    pub body: Body,
-    /// How the body is framed.
-    pub framing: Framing,
+/// How far the request came at its server.
+enum SendResult {
+    Response(Box<UpstreamResponse>),
+    ConnectFailed,
+    /// The server began to drain before the request was written.
+    ServerDraining,
+    Failed,
+    /// The server's model version is about to become too old.
+    VersionOutdated,
+    DeadlineExceeded,
+    ClientGone,
 }
 
-/// What a server says of its answer besides.
-impl UpstreamResponse {
-    /// The request did not run: the server says so. A success that says so contradicts itself.
-    pub fn did_not_run(&self) -> bool {
-        self.status == 421 || (self.status >= 400 && self.head.get("x-not-run").is_some())
-    }
-
-    /// The server's own account of its load.
-    pub fn load(&self) -> Option<LoadReport> {
-        let text = self.head.get("x-server-load")?;
-        let mut numbers = text.split(',').map(|number| number.trim().parse::<u32>());
-        let mut next = || numbers.next()?.ok();
-        Some(LoadReport { running: next()?, waiting: next()?, slots: next()? })
-    }
-
-    /// The version of weights that the answer is made by.
-    pub fn version(&self) -> Option<u64> {
-        let text = self.head.get("versions")?;
-        text.rsplit(['=', ':', ' ']).next()?.trim().parse().ok()
-    }
+/// Makes one attempt. `last_event` is the last event that the client has.
+///
+/// If the future is dropped, the engine is told that the client has gone, and the connection is reset.
+///
+/// # Errors
+///
+/// The engine's reason for selecting no server.
+pub(crate) async fn attempt(
+    request: &ProxiedRequest<'_>,
+    client: &Connection,
+    history: &mut AttemptHistory,
+    last_event: Option<u64>,
+) -> Result<AttemptResult, Refusal> {
+    let (plane, deadline) = (request.plane, request.deadline());
+    if Instant::now() >= deadline {
+        return Ok(AttemptResult::DeadlineExceeded);
+    }
+    let choice = request.select_server(last_event, &history.tried_servers)?;
+    let guard = AttemptGuard { plane, attempt: choice.attempt, ended: false };
+    plane.load_reports.request_placed();
+    history.tried_servers.push(choice.server.clone());
+    let sent_before = history.sent;
+    // `send` is not cancellation safe, and need not be: where another branch wins, the attempt is over.
+    let result = tokio::select! {
+        biased;
+        // First of all: nothing is sent for a client that has gone.
+        () = client.left() => SendResult::ClientGone,
+        result = send(request, &choice, history, last_event) => result,
+        () = plane.version_deadline_passed(choice.attempt) => SendResult::VersionOutdated,
+        () = sleep_until(deadline) => SendResult::DeadlineExceeded,
+    };
+    let sent = history.sent > sent_before;
+    Ok(conclude(guard, choice, history, result, sent))
 }
 
-/// The head of the request as this server gets it.
-pub(crate) fn request_head(
-    pool: &Pool,
-    head: &Head,
-    admitted: &RoutedRequest,
+/// Connects, writes the request and waits for the head of the response.
+async fn send(
+    request: &ProxiedRequest<'_>,
     choice: &Choice,
-    body: usize,
-    deadline_ms: u64,
+    history: &mut AttemptHistory,
     last_event: Option<u64>,
-) -> Chain {
-    let mut out = pool.chain();
-    for part in [head.method(), " ", head.target(), " HTTP/1.1\r\n"] {
-        out.push(part.as_bytes());
-    }
-    push_headers(&mut out, head, &OWN_FIELDS);
-    for name in END_TO_END.iter().filter(|name| head.lists("connection", name)) {
-        for value in head.all(name) {
-            for part in [name.as_bytes(), b": ", value, b"\r\n"] {
-                out.push(part);
-            }
-        }
-    }
-    let mut field = |name: &str, value: &str| {
-        for part in [name, ": ", value, "\r\n"] {
-            out.push(part.as_bytes());
-        }
+) -> SendResult {
+    let (plane, deadline) = (request.plane, request.deadline());
+    let Some(pooled) = plane.upstreams.connect(&choice.server, choice.address, &plane.pool).await else {
+        return SendResult::ConnectFailed;
     };
-    field("X-Deadline-Ms", &deadline_ms.to_string());
-    field("X-Target-Server", &choice.server);
-    if let Some(tenant) = &admitted.tenant {
-        field("X-Tenant", tenant);
-    }
-    if let Some(priority) = priority_field(admitted.priority) {
-        field("Priority", &priority.to_string());
-    }
-    if let Some(version) = choice.expect_version {
-        field("Expect-Version", &version.to_string());
-    }
-    if let Some(salt) = &choice.salt {
-        field("Cache-Salt", salt);
+    // Draining is binding when the request is written, and connecting may have taken its time.
+    if !plane.engine.borrow().takes_requests(&choice.server) {
+        return SendResult::ServerDraining;
+    }
+    let now = Instant::now();
+    if now >= deadline {
+        return SendResult::DeadlineExceeded;
+    }
+    let time_left = deadline.saturating_duration_since(now).saturating_sub(RESPONSE_MARGIN);
+    let head = upstream_request_head(request, choice, time_left, last_event);
+    history.sent += 1;
+    if history.sent > 1 {
+        let now = plane.now();
+        plane.engine.borrow_mut().note_repeat(now, &request.routed.service);
+        increment(&plane.counters.retries);
+    }
+    let idle = pooled.idle;
+    let result = exchange(pooled, &[&head, request.body], &request.routed.id, request.head.method()).await;
+    plane.upstreams.record_outcome(idle, matches!(result, Err(ExchangeError::ConnectionLost)));
+    match result {
+        Ok(response) => SendResult::Response(Box::new(response)),
+        Err(_) => SendResult::Failed,
     }
-    if let Some(source) = choice.fetch {
-        field("Kv-Fetch", &source.to_string());
-    }
-    if let Some(store) = choice.save {
-        field("Kv-Save", &store.to_string());
-    }
-    if let Some(last) = last_event {
-        field("Last-Event-Id", &last.to_string());
-    }
-    if body > 0 || !matches!(head.method(), "GET" | "HEAD") {
-        field("Content-Length", &body.to_string());
-    }
-    out.push(b"\r\n");
-    out
 }
 
-/// A connection with a request that has no answer yet. If it is given up, what of the request is still on this machine
-/// is taken back: a close alone would go on delivering it, and begin work that nobody waits for.
-struct AbortOnDrop(Option<Connection>);
-
-impl Drop for AbortOnDrop {
-    fn drop(&mut self) {
-        if let Some(connection) = &self.0 {
-            connection.break_off();
+/// Tells the engine how the attempt ended, unless a response is yet to be forwarded, and notes whether the request may
+/// have been processed. `sent`: it was written to the server, at least in part.
+fn conclude(
+    mut guard: AttemptGuard<'_>,
+    choice: Choice,
+    history: &mut AttemptHistory,
+    result: SendResult,
+    sent: bool,
+) -> AttemptResult {
+    match result {
+        SendResult::Response(response) => conclude_response(guard, choice, history, response),
+        SendResult::ConnectFailed => {
+            history.failed_connects += 1;
+            guard.end(AttemptOutcome::ConnectFailed, None);
+            AttemptResult::NotSent
         }
-    }
-}
-
-/// Writes the request and reads the head of its answer, which may come before a long request has been written: the rest
-/// is written as the answer is read.
-///
-/// # Errors
-///
-/// [`AttemptFailure`]; the request may have run in either case.
-pub(crate) async fn exchange(
-    lease: PooledConnection,
-    request: &[&Chain],
-    id: &[u8],
-    method: &str,
-) -> Result<UpstreamResponse, AttemptFailure> {
-    let mut asked = AbortOnDrop(Some(lease.connection));
-    let Some(connection) = &mut asked.0 else { return Err(AttemptFailure::ConnectionLost) };
-    connection.send(request);
-    for _ in 0..SURPLUS_MOST {
-        let head = final_head(connection).await?;
-        let status = head.status().map_err(|_| AttemptFailure::InvalidResponse)?;
-        let framing = framing(&head, method)?;
-        let body = Body::new(framing).map_err(|_| AttemptFailure::InvalidResponse)?;
-        if is_for(&head, id) {
-            let Some(connection) = asked.0.take() else { break };
-            return Ok(UpstreamResponse { connection, head, status, body, framing });
+        SendResult::ServerDraining => {
+            guard.end(AttemptOutcome::ClientGone, None);
+            AttemptResult::NotSent
+        }
+        SendResult::Failed => {
+            history.may_have_run = true;
+            guard.end(AttemptOutcome::Broken, None);
+            AttemptResult::Failed
+        }
+        SendResult::VersionOutdated => {
+            guard.plane.attempt_withdrawn(&choice.server);
+            guard.end(AttemptOutcome::Outdated, None);
+            history.may_have_run |= sent;
+            if sent { AttemptResult::Failed } else { AttemptResult::NotSent }
         }
-        // How long it is depends on what it answers: the request of another exchange, not this HEAD.
-        if method == "HEAD" {
-            return Err(AttemptFailure::InvalidResponse);
+        SendResult::DeadlineExceeded => {
+            history.may_have_run |= sent;
+            guard.end(AttemptOutcome::TimedOut, None);
+            AttemptResult::DeadlineExceeded
+        }
+        SendResult::ClientGone => {
+            guard.end(AttemptOutcome::ClientGone, None);
+            AttemptResult::ClientGone
         }
-        pass_over(connection, body).await?;
     }
-    Err(AttemptFailure::InvalidResponse)
 }
 
-/// The next head that is no interim answer's.
-async fn final_head(connection: &mut Connection) -> Result<Head, AttemptFailure> {
-    for _ in 0..INTERIM_MOST {
-        let head = connection.read_head().await.map_err(|fault| failure(&fault))?;
-        match head.status() {
-            Ok(100..=199) => {}
-            Ok(_) => return Ok(head),
-            Err(_) => return Err(AttemptFailure::InvalidResponse),
-        }
-    }
-    Err(AttemptFailure::InvalidResponse)
+fn conclude_response(
+    mut guard: AttemptGuard<'_>,
+    choice: Choice,
+    history: &mut AttemptHistory,
+    response: Box<UpstreamResponse>,
+) -> AttemptResult {
+    if response.was_not_processed() {
+        guard.end(not_processed_outcome(&response), response.load());
+        guard.plane.upstreams.record_outcome(None, false);
+        return AttemptResult::Rejected;
+    }
+    history.may_have_run = true;
+    if NOT_PROCESSED_STATUSES.contains(&response.status) {
+        // Forwarded, the status would promise the client what the server has not promised.
+        guard.end(AttemptOutcome::ServerError, response.load());
+        return AttemptResult::Failed;
+    }
+    guard.release();
+    AttemptResult::Response(response, choice)
 }
 
-/// How the body of an answer is framed. One that only the connection's end would end is taken where that is announced.
-fn framing(head: &Head, method: &str) -> Result<Framing, AttemptFailure> {
-    if method == "HEAD" || head.is_bare() {
-        return Ok(Framing::Length(0));
-    }
-    match head.framing(Framing::UntilClose) {
-        Ok(Framing::UntilClose) if head.keeps_alive() => Err(AttemptFailure::InvalidResponse),
-        Ok(framing) => Ok(framing),
-        Err(_) => Err(AttemptFailure::InvalidResponse),
+/// What the engine learns from a server that did not process a request.
+fn not_processed_outcome(response: &UpstreamResponse) -> AttemptOutcome {
+    match (response.status, response.version()) {
+        (421, Some(_)) => AttemptOutcome::VersionMismatch,
+        (421, None) => AttemptOutcome::Misdirected,
+        _ => AttemptOutcome::NotRun,
     }
 }
 
-/// True if an answer bears this request's id and no other. One that bears none can't be told from a surplus one, unless
-/// the request has none either.
-fn is_for(head: &Head, id: &[u8]) -> bool {
-    let mut ids = head.all("x-request-id");
-    ids.next().unwrap_or_default() == id && ids.all(|other| other == id)
+/// Tells the engine of an attempt's end, at the latest when it is dropped: the attempt's future may be dropped at any
+/// `await`, and a server's count of requests in flight would never fall again.
+struct AttemptGuard<'a> {
+    plane: &'a Rc<DataPlane>,
+    attempt: AttemptId,
+    ended: bool,
 }
 
-/// Reads a surplus answer to its end.
-async fn pass_over(connection: &mut Connection, mut body: Body) -> Result<(), AttemptFailure> {
-    let mut bytes = Pool::default().chain();
-    loop {
-        let whole = connection.read_piece(&mut body, &mut bytes, SURPLUS_BYTES).await;
-        match whole {
-            Ok(true) => return Ok(()),
-            Ok(false) if bytes.len() >= SURPLUS_BYTES => return Err(AttemptFailure::InvalidResponse),
-            Ok(false) => {}
-            Err(fault) => return Err(failure(&fault)),
+impl AttemptGuard<'_> {
+    fn end(&mut self, outcome: AttemptOutcome, load: Option<LoadReport>) {
+        if !std::mem::replace(&mut self.ended, true) {
+            let now = self.plane.now();
+            self.plane.engine.borrow_mut().ended(now, self.attempt, outcome, load, None);
         }
     }
+
+    /// Leaves it to the caller to tell the engine.
+    fn release(mut self) {
+        self.ended = true;
+    }
 }
 
-pub(crate) fn failure(fault: &Fault) -> AttemptFailure {
-    match fault {
-        Fault::Ended => AttemptFailure::ConnectionLost,
-        _ => AttemptFailure::InvalidResponse,
+impl Drop for AttemptGuard<'_> {
+    fn drop(&mut self) {
+        self.end(AttemptOutcome::ClientGone, None);
     }
 }
--- a/dataplane/src/cache_events/calls.rs
+++ b/dataplane/src/cache_events/calls.rs
@@ -1,21 +1,42 @@
-//! Calls for the events of a store, and for the list of what it keeps.
+//! Calls to a cache store: for its contents, and for its events.
 
+use std::io;
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use gradepaddle_http::buffers::Pool;
-use gradepaddle_http::{Body, Connection, Framing};
+use gradepaddle_http::buffers::{Chain, Pool};
+use gradepaddle_http::{Body, Connection, Fault, Framing};
 use serde::Deserialize;
+use snafu::{ResultExt, Snafu};
 use tokio::net::TcpSocket;
 use tokio::time::timeout;
 
-/// A call is held for this long, in milliseconds, unless something happens.
+/// The store holds a call for events this long unless something happens (`Wait-Ms`), in milliseconds.
 const WAIT_MS: u64 = 900;
-/// A call is answered within this, or its source is down.
-const ANSWER_WITHIN: Duration = Duration::from_millis(1300);
-const DIAL_WITHIN: Duration = Duration::from_millis(300);
-/// The longest answer that is read, in bytes.
-const ANSWER_BYTES: u64 = 8 * 1024 * 1024;
+/// A call is answered within this, or the store is down. Longer than [`WAIT_MS`].
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// The longest response that is read, in bytes.
+const MAX_RESPONSE_BYTES: u64 = 8 * 1024 * 1024;
+
+/// Why a call to a cache store failed.
+#[derive(Debug, Snafu)]
+pub(super) enum CallError {
+    #[snafu(display("the connection did not come up within {} ms", CONNECT_TIMEOUT.as_millis()))]
+    ConnectTimeout,
+    #[snafu(display("the connection did not come up: {source}"))]
+    Connect { source: io::Error },
+    #[snafu(display("the request could not be written: {source}"))]
+    Write { source: io::Error },
+    #[snafu(display("no response came within {} ms", RESPONSE_TIMEOUT.as_millis()))]
+    ResponseTimeout,
+    #[snafu(display("the response could not be read: {source}"))]
+    Read { source: Fault },
+    #[snafu(display("the response is not a success"))]
+    Status,
+    #[snafu(display("the response can't be parsed: {source}"))]
+    Parse { source: serde_json::Error },
+}
 
 /// What changed since the event that was asked from.
 #[derive(Deserialize)]
@@ -33,10 +54,10 @@
     pub events: Vec<Event>,
 }
 
-/// Number, + or -, salt, part, tokens kept now, model.
+/// On the wire a list: number, `+` or `-`, salt, chunk, tokens held now, model.
 #[derive(Deserialize)]
 pub(super) struct Event(
-    #[expect(dead_code, reason = "position in the tuple")] pub u64,
+    #[expect(dead_code, reason = "position in the list")] pub u64,
     pub String,
     pub String,
     pub String,
@@ -44,17 +65,18 @@
     pub String,
 );
 
-/// What a store keeps at this moment.
+/// What a store holds now.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(super) struct CacheContents {
     pub epoch: u64,
+    /// The event to ask from next.
     pub next_token: u64,
-    #[serde(default)]
-    pub held: Vec<CachedChunk>,
+    #[serde(default, rename = "held")]
+    pub chunks: Vec<CachedChunk>,
 }
 
-/// Salt, part, tokens, model.
+/// On the wire a list: salt, chunk, tokens, model.
 #[derive(Deserialize)]
 pub(super) struct CachedChunk(pub String, pub String, pub u32, pub String);
 
@@ -67,38 +89,61 @@
 
 impl<'a> EventClient<'a> {
     /// Connects.
-    pub async fn connect(address: SocketAddrV4, pool: &'a Pool) -> Option<Self> {
-        let dialled = timeout(DIAL_WITHIN, TcpSocket::new_v4().ok()?.connect(address.into())).await;
-        let stream = dialled.ok()?.ok()?;
-        Some(EventClient { address, connection: Connection::new(stream, pool, ()), pool })
+    ///
+    /// # Errors
+    ///
+    /// The connection did not come up in time.
+    pub async fn connect(address: SocketAddrV4, pool: &'a Pool) -> Result<Self, CallError> {
+        let connecting = TcpSocket::new_v4().context(ConnectSnafu)?.connect(address.into());
+        let connected = timeout(CONNECT_TIMEOUT, connecting).await.map_err(|_| CallError::ConnectTimeout)?;
+        let stream = connected.context(ConnectSnafu)?;
+        Ok(EventClient { address, connection: Connection::new(stream, pool, ()), pool })
     }
 
-    /// Asks for what is kept.
-    pub async fn contents(&mut self) -> Option<CacheContents> {
+    /// Asks for what the store holds.
+    ///
+    /// # Errors
+    ///
+    /// As [`CallError`] says; the connection is of no more use.
+    pub async fn contents(&mut self) -> Result<CacheContents, CallError> {
         self.call("/v1/kv-list", None).await
     }
 
-    /// Asks for the events after this one, for as long as a call is held.
-    pub async fn events(&mut self, since: u64) -> Option<Events> {
+    /// Asks for the events after this one, in a long poll.
+    ///
+    /// # Errors
+    ///
+    /// As [`CallError`] says; the connection is of no more use.
+    pub async fn events(&mut self, since: u64) -> Result<Events, CallError> {
         self.call(&format!("/v1/kv-events?since={since}"), Some(WAIT_MS)).await
     }
 
-    async fn call<T: for<'d> Deserialize<'d>>(&mut self, path: &str, wait_ms: Option<u64>) -> Option<T> {
-        let (address, pool) = (self.address, self.pool);
+    async fn call<T: for<'d> Deserialize<'d>>(
+        &mut self,
+        path: &str,
+        wait_ms: Option<u64>,
+    ) -> Result<T, CallError> {
+        let address = self.address;
         let wait = wait_ms.map(|wait| format!("Wait-Ms: {wait}\r\n")).unwrap_or_default();
-        let mut request = pool.chain();
+        let mut request = self.pool.chain();
         request.push(format!("GET {path} HTTP/1.1\r\nHost: {address}\r\n{wait}\r\n").as_bytes());
+        let response = timeout(RESPONSE_TIMEOUT, self.exchange(&request)).await;
+        let body = response.map_err(|_| CallError::ResponseTimeout)??;
+        serde_json::from_slice(&body).context(ParseSnafu)
+    }
+
+    /// Writes a request and reads the body of its response.
+    async fn exchange(&mut self, request: &Chain) -> Result<Vec<u8>, CallError> {
         let connection = &mut self.connection;
-        let answer = async {
-            connection.write(&[&request]).await.ok()?;
-            let head = connection.read_head().await.ok()?;
-            let framing = head.framing(Framing::UntilClose).ok()?;
-            let mut body = Body::new_within(framing, ANSWER_BYTES).ok()?;
-            let mut bytes = pool.chain();
-            while !connection.read_piece(&mut body, &mut bytes, usize::MAX).await.ok()? {}
-            let bytes = bytes.copy(bytes.len());
-            (head.status() == Ok(200)).then(|| serde_json::from_slice(&bytes).ok())?
-        };
-        timeout(ANSWER_WITHIN, answer).await.ok()?
+        connection.write(&[request]).await.context(WriteSnafu)?;
+        let head = connection.read_head().await.context(ReadSnafu)?;
+        let framing = head.framing(Framing::UntilClose).map_err(Fault::Malformed).context(ReadSnafu)?;
+        let mut body = Body::new_within(framing, MAX_RESPONSE_BYTES).context(ReadSnafu)?;
+        let mut bytes = self.pool.chain();
+        while !connection.read_piece(&mut body, &mut bytes, usize::MAX).await.context(ReadSnafu)? {}
+        if head.status() != Ok(200) {
+            return Err(CallError::Status);
+        }
+        Ok(bytes.copy(bytes.len()))
     }
 }
--- a/dataplane/src/cache_events/mod.rs
+++ b/dataplane/src/cache_events/mod.rs
@@ -1,8 +1,9 @@
-//! What stores keep, by their events: each is asked for them by calls that it holds until there are some.
+//! What cache stores hold, by their events.
+//!
+//! A node asks a store for its contents once, then for events by long polls. A store holds only so many of these calls at
+//! once, so in a large fleet only the nodes of the lowest listener ranks ask; the others learn from them, by the control
+//! plane, whether a store answers at all, and by load reports what changed.
 
 mod calls;
-mod subscriber;
-mod subscriptions;
-
-pub(crate) use subscriptions::CacheStoreSubscriptions;
-pub use subscriptions::{StoreHealthListener, should_report_health};
+pub mod subscriber;
+pub mod subscriptions;
--- a/dataplane/src/cache_events/subscriber.rs
+++ b/dataplane/src/cache_events/subscriber.rs
@@ -1,8 +1,6 @@
-//! Stores' events, which tell what a store takes in and what it drops.
-//!
-//! A store holds only so many of these calls at once, so in a large fleet only some nodes listen; the others hear from
-//! them, by the control plane, whether it answers at all.
+//! One task for each cache store that this node subscribes to.
 
+use std::convert::Infallible;
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -12,173 +10,131 @@
 use gradepaddle_engine::{Kept, KeptTokens, StoreChanges, holder_hash, kept_key};
 use tokio::time::{Instant, sleep};
 
-use super::calls::{CachedChunk, Event, EventClient};
-use super::subscriptions::{CacheStoreKey, StoreHealthListener, should_report_health};
-use crate::admission::chunk_id;
+use super::calls::{CachedChunk, CallError, Event, EventClient};
+use super::subscriptions::CacheStoreKey;
 use crate::data_plane::DataPlane;
-
-/// A source that did not answer is called again after this.
-const PAUSE: Duration = Duration::from_millis(400);
-/// After events have come, more are let gather for this long.
-const GATHER: Duration = Duration::from_millis(250);
-/// Calls that a store holds at once are left to others beside those of the listening nodes.
-const CALLS_LEFT: usize = 2;
-
-impl DataPlane {
-    /// Tells this node's place in an order of all nodes that all agree on.
-    pub fn set_listener_rank(self: &Rc<Self>, rank: usize) {
-        if self.cache_stores.rank.replace(rank) != rank {
-            self.update_subscriptions();
-        }
-    }
-
-    /// Has changes of a store's answering told to others, if this node is the first to listen.
-    pub fn set_store_health_listener(&self, watch: StoreHealthListener) {
-        *self.cache_stores.watch.borrow_mut() = Some(watch);
-    }
-
-    /// Another node has told whether a store answers.
-    pub fn set_reported_store_health(&self, name: &str, alive: bool) {
-        self.cache_stores.reported_alive.borrow_mut().insert(Arc::from(name), alive);
-        if !alive {
-            let now = self.now();
-            self.engine.borrow_mut().source_failed(now, name);
-        }
-    }
-
-    /// Stores that this node does not listen to count as heard while others say so.
-    pub(crate) fn renew_reported_stores(&self) {
-        let now = self.now();
-        let running = self.cache_stores.running.borrow();
-        for (name, _) in self.cache_stores.reported_alive.borrow().iter().filter(|(_, alive)| **alive) {
-            if !running.keys().any(|(listened, _)| listened == name) {
-                self.engine.borrow_mut().holder_heard(now, name);
-            }
+use crate::routing::chunk_id;
+
+/// A store that did not answer is called again after this.
+const RETRY_PAUSE: Duration = Duration::from_millis(400);
+/// Calls for events begin at least this far apart, so that one answer holds several.
+const MIN_CALL_INTERVAL: Duration = Duration::from_millis(250);
+/// Of the calls that a store holds at once (`maxInFlight`), so many are left to others than the subscribing nodes.
+const RESERVED_CALLS: usize = 2;
+
+/// Subscribes to the stores of the configuration in force that this node's listener rank is due for, and to no others.
+pub(crate) fn update_subscriptions(plane: &Rc<DataPlane>) {
+    let Some(configuration) = plane.configuration() else { return };
+    let due = due_stores(&configuration, plane.cache_stores.listener_rank.get());
+    let mut running = plane.cache_stores.running.borrow_mut();
+    running.retain(|key, task| {
+        let stays = due.contains(key);
+        if !stays {
+            task.abort();
         }
+        stays
+    });
+    for key in due {
+        running.entry(key.clone()).or_insert_with(|| {
+            let subscription = Subscription { plane: plane.clone(), store: key.0, address: key.1 };
+            tokio::task::spawn_local(subscription.run())
+        });
     }
+}
 
-    /// Listens to the stores of the configuration in force, and to no others.
-    pub(crate) fn update_subscriptions(self: &Rc<Self>) {
-        let Some(configuration) = self.configuration() else { return };
-        let wanted = stores(&configuration, self.cache_stores.rank.get());
-        let mut running = self.cache_stores.running.borrow_mut();
-        running.retain(|key, task| {
-            let stays = wanted.contains(key);
-            if !stays {
-                task.abort();
-            }
-            stays
-        });
-        for key in wanted {
-            running.entry(key.clone()).or_insert_with(|| {
-                let feed = Subscription { plane: self.clone(), name: key.0, address: key.1 };
-                tokio::task::spawn_local(feed.run())
-            });
-        }
+/// Has the engine count stores that this node does not subscribe to as alive while other nodes say so.
+pub(crate) fn renew_reported_stores(plane: &DataPlane) {
+    let now = plane.now();
+    for store in plane.cache_stores.reported_without_subscription() {
+        plane.engine.borrow_mut().holder_heard(now, &store);
     }
 }
 
-/// The stores that a node of this rank listens to.
-fn stores(configuration: &Configuration, rank: usize) -> Vec<CacheStoreKey> {
+/// The stores that a node of this listener rank subscribes to.
+fn due_stores(configuration: &Configuration, rank: usize) -> Vec<CacheStoreKey> {
     let stores = configuration.services.iter().filter_map(|service| match &service.kind {
         ServiceKind::Store { address, max_in_flight, .. } => {
-            let listeners = (*max_in_flight as usize).saturating_sub(CALLS_LEFT).max(1);
-            (rank < listeners).then(|| (service.name.clone(), *address))
+            let subscribers = (*max_in_flight as usize).saturating_sub(RESERVED_CALLS).max(1);
+            (rank < subscribers).then(|| (service.name.clone(), *address))
         }
         ServiceKind::Servers { .. } => None,
     });
     stores.collect()
 }
 
-/// One store that is listened to.
+/// The subscription to one store. Its task may be aborted at any `await`: nothing is left half done there.
 struct Subscription {
     plane: Rc<DataPlane>,
-    name: Arc<str>,
+    store: Arc<str>,
     address: SocketAddrV4,
 }
 
 impl Subscription {
     async fn run(self) {
         loop {
-            if let Some(mut calls) = EventClient::connect(self.address, &self.plane.pool).await {
-                self.listen(&mut calls).await;
-            }
-            self.report_health(false);
+            // What failed is not logged: a store that is down would fill the log. Its health is reported.
+            let Err(_) = self.follow().await;
+            self.plane.cache_stores.report_health(&self.store, false);
             let now = self.plane.now();
-            self.plane.engine.borrow_mut().source_failed(now, &self.name);
-            sleep(PAUSE).await;
+            self.plane.engine.borrow_mut().source_failed(now, &self.store);
+            sleep(RETRY_PAUSE).await;
         }
     }
 
-    /// Has all nodes know whether the store answers, where this node is the one to tell and something else is known.
-    /// Nodes that know few others yet take themselves for the first one, and may have told what is wrong.
-    fn report_health(&self, alive: bool) {
-        let cache_stores = &self.plane.cache_stores;
-        let known = cache_stores.reported_alive.borrow().get(&self.name).copied();
-        if should_report_health(cache_stores.rank.get(), known, alive)
-            && let Some(watch) = &*cache_stores.watch.borrow()
-        {
-            watch(&self.name, alive);
-        }
-    }
-
-    /// Takes in what a store keeps, and then what changes, until a call fails.
-    async fn listen(&self, calls: &mut EventClient<'_>) -> Option<()> {
-        let contents = calls.contents().await?;
+    /// Takes in what the store holds, and then its events, until a call fails.
+    async fn follow(&self) -> Result<Infallible, CallError> {
+        let mut client = EventClient::connect(self.address, &self.plane.pool).await?;
+        let contents = client.contents().await?;
         let (mut epoch, mut since) = (contents.epoch, contents.next_token);
         self.reset();
-        for CachedChunk(salt, part, tokens, model) in &contents.held {
-            self.added(salt, part, *tokens, model);
+        for CachedChunk(salt, chunk, tokens, model) in &contents.chunks {
+            self.apply(Kept::Added { salt, part: chunk_id(chunk), tokens: *tokens, model });
         }
         loop {
-            self.report_health(true);
-            let begun = Instant::now();
-            let events = calls.events(since).await?;
+            self.plane.cache_stores.report_health(&self.store, true);
+            let called_at = Instant::now();
+            let events = client.events(since).await?;
+            // After a restart or a gap the index would hold chunks that the store no longer has.
             let reset = events.epoch != epoch || events.lost;
             if reset {
                 self.reset();
             }
             (epoch, since) = (events.epoch, events.next_token);
             let now = self.plane.now();
-            self.plane.engine.borrow_mut().holder_heard(now, &self.name);
+            self.plane.engine.borrow_mut().holder_heard(now, &self.store);
             self.share_changes(&events.events, reset);
-            for Event(_, sign, salt, part, tokens, model) in &events.events {
-                match &**sign {
-                    "+" => self.added(salt, part, *tokens, model),
-                    _ => self.dropped(salt, part, *tokens, model),
-                }
+            for Event(_, sign, salt, chunk, tokens, model) in &events.events {
+                let (part, tokens) = (chunk_id(chunk), *tokens);
+                self.apply(match &**sign {
+                    "+" => Kept::Added { salt, part, tokens, model },
+                    _ => Kept::Dropped { salt, part, tokens, model },
+                });
             }
-            sleep(GATHER.saturating_sub(begun.elapsed())).await;
+            sleep(MIN_CALL_INTERVAL.saturating_sub(called_at.elapsed())).await;
         }
     }
 
-    /// Has nodes that do not listen told what changed, where this node is the one to tell.
+    /// Has the changes reported to nodes that do not subscribe, where this node is the one to do so: all subscribers see
+    /// the same events.
     fn share_changes(&self, events: &[Event], reset: bool) {
-        if self.plane.cache_stores.rank.get() > 0 || (events.is_empty() && !reset) {
+        if self.plane.cache_stores.listener_rank.get() > 0 || (events.is_empty() && !reset) {
             return;
         }
-        let parts = events.iter().map(|Event(_, _, salt, part, tokens, _)| KeptTokens {
-            key: kept_key(salt, chunk_id(part)),
+        let chunks = events.iter().map(|Event(_, _, salt, chunk, tokens, _)| KeptTokens {
+            key: kept_key(salt, chunk_id(chunk)),
             tokens: *tokens,
         });
-        let changes = StoreChanges { store: holder_hash(&self.name), reset, parts: parts.collect() };
+        let changes = StoreChanges { store: holder_hash(&self.store), reset, parts: chunks.collect() };
         self.plane.engine.borrow_mut().tell_store_changes(changes);
     }
 
     fn reset(&self) {
         let now = self.plane.now();
-        self.plane.engine.borrow_mut().kept_reset(now, &self.name);
-    }
-
-    fn added(&self, salt: &str, part: &str, tokens: u32, model: &str) {
-        let kept = Kept::Added { salt, part: chunk_id(part), tokens, model };
-        let now = self.plane.now();
-        self.plane.engine.borrow_mut().kept_event(now, &self.name, kept);
+        self.plane.engine.borrow_mut().kept_reset(now, &self.store);
     }
 
-    fn dropped(&self, salt: &str, part: &str, tokens: u32, model: &str) {
-        let kept = Kept::Dropped { salt, part: chunk_id(part), tokens, model };
+    fn apply(&self, change: Kept<'_>) {
         let now = self.plane.now();
-        self.plane.engine.borrow_mut().kept_event(now, &self.name, kept);
+        self.plane.engine.borrow_mut().kept_event(now, &self.store, change);
     }
 }
--- /dev/null
+++ b/dataplane/src/control_inputs.rs
@@ -0,0 +1,65 @@
+//! What the control plane puts in force at this node, and the upkeep that needs several parts of the data plane.
+
+use std::hash::{DefaultHasher, Hash, Hasher};
+use std::rc::Rc;
+
+use gradepaddle_config::Configuration;
+use slog::info;
+
+use crate::cache_events::subscriber::{renew_reported_stores, update_subscriptions};
+use crate::cache_events::subscriptions::StoreHealthListener;
+use crate::data_plane::DataPlane;
+use crate::load_reports::recipients::Peer;
+use crate::service_specs::service_specs;
+
+impl DataPlane {
+    /// Puts a configuration in force, unless one of the same or a later version is.
+    pub fn set_configuration(self: &Rc<Self>, configuration: Configuration) {
+        if self.configuration().is_some_and(|current| current.version >= configuration.version) {
+            return;
+        }
+        let mut hasher = DefaultHasher::new();
+        for tenant in configuration.isolated_tenants() {
+            tenant.name.hash(&mut hasher);
+        }
+        let now = self.now();
+        self.engine.borrow_mut().set_services(now, service_specs(&configuration));
+        info!(self.log, "configuration in force"; "version" => configuration.version);
+        self.replace_configuration(Rc::new(configuration), hasher.finish());
+        update_subscriptions(self);
+    }
+
+    /// Sets this node's listener rank, its position in an order of all nodes that all agree on.
+    pub fn set_listener_rank(self: &Rc<Self>, rank: usize) {
+        if self.cache_stores.listener_rank.replace(rank) != rank {
+            update_subscriptions(self);
+        }
+    }
+
+    /// Sets the other nodes, all of them.
+    pub fn set_peers(&self, peers: &[Peer]) {
+        self.load_reports.recipients.borrow_mut().set_peers(peers);
+    }
+
+    /// Sets who reports to the other nodes whether a cache store answers; called where this node is the one to do so.
+    pub fn set_store_health_listener(&self, listener: StoreHealthListener) {
+        self.cache_stores.set_health_listener(listener);
+    }
+
+    /// A node has reported whether a cache store answers.
+    pub fn set_reported_store_health(&self, name: &str, alive: bool) {
+        self.cache_stores.set_reported(name, alive);
+        if !alive {
+            let now = self.now();
+            self.engine.borrow_mut().source_failed(now, name);
+        }
+    }
+
+    /// Upkeep, to be called about once a second: logs expired keys, closes stale idle connections, renews what other
+    /// nodes reported of cache stores.
+    pub fn sweep(&self) {
+        self.log_key_validity();
+        self.upstreams.sweep();
+        renew_reported_stores(self);
+    }
+}
--- a/dataplane/src/data_plane.rs
+++ b/dataplane/src/data_plane.rs
@@ -1,107 +1,59 @@
-//! What all connections of the data plane share.
+//! The state that the tasks of the data plane share.
+//!
+//! Everything runs on one thread, so cells suffice. No `RefCell` is borrowed across an `await`.
 
 use std::cell::{Cell, RefCell};
-use std::hash::{DefaultHasher, Hash, Hasher};
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
 
-use gradepaddle_config::{Configuration, Service, ServiceKind};
-use gradepaddle_engine::{AttemptId, Engine, Micros, ModelService, ServiceSpec, StoreService};
+use gradepaddle_config::Configuration;
+use gradepaddle_engine::{Engine, Micros};
 use gradepaddle_http::buffers::Pool;
 use slog::{Logger, info};
 use tokio::sync::watch;
-use tokio::time::{Instant, timeout, timeout_at};
+use tokio::time::{Instant, timeout};
 
-use crate::cache_events::CacheStoreSubscriptions;
-use crate::load_reports::LoadReports;
+use crate::cache_events::subscriptions::CacheStoreSubscriptions;
+use crate::counters::Counters;
+use crate::key_validity::{KeyValidity, KeyValidityTracker};
+use crate::lifecycle::{Lifecycle, OpenRequestGuard, Phase};
+use crate::load_reports::state::{LoadReportCounters, LoadReports};
 use crate::upstream_pool::UpstreamPool;
 
-/// How far the process is from its end.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Phase {
-    /// Requests are taken.
-    Serving,
-    /// The end is announced: requests are still served, each answer ends its connection.
-    Draining,
-    /// Nothing new is begun: connections without a request are closed, and a request that still comes is refused.
-    /// Requests that are open go on.
-    Closing,
-    /// No connection is taken any more.
-    Closed,
-}
-
-/// What the data plane is told at its start.
+/// What a data plane is built from.
 pub struct Setup {
-    /// Placement of generations.
+    /// Decides which server gets a request.
     pub engine: Engine,
-    /// Where this node stands.
+    /// The failure domain of this node.
     pub zone: Arc<str>,
     /// Where to log.
     pub log: Logger,
 }
 
-/// What shows that the keys of a configuration are good.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct KeyValidity {
-    /// The version of the configuration, or a later one.
-    pub version: u64,
-    /// Until when (by [`DataPlane::now`]); 0 if nothing shows it yet.
-    pub valid_until: Micros,
-}
-
-/// Counts since the start.
-#[derive(Debug, Default)]
-pub struct Counters {
-    /// Requests that were read whole.
-    pub requests: Cell<u64>,
-    /// Answers with a server's success.
-    pub responses: Cell<u64>,
-    /// Refusals with a promise that the request did not run.
-    pub rejected: Cell<u64>,
-    /// Requests turned down as not allowed by the configuration.
-    pub denied: Cell<u64>,
-    /// Requests that failed, or whose answer was cut.
-    pub failed: Cell<u64>,
-    /// Attempts beyond the first of a request.
-    pub retries: Cell<u64>,
-    /// Attempts taken back, since they had not begun as their server's weights got too old.
-    pub withdrawn: Cell<u64>,
-    /// Streams taken up at another server.
-    pub resumed: Cell<u64>,
-}
-
-/// Adds one.
-pub(crate) fn count(counter: &Cell<u64>) {
-    counter.set(counter.get() + 1);
-}
-
-/// The state that connections, attempts and the control plane share.
+/// The state that connections, attempts and the inputs of the control plane share.
 pub struct DataPlane {
-    /// Placement, fed by the control plane and by what attempts show.
+    /// Placement, fed by the control plane and by the results of attempts.
     pub engine: RefCell<Engine>,
     /// Counts since the start.
     pub counters: Counters,
     pub(crate) pool: Pool,
     pub(crate) upstreams: UpstreamPool,
     pub(crate) log: Logger,
-    configuration: RefCell<Option<Rc<Configuration>>>,
-    shared_isolation: Cell<u64>,
-    started: Instant,
-    configured: watch::Sender<bool>,
-    phase: watch::Sender<Phase>,
-    open: Cell<usize>,
-    has_control: Cell<bool>,
-    /// What shows that keys are good; none where that needs nothing.
-    keys: Cell<Option<KeyValidity>>,
-    /// Whether they could be when that was last looked at, for the log.
-    keys_lapsed: Cell<bool>,
-    /// Told when there is other evidence of keys.
-    keys_changed: watch::Sender<()>,
-    /// Told when versions are named or postponed.
-    versions_changed: watch::Sender<()>,
+    pub(crate) lifecycle: Lifecycle,
+    pub(crate) key_validity: KeyValidityTracker,
     pub(crate) cache_stores: CacheStoreSubscriptions,
     pub(crate) load_reports: LoadReports,
+    /// Notified when a model version is announced or its deadline postponed.
+    pub(crate) versions_changed: watch::Sender<()>,
+    /// The origin of [`DataPlane::now`].
+    pub(crate) started: Instant,
+    configuration: RefCell<Option<Rc<Configuration>>>,
+    /// Becomes true with the first configuration.
+    configured: watch::Sender<bool>,
+    /// Hash of the set of isolated tenants.
+    shared_isolation: Cell<u64>,
+    control_connected: Cell<bool>,
 }
 
 impl DataPlane {
@@ -113,23 +65,20 @@
             pool: Pool::default(),
             upstreams: UpstreamPool::new(),
             log: setup.log,
-            configuration: RefCell::new(None),
-            shared_isolation: Cell::new(0),
-            started: Instant::now(),
-            configured: watch::Sender::new(false),
-            phase: watch::Sender::new(Phase::Serving),
-            open: Cell::new(0),
-            has_control: Cell::new(false),
-            keys: Cell::new(None),
-            keys_lapsed: Cell::new(false),
-            keys_changed: watch::Sender::new(()),
-            versions_changed: watch::Sender::new(()),
+            lifecycle: Lifecycle::new(),
+            key_validity: KeyValidityTracker::default(),
             cache_stores: CacheStoreSubscriptions::default(),
             load_reports: LoadReports::new(setup.zone),
+            versions_changed: watch::Sender::new(()),
+            started: Instant::now(),
+            configuration: RefCell::new(None),
+            configured: watch::Sender::new(false),
+            shared_isolation: Cell::new(0),
+            control_connected: Cell::new(false),
         })
     }
 
-    /// Microseconds since the start.
+    /// Microseconds since the data plane was built, by the monotonic clock.
     pub fn now(&self) -> Micros {
         self.started.elapsed().as_micros() as Micros
     }
@@ -139,206 +88,98 @@
         self.configuration.borrow().clone()
     }
 
-    /// The configuration in force, waited for if there is none yet.
-    pub(crate) async fn wait_for_configuration(&self, span: Duration) -> Option<Rc<Configuration>> {
+    /// The configuration in force, waited for at most this long if there is none yet. Cancellation safe.
+    pub(crate) async fn wait_for_configuration(&self, limit: Duration) -> Option<Rc<Configuration>> {
         if self.configuration.borrow().is_none() {
             let mut configured = self.configured.subscribe();
-            // Without one in time the caller is told that there is none.
-            let _ = timeout(span, configured.wait_for(|there| *there)).await;
+            // After a time-out the caller gets `None`.
+            let _ = timeout(limit, configured.wait_for(|configured| *configured)).await;
         }
         self.configuration()
     }
 
-    /// Puts a configuration in force, unless one of the same or a later version is.
-    pub fn set_configuration(self: &Rc<Self>, configuration: Configuration) {
-        if self.configuration.borrow().as_ref().is_some_and(|old| old.version >= configuration.version) {
-            return;
-        }
-        let mut hasher = DefaultHasher::new();
-        for tenant in configuration.isolated_tenants() {
-            tenant.name.hash(&mut hasher);
-        }
-        self.shared_isolation.set(hasher.finish());
-        let now = self.now();
-        self.engine.borrow_mut().set_services(now, services(&configuration));
-        info!(self.log, "configuration in force"; "version" => configuration.version);
-        *self.configuration.borrow_mut() = Some(Rc::new(configuration));
+    /// Replaces the configuration in force. `shared_isolation`: see [`DataPlane::shared_isolation`].
+    pub(crate) fn replace_configuration(&self, configuration: Rc<Configuration>, shared_isolation: u64) {
+        self.shared_isolation.set(shared_isolation);
+        *self.configuration.borrow_mut() = Some(configuration);
         self.configured.send_replace(true);
-        self.update_subscriptions();
     }
 
-    /// The identity of the set of isolated tenants, which keeps parts made under another set apart.
+    /// The hash of the set of isolated tenants. It salts the cached prefixes of all other tenants, so that none that was
+    /// made while a tenant was not yet isolated is reused.
     pub(crate) fn shared_isolation(&self) -> u64 {
         self.shared_isolation.get()
     }
 
-    /// Newer weights were named: nothing older may begin from `binds_in` after now.
-    pub fn announce_version(&self, model: &str, version: u64, binds_in: Micros) {
-        let binds_at = self.now() + binds_in;
-        self.engine.borrow_mut().name_version(binds_at, model, version);
-        self.versions_changed.send_replace(());
-    }
-
-    /// The time within which a version has to be in use began anew: it ends `binds_in` after now.
-    pub fn postpone_version(&self, model: &str, version: u64, binds_in: Micros) {
-        let binds_at = self.now() + binds_in;
-        self.engine.borrow_mut().postpone_version(binds_at, model, version);
-        self.versions_changed.send_replace(());
+    /// Says whether this node has been connected to the control plane.
+    pub fn set_control_connected(&self, connected: bool) {
+        self.control_connected.set(connected);
     }
 
-    /// Ready once an attempt has to be taken back: it has not begun, and its server's weights are about to be too old.
-    pub(crate) async fn version_deadline_passed(&self, attempt: AttemptId) {
-        let mut changes = self.versions_changed.subscribe();
-        loop {
-            // The sender lives as long as this does: a change or a time-out ends each wait.
-            let by = self.engine.borrow().must_begin_by(attempt);
-            match by {
-                Some(by) if by <= self.now() => return,
-                Some(by) => {
-                    drop(timeout_at(self.started + Duration::from_micros(by), changes.changed()).await)
-                }
-                None => drop(changes.changed().await),
-            }
-        }
-    }
-
-    /// An attempt was taken back, since it had not begun as its server's weights got too old.
-    pub(crate) fn attempt_withdrawn(&self, server: &str) {
-        count(&self.counters.withdrawn);
-        info!(self.log, "request taken back"; "server" => server);
-    }
-
-    /// Says whether the node has been in touch with control.
-    pub fn set_control_connected(&self, has: bool) {
-        self.has_control.set(has);
-    }
-
-    /// Until when keys may be acted on: after that one of them may have been taken away without word of it. Without this
-    /// call they may be for ever.
-    pub fn set_key_validity(&self, evidence: KeyValidity) {
-        self.keys.set(Some(evidence));
-        self.keys_changed.send_replace(());
+    /// Takes the deadline of keys from the control plane. Without this call keys are valid for ever.
+    pub fn set_key_validity(&self, validity: KeyValidity) {
+        self.key_validity.set(validity);
         self.log_key_validity();
     }
 
-    /// Logs when keys lapse and when they are good again.
-    fn log_key_validity(&self) {
-        let lapsed = self.key_validity_expired();
-        if self.keys_lapsed.replace(lapsed) != lapsed {
-            info!(self.log, "keys"; "lapsed" => lapsed);
+    /// Logs when keys expire and when they are valid again.
+    pub(crate) fn log_key_validity(&self) {
+        let expired = self.keys_expired();
+        if self.key_validity.note_expired(expired) {
+            info!(self.log, "keys"; "lapsed" => expired);
         }
     }
 
-    /// Waits for the first evidence that keys are good: it comes soon after the configuration.
-    pub(crate) async fn wait_for_key_validity(&self, span: Duration) {
-        let mut changes = self.keys_changed.subscribe();
-        let shown = async {
-            while self.keys.get().is_some_and(|evidence| evidence.valid_until == 0) {
-                // The sender lives as long as this does.
-                drop(changes.changed().await);
-            }
-        };
-        // Without any in time the caller finds that they have lapsed.
-        let _ = timeout(span, shown).await;
+    /// True if it is not known whether keys are still valid.
+    pub(crate) fn keys_expired(&self) -> bool {
+        let version = self.configuration.borrow().as_ref().map(|configuration| configuration.version);
+        self.key_validity.has_expired(self.now(), version)
     }
 
-    /// True if it is not known whether keys are still good.
-    pub(crate) fn key_validity_expired(&self) -> bool {
-        let Some(evidence) = self.keys.get() else { return false };
-        // A configuration that this build could not read may be in force everywhere else.
-        let older = self.configuration.borrow().as_ref().is_some_and(|one| one.version < evidence.version);
-        older || self.now() >= evidence.valid_until
-    }
-
-    /// True if new connections are welcome.
+    /// True if new connections should come to this node.
     pub fn is_ready(&self) -> bool {
         let configuration = self.configuration.borrow();
-        let serves =
-            configuration.as_ref().is_some_and(|one| !one.needs_key() || !self.key_validity_expired());
-        *self.phase.borrow() == Phase::Serving && self.has_control.get() && serves
+        let serves = configuration.as_ref().is_some_and(|one| !one.needs_key() || !self.keys_expired());
+        self.lifecycle.phase() == Phase::Serving && self.control_connected.get() && serves
     }
 
-    /// True while requests that come are begun.
-    pub(crate) fn accepts_requests(&self) -> bool {
-        *self.phase.borrow() < Phase::Closing
-    }
-
-    /// Moves on towards the end.
+    /// Moves on to a later phase of shutdown.
     pub fn set_phase(&self, phase: Phase) {
-        self.phase.send_replace(phase);
+        self.lifecycle.set_phase(phase);
     }
 
-    /// Waits until the process is that far on its way to the end.
+    /// Ready once the process is in this phase or a later one. Cancellation safe.
     pub async fn phase_reached(&self, reached: Phase) {
-        // The sender lives as long as this does.
-        let _ = self.phase.subscribe().wait_for(|phase| *phase >= reached).await;
+        self.lifecycle.phase_reached(reached).await;
+    }
+
+    /// True while requests that come are begun.
+    pub(crate) fn accepts_requests(&self) -> bool {
+        self.lifecycle.phase() < Phase::Closing
     }
 
-    /// True if each answer ends its connection.
+    /// True if each response closes its connection.
     pub(crate) fn closes_connections(&self) -> bool {
-        *self.phase.borrow() != Phase::Serving
+        self.lifecycle.phase() != Phase::Serving
     }
 
-    /// Requests that have been read and not yet answered whole.
+    /// Requests of which at least one byte was read and the response is not yet written to its end.
     pub fn open_requests(&self) -> usize {
-        self.open.get()
+        self.lifecycle.open_requests()
     }
 
-    pub(crate) fn track_request(self: &Rc<Self>) -> OpenRequestGuard {
-        self.open.set(self.open.get() + 1);
-        OpenRequestGuard(self.clone())
+    /// Counts a request as open until the guard is dropped.
+    pub(crate) fn track_request(&self) -> OpenRequestGuard {
+        self.lifecycle.track_request()
     }
 
     /// Closes idle connections to a server that takes nothing new.
-    pub fn close_idle_connections(&self, id: &str) {
-        self.upstreams.close_idle(id);
-    }
-
-    /// Housekeeping, about once a second.
-    pub fn sweep(&self) {
-        self.log_key_validity();
-        self.upstreams.sweep();
-        self.renew_reported_stores();
-    }
-}
-
-/// Counts an open request until it is dropped.
-pub(crate) struct OpenRequestGuard(Rc<DataPlane>);
-
-impl Drop for OpenRequestGuard {
-    fn drop(&mut self) {
-        self.0.open.set(self.0.open.get() - 1);
+    pub fn close_idle_connections(&self, server: &str) {
+        self.upstreams.close_idle(server);
     }
-}
 
-fn services(configuration: &Configuration) -> Vec<ServiceSpec> {
-    configuration.services.iter().map(service).collect()
-}
-
-fn service(service: &Service) -> ServiceSpec {
-    match &service.kind {
-        ServiceKind::Servers { max_connections, engine, .. } => {
-            let spec = ModelService::builder().name(service.name.clone());
-            let spec = spec.max_connections(max_connections.unwrap_or(0));
-            ServiceSpec::Model(match engine {
-                Some(engine) => spec
-                    .slots(engine.slots)
-                    .cache_tokens(engine.cache_tokens)
-                    .token_bytes(engine.token_bytes)
-                    .link_mbps(engine.link_mbps)
-                    .models(engine.models.clone())
-                    .build(),
-                None => spec.build(),
-            })
-        }
-        ServiceKind::Store { address, zone, cache_tokens, link_mbps, .. } => ServiceSpec::Store(
-            StoreService::builder()
-                .name(service.name.clone())
-                .address(*address)
-                .zone(zone.clone())
-                .cache_tokens(*cache_tokens)
-                .link_mbps(*link_mbps)
-                .build(),
-        ),
+    /// Counts of the load reports that nodes send each other.
+    pub fn load_report_counters(&self) -> &LoadReportCounters {
+        &self.load_reports.counters
     }
 }
--- a/dataplane/src/event_splitter.rs
+++ b/dataplane/src/event_splitter.rs
@@ -1,48 +1,49 @@
-//! Streams of events: where an event ends, its id, and a change of weights told by it. No I/O.
+//! Server-sent events (WHATWG HTML, section 9.2): where an event ends, its id, and the model version that it names. No
+//! I/O.
 
-/// The field that tells an event's id.
+/// The field with an event's id.
 const ID: &[u8] = b"id:";
-/// The field that holds an event's data.
+/// The field with an event's data.
 const DATA: &[u8] = b"data:";
-/// The field that tells the versions of weights from this event on.
+/// The field with the model versions from this event on.
 const VERSIONS: &[u8] = b"versions:";
 
-/// Cuts a stream into whole events.
+/// Cuts a stream into complete events.
 ///
-/// Only whole events are passed on, so that a stream that breaks can be taken up at an event's end.
+/// Only complete events are forwarded, so that a stream that breaks can be resumed at the end of one.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     pending: Vec<u8>,
     last_id: Option<u64>,
     /// The last event had no id.
-    unnumbered: bool,
+    last_without_id: bool,
     version: Option<u64>,
 }
 
 impl EventSplitter {
-    /// A splitter for a stream that goes on behind this id, if it is one that is taken up.
+    /// A splitter for a stream that resumes behind this id, if there is one.
     pub fn after(last_id: Option<u64>) -> Self {
         EventSplitter { last_id, ..EventSplitter::default() }
     }
 
-    /// The id of the last whole event.
+    /// The id of the last complete event that had one.
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// True if the last whole event is the one that [`EventSplitter::last_id`] names: behind one without an id, no
-    /// server could go on without a repeat.
+    /// True if the last complete event is the one that [`EventSplitter::last_id`] names: behind one without an id, no
+    /// server could resume without a repeat.
     pub fn last_event_has_id(&self) -> bool {
-        !self.unnumbered
+        !self.last_without_id
     }
 
-    /// The version of weights that the last event with one told; taken by this call.
+    /// The model version that the last event with one named; this call resets it.
     pub fn take_version(&mut self) -> Option<u64> {
         self.version.take()
     }
 
-    /// Takes in bytes of the stream and appends to `whole` the events that are complete by now.
-    pub fn push(&mut self, bytes: &[u8], whole: &mut Vec<u8>) {
+    /// Takes in bytes of the stream and appends the events that are complete by now to `complete`.
+    pub fn push(&mut self, bytes: &[u8], complete: &mut Vec<u8>) {
         let searched = self.pending.len().saturating_sub(3);
         self.pending.extend_from_slice(bytes);
         let mut start = 0;
@@ -53,17 +54,17 @@
             at = end;
         }
         if start > 0 {
-            whole.extend_from_slice(&self.pending[..start]);
+            complete.extend_from_slice(&self.pending[..start]);
             self.pending.drain(..start);
         }
     }
 
-    /// Bytes behind the last whole event, given back at the end of a stream that ended in order.
+    /// Bytes behind the last complete event, to be forwarded at the end of a stream that was not cut.
     pub fn take_remainder(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.pending)
     }
 
-    /// Drops what came of an event that will not be complete.
+    /// Drops the beginning of an event that will not be completed.
     pub fn discard_partial(&mut self) {
         self.pending.clear();
     }
@@ -81,7 +82,7 @@
         }
         self.last_id = id.or(self.last_id);
         if id.is_some() || has_data {
-            self.unnumbered = id.is_none();
+            self.last_without_id = id.is_none();
         }
     }
 }
--- a/dataplane/src/lib.rs
+++ b/dataplane/src/lib.rs
@@ -1,26 +1,60 @@
-//! The data plane of a node: client connections, routes and tenants, attempts at model servers, streams.
+//! The data plane of a node: everything between a client's connection and a model server's.
 //!
-//! Everything runs on one thread. Decisions come from `gradepaddle-engine`, the configuration from
-//! `gradepaddle-config`; this package owns the sockets. No other process is asked for an ordinary request.
+//! It is a package of its own because it alone owns these sockets: decisions come from `gradepaddle-engine`, which does no
+//! I/O, the configuration from `gradepaddle-config`, and membership, deadlines and orders from the control plane, which
+//! calls [`DataPlane`]. No other process is asked for an ordinary request. Everything runs on one thread.
+//!
+//! # The way of a request
+//!
+//! | step | module | what it decides |
+//! | --- | --- | --- |
+//! | 1 | `client_connection` ([`serve_clients`]) | accepts, reads the request within the limits, writes after the response |
+//! | 2 | `admission` | may a request begin now: draining, configuration, key validity |
+//! | 3 | `routing` | route, tenant, service, priority, deadline, prompt |
+//! | 4 | `proxy`, `proxied_request` | attempts until one brings a response; the node's own response if none does |
+//! | 5 | `attempt` | a server from the engine, a connection from `upstream_pool`, the end told to the engine |
+//! | 6 | `upstream_request`, `upstream_response` | the bytes to the server; the head of its response, if it is this request's |
+//! | 7 | `retry` | whether one more attempt is allowed |
+//! | 8 | `response_forwarding`, `event_splitter` | head, body and events to the client; where a stream may be resumed |
+//!
+//! Beside that: `load_reports` (datagrams between nodes), `cache_events` (what cache stores hold), `version_deadlines`
+//! (model versions that become binding), `key_validity`, `lifecycle` and `shutdown`, `readiness`, and `control_inputs`
+//! (what the control plane puts in force).
 
 mod admission;
 mod attempt;
 mod cache_events;
 mod client_connection;
+mod control_inputs;
+mod counters;
 mod data_plane;
 mod event_splitter;
+mod key_validity;
+mod lifecycle;
 pub mod load_reports;
 mod local_response;
 mod proxied_request;
+mod proxy;
 mod readiness;
 mod response_forwarding;
+mod retry;
+mod routing;
+mod service_specs;
 mod shutdown;
 mod upstream_pool;
+mod upstream_request;
+mod upstream_response;
+mod version_deadlines;
 
-pub use cache_events::{StoreHealthListener, should_report_health};
+pub use cache_events::subscriptions::{StoreHealthListener, should_report_health};
 pub use client_connection::serve_clients;
-pub use data_plane::{Counters, DataPlane, KeyValidity, Phase, Setup};
+pub use counters::Counters;
+pub use data_plane::{DataPlane, Setup};
 pub use event_splitter::EventSplitter;
-pub use load_reports::{ForwardedReport, LoadReportCounters, receive_load_reports, send_load_reports};
+pub use key_validity::KeyValidity;
+pub use lifecycle::Phase;
+pub use load_reports::receiver::{ForwardedReport, receive_load_reports};
+pub use load_reports::sender::send_load_reports;
+pub use load_reports::state::LoadReportCounters;
 pub use readiness::serve_readiness;
 pub use shutdown::{ShutdownTimes, shut_down};
--- a/dataplane/src/load_reports/content.rs
+++ b/dataplane/src/load_reports/content.rs
@@ -1,46 +1,47 @@
-//! What a message of loads holds: the engine's figures as they travel, and which are believed.
+//! The content of a load report: the engine's figures as they travel, and which are accepted.
 
 use gradepaddle_engine::{KeptTokens, OwnLoad, Part, Sighting, StoreChanges};
 use gradepaddle_proto::{KeptPrompt, LoadShare, PromptPart, ServerShare, StoreReport};
 
 use super::resend_window::ResendWindow;
 
-/// Prompts told in one message at most.
-const PROMPTS_MOST: usize = 96;
-/// Reports of stores in one message at most, and parts in one of them: a datagram has to hold them.
-const STORE_REPORTS_MOST: usize = 96;
-const CHANGED_PARTS_MOST: usize = 1_024;
-/// No balancer has more than this in flight at one server.
-const RUNNING_MOST: u32 = 100_000;
-/// No balancer has more than this to read at one server, in milliseconds: ten minutes.
-const BACKLOG_MOST_MS: u32 = 600_000;
-/// No prompt has more parts.
-const PARTS_MOST: usize = 256;
+/// Cached prefixes in one report at most: a datagram has to hold them.
+const MAX_PREFIXES: usize = 96;
+/// Reports of cache stores in one load report at most.
+const MAX_STORE_REPORTS: usize = 96;
+/// Chunks in one report of a cache store at most.
+const MAX_CHANGED_CHUNKS: usize = 1_024;
+/// No node has more than this in flight at one server.
+const MAX_RUNNING: u32 = 100_000;
+/// No node has more than this to prefill at one server, in milliseconds: ten minutes.
+const MAX_BACKLOG_MS: u32 = 600_000;
+/// No prompt has more chunks.
+const MAX_PROMPT_CHUNKS: usize = 256;
 
-/// Prompts seen kept in the last rounds.
-pub(super) fn recent_prompts() -> ResendWindow<KeptPrompt> {
-    ResendWindow::new(PROMPTS_MOST)
+/// Prefixes seen cached in the last rounds.
+pub(super) fn cached_prefix_window() -> ResendWindow<KeptPrompt> {
+    ResendWindow::new(MAX_PREFIXES)
 }
 
-/// What changed at stores in the last rounds.
-pub(super) fn recent_changes() -> ResendWindow<StoreReport> {
-    ResendWindow::new(STORE_REPORTS_MOST)
+/// Changes of cache stores in the last rounds.
+pub(super) fn store_report_window() -> ResendWindow<StoreReport> {
+    ResendWindow::new(MAX_STORE_REPORTS)
 }
 
 pub(super) fn store_report(changes: &StoreChanges) -> StoreReport {
-    let parts = changes.parts.iter().take(CHANGED_PARTS_MOST);
+    let chunks = changes.parts.iter().take(MAX_CHANGED_CHUNKS);
     let StoreChanges { store, reset, .. } = *changes;
-    let parts = parts.map(|part| PromptPart { id: part.key, tokens: part.tokens }).collect();
+    let parts = chunks.map(|chunk| PromptPart { id: chunk.key, tokens: chunk.tokens }).collect();
     StoreReport { store, reset, parts }
 }
 
 pub(super) fn store_changes(report: &StoreReport) -> StoreChanges {
-    let parts = report.parts.iter().map(|part| KeptTokens { key: part.id, tokens: part.tokens });
+    let chunks = report.parts.iter().map(|chunk| KeptTokens { key: chunk.id, tokens: chunk.tokens });
     let StoreReport { store, reset, .. } = *report;
-    StoreChanges { store, reset, parts: parts.collect() }
+    StoreChanges { store, reset, parts: chunks.collect() }
 }
 
-pub(super) fn share(load: OwnLoad) -> ServerShare {
+pub(super) fn server_load(load: OwnLoad) -> ServerShare {
     ServerShare {
         server: load.server,
         backlog_ms: load.backlog_ms.max(0.0) as u32,
@@ -49,43 +50,41 @@
     }
 }
 
-pub(super) fn own_load(share: &ServerShare) -> OwnLoad {
+pub(super) fn own_load(load: &ServerShare) -> OwnLoad {
     OwnLoad {
-        server: share.server,
-        backlog_ms: f64::from(share.backlog_ms),
-        running: share.running,
-        tokens: share.tokens,
+        server: load.server,
+        backlog_ms: f64::from(load.backlog_ms),
+        running: load.running,
+        tokens: load.tokens,
     }
 }
 
-pub(super) fn kept_prompt(sighting: &Sighting) -> KeptPrompt {
-    let parts = sighting.parts.iter().map(|part| PromptPart { id: part.id, tokens: part.tokens });
+pub(super) fn cached_prefix(sighting: &Sighting) -> KeptPrompt {
+    let chunks = sighting.parts.iter().map(|chunk| PromptPart { id: chunk.id, tokens: chunk.tokens });
     let Sighting { server, key, version, salt, .. } = *sighting;
-    KeptPrompt { server, key, version, salt, parts: parts.collect() }
+    KeptPrompt { server, key, version, salt, parts: chunks.collect() }
 }
 
-pub(super) fn sighting(kept: &KeptPrompt) -> Sighting {
-    let parts = kept.parts.iter().map(|part| Part { id: part.id, tokens: part.tokens });
-    let KeptPrompt { server, key, version, salt, .. } = *kept;
-    Sighting { server, key, version, salt, parts: parts.collect() }
+pub(super) fn sighting(prefix: &KeptPrompt) -> Sighting {
+    let chunks = prefix.parts.iter().map(|chunk| Part { id: chunk.id, tokens: chunk.tokens });
+    let KeptPrompt { server, key, version, salt, .. } = *prefix;
+    Sighting { server, key, version, salt, parts: chunks.collect() }
 }
 
-/// True if others need not be told: what is read meanwhile they count down themselves.
-pub(super) fn same(now: &[ServerShare], told: &[ServerShare]) -> bool {
-    let timeless = |share: &ServerShare| (share.server, share.running, share.tokens);
-    now.len() == told.len() && now.iter().map(timeless).eq(told.iter().map(timeless))
+/// True if peers need no new report: they count down by themselves what is prefilled meanwhile.
+pub(super) fn unchanged(now: &[ServerShare], reported: &[ServerShare]) -> bool {
+    let without_backlog = |load: &ServerShare| (load.server, load.running, load.tokens);
+    now.len() == reported.len() && now.iter().map(without_backlog).eq(reported.iter().map(without_backlog))
 }
 
-/// False for figures that no balancer can have.
-pub(super) fn believable(message: &LoadShare) -> bool {
-    let possible = |share: &ServerShare| {
-        share.running <= RUNNING_MOST
-            && share.backlog_ms <= BACKLOG_MOST_MS
-            && share.tokens <= u64::from(u32::MAX)
+/// False for figures that no node can have.
+pub(super) fn is_plausible(report: &LoadShare) -> bool {
+    let possible = |load: &ServerShare| {
+        load.running <= MAX_RUNNING && load.backlog_ms <= MAX_BACKLOG_MS && load.tokens <= u64::from(u32::MAX)
     };
-    message.servers.iter().all(possible)
-        && message.kept.len() <= PROMPTS_MOST
-        && message.kept.iter().all(|kept| kept.parts.len() <= PARTS_MOST)
-        && message.changes.len() <= STORE_REPORTS_MOST
-        && message.changes.iter().all(|changes| changes.parts.len() <= CHANGED_PARTS_MOST)
+    report.servers.iter().all(possible)
+        && report.kept.len() <= MAX_PREFIXES
+        && report.kept.iter().all(|prefix| prefix.parts.len() <= MAX_PROMPT_CHUNKS)
+        && report.changes.len() <= MAX_STORE_REPORTS
+        && report.changes.iter().all(|changes| changes.parts.len() <= MAX_CHANGED_CHUNKS)
 }
--- /dev/null
+++ b/dataplane/src/load_reports/receiver.rs
@@ -0,0 +1,85 @@
+//! Receives the load reports of peers, and forwards those that are meant for the whole zone.
+
+use std::net::{SocketAddr, SocketAddrV4};
+use std::rc::Rc;
+
+use gradepaddle_proto::{Decode, Encode, LoadShare};
+use tokio::net::UdpSocket;
+
+use super::content::{is_plausible, own_load, sighting, store_changes};
+use crate::counters::increment;
+use crate::data_plane::DataPlane;
+
+/// The longest datagram that is read, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
+
+/// A report that is to be forwarded to the other nodes of this zone.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ForwardedReport {
+    /// The datagram.
+    pub bytes: Vec<u8>,
+    /// Whom it goes to.
+    pub recipients: Vec<SocketAddrV4>,
+}
+
+/// Receives and forwards load reports, for as long as the process runs.
+pub async fn receive_load_reports(plane: Rc<DataPlane>, socket: Rc<UdpSocket>) {
+    let mut bytes = vec![0; MAX_DATAGRAM_BYTES];
+    loop {
+        let Ok((length, SocketAddr::V4(from))) = socket.recv_from(&mut bytes).await else { continue };
+        let Some(forwarded) = plane.receive_load_report(from, &bytes[..length]) else { continue };
+        for recipient in forwarded.recipients {
+            plane.load_reports.send(&socket, &forwarded.bytes, recipient);
+        }
+    }
+}
+
+impl DataPlane {
+    /// Takes a datagram in, and gives what is to be forwarded. One that is undecodable, of an unknown node, outdated or
+    /// implausible is only counted.
+    #[must_use = "the other nodes of the zone get the report through this one"]
+    pub fn receive_load_report(&self, from: SocketAddrV4, bytes: &[u8]) -> Option<ForwardedReport> {
+        let counters = &self.load_reports.counters;
+        let Ok(report) = LoadShare::from_bytes(bytes) else {
+            increment(&counters.unreadable);
+            return None;
+        };
+        // Reports of older builds name no origin; none of those was forwarded.
+        let origin = report.origin.unwrap_or(from);
+        let known = self.load_reports.recipients.borrow();
+        if !known.contains(from) || !known.contains(origin) {
+            increment(&counters.unknown_senders);
+            return None;
+        }
+        if !is_plausible(&report) {
+            increment(&counters.implausible);
+            return None;
+        }
+        if !apply(self, origin, &report) {
+            increment(&counters.outdated);
+            return None;
+        }
+        increment(&counters.received);
+        if !report.relay {
+            return None;
+        }
+        let recipients = known.zone_peers().filter(|peer| *peer != from && *peer != origin).collect();
+        let bytes = LoadShare { relay: false, origin: Some(origin), ..report }.to_bytes();
+        Some(ForwardedReport { bytes, recipients })
+    }
+}
+
+/// Has the engine apply a report. False if a later one of the same node came first.
+fn apply(plane: &DataPlane, origin: SocketAddrV4, report: &LoadShare) -> bool {
+    let peer = u64::from(u32::from(*origin.ip())) << 16 | u64::from(origin.port());
+    let now = plane.now();
+    let loads = report.servers.iter().map(own_load).collect();
+    let mut engine = plane.engine.borrow_mut();
+    let is_latest = engine.peer_loads(now, peer, report.sequence, loads);
+    if is_latest {
+        let sightings: Vec<_> = report.kept.iter().map(sighting).collect();
+        engine.peer_sightings(now, &sightings);
+        report.changes.iter().for_each(|changes| engine.peer_store_changes(now, &store_changes(changes)));
+    }
+    is_latest
+}
--- a/dataplane/src/load_reports/resend_window.rs
+++ b/dataplane/src/load_reports/resend_window.rs
@@ -1,32 +1,33 @@
-//! News that not all others have been told yet. No I/O.
+//! Items that not all peers have been sent yet. No I/O.
 
 use std::collections::VecDeque;
 
-/// What was new in the last rounds: where not all others are told each time, each is told once in several.
+/// The new items of the last rounds: where a report does not reach all peers, each peer is reached once in several
+/// rounds, and an item stays in the window for as many.
 #[derive(Debug)]
 pub struct ResendWindow<T> {
     rounds: VecDeque<Vec<T>>,
-    /// As much as one message holds.
-    most: usize,
+    /// Items that one report holds at most.
+    capacity: usize,
 }
 
 impl<T: Clone> ResendWindow<T> {
-    /// Of messages that hold so much.
-    pub fn new(most: usize) -> Self {
-        ResendWindow { rounds: VecDeque::new(), most }
+    /// An empty window for reports of at most `capacity` items.
+    pub fn new(capacity: usize) -> Self {
+        ResendWindow { rounds: VecDeque::new(), capacity }
     }
 
-    /// Keeps what is new beside what was new in the rounds before, of so many in all.
-    pub fn push_round(&mut self, fresh: impl Iterator<Item = T>, rounds: usize) {
-        self.rounds.push_back(fresh.take(self.most).collect());
+    /// Adds the items of a new round, of which those beyond the capacity are dropped, and keeps `rounds` rounds in all.
+    pub fn push_round(&mut self, items: impl Iterator<Item = T>, rounds: usize) {
+        self.rounds.push_back(items.take(self.capacity).collect());
         while self.rounds.len() > rounds {
             self.rounds.pop_front();
         }
     }
 
-    /// The latest, as many as a message holds, in the order in which they came.
+    /// The latest items, as many as a report holds, oldest first.
     pub fn items(&self) -> Vec<T> {
         let count = self.rounds.iter().map(Vec::len).sum::<usize>();
-        self.rounds.iter().flatten().skip(count.saturating_sub(self.most)).cloned().collect()
+        self.rounds.iter().flatten().skip(count.saturating_sub(self.capacity)).cloned().collect()
     }
 }
--- /dev/null
+++ b/dataplane/src/load_reports/sender.rs
@@ -0,0 +1,85 @@
+//! Sends this node's load reports.
+
+use std::net::{SocketAddr, SocketAddrV4};
+use std::rc::Rc;
+use std::time::Duration;
+
+use gradepaddle_proto::{Encode, KeptPrompt, LoadShare, ServerShare, StoreReport};
+use tokio::net::UdpSocket;
+use tokio::time::{Instant, sleep, timeout};
+
+use super::content::{
+    cached_prefix, cached_prefix_window, server_load, store_report, store_report_window, unchanged,
+};
+use super::resend_window::ResendWindow;
+use crate::data_plane::DataPlane;
+
+/// Between two reports at least.
+const MIN_INTERVAL: Duration = Duration::from_millis(10);
+/// What changes without a placement (prompts prefilled, requests ended) is reported after this.
+const IDLE_INTERVAL: Duration = Duration::from_millis(250);
+/// Without a change a report is sent once in so many intervals.
+const MAX_UNCHANGED_INTERVALS: u32 = 4;
+
+/// What was reported last.
+struct LastReport {
+    servers: Vec<ServerShare>,
+    prefixes: ResendWindow<KeptPrompt>,
+    store_changes: ResendWindow<StoreReport>,
+    /// Intervals since then.
+    unchanged_intervals: u32,
+}
+
+/// Reports to the peers what this node has in flight, for as long as the process runs.
+pub async fn send_load_reports(plane: Rc<DataPlane>, socket: Rc<UdpSocket>) {
+    let Ok(SocketAddr::V4(own)) = socket.local_addr() else { return };
+    let mut last = LastReport {
+        servers: Vec::new(),
+        prefixes: cached_prefix_window(),
+        store_changes: store_report_window(),
+        unchanged_intervals: 0,
+    };
+    let mut sent_at = Instant::now();
+    loop {
+        // Ready after either: a placement, or the interval of what can wait.
+        let _ = timeout(IDLE_INTERVAL, plane.load_reports.request_placed.notified()).await;
+        sleep(MIN_INTERVAL.saturating_sub(sent_at.elapsed())).await;
+        sent_at = Instant::now();
+        send_report(&plane, &socket, own, &mut last);
+    }
+}
+
+fn send_report(plane: &DataPlane, socket: &UdpSocket, own: SocketAddrV4, last: &mut LastReport) {
+    let now = plane.now();
+    let servers: Vec<ServerShare> =
+        plane.engine.borrow().own_loads(now).into_iter().map(server_load).collect();
+    let new_prefixes = plane.engine.borrow_mut().take_sightings();
+    let new_changes = plane.engine.borrow_mut().take_store_changes();
+    let has_news = !new_prefixes.is_empty() || !new_changes.is_empty();
+    last.unchanged_intervals += 1;
+    let is_due = last.unchanged_intervals >= MAX_UNCHANGED_INTERVALS;
+    if unchanged(&servers, &last.servers) && !has_news && !is_due {
+        return;
+    }
+    last.unchanged_intervals = 0;
+    let reports = &plane.load_reports;
+    let mut recipients = reports.recipients.borrow_mut();
+    let rounds = recipients.rounds_to_reach_all();
+    last.prefixes.push_round(new_prefixes.iter().map(cached_prefix), rounds);
+    last.store_changes.push_round(new_changes.iter().map(store_report), rounds);
+    last.servers = servers;
+    let report = LoadShare {
+        sequence: reports.next_sequence(),
+        origin: Some(own),
+        relay: false,
+        servers: last.servers.clone(),
+        kept: last.prefixes.items(),
+        changes: last.store_changes.items(),
+    };
+    let direct = report.to_bytes();
+    let to_forward = LoadShare { relay: true, ..report }.to_bytes();
+    for recipient in recipients.select(now, direct.len()) {
+        let bytes = if recipient.forwards { &to_forward } else { &direct };
+        reports.send(socket, bytes, recipient.address);
+    }
+}
--- /dev/null
+++ b/dataplane/src/proxy.rs
@@ -0,0 +1,164 @@
+//! Carries an admitted request out: attempts until one brings a response, then the response to its client.
+//!
+//! What holds whichever servers are selected: a request is processed at most once unless its route allows more; 429 and
+//! 503 are given only if no attempt can have been processed; a server that drains gets nothing; the client gets one
+//! response, complete or visibly cut.
+
+use std::time::Duration;
+
+use gradepaddle_engine::{AttemptOutcome, Choice, Refusal};
+use gradepaddle_http::Connection;
+use tokio::time::Instant;
+
+use crate::attempt::{AttemptResult, attempt};
+use crate::counters::increment;
+use crate::local_response::LocalResponse;
+use crate::proxied_request::ProxiedRequest;
+use crate::response_forwarding::{ForwardingOutcome, ResponseForwarding};
+use crate::retry::AttemptHistory;
+use crate::upstream_response::UpstreamResponse;
+
+/// `Retry-After` of a rejected request if nothing better is known.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(150);
+/// `Retry-After` of a request that its server rejected.
+const REJECTED_RETRY_AFTER: Duration = Duration::from_millis(60);
+
+/// How a request left its client's connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[must_use = "an aborted connection bears no other request"]
+pub(crate) enum RequestOutcome {
+    /// A response has been written to its end.
+    Responded,
+    /// The connection is of no more use: the client has gone, or its response was cut.
+    Aborted,
+}
+
+/// A request on its way through attempts.
+pub(crate) struct Proxy<'a> {
+    request: &'a ProxiedRequest<'a>,
+    history: AttemptHistory,
+    /// The client's connection ends behind the response.
+    close: bool,
+}
+
+impl<'a> Proxy<'a> {
+    /// Of a request that has not been sent to any server.
+    pub fn new(request: &'a ProxiedRequest<'a>, close: bool) -> Self {
+        Proxy { request, history: AttemptHistory::default(), close }
+    }
+
+    /// Carries the request out and responds to its client.
+    pub async fn run(mut self, client: &mut Connection) -> RequestOutcome {
+        let (plane, routed) = (self.request.plane, &self.request.routed);
+        let now = plane.now();
+        plane.engine.borrow_mut().note_request(now, &routed.service);
+        loop {
+            let result = attempt(self.request, client, &mut self.history, routed.last_event_id).await;
+            let (otherwise, retry_after) = match result {
+                Err(refusal) => (LocalResponse::BadGateway, retry_after(refusal)),
+                Ok(AttemptResult::Response(response, choice)) => {
+                    if self.history.should_retry(self.request, &response) {
+                        self.discard_response(&response, &choice);
+                        continue;
+                    }
+                    return self.forward_response(client, *response, choice).await;
+                }
+                Ok(AttemptResult::NotSent) if self.history.may_connect_again() => continue,
+                Ok(AttemptResult::NotSent) => (LocalResponse::BadGateway, DEFAULT_RETRY_AFTER),
+                Ok(AttemptResult::Rejected) if self.history.may_send(self.request) => continue,
+                Ok(AttemptResult::Rejected) => (LocalResponse::BadGateway, REJECTED_RETRY_AFTER),
+                Ok(AttemptResult::Failed) if self.history.may_retry(self.request) => continue,
+                Ok(AttemptResult::Failed) => {
+                    return self.respond_locally(client, LocalResponse::BadGateway).await;
+                }
+                Ok(AttemptResult::DeadlineExceeded) => (LocalResponse::GatewayTimeout, DEFAULT_RETRY_AFTER),
+                Ok(AttemptResult::ClientGone) => return RequestOutcome::Aborted,
+            };
+            // 503 says that the request was not processed.
+            let response = match self.history.may_have_run {
+                true => otherwise,
+                false => LocalResponse::Unavailable { retry_after },
+            };
+            return self.respond_locally(client, response).await;
+        }
+    }
+
+    /// Tells the engine of a failed attempt whose response is not forwarded.
+    fn discard_response(&self, response: &UpstreamResponse, choice: &Choice) {
+        let plane = self.request.plane;
+        let (now, load) = (plane.now(), response.load());
+        plane.engine.borrow_mut().ended(now, choice.attempt, AttemptOutcome::ServerError, load, None);
+    }
+
+    /// Forwards a response, and resumes its stream at another server where that is allowed.
+    async fn forward_response(
+        mut self,
+        client: &mut Connection,
+        response: UpstreamResponse,
+        choice: Choice,
+    ) -> RequestOutcome {
+        let counters = &self.request.plane.counters;
+        let succeeded = (200..300).contains(&response.status);
+        let mut forwarding = ResponseForwarding::new(self.request, response, choice, self.close);
+        loop {
+            match forwarding.run(client).await {
+                ForwardingOutcome::Complete => {
+                    increment(if succeeded { &counters.responses } else { &counters.failed });
+                    return RequestOutcome::Responded;
+                }
+                ForwardingOutcome::ClientGone => return RequestOutcome::Aborted,
+                ForwardingOutcome::Interrupted => {
+                    let Some((response, choice)) = self.resume(client, forwarding.resume_from()).await else {
+                        increment(&counters.failed);
+                        // The client must see a reset: an end could pass for the end of the response.
+                        client.break_off();
+                        return RequestOutcome::Aborted;
+                    };
+                    increment(&counters.resumed);
+                    forwarding.resume_with(response, choice);
+                }
+            }
+        }
+    }
+
+    /// Has another server resume a stream behind the event `from`, which is `None` where the response can't be resumed.
+    async fn resume(
+        &mut self,
+        client: &Connection,
+        from: Option<Option<u64>>,
+    ) -> Option<(UpstreamResponse, Choice)> {
+        let from = from?;
+        loop {
+            if !self.history.may_send(self.request) || Instant::now() >= self.request.deadline() {
+                return None;
+            }
+            match attempt(self.request, client, &mut self.history, from).await {
+                Ok(AttemptResult::Response(response, choice)) if response.status == 200 => {
+                    return Some((*response, choice));
+                }
+                Ok(AttemptResult::Response(response, choice)) => self.discard_response(&response, &choice),
+                Ok(AttemptResult::NotSent) if self.history.may_connect_again() => {}
+                Ok(AttemptResult::Rejected | AttemptResult::Failed) => {}
+                Ok(AttemptResult::NotSent | AttemptResult::DeadlineExceeded | AttemptResult::ClientGone)
+                | Err(_) => return None,
+            }
+        }
+    }
+
+    async fn respond_locally(&self, client: &Connection, response: LocalResponse) -> RequestOutcome {
+        let plane = self.request.plane;
+        let not_processed = matches!(response, LocalResponse::Unavailable { .. });
+        increment(if not_processed { &plane.counters.rejected } else { &plane.counters.failed });
+        let chain = response.to_chain(&plane.pool, Some(&self.request.routed.id), self.close);
+        match client.write(&[&chain]).await {
+            Ok(()) => RequestOutcome::Responded,
+            Err(_) => RequestOutcome::Aborted,
+        }
+    }
+}
+
+/// When a client may come back for which no server could be selected.
+fn retry_after(refusal: Refusal) -> Duration {
+    let (Refusal::NoServer { retry_after } | Refusal::Overloaded { retry_after }) = refusal;
+    Duration::from_micros(retry_after)
+}
--- a/dataplane/src/response_forwarding.rs
+++ b/dataplane/src/response_forwarding.rs
@@ -1,7 +1,8 @@
-//! An answer on its way to its client: head, body, events; a stream that breaks may go on from another server.
+//! Forwards a response to its client: head, body, events. A stream that breaks may be resumed at another server.
+//!
+//! A stream is forwarded event by event, so that what the client has always ends behind an event.
 
 use std::rc::Rc;
-use std::sync::Arc;
 use std::time::Duration;
 
 use gradepaddle_engine::{AttemptOutcome, Choice, OutdatedBegin, OwnPause};
@@ -10,118 +11,122 @@
 use slog::warn;
 use tokio::time::{Instant, sleep_until};
 
-use crate::admission::RoutedRequest;
-use crate::attempt::UpstreamResponse;
 use crate::data_plane::DataPlane;
 use crate::event_splitter::EventSplitter;
+use crate::proxied_request::ProxiedRequest;
+use crate::routing::RoutedRequest;
+use crate::upstream_response::UpstreamResponse;
 
-/// Fields of an answer that the node sets itself.
-const OWN_FIELDS: [&str; 1] = ["connection"];
-
+/// Fields of a response that the node sets itself.
+const NODE_FIELDS: [&str; 1] = ["connection"];
 /// Microseconds in a millisecond.
-const MILLISECOND: u64 = 1_000;
+const MICROS_PER_MS: u64 = 1_000;
 
-/// How far an answer came.
+/// How far a response came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ForwardingOutcome {
-    /// It is whole.
+    /// To its end.
     Complete,
-    /// Its server broke off, or the time is over.
+    /// Its server broke off, or the deadline has passed.
     Interrupted,
-    /// Its client has gone.
+    /// Its client has closed the connection.
     ClientGone,
 }
 
-/// An answer that is being passed on.
+/// A response that is being forwarded.
+///
+/// If it is dropped, the engine is told that the client has gone.
 pub(crate) struct ResponseForwarding<'a> {
     plane: &'a Rc<DataPlane>,
-    admitted: &'a RoutedRequest,
-    /// The answer; none once its connection can take another request.
+    routed: &'a RoutedRequest,
+    /// The response; none once its connection has been given back or closed.
     upstream: Option<UpstreamResponse>,
     choice: Choice,
     deadline: Instant,
+    /// The client's connection ends behind the response.
     close: bool,
-    /// The client knows no chunks.
-    old: bool,
+    /// The client speaks HTTP/1.0, which has no chunked coding.
+    http_1_0: bool,
+    /// Cuts a stream into events; none for any other response.
     events: Option<EventSplitter>,
     /// How the client's body is framed, once its head has been written.
     framing: Option<Framing>,
+    /// The first bytes of the body have come from this server.
     started: bool,
-    ended: bool,
+    /// The engine has been told of the attempt's end.
+    attempt_ended: bool,
     gaps: EventGaps,
 }
 
-/// The gaps between the events of one stream.
+/// The gaps between the events of one stream from one server.
 #[derive(Default)]
 struct EventGaps {
-    last: Option<Instant>,
+    last_event: Option<Instant>,
     longest: Option<Duration>,
 }
 
 impl EventGaps {
-    /// Events came.
-    fn events_came(&mut self, now: Instant) {
-        if let Some(last) = self.last.replace(now) {
+    fn record_event(&mut self, now: Instant) {
+        if let Some(last) = self.last_event.replace(now) {
             self.longest = self.longest.max(Some(now - last));
         }
     }
 }
 
 impl<'a> ResponseForwarding<'a> {
-    /// Of this answer, of which nothing has been written.
+    /// Of a response of which nothing has been written.
     pub fn new(
-        plane: &'a Rc<DataPlane>,
-        admitted: &'a RoutedRequest,
+        request: &'a ProxiedRequest<'a>,
         upstream: UpstreamResponse,
         choice: Choice,
-        deadline: Instant,
-        (close, old): (bool, bool),
+        close: bool,
     ) -> Self {
-        let streams = admitted.streaming && upstream.status == 200;
-        let events = streams.then(|| EventSplitter::after(admitted.last_event_id));
+        let routed = &request.routed;
+        let is_stream = routed.streaming && upstream.status == 200;
         ResponseForwarding {
-            plane,
-            admitted,
+            plane: request.plane,
+            routed,
             upstream: Some(upstream),
             choice,
-            deadline,
+            deadline: request.deadline(),
             close,
-            old,
-            events,
+            http_1_0: request.head.is_old(),
+            events: is_stream.then(|| EventSplitter::after(routed.last_event_id)),
             framing: None,
             started: false,
-            ended: false,
+            attempt_ended: false,
             gaps: EventGaps::default(),
         }
     }
 
-    /// The event behind which another server may go on; none if this answer can't be taken up.
+    /// The event behind which another server may resume, `Some(None)` for the stream's beginning; `None` if this
+    /// response can't be resumed.
     pub fn resume_from(&self) -> Option<Option<u64>> {
         let events = self.events.as_ref()?;
         let open_ended = matches!(self.framing, None | Some(Framing::Chunked | Framing::UntilClose));
-        let resumable = self.admitted.resumable && open_ended && events.last_event_has_id();
+        let resumable = self.routed.resumable && open_ended && events.last_event_has_id();
         (resumable && Instant::now() < self.deadline).then(|| events.last_id())
     }
 
-    /// Goes on with another server's answer, of which the head is not passed on.
+    /// Goes on with another server's response, whose head is not forwarded.
     pub fn resume_with(&mut self, upstream: UpstreamResponse, choice: Choice) {
         self.upstream = Some(upstream);
         self.choice = choice;
         self.started = false;
-        self.ended = false;
-        // The way to another server is no pause of a service.
+        self.attempt_ended = false;
+        // The time to reach another server is no gap of a service.
         self.gaps = EventGaps::default();
         if let Some(events) = &mut self.events {
             events.discard_partial();
         }
     }
 
-    /// Passes on what comes, to its end.
+    /// Forwards what comes, to its end.
     pub async fn run(&mut self, client: &mut Connection) -> ForwardingOutcome {
         if self.framing.is_none() {
-            let head = self.answer_head();
-            if let Err(relayed) = self.write(client, &[&head]).await {
-                return self.end(relayed, AttemptOutcome::ClientGone);
+            let head = self.client_head();
+            if let Err(outcome) = self.write(client, &[&head]).await {
+                return self.abort(outcome, AttemptOutcome::ClientGone);
             }
         }
         loop {
@@ -129,50 +134,56 @@
             let most = self.plane.pool.piece();
             let awaits_first_event = self.events.is_some() && !self.started;
             let Some(upstream) = &mut self.upstream else { return ForwardingOutcome::Complete };
+            // `read_piece` is cancellation safe: what it has read is in `bytes`, the rest in the connection's buffer.
+            // Where another branch wins, forwarding ends.
             let read = tokio::select! {
                 biased;
                 read = upstream.connection.read_piece(&mut upstream.body, &mut bytes, most) => read,
-                () = client.left() => return self.end(ForwardingOutcome::ClientGone, AttemptOutcome::ClientGone),
+                () = client.left() => {
+                    return self.abort(ForwardingOutcome::ClientGone, AttemptOutcome::ClientGone);
+                }
                 () = self.plane.version_deadline_passed(self.choice.attempt), if awaits_first_event => {
                     self.plane.attempt_withdrawn(&self.choice.server);
-                    return self.end(ForwardingOutcome::Interrupted, AttemptOutcome::Outdated);
+                    return self.abort(ForwardingOutcome::Interrupted, AttemptOutcome::Outdated);
+                }
+                () = sleep_until(self.deadline) => {
+                    return self.abort(ForwardingOutcome::Interrupted, AttemptOutcome::TimedOut);
                 }
-                () = sleep_until(self.deadline) => return self.end(ForwardingOutcome::Interrupted, AttemptOutcome::TimedOut),
             };
-            // What came before a break is used: a stream goes on behind it.
+            // What came before a connection was lost is forwarded: a stream is resumed behind it.
             let last = matches!(read, Ok(true));
-            let out = self.take(bytes, last);
+            let out = self.complete_part(bytes, last);
             if (last || !out.is_empty())
-                && let Err(relayed) = self.pass_on(client, &out, last).await
+                && let Err(outcome) = self.write_body(client, &out, last).await
             {
-                return self.end(relayed, AttemptOutcome::ClientGone);
+                return self.abort(outcome, AttemptOutcome::ClientGone);
             }
             if read.is_err() {
-                return self.end(ForwardingOutcome::Interrupted, AttemptOutcome::Broken);
+                return self.abort(ForwardingOutcome::Interrupted, AttemptOutcome::Broken);
             }
             if last {
-                self.finish_attempt(AttemptOutcome::Served);
+                self.end_attempt(AttemptOutcome::Served);
                 self.report_longest_gap();
-                self.reuse_connection();
+                self.release_connection();
                 return ForwardingOutcome::Complete;
             }
         }
     }
 
-    /// The head that the client gets, and with it how the body is framed.
-    fn answer_head(&mut self) -> Chain {
+    /// The head that the client gets. Decides how its body is framed.
+    fn client_head(&mut self) -> Chain {
         let mut out = self.plane.pool.chain();
         let Some(upstream) = &self.upstream else { return out };
         let head = &upstream.head;
         let framing = match upstream.framing {
-            Framing::Chunked | Framing::UntilClose if self.old => Framing::UntilClose,
+            Framing::Chunked | Framing::UntilClose if self.http_1_0 => Framing::UntilClose,
             Framing::UntilClose => Framing::Chunked,
             framing => framing,
         };
         out.push(b"HTTP/1.1 ");
         out.push(head.status_line().as_bytes());
         out.push(b"\r\n");
-        push_headers(&mut out, head, &OWN_FIELDS);
+        push_headers(&mut out, head, &NODE_FIELDS);
         if !head.is_bare() {
             push_framing(&mut out, framing);
         }
@@ -184,52 +195,61 @@
         out
     }
 
-    /// What of these bytes can be passed on now: whole events of a stream.
-    fn take(&mut self, bytes: Chain, last: bool) -> Chain {
+    /// What of these bytes and those before can be forwarded now: of a stream, complete events only.
+    fn complete_part(&mut self, bytes: Chain, last: bool) -> Chain {
         if !self.started && !bytes.is_empty() {
             self.started = true;
-            let (now, attempt) = (self.plane.now(), self.choice.attempt);
-            let reported = self.upstream.as_ref().and_then(UpstreamResponse::version);
-            let mut engine = self.plane.engine.borrow_mut();
-            if let Some(outdated) = engine.begun_outdated(now, attempt, reported) {
-                self.warn_outdated(outdated);
-            }
-            engine.first_event(now, attempt);
+            self.report_first_bytes();
         }
         let Some(events) = &mut self.events else { return bytes };
-        let mut whole = Vec::new();
-        bytes.slices().for_each(|slice| events.push(slice, &mut whole));
+        let mut complete = Vec::new();
+        bytes.slices().for_each(|slice| events.push(slice, &mut complete));
         if last {
-            whole.extend_from_slice(&events.take_remainder());
+            complete.extend_from_slice(&events.take_remainder());
         }
-        if let (Some(version), Some(model)) = (events.take_version(), &self.admitted.model) {
+        if let (Some(version), Some(model)) = (events.take_version(), &self.routed.model) {
             let now = self.plane.now();
-            let server: &Arc<str> = &self.choice.server;
-            self.plane.engine.borrow_mut().observe_version(now, server, model, version);
+            self.plane.engine.borrow_mut().observe_version(now, &self.choice.server, model, version);
         }
-        if !whole.is_empty() {
-            self.gaps.events_came(Instant::now());
+        if !complete.is_empty() {
+            self.gaps.record_event(Instant::now());
         }
         let mut out = self.plane.pool.chain();
-        out.push(&whole);
+        out.push(&complete);
         out
     }
 
-    /// A stream came whole from one server: its longest pause tells of the service.
+    /// Tells the engine that the server has begun, and on which model version.
+    fn report_first_bytes(&self) {
+        let (now, attempt) = (self.plane.now(), self.choice.attempt);
+        let version = self.upstream.as_ref().and_then(UpstreamResponse::version);
+        let mut engine = self.plane.engine.borrow_mut();
+        if let Some(outdated) = engine.begun_outdated(now, attempt, version) {
+            self.warn_outdated(outdated);
+        }
+        engine.first_event(now, attempt);
+    }
+
+    /// A stream came to its end from one server: its longest gap shows how the service does.
     fn report_longest_gap(&self) {
         if let Some(longest) = self.gaps.longest {
             let longest = longest.as_micros() as u64;
-            let pause = OwnPause { service: &self.admitted.service, longest };
+            let pause = OwnPause { service: &self.routed.service, longest };
             self.plane.engine.borrow_mut().observe_pause(pause);
         }
     }
 
     fn warn_outdated(&self, begin: OutdatedBegin) {
         warn!(self.plane.log, "request begun on outdated weights"; "server" => &*self.choice.server,
-            "version" => begin.version, "binding" => begin.binding, "waited_ms" => begin.waited / MILLISECOND);
+            "version" => begin.version, "binding" => begin.binding, "waited_ms" => begin.waited / MICROS_PER_MS);
     }
 
-    async fn pass_on(&self, client: &Connection, bytes: &Chain, last: bool) -> Result<(), ForwardingOutcome> {
+    async fn write_body(
+        &self,
+        client: &Connection,
+        bytes: &Chain,
+        last: bool,
+    ) -> Result<(), ForwardingOutcome> {
         match self.framing {
             Some(Framing::Chunked) => {
                 let (before, after) = chunk(&self.plane.pool, bytes.len(), last);
@@ -239,7 +259,12 @@
         }
     }
 
-    /// Writes to the client, who may take its time and leave meanwhile. Error: how the answer ends instead.
+    /// Writes to the client, who may read slowly or leave meanwhile.
+    ///
+    /// # Errors
+    ///
+    /// How forwarding ends instead. The client may have a part of the bytes then, so nothing else may follow them:
+    /// `write` is not cancellation safe.
     async fn write(&self, client: &Connection, chains: &[&Chain]) -> Result<(), ForwardingOutcome> {
         tokio::select! {
             biased;
@@ -249,17 +274,18 @@
         }
     }
 
-    /// Tells the engine, and ends the connection of a server that is not to work on.
-    fn end(&mut self, relayed: ForwardingOutcome, outcome: AttemptOutcome) -> ForwardingOutcome {
-        self.finish_attempt(outcome);
+    /// Tells the engine, and resets the server's connection, so that it does not work on.
+    fn abort(&mut self, forwarding: ForwardingOutcome, attempt: AttemptOutcome) -> ForwardingOutcome {
+        self.end_attempt(attempt);
         if let Some(upstream) = self.upstream.take() {
             upstream.connection.break_off();
         }
-        relayed
+        forwarding
     }
 
-    fn finish_attempt(&mut self, outcome: AttemptOutcome) {
-        if std::mem::replace(&mut self.ended, true) {
+    /// Tells the engine of the attempt's end, once.
+    fn end_attempt(&mut self, outcome: AttemptOutcome) {
+        if std::mem::replace(&mut self.attempt_ended, true) {
             return;
         }
         let Some(upstream) = &self.upstream else { return };
@@ -267,16 +293,14 @@
         let outcome = if failed { AttemptOutcome::ServerError } else { outcome };
         let (now, load) = (self.plane.now(), upstream.load());
         let mut engine = self.plane.engine.borrow_mut();
-        if let (Some(version), Some(model)) = (upstream.version(), &self.admitted.model) {
+        if let (Some(version), Some(model)) = (upstream.version(), &self.routed.model) {
             engine.observe_version(now, &self.choice.server, model, version);
         }
         engine.ended(now, self.choice.attempt, outcome, load, None);
     }
-}
 
-impl ResponseForwarding<'_> {
-    /// Keeps the server's connection for another request.
-    fn reuse_connection(&mut self) {
+    /// Gives the server's connection back for another request.
+    fn release_connection(&mut self) {
         if let Some(UpstreamResponse { connection, head, .. }) = self.upstream.take() {
             self.plane.upstreams.release(&self.choice.server, connection, &head);
         }
@@ -285,6 +309,6 @@
 
 impl Drop for ResponseForwarding<'_> {
     fn drop(&mut self) {
-        self.finish_attempt(AttemptOutcome::ClientGone);
+        self.end_attempt(AttemptOutcome::ClientGone);
     }
 }
--- /dev/null
+++ b/dataplane/src/routing.rs
@@ -0,0 +1,170 @@
+//! From a request's head to where it goes and within which bounds: its route, tenant, service and prompt. No I/O.
+
+use std::hash::{DefaultHasher, Hash, Hasher};
+use std::sync::Arc;
+use std::time::Duration;
+
+use gradepaddle_config::{Configuration, Route, RouteKind, Tenant};
+use gradepaddle_engine::{Part, Wall};
+use gradepaddle_http::Head;
+
+use crate::local_response::LocalResponse;
+
+/// The priority of a request whose route and tenant set none; it is not sent to servers.
+const DEFAULT_PRIORITY: u8 = 5;
+/// The lowest priority; 0 is the highest.
+const LOWEST_PRIORITY: u8 = 9;
+/// The deadline of a request without `X-Deadline-Ms`, from its arrival.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
+/// The longest deadline that a client can ask for: a day, in milliseconds.
+const MAX_DEADLINE_MS: f64 = 86_400_000.0;
+
+/// A request that the configuration allows.
+pub(crate) struct RoutedRequest {
+    /// The client's `X-Request-Id`; empty if there is none.
+    pub id: Vec<u8>,
+    /// The service that gets it.
+    pub service: Arc<str>,
+    /// The tenant whose key it bears.
+    pub tenant: Option<Arc<str>>,
+    /// Which cached prefixes it may reuse.
+    pub isolation: Wall,
+    /// Its priority, 0 to 9; 0 is the highest.
+    pub priority: u8,
+    /// How long it may take, from its arrival.
+    pub timeout: Duration,
+    /// Latency target (SLO): a response within it has its full value.
+    pub latency_target: Duration,
+    /// Target of the gaps between the events of its stream, if its route sets one.
+    pub event_gap_target: Option<Duration>,
+    /// The most servers that it may be sent to.
+    pub max_attempts: u32,
+    /// It may be processed more than once.
+    pub idempotent: bool,
+    /// Its response is a stream of events.
+    pub streaming: bool,
+    /// Its stream may be resumed at another server.
+    pub resumable: bool,
+    /// The last event that its client has (`Last-Event-Id`).
+    pub last_event_id: Option<u64>,
+    /// The model that is asked for (`X-Model`).
+    pub model: Option<String>,
+    /// The chunks of its prompt, in order (`X-Prompt-Prefix`).
+    pub prompt: Vec<Part>,
+    /// Tokens of its prompt (`X-Token-Count`, first number).
+    pub prompt_tokens: u32,
+    /// The most tokens generated for it (`X-Token-Count`, second number).
+    pub max_output_tokens: u32,
+}
+
+/// Finds the route, tenant and service of a request. `shared_isolation` is the hash of the set of isolated tenants.
+///
+/// # Errors
+///
+/// The response to a request that the configuration does not allow: 400, 401 or 404.
+pub(crate) fn route_request(
+    configuration: &Configuration,
+    head: &Head,
+    shared_isolation: u64,
+) -> Result<RoutedRequest, LocalResponse> {
+    let host = head.get("host").filter(|_| head.all("host").count() == 1).ok_or(LocalResponse::BadRequest)?;
+    let route = configuration.route(host, head.path()).ok_or(LocalResponse::NotFound)?;
+    let tenant = tenant(configuration, route, head)?;
+    let id = head.all("x-request-id").next().unwrap_or_default().to_vec();
+    let service = select_service(route, &id).ok_or(LocalResponse::NotFound)?;
+    let (prompt_tokens, max_output_tokens) = head.get("x-token-count").map(token_counts).unwrap_or_default();
+    Ok(RoutedRequest {
+        service,
+        isolation: match tenant {
+            Some(tenant) if tenant.isolated => Wall::Tenant(tenant.name.clone()),
+            _ => Wall::Shared(shared_isolation),
+        },
+        priority: tenant.and_then(|tenant| tenant.priority).unwrap_or(route.priority).min(LOWEST_PRIORITY),
+        tenant: tenant.map(|tenant| tenant.name.clone()),
+        timeout: requested_timeout(head).min(route.timeout),
+        latency_target: route.target,
+        event_gap_target: route.gap_aim,
+        max_attempts: route.tries.max(1),
+        idempotent: route.may_repeat(),
+        streaming: route.kind == RouteKind::Streaming,
+        resumable: route.resumable,
+        last_event_id: head.get("last-event-id").and_then(|text| text.trim().parse().ok()),
+        model: head.get("x-model").map(str::to_owned),
+        prompt: head.get("x-prompt-prefix").map(prompt_chunks).unwrap_or_default(),
+        prompt_tokens,
+        max_output_tokens,
+        id,
+    })
+}
+
+/// The time that the client gives in `X-Deadline-Ms`. What is no time counts as absent.
+fn requested_timeout(head: &Head) -> Duration {
+    let milliseconds = head.get("x-deadline-ms").and_then(|text| text.trim().parse::<f64>().ok());
+    let milliseconds = milliseconds.filter(|ms| ms.is_finite() && *ms >= 0.0);
+    milliseconds.map_or(DEFAULT_TIMEOUT, |ms| Duration::from_secs_f64(ms.min(MAX_DEADLINE_MS) / 1000.0))
+}
+
+/// The tenant whose key a request bears; none where no key is required.
+fn tenant<'a>(
+    configuration: &'a Configuration,
+    route: &Route,
+    head: &Head,
+) -> Result<Option<&'a Tenant>, LocalResponse> {
+    let known = head.get("x-api-key").and_then(|key| configuration.tenant_by_key(key.trim()));
+    let required = !route.public && !configuration.tenants.is_empty();
+    match known {
+        None if required => Err(LocalResponse::Unauthorized),
+        known => Ok(known),
+    }
+}
+
+/// One of the route's services, by weight. It depends on the id alone, so that a request that a client sends again goes
+/// to the same service whichever node gets it.
+fn select_service(route: &Route, id: &[u8]) -> Option<Arc<str>> {
+    if let [only] = &route.split[..] {
+        return Some(only.service.clone());
+    }
+    let total: f64 = route.split.iter().map(|target| target.weight).sum();
+    let mut hasher = DefaultHasher::new();
+    id.hash(&mut hasher);
+    // The upper 53 bits as a fraction of 1: an `f64` holds no more.
+    let mut point = (hasher.finish() >> 11) as f64 / (1u64 << 53) as f64 * total;
+    for target in route.split.iter().filter(|target| target.weight > 0.0) {
+        if point < target.weight {
+            return Some(target.service.clone());
+        }
+        point -= target.weight;
+    }
+    // Rounding may leave the point just beyond the last weight.
+    route.split.iter().rfind(|target| target.weight > 0.0).map(|target| target.service.clone())
+}
+
+/// Tokens of the prompt, and the most that are generated.
+fn token_counts(text: &str) -> (u32, u32) {
+    let mut numbers = text.split(',').map(|number| number.trim().parse().unwrap_or(0));
+    (numbers.next().unwrap_or(0), numbers.next().unwrap_or(0))
+}
+
+/// The chunks of a prompt; one that can't be parsed ends the list, since a prefix is only known up to there.
+fn prompt_chunks(text: &str) -> Vec<Part> {
+    text.split(',').map_while(prompt_chunk).collect()
+}
+
+fn prompt_chunk(text: &str) -> Option<Part> {
+    let (id, tokens) = text.trim().split_once(':')?;
+    Some(Part { id: chunk_id(id), tokens: tokens.trim().parse().ok()? })
+}
+
+/// A chunk's id as a number; one that is no hexadecimal number of 64 bits is hashed.
+pub(crate) fn chunk_id(text: &str) -> u64 {
+    u64::from_str_radix(text, 16).unwrap_or_else(|_| {
+        let mut hasher = DefaultHasher::new();
+        text.hash(&mut hasher);
+        hasher.finish()
+    })
+}
+
+/// The value of the `Priority` field; absent for the default.
+pub(crate) fn priority_field(priority: u8) -> Option<u8> {
+    (priority != DEFAULT_PRIORITY).then_some(priority)
+}
--- a/dataplane/src/upstream_pool.rs
+++ b/dataplane/src/upstream_pool.rs
@@ -1,4 +1,4 @@
-//! Connections to servers: idle ones by server, and new ones.
+//! Connections to servers: idle ones by server, and new ones. How long an idle one is reused is learned.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -12,20 +12,21 @@
 use tokio::net::TcpSocket;
 use tokio::time::{Instant, timeout};
 
-/// A connection that does not come up within this is given up: a server's answers within a millisecond or two.
+/// A connection that does not come up within this is given up: a server accepts within a millisecond or two.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// An idle connection is used again for this long if its server said nothing of it.
-const IDLE_DEFAULT: Duration = Duration::from_secs(4);
-/// A connection is given up this long before its server would close it.
-const IDLE_MARGIN: Duration = Duration::from_millis(700);
-/// Idle connections kept for each server.
+/// Idle time after which a connection is no longer reused, if its server names none (`Keep-Alive`).
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+/// A connection is no longer reused from this long before its server would close it: a request could cross the close.
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(700);
+/// Idle connections kept for each server at most.
 const MAX_IDLE_PER_SERVER: usize = 16;
 
 /// An idle connection.
 struct IdleConnection {
     connection: Connection,
     since: Instant,
-    until: Instant,
+    /// Not reused from here on.
+    expires: Instant,
 }
 
 /// Idle connections to all servers.
@@ -43,26 +44,28 @@
 }
 
 impl UpstreamPool {
+    /// A pool without connections.
     pub fn new() -> Self {
         UpstreamPool { idle: RefCell::default(), idling: Idling::new(Instant::now()) }
     }
 
-    /// An idle connection to this server that can be trusted, the one used last.
+    /// The idle connection to this server that was used last and may be reused.
     fn take(&self, id: &str) -> Option<PooledConnection> {
         let now = Instant::now();
         let trusted = self.idling.trusted(now);
         let mut idle = self.idle.borrow_mut();
-        let parked = idle.get_mut(id)?;
-        while let Some(one) = parked.pop() {
+        let connections = idle.get_mut(id)?;
+        while let Some(one) = connections.pop() {
             let idle = now.saturating_duration_since(one.since);
-            if now < one.until && idle < trusted && one.connection.is_quiet() {
+            if now < one.expires && idle < trusted && one.connection.is_quiet() {
                 return Some(PooledConnection { connection: one.connection, idle: Some(idle) });
             }
         }
         None
     }
 
-    /// A connection to this server, idle or new. `None`: it did not come up.
+    /// A connection to this server, idle or new; none if it did not come up. Cancellation safe: an idle connection is
+    /// taken without an `await`.
     pub async fn connect(&self, id: &str, address: SocketAddrV4, pool: &Pool) -> Option<PooledConnection> {
         if let Some(lease) = self.take(id) {
             return Some(lease);
@@ -72,21 +75,24 @@
         Some(PooledConnection { connection: Connection::new(stream, pool, ()), idle: None })
     }
 
-    /// Keeps a connection whose exchange is over. `head` is that of the answer.
+    /// Takes a connection back whose response was read to its end; `head` is the head of that response. A connection that
+    /// can bear no other request is closed.
     pub fn release(&self, id: &Arc<str>, connection: Connection, head: &Head) {
         if !head.keeps_alive() || connection.has_input() || connection.has_unsent() {
             return;
         }
         let now = Instant::now();
-        let until = now + keep_alive(head).unwrap_or(IDLE_DEFAULT).saturating_sub(IDLE_MARGIN);
+        let expires =
+            now + keep_alive(head).unwrap_or(DEFAULT_IDLE_TIMEOUT).saturating_sub(IDLE_TIMEOUT_MARGIN);
         let mut idle = self.idle.borrow_mut();
-        let parked = idle.entry(id.clone()).or_default();
-        if parked.len() < MAX_IDLE_PER_SERVER {
-            parked.push(IdleConnection { connection, since: now, until });
+        let connections = idle.entry(id.clone()).or_default();
+        if connections.len() < MAX_IDLE_PER_SERVER {
+            connections.push(IdleConnection { connection, since: now, expires });
         }
     }
 
-    /// Learns how long idle connections can be trusted.
+    /// Learns how long idle connections can be reused: whether a request was lost on one that had been idle for `idle`,
+    /// none for a new one.
     pub fn record_outcome(&self, idle: Option<Duration>, lost: bool) {
         self.idling.note(Instant::now(), idle, lost);
     }
@@ -96,18 +102,18 @@
         self.idle.borrow_mut().remove(id);
     }
 
-    /// Closes what has been idle for too long or was closed by its server.
+    /// Closes connections that have expired or were closed by their server.
     pub fn sweep(&self) {
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
-        idle.retain(|_, parked| {
-            parked.retain(|one| now < one.until && one.connection.is_quiet());
-            !parked.is_empty()
+        idle.retain(|_, connections| {
+            connections.retain(|one| now < one.expires && one.connection.is_quiet());
+            !connections.is_empty()
         });
     }
 }
 
-/// The time that a server keeps an idle connection, from its `Keep-Alive` field.
+/// How long a server keeps an idle connection (`Keep-Alive: timeout=`, in seconds).
 fn keep_alive(head: &Head) -> Option<Duration> {
     let text = head.get("keep-alive")?;
     let seconds = text.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
--- a/dataplane/tests/load_reports.rs
+++ b/dataplane/tests/load_reports.rs
@@ -201,12 +201,12 @@
 #[gtest]
 fn a_message_that_was_overtaken_counts_for_nothing_whichever_way_it_came() {
     let plane = plane();
-    plane.receive_load_report(address(1), &message(9, 1).to_bytes());
-    plane.receive_load_report(address(3), &message(8, 1).to_bytes());
-    plane.receive_load_report(address(1), &message(9, 1).to_bytes());
+    expect_that!(plane.receive_load_report(address(1), &message(9, 1).to_bytes()), none());
+    expect_that!(plane.receive_load_report(address(3), &message(8, 1).to_bytes()), none());
+    expect_that!(plane.receive_load_report(address(1), &message(9, 1).to_bytes()), none());
     expect_that!(counted(&plane), eq([1, 0, 0, 2, 0]));
     // Another node's count has nothing to do with it.
-    plane.receive_load_report(address(3), &message(3, 3).to_bytes());
+    expect_that!(plane.receive_load_report(address(3), &message(3, 3).to_bytes()), none());
     expect_that!(counted(&plane), eq([2, 0, 0, 2, 0]));
 }
 
