--- a/dataplane/src/attempt.rs
+++ b/dataplane/src/attempt.rs
@@ -1,13 +1,13 @@
 //! One attempt: a server is selected, the request is written to it, the head of its response is read.
 //!
-//! The engine counts an attempt as in flight from its selection until it is told of the end; [`AttemptGuard`] sees to that
+//! The placer counts an attempt as in flight from its selection until it is told of the end; [`AttemptGuard`] sees to that
 //! wherever the attempt is dropped.
 
 use std::rc::Rc;
 use std::time::Duration;
 
-use gradepaddle_engine::{AttemptId, AttemptOutcome, Choice, LoadReport, Refusal};
 use gradepaddle_http::Connection;
+use gradepaddle_placement::{AttemptId, AttemptOutcome, Placement, Rejection, ServerLoadReport};
 use tokio::time::{Instant, sleep_until};
 
 use crate::counters::increment;
@@ -24,8 +24,8 @@
 
 /// How an attempt ended.
 pub(crate) enum AttemptResult {
-    /// The head of a response came. The engine has still to be told of the attempt's end.
-    Response(Box<UpstreamResponse>, Choice),
+    /// The head of a response came. The placer has still to be told of the attempt's end.
+    Response(Box<UpstreamResponse>, Placement),
     /// The request was not written.
     NotSent,
     /// The server rejected it without processing it.
@@ -53,17 +53,17 @@
 
 /// Makes one attempt. `last_event` is the last event that the client has.
 ///
-/// If the future is dropped, the engine is told that the client has gone, and the connection is reset.
+/// If the future is dropped, the placer is told that the client has gone, and the connection is reset.
 ///
 /// # Errors
 ///
-/// The engine's reason for selecting no server.
+/// The placer's reason for selecting no server.
 pub(crate) async fn attempt(
     request: &ProxiedRequest<'_>,
     client: &Connection,
     history: &mut AttemptHistory,
     last_event: Option<u64>,
-) -> Result<AttemptResult, Refusal> {
+) -> Result<AttemptResult, Rejection> {
     let (plane, deadline) = (request.plane, request.deadline());
     if Instant::now() >= deadline {
         return Ok(AttemptResult::DeadlineExceeded);
@@ -89,7 +89,7 @@
 /// Connects, writes the request and waits for the head of the response.
 async fn send(
     request: &ProxiedRequest<'_>,
-    choice: &Choice,
+    choice: &Placement,
     history: &mut AttemptHistory,
     last_event: Option<u64>,
 ) -> SendResult {
@@ -98,7 +98,7 @@
         return SendResult::ConnectFailed;
     };
     // Draining is binding when the request is written, and connecting may have taken its time.
-    if !plane.engine.borrow().takes_requests(&choice.server) {
+    if !plane.placer.borrow().accepts_requests(&choice.server) {
         return SendResult::ServerDraining;
     }
     let now = Instant::now();
@@ -110,7 +110,7 @@
     history.sent += 1;
     if history.sent > 1 {
         let now = plane.now();
-        plane.engine.borrow_mut().note_repeat(now, &request.routed.service);
+        plane.placer.borrow_mut().record_retry(now, &request.routed.service);
         increment(&plane.counters.retries);
     }
     let idle = pooled.idle;
@@ -122,11 +122,11 @@
     }
 }
 
-/// Tells the engine how the attempt ended, unless a response is yet to be forwarded, and notes whether the request may
+/// Tells the placer how the attempt ended, unless a response is yet to be forwarded, and notes whether the request may
 /// have been processed. `sent`: it was written to the server, at least in part.
 fn conclude(
     mut guard: AttemptGuard<'_>,
-    choice: Choice,
+    choice: Placement,
     history: &mut AttemptHistory,
     result: SendResult,
     sent: bool,
@@ -167,7 +167,7 @@
 
 fn conclude_response(
     mut guard: AttemptGuard<'_>,
-    choice: Choice,
+    choice: Placement,
     history: &mut AttemptHistory,
     response: Box<UpstreamResponse>,
 ) -> AttemptResult {
@@ -186,7 +186,7 @@
     AttemptResult::Response(response, choice)
 }
 
-/// What the engine learns from a server that did not process a request.
+/// What the placer learns from a server that did not process a request.
 fn not_processed_outcome(response: &UpstreamResponse) -> AttemptOutcome {
     match (response.status, response.version()) {
         (421, Some(_)) => AttemptOutcome::VersionMismatch,
@@ -195,7 +195,7 @@
     }
 }
 
-/// Tells the engine of an attempt's end, at the latest when it is dropped: the attempt's future may be dropped at any
+/// Tells the placer of an attempt's end, at the latest when it is dropped: the attempt's future may be dropped at any
 /// `await`, and a server's count of requests in flight would never fall again.
 struct AttemptGuard<'a> {
     plane: &'a Rc<DataPlane>,
@@ -204,14 +204,14 @@
 }
 
 impl AttemptGuard<'_> {
-    fn end(&mut self, outcome: AttemptOutcome, load: Option<LoadReport>) {
+    fn end(&mut self, outcome: AttemptOutcome, load: Option<ServerLoadReport>) {
         if !std::mem::replace(&mut self.ended, true) {
             let now = self.plane.now();
-            self.plane.engine.borrow_mut().ended(now, self.attempt, outcome, load, None);
+            self.plane.placer.borrow_mut().record_end(now, self.attempt, outcome, load, None);
         }
     }
 
-    /// Leaves it to the caller to tell the engine.
+    /// Leaves it to the caller to tell the placer.
     fn release(mut self) {
         self.ended = true;
     }
--- a/dataplane/src/cache_events/subscriber.rs
+++ b/dataplane/src/cache_events/subscriber.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use gradepaddle_config::{Configuration, ServiceKind};
-use gradepaddle_engine::{Kept, KeptTokens, StoreChanges, holder_hash, kept_key};
+use gradepaddle_placement::{CacheEvent, CachedTokens, StoreUpdate, chunk_key, holder_hash};
 use tokio::time::{Instant, sleep};
 
 use super::calls::{CachedChunk, CallError, Event, EventClient};
@@ -42,11 +42,11 @@
     }
 }
 
-/// Has the engine count stores that this node does not subscribe to as alive while other nodes say so.
+/// Has the placer count stores that this node does not subscribe to as alive while other nodes say so.
 pub(crate) fn renew_reported_stores(plane: &DataPlane) {
     let now = plane.now();
     for store in plane.cache_stores.reported_without_subscription() {
-        plane.engine.borrow_mut().holder_heard(now, &store);
+        plane.placer.borrow_mut().record_cache_contact(now, &store);
     }
 }
 
@@ -76,7 +76,7 @@
             let Err(_) = self.follow().await;
             self.plane.cache_stores.report_health(&self.store, false);
             let now = self.plane.now();
-            self.plane.engine.borrow_mut().source_failed(now, &self.store);
+            self.plane.placer.borrow_mut().record_source_failure(now, &self.store);
             sleep(RETRY_PAUSE).await;
         }
     }
@@ -88,7 +88,7 @@
         let (mut epoch, mut since) = (contents.epoch, contents.next_token);
         self.reset();
         for CachedChunk(salt, chunk, tokens, model) in &contents.chunks {
-            self.apply(Kept::Added { salt, part: chunk_id(chunk), tokens: *tokens, model });
+            self.apply(CacheEvent::Added { salt, part: chunk_id(chunk), tokens: *tokens, model });
         }
         loop {
             self.plane.cache_stores.report_health(&self.store, true);
@@ -101,13 +101,13 @@
             }
             (epoch, since) = (events.epoch, events.next_token);
             let now = self.plane.now();
-            self.plane.engine.borrow_mut().holder_heard(now, &self.store);
+            self.plane.placer.borrow_mut().record_cache_contact(now, &self.store);
             self.share_changes(&events.events, reset);
             for Event(_, sign, salt, chunk, tokens, model) in &events.events {
                 let (part, tokens) = (chunk_id(chunk), *tokens);
                 self.apply(match &**sign {
-                    "+" => Kept::Added { salt, part, tokens, model },
-                    _ => Kept::Dropped { salt, part, tokens, model },
+                    "+" => CacheEvent::Added { salt, part, tokens, model },
+                    _ => CacheEvent::Dropped { salt, part, tokens, model },
                 });
             }
             sleep(MIN_CALL_INTERVAL.saturating_sub(called_at.elapsed())).await;
@@ -120,21 +120,21 @@
         if self.plane.cache_stores.listener_rank.get() > 0 || (events.is_empty() && !reset) {
             return;
         }
-        let chunks = events.iter().map(|Event(_, _, salt, chunk, tokens, _)| KeptTokens {
-            key: kept_key(salt, chunk_id(chunk)),
+        let chunks = events.iter().map(|Event(_, _, salt, chunk, tokens, _)| CachedTokens {
+            key: chunk_key(salt, chunk_id(chunk)),
             tokens: *tokens,
         });
-        let changes = StoreChanges { store: holder_hash(&self.store), reset, parts: chunks.collect() };
-        self.plane.engine.borrow_mut().tell_store_changes(changes);
+        let changes = StoreUpdate { store: holder_hash(&self.store), reset, parts: chunks.collect() };
+        self.plane.placer.borrow_mut().queue_store_update(changes);
     }
 
     fn reset(&self) {
         let now = self.plane.now();
-        self.plane.engine.borrow_mut().kept_reset(now, &self.store);
+        self.plane.placer.borrow_mut().reset_cache_holder(now, &self.store);
     }
 
-    fn apply(&self, change: Kept<'_>) {
+    fn apply(&self, change: CacheEvent<'_>) {
         let now = self.plane.now();
-        self.plane.engine.borrow_mut().kept_event(now, &self.store, change);
+        self.plane.placer.borrow_mut().apply_cache_event(now, &self.store, change);
     }
 }
--- a/dataplane/src/control_inputs.rs
+++ b/dataplane/src/control_inputs.rs
@@ -23,7 +23,7 @@
             tenant.name.hash(&mut hasher);
         }
         let now = self.now();
-        self.engine.borrow_mut().set_services(now, service_specs(&configuration));
+        self.placer.borrow_mut().set_services(now, service_specs(&configuration));
         info!(self.log, "configuration in force"; "version" => configuration.version);
         self.replace_configuration(Rc::new(configuration), hasher.finish());
         update_subscriptions(self);
@@ -51,7 +51,7 @@
         self.cache_stores.set_reported(name, alive);
         if !alive {
             let now = self.now();
-            self.engine.borrow_mut().source_failed(now, name);
+            self.placer.borrow_mut().record_source_failure(now, name);
         }
     }
 
--- a/dataplane/src/data_plane.rs
+++ b/dataplane/src/data_plane.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use gradepaddle_config::Configuration;
-use gradepaddle_engine::{Engine, Micros};
 use gradepaddle_http::buffers::Pool;
+use gradepaddle_placement::{Micros, Placer};
 use slog::{Logger, info};
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout};
@@ -24,7 +24,7 @@
 /// What a data plane is built from.
 pub struct Setup {
     /// Decides which server gets a request.
-    pub engine: Engine,
+    pub placer: Placer,
     /// The failure domain of this node.
     pub zone: Arc<str>,
     /// Where to log.
@@ -34,7 +34,7 @@
 /// The state that connections, attempts and the inputs of the control plane share.
 pub struct DataPlane {
     /// Placement, fed by the control plane and by the results of attempts.
-    pub engine: RefCell<Engine>,
+    pub placer: RefCell<Placer>,
     /// Counts since the start.
     pub counters: Counters,
     pub(crate) pool: Pool,
@@ -60,7 +60,7 @@
     /// A data plane without a configuration, which is not ready.
     pub fn new(setup: Setup) -> Rc<Self> {
         Rc::new(DataPlane {
-            engine: RefCell::new(setup.engine),
+            placer: RefCell::new(setup.placer),
             counters: Counters::default(),
             pool: Pool::default(),
             upstreams: UpstreamPool::new(),
--- a/dataplane/src/key_validity.rs
+++ b/dataplane/src/key_validity.rs
@@ -6,7 +6,7 @@
 use std::cell::Cell;
 use std::time::Duration;
 
-use gradepaddle_engine::Micros;
+use gradepaddle_placement::Micros;
 use tokio::sync::watch;
 use tokio::time::timeout;
 
--- a/dataplane/src/load_reports/content.rs
+++ b/dataplane/src/load_reports/content.rs
@@ -1,6 +1,6 @@
-//! The content of a load report: the engine's figures as they travel, and which are accepted.
+//! The content of a load report: the placer's figures as they travel, and which are accepted.
 
-use gradepaddle_engine::{KeptTokens, OwnLoad, Part, Sighting, StoreChanges};
+use gradepaddle_placement::{CachedTokens, LocalLoad, PrefillReport, PromptChunk, StoreUpdate};
 use gradepaddle_proto::{KeptPrompt, LoadShare, PromptPart, ServerShare, StoreReport};
 
 use super::resend_window::ResendWindow;
@@ -28,20 +28,20 @@
     ResendWindow::new(MAX_STORE_REPORTS)
 }
 
-pub(super) fn store_report(changes: &StoreChanges) -> StoreReport {
+pub(super) fn store_report(changes: &StoreUpdate) -> StoreReport {
     let chunks = changes.parts.iter().take(MAX_CHANGED_CHUNKS);
-    let StoreChanges { store, reset, .. } = *changes;
+    let StoreUpdate { store, reset, .. } = *changes;
     let parts = chunks.map(|chunk| PromptPart { id: chunk.key, tokens: chunk.tokens }).collect();
     StoreReport { store, reset, parts }
 }
 
-pub(super) fn store_changes(report: &StoreReport) -> StoreChanges {
-    let chunks = report.parts.iter().map(|chunk| KeptTokens { key: chunk.id, tokens: chunk.tokens });
+pub(super) fn store_changes(report: &StoreReport) -> StoreUpdate {
+    let chunks = report.parts.iter().map(|chunk| CachedTokens { key: chunk.id, tokens: chunk.tokens });
     let StoreReport { store, reset, .. } = *report;
-    StoreChanges { store, reset, parts: chunks.collect() }
+    StoreUpdate { store, reset, parts: chunks.collect() }
 }
 
-pub(super) fn server_load(load: OwnLoad) -> ServerShare {
+pub(super) fn server_load(load: LocalLoad) -> ServerShare {
     ServerShare {
         server: load.server,
         backlog_ms: load.backlog_ms.max(0.0) as u32,
@@ -50,8 +50,8 @@
     }
 }
 
-pub(super) fn own_load(load: &ServerShare) -> OwnLoad {
-    OwnLoad {
+pub(super) fn own_load(load: &ServerShare) -> LocalLoad {
+    LocalLoad {
         server: load.server,
         backlog_ms: f64::from(load.backlog_ms),
         running: load.running,
@@ -59,16 +59,16 @@
     }
 }
 
-pub(super) fn cached_prefix(sighting: &Sighting) -> KeptPrompt {
+pub(super) fn cached_prefix(sighting: &PrefillReport) -> KeptPrompt {
     let chunks = sighting.parts.iter().map(|chunk| PromptPart { id: chunk.id, tokens: chunk.tokens });
-    let Sighting { server, key, version, salt, .. } = *sighting;
+    let PrefillReport { server, key, version, salt, .. } = *sighting;
     KeptPrompt { server, key, version, salt, parts: chunks.collect() }
 }
 
-pub(super) fn sighting(prefix: &KeptPrompt) -> Sighting {
-    let chunks = prefix.parts.iter().map(|chunk| Part { id: chunk.id, tokens: chunk.tokens });
+pub(super) fn sighting(prefix: &KeptPrompt) -> PrefillReport {
+    let chunks = prefix.parts.iter().map(|chunk| PromptChunk { id: chunk.id, tokens: chunk.tokens });
     let KeptPrompt { server, key, version, salt, .. } = *prefix;
-    Sighting { server, key, version, salt, parts: chunks.collect() }
+    PrefillReport { server, key, version, salt, parts: chunks.collect() }
 }
 
 /// True if peers need no new report: they count down by themselves what is prefilled meanwhile.
--- a/dataplane/src/load_reports/receiver.rs
+++ b/dataplane/src/load_reports/receiver.rs
@@ -69,17 +69,20 @@
     }
 }
 
-/// Has the engine apply a report. False if a later one of the same node came first.
+/// Has the placer apply a report. False if a later one of the same node came first.
 fn apply(plane: &DataPlane, origin: SocketAddrV4, report: &LoadShare) -> bool {
     let peer = u64::from(u32::from(*origin.ip())) << 16 | u64::from(origin.port());
     let now = plane.now();
     let loads = report.servers.iter().map(own_load).collect();
-    let mut engine = plane.engine.borrow_mut();
-    let is_latest = engine.peer_loads(now, peer, report.sequence, loads);
+    let mut placer = plane.placer.borrow_mut();
+    let is_latest = placer.apply_peer_loads(now, peer, report.sequence, loads);
     if is_latest {
         let sightings: Vec<_> = report.kept.iter().map(sighting).collect();
-        engine.peer_sightings(now, &sightings);
-        report.changes.iter().for_each(|changes| engine.peer_store_changes(now, &store_changes(changes)));
+        placer.apply_peer_prefill_reports(now, &sightings);
+        report
+            .changes
+            .iter()
+            .for_each(|changes| placer.apply_peer_store_update(now, &store_changes(changes)));
     }
     is_latest
 }
--- a/dataplane/src/load_reports/recipients.rs
+++ b/dataplane/src/load_reports/recipients.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-use gradepaddle_engine::Micros;
+use gradepaddle_placement::Micros;
 
 /// Budget of a node in a fleet of up to [`SMALL_FLEET`] nodes, in bytes a second: a sixth of the smallest machine's link.
 const MAX_BYTES_PER_S: f64 = 200_000.0;
--- a/dataplane/src/load_reports/sender.rs
+++ b/dataplane/src/load_reports/sender.rs
@@ -52,9 +52,9 @@
 fn send_report(plane: &DataPlane, socket: &UdpSocket, own: SocketAddrV4, last: &mut LastReport) {
     let now = plane.now();
     let servers: Vec<ServerShare> =
-        plane.engine.borrow().own_loads(now).into_iter().map(server_load).collect();
-    let new_prefixes = plane.engine.borrow_mut().take_sightings();
-    let new_changes = plane.engine.borrow_mut().take_store_changes();
+        plane.placer.borrow().local_loads(now).into_iter().map(server_load).collect();
+    let new_prefixes = plane.placer.borrow_mut().take_prefill_reports();
+    let new_changes = plane.placer.borrow_mut().take_store_updates();
     let has_news = !new_prefixes.is_empty() || !new_changes.is_empty();
     last.unchanged_intervals += 1;
     let is_due = last.unchanged_intervals >= MAX_UNCHANGED_INTERVALS;
--- a/dataplane/src/proxied_request.rs
+++ b/dataplane/src/proxied_request.rs
@@ -3,9 +3,9 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use gradepaddle_engine::{Choice, Refusal, Request as Placement};
 use gradepaddle_http::Head;
 use gradepaddle_http::buffers::Chain;
+use gradepaddle_placement::{Placement, PlacementRequest, Rejection};
 use tokio::time::Instant;
 
 use crate::data_plane::DataPlane;
@@ -27,8 +27,8 @@
         self.arrived + self.routed.timeout
     }
 
-    /// Has the engine select a server that is none of `tried_servers`. `last_event` is the last event that the client
-    /// has. The attempt counts as in flight until the engine is told of its end.
+    /// Has the placer select a server that is none of `tried_servers`. `last_event` is the last event that the client
+    /// has. The attempt counts as in flight until the placer is told of its end.
     ///
     /// # Errors
     ///
@@ -37,14 +37,14 @@
         &self,
         last_event: Option<u64>,
         tried_servers: &[Arc<str>],
-    ) -> Result<Choice, Refusal> {
+    ) -> Result<Placement, Rejection> {
         let now = self.plane.now();
-        self.plane.engine.borrow_mut().choose(now, &self.placement(last_event), tried_servers)
+        self.plane.placer.borrow_mut().place(now, &self.placement(last_event), tried_servers)
     }
 
-    fn placement(&self, resumed_from: Option<u64>) -> Placement<'_> {
+    fn placement(&self, resumed_from: Option<u64>) -> PlacementRequest<'_> {
         let routed = &self.routed;
-        Placement {
+        PlacementRequest {
             service: &routed.service,
             model: routed.model.as_deref(),
             parts: &routed.prompt,
--- a/dataplane/src/proxy.rs
+++ b/dataplane/src/proxy.rs
@@ -6,8 +6,8 @@
 
 use std::time::Duration;
 
-use gradepaddle_engine::{AttemptOutcome, Choice, Refusal};
 use gradepaddle_http::Connection;
+use gradepaddle_placement::{AttemptOutcome, Placement, Rejection};
 use tokio::time::Instant;
 
 use crate::attempt::{AttemptResult, attempt};
@@ -51,7 +51,7 @@
     pub async fn run(mut self, client: &mut Connection) -> RequestOutcome {
         let (plane, routed) = (self.request.plane, &self.request.routed);
         let now = plane.now();
-        plane.engine.borrow_mut().note_request(now, &routed.service);
+        plane.placer.borrow_mut().record_request(now, &routed.service);
         loop {
             let result = attempt(self.request, client, &mut self.history, routed.last_event_id).await;
             let (otherwise, retry_after) = match result {
@@ -83,11 +83,11 @@
         }
     }
 
-    /// Tells the engine of a failed attempt whose response is not forwarded.
-    fn discard_response(&self, response: &UpstreamResponse, choice: &Choice) {
+    /// Tells the placer of a failed attempt whose response is not forwarded.
+    fn discard_response(&self, response: &UpstreamResponse, choice: &Placement) {
         let plane = self.request.plane;
         let (now, load) = (plane.now(), response.load());
-        plane.engine.borrow_mut().ended(now, choice.attempt, AttemptOutcome::ServerError, load, None);
+        plane.placer.borrow_mut().record_end(now, choice.attempt, AttemptOutcome::ServerError, load, None);
     }
 
     /// Forwards a response, and resumes its stream at another server where that is allowed.
@@ -95,7 +95,7 @@
         mut self,
         client: &mut Connection,
         response: UpstreamResponse,
-        choice: Choice,
+        choice: Placement,
     ) -> RequestOutcome {
         let counters = &self.request.plane.counters;
         let succeeded = (200..300).contains(&response.status);
@@ -126,7 +126,7 @@
         &mut self,
         client: &Connection,
         from: Option<Option<u64>>,
-    ) -> Option<(UpstreamResponse, Choice)> {
+    ) -> Option<(UpstreamResponse, Placement)> {
         let from = from?;
         loop {
             if !self.history.may_send(self.request) || Instant::now() >= self.request.deadline() {
@@ -158,7 +158,7 @@
 }
 
 /// When a client may come back for which no server could be selected.
-fn retry_after(refusal: Refusal) -> Duration {
-    let (Refusal::NoServer { retry_after } | Refusal::Overloaded { retry_after }) = refusal;
+fn retry_after(refusal: Rejection) -> Duration {
+    let (Rejection::NoServer { retry_after } | Rejection::Overloaded { retry_after }) = refusal;
     Duration::from_micros(retry_after)
 }
--- a/dataplane/src/response_forwarding.rs
+++ b/dataplane/src/response_forwarding.rs
@@ -5,9 +5,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use gradepaddle_engine::{AttemptOutcome, Choice, OutdatedBegin, OwnPause};
 use gradepaddle_http::buffers::Chain;
 use gradepaddle_http::{Connection, Framing, chunk, push_framing, push_headers};
+use gradepaddle_placement::{AttemptOutcome, OutdatedStart, Placement, StreamPause};
 use slog::warn;
 use tokio::time::{Instant, sleep_until};
 
@@ -35,13 +35,13 @@
 
 /// A response that is being forwarded.
 ///
-/// If it is dropped, the engine is told that the client has gone.
+/// If it is dropped, the placer is told that the client has gone.
 pub(crate) struct ResponseForwarding<'a> {
     plane: &'a Rc<DataPlane>,
     routed: &'a RoutedRequest,
     /// The response; none once its connection has been given back or closed.
     upstream: Option<UpstreamResponse>,
-    choice: Choice,
+    choice: Placement,
     deadline: Instant,
     /// The client's connection ends behind the response.
     close: bool,
@@ -53,7 +53,7 @@
     framing: Option<Framing>,
     /// The first bytes of the body have come from this server.
     started: bool,
-    /// The engine has been told of the attempt's end.
+    /// The placer has been told of the attempt's end.
     attempt_ended: bool,
     gaps: EventGaps,
 }
@@ -78,7 +78,7 @@
     pub fn new(
         request: &'a ProxiedRequest<'a>,
         upstream: UpstreamResponse,
-        choice: Choice,
+        choice: Placement,
         close: bool,
     ) -> Self {
         let routed = &request.routed;
@@ -109,7 +109,7 @@
     }
 
     /// Goes on with another server's response, whose head is not forwarded.
-    pub fn resume_with(&mut self, upstream: UpstreamResponse, choice: Choice) {
+    pub fn resume_with(&mut self, upstream: UpstreamResponse, choice: Placement) {
         self.upstream = Some(upstream);
         self.choice = choice;
         self.started = false;
@@ -209,7 +209,7 @@
         }
         if let (Some(version), Some(model)) = (events.take_version(), &self.routed.model) {
             let now = self.plane.now();
-            self.plane.engine.borrow_mut().observe_version(now, &self.choice.server, model, version);
+            self.plane.placer.borrow_mut().observe_version(now, &self.choice.server, model, version);
         }
         if !complete.is_empty() {
             self.gaps.record_event(Instant::now());
@@ -219,27 +219,27 @@
         out
     }
 
-    /// Tells the engine that the server has begun, and on which model version.
+    /// Tells the placer that the server has begun, and on which model version.
     fn report_first_bytes(&self) {
         let (now, attempt) = (self.plane.now(), self.choice.attempt);
         let version = self.upstream.as_ref().and_then(UpstreamResponse::version);
-        let mut engine = self.plane.engine.borrow_mut();
-        if let Some(outdated) = engine.begun_outdated(now, attempt, version) {
+        let mut placer = self.plane.placer.borrow_mut();
+        if let Some(outdated) = placer.outdated_start(now, attempt, version) {
             self.warn_outdated(outdated);
         }
-        engine.first_event(now, attempt);
+        placer.record_first_event(now, attempt);
     }
 
     /// A stream came to its end from one server: its longest gap shows how the service does.
     fn report_longest_gap(&self) {
         if let Some(longest) = self.gaps.longest {
             let longest = longest.as_micros() as u64;
-            let pause = OwnPause { service: &self.routed.service, longest };
-            self.plane.engine.borrow_mut().observe_pause(pause);
+            let pause = StreamPause { service: &self.routed.service, longest };
+            self.plane.placer.borrow_mut().observe_stream_pause(pause);
         }
     }
 
-    fn warn_outdated(&self, begin: OutdatedBegin) {
+    fn warn_outdated(&self, begin: OutdatedStart) {
         warn!(self.plane.log, "request begun on outdated weights"; "server" => &*self.choice.server,
             "version" => begin.version, "binding" => begin.binding, "waited_ms" => begin.waited / MICROS_PER_MS);
     }
@@ -274,7 +274,7 @@
         }
     }
 
-    /// Tells the engine, and resets the server's connection, so that it does not work on.
+    /// Tells the placer, and resets the server's connection, so that it does not work on.
     fn abort(&mut self, forwarding: ForwardingOutcome, attempt: AttemptOutcome) -> ForwardingOutcome {
         self.end_attempt(attempt);
         if let Some(upstream) = self.upstream.take() {
@@ -283,7 +283,7 @@
         forwarding
     }
 
-    /// Tells the engine of the attempt's end, once.
+    /// Tells the placer of the attempt's end, once.
     fn end_attempt(&mut self, outcome: AttemptOutcome) {
         if std::mem::replace(&mut self.attempt_ended, true) {
             return;
@@ -292,11 +292,11 @@
         let failed = upstream.status >= 500 && outcome == AttemptOutcome::Served;
         let outcome = if failed { AttemptOutcome::ServerError } else { outcome };
         let (now, load) = (self.plane.now(), upstream.load());
-        let mut engine = self.plane.engine.borrow_mut();
+        let mut placer = self.plane.placer.borrow_mut();
         if let (Some(version), Some(model)) = (upstream.version(), &self.routed.model) {
-            engine.observe_version(now, &self.choice.server, model, version);
+            placer.observe_version(now, &self.choice.server, model, version);
         }
-        engine.ended(now, self.choice.attempt, outcome, load, None);
+        placer.record_end(now, self.choice.attempt, outcome, load, None);
     }
 
     /// Gives the server's connection back for another request.
--- a/dataplane/src/retry.rs
+++ b/dataplane/src/retry.rs
@@ -35,7 +35,7 @@
         }
         let (plane, routed) = (request.plane, &request.routed);
         let now = plane.now();
-        self.sent < routed.max_attempts && plane.engine.borrow_mut().may_repeat(now, &routed.service)
+        self.sent < routed.max_attempts && plane.placer.borrow_mut().may_retry(now, &routed.service)
     }
 
     /// True if a failed attempt that may have been processed may be followed by another.
--- a/dataplane/src/routing.rs
+++ b/dataplane/src/routing.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use gradepaddle_config::{Configuration, Route, RouteKind, Tenant};
-use gradepaddle_engine::{Part, Wall};
 use gradepaddle_http::Head;
+use gradepaddle_placement::{CacheIsolation, PromptChunk};
 
 use crate::local_response::LocalResponse;
 
@@ -28,7 +28,7 @@
     /// The tenant whose key it bears.
     pub tenant: Option<Arc<str>>,
     /// Which cached prefixes it may reuse.
-    pub isolation: Wall,
+    pub isolation: CacheIsolation,
     /// Its priority, 0 to 9; 0 is the highest.
     pub priority: u8,
     /// How long it may take, from its arrival.
@@ -50,7 +50,7 @@
     /// The model that is asked for (`X-Model`).
     pub model: Option<String>,
     /// The chunks of its prompt, in order (`X-Prompt-Prefix`).
-    pub prompt: Vec<Part>,
+    pub prompt: Vec<PromptChunk>,
     /// Tokens of its prompt (`X-Token-Count`, first number).
     pub prompt_tokens: u32,
     /// The most tokens generated for it (`X-Token-Count`, second number).
@@ -76,8 +76,8 @@
     Ok(RoutedRequest {
         service,
         isolation: match tenant {
-            Some(tenant) if tenant.isolated => Wall::Tenant(tenant.name.clone()),
-            _ => Wall::Shared(shared_isolation),
+            Some(tenant) if tenant.isolated => CacheIsolation::Tenant(tenant.name.clone()),
+            _ => CacheIsolation::Shared(shared_isolation),
         },
         priority: tenant.and_then(|tenant| tenant.priority).unwrap_or(route.priority).min(LOWEST_PRIORITY),
         tenant: tenant.map(|tenant| tenant.name.clone()),
@@ -146,13 +146,13 @@
 }
 
 /// The chunks of a prompt; one that can't be parsed ends the list, since a prefix is only known up to there.
-fn prompt_chunks(text: &str) -> Vec<Part> {
+fn prompt_chunks(text: &str) -> Vec<PromptChunk> {
     text.split(',').map_while(prompt_chunk).collect()
 }
 
-fn prompt_chunk(text: &str) -> Option<Part> {
+fn prompt_chunk(text: &str) -> Option<PromptChunk> {
     let (id, tokens) = text.trim().split_once(':')?;
-    Some(Part { id: chunk_id(id), tokens: tokens.trim().parse().ok()? })
+    Some(PromptChunk { id: chunk_id(id), tokens: tokens.trim().parse().ok()? })
 }
 
 /// A chunk's id as a number; one that is no hexadecimal number of 64 bits is hashed.
--- a/dataplane/src/service_specs.rs
+++ b/dataplane/src/service_specs.rs
@@ -1,9 +1,9 @@
-//! From the services of a configuration to the specifications that the engine takes.
+//! From the services of a configuration to the specifications that the placer takes.
 
 use gradepaddle_config::{Configuration, Service, ServiceKind};
-use gradepaddle_engine::{ModelService, ServiceSpec, StoreService};
+use gradepaddle_placement::{CacheStoreService, ModelService, ServiceSpec};
 
-/// The services of a configuration, as the engine places requests on them.
+/// The services of a configuration, as the placer places requests on them.
 pub(crate) fn service_specs(configuration: &Configuration) -> Vec<ServiceSpec> {
     configuration.services.iter().map(service_spec).collect()
 }
@@ -25,7 +25,7 @@
             })
         }
         ServiceKind::Store { address, zone, cache_tokens, link_mbps, .. } => ServiceSpec::Store(
-            StoreService::builder()
+            CacheStoreService::builder()
                 .name(service.name.clone())
                 .address(*address)
                 .zone(zone.clone())
--- a/dataplane/src/upstream_request.rs
+++ b/dataplane/src/upstream_request.rs
@@ -3,9 +3,9 @@
 
 use std::time::Duration;
 
-use gradepaddle_engine::Choice;
 use gradepaddle_http::buffers::{Chain, Pool};
 use gradepaddle_http::{Head, push_headers};
+use gradepaddle_placement::Placement;
 
 use crate::proxied_request::ProxiedRequest;
 use crate::routing::priority_field;
@@ -34,7 +34,7 @@
 /// last event that the client has.
 pub(crate) fn upstream_request_head(
     request: &ProxiedRequest<'_>,
-    choice: &Choice,
+    choice: &Placement,
     time_left: Duration,
     last_event: Option<u64>,
 ) -> Chain {
--- a/dataplane/src/version_deadlines.rs
+++ b/dataplane/src/version_deadlines.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use gradepaddle_engine::{AttemptId, Micros};
+use gradepaddle_placement::{AttemptId, Micros};
 use slog::info;
 use tokio::time::timeout_at;
 
@@ -16,14 +16,14 @@
     /// now.
     pub fn announce_version(&self, model: &str, version: u64, binds_in: Micros) {
         let binds_at = self.now() + binds_in;
-        self.engine.borrow_mut().name_version(binds_at, model, version);
+        self.placer.borrow_mut().announce_version(binds_at, model, version);
         self.versions_changed.send_replace(());
     }
 
     /// The deadline of an announced version was postponed: it is now `binds_in` microseconds after now.
     pub fn postpone_version(&self, model: &str, version: u64, binds_in: Micros) {
         let binds_at = self.now() + binds_in;
-        self.engine.borrow_mut().postpone_version(binds_at, model, version);
+        self.placer.borrow_mut().extend_version_deadline(binds_at, model, version);
         self.versions_changed.send_replace(());
     }
 
@@ -33,7 +33,7 @@
         let mut changes = self.versions_changed.subscribe();
         loop {
             // The sender lives as long as `self`: a change or a time-out ends each wait.
-            let deadline = self.engine.borrow().must_begin_by(attempt);
+            let deadline = self.placer.borrow().start_deadline(attempt);
             match deadline {
                 Some(deadline) if deadline <= self.now() => return,
                 Some(deadline) => {
--- a/system/src/run.rs
+++ b/system/src/run.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use gradepaddle_config::Settings;
-use gradepaddle_control::{Recovered, Replica, ReplicaConfig, ReplicaId};
+use gradepaddle_control::{RecoveredState, Replica, ReplicaConfig, ReplicaId};
 use gradepaddle_controlplane::CLOCK_START;
 use gradepaddle_controlplane::clock::Clock;
 use gradepaddle_controlplane::door::serve_calls;
@@ -21,9 +21,10 @@
 use gradepaddle_controlplane::node::{Input, Node, NodeSetup};
 use gradepaddle_controlplane::session::OwnSession;
 use gradepaddle_dataplane::{
-    DataPlane, Setup, ShutdownTimes, receive_load_reports, serve_clients, serve_readiness, shut_down, send_load_reports,
+    DataPlane, Setup, ShutdownTimes, receive_load_reports, send_load_reports, serve_clients, serve_readiness,
+    shut_down,
 };
-use gradepaddle_engine::{Engine, EngineConfig};
+use gradepaddle_placement::{PlacementConfig, Placer};
 use gradepaddle_proto::Identity;
 use gradepaddle_spread::{Spread, SpreadConfig};
 use gradepaddle_store::{Done, Storage, StoreError, Writer};
@@ -193,14 +194,14 @@
 fn data_plane(settings: &Settings, log: &Logger) -> Rc<DataPlane> {
     let bounds = &settings.bounds;
     let micros = |span: Duration| span.as_micros() as u64;
-    let engine = EngineConfig::builder()
+    let engine = PlacementConfig::builder()
         .own_zone(&*settings.zone)
         .seed(random())
         .retry_ratio(bounds.retry_ratio)
         .retry_slack(bounds.retry_slack)
         .retry_window(micros(bounds.retry_window))
         .build();
-    DataPlane::new(Setup { engine: Engine::new(engine), zone: Arc::from(&*settings.zone), log: log.clone() })
+    DataPlane::new(Setup { placer: Placer::new(engine), zone: Arc::from(&*settings.zone), log: log.clone() })
 }
 
 /// Opens the disk, where there is one whose loss counts, and starts the replica on it. A disk that refuses is tried again
@@ -221,7 +222,7 @@
                     .zone(&*settings.zone)
                     .first_boot(settings.first_boot)
                     .machine_losses(settings.survive.machine_losses as usize)
-                    .leave_limit(settings.bounds.grace.saturating_sub(GRACE_MARGIN).as_micros() as u64)
+                    .shutdown_timeout(settings.bounds.grace.saturating_sub(GRACE_MARGIN).as_micros() as u64)
                     .seed(random())
                     .build();
                 let replica = Box::new(Replica::new(config, recovered, clock.now()));
@@ -238,13 +239,13 @@
 fn open_disk(
     path: &Path,
     back: &mpsc::UnboundedSender<DriverEvent>,
-) -> Result<(Writer, Recovered), StoreError> {
+) -> Result<(Writer, RecoveredState), StoreError> {
     let opened = Storage::open(path, ReplicaId(random()))?;
     let back = back.clone();
     let done = move |done: Done| {
         let input = match done.result {
-            Ok(()) => Input::Persisted(done.token),
-            Err(_) => Input::PersistFailed(done.token),
+            Ok(()) => Input::Persisted(done.write_id),
+            Err(_) => Input::PersistFailed(done.write_id),
         };
         // Without a driver nobody waits for it.
         let _ = back.send(DriverEvent::Input(input));
