--- a/dataplane/src/load_reports/content.rs
+++ b/dataplane/src/load_reports/content.rs
@@ -1,4 +1,4 @@
-//! What a message of loads holds: the engine's figures as they travel, and which are believed.
+//! The content of a load report: the placer's figures as they travel, and which are accepted.
 
 use gradepaddle_placement::{CachedTokens, LocalLoad, PrefillReport, PromptChunk, StoreUpdate};
 use gradepaddle_proto::{
@@ -7,42 +7,43 @@
 
 use super::resend_window::ResendWindow;
 
-/// Prompts told in one message at most.
-const PROMPTS_MOST: usize = 96;
-/// Reports of stores in one message at most, and parts in one of them: a datagram has to hold them.
-const STORE_REPORTS_MOST: usize = 96;
-const CHANGED_PARTS_MOST: usize = 1_024;
-/// No balancer has more than this in flight at one server.
-const RUNNING_MOST: u32 = 100_000;
-/// No balancer has more than this to read at one server, in milliseconds: ten minutes.
-const BACKLOG_MOST_MS: u32 = 600_000;
-/// No prompt has more parts.
-const PARTS_MOST: usize = 256;
+/// Cached prefixes in one report at most: a datagram has to hold them.
+const MAX_PREFIXES: usize = 96;
+/// Reports of cache stores in one load report at most.
+const MAX_STORE_REPORTS: usize = 96;
+/// Chunks in one report of a cache store at most.
+const MAX_CHANGED_CHUNKS: usize = 1_024;
+/// No node has more than this in flight at one server.
+const MAX_RUNNING: u32 = 100_000;
+/// No node has more than this to prefill at one server, in milliseconds: ten minutes.
+const MAX_BACKLOG_MS: u32 = 600_000;
+/// No prompt has more chunks.
+const MAX_PROMPT_CHUNKS: usize = 256;
 
-/// Prompts seen kept in the last rounds.
-pub(super) fn recent_prompts() -> ResendWindow<CachedPrefix> {
-    ResendWindow::new(PROMPTS_MOST)
+/// Prefixes seen cached in the last rounds.
+pub(super) fn cached_prefix_window() -> ResendWindow<CachedPrefix> {
+    ResendWindow::new(MAX_PREFIXES)
 }
 
-/// What changed at stores in the last rounds.
-pub(super) fn recent_changes() -> ResendWindow<CacheStoreReport> {
-    ResendWindow::new(STORE_REPORTS_MOST)
+/// Changes of cache stores in the last rounds.
+pub(super) fn store_report_window() -> ResendWindow<CacheStoreReport> {
+    ResendWindow::new(MAX_STORE_REPORTS)
 }
 
 pub(super) fn store_report(changes: &StoreUpdate) -> CacheStoreReport {
-    let parts = changes.parts.iter().take(CHANGED_PARTS_MOST);
+    let chunks = changes.parts.iter().take(MAX_CHANGED_CHUNKS);
     let StoreUpdate { store, reset, .. } = *changes;
-    let parts = parts.map(|part| ReportedChunk { id: part.key, tokens: part.tokens }).collect();
+    let parts = chunks.map(|chunk| ReportedChunk { id: chunk.key, tokens: chunk.tokens }).collect();
     CacheStoreReport { store, reset, chunks: parts }
 }
 
 pub(super) fn store_changes(report: &CacheStoreReport) -> StoreUpdate {
-    let parts = report.chunks.iter().map(|part| CachedTokens { key: part.id, tokens: part.tokens });
+    let chunks = report.chunks.iter().map(|chunk| CachedTokens { key: chunk.id, tokens: chunk.tokens });
     let CacheStoreReport { store, reset, .. } = *report;
-    StoreUpdate { store, reset, parts: parts.collect() }
+    StoreUpdate { store, reset, parts: chunks.collect() }
 }
 
-pub(super) fn share(load: LocalLoad) -> ServerLoad {
+pub(super) fn server_load(load: LocalLoad) -> ServerLoad {
     ServerLoad {
         server: load.server,
         backlog_ms: load.backlog_ms.max(0.0) as u32,
@@ -51,43 +52,41 @@
     }
 }
 
-pub(super) fn own_load(share: &ServerLoad) -> LocalLoad {
+pub(super) fn own_load(load: &ServerLoad) -> LocalLoad {
     LocalLoad {
-        server: share.server,
-        backlog_ms: f64::from(share.backlog_ms),
-        running: share.running,
-        tokens: share.tokens,
+        server: load.server,
+        backlog_ms: f64::from(load.backlog_ms),
+        running: load.running,
+        tokens: load.tokens,
     }
 }
 
-pub(super) fn kept_prompt(sighting: &PrefillReport) -> CachedPrefix {
-    let parts = sighting.parts.iter().map(|part| ReportedChunk { id: part.id, tokens: part.tokens });
+pub(super) fn cached_prefix(sighting: &PrefillReport) -> CachedPrefix {
+    let chunks = sighting.parts.iter().map(|chunk| ReportedChunk { id: chunk.id, tokens: chunk.tokens });
     let PrefillReport { server, key, version, salt, .. } = *sighting;
-    CachedPrefix { server, key, version, salt, chunks: parts.collect() }
+    CachedPrefix { server, key, version, salt, chunks: chunks.collect() }
 }
 
-pub(super) fn sighting(kept: &CachedPrefix) -> PrefillReport {
-    let parts = kept.chunks.iter().map(|part| PromptChunk { id: part.id, tokens: part.tokens });
-    let CachedPrefix { server, key, version, salt, .. } = *kept;
-    PrefillReport { server, key, version, salt, parts: parts.collect() }
+pub(super) fn sighting(prefix: &CachedPrefix) -> PrefillReport {
+    let chunks = prefix.chunks.iter().map(|chunk| PromptChunk { id: chunk.id, tokens: chunk.tokens });
+    let CachedPrefix { server, key, version, salt, .. } = *prefix;
+    PrefillReport { server, key, version, salt, parts: chunks.collect() }
 }
 
-/// True if others need not be told: what is read meanwhile they count down themselves.
-pub(super) fn same(now: &[ServerLoad], told: &[ServerLoad]) -> bool {
-    let timeless = |share: &ServerLoad| (share.server, share.running, share.tokens);
-    now.len() == told.len() && now.iter().map(timeless).eq(told.iter().map(timeless))
+/// True if peers need no new report: they count down by themselves what is prefilled meanwhile.
+pub(super) fn unchanged(now: &[ServerLoad], reported: &[ServerLoad]) -> bool {
+    let without_backlog = |load: &ServerLoad| (load.server, load.running, load.tokens);
+    now.len() == reported.len() && now.iter().map(without_backlog).eq(reported.iter().map(without_backlog))
 }
 
-/// False for figures that no balancer can have.
-pub(super) fn believable(message: &PeerLoadReport) -> bool {
-    let possible = |share: &ServerLoad| {
-        share.running <= RUNNING_MOST
-            && share.backlog_ms <= BACKLOG_MOST_MS
-            && share.tokens <= u64::from(u32::MAX)
+/// False for figures that no node can have.
+pub(super) fn is_plausible(report: &PeerLoadReport) -> bool {
+    let possible = |load: &ServerLoad| {
+        load.running <= MAX_RUNNING && load.backlog_ms <= MAX_BACKLOG_MS && load.tokens <= u64::from(u32::MAX)
     };
-    message.servers.iter().all(possible)
-        && message.cached_prefixes.len() <= PROMPTS_MOST
-        && message.cached_prefixes.iter().all(|kept| kept.chunks.len() <= PARTS_MOST)
-        && message.cache_store_reports.len() <= STORE_REPORTS_MOST
-        && message.cache_store_reports.iter().all(|changes| changes.chunks.len() <= CHANGED_PARTS_MOST)
+    report.servers.iter().all(possible)
+        && report.cached_prefixes.len() <= MAX_PREFIXES
+        && report.cached_prefixes.iter().all(|prefix| prefix.chunks.len() <= MAX_PROMPT_CHUNKS)
+        && report.cache_store_reports.len() <= MAX_STORE_REPORTS
+        && report.cache_store_reports.iter().all(|changes| changes.chunks.len() <= MAX_CHANGED_CHUNKS)
 }
