--- a/controlplane/src/door.rs
+++ b/controlplane/src/door.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use gradepaddle_http::buffers::{Chain, Pool};
-use gradepaddle_http::{Body, Connection, Fault, Framing, Head};
+use gradepaddle_http::{Body, Connection, Framing, Head, ReadError};
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep, timeout};
@@ -46,8 +46,8 @@
         let body = timeout(READ_WITHIN, read_body(&mut connection, &head, &pool)).await;
         let (answer, keeps) = match body {
             Ok(Ok(body)) => (answer(&head, &body, &driver).await, head.keeps_alive()),
-            Ok(Err(Fault::LongBody)) => (Answer::message(413, "the body is too long"), false),
-            Ok(Err(Fault::Malformed(what))) => (Answer::message(400, what), false),
+            Ok(Err(ReadError::BodyTooLong)) => (Answer::message(413, "the body is too long"), false),
+            Ok(Err(ReadError::Malformed(what))) => (Answer::message(400, what), false),
             Ok(Err(_)) | Err(_) => return,
         };
         // Looked at last of all: the process may have stood still since the driver answered.
@@ -56,17 +56,17 @@
             return;
         }
         if !keeps {
-            return connection.linger().await;
+            return connection.close_lingering().await;
         }
     }
 }
 
-async fn read_body(connection: &mut Connection, head: &Head, pool: &Pool) -> Result<Vec<u8>, Fault> {
-    let framing = head.framing(Framing::Length(0)).map_err(Fault::Malformed)?;
-    let mut body = Body::new_within(framing, BODY_MOST)?;
+async fn read_body(connection: &mut Connection, head: &Head, pool: &Pool) -> Result<Vec<u8>, ReadError> {
+    let framing = head.framing(Framing::Length(0)).map_err(ReadError::Malformed)?;
+    let mut body = Body::with_limit(framing, BODY_MOST)?;
     let mut bytes = pool.chain();
-    while !connection.read_piece(&mut body, &mut bytes, usize::MAX).await? {}
-    Ok(bytes.copy(bytes.len()))
+    while !connection.read_body(&mut body, &mut bytes, usize::MAX).await? {}
+    Ok(bytes.copy_front(bytes.len()))
 }
 
 async fn answer(head: &Head, body: &[u8], driver: &mpsc::UnboundedSender<DriverEvent>) -> Answer {
--- a/controlplane/src/orders.rs
+++ b/controlplane/src/orders.rs
@@ -156,7 +156,7 @@
         answer = timeout(left, exchange(&mut connection, request, pool)) => answer.ok().flatten(),
     };
     if answer.is_none() {
-        connection.break_off();
+        connection.reset_on_drop();
     }
     answer
 }
@@ -192,9 +192,10 @@
     connection.write(&[request]).await.ok()?;
     let head: Head = connection.read_head().await.ok()?;
     let status = head.status().ok()?;
-    let framing = if head.is_bare() { Framing::Length(0) } else { head.framing(Framing::UntilClose).ok()? };
-    let mut body = Body::new_within(framing, ANSWER_BYTES).ok()?;
+    let framing =
+        if head.has_no_body() { Framing::Length(0) } else { head.framing(Framing::UntilClose).ok()? };
+    let mut body = Body::with_limit(framing, ANSWER_BYTES).ok()?;
     let mut bytes = pool.chain();
-    while !connection.read_piece(&mut body, &mut bytes, usize::MAX).await.ok()? {}
-    Some((status, bytes.copy(bytes.len())))
+    while !connection.read_body(&mut body, &mut bytes, usize::MAX).await.ok()? {}
+    Some((status, bytes.copy_front(bytes.len())))
 }
--- a/daemon/src/app_server.rs
+++ b/daemon/src/app_server.rs
@@ -122,7 +122,7 @@
 /// The idle connection that was used last, and how long ago, if it can be trusted. Those under it are older.
 fn reused(idle: &mut Vec<Idle>, context: &Context) -> Option<(Connection, Duration)> {
     let now = Instant::now();
-    let trusted = context.idling.trusted(now);
+    let trusted = context.idle_reuse.max_idle(now);
     while let Some(Idle { connection, since, .. }) = idle.pop() {
         let age = now.saturating_duration_since(since);
         if age >= trusted {
@@ -130,7 +130,7 @@
             return None;
         }
         // It may have been closed since we last looked.
-        if connection.is_quiet() {
+        if connection.is_idle() {
             return Some((connection, age));
         }
     }
@@ -141,7 +141,7 @@
 /// that restarts leaves dead connections, and a request written to one counts as having run.
 async fn stirred(idle: &[Idle]) -> usize {
     poll_fn(|cx| {
-        let at = idle.iter().position(|one| one.connection.poll_stirred(cx).is_ready());
+        let at = idle.iter().position(|one| one.connection.poll_disturbed(cx).is_ready());
         at.map_or(Poll::Pending, Poll::Ready)
     })
     .await
--- a/daemon/src/http.rs
+++ b/daemon/src/http.rs
@@ -6,7 +6,8 @@
 
 use crate::sockets::Permit;
 pub use gradepaddle_http::{
-    Body, Chunks, Fault, Framing, Head, Piece, Request, Rest, Search, chunk, push_framing, push_headers,
+    Body, BodyPart, BodyStream, ChunkedDecoder, Framing, Head, HeadSearch, ReadError, Request, chunk,
+    push_end_to_end_fields, push_framing_field,
 };
 
 /// A connection with its share of the descriptor budget.
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -29,7 +29,7 @@
 use gradepaddle::Balancer;
 use gradepaddle_dispatch::{Dispatch, Limits};
 use gradepaddle_http::buffers::Pool;
-use gradepaddle_http::idling::Idling;
+use gradepaddle_http::idle_reuse::IdleReuse;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::{mpsc, watch};
@@ -145,7 +145,7 @@
         None => None,
     };
     let (clock, pool) = (Clock::start(), Pool::default());
-    pool.limit(config.memory_mb * 1024 * 1024 / 2);
+    pool.set_limit(config.memory_mb * 1024 * 1024 / 2);
     let budget = sockets::Budget::new(config.sockets, door.as_ref().map_or(0, |_| door::CALLERS + 1));
     let handover = handover(&config, door.is_some());
     let older = handover.as_ref().is_some_and(|handover| handover.share(&budget, false).older);
@@ -164,7 +164,7 @@
         dial_timeout: Duration::from_micros(config.deployment.dial_timeout),
         conn_idle: config.deployment.conn_idle,
         reports: config.deployment.reports,
-        idling: Idling::new(Instant::now()),
+        idle_reuse: IdleReuse::new(Instant::now()),
     });
     let limits = Limits { grace: config.deployment.drain_grace, ..Limits::default() };
     let dispatch = Dispatch::new(balancer, &config.deployment.settings, &config.name, limits);
--- a/daemon/src/probe.rs
+++ b/daemon/src/probe.rs
@@ -10,7 +10,7 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-use crate::http::{Body, Connection, Fault, Framing, Head};
+use crate::http::{Body, Connection, Framing, Head, ReadError};
 use crate::mail;
 use crate::routed_task::{Context, Entry, Parking};
 use crate::sockets::Side;
@@ -61,7 +61,7 @@
         if let Some(connection) = reused {
             match ask(connection, &context).await {
                 // It was closed at the other end while it was idle.
-                Err(Fault::Ended) => {}
+                Err(ReadError::Closed) => {}
                 answered => return conclude(answered, &parking),
             }
         }
@@ -91,32 +91,32 @@
     connection: Option<Connection>,
 }
 
-async fn ask(mut connection: Connection, context: &Context) -> Result<Answered, Fault> {
+async fn ask(mut connection: Connection, context: &Context) -> Result<Answered, ReadError> {
     let mut message = context.pool.chain();
     let path = if context.reports { "/stats" } else { "/health/live" };
     message.push(format!("GET {path} HTTP/1.1\r\nHost: app-server\r\n\r\n").as_bytes());
-    connection.write(&[&message]).await.map_err(|_| Fault::Ended)?;
+    connection.write(&[&message]).await.map_err(|_| ReadError::Closed)?;
     let head = connection.read_head().await?;
-    let framing = if head.is_bare() {
+    let framing = if head.has_no_body() {
         Framing::Length(0)
     } else {
-        head.framing(Framing::UntilClose).map_err(Fault::Malformed)?
+        head.framing(Framing::UntilClose).map_err(ReadError::Malformed)?
     };
     let mut rest = Body::new(framing)?;
     let mut body = context.pool.chain();
-    while !connection.read_piece(&mut rest, &mut body, LONGEST).await? {
+    while !connection.read_body(&mut rest, &mut body, LONGEST).await? {
         if body.len() >= LONGEST {
-            return Err(Fault::LongBody);
+            return Err(ReadError::BodyTooLong);
         }
     }
     let usable = head.keeps_alive() && framing != Framing::UntilClose && !connection.has_input();
     Ok(Answered { head, body, connection: Some(connection).filter(|_| usable) })
 }
 
-fn conclude(answered: Result<Answered, Fault>, parking: &Parking) -> (Cause, Option<LoadReport>) {
+fn conclude(answered: Result<Answered, ReadError>, parking: &Parking) -> (Cause, Option<LoadReport>) {
     let Answered { head, body, connection } = match answered {
         Ok(answered) => answered,
-        Err(Fault::Ended) => return (Cause::Broke, None),
+        Err(ReadError::Closed) => return (Cause::Broke, None),
         Err(_) => return (Cause::Spoilt, None),
     };
     if let (Some(connection), Some(parking)) = (connection, parking.upgrade()) {
@@ -130,7 +130,7 @@
         Ok(_) => Cause::Failed,
         Err(_) => return (Cause::Spoilt, None),
     };
-    let text = body.copy(body.len());
+    let text = body.copy_front(body.len());
     let report = std::str::from_utf8(&text).ok().and_then(LoadReport::read);
     (cause, report.or_else(|| head.get("x-backend-load").and_then(LoadReport::read)))
 }
--- a/daemon/src/routed_task.rs
+++ b/daemon/src/routed_task.rs
@@ -10,15 +10,15 @@
 use gradepaddle::{LoadReport, Micros};
 use gradepaddle_dispatch::{Cause, Extent, Ticket};
 use gradepaddle_http::buffers::{Chain, Pool};
-use gradepaddle_http::idling::Idling;
-use gradepaddle_http::pace::Pace;
+use gradepaddle_http::idle_reuse::IdleReuse;
+use gradepaddle_http::stall_budget::StallBudget;
 use tokio::net::TcpStream;
 use tokio::sync::{Notify, mpsc, watch};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 use tracing::debug;
 
 use crate::clock::Clock;
-use crate::http::{self, Body, Connection, Framing, Head, Piece, Rest};
+use crate::http::{self, Body, BodyPart, BodyStream, Connection, Framing, Head};
 use crate::mail;
 use crate::sockets::Budget;
 use crate::transaction::{Message, Reply};
@@ -38,7 +38,7 @@
     /// App servers report their load.
     pub reports: bool,
     /// How long idle connections can be trusted.
-    pub idling: Idling,
+    pub idle_reuse: IdleReuse,
 }
 
 /// What holds of an app server at this moment.
@@ -166,7 +166,7 @@
     };
     // Other ends say nothing of the connection: it was left, or never came up.
     if matches!(end.cause, Cause::Broke | Cause::Served | Cause::Failed) {
-        context.idling.note(Instant::now(), idle, end.cause == Cause::Broke);
+        context.idle_reuse.record(Instant::now(), idle, end.cause == Cause::Broke);
     }
     if let (Some(connection), Some(parking)) = (end.connection, parking.upgrade()) {
         // If the actor has just ended, the connection closes here.
@@ -191,15 +191,15 @@
 
 /// The pieces of a request that flows, lent to one attempt: given back unless one of them was used.
 struct Lent<'a> {
-    rest: &'a Rest,
-    pieces: Option<mpsc::Receiver<Piece>>,
+    rest: &'a BodyStream,
+    pieces: Option<mpsc::Receiver<BodyPart>>,
     used: bool,
 }
 
 impl Drop for Lent<'_> {
     fn drop(&mut self) {
         if !self.used {
-            self.rest.pieces.replace(self.pieces.take());
+            self.rest.parts.replace(self.pieces.take());
         }
     }
 }
@@ -217,7 +217,7 @@
 ) -> End {
     let mut lent = match &request.rest {
         None => None,
-        Some(rest) => match rest.pieces.take() {
+        Some(rest) => match rest.parts.take() {
             Some(pieces) => Some(Lent { rest, pieces: Some(pieces), used: false }),
             // Another attempt has used some of them: this one would send a part for the whole.
             None => return End::of(Cause::NotTried),
@@ -294,7 +294,7 @@
         Some(Framing::Chunked) => http::chunk(&context.pool, request.body.len(), false),
         _ => (context.pool.chain(), context.pool.chain()),
     };
-    head.push_all(&before);
+    head.push_chain(&before);
     let early = write(connection, &[&head, &request.body, &after], &mut interim).await?;
     let Some(lent) = lent.as_mut().filter(|_| early.is_none()) else { return Ok(early) };
     drop(head);
@@ -309,7 +309,7 @@
             },
         };
         // Without a last piece its client has left amid it.
-        let Some(Piece { bytes, last }) = piece else { return Err(Cause::Broke) };
+        let Some(BodyPart { bytes, last }) = piece else { return Err(Cause::Broke) };
         if !std::mem::replace(&mut lent.used, true) {
             report.spent();
         }
@@ -331,11 +331,11 @@
     interim: &mut usize,
 ) -> Result<Option<Head>, Cause> {
     let total: usize = chains.iter().map(|chain| chain.len()).sum();
-    let (mut written, mut pace) = (0, Pace::of_reader());
+    let (mut written, mut stall_budget) = (0, StallBudget::for_reader());
     while written < total {
         tokio::select! {
             biased;
-            count = connection.write_some(chains, written, &mut pace) => {
+            count = connection.write_some(chains, written, &mut stall_budget) => {
                 written += count.map_err(|_| Cause::Broke)?;
             }
             () = connection.readable() => {
@@ -359,18 +359,18 @@
     Ok(None)
 }
 
-fn cause_of(fault: &http::Fault) -> Cause {
-    if matches!(fault, http::Fault::Ended) { Cause::Broke } else { Cause::Spoilt }
+fn cause_of(fault: &http::ReadError) -> Cause {
+    if matches!(fault, http::ReadError::Closed) { Cause::Broke } else { Cause::Spoilt }
 }
 
 fn request_head(request: &http::Request, framing: Option<Framing>, left: Micros, pool: &Pool) -> Chain {
     let mut head = pool.chain();
     let parts = [request.head.method(), " ", request.head.target(), " HTTP/1.1\r\n"];
     parts.iter().for_each(|part| head.push(part.as_bytes()));
-    http::push_headers(&mut head, &request.head, &["x-time-left"]);
+    http::push_end_to_end_fields(&mut head, &request.head, &["x-time-left"]);
     head.push(format!("X-Time-Left: {}.{:03}\r\n", left / 1_000_000, left / 1000 % 1000).as_bytes());
     if let Some(framing) = framing {
-        http::push_framing(&mut head, framing);
+        http::push_framing_field(&mut head, framing);
     }
     head.push(b"\r\n");
     head
@@ -423,7 +423,7 @@
         }
     };
     let status = head.status().map_err(|_| Cause::Spoilt)?;
-    let bare = request.head.method() == "HEAD" || head.is_bare();
+    let bare = request.head.method() == "HEAD" || head.has_no_body();
     let framing = if bare { Ok(Framing::Length(0)) } else { head.framing(Framing::UntilClose) };
     let framing = framing.map_err(|_| Cause::Spoilt)?;
     // Without a length the close ends it, and then it must be announced: else what is missing is the length,
@@ -443,7 +443,7 @@
     let mut rest = Body::new(framing).map_err(|fault| cause_of(&fault))?;
     let mut body = context.pool.chain();
     let whole_by = match framing {
-        Framing::Length(length) if length > context.pool.kept() as u64 => Some(Instant::now()),
+        Framing::Length(length) if length > context.pool.max_buffered_body() as u64 => Some(Instant::now()),
         Framing::Length(_) => None,
         _ => Some(Instant::now() + WHOLE_WITHIN),
     };
@@ -455,10 +455,10 @@
     };
     let mut late = pin!(late);
     loop {
-        let most = context.pool.kept();
+        let most = context.pool.max_buffered_body();
         tokio::select! {
             biased;
-            whole = connection.read_piece(&mut rest, &mut body, most) => match whole {
+            whole = connection.read_body(&mut rest, &mut body, most) => match whole {
                 Ok(true) => return Ok(Read { cause, head, body, rest: None }),
                 Ok(false) if body.len() >= most => {}
                 Ok(false) => continue,
--- a/daemon/src/service_table.rs
+++ b/daemon/src/service_table.rs
@@ -17,7 +17,7 @@
 use tracing::{debug, info, warn};
 
 use crate::handover::{Handover, Table};
-use crate::http::{Chunks, Connection, Framing};
+use crate::http::{ChunkedDecoder, Connection, Framing};
 use crate::mail::{self, Change};
 use crate::routed_task::Context;
 use crate::sockets::Side;
@@ -265,7 +265,7 @@
             return "the answer is not chunked".into();
         }
         let (mut chunks, mut came, mut values) =
-            (Chunks::new(), self.context.pool.chain(), Values::default());
+            (ChunkedDecoder::new(), self.context.pool.chain(), Values::default());
         loop {
             let read = connection.read_chunks(&mut chunks, &mut came, MAX_VALUE);
             let ended = match timeout_at(self.instant(self.clock.silent_at()), read).await {
@@ -274,7 +274,7 @@
                 Err(_) if values.is_amid() => return End::Silent("half a list, then silence".into()),
                 Err(_) => return End::Silent("a watch that is silent".into()),
             };
-            let text = came.copy(came.len());
+            let text = came.copy_front(came.len());
             came.consume(text.len());
             match values.take(&text) {
                 Ok(listings) => {
--- a/daemon/src/terminal.rs
+++ b/daemon/src/terminal.rs
@@ -133,7 +133,7 @@
         if let Some(connection) = serve(connection, &context).await {
             let waiting = context.budget.wait(Wait::Silent);
             tokio::select! {
-                () = connection.linger() => {}
+                () = connection.close_lingering() => {}
                 () = waiting.unwanted() => {}
             }
         }
@@ -232,7 +232,7 @@
         () = tokio::time::sleep_until(until) => {}
     }
     // A request that has come just now is answered, not crossed by the close.
-    if connection.is_quiet() { Awaited::Nothing } else { Awaited::Request }
+    if connection.is_idle() { Awaited::Nothing } else { Awaited::Request }
 }
 
 /// The answer to a request, and whether all of that has been read; none if the client has left.
@@ -301,13 +301,13 @@
 fn transaction(request: http::Request, context: &Context) -> Result<Transaction, (u16, &'static str)> {
     let arrived = context.clock.now();
     let (head, deployment, whole) = (&request.head, &context.deployment, request.rest.is_none());
-    let ids: Vec<_> = head.all("x-correlation-id").collect();
+    let ids: Vec<_> = head.get_all("x-correlation-id").collect();
     let own = match ids[..] {
         [id] if !id.is_empty() => Arc::from(id),
         _ => return Err((400, "X-Correlation-Id must be given once")),
     };
     let first = head.target()[1..].split(['/', '?']).next().unwrap_or_default();
-    if head.all("x-service-class").any(|name| name != first.as_bytes()) {
+    if head.get_all("x-service-class").any(|name| name != first.as_bytes()) {
         return Err((400, "X-Service-Class is not the first part of the path"));
     }
     let class = deployment.classes.iter().position(|class| class == first);
@@ -335,9 +335,9 @@
     let longest = deployment.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
     let by = context.phase.borrow().answered_by(longest);
     let time_left = by.map_or(time_left, |by| time_left.min(by.saturating_sub(arrived)));
-    let key = head.all("cookie").find_map(cookie);
+    let key = head.get_all("cookie").find_map(cookie);
     // App servers can only drop a repeat of what one key names. A safe class needs none.
-    let names: Vec<_> = head.all("idempotency-key").map(<[u8]>::trim_ascii).collect();
+    let names: Vec<_> = head.get_all("idempotency-key").map(<[u8]>::trim_ascii).collect();
     let once = !matches!(names[..], [name] if !name.is_empty());
     // A guess that is no guess changes nothing: the request is served like one without.
     let hint = head.get("x-weight-hint").and_then(|text| text.trim().parse().ok());
--- a/daemon/src/terminal/intake.rs
+++ b/daemon/src/terminal/intake.rs
@@ -1,11 +1,11 @@
 //! Requests as they come in: the head, as much of the body as is kept, and the rest as it flows.
 
 use gradepaddle_http::buffers::{Chain, Pool};
-use gradepaddle_http::pace::Pace;
+use gradepaddle_http::stall_budget::StallBudget;
 use tokio::sync::mpsc;
 use tokio::time::{Instant, timeout, timeout_at};
 
-use crate::http::{Body, Connection, Fault, Framing, Piece, Request, Rest, Search};
+use crate::http::{Body, BodyPart, BodyStream, Connection, Framing, HeadSearch, ReadError, Request};
 use crate::sockets::Waiting;
 
 /// A client may send this much of its next request while it waits.
@@ -33,13 +33,13 @@
     }
 }
 
-impl From<Fault> for Unread {
-    fn from(fault: Fault) -> Self {
+impl From<ReadError> for Unread {
+    fn from(fault: ReadError) -> Self {
         match fault {
-            Fault::Ended => Unread::Gone,
-            Fault::LongHead => Unread::Told(431, fault.to_string()),
-            Fault::LongBody => Unread::Told(413, fault.to_string()),
-            Fault::Malformed(_) => Unread::Told(400, fault.to_string()),
+            ReadError::Closed => Unread::Gone,
+            ReadError::HeadTooLong => Unread::Told(431, fault.to_string()),
+            ReadError::BodyTooLong => Unread::Told(413, fault.to_string()),
+            ReadError::Malformed(_) => Unread::Told(400, fault.to_string()),
         }
     }
 }
@@ -47,10 +47,10 @@
 /// The rest of a request's body, on its way from the client to whoever passes it on.
 pub struct Upload {
     body: Body,
-    pieces: mpsc::Sender<Piece>,
+    pieces: mpsc::Sender<BodyPart>,
     /// What has been read of the next piece.
     piece: Chain,
-    pace: Pace,
+    stall_budget: StallBudget,
 }
 
 /// Reads a request: its head by this time, and its body as far as that is kept. `waiting` is kept up with what
@@ -61,7 +61,7 @@
     until: Instant,
     waiting: &mut Waiting,
 ) -> Result<(Request, Option<Upload>), Unread> {
-    let mut search = Search::default();
+    let mut search = HeadSearch::default();
     let head = loop {
         if let Some(head) = connection.take_head(&mut search)? {
             break head;
@@ -76,20 +76,20 @@
             () = waiting.unwanted() => return Err(Unread::Gone),
         }
     };
-    head.check_request().map_err(Fault::Malformed)?;
-    let framing = head.framing(Framing::Length(0)).map_err(Fault::Malformed)?;
+    head.check_request().map_err(ReadError::Malformed)?;
+    let framing = head.framing(Framing::Length(0)).map_err(ReadError::Malformed)?;
     let mut rest = Body::new(framing)?;
-    if head.lists("expect", "100-continue") && !connection.has_input() {
+    if head.list_contains("expect", "100-continue") && !connection.has_input() {
         let mut go_on = pool.chain();
         go_on.push(b"HTTP/1.1 100 Continue\r\n\r\n");
         connection.write(&[&go_on]).await.map_err(|_| Unread::Gone)?;
     }
-    let (mut body, mut pace) = (pool.chain(), Pace::of_sender());
+    let (mut body, mut stall_budget) = (pool.chain(), StallBudget::for_sender());
     loop {
-        let most = pool.kept();
+        let most = pool.max_buffered_body();
         let whole = tokio::select! {
             biased;
-            whole = piece(connection, &mut rest, &mut body, most, &mut pace) => whole?,
+            whole = piece(connection, &mut rest, &mut body, most, &mut stall_budget) => whole?,
             () = waiting.unwanted() => return Err(Unread::Gone),
         };
         waiting.touch();
@@ -102,8 +102,8 @@
     }
     let length = if let Framing::Length(length) = framing { Some(length) } else { None };
     let (sender, pieces) = mpsc::channel(1);
-    let rest_of = Rest { length, pieces: Some(pieces).into() };
-    let upload = Upload { body: rest, pieces: sender, piece: pool.chain(), pace };
+    let rest_of = BodyStream { length, parts: Some(pieces).into() };
+    let upload = Upload { body: rest, pieces: sender, piece: pool.chain(), stall_budget };
     Ok((Request { head, body, rest: Some(rest_of) }, Some(upload)))
 }
 
@@ -113,11 +113,11 @@
     rest: &mut Body,
     to: &mut Chain,
     most: usize,
-    pace: &mut Pace,
+    stall_budget: &mut StallBudget,
 ) -> Result<bool, Unread> {
     let (since, had) = (Instant::now(), to.len());
-    let read = timeout(pace.left(), connection.read_piece(rest, to, most)).await;
-    pace.waited(since.elapsed(), to.len() - had);
+    let read = timeout(stall_budget.remaining(), connection.read_body(rest, to, most)).await;
+    stall_budget.record_wait(since.elapsed(), to.len() - had);
     Ok(read.map_err(|_| Unread::late())??)
 }
 
@@ -128,10 +128,10 @@
     upload: &mut Option<Upload>,
     pool: &Pool,
 ) -> Result<bool, Unread> {
-    let Some(Upload { body, pieces, piece: bytes, pace }) = upload else {
+    let Some(Upload { body, pieces, piece: bytes, stall_budget }) = upload else {
         // What has been sent ahead is left where it is, but its client may still leave.
-        if connection.waiting() >= AHEAD {
-            connection.left().await;
+        if connection.buffered_bytes() >= AHEAD {
+            connection.peer_closed().await;
             return Err(Unread::Gone);
         }
         return match connection.fill().await {
@@ -143,10 +143,10 @@
         biased;
         Ok(place) = pieces.reserve() => place,
         // Where whoever passed it on has ended, the answer is on its way, and says how.
-        () = connection.left() => return Err(Unread::Gone),
+        () = connection.peer_closed() => return Err(Unread::Gone),
     };
-    let last = piece(connection, body, bytes, pool.piece(), pace).await?;
-    place.send(Piece { bytes: std::mem::replace(bytes, pool.chain()), last });
+    let last = piece(connection, body, bytes, pool.part_size(), stall_budget).await?;
+    place.send(BodyPart { bytes: std::mem::replace(bytes, pool.chain()), last });
     // Others have their turn, however fast this client is.
     tokio::task::yield_now().await;
     if last {
--- a/daemon/src/terminal/outgoing.rs
+++ b/daemon/src/terminal/outgoing.rs
@@ -4,7 +4,7 @@
 
 use gradepaddle::Micros;
 use gradepaddle_http::buffers::{Chain, Pool};
-use gradepaddle_http::pace::Pace;
+use gradepaddle_http::stall_budget::StallBudget;
 use tokio::time::{Instant, timeout};
 
 use crate::http::{self, Answer, Connection, Flow, Framing, Head};
@@ -43,7 +43,7 @@
         if let Some(pause) = pause {
             head.push(format!("Retry-After: {:.3}\r\n", pause as f64 / 1e6).as_bytes());
         }
-        http::push_framing(&mut head, Framing::Length(body.len() as u64));
+        http::push_framing_field(&mut head, Framing::Length(body.len() as u64));
         Outgoing { head, body, flow: None }
     }
 
@@ -52,20 +52,20 @@
         let Answer { head: from, body, flow } = answer;
         let mut head = pool.chain();
         head.push(format!("HTTP/1.1 {}\r\n", from.status_line()).as_bytes());
-        http::push_headers(&mut head, &from, &[]);
+        http::push_end_to_end_fields(&mut head, &from, &[]);
         let flow = flow.map(|flow| {
             let framing = match flow.framing {
                 Framing::Length(length) => Framing::Length(length),
                 // The client must be able to tell an end from a break.
-                _ if request.is_old() => Framing::UntilClose,
+                _ if request.is_http_1_0() => Framing::UntilClose,
                 _ => Framing::Chunked,
             };
             (flow, framing)
         });
         match &flow {
-            Some((_, framing)) => http::push_framing(&mut head, *framing),
-            None if request.method() == "HEAD" || from.is_bare() => {}
-            None => http::push_framing(&mut head, Framing::Length(body.len() as u64)),
+            Some((_, framing)) => http::push_framing_field(&mut head, *framing),
+            None if request.method() == "HEAD" || from.has_no_body() => {}
+            None => http::push_framing_field(&mut head, Framing::Length(body.len() as u64)),
         }
         Outgoing { head, body, flow }
     }
@@ -87,14 +87,16 @@
         connection.write(&[&head, &before, &body, &after]).await?;
         drop((head, before, body, after));
         let Flow { connection: mut from, body: mut rest, parking, .. } = *flow;
-        let mut pace = Pace::of_reader();
+        let mut stall_budget = StallBudget::for_reader();
         loop {
             let (since, mut piece) = (Instant::now(), pool.chain());
-            let read = timeout(pace.left(), from.read_piece(&mut rest, &mut piece, pool.piece())).await;
-            pace.waited(since.elapsed(), piece.len());
+            let read =
+                timeout(stall_budget.remaining(), from.read_body(&mut rest, &mut piece, pool.part_size()))
+                    .await;
+            stall_budget.record_wait(since.elapsed(), piece.len());
             let Ok(Ok(last)) = read else {
                 // Broken off, or standing still: what the client has must not look whole.
-                connection.break_off();
+                connection.reset_on_drop();
                 return Err(io::ErrorKind::UnexpectedEof.into());
             };
             let (before, after) = frame(piece.len(), last);
--- a/dataplane/src/attempt.rs
+++ b/dataplane/src/attempt.rs
@@ -77,7 +77,7 @@
     let result = tokio::select! {
         biased;
         // First of all: nothing is sent for a client that has gone.
-        () = client.left() => SendResult::ClientGone,
+        () = client.peer_closed() => SendResult::ClientGone,
         result = send(request, &placement, history, last_event) => result,
         () = plane.version_deadline_passed(placement.attempt) => SendResult::VersionOutdated,
         () = sleep_until(deadline) => SendResult::DeadlineExceeded,
--- a/dataplane/src/cache_events/calls.rs
+++ b/dataplane/src/cache_events/calls.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use gradepaddle_http::buffers::{Chain, Pool};
-use gradepaddle_http::{Body, Connection, Fault, Framing};
+use gradepaddle_http::{Body, Connection, Framing, ReadError};
 use serde::Deserialize;
 use snafu::{ResultExt, Snafu};
 use tokio::net::TcpSocket;
@@ -31,7 +31,7 @@
     #[snafu(display("no response came within {} ms", RESPONSE_TIMEOUT.as_millis()))]
     ResponseTimeout,
     #[snafu(display("the response could not be read: {source}"))]
-    Read { source: Fault },
+    Read { source: ReadError },
     #[snafu(display("the response is not a success"))]
     Status,
     #[snafu(display("the response can't be parsed: {source}"))]
@@ -137,13 +137,13 @@
         let connection = &mut self.connection;
         connection.write(&[request]).await.context(WriteSnafu)?;
         let head = connection.read_head().await.context(ReadSnafu)?;
-        let framing = head.framing(Framing::UntilClose).map_err(Fault::Malformed).context(ReadSnafu)?;
-        let mut body = Body::new_within(framing, MAX_RESPONSE_BYTES).context(ReadSnafu)?;
+        let framing = head.framing(Framing::UntilClose).map_err(ReadError::Malformed).context(ReadSnafu)?;
+        let mut body = Body::with_limit(framing, MAX_RESPONSE_BYTES).context(ReadSnafu)?;
         let mut bytes = self.pool.chain();
-        while !connection.read_piece(&mut body, &mut bytes, usize::MAX).await.context(ReadSnafu)? {}
+        while !connection.read_body(&mut body, &mut bytes, usize::MAX).await.context(ReadSnafu)? {}
         if head.status() != Ok(200) {
             return Err(CallError::Status);
         }
-        Ok(bytes.copy(bytes.len()))
+        Ok(bytes.copy_front(bytes.len()))
     }
 }
--- a/dataplane/src/client_connection.rs
+++ b/dataplane/src/client_connection.rs
@@ -5,7 +5,7 @@
 
 use gradepaddle_config::Limits;
 use gradepaddle_http::buffers::Chain;
-use gradepaddle_http::{Body, Connection, Fault, Framing, Head};
+use gradepaddle_http::{Body, Connection, Framing, Head, ReadError};
 use tokio::net::TcpListener;
 use tokio::time::{Instant, sleep, timeout};
 
@@ -41,7 +41,8 @@
             Ok((stream, _)) => {
                 let limits = limits(&plane);
                 let connection = Connection::new(stream, &plane.pool, ());
-                let connection = connection.within(limits.max_header_bytes, limits.max_body_bytes as u64);
+                let connection =
+                    connection.with_limits(limits.max_header_bytes, limits.max_body_bytes as u64);
                 tokio::task::spawn_local(serve(plane.clone(), connection));
             }
             Err(_) => sleep(ACCEPT_PAUSE).await,
@@ -66,21 +67,21 @@
             NextRequest::Invalid(response) => {
                 let chain = response.to_chain(&plane.pool, None, true);
                 if client.write(&[&chain]).await.is_ok() {
-                    client.linger().await;
+                    client.close_lingering().await;
                 }
                 return;
             }
             NextRequest::Complete(head, body, open) => {
                 let arrived = Instant::now();
                 let close = !head.keeps_alive()
-                    || head.is_old()
+                    || head.is_http_1_0()
                     || plane.closes_connections()
                     || plane.keys_expired();
                 match respond(&plane, &mut client, &head, &body, arrived, close).await {
                     RequestOutcome::Responded if !close => {}
                     RequestOutcome::Responded => {
                         drop(open);
-                        return client.linger().await;
+                        return client.close_lingering().await;
                     }
                     RequestOutcome::Aborted => return,
                 }
@@ -101,7 +102,7 @@
     increment(&plane.counters.requests);
     let admitted = tokio::select! {
         biased;
-        () = client.left() => return RequestOutcome::Aborted,
+        () = client.peer_closed() => return RequestOutcome::Aborted,
         admitted = admit(plane, head) => admitted,
     };
     match admitted {
@@ -111,7 +112,7 @@
         }
         Err(response) => {
             increment(&plane.counters.denied);
-            let id = head.all("x-request-id").next();
+            let id = head.get_all("x-request-id").next();
             let chain = response.to_chain(&plane.pool, id, close);
             match client.write(&[&chain]).await {
                 Ok(()) => RequestOutcome::Responded,
@@ -146,7 +147,7 @@
     let Ok(framing) = head.framing(Framing::Length(0)) else {
         return NextRequest::Invalid(LocalResponse::BadRequest);
     };
-    if head.lists("expect", "100-continue") {
+    if head.list_contains("expect", "100-continue") {
         let mut go_on = plane.pool.chain();
         go_on.push(b"HTTP/1.1 100 Continue\r\n\r\n");
         if client.write(&[&go_on]).await.is_err() {
@@ -176,18 +177,18 @@
     client: &mut Connection,
     framing: Framing,
     max_bytes: usize,
-) -> Result<Chain, Fault> {
-    let mut body = Body::new_within(framing, max_bytes as u64)?;
+) -> Result<Chain, ReadError> {
+    let mut body = Body::with_limit(framing, max_bytes as u64)?;
     let mut bytes = plane.pool.chain();
-    while !client.read_piece(&mut body, &mut bytes, usize::MAX).await? {}
+    while !client.read_body(&mut body, &mut bytes, usize::MAX).await? {}
     Ok(bytes)
 }
 
-fn response_to(fault: &Fault) -> NextRequest {
+fn response_to(fault: &ReadError) -> NextRequest {
     match fault {
-        Fault::Ended => NextRequest::None,
-        Fault::Malformed(_) => NextRequest::Invalid(LocalResponse::BadRequest),
-        Fault::LongHead => NextRequest::Invalid(LocalResponse::HeadTooLarge),
-        Fault::LongBody => NextRequest::Invalid(LocalResponse::ContentTooLarge),
+        ReadError::Closed => NextRequest::None,
+        ReadError::Malformed(_) => NextRequest::Invalid(LocalResponse::BadRequest),
+        ReadError::HeadTooLong => NextRequest::Invalid(LocalResponse::HeadTooLarge),
+        ReadError::BodyTooLong => NextRequest::Invalid(LocalResponse::ContentTooLarge),
     }
 }
--- a/dataplane/src/proxy.rs
+++ b/dataplane/src/proxy.rs
@@ -112,7 +112,7 @@
                     else {
                         increment(&counters.failed);
                         // The client must see a reset: an end could pass for the end of the response.
-                        client.break_off();
+                        client.reset_on_drop();
                         return RequestOutcome::Aborted;
                     };
                     increment(&counters.resumed);
--- a/dataplane/src/response_forwarding.rs
+++ b/dataplane/src/response_forwarding.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use gradepaddle_http::buffers::Chain;
-use gradepaddle_http::{Connection, Framing, chunk, push_framing, push_headers};
+use gradepaddle_http::{Connection, Framing, chunk, push_end_to_end_fields, push_framing_field};
 use gradepaddle_placement::{AttemptOutcome, OutdatedStart, Placement, StreamPause};
 use slog::warn;
 use tokio::time::{Instant, sleep_until};
@@ -90,7 +90,7 @@
             placement,
             deadline: request.deadline(),
             close,
-            http_1_0: request.head.is_old(),
+            http_1_0: request.head.is_http_1_0(),
             events: is_stream.then(|| EventSplitter::after(routed.last_event_id)),
             framing: None,
             started: false,
@@ -131,15 +131,15 @@
         }
         loop {
             let mut bytes = self.plane.pool.chain();
-            let most = self.plane.pool.piece();
+            let most = self.plane.pool.part_size();
             let awaits_first_event = self.events.is_some() && !self.started;
             let Some(upstream) = &mut self.upstream else { return ForwardingOutcome::Complete };
             // `read_piece` is cancellation safe: what it has read is in `bytes`, the rest in the connection's buffer.
             // Where another branch wins, forwarding ends.
             let read = tokio::select! {
                 biased;
-                read = upstream.connection.read_piece(&mut upstream.body, &mut bytes, most) => read,
-                () = client.left() => {
+                read = upstream.connection.read_body(&mut upstream.body, &mut bytes, most) => read,
+                () = client.peer_closed() => {
                     return self.abort(ForwardingOutcome::ClientGone, AttemptOutcome::ClientGone);
                 }
                 () = self.plane.version_deadline_passed(self.placement.attempt), if awaits_first_event => {
@@ -183,9 +183,9 @@
         out.push(b"HTTP/1.1 ");
         out.push(head.status_line().as_bytes());
         out.push(b"\r\n");
-        push_headers(&mut out, head, &NODE_FIELDS);
-        if !head.is_bare() {
-            push_framing(&mut out, framing);
+        push_end_to_end_fields(&mut out, head, &NODE_FIELDS);
+        if !head.has_no_body() {
+            push_framing_field(&mut out, framing);
         }
         if self.close {
             out.push(b"Connection: close\r\n");
@@ -269,7 +269,7 @@
         tokio::select! {
             biased;
             written = client.write(chains) => written.map_err(|_| ForwardingOutcome::ClientGone),
-            () = client.left() => Err(ForwardingOutcome::ClientGone),
+            () = client.peer_closed() => Err(ForwardingOutcome::ClientGone),
             () = sleep_until(self.deadline) => Err(ForwardingOutcome::Interrupted),
         }
     }
@@ -278,7 +278,7 @@
     fn abort(&mut self, forwarding: ForwardingOutcome, attempt: AttemptOutcome) -> ForwardingOutcome {
         self.end_attempt(attempt);
         if let Some(upstream) = self.upstream.take() {
-            upstream.connection.break_off();
+            upstream.connection.reset_on_drop();
         }
         forwarding
     }
--- a/dataplane/src/routing.rs
+++ b/dataplane/src/routing.rs
@@ -67,10 +67,11 @@
     head: &Head,
     shared_isolation: u64,
 ) -> Result<RoutedRequest, LocalResponse> {
-    let host = head.get("host").filter(|_| head.all("host").count() == 1).ok_or(LocalResponse::BadRequest)?;
+    let host =
+        head.get("host").filter(|_| head.get_all("host").count() == 1).ok_or(LocalResponse::BadRequest)?;
     let route = configuration.route(host, head.path()).ok_or(LocalResponse::NotFound)?;
     let tenant = tenant(configuration, route, head)?;
-    let id = head.all("x-request-id").next().unwrap_or_default().to_vec();
+    let id = head.get_all("x-request-id").next().unwrap_or_default().to_vec();
     let service = select_service(route, &id).ok_or(LocalResponse::NotFound)?;
     let (prompt_tokens, max_output_tokens) = head.get("x-token-count").map(token_counts).unwrap_or_default();
     Ok(RoutedRequest {
--- a/dataplane/src/upstream_pool.rs
+++ b/dataplane/src/upstream_pool.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use gradepaddle_http::buffers::Pool;
-use gradepaddle_http::idling::Idling;
+use gradepaddle_http::idle_reuse::IdleReuse;
 use gradepaddle_http::{Connection, Head};
 use tokio::net::TcpSocket;
 use tokio::time::{Instant, timeout};
@@ -32,7 +32,7 @@
 /// Idle connections to all servers.
 pub(crate) struct UpstreamPool {
     idle: RefCell<HashMap<Arc<str>, Vec<IdleConnection>>>,
-    idling: Idling,
+    idle_reuse: IdleReuse,
 }
 
 /// A connection that can take a request.
@@ -46,18 +46,18 @@
 impl UpstreamPool {
     /// A pool without connections.
     pub fn new() -> Self {
-        UpstreamPool { idle: RefCell::default(), idling: Idling::new(Instant::now()) }
+        UpstreamPool { idle: RefCell::default(), idle_reuse: IdleReuse::new(Instant::now()) }
     }
 
     /// The idle connection to this server that was used last and may be reused.
     fn take(&self, id: &str) -> Option<PooledConnection> {
         let now = Instant::now();
-        let trusted = self.idling.trusted(now);
+        let trusted = self.idle_reuse.max_idle(now);
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(id)?;
         while let Some(one) = connections.pop() {
             let idle = now.saturating_duration_since(one.since);
-            if now < one.expires && idle < trusted && one.connection.is_quiet() {
+            if now < one.expires && idle < trusted && one.connection.is_idle() {
                 return Some(PooledConnection { connection: one.connection, idle: Some(idle) });
             }
         }
@@ -94,7 +94,7 @@
     /// Learns how long idle connections can be reused: whether a request was lost on one that had been idle for `idle`,
     /// none for a new one.
     pub fn record_outcome(&self, idle: Option<Duration>, lost: bool) {
-        self.idling.note(Instant::now(), idle, lost);
+        self.idle_reuse.record(Instant::now(), idle, lost);
     }
 
     /// Closes the idle connections to a server.
@@ -107,7 +107,7 @@
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
         idle.retain(|_, connections| {
-            connections.retain(|one| now < one.expires && one.connection.is_quiet());
+            connections.retain(|one| now < one.expires && one.connection.is_idle());
             !connections.is_empty()
         });
     }
--- a/dataplane/src/upstream_request.rs
+++ b/dataplane/src/upstream_request.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use gradepaddle_http::buffers::{Chain, Pool};
-use gradepaddle_http::{Head, push_headers};
+use gradepaddle_http::{Head, push_end_to_end_fields};
 use gradepaddle_placement::Placement;
 
 use crate::proxied_request::ProxiedRequest;
@@ -79,9 +79,9 @@
     for text in [head.method(), " ", head.target(), " HTTP/1.1\r\n"] {
         out.push(text.as_bytes());
     }
-    push_headers(&mut out, head, &NODE_FIELDS);
-    for name in END_TO_END_FIELDS.iter().filter(|name| head.lists("connection", name)) {
-        head.all(name).for_each(|value| push_field(&mut out, name, value));
+    push_end_to_end_fields(&mut out, head, &NODE_FIELDS);
+    for name in END_TO_END_FIELDS.iter().filter(|name| head.list_contains("connection", name)) {
+        head.get_all(name).for_each(|value| push_field(&mut out, name, value));
     }
     out
 }
--- a/dataplane/src/upstream_response.rs
+++ b/dataplane/src/upstream_response.rs
@@ -4,7 +4,7 @@
 //! broken connection. Interim (1xx) and surplus responses before it are skipped, within bounds.
 
 use gradepaddle_http::buffers::{Chain, Pool};
-use gradepaddle_http::{Body, Connection, Fault, Framing, Head};
+use gradepaddle_http::{Body, Connection, Framing, Head, ReadError};
 use gradepaddle_placement::ServerLoadReport;
 
 use crate::upstream_pool::PooledConnection;
@@ -25,11 +25,13 @@
     InvalidResponse,
 }
 
-impl From<&Fault> for ExchangeError {
-    fn from(fault: &Fault) -> Self {
+impl From<&ReadError> for ExchangeError {
+    fn from(fault: &ReadError) -> Self {
         match fault {
-            Fault::Ended => ExchangeError::ConnectionLost,
-            Fault::Malformed(_) | Fault::LongHead | Fault::LongBody => ExchangeError::InvalidResponse,
+            ReadError::Closed => ExchangeError::ConnectionLost,
+            ReadError::Malformed(_) | ReadError::HeadTooLong | ReadError::BodyTooLong => {
+                ExchangeError::InvalidResponse
+            }
         }
     }
 }
@@ -74,7 +76,7 @@
 impl Drop for AbortOnDrop {
     fn drop(&mut self) {
         if let Some(connection) = &self.0 {
-            connection.break_off();
+            connection.reset_on_drop();
         }
     }
 }
@@ -130,7 +132,7 @@
 /// How the body of a response is framed. A body that only the end of the connection ends is accepted only with
 /// `Connection: close`: otherwise a broken connection could not be told from its end.
 fn body_framing(head: &Head, method: &str) -> Result<Framing, ExchangeError> {
-    if method == "HEAD" || head.is_bare() {
+    if method == "HEAD" || head.has_no_body() {
         return Ok(Framing::Length(0));
     }
     match head.framing(Framing::UntilClose) {
@@ -143,7 +145,7 @@
 /// True if a response bears this request's id and no other. One without an id can't be told from a surplus one, unless the
 /// request has none either.
 fn is_for(head: &Head, id: &[u8]) -> bool {
-    let mut ids = head.all("x-request-id");
+    let mut ids = head.get_all("x-request-id");
     ids.next().unwrap_or_default() == id && ids.all(|other| other == id)
 }
 
@@ -151,7 +153,7 @@
 async fn skip_body(connection: &mut Connection, mut body: Body) -> Result<(), ExchangeError> {
     let mut bytes = Pool::default().chain();
     loop {
-        match connection.read_piece(&mut body, &mut bytes, MAX_SURPLUS_BYTES).await {
+        match connection.read_body(&mut body, &mut bytes, MAX_SURPLUS_BYTES).await {
             Ok(true) => return Ok(()),
             Ok(false) if bytes.len() >= MAX_SURPLUS_BYTES => return Err(ExchangeError::InvalidResponse),
             Ok(false) => {}
--- a/http/src/body/tests.rs
+++ b/http/src/body/tests.rs
@@ -35,22 +35,22 @@
                 let mut to = pool.chain();
                 done = body.take(&mut inbox, &mut to, most).expect("well formed");
                 prop_assert!(to.len() <= most);
-                got.extend(to.copy(to.len()));
+                got.extend(to.copy_front(to.len()));
                 if to.len() < most {
                     break;
                 }
             }
         }
-        prop_assert_eq!(done || body.end().is_ok(), true);
+        prop_assert_eq!(done || body.finish().is_ok(), true);
         prop_assert_eq!(got, whole);
-        prop_assert_eq!(inbox.copy(inbox.len()), if kind == 1 { &b""[..] } else { b"next" });
+        prop_assert_eq!(inbox.copy_front(inbox.len()), if kind == 1 { &b""[..] } else { b"next" });
     });
 }
 
 /// Guards against an answer that claims 3 GB and keeps on coming, with or without saying so first.
 #[test]
 fn what_is_longer_than_any_body_is_turned_down() {
-    assert!(matches!(Body::new(Framing::Length(MAX_BODY + 1)), Err(Fault::LongBody)));
+    assert!(matches!(Body::new(Framing::Length(MAX_BODY_BYTES + 1)), Err(ReadError::BodyTooLong)));
     let pool = Pool::default();
     let mut body = Body::new(Framing::UntilClose).expect("no length");
     let (mut passed, block) = (0, vec![0; 1 << 20]);
@@ -62,5 +62,5 @@
             Err(fault) => break fault,
         }
     };
-    assert!(matches!(fault, Fault::LongBody) && passed == MAX_BODY);
+    assert!(matches!(fault, ReadError::BodyTooLong) && passed == MAX_BODY_BYTES);
 }
--- a/http/src/buffers.rs
+++ b/http/src/buffers.rs
@@ -10,7 +10,7 @@
 /// Free buffers kept for the next message; more are given back to the system.
 const KEPT: usize = 1024;
 
-/// Where room is short, messages flow in pieces of this many bytes, else of that many.
+/// Where room is short, messages flow in parts of this many bytes, else of that many.
 const PIECES: [usize; 2] = [SIZE, 8 * SIZE];
 
 /// A body up to this length is read whole before anything is done with it, a longer one flows. Where room is
@@ -36,25 +36,25 @@
 }
 
 impl Pool {
-    /// Gives messages this many bytes in all: beyond three quarters of that they flow in small pieces, so that
+    /// Gives messages this many bytes in all: beyond three quarters of that they flow in small parts, so that
     /// each connection adds a few buffers at most.
-    pub fn limit(&self, bytes: usize) {
+    pub fn set_limit(&self, bytes: usize) {
         self.0.short.set(bytes / 4 * 3 / SIZE);
     }
 
     /// True if what is kept should become no more.
-    pub fn is_short(&self) -> bool {
+    pub fn is_low(&self) -> bool {
         self.0.out.get() >= self.0.short.get()
     }
 
     /// How much of a message is moved at once.
-    pub fn piece(&self) -> usize {
-        PIECES[usize::from(!self.is_short())]
+    pub fn part_size(&self) -> usize {
+        PIECES[usize::from(!self.is_low())]
     }
 
     /// How much of a body is kept at most.
-    pub fn kept(&self) -> usize {
-        if self.is_short() { SIZE } else { WHOLE }
+    pub fn max_buffered_body(&self) -> usize {
+        if self.is_low() { SIZE } else { WHOLE }
     }
 
     fn take(&self) -> Box<[u8]> {
@@ -101,8 +101,8 @@
         self.len == 0
     }
 
-    /// Free room at the back, at least one byte; what is written there counts after [`Chain::filled`].
-    pub fn room(&mut self) -> &mut [u8] {
+    /// Free room at the back, at least one byte; what is written there counts after [`Chain::commit`].
+    pub fn spare_capacity(&mut self) -> &mut [u8] {
         if self.links.back().is_none_or(|link| link.end == SIZE) {
             self.links.push_back(Link { bytes: self.pool.take(), start: 0, end: 0 });
         }
@@ -111,8 +111,8 @@
         &mut link.bytes[link.end..]
     }
 
-    /// Counts bytes just written to [`Chain::room`]. Room that was not used is given back.
-    pub fn filled(&mut self, count: usize) {
+    /// Counts bytes just written to [`Chain::spare_capacity`]. Room that was not used is given back.
+    pub fn commit(&mut self, count: usize) {
         if let Some(link) = self.links.back_mut() {
             link.end += count;
             self.len += count;
@@ -127,16 +127,16 @@
     /// Appends a copy of these bytes.
     pub fn push(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
-            let room = self.room();
+            let room = self.spare_capacity();
             let count = room.len().min(bytes.len());
             room[..count].copy_from_slice(&bytes[..count]);
-            self.filled(count);
+            self.commit(count);
             bytes = &bytes[count..];
         }
     }
 
     /// Appends a copy of another chain.
-    pub fn push_all(&mut self, other: &Chain) {
+    pub fn push_chain(&mut self, other: &Chain) {
         other.slices().for_each(|slice| self.push(slice));
     }
 
@@ -157,7 +157,7 @@
     }
 
     /// Moves this many bytes from the front to the back of `to`.
-    pub fn shift(&mut self, mut count: usize, to: &mut Chain) {
+    pub fn move_front_to(&mut self, mut count: usize, to: &mut Chain) {
         while count > 0 {
             let Some(first) = self.slices().next() else { return };
             let here = count.min(first.len());
@@ -191,7 +191,7 @@
     }
 
     /// A copy of the first bytes in one piece.
-    pub fn copy(&self, count: usize) -> Vec<u8> {
+    pub fn copy_front(&self, count: usize) -> Vec<u8> {
         let mut all = Vec::with_capacity(count.min(self.len));
         for slice in self.slices() {
             let here = (count - all.len()).min(slice.len());
--- a/http/src/buffers/tests.rs
+++ b/http/src/buffers/tests.rs
@@ -7,30 +7,30 @@
     let message: Vec<u8> = (0..3 * SIZE + 17).map(|i| (i % 251) as u8).collect();
     let (mut chain, mut front) = (pool.chain(), pool.chain());
     chain.push(&message);
-    chain.shift(SIZE + 5, &mut front);
+    chain.move_front_to(SIZE + 5, &mut front);
     assert_eq!((front.len(), chain.len()), (SIZE + 5, 2 * SIZE + 12));
-    assert_eq!(front.copy(usize::MAX - 1), message[..SIZE + 5]);
-    assert_eq!(chain.copy(usize::MAX - 1), message[SIZE + 5..]);
+    assert_eq!(front.copy_front(usize::MAX - 1), message[..SIZE + 5]);
+    assert_eq!(chain.copy_front(usize::MAX - 1), message[SIZE + 5..]);
     assert_eq!(chain.bytes().next(), Some(message[SIZE + 5]));
     let skipped: usize = chain.io_slices(SIZE).iter().map(|slice| slice.len()).sum();
     assert_eq!(skipped, SIZE + 12);
     chain.consume(SIZE);
-    assert_eq!(chain.copy(3), message[2 * SIZE + 5..2 * SIZE + 8]);
+    assert_eq!(chain.copy_front(3), message[2 * SIZE + 5..2 * SIZE + 8]);
     drop((chain, front));
     assert!(pool.0.free.borrow().len() >= 4, "the buffers are there to be used again");
     assert_eq!(pool.0.out.get(), 0);
 }
 
-/// Guards the memory limit: what is out is counted, and beyond its share messages flow in small pieces.
+/// Guards the memory limit: what is out is counted, and beyond its share messages flow in small parts.
 #[test]
 fn beyond_its_share_the_pool_gives_small_pieces() {
     let pool = Pool::default();
-    pool.limit(8 * SIZE);
+    pool.set_limit(8 * SIZE);
     let mut chain = pool.chain();
     chain.push(&[0; 5 * SIZE]);
-    assert!(!pool.is_short() && pool.piece() > SIZE);
+    assert!(!pool.is_low() && pool.part_size() > SIZE);
     chain.push(&[0; SIZE]);
-    assert!(pool.is_short() && pool.piece() == SIZE);
+    assert!(pool.is_low() && pool.part_size() == SIZE);
     chain.consume(SIZE);
-    assert!(!pool.is_short());
+    assert!(!pool.is_low());
 }
--- a/http/src/connection.rs
+++ b/http/src/connection.rs
@@ -11,8 +11,8 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use crate::buffers::{Chain, Pool};
-use crate::pace::Pace;
-use crate::{Body, Chunks, Fault, Framing, Head, MAX_BODY, MAX_HEAD, head};
+use crate::stall_budget::StallBudget;
+use crate::{Body, ChunkedDecoder, Framing, Head, MAX_BODY_BYTES, MAX_HEAD_BYTES, ReadError, head};
 
 /// A connection with what has been read from it and not used yet.
 ///
@@ -25,21 +25,21 @@
     outbox: Chain,
     /// The other side has broken the connection or has ended its reading: what was sent may not have come.
     write_failed: bool,
-    most_head: usize,
-    most_body: u64,
+    max_head: usize,
+    max_body: u64,
     _guard: G,
 }
 
 /// How far a head has been looked for.
 #[derive(Default)]
-pub struct Search {
+pub struct HeadSearch {
     searched: usize,
     skipped: usize,
 }
 
 impl<G> Connection<G> {
-    /// Takes over a stream and a guard. Buffers come from this pool; heads and bodies may be as long as [`MAX_HEAD`]
-    /// and [`MAX_BODY`].
+    /// Takes over a stream and a guard. Buffers come from this pool; heads and bodies may be as long as [`MAX_HEAD_BYTES`]
+    /// and [`MAX_BODY_BYTES`].
     pub fn new(stream: TcpStream, pool: &Pool, guard: G) -> Self {
         // Without this a small write may wait for an acknowledgement; if it fails, it only does that.
         let _ = stream.set_nodelay(true);
@@ -49,27 +49,27 @@
             inbox,
             outbox,
             write_failed: false,
-            most_head: MAX_HEAD,
-            most_body: MAX_BODY,
+            max_head: MAX_HEAD_BYTES,
+            max_body: MAX_BODY_BYTES,
             _guard: guard,
         }
     }
 
     /// With other limits, in bytes: the longest head that is read, and the longest body that [`Connection::body`]
     /// admits and [`Connection::linger`] reads away.
-    pub fn within(mut self, head: usize, body: u64) -> Self {
+    pub fn with_limits(mut self, head: usize, body: u64) -> Self {
         self.set_limits(head, body);
         self
     }
 
-    /// Other limits from now on, as in [`Connection::within`].
+    /// Other limits from now on, as in [`Connection::with_limits`].
     pub fn set_limits(&mut self, head: usize, body: u64) {
-        (self.most_head, self.most_body) = (head, body);
+        (self.max_head, self.max_body) = (head, body);
     }
 
-    /// A body framed so, within this connection's limit. Error: [`Fault::LongBody`] if its length is beyond that.
-    pub fn body(&self, framing: Framing) -> Result<Body, Fault> {
-        Body::new_within(framing, self.most_body)
+    /// A body framed so, within this connection's limit. Error: [`ReadError::BodyTooLong`] if its length is beyond that.
+    pub fn body(&self, framing: Framing) -> Result<Body, ReadError> {
+        Body::with_limit(framing, self.max_body)
     }
 
     /// True if bytes wait that no message has used.
@@ -78,7 +78,7 @@
     }
 
     /// How many bytes wait.
-    pub fn waiting(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.inbox.len()
     }
 
@@ -109,8 +109,8 @@
 
     /// Reads what is there at this moment, up to one buffer.
     fn try_fill(&mut self) -> io::Result<usize> {
-        let read = self.stream.try_read(self.inbox.room());
-        self.inbox.filled(*read.as_ref().unwrap_or(&0));
+        let read = self.stream.try_read(self.inbox.spare_capacity());
+        self.inbox.commit(*read.as_ref().unwrap_or(&0));
         match read {
             // The reset that made a write fail is told only once: what reads like an end may be one.
             Ok(0) if self.write_failed => Err(ErrorKind::ConnectionReset.into()),
@@ -141,17 +141,17 @@
         !self.outbox.is_empty() || self.write_failed
     }
 
-    async fn more(&mut self) -> Result<(), Fault> {
+    async fn more(&mut self) -> Result<(), ReadError> {
         match self.fill().await {
-            Ok(0) | Err(_) => Err(Fault::Ended),
+            Ok(0) | Err(_) => Err(ReadError::Closed),
             Ok(_) => Ok(()),
         }
     }
 
     /// Reads the next head. Safe to drop midway. Error: the connection has ended, or what came is no head, or is longer
     /// than this connection's limit.
-    pub async fn read_head(&mut self) -> Result<Head, Fault> {
-        let mut search = Search::default();
+    pub async fn read_head(&mut self) -> Result<Head, ReadError> {
+        let mut search = HeadSearch::default();
         loop {
             if let Some(head) = self.take_head(&mut search)? {
                 return Ok(head);
@@ -161,29 +161,34 @@
     }
 
     /// The next head, if it is there. Empty lines before it are skipped, as RFC 9112 asks.
-    pub fn take_head(&mut self, search: &mut Search) -> Result<Option<Head>, Fault> {
+    pub fn take_head(&mut self, search: &mut HeadSearch) -> Result<Option<Head>, ReadError> {
         while search.searched == 0 && matches!(self.inbox.bytes().next(), Some(b'\r' | b'\n')) {
             self.inbox.consume(1);
             search.skipped += 1;
         }
-        if let Some(end) = head::end(&self.inbox, search.searched) {
-            if end > self.most_head {
-                return Err(Fault::LongHead);
+        if let Some(end) = head::find_end(&self.inbox, search.searched) {
+            if end > self.max_head {
+                return Err(ReadError::HeadTooLong);
             }
-            let text = self.inbox.copy(end);
+            let text = self.inbox.copy_front(end);
             self.inbox.consume(end);
-            return Head::parse(text).map(Some).map_err(Fault::Malformed);
+            return Head::parse(text).map(Some).map_err(ReadError::Malformed);
         }
         search.searched = self.inbox.len();
-        match search.searched + search.skipped > self.most_head {
-            true => Err(Fault::LongHead),
+        match search.searched + search.skipped > self.max_head {
+            true => Err(ReadError::HeadTooLong),
             false => Ok(None),
         }
     }
 
     /// Moves what comes of a body, until `to` holds `most` or no more has come yet; true once it is whole. Waits
     /// for some of it if need be. Safe to drop midway.
-    pub async fn read_piece(&mut self, body: &mut Body, to: &mut Chain, most: usize) -> Result<bool, Fault> {
+    pub async fn read_body(
+        &mut self,
+        body: &mut Body,
+        to: &mut Chain,
+        most: usize,
+    ) -> Result<bool, ReadError> {
         let had = to.len();
         loop {
             if body.take(&mut self.inbox, to, most)? {
@@ -201,9 +206,9 @@
             };
             match read {
                 // A reset does not end a body, it cuts it short.
-                Ok(0) => return body.end().map(|()| true),
+                Ok(0) => return body.finish().map(|()| true),
                 Ok(_) => {}
-                Err(_) => return Err(Fault::Ended),
+                Err(_) => return Err(ReadError::Closed),
             }
         }
     }
@@ -212,10 +217,10 @@
     /// has ended all the same.
     pub async fn read_chunks(
         &mut self,
-        chunks: &mut Chunks,
+        chunks: &mut ChunkedDecoder,
         body: &mut Chain,
         most: usize,
-    ) -> Result<bool, Fault> {
+    ) -> Result<bool, ReadError> {
         let had = body.len();
         loop {
             if chunks.take(&mut self.inbox, body, most)? {
@@ -229,17 +234,17 @@
     }
 
     /// The next head, if it has come: while one side still sends, the other may speak already.
-    pub fn try_head(&mut self) -> Result<Option<Head>, Fault> {
-        let mut search = Search::default();
+    pub fn try_head(&mut self) -> Result<Option<Head>, ReadError> {
+        let mut search = HeadSearch::default();
         loop {
             if let Some(head) = self.take_head(&mut search)? {
                 return Ok(Some(head));
             }
             match self.try_fill() {
-                Ok(0) => return Err(Fault::Ended),
+                Ok(0) => return Err(ReadError::Closed),
                 Ok(_) => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(None),
-                Err(_) => return Err(Fault::Ended),
+                Err(_) => return Err(ReadError::Closed),
             }
         }
     }
@@ -252,7 +257,7 @@
 
     /// Ready once the other side has ended or broken the connection, also behind bytes that nobody reads. Looks now and
     /// then: unread bytes keep the socket readable, so that nothing else would wake us.
-    pub async fn left(&self) {
+    pub async fn peer_closed(&self) {
         const LOOK: Duration = Duration::from_millis(40);
         while !matches!(self.stream.ready(Interest::READABLE).await, Ok(ready) if ready.is_read_closed()) {
             sleep(LOOK).await;
@@ -260,39 +265,44 @@
     }
 
     /// Lets the other side see a break, not an end, once this is dropped.
-    pub fn break_off(&self) {
+    pub fn reset_on_drop(&self) {
         // If it fails, only an answer without length looks whole.
         let _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
 
     /// Writes the chains one after the other, whole.
     pub async fn write(&self, chains: &[&Chain]) -> io::Result<()> {
-        let mut pace = Pace::of_reader();
+        let mut stall_budget = StallBudget::for_reader();
         let total: usize = chains.iter().map(|chain| chain.len()).sum();
         let mut written = 0;
         while written < total {
-            written += self.write_some(chains, written, &mut pace).await?;
+            written += self.write_some(chains, written, &mut stall_budget).await?;
         }
         Ok(())
     }
 
     /// Writes some of what stands behind the first `written` bytes; an error if the other side takes none of it
-    /// for longer than its pace allows. Safe to drop midway.
-    pub async fn write_some(&self, chains: &[&Chain], written: usize, pace: &mut Pace) -> io::Result<usize> {
-        write_some(&self.stream, chains, written, pace).await
+    /// for longer than its stall_budget allows. Safe to drop midway.
+    pub async fn write_some(
+        &self,
+        chains: &[&Chain],
+        written: usize,
+        stall_budget: &mut StallBudget,
+    ) -> io::Result<usize> {
+        write_some(&self.stream, chains, written, stall_budget).await
     }
 
     /// True if the other side has neither ended nor said anything out of turn. Asks the kernel itself:
     /// what tokio remembers of the socket is from the last time that the event queue was read, and a
     /// request written behind an end that came since would count as one that may have run.
-    pub fn is_quiet(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         let peeked = SockRef::from(&self.stream).peek(&mut byte);
         matches!(peeked, Err(e) if e.kind() == ErrorKind::WouldBlock) && self.inbox.is_empty()
     }
 
     /// Ready once an idle connection is no longer quiet.
-    pub fn poll_stirred(&self, cx: &mut Context<'_>) -> Poll<()> {
+    pub fn poll_disturbed(&self, cx: &mut Context<'_>) -> Poll<()> {
         while self.stream.poll_read_ready(cx).is_ready() {
             // Reading nothing clears what woke us, so that a false alarm is waited out.
             let nothing = self.stream.try_read(&mut [0]);
@@ -305,14 +315,14 @@
 
     /// Ends our side after a last answer and waits a moment for the other: closing with bytes unread
     /// would reset the connection, and the answer might be lost with it.
-    pub async fn linger(mut self) {
+    pub async fn close_lingering(mut self) {
         if self.stream.shutdown().await.is_err() {
             return;
         }
         let drain = async {
             let mut read = 0;
             // A client that is amid the longest body may read its answer only behind that.
-            while read < self.most_body {
+            while read < self.max_body {
                 let waiting = self.inbox.len();
                 self.inbox.consume(waiting);
                 match self.fill().await {
@@ -354,22 +364,22 @@
     stream: &TcpStream,
     chains: &[&Chain],
     written: usize,
-    pace: &mut Pace,
+    stall_budget: &mut StallBudget,
 ) -> io::Result<usize> {
     let slices = slices_behind(chains, written);
     loop {
         match stream.try_write_vectored(&slices) {
             Ok(0) => return Err(ErrorKind::WriteZero.into()),
             Ok(count) => {
-                pace.waited(Duration::ZERO, count);
+                stall_budget.record_wait(Duration::ZERO, count);
                 return Ok(count);
             }
             Err(e) if e.kind() == ErrorKind::WouldBlock => {}
             Err(e) => return Err(e),
         }
         let since = Instant::now();
-        timeout(pace.left(), stream.writable()).await.map_err(|_| ErrorKind::TimedOut)??;
-        pace.waited(since.elapsed(), 0);
+        timeout(stall_budget.remaining(), stream.writable()).await.map_err(|_| ErrorKind::TimedOut)??;
+        stall_budget.record_wait(since.elapsed(), 0);
     }
 }
 
--- a/http/src/connection/tests.rs
+++ b/http/src/connection/tests.rs
@@ -23,17 +23,19 @@
 #[tokio::test]
 async fn a_head_may_be_as_long_as_its_connection_says() {
     let pool = Pool::default();
-    for (limit, length) in [(None, MAX_HEAD), (Some(100), 100), (Some(3 * MAX_HEAD), 3 * MAX_HEAD)] {
+    for (limit, length) in
+        [(None, MAX_HEAD_BYTES), (Some(100), 100), (Some(3 * MAX_HEAD_BYTES), 3 * MAX_HEAD_BYTES)]
+    {
         for beyond in [0, 1] {
             let (mut connection, mut other) = pair(&pool, ()).await;
             if let Some(limit) = limit {
-                connection = connection.within(limit, MAX_BODY);
+                connection = connection.with_limits(limit, MAX_BODY_BYTES);
             }
             other.write_all(&head_of(length + beyond)).await.expect("written");
             let read = connection.read_head().await;
             match beyond {
                 0 => assert_that!(read, ok(anything())),
-                _ => assert_that!(read, err(matches_pattern!(Fault::LongHead))),
+                _ => assert_that!(read, err(matches_pattern!(ReadError::HeadTooLong))),
             }
         }
     }
@@ -45,10 +47,10 @@
 async fn a_body_may_be_as_long_as_its_connection_says() {
     let pool = Pool::default();
     let (mut connection, _other) = pair(&pool, ()).await;
-    assert!(matches!(connection.body(Framing::Length(MAX_BODY + 1)), Err(Fault::LongBody)));
-    connection = connection.within(MAX_HEAD, 2 * MAX_BODY);
-    assert!(connection.body(Framing::Length(2 * MAX_BODY)).is_ok());
-    assert!(matches!(connection.body(Framing::Length(2 * MAX_BODY + 1)), Err(Fault::LongBody)));
+    assert!(matches!(connection.body(Framing::Length(MAX_BODY_BYTES + 1)), Err(ReadError::BodyTooLong)));
+    connection = connection.with_limits(MAX_HEAD_BYTES, 2 * MAX_BODY_BYTES);
+    assert!(connection.body(Framing::Length(2 * MAX_BODY_BYTES)).is_ok());
+    assert!(matches!(connection.body(Framing::Length(2 * MAX_BODY_BYTES + 1)), Err(ReadError::BodyTooLong)));
 
     let cases: [(&[u8], Option<&[u8]>); 4] = [
         (b"6\r\nabcdef\r\n0\r\n\r\n", Some(b"abcdef")),
@@ -58,20 +60,20 @@
     ];
     for (sent, expected) in cases {
         let (connection, mut other) = pair(&pool, ()).await;
-        let mut connection = connection.within(MAX_HEAD, 6);
-        assert!(matches!(connection.body(Framing::Length(7)), Err(Fault::LongBody)));
+        let mut connection = connection.with_limits(MAX_HEAD_BYTES, 6);
+        assert!(matches!(connection.body(Framing::Length(7)), Err(ReadError::BodyTooLong)));
         other.write_all(sent).await.expect("written");
         let (mut body, mut to) = (connection.body(Framing::Chunked).expect("no length"), pool.chain());
         let end = loop {
-            match connection.read_piece(&mut body, &mut to, usize::MAX).await {
+            match connection.read_body(&mut body, &mut to, usize::MAX).await {
                 Ok(false) => {}
-                Ok(true) => break Ok(to.copy(to.len())),
+                Ok(true) => break Ok(to.copy_front(to.len())),
                 Err(fault) => break Err(fault),
             }
         };
         match expected {
             Some(bytes) => assert_that!(end, ok(eq(bytes))),
-            None => assert_that!(end, err(matches_pattern!(Fault::LongBody))),
+            None => assert_that!(end, err(matches_pattern!(ReadError::BodyTooLong))),
         }
     }
 }
@@ -82,11 +84,11 @@
     let (pool, guard) = (Pool::default(), Rc::new(()));
     let (connection, mut other) = pair(&pool, guard.clone()).await;
     assert_that!(Rc::strong_count(&guard), eq(2));
-    let connection = connection.within(100, 100);
+    let connection = connection.with_limits(100, 100);
     assert_that!(Rc::strong_count(&guard), eq(2));
     other.write_all(b"unread").await.expect("written");
     drop(other);
-    connection.linger().await;
+    connection.close_lingering().await;
     assert_that!(Rc::strong_count(&guard), eq(1));
 }
 
@@ -95,17 +97,18 @@
 async fn an_idle_connection_stirs_when_the_other_side_speaks_or_leaves() {
     for speaks in [true, false] {
         let (connection, mut other) = pair(&Pool::default(), ()).await;
-        assert!(connection.is_quiet());
-        let idle = timeout(Duration::from_millis(20), std::future::poll_fn(|cx| connection.poll_stirred(cx)));
+        assert!(connection.is_idle());
+        let idle =
+            timeout(Duration::from_millis(20), std::future::poll_fn(|cx| connection.poll_disturbed(cx)));
         assert!(idle.await.is_err(), "nothing has stirred it");
         if speaks {
             other.write_all(b"out of turn").await.expect("written");
         } else {
             drop(other);
         }
-        std::future::poll_fn(|cx| connection.poll_stirred(cx)).await;
+        std::future::poll_fn(|cx| connection.poll_disturbed(cx)).await;
         // The look has used up one byte of what was said.
-        assert!(!connection.is_quiet());
+        assert!(!connection.is_idle());
     }
 }
 
@@ -117,7 +120,7 @@
     other.write_all(b"abc").await.expect("written");
     SockRef::from(&other).set_linger(Some(Duration::ZERO)).expect("a socket");
     drop(other);
-    connection.left().await;
+    connection.peer_closed().await;
     let mut message = pool.chain();
     message.push(b"too late");
     connection.send(&[&message]);
--- a/http/src/framing.rs
+++ b/http/src/framing.rs
@@ -1,7 +1,7 @@
 //! How long a body is, and the chunked coding.
 
 use crate::buffers::Chain;
-use crate::{Fault, MAX_BODY};
+use crate::{MAX_BODY_BYTES, ReadError};
 
 /// The end of a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -19,89 +19,89 @@
 const MAX_TRAILERS: usize = 32;
 
 /// The state of a chunked body that is being read.
-pub struct Chunks {
-    at: Part,
+pub struct ChunkedDecoder {
+    state: ChunkState,
     trailers: usize,
     most: u64,
 }
 
-enum Part {
+enum ChunkState {
     Size,
     Data(u64),
     DataEnd,
     Trailers,
 }
 
-impl Default for Chunks {
+impl Default for ChunkedDecoder {
     fn default() -> Self {
-        Chunks::new()
+        ChunkedDecoder::new()
     }
 }
 
-impl Chunks {
-    /// A body of which nothing has been taken, in chunks of [`MAX_BODY`] bytes at most.
+impl ChunkedDecoder {
+    /// A body of which nothing has been taken, in chunks of [`MAX_BODY_BYTES`] bytes at most.
     pub fn new() -> Self {
-        Chunks::new_within(MAX_BODY)
+        ChunkedDecoder::with_limit(MAX_BODY_BYTES)
     }
 
     /// A body of which nothing has been taken, in chunks of `most` bytes at most.
-    pub fn new_within(most: u64) -> Self {
-        Chunks { at: Part::Size, trailers: 0, most }
+    pub fn with_limit(most: u64) -> Self {
+        ChunkedDecoder { state: ChunkState::Size, trailers: 0, most }
     }
 
     /// Moves what has come of the body, until `body` holds `most`; true once it is whole.
-    pub fn take(&mut self, inbox: &mut Chain, body: &mut Chain, most: usize) -> Result<bool, Fault> {
+    pub fn take(&mut self, inbox: &mut Chain, body: &mut Chain, most: usize) -> Result<bool, ReadError> {
         loop {
-            match self.at {
-                Part::Size => {
+            match self.state {
+                ChunkState::Size => {
                     let Some(line) = line(inbox, MAX_LINE)? else { return Ok(false) };
                     let digits = line.split(|b| *b == b';').next().unwrap_or_default().trim_ascii();
                     let valid = !digits.is_empty() && digits.iter().all(u8::is_ascii_hexdigit);
                     let text = std::str::from_utf8(digits).ok().filter(|_| valid);
-                    let size = text.ok_or(Fault::Malformed("a chunk's size is no number"))?;
-                    let size = u64::from_str_radix(size, 16).map_err(|_| Fault::LongBody)?;
+                    let size = text.ok_or(ReadError::Malformed("a chunk's size is no number"))?;
+                    let size = u64::from_str_radix(size, 16).map_err(|_| ReadError::BodyTooLong)?;
                     if size > self.most {
-                        return Err(Fault::LongBody);
+                        return Err(ReadError::BodyTooLong);
                     }
-                    self.at = if size == 0 { Part::Trailers } else { Part::Data(size) };
+                    self.state = if size == 0 { ChunkState::Trailers } else { ChunkState::Data(size) };
                 }
-                Part::Data(left) => {
+                ChunkState::Data(left) => {
                     let room = most.saturating_sub(body.len()).min(inbox.len());
                     let here = left.min(room as u64);
-                    inbox.shift(here as usize, body);
+                    inbox.move_front_to(here as usize, body);
                     if here < left {
-                        self.at = Part::Data(left - here);
+                        self.state = ChunkState::Data(left - here);
                         return Ok(false);
                     }
-                    self.at = Part::DataEnd;
+                    self.state = ChunkState::DataEnd;
                 }
-                Part::DataEnd => match line(inbox, MAX_LINE)? {
+                ChunkState::DataEnd => match line(inbox, MAX_LINE)? {
                     None => return Ok(false),
-                    Some(rest) if rest.is_empty() => self.at = Part::Size,
-                    Some(_) => return Err(Fault::Malformed("a chunk is longer than its size")),
+                    Some(rest) if rest.is_empty() => self.state = ChunkState::Size,
+                    Some(_) => return Err(ReadError::Malformed("a chunk is longer than its size")),
                 },
-                Part::Trailers => match line(inbox, MAX_LINE)? {
+                ChunkState::Trailers => match line(inbox, MAX_LINE)? {
                     None => return Ok(false),
                     Some(rest) if rest.is_empty() => return Ok(true),
                     Some(_) => self.trailers += 1,
                 },
             }
             if self.trailers > MAX_TRAILERS {
-                return Err(Fault::Malformed("too many trailers"));
+                return Err(ReadError::Malformed("too many trailers"));
             }
         }
     }
 }
 
 /// Takes the next whole line, without its end; one of `most` bytes or more is too long.
-fn line(inbox: &mut Chain, most: usize) -> Result<Option<Vec<u8>>, Fault> {
+fn line(inbox: &mut Chain, most: usize) -> Result<Option<Vec<u8>>, ReadError> {
     let Some(end) = inbox.bytes().take(most).position(|b| b == b'\n') else {
         return match inbox.len() < most {
             true => Ok(None),
-            false => Err(Fault::Malformed("a line is too long")),
+            false => Err(ReadError::Malformed("a line is too long")),
         };
     };
-    let mut text = inbox.copy(end);
+    let mut text = inbox.copy_front(end);
     inbox.consume(end + 1);
     if text.last() == Some(&b'\r') {
         text.pop();
--- a/http/src/head.rs
+++ b/http/src/head.rs
@@ -5,8 +5,8 @@
 use crate::buffers::Chain;
 use crate::framing::Framing;
 
-/// Headers that speak of one connection only and are never passed on.
-const HOP: [&str; 9] = [
+/// Fields that speak of one connection only and are never passed on.
+const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -17,11 +17,11 @@
     "content-length",
     "expect",
 ];
-const MAX_HEADERS: usize = 128;
+const MAX_FIELDS: usize = 128;
 
 /// Where a head ends in what was read, just behind its empty line, if it is all there. The first
 /// `searched` bytes were looked at before.
-pub fn end(inbox: &Chain, searched: usize) -> Option<usize> {
+pub fn find_end(inbox: &Chain, searched: usize) -> Option<usize> {
     let from = searched.saturating_sub(3);
     let (mut line, mut start) = (1, 0);
     for slice in inbox.slices() {
@@ -48,7 +48,7 @@
 }
 
 /// The fields of a head, by name and value.
-pub type Headers<'a> = Vec<(&'a str, &'a [u8])>;
+pub type Fields<'a> = Vec<(&'a str, &'a [u8])>;
 
 fn is_token(bytes: &[u8]) -> bool {
     let ok = |b: &u8| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(b);
@@ -68,7 +68,7 @@
             if first.is_none() {
                 first = Some(first_line(&text, line)?);
             } else if !line.is_empty() {
-                if fields.len() == MAX_HEADERS {
+                if fields.len() == MAX_FIELDS {
                     return Err("too many headers");
                 }
                 fields.push(field(&text, line)?);
@@ -130,12 +130,12 @@
     }
 
     /// True if an answer of this status has no body, whatever its headers say.
-    pub fn is_bare(&self) -> bool {
+    pub fn has_no_body(&self) -> bool {
         matches!(self.part(1), "204" | "304")
     }
 
     /// The values of a field.
-    pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
+    pub fn get_all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
         let named = move |(n, _): &&(Range<usize>, Range<usize>)| {
             self.text[n.clone()].eq_ignore_ascii_case(name.as_bytes())
         };
@@ -144,15 +144,17 @@
 
     /// The first value of a field, if it is text.
     pub fn get<'a>(&'a self, name: &'a str) -> Option<&'a str> {
-        self.all(name).next().and_then(|value| std::str::from_utf8(value).ok())
+        self.get_all(name).next().and_then(|value| std::str::from_utf8(value).ok())
     }
 
     /// The fields that are meant for the far end, without those that speak of this connection.
-    pub fn end_to_end(&self) -> Headers<'_> {
+    pub fn end_to_end(&self) -> Fields<'_> {
         let mut all = Vec::with_capacity(self.fields.len());
         for (name, value) in &self.fields {
             let name = std::str::from_utf8(&self.text[name.clone()]).unwrap_or_default();
-            if !HOP.iter().any(|hop| hop.eq_ignore_ascii_case(name)) && !self.lists("connection", name) {
+            if !HOP_BY_HOP.iter().any(|hop| hop.eq_ignore_ascii_case(name))
+                && !self.list_contains("connection", name)
+            {
                 all.push((name, &self.text[value.clone()]));
             }
         }
@@ -160,8 +162,8 @@
     }
 
     /// True if a field that holds a list names this word.
-    pub fn lists(&self, field: &str, word: &str) -> bool {
-        self.all(field)
+    pub fn list_contains(&self, field: &str, word: &str) -> bool {
+        self.get_all(field)
             .flat_map(|value| value.split(|b| *b == b','))
             .any(|item| item.trim_ascii().eq_ignore_ascii_case(word.as_bytes()))
     }
@@ -169,19 +171,19 @@
     /// True if the sender wants the connection to stay open.
     pub fn keeps_alive(&self) -> bool {
         let old = self.part(0) == "HTTP/1.0" || self.part(2) == "HTTP/1.0";
-        !self.lists("connection", "close") && (!old || self.lists("connection", "keep-alive"))
+        !self.list_contains("connection", "close") && (!old || self.list_contains("connection", "keep-alive"))
     }
 
     /// True if a request speaks HTTP/1.0, which knows no chunks.
-    pub fn is_old(&self) -> bool {
+    pub fn is_http_1_0(&self) -> bool {
         self.part(2) == "HTTP/1.0"
     }
 
     /// How the body that follows is framed; `otherwise` if the head does not say. Error: what is wrong with the
     /// fields that say it.
     pub fn framing(&self, otherwise: Framing) -> Result<Framing, &'static str> {
-        let mut lengths = self.all("content-length").flat_map(|value| value.split(|b| *b == b','));
-        let mut codings = self.all("transfer-encoding");
+        let mut lengths = self.get_all("content-length").flat_map(|value| value.split(|b| *b == b','));
+        let mut codings = self.get_all("transfer-encoding");
         match (lengths.next(), codings.next()) {
             (Some(_), Some(_)) => Err("both a length and a transfer coding"),
             (None, None) => Ok(otherwise),
--- a/http/src/idling.rs
+++ b/http/src/idle_reuse.rs
@@ -22,21 +22,21 @@
 const BEYOND: f64 = 0.1;
 
 /// Requests that were answered, and lost, by how long their connection had been idle; the first on new ones.
-pub struct Idling(RefCell<Seen>);
+pub struct IdleReuse(RefCell<Seen>);
 
 struct Seen {
     by_span: [[f64; 2]; SPANS],
     at: Instant,
 }
 
-impl Idling {
+impl IdleReuse {
     /// Nothing is known.
     pub fn new(now: Instant) -> Self {
-        Idling(RefCell::new(Seen { by_span: Default::default(), at: now }))
+        IdleReuse(RefCell::new(Seen { by_span: Default::default(), at: now }))
     }
 
     /// Takes in how a request ended on a connection that had been idle for so long; none: on a new one.
-    pub fn note(&self, now: Instant, idle: Option<Duration>, lost: bool) {
+    pub fn record(&self, now: Instant, idle: Option<Duration>, lost: bool) {
         let mut seen = self.0.borrow_mut();
         let kept = (-now.saturating_duration_since(seen.at).as_secs_f64() / HALF_LIFE).exp2();
         seen.at = now;
@@ -45,7 +45,7 @@
     }
 
     /// Connections idle for this long or longer are not to be used again, as far as is known now.
-    pub fn trusted(&self, now: Instant) -> Duration {
+    pub fn max_idle(&self, now: Instant) -> Duration {
         let seen = self.0.borrow();
         let kept = (-now.saturating_duration_since(seen.at).as_secs_f64() / HALF_LIFE).exp2();
         let share = |[ok, lost]: [f64; 2]| lost / (ok + lost).max(1.0);
--- a/http/src/lib.rs
+++ b/http/src/lib.rs
@@ -6,24 +6,24 @@
 mod body;
 pub mod buffers;
 mod connection;
-mod fault;
+mod error;
 mod framing;
 mod head;
-pub mod idling;
+pub mod idle_reuse;
 mod message;
-pub mod pace;
+pub mod stall_budget;
 #[cfg(any(test, feature = "testing"))]
 pub mod testing;
 
 pub use body::Body;
-pub use connection::{Connection, Search};
-pub use fault::Fault;
-pub use framing::{Chunks, Framing};
-pub use head::{Head, Headers};
-pub use message::{Piece, Request, Rest, chunk, push_framing, push_headers};
+pub use connection::{Connection, HeadSearch};
+pub use error::ReadError;
+pub use framing::{ChunkedDecoder, Framing};
+pub use head::{Fields, Head};
+pub use message::{BodyPart, BodyStream, Request, chunk, push_end_to_end_fields, push_framing_field};
 
 /// The longest head that is read, in bytes, where a connection is not told otherwise.
-pub const MAX_HEAD: usize = 16 * 1024;
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// The longest body that is passed on, in bytes, where a body is not told otherwise: bodies of 32 MB occur, and longer
 /// ones are nobody's.
-pub const MAX_BODY: u64 = 40 * 1024 * 1024;
+pub const MAX_BODY_BYTES: u64 = 40 * 1024 * 1024;
--- a/http/src/message.rs
+++ b/http/src/message.rs
@@ -1,4 +1,4 @@
-//! Requests with bodies that flow, and the pieces of text that frame a message on its way out.
+//! Requests with bodies that flow, and the parts of text that frame a message on its way out.
 
 use std::cell::RefCell;
 
@@ -14,19 +14,19 @@
     /// Its body without framing, or what is kept of one that flows.
     pub body: Chain,
     /// What follows behind that.
-    pub rest: Option<Rest>,
+    pub rest: Option<BodyStream>,
 }
 
 /// The rest of a request's body, as its client sends it.
-pub struct Rest {
+pub struct BodyStream {
     /// How long the whole body is, if its client said so.
     pub length: Option<u64>,
-    /// Where the pieces come from. Whoever has used one of them is the only one to pass the request on.
-    pub pieces: RefCell<Option<mpsc::Receiver<Piece>>>,
+    /// Where the parts come from. Whoever has used one of them is the only one to pass the request on.
+    pub parts: RefCell<Option<mpsc::Receiver<BodyPart>>>,
 }
 
 /// A piece of a body.
-pub struct Piece {
+pub struct BodyPart {
     /// The bytes, without framing.
     pub bytes: Chain,
     /// None follows.
@@ -37,7 +37,7 @@
     /// How its body is framed on the way to an app server; none if it has none.
     pub fn framing(&self) -> Option<Framing> {
         match &self.rest {
-            Some(Rest { length: Some(length), .. }) => Some(Framing::Length(*length)),
+            Some(BodyStream { length: Some(length), .. }) => Some(Framing::Length(*length)),
             Some(_) => Some(Framing::Chunked),
             None if self.body.is_empty() && matches!(self.head.method(), "GET" | "HEAD") => None,
             None => Some(Framing::Length(self.body.len() as u64)),
@@ -60,7 +60,7 @@
 }
 
 /// Appends the field that says how a body is framed, if one has to.
-pub fn push_framing(to: &mut Chain, framing: Framing) {
+pub fn push_framing_field(to: &mut Chain, framing: Framing) {
     match framing {
         Framing::Length(length) => to.push(format!("Content-Length: {length}\r\n").as_bytes()),
         Framing::Chunked => to.push(b"Transfer-Encoding: chunked\r\n"),
@@ -69,7 +69,7 @@
 }
 
 /// Appends the fields that are meant for the far end, but for those named.
-pub fn push_headers(to: &mut Chain, head: &Head, but: &[&str]) {
+pub fn push_end_to_end_fields(to: &mut Chain, head: &Head, but: &[&str]) {
     for (name, value) in head.end_to_end() {
         if !but.iter().any(|other| other.eq_ignore_ascii_case(name)) {
             to.push(name.as_bytes());
--- a/http/tests/golden.rs
+++ b/http/tests/golden.rs
@@ -1,14 +1,16 @@
 //! Texts that reach a client in the body of a 400, 413 or 431, and the bytes that frame a message, as of commit 4552024.
 
 use gradepaddle_http::buffers::{Chain, Pool};
-use gradepaddle_http::{Body, Chunks, Fault, Framing, Head, chunk, push_framing, push_headers};
+use gradepaddle_http::{
+    Body, ChunkedDecoder, Framing, Head, ReadError, chunk, push_end_to_end_fields, push_framing_field,
+};
 
 fn head(text: &str) -> Head {
     Head::parse(text.as_bytes().to_vec()).expect("a head")
 }
 
 fn text(chain: &Chain) -> String {
-    String::from_utf8(chain.copy(chain.len())).expect("text")
+    String::from_utf8(chain.copy_front(chain.len())).expect("text")
 }
 
 #[test]
@@ -78,15 +80,16 @@
     ] {
         let (mut inbox, mut taken) = (pool.chain(), pool.chain());
         inbox.push(body.as_bytes());
-        let fault = Chunks::new().take(&mut inbox, &mut taken, usize::MAX).expect_err("it can't be read");
+        let fault =
+            ChunkedDecoder::new().take(&mut inbox, &mut taken, usize::MAX).expect_err("it can't be read");
         assert_eq!(fault.to_string(), expected);
     }
 }
 
 #[test]
 fn texts_of_the_other_faults() {
-    assert_eq!(Fault::Ended.to_string(), "the connection ended");
-    assert_eq!(Fault::LongHead.to_string(), "the head is too long");
+    assert_eq!(ReadError::Closed.to_string(), "the connection ended");
+    assert_eq!(ReadError::HeadTooLong.to_string(), "the head is too long");
     let fault = Body::new(Framing::Length(u64::MAX)).err().expect("it is too long");
     assert_eq!(fault.to_string(), "the body is too long");
 }
@@ -109,7 +112,7 @@
         (Framing::UntilClose, ""),
     ] {
         let mut out = pool.chain();
-        push_framing(&mut out, framing);
+        push_framing_field(&mut out, framing);
         assert_eq!(text(&out), field);
     }
 }
@@ -122,6 +125,6 @@
          Content-Length: 1\r\nExpect: 100-continue\r\nX-Own: d\r\nAccept:  */* \r\naccept: e\r\n\r\n",
     );
     let mut out = Pool::default().chain();
-    push_headers(&mut out, &head, &["x-own"]);
+    push_end_to_end_fields(&mut out, &head, &["x-own"]);
     assert_eq!(text(&out), "Host: one\r\nAccept: */*\r\naccept: e\r\n");
 }
