--- a/controlplane/src/links.rs
+++ b/controlplane/src/links.rs
@@ -48,7 +48,7 @@
     /// Sends a message, if a connection comes up and stands.
     pub fn send(self: &Rc<Self>, to: SocketAddrV4, content: Content) {
         let body = Envelope { from: self.own, content }.to_bytes();
-        let mut bytes = Vec::with_capacity(body.len() + frame::HEAD);
+        let mut bytes = Vec::with_capacity(body.len() + frame::HEADER_BYTES);
         frame::write(&body, &mut bytes);
         let mut queues = self.queues.borrow_mut();
         let queue = queues.entry(to).or_insert_with(|| self.open(to));
--- a/controlplane/src/naming.rs
+++ b/controlplane/src/naming.rs
@@ -13,13 +13,13 @@
 
 impl Encode for Naming {
     fn encode(&self, to: &mut FieldWriter) {
-        to.number(1, self.named_before);
+        to.uint64(1, self.named_before);
     }
 }
 
 impl Decode for Naming {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
-        Ok(Naming { named_before: fields.number(1) })
+        Ok(Naming { named_before: fields.uint64(1) })
     }
 }
 
--- a/controlplane/src/rollout.rs
+++ b/controlplane/src/rollout.rs
@@ -52,15 +52,15 @@
 
 impl Encode for Ordered {
     fn encode(&self, to: &mut FieldWriter) {
-        to.text(1, &self.model);
-        to.number(2, self.version);
-        to.truth(3, self.done);
+        to.string(1, &self.model);
+        to.uint64(2, self.version);
+        to.bool(3, self.done);
     }
 }
 
 impl Decode for Ordered {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
-        Ok(Ordered { model: fields.text(1), version: fields.number(2), done: fields.truth(3) })
+        Ok(Ordered { model: fields.string(1), version: fields.uint64(2), done: fields.bool(3) })
     }
 }
 
--- a/proto/src/control.rs
+++ b/proto/src/control.rs
@@ -13,68 +13,68 @@
 
 impl Encode for ProposalNumber {
     fn encode(&self, to: &mut FieldWriter) {
-        to.number(1, self.epoch);
-        to.number(2, self.candidate.0);
+        to.uint64(1, self.epoch);
+        to.uint64(2, self.candidate.0);
     }
 }
 
 impl Decode for ProposalNumber {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
-        Ok(ProposalNumber { epoch: fields.number(1), candidate: ReplicaId(fields.number(2)) })
+        Ok(ProposalNumber { epoch: fields.uint64(1), candidate: ReplicaId(fields.uint64(2)) })
     }
 }
 
 impl Encode for LogPosition {
     fn encode(&self, to: &mut FieldWriter) {
-        to.number(1, self.epoch);
-        to.number(2, self.sequence);
+        to.uint64(1, self.epoch);
+        to.uint64(2, self.sequence);
     }
 }
 
 impl Decode for LogPosition {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
-        Ok(LogPosition { epoch: fields.number(1), sequence: fields.number(2) })
+        Ok(LogPosition { epoch: fields.uint64(1), sequence: fields.uint64(2) })
     }
 }
 
 impl Encode for Member {
     fn encode(&self, to: &mut FieldWriter) {
-        to.number(1, self.id.0);
+        to.uint64(1, self.id.0);
         to.address(2, self.address);
-        to.text(3, &self.zone);
+        to.string(3, &self.zone);
     }
 }
 
 impl Decode for Member {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
         Ok(Member {
-            id: ReplicaId(fields.number(1)),
+            id: ReplicaId(fields.uint64(1)),
             address: fields.address("member", 2)?,
-            zone: fields.text(3),
+            zone: fields.string(3),
         })
     }
 }
 
 impl Encode for View {
     fn encode(&self, to: &mut FieldWriter) {
-        to.number(1, self.epoch);
-        to.messages(2, &self.members);
-        to.messages(3, &self.previous_members);
-        to.number(4, self.primary.0);
-        self.backups.iter().for_each(|backup| to.some_number(5, Some(backup.0)));
-        to.number(6, self.target_size as u64);
+        to.uint64(1, self.epoch);
+        to.repeated_messages(2, &self.members);
+        to.repeated_messages(3, &self.previous_members);
+        to.uint64(4, self.primary.0);
+        self.backups.iter().for_each(|backup| to.optional_uint64(5, Some(backup.0)));
+        to.uint64(6, self.target_size as u64);
     }
 }
 
 impl Decode for View {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
         Ok(View {
-            epoch: fields.number(1),
-            members: fields.messages(2)?,
-            previous_members: fields.messages(3)?,
-            primary: ReplicaId(fields.number(4)),
-            backups: fields.all_numbers(5).map(ReplicaId).collect(),
-            target_size: fields.number(6) as usize,
+            epoch: fields.uint64(1),
+            members: fields.repeated_messages(2)?,
+            previous_members: fields.repeated_messages(3)?,
+            primary: ReplicaId(fields.uint64(4)),
+            backups: fields.repeated_uint64(5).map(ReplicaId).collect(),
+            target_size: fields.uint64(6) as usize,
         })
     }
 }
@@ -82,14 +82,14 @@
 impl Encode for KnownView {
     fn encode(&self, to: &mut FieldWriter) {
         to.message(1, &*self.view);
-        to.truth(2, self.active);
+        to.bool(2, self.active);
     }
 }
 
 impl Decode for KnownView {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
         let view: View = fields.message("known view", 1)?;
-        Ok(KnownView { view: Arc::new(view), active: fields.truth(2) })
+        Ok(KnownView { view: Arc::new(view), active: fields.bool(2) })
     }
 }
 
@@ -100,16 +100,16 @@
     fn encode(&self, to: &mut FieldWriter) {
         match self {
             Change::PutConfiguration { if_match, version, body, fingerprint } => {
-                to.number(1, PUT_CONFIGURATION);
-                to.number(2, *if_match);
-                to.number(3, *version);
+                to.uint64(1, PUT_CONFIGURATION);
+                to.uint64(2, *if_match);
+                to.uint64(3, *version);
                 to.bytes(4, body);
                 to.bytes(5, &fingerprint.to_le_bytes());
             }
             Change::NameVersion { model, version } => {
-                to.number(1, NAME_VERSION);
-                to.number(3, *version);
-                to.text(6, model);
+                to.uint64(1, NAME_VERSION);
+                to.uint64(3, *version);
+                to.string(6, model);
             }
         }
     }
@@ -117,15 +117,15 @@
 
 impl Decode for Change {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
-        Ok(match fields.number(1) {
+        Ok(match fields.uint64(1) {
             PUT_CONFIGURATION => Change::PutConfiguration {
-                if_match: fields.number(2),
-                version: fields.number(3),
+                if_match: fields.uint64(2),
+                version: fields.uint64(3),
                 body: Arc::from(fields.bytes(4)),
                 fingerprint: fingerprint(fields.bytes(5))?,
             },
             NAME_VERSION => {
-                Change::NameVersion { model: fields.text(6).to_string(), version: fields.number(3) }
+                Change::NameVersion { model: fields.string(6).to_string(), version: fields.uint64(3) }
             }
             variant => return UnknownVariantSnafu { message: "change", variant }.fail(),
         })
@@ -138,7 +138,7 @@
 
 impl Encode for StoredConfiguration {
     fn encode(&self, to: &mut FieldWriter) {
-        to.number(1, self.version);
+        to.uint64(1, self.version);
         to.bytes(2, &self.body);
         to.bytes(3, &self.fingerprint.to_le_bytes());
     }
@@ -147,7 +147,7 @@
 impl Decode for StoredConfiguration {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
         Ok(StoredConfiguration {
-            version: fields.number(1),
+            version: fields.uint64(1),
             body: Arc::from(fields.bytes(2)),
             fingerprint: fingerprint(fields.bytes(3))?,
         })
@@ -162,27 +162,27 @@
 
 impl Encode for NamedVersion {
     fn encode(&self, to: &mut FieldWriter) {
-        to.text(1, &self.model);
-        to.number(2, self.version);
+        to.string(1, &self.model);
+        to.uint64(2, self.version);
     }
 }
 
 impl Decode for NamedVersion {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
-        Ok(NamedVersion { model: fields.text(1).to_string(), version: fields.number(2) })
+        Ok(NamedVersion { model: fields.string(1).to_string(), version: fields.uint64(2) })
     }
 }
 
 impl Encode for AcceptedConfiguration {
     fn encode(&self, to: &mut FieldWriter) {
-        to.number(1, self.version);
+        to.uint64(1, self.version);
         to.bytes(2, &self.fingerprint.to_le_bytes());
     }
 }
 
 impl Decode for AcceptedConfiguration {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
-        Ok(AcceptedConfiguration { version: fields.number(1), fingerprint: fingerprint(fields.bytes(2))? })
+        Ok(AcceptedConfiguration { version: fields.uint64(1), fingerprint: fingerprint(fields.bytes(2))? })
     }
 }
 
@@ -195,16 +195,16 @@
         for (model, version) in &self.models {
             to.message(3, &NamedVersion { model: model.clone(), version: *version });
         }
-        to.number(4, self.accepted.truncated_through());
+        to.uint64(4, self.accepted.truncated_through());
     }
 }
 
 impl Decode for ControlState {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
-        let accepted = AcceptedHistory::new(fields.messages(2)?, fields.number(4));
-        let named: Vec<NamedVersion> = fields.messages(3)?;
+        let accepted = AcceptedHistory::new(fields.repeated_messages(2)?, fields.uint64(4));
+        let named: Vec<NamedVersion> = fields.repeated_messages(3)?;
         let models: BTreeMap<String, u64> = named.into_iter().map(|one| (one.model, one.version)).collect();
-        Ok(ControlState { configuration: fields.some_message(1)?, accepted, models })
+        Ok(ControlState { configuration: fields.optional_message(1)?, accepted, models })
     }
 }
 
@@ -240,20 +240,20 @@
                 to.message(3, change);
             }
             Record::Moved(position) => variant(to, MOVED_RECORD, position),
-            Record::SnapshotDiscarded => to.number(1, DROPPED_RECORD),
+            Record::SnapshotDiscarded => to.uint64(1, DROPPED_RECORD),
         }
     }
 }
 
 fn variant<M: Encode>(to: &mut FieldWriter, number: u64, content: &M) {
-    to.number(1, number);
+    to.uint64(1, number);
     to.message(2, content);
 }
 
 impl Decode for Record {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
         const NAME: &str = "record";
-        Ok(match fields.number(1) {
+        Ok(match fields.uint64(1) {
             PROMISE_RECORD => Record::Promise(fields.message(NAME, 2)?),
             VIEW_RECORD => Record::View(fields.message(NAME, 2)?),
             WHOLE_RECORD => Record::Snapshot(fields.message(NAME, 2)?),
@@ -310,7 +310,7 @@
 
 impl Encode for Message {
     fn encode(&self, to: &mut FieldWriter) {
-        to.number(field::SENDER, self.sender.0);
+        to.uint64(field::SENDER, self.sender.0);
         encode_body(&self.body, to);
     }
 }
@@ -322,15 +322,15 @@
 }
 
 fn head(to: &mut FieldWriter, variant: u64, epoch: u64) {
-    to.number(field::VARIANT, variant);
-    to.number(field::EPOCH, epoch);
+    to.uint64(field::VARIANT, variant);
+    to.uint64(field::EPOCH, epoch);
 }
 
 fn encode_body(body: &Body, to: &mut FieldWriter) {
     match body {
         Body::Heartbeat { epoch, sent } => {
             head(to, HEARTBEAT, *epoch);
-            to.number(field::SENT, *sent);
+            to.uint64(field::SENT, *sent);
         }
         Body::HeartbeatReply(HeartbeatReply {
             epoch,
@@ -343,18 +343,18 @@
             activation_durable,
         }) => {
             head(to, ECHO, *epoch);
-            to.number(field::SENT, *sent);
-            to.truth(field::GRANTED, *granted);
+            to.uint64(field::SENT, *sent);
+            to.bool(field::GRANTED, *granted);
             some(to, field::PROMISED, promised.as_ref());
-            to.number(field::VIEW_EPOCH, *view_epoch);
-            to.truth(field::FIT, *healthy);
-            to.truth(field::LEAVING, *shutting_down);
-            to.truth(field::SETTLED, *activation_durable);
+            to.uint64(field::VIEW_EPOCH, *view_epoch);
+            to.bool(field::FIT, *healthy);
+            to.bool(field::LEAVING, *shutting_down);
+            to.bool(field::SETTLED, *activation_durable);
         }
         Body::PreVote { epoch } => head(to, POLL, *epoch),
         Body::PreVoteReply(PreVoteReply { epoch, granted, promised, view }) => {
             head(to, POLL_REPLY, *epoch);
-            to.truth(field::GRANTED, *granted);
+            to.bool(field::GRANTED, *granted);
             some(to, field::PROMISED, promised.as_ref());
             some(to, field::VIEW, view.as_ref());
         }
@@ -368,7 +368,7 @@
             some(to, field::VIEW, view.as_ref());
             some(to, field::POSITION, position.as_ref());
             some(to, field::DATA, data.as_ref());
-            to.truth(field::FIT, *healthy);
+            to.bool(field::FIT, *healthy);
         }
         Body::Reject(Reject { epoch, promised, view }) => {
             head(to, REFUSE, *epoch);
@@ -377,37 +377,37 @@
         }
         Body::InstallSnapshot(InstallSnapshot { epoch, sequence, source, attempt, state }) => {
             head(to, INSTALL, *epoch);
-            to.number(field::SEQUENCE, *sequence);
+            to.uint64(field::SEQUENCE, *sequence);
             to.message(field::POSITION, source);
-            to.number(field::ATTEMPT, *attempt);
+            to.uint64(field::ATTEMPT, *attempt);
             some(to, field::STATE, state.as_deref());
         }
         Body::SnapshotInstalled(SnapshotInstalled { epoch, complete, attempt }) => {
             head(to, INSTALLED, *epoch);
-            to.number(field::ATTEMPT, *attempt);
-            to.truth(field::COMPLETE, *complete);
+            to.uint64(field::ATTEMPT, *attempt);
+            to.bool(field::COMPLETE, *complete);
         }
         Body::Accept { view } => {
-            to.number(field::VARIANT, ACCEPT);
+            to.uint64(field::VARIANT, ACCEPT);
             to.message(field::VIEW, view);
         }
         Body::Accepted { epoch } => head(to, ACCEPTED, *epoch),
         Body::Replicate(Replicate { epoch, sequence, change }) => {
             head(to, REPLICATE, *epoch);
-            to.number(field::SEQUENCE, *sequence);
+            to.uint64(field::SEQUENCE, *sequence);
             to.message(field::CHANGE, change);
         }
         Body::Replicated { epoch, sequence } => {
             head(to, REPLICATED, *epoch);
-            to.number(field::SEQUENCE, *sequence);
+            to.uint64(field::SEQUENCE, *sequence);
         }
         Body::Join { member, first_boot } => {
-            to.number(field::VARIANT, JOIN);
+            to.uint64(field::VARIANT, JOIN);
             to.message(field::MEMBER, member);
-            to.truth(field::FIRST_BOOT, *first_boot);
+            to.bool(field::FIRST_BOOT, *first_boot);
         }
         Body::TransferLeadership { released } => {
-            to.number(field::VARIANT, TAKE_OVER);
+            to.uint64(field::VARIANT, TAKE_OVER);
             to.message(field::RELEASED, released);
         }
     }
@@ -415,25 +415,25 @@
 
 impl Decode for Message {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
-        Ok(Message { sender: ReplicaId(fields.number(field::SENDER)), body: decode_body(fields)? })
+        Ok(Message { sender: ReplicaId(fields.uint64(field::SENDER)), body: decode_body(fields)? })
     }
 }
 
 fn decode_body(fields: &Fields<'_>) -> Result<Body, DecodeError> {
     const NAME: &str = "control message";
-    let epoch = fields.number(field::EPOCH);
-    let sent = fields.number(field::SENT);
-    let sequence = fields.number(field::SEQUENCE);
-    let attempt = fields.number(field::ATTEMPT);
-    let granted = fields.truth(field::GRANTED);
-    let healthy = fields.truth(field::FIT);
-    Ok(match fields.number(field::VARIANT) {
+    let epoch = fields.uint64(field::EPOCH);
+    let sent = fields.uint64(field::SENT);
+    let sequence = fields.uint64(field::SEQUENCE);
+    let attempt = fields.uint64(field::ATTEMPT);
+    let granted = fields.bool(field::GRANTED);
+    let healthy = fields.bool(field::FIT);
+    Ok(match fields.uint64(field::VARIANT) {
         HEARTBEAT => Body::Heartbeat { epoch, sent },
         ECHO => {
-            let promised = fields.some_message(field::PROMISED)?;
-            let view_epoch = fields.number(field::VIEW_EPOCH);
-            let shutting_down = fields.truth(field::LEAVING);
-            let activation_durable = fields.truth(field::SETTLED);
+            let promised = fields.optional_message(field::PROMISED)?;
+            let view_epoch = fields.uint64(field::VIEW_EPOCH);
+            let shutting_down = fields.bool(field::LEAVING);
+            let activation_durable = fields.bool(field::SETTLED);
             Body::HeartbeatReply(HeartbeatReply {
                 epoch,
                 sent,
@@ -449,36 +449,36 @@
         POLL_REPLY => Body::PreVoteReply(PreVoteReply {
             epoch,
             granted,
-            promised: fields.some_message(field::PROMISED)?,
-            view: fields.some_message(field::VIEW)?,
+            promised: fields.optional_message(field::PROMISED)?,
+            view: fields.optional_message(field::VIEW)?,
         }),
         PREPARE => Body::Prepare(Prepare {
             epoch,
-            position: fields.some_message(field::POSITION)?,
-            released: fields.some_message(field::RELEASED)?,
+            position: fields.optional_message(field::POSITION)?,
+            released: fields.optional_message(field::RELEASED)?,
         }),
         PROMISE => Body::Promise(Promise {
             epoch,
-            view: fields.some_message(field::VIEW)?,
-            position: fields.some_message(field::POSITION)?,
-            data: fields.some_message(field::DATA)?,
+            view: fields.optional_message(field::VIEW)?,
+            position: fields.optional_message(field::POSITION)?,
+            data: fields.optional_message(field::DATA)?,
             healthy,
         }),
         REFUSE => Body::Reject(Reject {
             epoch,
-            promised: fields.some_message(field::PROMISED)?,
-            view: fields.some_message(field::VIEW)?,
+            promised: fields.optional_message(field::PROMISED)?,
+            view: fields.optional_message(field::VIEW)?,
         }),
         INSTALL => Body::InstallSnapshot(InstallSnapshot {
             epoch,
             sequence,
             source: fields.message(NAME, field::POSITION)?,
             attempt,
-            state: fields.some_message::<ControlState>(field::STATE)?.map(Arc::new),
+            state: fields.optional_message::<ControlState>(field::STATE)?.map(Arc::new),
         }),
         INSTALLED => Body::SnapshotInstalled(SnapshotInstalled {
             epoch,
-            complete: fields.truth(field::COMPLETE),
+            complete: fields.bool(field::COMPLETE),
             attempt,
         }),
         ACCEPT => Body::Accept { view: fields.message(NAME, field::VIEW)? },
@@ -489,7 +489,7 @@
         REPLICATED => Body::Replicated { epoch, sequence },
         JOIN => {
             let member = fields.message(NAME, field::MEMBER)?;
-            Body::Join { member, first_boot: fields.truth(field::FIRST_BOOT) }
+            Body::Join { member, first_boot: fields.bool(field::FIRST_BOOT) }
         }
         TAKE_OVER => Body::TransferLeadership { released: fields.message(NAME, field::RELEASED)? },
         variant => return UnknownVariantSnafu { message: NAME, variant }.fail(),
--- a/proto/src/envelope.rs
+++ b/proto/src/envelope.rs
@@ -63,7 +63,7 @@
             Content::VersionQuery(message) => (NEWEST_ASK, message.to_bytes()),
             Content::VersionReply(message) => (NEWEST_TOLD, message.to_bytes()),
         };
-        to.number(2, variant);
+        to.uint64(2, variant);
         to.bytes(3, &bytes);
     }
 }
@@ -71,7 +71,7 @@
 impl Decode for Envelope {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
         const NAME: &str = "envelope";
-        let content = match fields.number(2) {
+        let content = match fields.uint64(2) {
             CONTROL => Content::Control(fields.message(NAME, 3)?),
             SPREAD => Content::Gossip(fields.message(NAME, 3)?),
             SESSION_BEAT => Content::SessionHeartbeat(fields.message(NAME, 3)?),
--- a/proto/src/fields.rs
+++ b/proto/src/fields.rs
@@ -89,7 +89,7 @@
     }
 
     /// Writes a number; zero is left out.
-    pub fn number(&mut self, field: u32, value: u64) {
+    pub fn uint64(&mut self, field: u32, value: u64) {
         if value != 0 {
             self.with(|writer| {
                 writer.write_with_tag(field << 3 | VARINT, |writer| writer.write_uint64(value))
@@ -98,7 +98,7 @@
     }
 
     /// Writes a number also where it is zero.
-    pub fn some_number(&mut self, field: u32, value: Option<u64>) {
+    pub fn optional_uint64(&mut self, field: u32, value: Option<u64>) {
         if let Some(value) = value {
             self.with(|writer| {
                 writer.write_with_tag(field << 3 | VARINT, |writer| writer.write_uint64(value))
@@ -107,8 +107,8 @@
     }
 
     /// Writes a truth value; false is left out.
-    pub fn truth(&mut self, field: u32, value: bool) {
-        self.number(field, u64::from(value));
+    pub fn bool(&mut self, field: u32, value: bool) {
+        self.uint64(field, u64::from(value));
     }
 
     /// Writes bytes.
@@ -117,13 +117,13 @@
     }
 
     /// Writes text.
-    pub fn text(&mut self, field: u32, value: &str) {
+    pub fn string(&mut self, field: u32, value: &str) {
         self.bytes(field, value.as_bytes());
     }
 
     /// Writes an address.
     pub fn address(&mut self, field: u32, value: SocketAddrV4) {
-        self.number(field, packed(value));
+        self.uint64(field, packed(value));
     }
 
     /// Writes a message within this one.
@@ -132,7 +132,11 @@
     }
 
     /// Writes a message for each value.
-    pub fn messages<'a, M: Encode + 'a>(&mut self, field: u32, values: impl IntoIterator<Item = &'a M>) {
+    pub fn repeated_messages<'a, M: Encode + 'a>(
+        &mut self,
+        field: u32,
+        values: impl IntoIterator<Item = &'a M>,
+    ) {
         values.into_iter().for_each(|value| self.message(field, value));
     }
 }
@@ -195,12 +199,12 @@
     }
 
     /// A number; zero where it is left out.
-    pub fn number(&self, field: u32) -> u64 {
-        self.some_number(field).unwrap_or(0)
+    pub fn uint64(&self, field: u32) -> u64 {
+        self.optional_uint64(field).unwrap_or(0)
     }
 
     /// A number, if it is there.
-    pub fn some_number(&self, field: u32) -> Option<u64> {
+    pub fn optional_uint64(&self, field: u32) -> Option<u64> {
         match self.find(field) {
             Some(Value::Number(number)) => Some(number),
             _ => None,
@@ -208,8 +212,8 @@
     }
 
     /// A truth value; false where it is left out.
-    pub fn truth(&self, field: u32) -> bool {
-        self.number(field) != 0
+    pub fn bool(&self, field: u32) -> bool {
+        self.uint64(field) != 0
     }
 
     /// Bytes; empty where they are left out.
@@ -221,32 +225,32 @@
     }
 
     /// Text; empty where it is left out or no text.
-    pub fn text(&self, field: u32) -> Arc<str> {
+    pub fn string(&self, field: u32) -> Arc<str> {
         Arc::from(std::str::from_utf8(self.bytes(field)).unwrap_or_default())
     }
 
     /// An address.
     pub fn address(&self, message: &'static str, field: u32) -> Result<SocketAddrV4, DecodeError> {
-        self.some_number(field).map(unpacked).context(MissingSnafu { message, field })
+        self.optional_uint64(field).map(unpacked).context(MissingSnafu { message, field })
     }
 
     /// An address, if it is there.
-    pub fn some_address(&self, field: u32) -> Option<SocketAddrV4> {
-        self.some_number(field).map(unpacked)
+    pub fn optional_address(&self, field: u32) -> Option<SocketAddrV4> {
+        self.optional_uint64(field).map(unpacked)
     }
 
     /// All addresses of a repeated field.
-    pub fn addresses(&self, field: u32) -> impl Iterator<Item = SocketAddrV4> + '_ {
-        self.all_numbers(field).map(unpacked)
+    pub fn repeated_addresses(&self, field: u32) -> impl Iterator<Item = SocketAddrV4> + '_ {
+        self.repeated_uint64(field).map(unpacked)
     }
 
     /// A message within this one.
     pub fn message<M: Decode>(&self, message: &'static str, field: u32) -> Result<M, DecodeError> {
-        self.some_message(field)?.context(MissingSnafu { message, field })
+        self.optional_message(field)?.context(MissingSnafu { message, field })
     }
 
     /// A message within this one, if it is there.
-    pub fn some_message<M: Decode>(&self, field: u32) -> Result<Option<M>, DecodeError> {
+    pub fn optional_message<M: Decode>(&self, field: u32) -> Result<Option<M>, DecodeError> {
         match self.find(field) {
             Some(Value::Bytes(bytes)) => M::from_bytes(bytes).map(Some),
             _ => Ok(None),
@@ -254,12 +258,12 @@
     }
 
     /// All messages of a repeated field.
-    pub fn messages<M: Decode>(&self, field: u32) -> Result<Vec<M>, DecodeError> {
-        self.all_bytes(field).map(M::from_bytes).collect()
+    pub fn repeated_messages<M: Decode>(&self, field: u32) -> Result<Vec<M>, DecodeError> {
+        self.repeated_bytes(field).map(M::from_bytes).collect()
     }
 
     /// All values of a repeated field of bytes.
-    pub fn all_bytes(&self, field: u32) -> impl Iterator<Item = &'a [u8]> + '_ {
+    pub fn repeated_bytes(&self, field: u32) -> impl Iterator<Item = &'a [u8]> + '_ {
         self.fields.iter().filter_map(move |(number, value)| match value {
             Value::Bytes(bytes) if *number == field => Some(*bytes),
             _ => None,
@@ -267,7 +271,7 @@
     }
 
     /// All values of a repeated field of numbers.
-    pub fn all_numbers(&self, field: u32) -> impl Iterator<Item = u64> + '_ {
+    pub fn repeated_uint64(&self, field: u32) -> impl Iterator<Item = u64> + '_ {
         self.fields.iter().filter_map(move |(number, value)| match value {
             Value::Number(value) if *number == field => Some(*value),
             _ => None,
--- a/proto/src/frame.rs
+++ b/proto/src/frame.rs
@@ -3,14 +3,14 @@
 use snafu::{Snafu, ensure};
 
 /// The longest body, in bytes: a configuration of 4 MiB with what is round it.
-pub const MAX_BODY: usize = 6 * 1024 * 1024;
+pub const MAX_BODY_BYTES: usize = 6 * 1024 * 1024;
 /// Bytes of the length and the checksum before a body.
-pub const HEAD: usize = 8;
+pub const HEADER_BYTES: usize = 8;
 
 /// Why a connection can't be read on.
 #[derive(Debug, Snafu, Clone, PartialEq, Eq)]
 pub enum FrameError {
-    /// The length is beyond [`MAX_BODY`].
+    /// The length is beyond [`MAX_BODY_BYTES`].
     #[snafu(display("a frame of {length} bytes is too long"))]
     TooLong {
         /// The length that was told.
@@ -52,13 +52,13 @@
     /// [`FrameError`]; the connection is of no more use then.
     pub fn next_body(&mut self) -> Result<Option<&[u8]>, FrameError> {
         let pending = &self.pending[self.start..];
-        let Some((head, rest)) = pending.split_at_checked(HEAD) else { return Ok(None) };
+        let Some((head, rest)) = pending.split_at_checked(HEADER_BYTES) else { return Ok(None) };
         let word = |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
         let (length, checksum) = (word(0) as usize, word(4));
-        ensure!(length <= MAX_BODY, TooLongSnafu { length });
+        ensure!(length <= MAX_BODY_BYTES, TooLongSnafu { length });
         let Some(body) = rest.get(..length) else { return Ok(None) };
         ensure!(crc32fast::hash(body) == checksum, ChecksumSnafu);
-        let from = self.start + HEAD;
+        let from = self.start + HEADER_BYTES;
         self.start = from + length;
         Ok(Some(&self.pending[from..from + length]))
     }
--- a/proto/src/gossip.rs
+++ b/proto/src/gossip.rs
@@ -15,19 +15,19 @@
 
 impl Encode for Entry {
     fn encode(&self, to: &mut FieldWriter) {
-        to.number(1, u64::from(self.kind.0));
-        to.text(2, &self.key);
-        to.number(3, self.stamp.major);
-        to.number(4, self.stamp.minor);
+        to.uint64(1, u64::from(self.kind.0));
+        to.string(2, &self.key);
+        to.uint64(3, self.stamp.major);
+        to.uint64(4, self.stamp.minor);
     }
 }
 
 impl Decode for Entry {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
         Ok(Entry {
-            kind: Kind(fields.number(1) as u8),
-            key: fields.text(2),
-            stamp: Stamp { major: fields.number(3), minor: fields.number(4) },
+            kind: Kind(fields.uint64(1) as u8),
+            key: fields.string(2),
+            stamp: Stamp { major: fields.uint64(3), minor: fields.uint64(4) },
         })
     }
 }
@@ -36,42 +36,42 @@
     fn encode(&self, to: &mut FieldWriter) {
         self.item.entry().encode(to);
         to.bytes(5, &self.item.payload);
-        to.truth(6, self.item.removed);
-        to.number(7, u64::from(self.age_ms));
+        to.bool(6, self.item.removed);
+        to.uint64(7, u64::from(self.age_ms));
     }
 }
 
 impl Decode for Aged {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
         let Entry { kind, key, stamp } = Entry::decode(fields)?;
-        let item = Item { kind, key, stamp, payload: Arc::from(fields.bytes(5)), removed: fields.truth(6) };
-        Ok(Aged { item, age_ms: u32::try_from(fields.number(7)).unwrap_or(u32::MAX) })
+        let item = Item { kind, key, stamp, payload: Arc::from(fields.bytes(5)), removed: fields.bool(6) };
+        Ok(Aged { item, age_ms: u32::try_from(fields.uint64(7)).unwrap_or(u32::MAX) })
     }
 }
 
 impl Encode for RangeDigest {
     fn encode(&self, to: &mut FieldWriter) {
-        to.number(1, u64::from(self.index));
-        to.number(2, self.hash);
+        to.uint64(1, u64::from(self.index));
+        to.uint64(2, self.hash);
     }
 }
 
 impl Decode for RangeDigest {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
-        Ok(RangeDigest { index: fields.number(1) as u16, hash: fields.number(2) })
+        Ok(RangeDigest { index: fields.uint64(1) as u16, hash: fields.uint64(2) })
     }
 }
 
 impl Encode for RangeEntries {
     fn encode(&self, to: &mut FieldWriter) {
-        to.number(1, u64::from(self.index));
-        to.messages(2, &self.entries);
+        to.uint64(1, u64::from(self.index));
+        to.repeated_messages(2, &self.entries);
     }
 }
 
 impl Decode for RangeEntries {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
-        Ok(RangeEntries { index: fields.number(1) as u16, entries: fields.messages(2)? })
+        Ok(RangeEntries { index: fields.uint64(1) as u16, entries: fields.repeated_messages(2)? })
     }
 }
 
@@ -79,48 +79,50 @@
     fn encode(&self, to: &mut FieldWriter) {
         match self {
             Message::Push { items, acknowledge, repair } => {
-                to.number(1, PUSH);
-                to.messages(2, items);
-                to.truth(3, *acknowledge);
-                to.truth(4, *repair);
+                to.uint64(1, PUSH);
+                to.repeated_messages(2, items);
+                to.bool(3, *acknowledge);
+                to.bool(4, *repair);
             }
             Message::Offer { entries } => list(to, OFFER, entries),
             Message::Fetch { entries } => list(to, FETCH, entries),
             Message::Digest { ranges, reply } => {
-                to.number(1, DIGEST);
-                to.messages(2, ranges);
-                to.truth(3, *reply);
+                to.uint64(1, DIGEST);
+                to.repeated_messages(2, ranges);
+                to.bool(3, *reply);
             }
             Message::Entries { ranges } => {
-                to.number(1, ENTRIES);
-                to.messages(2, ranges);
+                to.uint64(1, ENTRIES);
+                to.repeated_messages(2, ranges);
             }
             Message::Acknowledge { entries, leaving } => {
                 list(to, ACKNOWLEDGE, entries);
-                to.truth(3, *leaving);
+                to.bool(3, *leaving);
             }
         }
     }
 }
 
 fn list(to: &mut FieldWriter, variant: u64, entries: &[Entry]) {
-    to.number(1, variant);
-    to.messages(2, entries);
+    to.uint64(1, variant);
+    to.repeated_messages(2, entries);
 }
 
 impl Decode for Message {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
-        Ok(match fields.number(1) {
+        Ok(match fields.uint64(1) {
             PUSH => Message::Push {
-                items: fields.messages(2)?,
-                acknowledge: fields.truth(3),
-                repair: fields.truth(4),
+                items: fields.repeated_messages(2)?,
+                acknowledge: fields.bool(3),
+                repair: fields.bool(4),
             },
-            OFFER => Message::Offer { entries: fields.messages(2)? },
-            FETCH => Message::Fetch { entries: fields.messages(2)? },
-            DIGEST => Message::Digest { ranges: fields.messages(2)?, reply: fields.truth(3) },
-            ENTRIES => Message::Entries { ranges: fields.messages(2)? },
-            ACKNOWLEDGE => Message::Acknowledge { entries: fields.messages(2)?, leaving: fields.truth(3) },
+            OFFER => Message::Offer { entries: fields.repeated_messages(2)? },
+            FETCH => Message::Fetch { entries: fields.repeated_messages(2)? },
+            DIGEST => Message::Digest { ranges: fields.repeated_messages(2)?, reply: fields.bool(3) },
+            ENTRIES => Message::Entries { ranges: fields.repeated_messages(2)? },
+            ACKNOWLEDGE => {
+                Message::Acknowledge { entries: fields.repeated_messages(2)?, leaving: fields.bool(3) }
+            }
             variant => return UnknownVariantSnafu { message: "spread message", variant }.fail(),
         })
     }
--- a/proto/src/load.rs
+++ b/proto/src/load.rs
@@ -71,95 +71,99 @@
 
 impl Encode for ServerLoad {
     fn encode(&self, to: &mut FieldWriter) {
-        to.number(1, self.server);
-        to.number(2, u64::from(self.backlog_ms));
-        to.number(3, u64::from(self.running));
-        to.number(4, self.tokens);
+        to.uint64(1, self.server);
+        to.uint64(2, u64::from(self.backlog_ms));
+        to.uint64(3, u64::from(self.running));
+        to.uint64(4, self.tokens);
     }
 }
 
 impl Decode for ServerLoad {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
         Ok(ServerLoad {
-            server: fields.number(1),
-            backlog_ms: fields.number(2) as u32,
-            running: fields.number(3) as u32,
-            tokens: fields.number(4),
+            server: fields.uint64(1),
+            backlog_ms: fields.uint64(2) as u32,
+            running: fields.uint64(3) as u32,
+            tokens: fields.uint64(4),
         })
     }
 }
 
 impl Encode for PromptChunk {
     fn encode(&self, to: &mut FieldWriter) {
-        to.number(1, self.id);
-        to.number(2, u64::from(self.tokens));
+        to.uint64(1, self.id);
+        to.uint64(2, u64::from(self.tokens));
     }
 }
 
 impl Decode for PromptChunk {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
-        Ok(PromptChunk { id: fields.number(1), tokens: fields.number(2) as u32 })
+        Ok(PromptChunk { id: fields.uint64(1), tokens: fields.uint64(2) as u32 })
     }
 }
 
 impl Encode for CachedPrefix {
     fn encode(&self, to: &mut FieldWriter) {
-        to.number(1, self.server);
-        to.number(2, self.key);
-        to.number(3, self.version);
-        to.number(4, self.salt);
-        to.messages(5, &self.chunks);
+        to.uint64(1, self.server);
+        to.uint64(2, self.key);
+        to.uint64(3, self.version);
+        to.uint64(4, self.salt);
+        to.repeated_messages(5, &self.chunks);
     }
 }
 
 impl Decode for CachedPrefix {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
         Ok(CachedPrefix {
-            server: fields.number(1),
-            key: fields.number(2),
-            version: fields.number(3),
-            salt: fields.number(4),
-            chunks: fields.messages(5)?,
+            server: fields.uint64(1),
+            key: fields.uint64(2),
+            version: fields.uint64(3),
+            salt: fields.uint64(4),
+            chunks: fields.repeated_messages(5)?,
         })
     }
 }
 
 impl Encode for CacheStoreReport {
     fn encode(&self, to: &mut FieldWriter) {
-        to.number(1, self.store);
-        to.truth(2, self.reset);
-        to.messages(3, &self.chunks);
+        to.uint64(1, self.store);
+        to.bool(2, self.reset);
+        to.repeated_messages(3, &self.chunks);
     }
 }
 
 impl Decode for CacheStoreReport {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
-        Ok(CacheStoreReport { store: fields.number(1), reset: fields.truth(2), chunks: fields.messages(3)? })
+        Ok(CacheStoreReport {
+            store: fields.uint64(1),
+            reset: fields.bool(2),
+            chunks: fields.repeated_messages(3)?,
+        })
     }
 }
 
 impl Encode for PeerLoadReport {
     fn encode(&self, to: &mut FieldWriter) {
-        to.number(1, self.sequence);
-        to.messages(2, &self.servers);
-        to.messages(3, &self.cached_prefixes);
+        to.uint64(1, self.sequence);
+        to.repeated_messages(2, &self.servers);
+        to.repeated_messages(3, &self.cached_prefixes);
         if let Some(origin) = self.origin {
             to.address(4, origin);
         }
-        to.truth(5, self.relay);
-        to.messages(6, &self.cache_store_reports);
+        to.bool(5, self.relay);
+        to.repeated_messages(6, &self.cache_store_reports);
     }
 }
 
 impl Decode for PeerLoadReport {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
         Ok(PeerLoadReport {
-            sequence: fields.number(1),
-            origin: fields.some_address(4),
-            relay: fields.truth(5),
-            servers: fields.messages(2)?,
-            cached_prefixes: fields.messages(3)?,
-            cache_store_reports: fields.messages(6)?,
+            sequence: fields.uint64(1),
+            origin: fields.optional_address(4),
+            relay: fields.bool(5),
+            servers: fields.repeated_messages(2)?,
+            cached_prefixes: fields.repeated_messages(3)?,
+            cache_store_reports: fields.repeated_messages(6)?,
         })
     }
 }
--- a/proto/src/node.rs
+++ b/proto/src/node.rs
@@ -130,11 +130,11 @@
 impl Encode for Identity {
     fn encode(&self, to: &mut FieldWriter) {
         to.address(1, self.address);
-        to.number(2, self.incarnation);
-        to.text(3, &self.name);
-        to.text(4, &self.zone);
-        to.some_number(5, self.replica);
-        to.truth(6, self.first_boot);
+        to.uint64(2, self.incarnation);
+        to.string(3, &self.name);
+        to.string(4, &self.zone);
+        to.optional_uint64(5, self.replica);
+        to.bool(6, self.first_boot);
     }
 }
 
@@ -142,11 +142,11 @@
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
         Ok(Identity {
             address: fields.address("identity", 1)?,
-            incarnation: fields.number(2),
-            name: fields.text(3),
-            zone: fields.text(4),
-            replica: fields.some_number(5),
-            first_boot: fields.truth(6),
+            incarnation: fields.uint64(2),
+            name: fields.string(3),
+            zone: fields.string(4),
+            replica: fields.optional_uint64(5),
+            first_boot: fields.bool(6),
         })
     }
 }
@@ -154,19 +154,19 @@
 impl Encode for SessionHeartbeat {
     fn encode(&self, to: &mut FieldWriter) {
         to.message(1, &self.identity);
-        to.number(2, self.view_epoch);
+        to.uint64(2, self.view_epoch);
     }
 }
 
 impl Decode for SessionHeartbeat {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
-        Ok(SessionHeartbeat { identity: fields.message("session beat", 1)?, view_epoch: fields.number(2) })
+        Ok(SessionHeartbeat { identity: fields.message("session beat", 1)?, view_epoch: fields.uint64(2) })
     }
 }
 
 impl Encode for ViewSummary {
     fn encode(&self, to: &mut FieldWriter) {
-        to.number(1, self.epoch);
+        to.uint64(1, self.epoch);
         if let Some(primary) = self.primary {
             to.address(2, primary);
         }
@@ -177,18 +177,18 @@
 impl Decode for ViewSummary {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
         Ok(ViewSummary {
-            epoch: fields.number(1),
-            primary: fields.some_address(2),
-            members: fields.addresses(3).collect(),
+            epoch: fields.uint64(1),
+            primary: fields.optional_address(2),
+            members: fields.repeated_addresses(3).collect(),
         })
     }
 }
 
 impl Encode for SessionHeartbeatReply {
     fn encode(&self, to: &mut FieldWriter) {
-        to.number(1, self.incarnation);
-        to.truth(2, self.granted);
-        to.number(3, self.seen_incarnation);
+        to.uint64(1, self.incarnation);
+        to.bool(2, self.granted);
+        to.uint64(3, self.seen_incarnation);
         if let Some(view) = &self.view {
             to.message(4, view);
         }
@@ -198,10 +198,10 @@
 impl Decode for SessionHeartbeatReply {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
         Ok(SessionHeartbeatReply {
-            incarnation: fields.number(1),
-            granted: fields.truth(2),
-            seen_incarnation: fields.number(3),
-            view: fields.some_message(4)?,
+            incarnation: fields.uint64(1),
+            granted: fields.bool(2),
+            seen_incarnation: fields.uint64(3),
+            view: fields.optional_message(4)?,
         })
     }
 }
@@ -215,22 +215,22 @@
     fn encode(&self, to: &mut FieldWriter) {
         match self {
             ControlCall::PutConfiguration { if_match, version, body } => {
-                to.number(1, PUT_CONFIGURATION);
-                to.number(2, *if_match);
-                to.number(3, *version);
+                to.uint64(1, PUT_CONFIGURATION);
+                to.uint64(2, *if_match);
+                to.uint64(3, *version);
                 to.bytes(4, body);
             }
             ControlCall::PatchConfiguration { if_match, version, patch } => {
-                to.number(1, PATCH_CONFIGURATION);
-                to.number(2, *if_match);
-                to.number(3, *version);
+                to.uint64(1, PATCH_CONFIGURATION);
+                to.uint64(2, *if_match);
+                to.uint64(3, *version);
                 to.bytes(4, patch);
             }
-            ControlCall::GetConfiguration => to.number(1, GET_CONFIGURATION),
+            ControlCall::GetConfiguration => to.uint64(1, GET_CONFIGURATION),
             ControlCall::NameVersion { model, version } => {
-                to.number(1, NAME_VERSION);
-                to.number(3, *version);
-                to.text(5, model);
+                to.uint64(1, NAME_VERSION);
+                to.uint64(3, *version);
+                to.string(5, model);
             }
         }
     }
@@ -238,19 +238,19 @@
 
 impl Decode for ControlCall {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
-        Ok(match fields.number(1) {
+        Ok(match fields.uint64(1) {
             PUT_CONFIGURATION => ControlCall::PutConfiguration {
-                if_match: fields.number(2),
-                version: fields.number(3),
+                if_match: fields.uint64(2),
+                version: fields.uint64(3),
                 body: Arc::from(fields.bytes(4)),
             },
             PATCH_CONFIGURATION => ControlCall::PatchConfiguration {
-                if_match: fields.number(2),
-                version: fields.number(3),
+                if_match: fields.uint64(2),
+                version: fields.uint64(3),
                 patch: Arc::from(fields.bytes(4)),
             },
             GET_CONFIGURATION => ControlCall::GetConfiguration,
-            NAME_VERSION => ControlCall::NameVersion { model: fields.text(5), version: fields.number(3) },
+            NAME_VERSION => ControlCall::NameVersion { model: fields.string(5), version: fields.uint64(3) },
             variant => return UnknownVariantSnafu { message: "control call", variant }.fail(),
         })
     }
@@ -258,59 +258,59 @@
 
 impl Encode for VersionQuery {
     fn encode(&self, to: &mut FieldWriter) {
-        to.number(1, self.query_id);
+        to.uint64(1, self.query_id);
     }
 }
 
 impl Decode for VersionQuery {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
-        Ok(VersionQuery { query_id: fields.number(1) })
+        Ok(VersionQuery { query_id: fields.uint64(1) })
     }
 }
 
 impl Encode for VersionReply {
     fn encode(&self, to: &mut FieldWriter) {
-        to.number(1, self.query_id);
-        to.number(2, self.version);
-        to.number(3, self.age);
+        to.uint64(1, self.query_id);
+        to.uint64(2, self.version);
+        to.uint64(3, self.age);
     }
 }
 
 impl Decode for VersionReply {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
-        Ok(VersionReply { query_id: fields.number(1), version: fields.number(2), age: fields.number(3) })
+        Ok(VersionReply { query_id: fields.uint64(1), version: fields.uint64(2), age: fields.uint64(3) })
     }
 }
 
 impl Encode for ForwardedCall {
     fn encode(&self, to: &mut FieldWriter) {
-        to.number(1, self.call_id);
+        to.uint64(1, self.call_id);
         to.message(2, &self.call);
     }
 }
 
 impl Decode for ForwardedCall {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
-        Ok(ForwardedCall { call_id: fields.number(1), call: fields.message("forward", 2)? })
+        Ok(ForwardedCall { call_id: fields.uint64(1), call: fields.message("forward", 2)? })
     }
 }
 
 impl Encode for ForwardedReply {
     fn encode(&self, to: &mut FieldWriter) {
-        to.number(1, self.call_id);
-        to.number(2, u64::from(self.status));
+        to.uint64(1, self.call_id);
+        to.uint64(2, u64::from(self.status));
         to.bytes(3, &self.body);
-        to.number(4, self.lease_remaining);
+        to.uint64(4, self.lease_remaining);
     }
 }
 
 impl Decode for ForwardedReply {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
         Ok(ForwardedReply {
-            call_id: fields.number(1),
-            status: fields.number(2) as u16,
+            call_id: fields.uint64(1),
+            status: fields.uint64(2) as u16,
             body: Arc::from(fields.bytes(3)),
-            lease_remaining: fields.number(4),
+            lease_remaining: fields.uint64(4),
         })
     }
 }
--- a/proto/src/registry.rs
+++ b/proto/src/registry.rs
@@ -41,28 +41,28 @@
 
 impl Encode for ModelVersion {
     fn encode(&self, to: &mut FieldWriter) {
-        to.text(1, &self.model);
-        to.number(2, self.version);
+        to.string(1, &self.model);
+        to.uint64(2, self.version);
     }
 }
 
 impl Decode for ModelVersion {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
-        Ok(ModelVersion { model: fields.text(1), version: fields.number(2) })
+        Ok(ModelVersion { model: fields.string(1), version: fields.uint64(2) })
     }
 }
 
 impl Encode for Registration {
     fn encode(&self, to: &mut FieldWriter) {
-        to.text(1, &self.id);
-        to.text(2, &self.service);
+        to.string(1, &self.id);
+        to.string(2, &self.service);
         to.address(3, self.address);
-        to.text(4, &self.zone);
-        to.number(5, u64::from(self.slots));
-        to.truth(6, self.draining);
-        to.truth(7, self.lost);
-        to.number(8, self.warmup_left_ms);
-        to.messages(9, &self.models);
+        to.string(4, &self.zone);
+        to.uint64(5, u64::from(self.slots));
+        to.bool(6, self.draining);
+        to.bool(7, self.lost);
+        to.uint64(8, self.warmup_left_ms);
+        to.repeated_messages(9, &self.models);
         to.address(10, self.owner);
     }
 }
@@ -71,15 +71,15 @@
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
         const NAME: &str = "registration";
         Ok(Registration {
-            id: fields.text(1),
-            service: fields.text(2),
+            id: fields.string(1),
+            service: fields.string(2),
             address: fields.address(NAME, 3)?,
-            zone: fields.text(4),
-            slots: fields.number(5) as u32,
-            draining: fields.truth(6),
-            lost: fields.truth(7),
-            warmup_left_ms: fields.number(8),
-            models: fields.messages(9)?,
+            zone: fields.string(4),
+            slots: fields.uint64(5) as u32,
+            draining: fields.bool(6),
+            lost: fields.bool(7),
+            warmup_left_ms: fields.uint64(8),
+            models: fields.repeated_messages(9)?,
             owner: fields.address(NAME, 10)?,
         })
     }
--- a/proto/tests/common/mod.rs
+++ b/proto/tests/common/mod.rs
@@ -390,11 +390,11 @@
 }
 
 fn unknown_fields(to: &mut FieldWriter) {
-    to.number(900, 7);
-    to.some_number(901, Some(0));
+    to.uint64(900, 7);
+    to.optional_uint64(901, Some(0));
     to.bytes(902, b"\xff\x00 what a later build says");
     to.bytes(903, b"");
-    to.number(536_870_911, u64::MAX);
+    to.uint64(536_870_911, u64::MAX);
 }
 
 /// An unknown field of eight bytes and one of four, which this build never writes, but others may.
--- a/proto/tests/frames.rs
+++ b/proto/tests/frames.rs
@@ -4,7 +4,7 @@
 
 use common::fixed;
 use googletest::prelude::*;
-use gradepaddle_proto::frame::{FrameError, FrameReader, HEAD, MAX_BODY, write};
+use gradepaddle_proto::frame::{FrameError, FrameReader, HEADER_BYTES, MAX_BODY_BYTES, write};
 use proptest::collection::vec;
 use proptest::prelude::{any, prop_assert, prop_assert_eq, proptest};
 
@@ -57,13 +57,16 @@
 
 #[gtest]
 fn a_body_may_be_as_long_as_the_limit_and_no_longer() {
-    let longest = vec![3; MAX_BODY];
+    let longest = vec![3; MAX_BODY_BYTES];
     expect_true!(read(&framed(std::slice::from_ref(&longest))) == Ok(vec![longest]));
-    let too_long = framed(&[vec![3; MAX_BODY + 1]]);
-    expect_that!(read(&too_long), err(eq(&FrameError::TooLong { length: MAX_BODY + 1 })));
+    let too_long = framed(&[vec![3; MAX_BODY_BYTES + 1]]);
+    expect_that!(read(&too_long), err(eq(&FrameError::TooLong { length: MAX_BODY_BYTES + 1 })));
     // The length alone gives it away: nobody waits for such a body.
-    expect_that!(read(&too_long[..HEAD]), err(eq(&FrameError::TooLong { length: MAX_BODY + 1 })));
-    expect_that!(read(&[0xff; HEAD]), err(eq(&FrameError::TooLong { length: u32::MAX as usize })));
+    expect_that!(
+        read(&too_long[..HEADER_BYTES]),
+        err(eq(&FrameError::TooLong { length: MAX_BODY_BYTES + 1 }))
+    );
+    expect_that!(read(&[0xff; HEADER_BYTES]), err(eq(&FrameError::TooLong { length: u32::MAX as usize })));
 }
 
 #[gtest]
@@ -114,7 +117,7 @@
     #[test]
     fn wild_bytes_never_give_more_than_was_put_in(bytes in vec(any::<u8>(), 0..200)) {
         if let Ok(bodies) = read(&bytes) {
-            prop_assert!(bodies.iter().map(|body| body.len() + HEAD).sum::<usize>() <= bytes.len());
+            prop_assert!(bodies.iter().map(|body| body.len() + HEADER_BYTES).sum::<usize>() <= bytes.len());
         }
     }
 }
--- a/proto/tests/golden.rs
+++ b/proto/tests/golden.rs
@@ -553,8 +553,8 @@
     expect_that!(reader.next_body(), ok(some(eq(b""))));
     expect_that!(reader.next_body(), ok(some(eq(b"123456789"))));
     expect_that!(reader.next_body(), ok(none()));
-    expect_that!(frame::HEAD, eq(8));
-    expect_that!(frame::MAX_BODY, eq(6_291_456));
+    expect_that!(frame::HEADER_BYTES, eq(8));
+    expect_that!(frame::MAX_BODY_BYTES, eq(6_291_456));
 }
 
 #[gtest]
--- a/proto/tests/messages.rs
+++ b/proto/tests/messages.rs
@@ -187,7 +187,7 @@
 impl Encode for LaterBeat {
     fn encode(&self, to: &mut FieldWriter) {
         to.message(1, &Later(self.0.identity.clone()));
-        to.number(2, self.0.view_epoch);
+        to.uint64(2, self.0.view_epoch);
     }
 }
 
@@ -197,7 +197,7 @@
 impl Encode for LaterEnvelope {
     fn encode(&self, to: &mut FieldWriter) {
         to.address(1, self.0.identity.address);
-        to.number(2, 3);
+        to.uint64(2, 3);
         to.message(3, &LaterBeat(self.0.clone()));
     }
 }
@@ -223,7 +223,7 @@
 
 impl Encode for Variant {
     fn encode(&self, to: &mut FieldWriter) {
-        to.some_number(self.field, Some(self.number));
+        to.optional_uint64(self.field, Some(self.number));
     }
 }
 
--- a/store/src/snapshot.rs
+++ b/store/src/snapshot.rs
@@ -27,13 +27,16 @@
 
 impl Encode for Entry {
     fn encode(&self, to: &mut FieldWriter) {
-        to.some_number(IDENTITY, self.id.map(|id| id.0));
-        to.messages(RECORD, &self.records);
+        to.optional_uint64(IDENTITY, self.id.map(|id| id.0));
+        to.repeated_messages(RECORD, &self.records);
     }
 }
 
 impl Decode for Entry {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
-        Ok(Entry { id: fields.some_number(IDENTITY).map(ReplicaId), records: fields.messages(RECORD)? })
+        Ok(Entry {
+            id: fields.optional_uint64(IDENTITY).map(ReplicaId),
+            records: fields.repeated_messages(RECORD)?,
+        })
     }
 }
