--- a/proto/src/fields.rs
+++ b/proto/src/fields.rs
@@ -131,7 +131,14 @@
         self.bytes(field, &value.to_bytes());
     }
 
-    /// Writes a message for each value.
+    /// Writes a nested message, if there is one.
+    pub fn optional_message<M: Encode>(&mut self, field: u32, value: Option<&M>) {
+        if let Some(value) = value {
+            self.message(field, value);
+        }
+    }
+
+    /// Writes a nested message for each value.
     pub fn repeated_messages<'a, M: Encode + 'a>(
         &mut self,
         field: u32,
