--- a/proto/src/fields.rs
+++ b/proto/src/fields.rs
@@ -1,7 +1,9 @@
-//! Protocol Buffers by field: writing and reading messages without generated code.
+//! Reading and writing messages of Protocol Buffers field by field, without generated code.
 //!
-//! Only two wire types are written: varint numbers and length-delimited bytes. A reader passes over fields that it
-//! doesn't know, so that a build and the next one understand each other.
+//! Two wire types are written: varint and length-delimited (<https://protobuf.dev/programming-guides/encoding/>). A reader
+//! skips fields that it doesn't know, so that two builds understand each other. As in proto3, a number of 0 and a `false`
+//! are not written, and a field that is absent reads as its default. Of a field that occurs more than once where one is
+//! expected, the first occurrence counts.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::sync::Arc;
@@ -9,44 +11,44 @@
 use quick_protobuf::{BytesReader, Writer};
 use snafu::{OptionExt, Snafu};
 
-/// The wire type of a varint, the lowest three bits of a tag.
+/// Wire type of a varint. A tag is a field number above three bits of wire type.
 const VARINT: u32 = 0;
-/// The wire type of length-delimited bytes.
-const BYTES: u32 = 2;
-/// The wire types that are passed over, by their length in bytes.
-const FIXED: [(u32, usize); 2] = [(1, 8), (5, 4)];
+/// Wire type of length-delimited bytes.
+const LENGTH_DELIMITED: u32 = 2;
+/// Wire types that are skipped, with their lengths in bytes: fixed64 and fixed32.
+const SKIPPED: [(u32, usize); 2] = [(1, 8), (5, 4)];
 
-/// Why bytes are no message.
+/// Why bytes could not be decoded.
 #[derive(Debug, Snafu, Clone, PartialEq, Eq)]
 #[snafu(visibility(pub(crate)))]
 pub enum DecodeError {
-    /// The bytes end within a field, or a field is no Protocol Buffers field.
+    /// The bytes end within a field, or a field has an unknown wire type.
     #[snafu(display("the message is cut or malformed"))]
     Malformed,
-    /// A field that the message can't do without is missing or of another type.
+    /// A required field is missing or of another wire type.
     #[snafu(display("field {field} of {message} is missing or of another type"))]
     Missing {
-        /// The message.
+        /// The name of the message.
         message: &'static str,
-        /// The number of the field.
+        /// The field number.
         field: u32,
     },
-    /// A number stands for no variant that this build knows.
+    /// The variant number is none that this build knows; it may be one of a later build.
     #[snafu(display("{message} knows no variant {variant}"))]
     UnknownVariant {
-        /// The message.
+        /// The name of the message.
         message: &'static str,
-        /// The number.
+        /// The variant number.
         variant: u64,
     },
 }
 
-/// A message that can be written.
+/// A message that can be encoded.
 pub trait Encode {
-    /// Writes the fields.
+    /// Writes the message's fields.
     fn encode(&self, to: &mut FieldWriter);
 
-    /// The message as bytes.
+    /// Encodes the message.
     fn to_bytes(&self) -> Vec<u8> {
         let mut writer = FieldWriter::default();
         self.encode(&mut writer);
@@ -54,26 +56,26 @@
     }
 }
 
-/// A message that can be read.
+/// A message that can be decoded.
 pub trait Decode: Sized {
-    /// Reads the message from its fields.
+    /// Builds the message from its fields.
     ///
     /// # Errors
     ///
-    /// [`DecodeError`] if the bytes are no such message.
+    /// [`DecodeError`] if a required field is missing, or a nested message can't be decoded.
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError>;
 
-    /// Reads the message from its bytes.
+    /// Decodes the message.
     ///
     /// # Errors
     ///
-    /// [`DecodeError`] if the bytes are no such message.
+    /// [`DecodeError`] as of [`Decode::decode`], or if the bytes are malformed.
     fn from_bytes(bytes: &[u8]) -> Result<Self, DecodeError> {
         Self::decode(&Fields::read(bytes)?)
     }
 }
 
-/// Fields that are being written.
+/// Collects the fields of a message that is being encoded.
 #[derive(Default)]
 pub struct FieldWriter {
     bytes: Vec<u8>,
@@ -84,11 +86,11 @@
     where
         F: FnOnce(&mut Writer<&mut Vec<u8>>) -> quick_protobuf::Result<()>,
     {
-        // Writing to memory does not fail.
+        // The only errors are those of the sink, and a Vec has none.
         let _ = write(&mut Writer::new(&mut self.bytes));
     }
 
-    /// Writes a number; zero is left out.
+    /// Writes a number; 0 is left out.
     pub fn uint64(&mut self, field: u32, value: u64) {
         if value != 0 {
             self.with(|writer| {
@@ -97,7 +99,7 @@
         }
     }
 
-    /// Writes a number also where it is zero.
+    /// Writes a number if there is one, 0 included; also an element of a repeated field.
     pub fn optional_uint64(&mut self, field: u32, value: Option<u64>) {
         if let Some(value) = value {
             self.with(|writer| {
@@ -106,27 +108,29 @@
         }
     }
 
-    /// Writes a truth value; false is left out.
+    /// Writes a truth value; `false` is left out.
     pub fn bool(&mut self, field: u32, value: bool) {
         self.uint64(field, u64::from(value));
     }
 
-    /// Writes bytes.
+    /// Writes bytes, empty ones included.
     pub fn bytes(&mut self, field: u32, value: &[u8]) {
-        self.with(|writer| writer.write_with_tag(field << 3 | BYTES, |writer| writer.write_bytes(value)));
+        self.with(|writer| {
+            writer.write_with_tag(field << 3 | LENGTH_DELIMITED, |writer| writer.write_bytes(value))
+        });
     }
 
-    /// Writes text.
+    /// Writes a string, an empty one included.
     pub fn string(&mut self, field: u32, value: &str) {
         self.bytes(field, value.as_bytes());
     }
 
-    /// Writes an address.
+    /// Writes an address as a number: the IP address in big-endian order, then 16 bits of port.
     pub fn address(&mut self, field: u32, value: SocketAddrV4) {
         self.uint64(field, packed(value));
     }
 
-    /// Writes a message within this one.
+    /// Writes a nested message.
     pub fn message<M: Encode>(&mut self, field: u32, value: &M) {
         self.bytes(field, &value.to_bytes());
     }
@@ -148,7 +152,6 @@
     }
 }
 
-/// An address as one number.
 fn packed(address: SocketAddrV4) -> u64 {
     u64::from(u32::from(*address.ip())) << 16 | u64::from(address.port())
 }
@@ -157,24 +160,24 @@
     SocketAddrV4::new(Ipv4Addr::from((number >> 16) as u32), number as u16)
 }
 
-/// The value of a field.
+/// The value of a decoded field, by its wire type.
 #[derive(Clone, Copy)]
 enum Value<'a> {
     Number(u64),
     Bytes(&'a [u8]),
 }
 
-/// The fields of a message that has been read.
+/// The fields of a message that is being decoded, in the order of the bytes.
 pub struct Fields<'a> {
     fields: Vec<(u32, Value<'a>)>,
 }
 
 impl<'a> Fields<'a> {
-    /// Splits a message into its fields.
+    /// Splits the bytes of a message into its fields.
     ///
     /// # Errors
     ///
-    /// [`DecodeError::Malformed`] if the bytes are no fields.
+    /// [`DecodeError::Malformed`] if the bytes end within a field, or a field has an unknown wire type.
     pub fn read(bytes: &'a [u8]) -> Result<Self, DecodeError> {
         let mut reader = BytesReader::from_bytes(bytes);
         let mut fields = Vec::new();
@@ -185,12 +188,12 @@
                     let number = reader.read_uint64(bytes).ok().context(MalformedSnafu)?;
                     fields.push((tag >> 3, Value::Number(number)));
                 }
-                BYTES => {
+                LENGTH_DELIMITED => {
                     let value = reader.read_bytes(bytes).ok().context(MalformedSnafu)?;
                     fields.push((tag >> 3, Value::Bytes(value)));
                 }
                 other => {
-                    let known = FIXED.iter().find(|(kind, _)| *kind == other);
+                    let known = SKIPPED.iter().find(|(kind, _)| *kind == other);
                     let (_, length) = known.context(MalformedSnafu)?;
                     for _ in 0..*length {
                         reader.read_u8(bytes).ok().context(MalformedSnafu)?;
@@ -205,12 +208,12 @@
         self.fields.iter().find(|(number, _)| *number == field).map(|(_, value)| *value)
     }
 
-    /// A number; zero where it is left out.
+    /// A number; 0 if the field is absent.
     pub fn uint64(&self, field: u32) -> u64 {
         self.optional_uint64(field).unwrap_or(0)
     }
 
-    /// A number, if it is there.
+    /// A number, if the field is present.
     pub fn optional_uint64(&self, field: u32) -> Option<u64> {
         match self.find(field) {
             Some(Value::Number(number)) => Some(number),
@@ -218,12 +221,12 @@
         }
     }
 
-    /// A truth value; false where it is left out.
+    /// A truth value; `false` if the field is absent.
     pub fn bool(&self, field: u32) -> bool {
         self.uint64(field) != 0
     }
 
-    /// Bytes; empty where they are left out.
+    /// Bytes; empty if the field is absent.
     pub fn bytes(&self, field: u32) -> &'a [u8] {
         match self.find(field) {
             Some(Value::Bytes(bytes)) => bytes,
@@ -231,32 +234,44 @@
         }
     }
 
-    /// Text; empty where it is left out or no text.
+    /// A string; empty if the field is absent or not UTF-8.
     pub fn string(&self, field: u32) -> Arc<str> {
         Arc::from(std::str::from_utf8(self.bytes(field)).unwrap_or_default())
     }
 
-    /// An address.
+    /// A required address.
+    ///
+    /// # Errors
+    ///
+    /// [`DecodeError::Missing`] if the field is absent.
     pub fn address(&self, message: &'static str, field: u32) -> Result<SocketAddrV4, DecodeError> {
         self.optional_uint64(field).map(unpacked).context(MissingSnafu { message, field })
     }
 
-    /// An address, if it is there.
+    /// An address, if the field is present.
     pub fn optional_address(&self, field: u32) -> Option<SocketAddrV4> {
         self.optional_uint64(field).map(unpacked)
     }
 
-    /// All addresses of a repeated field.
+    /// The addresses of a repeated field.
     pub fn repeated_addresses(&self, field: u32) -> impl Iterator<Item = SocketAddrV4> + '_ {
         self.repeated_uint64(field).map(unpacked)
     }
 
-    /// A message within this one.
+    /// A required nested message.
+    ///
+    /// # Errors
+    ///
+    /// [`DecodeError::Missing`] if the field is absent, or the error of the nested message.
     pub fn message<M: Decode>(&self, message: &'static str, field: u32) -> Result<M, DecodeError> {
         self.optional_message(field)?.context(MissingSnafu { message, field })
     }
 
-    /// A message within this one, if it is there.
+    /// A nested message, if the field is present.
+    ///
+    /// # Errors
+    ///
+    /// The error of the nested message.
     pub fn optional_message<M: Decode>(&self, field: u32) -> Result<Option<M>, DecodeError> {
         match self.find(field) {
             Some(Value::Bytes(bytes)) => M::from_bytes(bytes).map(Some),
@@ -264,12 +279,16 @@
         }
     }
 
-    /// All messages of a repeated field.
+    /// The nested messages of a repeated field.
+    ///
+    /// # Errors
+    ///
+    /// The error of the first of them that can't be decoded.
     pub fn repeated_messages<M: Decode>(&self, field: u32) -> Result<Vec<M>, DecodeError> {
         self.repeated_bytes(field).map(M::from_bytes).collect()
     }
 
-    /// All values of a repeated field of bytes.
+    /// The values of a repeated field of bytes.
     pub fn repeated_bytes(&self, field: u32) -> impl Iterator<Item = &'a [u8]> + '_ {
         self.fields.iter().filter_map(move |(number, value)| match value {
             Value::Bytes(bytes) if *number == field => Some(*bytes),
@@ -277,7 +296,7 @@
         })
     }
 
-    /// All values of a repeated field of numbers.
+    /// The values of a repeated field of numbers.
     pub fn repeated_uint64(&self, field: u32) -> impl Iterator<Item = u64> + '_ {
         self.fields.iter().filter_map(move |(number, value)| match value {
             Value::Number(value) if *number == field => Some(*value),
--- a/proto/src/frame.rs
+++ b/proto/src/frame.rs
@@ -1,42 +1,47 @@
-//! Frames on a connection between two nodes: length, checksum, body.
+//! Frames on a connection between two nodes.
+//!
+//! A frame is the length of its body (4 bytes), the CRC-32 of its body (4 bytes, IEEE 802.3), both little-endian, and the
+//! body. Behind a damaged frame nothing can be told apart, so a connection ends with the first error.
 
 use snafu::{Snafu, ensure};
 
-/// The longest body, in bytes: a configuration of 4 MiB with what is round it.
+/// The longest body, in bytes: a configuration of 4 MiB with its envelope fits.
 pub const MAX_BODY_BYTES: usize = 6 * 1024 * 1024;
-/// Bytes of the length and the checksum before a body.
+/// Length of the header before a body, in bytes.
 pub const HEADER_BYTES: usize = 8;
 
-/// Why a connection can't be read on.
+/// Why no further frame can be read from a connection.
 #[derive(Debug, Snafu, Clone, PartialEq, Eq)]
 pub enum FrameError {
     /// The length is beyond [`MAX_BODY_BYTES`].
     #[snafu(display("a frame of {length} bytes is too long"))]
     TooLong {
-        /// The length that was told.
+        /// The length in the header, in bytes.
         length: usize,
     },
-    /// The checksum is not that of the body.
+    /// The checksum in the header is not that of the body.
     #[snafu(display("a frame's checksum does not fit its body"))]
     Checksum,
 }
 
-/// Appends a frame with this body.
+/// Appends a frame with this body, which has at most [`MAX_BODY_BYTES`].
 pub fn write(body: &[u8], to: &mut Vec<u8>) {
     to.extend_from_slice(&(body.len() as u32).to_le_bytes());
     to.extend_from_slice(&crc32fast::hash(body).to_le_bytes());
     to.extend_from_slice(body);
 }
 
-/// Cuts what comes on a connection into frames.
+/// Splits the bytes that arrive on a connection into frames.
 #[derive(Debug, Default)]
 pub struct FrameReader {
+    /// Bytes that have arrived, from the last frame that was returned on.
     pending: Vec<u8>,
+    /// Where the next frame begins in `pending`.
     start: usize,
 }
 
 impl FrameReader {
-    /// Takes in bytes as they come.
+    /// Appends bytes that have arrived, however they were split.
     pub fn push(&mut self, bytes: &[u8]) {
         if self.start > 0 {
             self.pending.drain(..self.start);
@@ -45,11 +50,12 @@
         self.pending.extend_from_slice(bytes);
     }
 
-    /// The body of the next frame, if it is all there.
+    /// Returns the body of the next frame, or `None` until all of it has arrived.
     ///
     /// # Errors
     ///
-    /// [`FrameError`]; the connection is of no more use then.
+    /// [`FrameError::TooLong`] for a length beyond [`MAX_BODY_BYTES`], as soon as the header is there;
+    /// [`FrameError::Checksum`] for a damaged body. Each later call fails as well: close the connection.
     pub fn next_body(&mut self) -> Result<Option<&[u8]>, FrameError> {
         let pending = &self.pending[self.start..];
         let Some((head, rest)) = pending.split_at_checked(HEADER_BYTES) else { return Ok(None) };
@@ -58,8 +64,8 @@
         ensure!(length <= MAX_BODY_BYTES, TooLongSnafu { length });
         let Some(body) = rest.get(..length) else { return Ok(None) };
         ensure!(crc32fast::hash(body) == checksum, ChecksumSnafu);
-        let from = self.start + HEADER_BYTES;
-        self.start = from + length;
-        Ok(Some(&self.pending[from..from + length]))
+        let body_start = self.start + HEADER_BYTES;
+        self.start = body_start + length;
+        Ok(Some(&self.pending[body_start..self.start]))
     }
 }
--- a/proto/src/gossip.rs
+++ b/proto/src/gossip.rs
@@ -6,6 +6,7 @@
 
 use crate::fields::{Decode, DecodeError, Encode, FieldWriter, Fields, UnknownVariantSnafu};
 
+/// Variant numbers of [`Message`].
 const PUSH: u64 = 1;
 const OFFER: u64 = 2;
 const FETCH: u64 = 3;
--- a/proto/src/load.rs
+++ b/proto/src/load_report.rs
@@ -1,71 +1,73 @@
-//! What a node has in flight at servers, as it tells others by datagram.
+//! Load of servers that a node causes, and caches that it has seen change, reported to its peers by UDP datagram.
+//!
+//! A datagram may be lost, duplicated or overtaken; each one is complete in itself.
 
 use std::net::SocketAddrV4;
 
 use crate::fields::{Decode, DecodeError, Encode, FieldWriter, Fields};
 
-/// What one node has in flight at one server.
+/// The load that one node causes at one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerLoad {
-    /// A hash of the server's id, the same at all nodes.
+    /// The hash of the server's id, the same at all nodes.
     pub server: u64,
-    /// Reading of prompts that is still to be done there, in milliseconds.
+    /// Prefill that its requests still have before them, in milliseconds.
     pub backlog_ms: u32,
-    /// Requests there.
+    /// Requests in flight.
     pub running: u32,
-    /// Their tokens.
+    /// Tokens of these requests.
     pub tokens: u64,
 }
 
-/// A part of a prompt.
+/// A chunk of a prompt, the unit of prefix caching.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptChunk {
-    /// Its id.
+    /// The chunk's id, or its key in a cache store.
     pub id: u64,
-    /// Its length in tokens.
+    /// Its length, or what is cached of it, in tokens.
     pub tokens: u32,
 }
 
-/// A server was seen to read a prompt, and so to keep its parts.
+/// A prefix that a server has in its cache, since it has prefilled it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CachedPrefix {
-    /// A hash of the server's id.
+    /// The hash of the server's id.
     pub server: u64,
-    /// The prompt's key.
+    /// The key of the prompt.
     pub key: u64,
-    /// The version of the weights under which it was read.
+    /// The version of the weights that prefilled it.
     pub version: u64,
-    /// A hash of the salt that the parts are kept under.
+    /// The hash of the salt that isolates the cached chunks between tenants.
     pub salt: u64,
-    /// The parts in order.
+    /// The chunks in the order of the prompt.
     pub chunks: Vec<PromptChunk>,
 }
 
-/// What changed in a store since it was last told.
+/// Changes of a cache store since its last report.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CacheStoreReport {
-    /// A hash of its name.
+    /// The hash of the store's name.
     pub store: u64,
-    /// Nothing that it kept before is known to be left.
+    /// Whether everything reported before is void: what is left of it is unknown.
     pub reset: bool,
-    /// Parts, each by the key that it has under its salt, with the tokens that are kept now.
+    /// The changed chunks, each by its key under its salt, with the tokens that are cached now (0: none).
     pub chunks: Vec<PromptChunk>,
 }
 
-/// What one node has in flight at all servers; servers that are left out have nothing of it.
+/// A datagram: the load that one node causes at all servers. A server that is not listed has none of it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PeerLoadReport {
-    /// Rises with each of this node's messages, so that one that was overtaken is known.
+    /// Rises with each report of the origin, so that an overtaken one is recognized.
     pub sequence: u64,
-    /// The node whose loads these are, where it isn't the sender's own message; `None` in those of older builds.
+    /// The node that causes the load; `None` in a datagram of an earlier build, where it is the sender.
     pub origin: Option<SocketAddrV4>,
-    /// The receiver is to pass it on to the other nodes of its zone.
+    /// Whether the receiver has to forward it to the other nodes of its zone.
     pub relay: bool,
-    /// By server.
+    /// The load by server.
     pub servers: Vec<ServerLoad>,
-    /// What it has seen kept since its last message.
+    /// Prefixes that the origin has seen prefilled since its last report.
     pub cached_prefixes: Vec<CachedPrefix>,
-    /// What has changed since then at stores that it listens to.
+    /// Changes since then at the cache stores that the origin watches.
     pub cache_store_reports: Vec<CacheStoreReport>,
 }
 
--- a/proto/src/registry.rs
+++ b/proto/src/registration.rs
@@ -1,41 +1,41 @@
-//! A model server as the nodes tell each other of it.
+//! A model server as one node registers it and gossips it to the others.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
 use crate::fields::{Decode, DecodeError, Encode, FieldWriter, Fields};
 
-/// Weights that a server holds.
+/// A version of a model's weights that a server has loaded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ModelVersion {
-    /// The model.
+    /// The name of the model.
     pub model: Arc<str>,
-    /// The version of its weights.
+    /// The version of the weights.
     pub version: u64,
 }
 
-/// What a server said of itself at its last registration that told something new.
+/// What a server reported at its last heartbeat that changed anything. The fields are those of `PROTOCOL.md`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Registration {
-    /// Its id, new at each start.
+    /// Its id, a new one at each start.
     pub id: Arc<str>,
-    /// Its service.
+    /// The name of its service.
     pub service: Arc<str>,
-    /// Where it takes requests.
+    /// The address at which it takes requests.
     pub address: SocketAddrV4,
-    /// Its zone.
+    /// The name of its zone.
     pub zone: Arc<str>,
-    /// Requests that it works on at once.
+    /// How many requests it runs at once.
     pub slots: u32,
-    /// It leaves soon and takes nothing new.
+    /// Whether it is draining: it accepts no new requests and ends soon.
     pub draining: bool,
-    /// No heartbeat has come for a while.
+    /// Whether its heartbeats have timed out at its owner.
     pub lost: bool,
-    /// Milliseconds for which it is still slow.
+    /// How long its slow start still lasts, in milliseconds; 0 for a warm server.
     pub warmup_left_ms: u64,
-    /// Its weights.
+    /// The model versions that it has loaded.
     pub models: Vec<ModelVersion>,
-    /// The node that takes its heartbeats.
+    /// The address of the node that receives its heartbeats.
     pub owner: SocketAddrV4,
 }
 
