--- a/proto/tests/common/mod.rs
+++ b/proto/tests/common/mod.rs
@@ -36,7 +36,7 @@
     ]
 }
 
-/// Any address but the one that is none: a node listens on a port of its own.
+/// Any address with a port: 0.0.0.0:0 is encoded as no address.
 pub fn address() -> impl Strategy<Value = SocketAddrV4> + Clone {
     (any::<u32>(), 1..=u16::MAX).prop_map(|(ip, port)| SocketAddrV4::new(Ipv4Addr::from(ip), port))
 }
@@ -99,7 +99,7 @@
     prop_oneof![put, named].boxed()
 }
 
-fn stored() -> BoxedStrategy<StoredConfiguration> {
+fn stored_configuration() -> BoxedStrategy<StoredConfiguration> {
     (number(), bytes(), any::<u128>())
         .prop_map(|(version, body, fingerprint)| StoredConfiguration { version, body, fingerprint })
         .boxed()
@@ -111,7 +111,7 @@
     let accepted = (vec(accepted, 0..8), number())
         .prop_map(|(latest, forgotten)| AcceptedHistory::new(latest, forgotten));
     let models = vec((text(), number()), 0..5);
-    (option::of(stored()), accepted, models)
+    (option::of(stored_configuration()), accepted, models)
         .prop_map(|(configuration, accepted, models)| ControlState {
             configuration,
             accepted,
@@ -240,7 +240,7 @@
     (any::<u16>(), vec(entry(), 0..5)).prop_map(|(index, entries)| RangeEntries { index, entries })
 }
 
-pub fn spread_message() -> BoxedStrategy<gradepaddle_gossip::Message> {
+pub fn gossip_message() -> BoxedStrategy<gradepaddle_gossip::Message> {
     use gradepaddle_gossip::Message;
     let push = (vec(aged(), 0..4), any::<bool>(), any::<bool>());
     prop_oneof![
@@ -269,7 +269,7 @@
         .boxed()
 }
 
-pub fn session_beat() -> impl Strategy<Value = SessionHeartbeat> + Clone {
+pub fn session_heartbeat() -> impl Strategy<Value = SessionHeartbeat> + Clone {
     (identity(), number()).prop_map(|(identity, view_epoch)| SessionHeartbeat { identity, view_epoch })
 }
 
@@ -278,7 +278,7 @@
         .prop_map(|(epoch, primary, members)| ViewSummary { epoch, primary, members })
 }
 
-pub fn session_grant() -> BoxedStrategy<SessionHeartbeatReply> {
+pub fn session_heartbeat_reply() -> BoxedStrategy<SessionHeartbeatReply> {
     (number(), any::<bool>(), number(), option::of(view_summary()))
         .prop_map(|(incarnation, granted, seen_incarnation, view)| SessionHeartbeatReply {
             incarnation,
@@ -305,11 +305,11 @@
     .boxed()
 }
 
-pub fn forward() -> impl Strategy<Value = ForwardedCall> + Clone {
+pub fn forwarded_call() -> impl Strategy<Value = ForwardedCall> + Clone {
     (number(), control_call()).prop_map(|(call_id, call)| ForwardedCall { call_id, call })
 }
 
-pub fn forwarded() -> impl Strategy<Value = ForwardedReply> + Clone {
+pub fn forwarded_reply() -> impl Strategy<Value = ForwardedReply> + Clone {
     (number(), any::<u16>(), bytes(), number()).prop_map(|(call_id, status, body, lease_remaining)| {
         ForwardedReply { call_id, status, body, lease_remaining }
     })
@@ -364,12 +364,12 @@
 pub fn envelope() -> BoxedStrategy<Envelope> {
     let content = prop_oneof![
         control_message().prop_map(Content::Control),
-        spread_message().prop_map(Content::Gossip),
-        session_beat().prop_map(Content::SessionHeartbeat),
-        session_grant().prop_map(Content::SessionHeartbeatReply),
+        gossip_message().prop_map(Content::Gossip),
+        session_heartbeat().prop_map(Content::SessionHeartbeat),
+        session_heartbeat_reply().prop_map(Content::SessionHeartbeatReply),
         view().prop_map(Content::Bootstrap),
-        forward().prop_map(Content::ForwardedCall),
-        forwarded().prop_map(Content::ForwardedReply),
+        forwarded_call().prop_map(Content::ForwardedCall),
+        forwarded_reply().prop_map(Content::ForwardedReply),
         number().prop_map(|query_id| Content::VersionQuery(VersionQuery { query_id })),
         (number(), number(), number()).prop_map(|(query_id, version, age)| Content::VersionReply(
             VersionReply { query_id, version, age }
@@ -378,7 +378,7 @@
     (address(), content).prop_map(|(from, content)| Envelope { from, content }).boxed()
 }
 
-/// A message as a later build writes it: with fields that this one doesn't know, before and behind its own.
+/// A message as a later build encodes it: with unknown fields before and behind its own.
 pub struct Later<M>(pub M);
 
 impl<M: Encode> Encode for Later<M> {
--- a/proto/tests/frames.rs
+++ b/proto/tests/frames.rs
@@ -1,4 +1,4 @@
-//! A connection is cut into the bodies that were framed, however its bytes come, and a damaged one is given up.
+//! A connection gives the bodies that were framed, however its bytes are split, and ends at a damaged frame.
 
 mod common;
 
@@ -14,8 +14,8 @@
     bytes
 }
 
-/// All bodies that a reader gives out by now.
-fn taken(reader: &mut FrameReader) -> std::result::Result<Vec<Vec<u8>>, FrameError> {
+/// All bodies that a reader has so far.
+fn read_bodies(reader: &mut FrameReader) -> std::result::Result<Vec<Vec<u8>>, FrameError> {
     let mut bodies = Vec::new();
     while let Some(body) = reader.next_body()? {
         bodies.push(body.to_vec());
@@ -26,42 +26,42 @@
 fn read(bytes: &[u8]) -> std::result::Result<Vec<Vec<u8>>, FrameError> {
     let mut reader = FrameReader::default();
     reader.push(bytes);
-    taken(&mut reader)
+    read_bodies(&mut reader)
 }
 
 #[gtest]
-fn frames_that_are_split_at_any_byte_give_the_same_bodies() {
+fn frames_split_at_any_byte_give_the_same_bodies() {
     let bodies = vec![b"first".to_vec(), vec![], vec![0; 300], b"last".to_vec()];
     let bytes = framed(&bodies);
     for at in 0..=bytes.len() {
         let mut reader = FrameReader::default();
         reader.push(&bytes[..at]);
-        let mut seen = taken(&mut reader).expect("nothing is wrong so far");
+        let mut seen = read_bodies(&mut reader).expect("nothing is wrong so far");
         reader.push(&bytes[at..]);
-        seen.extend(taken(&mut reader).expect("nothing is wrong"));
+        seen.extend(read_bodies(&mut reader).expect("nothing is wrong"));
         expect_that!(seen, eq(&bodies), "split behind {at} bytes");
     }
 }
 
 #[gtest]
-fn frames_that_come_byte_by_byte_give_the_same_bodies() {
+fn frames_that_arrive_byte_by_byte_give_the_same_bodies() {
     let bodies = vec![vec![], b"one".to_vec(), vec![], vec![7; 1000], vec![]];
     let mut reader = FrameReader::default();
     let mut seen = Vec::new();
     for byte in framed(&bodies) {
         reader.push(&[byte]);
-        seen.extend(taken(&mut reader).expect("nothing is wrong"));
+        seen.extend(read_bodies(&mut reader).expect("nothing is wrong"));
     }
     expect_that!(seen, eq(&bodies));
 }
 
 #[gtest]
-fn a_body_may_be_as_long_as_the_limit_and_no_longer() {
+fn a_body_beyond_the_limit_is_rejected() {
     let longest = vec![3; MAX_BODY_BYTES];
     expect_true!(read(&framed(std::slice::from_ref(&longest))) == Ok(vec![longest]));
     let too_long = framed(&[vec![3; MAX_BODY_BYTES + 1]]);
     expect_that!(read(&too_long), err(eq(&FrameError::TooLong { length: MAX_BODY_BYTES + 1 })));
-    // The length alone gives it away: nobody waits for such a body.
+    // The header alone suffices: no reader waits for such a body.
     expect_that!(
         read(&too_long[..HEADER_BYTES]),
         err(eq(&FrameError::TooLong { length: MAX_BODY_BYTES + 1 }))
@@ -78,7 +78,7 @@
     reader.push(&[good.clone(), bad, good].concat());
     expect_that!(reader.next_body().map(|body| body.map(<[u8]>::to_vec)), ok(some(eq(b"good"))));
     expect_that!(reader.next_body(), err(eq(&FrameError::Checksum)));
-    // Behind it nothing can be told apart: what follows is not taken for frames.
+    // Behind it frame boundaries are unknown: what follows is not taken for frames.
     expect_that!(reader.next_body(), err(eq(&FrameError::Checksum)));
 }
 
@@ -86,7 +86,7 @@
     #![proptest_config(fixed())]
 
     #[test]
-    fn any_cutting_gives_the_same_bodies(
+    fn any_chunking_gives_the_same_bodies(
         bodies in vec(vec(any::<u8>(), 0..60), 0..8),
         cuts in vec(1..50_usize, 1..20),
     ) {
@@ -96,14 +96,14 @@
         while !rest.is_empty() {
             let (piece, left) = rest.split_at(cuts.next().unwrap_or(1).min(rest.len()));
             reader.push(piece);
-            seen.extend(taken(&mut reader).expect("nothing is wrong"));
+            seen.extend(read_bodies(&mut reader).expect("nothing is wrong"));
             rest = left;
         }
         prop_assert_eq!(seen, bodies);
     }
 
     #[test]
-    fn a_flipped_bit_of_body_or_checksum_is_found(
+    fn a_flipped_bit_of_body_or_checksum_is_detected(
         body in vec(any::<u8>(), 1..80),
         at in any::<proptest::sample::Index>(),
         bit in 0..8_u32,
@@ -115,7 +115,7 @@
     }
 
     #[test]
-    fn wild_bytes_never_give_more_than_was_put_in(bytes in vec(any::<u8>(), 0..200)) {
+    fn random_bytes_never_give_more_than_was_pushed(bytes in vec(any::<u8>(), 0..200)) {
         if let Ok(bodies) = read(&bytes) {
             prop_assert!(bodies.iter().map(|body| body.len() + HEADER_BYTES).sum::<usize>() <= bytes.len());
         }
--- a/proto/tests/golden.rs
+++ b/proto/tests/golden.rs
@@ -23,7 +23,7 @@
 
 const GOLDEN: &str = include_str!("golden/messages.txt");
 
-/// The golden lines that no message has been compared with yet.
+/// Golden lines that have not been compared yet.
 struct Golden {
     lines: BTreeMap<&'static str, &'static str>,
 }
@@ -35,7 +35,7 @@
         Golden { lines: lines.filter(|(name, _)| name.starts_with(prefix)).collect() }
     }
 
-    /// Compares the bytes of a message with the line of this name, and reads the line back to the message.
+    /// Compares the bytes of a message with the line of this name, and decodes the line back to the message.
     fn check<M: Encode + Decode + PartialEq + Debug>(&mut self, name: &str, message: &M) {
         let written = hex(&message.to_bytes());
         let golden = self.lines.remove(name);
@@ -44,7 +44,7 @@
         expect_that!(read.as_ref(), ok(eq(message)), "{name}");
     }
 
-    fn all_seen(self) {
+    fn check_all_compared(self) {
         expect_that!(self.lines, is_empty());
     }
 }
@@ -63,7 +63,7 @@
     SocketAddrV4::new(Ipv4Addr::new(10, 1, 2, last), 7640)
 }
 
-/// The address whose number is the lowest: an address field with no default.
+/// The address that is encoded as 1: 0 would be left out.
 fn lowest_address() -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 1)
 }
@@ -163,7 +163,7 @@
     golden.check("state/control_state/default", &ControlState::default());
     golden.check("state/data", &data());
     golden.check("state/data/default", &Data::default());
-    golden.all_seen();
+    golden.check_all_compared();
 }
 
 #[gtest]
@@ -176,22 +176,22 @@
     golden.check("record/changed", &Record::Changed { position: position(), change: put() });
     golden.check("record/moved", &Record::Moved(position()));
     golden.check("record/dropped", &Record::SnapshotDiscarded);
-    golden.all_seen();
+    golden.check_all_compared();
 }
 
-fn sent(body: Body) -> Message {
+fn from_sender(body: Body) -> Message {
     Message { sender: ReplicaId(2), body }
 }
 
-fn unsent(body: Body) -> Message {
+fn from_default_sender(body: Body) -> Message {
     Message { sender: ReplicaId(0), body }
 }
 
 #[gtest]
-fn heartbeats_and_polls_keep_their_bytes() {
+fn heartbeats_and_pre_votes_keep_their_bytes() {
     let mut golden = Golden::section("lease/");
-    golden.check("lease/heartbeat", &sent(Body::Heartbeat { epoch: 300, sent: 5_000_000 }));
-    golden.check("lease/heartbeat/default", &unsent(Body::Heartbeat { epoch: 0, sent: 0 }));
+    golden.check("lease/heartbeat", &from_sender(Body::Heartbeat { epoch: 300, sent: 5_000_000 }));
+    golden.check("lease/heartbeat/default", &from_default_sender(Body::Heartbeat { epoch: 0, sent: 0 }));
     let echo = Body::HeartbeatReply(HeartbeatReply {
         epoch: 300,
         sent: 5_000_000,
@@ -202,7 +202,7 @@
         shutting_down: true,
         activation_durable: true,
     });
-    golden.check("lease/echo", &sent(echo));
+    golden.check("lease/echo", &from_sender(echo));
     let echo = Body::HeartbeatReply(HeartbeatReply {
         epoch: 0,
         sent: 0,
@@ -213,17 +213,17 @@
         shutting_down: false,
         activation_durable: false,
     });
-    golden.check("lease/echo/default", &unsent(echo));
-    golden.check("lease/poll", &sent(Body::PreVote { epoch: 301 }));
-    golden.check("lease/poll/default", &unsent(Body::PreVote { epoch: 0 }));
+    golden.check("lease/echo/default", &from_default_sender(echo));
+    golden.check("lease/poll", &from_sender(Body::PreVote { epoch: 301 }));
+    golden.check("lease/poll/default", &from_default_sender(Body::PreVote { epoch: 0 }));
     let (promised, view) = (Some(proposal_number()), Some(known_view()));
     golden.check(
         "lease/poll_reply",
-        &sent(Body::PreVoteReply(PreVoteReply { epoch: 301, granted: true, promised, view })),
+        &from_sender(Body::PreVoteReply(PreVoteReply { epoch: 301, granted: true, promised, view })),
     );
     let reply = Body::PreVoteReply(PreVoteReply { epoch: 0, granted: false, promised: None, view: None });
-    golden.check("lease/poll_reply/default", &unsent(reply));
-    golden.all_seen();
+    golden.check("lease/poll_reply/default", &from_default_sender(reply));
+    golden.check_all_compared();
 }
 
 #[gtest]
@@ -231,10 +231,10 @@
     let mut golden = Golden::section("election/");
     let prepare =
         Body::Prepare(Prepare { epoch: 301, position: Some(position()), released: Some(proposal_number()) });
-    golden.check("election/prepare", &sent(prepare));
+    golden.check("election/prepare", &from_sender(prepare));
     golden.check(
         "election/prepare/default",
-        &unsent(Body::Prepare(Prepare { epoch: 0, position: None, released: None })),
+        &from_default_sender(Body::Prepare(Prepare { epoch: 0, position: None, released: None })),
     );
     let promise = Body::Promise(Promise {
         epoch: 301,
@@ -243,15 +243,15 @@
         data: Some(data()),
         healthy: true,
     });
-    golden.check("election/promise", &sent(promise));
+    golden.check("election/promise", &from_sender(promise));
     let promise = Body::Promise(Promise { epoch: 0, view: None, position: None, data: None, healthy: false });
-    golden.check("election/promise/default", &unsent(promise));
+    golden.check("election/promise/default", &from_default_sender(promise));
     let refuse =
         Body::Reject(Reject { epoch: 301, promised: Some(proposal_number()), view: Some(known_view()) });
-    golden.check("election/refuse", &sent(refuse));
+    golden.check("election/refuse", &from_sender(refuse));
     golden.check(
         "election/refuse/default",
-        &unsent(Body::Reject(Reject { epoch: 0, promised: None, view: None })),
+        &from_default_sender(Body::Reject(Reject { epoch: 0, promised: None, view: None })),
     );
     let install = Body::InstallSnapshot(InstallSnapshot {
         epoch: 301,
@@ -260,7 +260,7 @@
         attempt: 2,
         state: Some(Arc::new(state())),
     });
-    golden.check("election/install", &sent(install));
+    golden.check("election/install", &from_sender(install));
     let install = Body::InstallSnapshot(InstallSnapshot {
         epoch: 0,
         sequence: 0,
@@ -268,42 +268,49 @@
         attempt: 0,
         state: None,
     });
-    golden.check("election/install/default", &unsent(install));
+    golden.check("election/install/default", &from_default_sender(install));
     golden.check(
         "election/installed",
-        &sent(Body::SnapshotInstalled(SnapshotInstalled { epoch: 301, complete: true, attempt: 2 })),
+        &from_sender(Body::SnapshotInstalled(SnapshotInstalled { epoch: 301, complete: true, attempt: 2 })),
     );
     golden.check(
         "election/installed/default",
-        &unsent(Body::SnapshotInstalled(SnapshotInstalled { epoch: 0, complete: false, attempt: 0 })),
+        &from_default_sender(Body::SnapshotInstalled(SnapshotInstalled {
+            epoch: 0,
+            complete: false,
+            attempt: 0,
+        })),
     );
-    golden.check("election/accept", &sent(Body::Accept { view: known_view() }));
+    golden.check("election/accept", &from_sender(Body::Accept { view: known_view() }));
     let view = KnownView { view: Arc::new(empty_view()), active: false };
-    golden.check("election/accept/default", &unsent(Body::Accept { view }));
-    golden.check("election/accepted", &sent(Body::Accepted { epoch: 301 }));
-    golden.check("election/accepted/default", &unsent(Body::Accepted { epoch: 0 }));
-    golden.all_seen();
+    golden.check("election/accept/default", &from_default_sender(Body::Accept { view }));
+    golden.check("election/accepted", &from_sender(Body::Accepted { epoch: 301 }));
+    golden.check("election/accepted/default", &from_default_sender(Body::Accepted { epoch: 0 }));
+    golden.check_all_compared();
 }
 
 #[gtest]
 fn messages_of_a_view_in_service_keep_their_bytes() {
     let mut golden = Golden::section("service/");
     let replicate = Body::Replicate(Replicate { epoch: 301, sequence: 70_001, change: put() });
-    golden.check("service/replicate", &sent(replicate));
+    golden.check("service/replicate", &from_sender(replicate));
     let change = Change::NameVersion { model: "model-a".into(), version: 10_000 };
     golden.check(
         "service/replicate/default",
-        &unsent(Body::Replicate(Replicate { epoch: 0, sequence: 0, change })),
+        &from_default_sender(Body::Replicate(Replicate { epoch: 0, sequence: 0, change })),
     );
-    golden.check("service/replicated", &sent(Body::Replicated { epoch: 301, sequence: 70_001 }));
-    golden.check("service/replicated/default", &unsent(Body::Replicated { epoch: 0, sequence: 0 }));
-    golden.check("service/join", &sent(Body::Join { member: member(4), first_boot: true }));
+    golden.check("service/replicated", &from_sender(Body::Replicated { epoch: 301, sequence: 70_001 }));
+    golden.check(
+        "service/replicated/default",
+        &from_default_sender(Body::Replicated { epoch: 0, sequence: 0 }),
+    );
+    golden.check("service/join", &from_sender(Body::Join { member: member(4), first_boot: true }));
     let member = Member { id: ReplicaId(0), address: lowest_address(), zone: "".into() };
-    golden.check("service/join/default", &unsent(Body::Join { member, first_boot: false }));
-    golden.check("service/take_over", &sent(Body::TransferLeadership { released: proposal_number() }));
+    golden.check("service/join/default", &from_default_sender(Body::Join { member, first_boot: false }));
+    golden.check("service/take_over", &from_sender(Body::TransferLeadership { released: proposal_number() }));
     let released = ProposalNumber { epoch: 0, candidate: ReplicaId(0) };
-    golden.check("service/take_over/default", &unsent(Body::TransferLeadership { released }));
-    golden.all_seen();
+    golden.check("service/take_over/default", &from_default_sender(Body::TransferLeadership { released }));
+    golden.check_all_compared();
 }
 
 fn entry(kind: u8) -> Entry {
@@ -320,7 +327,7 @@
 }
 
 #[gtest]
-fn messages_of_dissemination_keep_their_bytes() {
+fn gossip_messages_keep_their_bytes() {
     use gradepaddle_gossip::Message;
     let mut golden = Golden::section("dissemination/");
     golden.check("dissemination/entry", &entry(255));
@@ -349,7 +356,7 @@
     golden.check("dissemination/entries/default", &Message::Entries { ranges: vec![] });
     golden.check("dissemination/confirm", &Message::Acknowledge { entries: vec![entry(1)], leaving: true });
     golden.check("dissemination/confirm/default", &Message::Acknowledge { entries: vec![], leaving: false });
-    golden.all_seen();
+    golden.check_all_compared();
 }
 
 fn identity() -> Identity {
@@ -374,11 +381,11 @@
     }
 }
 
-fn session_beat() -> SessionHeartbeat {
+fn session_heartbeat() -> SessionHeartbeat {
     SessionHeartbeat { identity: identity(), view_epoch: 300 }
 }
 
-fn session_grant() -> SessionHeartbeatReply {
+fn session_heartbeat_reply() -> SessionHeartbeatReply {
     SessionHeartbeatReply {
         incarnation: 1_700_000_000_000_000,
         granted: true,
@@ -391,12 +398,12 @@
     }
 }
 
-fn forward() -> ForwardedCall {
+fn forwarded_call() -> ForwardedCall {
     let call = ControlCall::PutConfiguration { if_match: 6, version: 7, body: Arc::from(*b"{}") };
     ForwardedCall { call_id: 900, call }
 }
 
-fn forwarded() -> ForwardedReply {
+fn forwarded_reply() -> ForwardedReply {
     ForwardedReply { call_id: 900, status: 412, body: Arc::from(*b"{}"), lease_remaining: 2_500_000 }
 }
 
@@ -406,24 +413,24 @@
     golden.check("session/identity", &identity());
     golden.check("session/identity/default", &empty_identity());
     golden.check("session/identity/replica_0", &Identity { replica: Some(0), ..empty_identity() });
-    golden.check("session/beat", &session_beat());
+    golden.check("session/beat", &session_heartbeat());
     golden.check("session/beat/default", &SessionHeartbeat { identity: empty_identity(), view_epoch: 0 });
-    golden.check("session/view_summary", &session_grant().view.expect("it has one"));
+    golden.check("session/view_summary", &session_heartbeat_reply().view.expect("it has one"));
     golden.check("session/view_summary/default", &ViewSummary::default());
-    golden.check("session/grant", &session_grant());
+    golden.check("session/grant", &session_heartbeat_reply());
     let grant = SessionHeartbeatReply { incarnation: 0, granted: false, seen_incarnation: 0, view: None };
     golden.check("session/grant/default", &grant);
     golden.check("session/newest_ask", &VersionQuery { query_id: 77 });
     golden.check("session/newest_ask/default", &VersionQuery { query_id: 0 });
     golden.check("session/newest_told", &VersionReply { query_id: 77, version: 7, age: 120_000 });
     golden.check("session/newest_told/default", &VersionReply { query_id: 0, version: 0, age: 0 });
-    golden.all_seen();
+    golden.check_all_compared();
 }
 
 #[gtest]
 fn forwarded_calls_keep_their_bytes() {
     let mut golden = Golden::section("call/");
-    golden.check("call/put_configuration", &forward().call);
+    golden.check("call/put_configuration", &forwarded_call().call);
     let put = ControlCall::PutConfiguration { if_match: 0, version: 0, body: Arc::from([]) };
     golden.check("call/put_configuration/default", &put);
     let patch = ControlCall::PatchConfiguration { if_match: 7, version: 8, patch: Arc::from(*b"{\"a\":1}") };
@@ -433,12 +440,12 @@
     golden.check("call/get_configuration", &ControlCall::GetConfiguration);
     golden.check("call/name_version", &ControlCall::NameVersion { model: "model-a".into(), version: 10_000 });
     golden.check("call/name_version/default", &ControlCall::NameVersion { model: "".into(), version: 0 });
-    golden.check("call/forward", &forward());
+    golden.check("call/forward", &forwarded_call());
     golden.check("call/forward/default", &ForwardedCall { call_id: 0, call: ControlCall::GetConfiguration });
-    golden.check("call/forwarded", &forwarded());
+    golden.check("call/forwarded", &forwarded_reply());
     let empty = ForwardedReply { call_id: 0, status: 0, body: Arc::from([]), lease_remaining: 0 };
     golden.check("call/forwarded/default", &empty);
-    golden.all_seen();
+    golden.check_all_compared();
 }
 
 fn registration() -> Registration {
@@ -477,7 +484,7 @@
     };
     golden.check("registration/default", &empty);
     golden.check("registration/weights", &ModelVersion { model: "model-a".into(), version: 10_000 });
-    golden.all_seen();
+    golden.check_all_compared();
 }
 
 fn cache_store_report() -> CacheStoreReport {
@@ -515,7 +522,7 @@
     };
     golden.check("load/load_share", &peer_load_report);
     golden.check("load/load_share/default", &PeerLoadReport::default());
-    golden.all_seen();
+    golden.check_all_compared();
 }
 
 fn enveloped(content: Content) -> Envelope {
@@ -525,19 +532,22 @@
 #[gtest]
 fn envelopes_keep_their_bytes() {
     let mut golden = Golden::section("envelope/");
-    let control = sent(Body::Heartbeat { epoch: 300, sent: 5_000_000 });
+    let control = from_sender(Body::Heartbeat { epoch: 300, sent: 5_000_000 });
     golden.check("envelope/control", &enveloped(Content::Control(control)));
     let spread = gradepaddle_gossip::Message::Offer { entries: vec![entry(1)] };
     golden.check("envelope/spread", &enveloped(Content::Gossip(spread)));
-    golden.check("envelope/session_beat", &enveloped(Content::SessionHeartbeat(session_beat())));
-    golden.check("envelope/session_grant", &enveloped(Content::SessionHeartbeatReply(session_grant())));
+    golden.check("envelope/session_beat", &enveloped(Content::SessionHeartbeat(session_heartbeat())));
+    golden.check(
+        "envelope/session_grant",
+        &enveloped(Content::SessionHeartbeatReply(session_heartbeat_reply())),
+    );
     golden.check("envelope/found", &enveloped(Content::Bootstrap(view())));
-    golden.check("envelope/forward", &enveloped(Content::ForwardedCall(forward())));
-    golden.check("envelope/forwarded", &enveloped(Content::ForwardedReply(forwarded())));
+    golden.check("envelope/forward", &enveloped(Content::ForwardedCall(forwarded_call())));
+    golden.check("envelope/forwarded", &enveloped(Content::ForwardedReply(forwarded_reply())));
     golden.check("envelope/newest_ask", &enveloped(Content::VersionQuery(VersionQuery { query_id: 77 })));
     let told = VersionReply { query_id: 77, version: 7, age: 120_000 };
     golden.check("envelope/newest_told", &enveloped(Content::VersionReply(told)));
-    golden.all_seen();
+    golden.check_all_compared();
 }
 
 #[gtest]
@@ -558,7 +568,7 @@
 }
 
 #[gtest]
-fn what_a_reader_says_of_bad_bytes_keeps_its_text() {
+fn errors_of_malformed_bytes_keep_their_text() {
     let text = |bytes: &[u8]| Envelope::from_bytes(bytes).expect_err("it is bad").to_string();
     expect_that!(text(&[0xff]), eq("the message is cut or malformed"));
     expect_that!(text(&[0x10, 5]), eq("field 3 of envelope is missing or of another type"));
--- a/proto/tests/messages.rs
+++ b/proto/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Every message is read as it was written, also from a later build, and no bytes are too wild to be refused.
+//! Every message round-trips, also with the unknown fields of a later build, and any bytes are decoded or rejected.
 
 mod common;
 
@@ -20,8 +20,8 @@
 use proptest::prelude::{Strategy, any, prop_assert, prop_assert_eq, proptest};
 use proptest::test_runner::TestCaseError;
 
-/// A message is read as it was written, and also with unknown fields round it.
-fn comes_back<M>(message: &M) -> std::result::Result<(), TestCaseError>
+/// Checks that a message round-trips, also between unknown fields.
+fn check_round_trip<M>(message: &M) -> std::result::Result<(), TestCaseError>
 where
     M: Encode + Decode + PartialEq + Debug + Clone,
 {
@@ -42,7 +42,7 @@
             $(
                 #[test]
                 fn $test(message in $strategy) {
-                    comes_back(&message)?;
+                    check_round_trip(&message)?;
                 }
             )*
         }
@@ -50,61 +50,63 @@
 }
 
 round_trips! {
-    ballots_come_back: proposal_number(),
-    positions_come_back: position(),
-    members_come_back: member(),
-    views_come_back: view(),
-    known_views_come_back: known_view(),
-    changes_come_back: change(),
-    control_states_come_back: control_state(),
-    data_come_back: data(),
-    records_come_back: record(),
-    control_messages_come_back: control_message(),
-    entries_come_back: entry(),
-    aged_items_come_back: aged(),
-    spread_messages_come_back: spread_message(),
-    identities_come_back: identity(),
-    session_heartbeats_come_back: session_beat(),
-    session_heartbeat_replies_come_back: session_grant(),
-    control_calls_come_back: control_call(),
-    forwarded_calls_come_back: forward(),
-    forwarded_replies_come_back: forwarded(),
-    registrations_come_back: registration(),
-    peer_load_reports_come_back: peer_load_report(),
-    cached_prefixes_come_back: cached_prefix(),
-    envelopes_come_back: envelope(),
+    proposal_numbers_round_trip: proposal_number(),
+    log_positions_round_trip: position(),
+    members_round_trip: member(),
+    views_round_trip: view(),
+    known_views_round_trip: known_view(),
+    changes_round_trip: change(),
+    control_states_round_trip: control_state(),
+    data_round_trip: data(),
+    records_round_trip: record(),
+    control_messages_round_trip: control_message(),
+    entries_round_trip: entry(),
+    aged_items_round_trip: aged(),
+    gossip_messages_round_trip: gossip_message(),
+    identities_round_trip: identity(),
+    session_heartbeats_round_trip: session_heartbeat(),
+    session_heartbeat_replies_round_trip: session_heartbeat_reply(),
+    control_calls_round_trip: control_call(),
+    forwarded_calls_round_trip: forwarded_call(),
+    forwarded_replies_round_trip: forwarded_reply(),
+    registrations_round_trip: registration(),
+    peer_load_reports_round_trip: peer_load_report(),
+    cached_prefixes_round_trip: cached_prefix(),
+    envelopes_round_trip: envelope(),
 }
 
-/// Reads bytes as every type there is. What is read can be written, and comes back the same.
-fn read_as_everything(bytes: &[u8]) -> std::result::Result<(), TestCaseError> {
-    stable::<ProposalNumber>(bytes)?;
-    stable::<LogPosition>(bytes)?;
-    stable::<Member>(bytes)?;
-    stable::<View>(bytes)?;
-    stable::<KnownView>(bytes)?;
-    stable::<Change>(bytes)?;
-    stable::<ControlState>(bytes)?;
-    stable::<Data>(bytes)?;
-    stable::<Record>(bytes)?;
-    stable::<gradepaddle_control::Message>(bytes)?;
-    stable::<Entry>(bytes)?;
-    stable::<Aged>(bytes)?;
-    stable::<gradepaddle_gossip::Message>(bytes)?;
-    stable::<Identity>(bytes)?;
-    stable::<SessionHeartbeat>(bytes)?;
-    stable::<SessionHeartbeatReply>(bytes)?;
-    stable::<ControlCall>(bytes)?;
-    stable::<ForwardedCall>(bytes)?;
-    stable::<ForwardedReply>(bytes)?;
-    stable::<ModelVersion>(bytes)?;
-    stable::<CachedPrefix>(bytes)?;
-    stable::<PeerLoadReport>(bytes)?;
-    stable::<Registration>(bytes)?;
-    stable::<Envelope>(bytes)
+/// Decodes bytes as every type. What can be decoded must be the same when it is encoded and decoded again.
+fn decode_as_every_type(bytes: &[u8]) -> std::result::Result<(), TestCaseError> {
+    check_reencoding::<ProposalNumber>(bytes)?;
+    check_reencoding::<LogPosition>(bytes)?;
+    check_reencoding::<Member>(bytes)?;
+    check_reencoding::<View>(bytes)?;
+    check_reencoding::<KnownView>(bytes)?;
+    check_reencoding::<Change>(bytes)?;
+    check_reencoding::<ControlState>(bytes)?;
+    check_reencoding::<Data>(bytes)?;
+    check_reencoding::<Record>(bytes)?;
+    check_reencoding::<gradepaddle_control::Message>(bytes)?;
+    check_reencoding::<Entry>(bytes)?;
+    check_reencoding::<Aged>(bytes)?;
+    check_reencoding::<gradepaddle_gossip::Message>(bytes)?;
+    check_reencoding::<Identity>(bytes)?;
+    check_reencoding::<SessionHeartbeat>(bytes)?;
+    check_reencoding::<SessionHeartbeatReply>(bytes)?;
+    check_reencoding::<ControlCall>(bytes)?;
+    check_reencoding::<ForwardedCall>(bytes)?;
+    check_reencoding::<ForwardedReply>(bytes)?;
+    check_reencoding::<ModelVersion>(bytes)?;
+    check_reencoding::<CachedPrefix>(bytes)?;
+    check_reencoding::<PeerLoadReport>(bytes)?;
+    check_reencoding::<Registration>(bytes)?;
+    check_reencoding::<Envelope>(bytes)
 }
 
-/// A message out of wild bytes may bear the address that is none, which is written as no address.
-fn stable<M: Encode + Decode + PartialEq + Debug>(bytes: &[u8]) -> std::result::Result<(), TestCaseError> {
+/// A message out of random bytes may have the address 0.0.0.0:0, which is encoded as no address.
+fn check_reencoding<M: Encode + Decode + PartialEq + Debug>(
+    bytes: &[u8],
+) -> std::result::Result<(), TestCaseError> {
     let Ok(message) = M::from_bytes(bytes) else { return Ok(()) };
     match M::from_bytes(&message.to_bytes()) {
         Ok(again) => prop_assert_eq!(again, message),
@@ -113,7 +115,7 @@
     Ok(())
 }
 
-/// What may happen to a message on its way: its end is lost, or some of its bytes are others.
+/// Damages a message: truncates it, or replaces some of its bytes.
 fn mutated(message: impl Strategy<Value = Vec<u8>>) -> impl Strategy<Value = Vec<u8>> {
     let changes = vec((any::<proptest::sample::Index>(), any::<u8>()), 0..4);
     (message, changes, any::<proptest::sample::Index>(), any::<bool>()).prop_map(
@@ -133,58 +135,58 @@
     #![proptest_config(fixed())]
 
     #[test]
-    fn random_bytes_are_read_or_refused(bytes in vec(any::<u8>(), 0..64)) {
-        read_as_everything(&bytes)?;
+    fn random_bytes_are_decoded_or_rejected(bytes in vec(any::<u8>(), 0..64)) {
+        decode_as_every_type(&bytes)?;
     }
 
     #[test]
-    fn mutated_envelopes_are_read_or_refused(bytes in mutated(envelope().prop_map(|m| m.to_bytes()))) {
-        read_as_everything(&bytes)?;
+    fn mutated_envelopes_are_decoded_or_rejected(bytes in mutated(envelope().prop_map(|m| m.to_bytes()))) {
+        decode_as_every_type(&bytes)?;
     }
 
     #[test]
-    fn mutated_records_are_read_or_refused(bytes in mutated(record().prop_map(|m| m.to_bytes()))) {
-        read_as_everything(&bytes)?;
+    fn mutated_records_are_decoded_or_rejected(bytes in mutated(record().prop_map(|m| m.to_bytes()))) {
+        decode_as_every_type(&bytes)?;
     }
 
     #[test]
-    fn mutated_control_messages_are_read_or_refused(
+    fn mutated_control_messages_are_decoded_or_rejected(
         bytes in mutated(control_message().prop_map(|m| m.to_bytes()))
     ) {
-        read_as_everything(&bytes)?;
+        decode_as_every_type(&bytes)?;
     }
 
     #[test]
-    fn mutated_spread_messages_are_read_or_refused(
-        bytes in mutated(spread_message().prop_map(|m| m.to_bytes()))
+    fn mutated_gossip_messages_are_decoded_or_rejected(
+        bytes in mutated(gossip_message().prop_map(|m| m.to_bytes()))
     ) {
-        read_as_everything(&bytes)?;
+        decode_as_every_type(&bytes)?;
     }
 
     #[test]
-    fn mutated_registrations_are_read_or_refused(bytes in mutated(registration().prop_map(|m| m.to_bytes()))) {
-        read_as_everything(&bytes)?;
+    fn mutated_registrations_are_decoded_or_rejected(bytes in mutated(registration().prop_map(|m| m.to_bytes()))) {
+        decode_as_every_type(&bytes)?;
     }
 
     #[test]
-    fn mutated_peer_load_reports_are_read_or_refused(bytes in mutated(peer_load_report().prop_map(|m| m.to_bytes()))) {
-        read_as_everything(&bytes)?;
+    fn mutated_peer_load_reports_are_decoded_or_rejected(bytes in mutated(peer_load_report().prop_map(|m| m.to_bytes()))) {
+        decode_as_every_type(&bytes)?;
     }
 
     #[test]
-    fn an_envelope_that_is_cut_anywhere_is_read_or_refused(envelope in envelope()) {
+    fn a_truncated_envelope_is_rejected(envelope in envelope()) {
         let bytes = envelope.to_bytes();
         for end in 0..bytes.len() {
-            // Without its last field, which bears the content, no envelope is whole.
-            prop_assert!(Envelope::from_bytes(&bytes[..end]).is_err(), "cut behind {end} bytes");
+            // Without its last field, which bears the content, no envelope is complete.
+            prop_assert!(Envelope::from_bytes(&bytes[..end]).is_err(), "truncated after {end} bytes");
         }
     }
 }
 
-/// A beat of a later build, whose identity tells more.
-struct LaterBeat(SessionHeartbeat);
+/// A heartbeat of a later build, whose identity has more fields.
+struct LaterHeartbeat(SessionHeartbeat);
 
-impl Encode for LaterBeat {
+impl Encode for LaterHeartbeat {
     fn encode(&self, to: &mut FieldWriter) {
         to.message(1, &Later(self.0.identity.clone()));
         to.uint64(2, self.0.view_epoch);
@@ -198,7 +200,7 @@
     fn encode(&self, to: &mut FieldWriter) {
         to.address(1, self.0.identity.address);
         to.uint64(2, 3);
-        to.message(3, &LaterBeat(self.0.clone()));
+        to.message(3, &LaterHeartbeat(self.0.clone()));
     }
 }
 
@@ -206,7 +208,7 @@
     #![proptest_config(fixed())]
 
     #[test]
-    fn unknown_fields_are_passed_over_at_every_depth(beat in session_beat()) {
+    fn unknown_fields_are_skipped_at_every_depth(beat in session_heartbeat()) {
         let envelope = Envelope::from_bytes(&LaterEnvelope(beat.clone()).to_bytes());
         prop_assert_eq!(
             envelope,
@@ -235,7 +237,7 @@
 }
 
 #[gtest]
-fn a_variant_of_a_later_build_is_refused_by_its_number() {
+fn a_variant_of_a_later_build_is_rejected_by_its_number() {
     for number in [0, 99, u64::MAX] {
         expect_that!(unknown_variant::<Record>(1, number), some(eq(number)));
         expect_that!(unknown_variant::<Change>(1, number), some(eq(number)));
@@ -247,7 +249,7 @@
 }
 
 #[gtest]
-fn a_message_without_what_it_needs_is_refused() {
+fn a_message_without_a_required_field_is_rejected() {
     let missing =
         |result: std::result::Result<(), DecodeError>| matches!(result, Err(DecodeError::Missing { .. }));
     expect_true!(missing(Member::from_bytes(&[]).map(drop)));
@@ -281,11 +283,11 @@
     expect_that!(envelope.to_bytes(), eq(&expected));
 }
 
-/// What all remembered orders may add to the state, in bytes.
-const HISTORY_AT_MOST: usize = 256 * 1024;
+/// What the full history may add to the state, in bytes.
+const MAX_HISTORY_BYTES: usize = 256 * 1024;
 
 #[gtest]
-fn a_full_memory_of_accepted_orders_survives_and_stays_small() {
+fn a_full_history_of_accepted_configurations_round_trips_and_stays_small() {
     let put = |version: u64| Change::PutConfiguration {
         if_match: version - 1,
         version,
@@ -295,7 +297,7 @@
     let changes = 1..=ACCEPTED_HISTORY_ENTRIES as u64 + 5;
     let state = changes.fold(ControlState::default(), |state, version| state.after(&put(version)));
     let bytes = state.to_bytes();
-    expect_that!(bytes.len(), lt(HISTORY_AT_MOST));
-    println!("{ACCEPTED_HISTORY_ENTRIES} accepted orders: {} bytes", bytes.len());
+    expect_that!(bytes.len(), lt(MAX_HISTORY_BYTES));
+    println!("{ACCEPTED_HISTORY_ENTRIES} accepted configurations: {} bytes", bytes.len());
     expect_that!(ControlState::from_bytes(&bytes), ok(eq(&state)));
 }
