--- a/controlplane/src/node.rs
+++ b/controlplane/src/node.rs
@@ -204,7 +204,7 @@
 
     fn leave(&mut self, now: Micros, out: &mut Vec<Output>) {
         self.leaving = true;
-        self.spread.leave();
+        self.spread.shut_down();
         match self.replica {
             Some(_) => self.tell_replica(now, ReplicaInput::ShutDown, out),
             None => out.push(Output::MayEnd),
--- a/controlplane/tests/acknowledged_ends.rs
+++ b/controlplane/tests/acknowledged_ends.rs
@@ -58,7 +58,7 @@
     fn confirm(&mut self, node: usize, from: usize, leaving: bool) -> bool {
         let from: SocketAddrV4 = self.world.machines[from].address;
         let entries = self.asked_for.clone().into_iter().collect();
-        let content = Content::Gossip(Message::Acknowledge { entries, leaving });
+        let content = Content::Gossip(Message::Acknowledge { entries, shutting_down: leaving });
         self.hand(node, Input::Envelope(Envelope { from, content }))
     }
 }
--- a/gossip/src/acknowledgment.rs
+++ b/gossip/src/acknowledgment.rs
@@ -1,4 +1,7 @@
-//! Items whose publisher waits until other nodes hold them.
+//! Publishing an item with acknowledgment: the publisher waits until enough other nodes have it.
+//!
+//! The item is pushed to as many peers as acknowledgments are missing, and every `acknowledgment_retry_interval` to further
+//! ones, until enough have acknowledged it or `acknowledgment_timeout` has passed.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
@@ -8,181 +11,204 @@
 use crate::replication_factor::{Missing, ReplicationFactor};
 use crate::{Entry, Gossip, Message, Output};
 
-/// One item that waits for confirmations.
+/// An item that waits for acknowledgments.
 #[derive(Debug)]
-pub(crate) struct Waiting {
+pub(crate) struct PendingAcknowledgment {
     publish_id: u64,
     entry: Entry,
+    /// As in [`ReplicationFactor`].
     count: usize,
     inside: usize,
     outside: usize,
     group: Vec<SocketAddrV4>,
+    /// Peers that it was pushed to.
     asked: BTreeSet<SocketAddrV4>,
-    holders: BTreeSet<SocketAddrV4>,
-    ask_at: u64,
-    give_up_at: u64,
+    acknowledged_by: BTreeSet<SocketAddrV4>,
+    /// When to push it to further peers, in microseconds.
+    retry_at: u64,
+    /// When to give up, in microseconds.
+    deadline: u64,
 }
 
-impl Waiting {
-    /// How many more nodes have to hold it. Holders that have left don't count: their copy may be gone with them.
-    fn missing(&self, peers: &Peers, leaving: &BTreeSet<SocketAddrV4>) -> Missing {
-        let (staying_inside, staying_outside) =
-            self.sides(peers.iter().filter(|peer| !leaving.contains(peer)));
-        let holders = self.holders.iter().copied().filter(|holder| peers.contains(*holder));
-        let (held_inside, held_outside) =
-            self.sides(holders.clone().filter(|holder| !leaving.contains(holder)));
-        let inside = self.inside.min(staying_inside).saturating_sub(held_inside);
-        let outside = self.outside.min(staying_outside).saturating_sub(held_outside);
-        let lacking = self.count.min(peers.len()).saturating_sub(holders.count());
-        Missing { inside, outside, anywhere: lacking.saturating_sub(inside + outside) }
+/// How many of some nodes are in the group, and how many outside.
+struct Sides {
+    inside: usize,
+    outside: usize,
+}
+
+/// Nodes of the group that stay and have not acknowledged.
+struct GroupTargets {
+    not_asked: Vec<SocketAddrV4>,
+    asked_in_vain: Vec<SocketAddrV4>,
+}
+
+impl PendingAcknowledgment {
+    /// How many acknowledgments are missing. Those of nodes that have left the peers don't count: their copy may be gone
+    /// with them.
+    fn missing(&self, peers: &Peers, shutting_down: &BTreeSet<SocketAddrV4>) -> Missing {
+        let staying = self.sides(peers.iter().filter(|peer| !shutting_down.contains(peer)));
+        let acknowledged_by = self.acknowledged_by.iter().copied().filter(|holder| peers.contains(*holder));
+        let durable = self.sides(acknowledged_by.clone().filter(|holder| !shutting_down.contains(holder)));
+        let inside = self.inside.min(staying.inside).saturating_sub(durable.inside);
+        let outside = self.outside.min(staying.outside).saturating_sub(durable.outside);
+        let missing = self.count.min(peers.len()).saturating_sub(acknowledged_by.count());
+        Missing { inside, outside, anywhere: missing.saturating_sub(inside + outside) }
     }
 
-    /// How many of some nodes are in the group, and how many are not.
-    fn sides(&self, nodes: impl Iterator<Item = SocketAddrV4>) -> (usize, usize) {
+    fn sides(&self, nodes: impl Iterator<Item = SocketAddrV4>) -> Sides {
         let (inside, outside): (Vec<_>, Vec<_>) = nodes.partition(|node| self.group.contains(node));
-        (inside.len(), outside.len())
+        Sides { inside: inside.len(), outside: outside.len() }
     }
 
-    /// Nodes of the group that stay: those that were not asked, and those that were and did not confirm.
-    fn group_to_ask(
-        &self,
-        peers: &Peers,
-        leaving: &BTreeSet<SocketAddrV4>,
-    ) -> (Vec<SocketAddrV4>, Vec<SocketAddrV4>) {
-        let staying = self.group.iter().filter(|peer| peers.contains(**peer) && !leaving.contains(peer));
-        let open = staying.filter(|peer| !self.holders.contains(peer)).copied();
-        open.partition(|peer| !self.asked.contains(peer))
+    fn targets_in_group(&self, peers: &Peers, shutting_down: &BTreeSet<SocketAddrV4>) -> GroupTargets {
+        let staying =
+            self.group.iter().filter(|peer| peers.contains(**peer) && !shutting_down.contains(peer));
+        let open = staying.filter(|peer| !self.acknowledged_by.contains(peer)).copied();
+        let (not_asked, asked_in_vain) = open.partition(|peer| !self.asked.contains(peer));
+        GroupTargets { not_asked, asked_in_vain }
     }
 }
 
 impl Gossip {
-    /// Asks peers for copies of an item; returns which. The output says when it is confirmed.
-    pub(crate) fn begin_confirmation(
+    /// Pushes an item to peers for acknowledgment; returns to which. An [`Output`] reports the result.
+    pub(crate) fn request_acknowledgments(
         &mut self,
         now: u64,
         entry: Entry,
         publish_id: u64,
-        copies: ReplicationFactor<'_>,
+        wanted: ReplicationFactor<'_>,
         out: &mut Vec<Output>,
     ) -> Vec<SocketAddrV4> {
-        let mut waiting = Waiting {
+        let mut pending = PendingAcknowledgment {
             publish_id,
             entry,
-            count: copies.count,
-            inside: copies.inside,
-            outside: copies.outside,
-            group: copies.group.to_vec(),
+            count: wanted.count,
+            inside: wanted.inside,
+            outside: wanted.outside,
+            group: wanted.group.to_vec(),
             asked: BTreeSet::new(),
-            holders: BTreeSet::new(),
-            ask_at: now,
-            give_up_at: now + micros(self.config.confirm_within),
+            acknowledged_by: BTreeSet::new(),
+            retry_at: now,
+            deadline: now + micros(self.config.acknowledgment_timeout),
         };
-        if waiting.missing(&self.peers, &self.leaving_peers).total() == 0 {
+        if pending.missing(&self.peers, &self.shutting_down_peers).total() == 0 {
             out.push(Output::Acknowledged { publish_id });
             return Vec::new();
         }
-        self.ask_for_copies(now, &mut waiting, out);
-        let asked = waiting.asked.iter().copied().collect();
-        self.waiting.push(waiting);
+        self.push_for_acknowledgment(now, &mut pending, out);
+        let asked = pending.asked.iter().copied().collect();
+        self.pending_acknowledgments.push(pending);
         asked
     }
 
-    /// A peer holds items, for as long as it stays.
-    pub(crate) fn receive_confirm(
+    /// A peer has items, for as long as it runs.
+    pub(crate) fn handle_acknowledgment(
         &mut self,
         now: u64,
         from: SocketAddrV4,
         entries: &[Entry],
-        leaving: bool,
+        shutting_down: bool,
         out: &mut Vec<Output>,
     ) {
-        self.note_leaving(now, from, leaving);
-        for waiting in &mut self.waiting {
-            let Entry { kind, key, stamp } = &waiting.entry;
-            let is_held = |entry: &Entry| entry.kind == *kind && entry.key == *key && entry.stamp >= *stamp;
-            if entries.iter().any(is_held) {
-                waiting.holders.insert(from);
+        self.note_shutting_down(now, from, shutting_down);
+        for pending in &mut self.pending_acknowledgments {
+            let Entry { kind, key, stamp } = &pending.entry;
+            let covers = |entry: &Entry| entry.kind == *kind && entry.key == *key && entry.stamp >= *stamp;
+            if entries.iter().any(covers) {
+                pending.acknowledged_by.insert(from);
             }
         }
-        self.settle_confirmations(out);
+        self.complete_acknowledged(out);
     }
 
-    /// Tells of what is confirmed by now.
-    pub(crate) fn settle_confirmations(&mut self, out: &mut Vec<Output>) {
-        let (peers, leaving) = (&self.peers, &self.leaving_peers);
-        let confirmed = self.waiting.extract_if(.., |waiting| waiting.missing(peers, leaving).total() == 0);
-        out.extend(confirmed.map(|waiting| Output::Acknowledged { publish_id: waiting.publish_id }));
+    /// Reports items that have enough acknowledgments.
+    pub(crate) fn complete_acknowledged(&mut self, out: &mut Vec<Output>) {
+        let (peers, shutting_down) = (&self.peers, &self.shutting_down_peers);
+        let acknowledged = self
+            .pending_acknowledgments
+            .extract_if(.., |pending| pending.missing(peers, shutting_down).total() == 0);
+        out.extend(acknowledged.map(|pending| Output::Acknowledged { publish_id: pending.publish_id }));
     }
 
-    /// Asks further peers and gives up, where it is time.
-    pub(crate) fn tick_confirmations(&mut self, now: u64, out: &mut Vec<Output>) {
-        self.settle_confirmations(out);
-        let given_up = self.waiting.extract_if(.., |waiting| waiting.give_up_at <= now);
-        out.extend(given_up.map(|waiting| Output::AcknowledgmentFailed { publish_id: waiting.publish_id }));
-        let mut all = std::mem::take(&mut self.waiting);
-        for waiting in all.iter_mut().filter(|waiting| waiting.ask_at <= now) {
-            self.ask_for_copies(now, waiting, out);
+    /// Pushes to further peers, or gives up, as is due.
+    pub(crate) fn tick_acknowledgments(&mut self, now: u64, out: &mut Vec<Output>) {
+        self.complete_acknowledged(out);
+        let failed = self.pending_acknowledgments.extract_if(.., |pending| pending.deadline <= now);
+        out.extend(failed.map(|pending| Output::AcknowledgmentFailed { publish_id: pending.publish_id }));
+        let mut all = std::mem::take(&mut self.pending_acknowledgments);
+        for pending in all.iter_mut().filter(|pending| pending.retry_at <= now) {
+            self.push_for_acknowledgment(now, pending, out);
         }
-        self.waiting = all;
+        self.pending_acknowledgments = all;
     }
 
-    /// When there is something to do about confirmations next.
-    pub(crate) fn next_confirmation(&self) -> u64 {
-        self.waiting.iter().map(|waiting| waiting.ask_at.min(waiting.give_up_at)).min().unwrap_or(u64::MAX)
+    /// When [`Gossip::tick_acknowledgments`] is due next; `u64::MAX` for never.
+    pub(crate) fn next_acknowledgment_due(&self) -> u64 {
+        self.pending_acknowledgments
+            .iter()
+            .map(|pending| pending.retry_at.min(pending.deadline))
+            .min()
+            .unwrap_or(u64::MAX)
     }
 
-    fn ask_for_copies(&mut self, now: u64, waiting: &mut Waiting, out: &mut Vec<Output>) {
-        waiting.ask_at = now + micros(self.config.confirm_again_after);
-        let Some(aged) = self.replica.aged(now, waiting.entry.kind, &waiting.entry.key) else { return };
-        for to in self.copy_holders(waiting) {
-            waiting.asked.insert(to);
+    fn push_for_acknowledgment(
+        &mut self,
+        now: u64,
+        pending: &mut PendingAcknowledgment,
+        out: &mut Vec<Output>,
+    ) {
+        pending.retry_at = now + micros(self.config.acknowledgment_retry_interval);
+        let Some(aged) = self.items.aged(now, pending.entry.kind, &pending.entry.key) else { return };
+        for to in self.acknowledgment_targets(pending) {
+            pending.asked.insert(to);
             self.send(to, Message::Push { items: vec![aged.clone()], acknowledge: true, repair: false }, out);
         }
     }
 
-    /// A peer that is about to end takes its copies with it: others are asked at once.
-    fn note_leaving(&mut self, now: u64, peer: SocketAddrV4, leaving: bool) {
-        if !leaving {
-            self.leaving_peers.remove(&peer);
-        } else if self.leaving_peers.insert(peer) {
-            self.waiting.iter_mut().for_each(|waiting| waiting.ask_at = now);
+    /// A peer that shuts down takes its copies with it, so others are asked at once.
+    fn note_shutting_down(&mut self, now: u64, peer: SocketAddrV4, shutting_down: bool) {
+        if !shutting_down {
+            self.shutting_down_peers.remove(&peer);
+        } else if self.shutting_down_peers.insert(peer) {
+            self.pending_acknowledgments.iter_mut().for_each(|pending| pending.retry_at = now);
         }
     }
 
-    /// Whom to ask for a copy: nodes of the group and outside it as far as they lack, the group first, then any that
-    /// were not asked; when all were, all that did not confirm.
-    fn copy_holders(&mut self, waiting: &mut Waiting) -> Vec<SocketAddrV4> {
-        let missing = waiting.missing(&self.peers, &self.leaving_peers);
-        let (mut chosen, asked_in_vain) = waiting.group_to_ask(&self.peers, &self.leaving_peers);
+    /// The next peers to push to: nodes of the group and outside it as far as acknowledgments are missing there, then any
+    /// that were not asked; once all were, those that did not acknowledge.
+    fn acknowledgment_targets(&mut self, pending: &mut PendingAcknowledgment) -> Vec<SocketAddrV4> {
+        let missing = pending.missing(&self.peers, &self.shutting_down_peers);
+        let GroupTargets { not_asked: mut chosen, asked_in_vain } =
+            pending.targets_in_group(&self.peers, &self.shutting_down_peers);
         chosen.truncate(missing.inside + missing.anywhere);
         let again = missing.inside.saturating_sub(chosen.len());
         chosen.extend(asked_in_vain.into_iter().take(again));
-        chosen.extend(self.outside_to_ask(waiting, missing.outside));
-        let excluded: Vec<SocketAddrV4> = waiting.asked.iter().chain(&chosen).copied().collect();
-        let lacking = missing.total().saturating_sub(chosen.len());
-        chosen.extend(self.peers.random(&mut self.rng, lacking, &excluded));
+        chosen.extend(self.targets_outside(pending, missing.outside));
+        let excluded: Vec<SocketAddrV4> = pending.asked.iter().chain(&chosen).copied().collect();
+        let still_missing = missing.total().saturating_sub(chosen.len());
+        chosen.extend(self.peers.random(&mut self.rng, still_missing, &excluded));
         if chosen.is_empty() {
-            let holders: Vec<SocketAddrV4> = waiting.holders.iter().copied().collect();
-            chosen = self.peers.random(&mut self.rng, missing.total(), &holders);
+            let acknowledged_by: Vec<SocketAddrV4> = pending.acknowledged_by.iter().copied().collect();
+            chosen = self.peers.random(&mut self.rng, missing.total(), &acknowledged_by);
         }
         chosen
     }
 
-    /// Nodes outside the group that stay: those that were not asked before those that did not confirm.
-    fn outside_to_ask(&mut self, waiting: &Waiting, count: usize) -> Vec<SocketAddrV4> {
+    /// Nodes outside the group that stay: first those that were not asked, then those that did not acknowledge.
+    fn targets_outside(&mut self, pending: &PendingAcknowledgment, count: usize) -> Vec<SocketAddrV4> {
         if count == 0 {
             return Vec::new();
         }
         let mut excluded: Vec<SocketAddrV4> =
-            waiting.group.iter().chain(&self.leaving_peers).copied().collect();
+            pending.group.iter().chain(&self.shutting_down_peers).copied().collect();
         let without = excluded.len();
-        excluded.extend(waiting.asked.iter().chain(&waiting.holders));
-        let fresh = self.peers.random(&mut self.rng, count, &excluded);
-        if !fresh.is_empty() {
-            return fresh;
+        excluded.extend(pending.asked.iter().chain(&pending.acknowledged_by));
+        let not_asked = self.peers.random(&mut self.rng, count, &excluded);
+        if !not_asked.is_empty() {
+            return not_asked;
         }
         excluded.truncate(without);
-        excluded.extend(&waiting.holders);
+        excluded.extend(&pending.acknowledged_by);
         self.peers.random(&mut self.rng, count, &excluded)
     }
 }
--- a/gossip/src/budget.rs
+++ b/gossip/src/budget.rs
@@ -1,13 +1,13 @@
-//! A limit on bytes per second, with bursts of a second's worth.
+//! A token bucket: a rate limit in bytes per second with bursts of one second's worth.
 
 /// One second in the unit of `now`.
 const SECOND_US: u64 = 1_000_000;
 
-/// Bytes that may be spent, refilled as time goes by.
+/// The bytes that may be spent now.
 #[derive(Debug)]
 pub(crate) struct Budget {
     bytes_per_second: u64,
-    /// Millionths of a byte, so that short spells are not rounded away; below zero after a large spending.
+    /// In millionths of a byte, so that refills of short intervals are not rounded away; negative after a large item.
     available: i128,
     refilled_at: u64,
 }
@@ -17,7 +17,7 @@
         Self { bytes_per_second, available: full(bytes_per_second), refilled_at: now }
     }
 
-    /// Spends, if anything is left at all: so a single large item always goes, and is paid for afterwards.
+    /// Spends the bytes if any are left at all, so that an item larger than the burst can be sent; later ones wait for it.
     pub(crate) fn spend(&mut self, now: u64, bytes: usize) -> bool {
         let elapsed = now.saturating_sub(self.refilled_at);
         let refill = i128::from(elapsed) * i128::from(self.bytes_per_second);
--- a/gossip/src/counters.rs
+++ b/gossip/src/counters.rs
@@ -1,6 +1,6 @@
 //! Counters, for metrics and tests.
 
-/// What a node has sent, received and taken in since its start. Bytes go by [`crate::Message::size`].
+/// Totals of a node since its start. Bytes are estimates by [`crate::Message::size`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Counters {
     /// Messages sent.
@@ -11,16 +11,16 @@
     pub messages_received: u64,
     /// Bytes received.
     pub bytes_received: u64,
-    /// Newer items taken in from others.
-    pub items_taken: u64,
-    /// Items received that were held already, in this or a newer stamp.
-    pub items_known: u64,
-    /// Comparisons begun.
+    /// Items from other nodes that were newer than what was known.
+    pub items_accepted: u64,
+    /// Items from other nodes that were known already, in this or a newer stamp.
+    pub items_duplicate: u64,
+    /// Comparisons started.
     pub comparisons: u64,
-    /// Items sent because another node lacked them in a comparison.
+    /// Items sent because a comparison showed that another node lacked them.
     pub repairs: u64,
-    /// Fetches sent.
+    /// Items asked for.
     pub fetches: u64,
-    /// Items not sent for want of repair bytes; a later comparison finds them again.
-    pub repairs_put_off: u64,
+    /// Items and lists not sent because of the rate limit of repairs; a later comparison finds them again.
+    pub repairs_deferred: u64,
 }
--- a/gossip/src/fetch.rs
+++ b/gossip/src/fetch.rs
@@ -1,4 +1,4 @@
-//! What was asked for and has not come: each item is fetched from one node at a time.
+//! Fetches of items that other nodes have offered or listed. Each item is fetched from one node at a time.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddrV4;
@@ -6,27 +6,27 @@
 
 use crate::config::micros;
 use crate::item::Name;
-use crate::{Entry, Stamp};
+use crate::{Entry, Gossip, Message, Output, Stamp};
 
-/// Other nodes that hold an item and are remembered while it is fetched.
-const OTHERS_AT_MOST: usize = 8;
+/// How many further nodes that have an item are remembered while it is fetched.
+const MAX_ALTERNATIVES: usize = 8;
 
-/// One item on its way.
+/// The fetch of one item.
 #[derive(Debug)]
 struct Fetch {
     stamp: Stamp,
     asked: SocketAddrV4,
-    others: Vec<SocketAddrV4>,
+    alternatives: Vec<SocketAddrV4>,
     deadline: u64,
-    pass_on: bool,
+    push_on: bool,
 }
 
-/// All items on their way.
+/// All fetches that are in flight.
 #[derive(Debug)]
 pub(crate) struct Fetches {
     again_after: u64,
     by_name: BTreeMap<Name, Fetch>,
-    /// Deadlines in their order, some of fetches that are done.
+    /// Deadlines in ascending order; some belong to fetches that are complete.
     deadlines: VecDeque<(u64, Name)>,
 }
 
@@ -35,33 +35,33 @@
         Self { again_after: micros(again_after), by_name: BTreeMap::new(), deadlines: VecDeque::new() }
     }
 
-    /// A node holds an item that is lacking here. Returns whether to fetch it from there now; otherwise it is on its
-    /// way and the node is remembered. `pass_on`: whether the item is to be passed on when it comes.
-    pub(crate) fn want(&mut self, now: u64, from: SocketAddrV4, entry: &Entry, pass_on: bool) -> bool {
+    /// A node has an item that is missing here. Returns whether to fetch it from there now; if it is in flight already, the
+    /// node is remembered as an alternative. `push_on`: whether the item is to be pushed on when it arrives.
+    pub(crate) fn request(&mut self, now: u64, from: SocketAddrV4, entry: &Entry, push_on: bool) -> bool {
         if let Some(fetch) = self.by_name.get_mut(&entry.name()).filter(|fetch| fetch.stamp >= entry.stamp) {
-            fetch.pass_on |= pass_on;
+            fetch.push_on |= push_on;
             if fetch.stamp == entry.stamp {
                 fetch.remember(from);
             }
             return false;
         }
-        let fetch = Fetch { stamp: entry.stamp, asked: from, others: Vec::new(), deadline: 0, pass_on };
+        let fetch = Fetch { stamp: entry.stamp, asked: from, alternatives: Vec::new(), deadline: 0, push_on };
         self.begin(now, entry.name(), fetch);
         true
     }
 
-    /// An item came. If it was being fetched, returns whether it is to be passed on.
-    pub(crate) fn arrived(&mut self, entry: &Entry) -> Option<bool> {
+    /// An item has arrived. If it was being fetched, returns whether it is to be pushed on.
+    pub(crate) fn complete(&mut self, entry: &Entry) -> Option<bool> {
         let name = entry.name();
         if self.by_name.get(&name)?.stamp > entry.stamp {
             return None;
         }
         let fetch = self.by_name.remove(&name)?;
         self.drop_done_deadlines();
-        Some(fetch.pass_on)
+        Some(fetch.push_on)
     }
 
-    /// What did not come in time: whom to ask next, and for what. Given up where nobody else is known.
+    /// Fetches that have timed out, by the node to ask next. One without alternatives is given up.
     pub(crate) fn overdue(&mut self, now: u64) -> BTreeMap<SocketAddrV4, Vec<Entry>> {
         let mut again: BTreeMap<SocketAddrV4, Vec<Entry>> = BTreeMap::new();
         while self.next_due() <= now {
@@ -69,7 +69,7 @@
             let Some(mut fetch) = self.by_name.remove(&name) else { continue };
             if fetch.deadline > now {
                 self.by_name.insert(name, fetch);
-            } else if let Some(next) = fetch.others.pop() {
+            } else if let Some(next) = fetch.alternatives.pop() {
                 fetch.asked = next;
                 let (kind, key) = name.clone();
                 again.entry(next).or_default().push(Entry { kind, key, stamp: fetch.stamp });
@@ -79,7 +79,7 @@
         again
     }
 
-    /// When a fetch may be overdue next.
+    /// When a fetch may time out next; `u64::MAX` for never.
     pub(crate) fn next_due(&self) -> u64 {
         self.deadlines.front().map_or(u64::MAX, |(deadline, _)| *deadline)
     }
@@ -99,9 +99,55 @@
 
 impl Fetch {
     fn remember(&mut self, offerer: SocketAddrV4) {
-        let is_known = offerer == self.asked || self.others.contains(&offerer);
-        if !is_known && self.others.len() < OTHERS_AT_MOST {
-            self.others.push(offerer);
+        let is_known = offerer == self.asked || self.alternatives.contains(&offerer);
+        if !is_known && self.alternatives.len() < MAX_ALTERNATIVES {
+            self.alternatives.push(offerer);
         }
     }
 }
+
+impl Gossip {
+    /// Fetches offered items that are missing here.
+    pub(crate) fn handle_offer(
+        &mut self,
+        now: u64,
+        from: SocketAddrV4,
+        entries: Vec<Entry>,
+        out: &mut Vec<Output>,
+    ) {
+        for entry in &entries {
+            if self.items.get(entry.kind, &entry.key).is_some_and(|item| item.stamp == entry.stamp) {
+                self.push_queue.mark_known_by(entry.name(), from);
+            }
+        }
+        self.send_newer_tombstones(now, from, entries.iter().cloned(), out);
+        self.fetch(now, from, entries, true, out);
+    }
+
+    /// Fetches those of a node's items that are missing here.
+    pub(crate) fn fetch(
+        &mut self,
+        now: u64,
+        from: SocketAddrV4,
+        entries: Vec<Entry>,
+        push_on: bool,
+        out: &mut Vec<Output>,
+    ) {
+        let missing =
+            entries.into_iter().filter(|entry| !self.items.holds(entry.kind, &entry.key, entry.stamp));
+        let wanted = missing.filter(|entry| self.fetches.request(now, from, entry, push_on)).collect();
+        self.send_fetch(from, wanted, out);
+    }
+
+    /// Asks other nodes for items whose fetch has timed out.
+    pub(crate) fn retry_fetches(&mut self, now: u64, out: &mut Vec<Output>) {
+        for (from, entries) in self.fetches.overdue(now) {
+            self.send_fetch(from, entries, out);
+        }
+    }
+
+    fn send_fetch(&mut self, from: SocketAddrV4, entries: Vec<Entry>, out: &mut Vec<Output>) {
+        self.counters.fetches += entries.len() as u64;
+        self.send_entries(from, entries, |entries| Message::Fetch { entries }, out);
+    }
+}
--- a/gossip/src/item.rs
+++ b/gossip/src/item.rs
@@ -1,4 +1,4 @@
-//! What is replicated: items, their stamps, and their names without the payload.
+//! Items, their version stamps, and their names without the payload.
 
 use std::sync::Arc;
 
@@ -6,8 +6,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Kind(pub u8);
 
-/// The order among the items of one kind and key: the newest (greatest) wins. Two items of one kind and key with
-/// equal stamps have to be the same item; whoever publishes sees to that.
+/// Version stamp: of the items of one kind and key the highest wins. Two items of one kind and key with equal stamps must
+/// be the same item, which is the publisher's responsibility.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Stamp {
     /// Compared first: an incarnation, a version, a call count.
@@ -23,11 +23,12 @@
     pub kind: Kind,
     /// Its name within the kind.
     pub key: Arc<str>,
-    /// Which of several items with the same kind and key is the newest.
+    /// Its version.
     pub stamp: Stamp,
     /// Its content, opaque here.
     pub payload: Arc<[u8]>,
-    /// A tombstone: what had this name is gone. Kept for a while so that older items don't come back, then forgotten.
+    /// Whether it is a tombstone: the item of this name was removed. Kept for `tombstone_ttl`, so that an older item of the
+    /// name can't come back meanwhile.
     pub removed: bool,
 }
 
@@ -38,13 +39,13 @@
     }
 }
 
-/// An item as it travels, with its age: however late it comes to a node, what counts from its publication (the time of
-/// a tombstone, a bound that its meaning sets) counts from the same moment everywhere.
+/// An item in a message, with its age: however late it reaches a node, deadlines that count from its publication (the
+/// expiry of a tombstone, or one that the kind sets) are the same everywhere. Clocks of two nodes are never compared.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Aged {
     /// The item.
     pub item: Item,
-    /// Milliseconds since it was published, without the time on the way.
+    /// Time since it was published, in milliseconds, without its time in transit.
     pub age_ms: u32,
 }
 
--- a/gossip/src/replica.rs
+++ b/gossip/src/item_store.rs
@@ -1,8 +1,8 @@
-//! The items that a node holds: newest stamp wins, tombstones are kept for a while.
+//! The items of a node: the highest stamp wins, tombstones expire.
 //!
-//! A tombstone is counted in the range hashes and told to nodes that have nothing of the name for three quarters of its
-//! time. For the last quarter it is held quietly: it still wins against older items, and is told to those that hold
-//! one. So nodes that forget it a little earlier than others don't get it back from them.
+//! A tombstone is part of the range hashes, and is sent to nodes without an item of its name, for three quarters of its
+//! time. In the last quarter it is quiet: it still wins against older items and is sent to nodes that have one, but not to
+//! others. So a node whose tombstone expires a little earlier doesn't get it back from its peers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -13,43 +13,43 @@
 use crate::ranges::Ranges;
 use crate::{Aged, Entry, Item, Kind, Stamp};
 
-/// The last of so many parts of a tombstone's time is quiet.
-const QUIET_PART: u64 = 4;
+/// A tombstone is quiet for one in this many parts of its time, the last one.
+const QUIET_FRACTION: u64 = 4;
 /// One millisecond in the unit of `now`.
 const MILLISECOND_US: u64 = 1_000;
 
-/// An item with what is known of it here.
+/// An item with its local times, in microseconds.
 #[derive(Debug)]
-struct Held {
+struct StoredItem {
     item: Item,
-    taken_at: u64,
-    /// How old it was then.
-    age_then: u64,
-    /// For a tombstone, when it is forgotten.
-    forget_at: u64,
+    merged_at: u64,
+    /// How old it was at `merged_at`.
+    age_at_merge: u64,
+    /// When a tombstone expires; without meaning for other items.
+    expires_at: u64,
 }
 
-impl Held {
+impl StoredItem {
     fn age(&self, now: u64) -> u64 {
-        self.age_then.saturating_add(now.saturating_sub(self.taken_at))
+        self.age_at_merge.saturating_add(now.saturating_sub(self.merged_at))
     }
 }
 
-/// All items that a node holds.
+/// All items of a node.
 #[derive(Debug)]
-pub(crate) struct Replica {
-    tombstone_for: u64,
-    held: BTreeMap<Kind, BTreeMap<Arc<str>, Held>>,
-    living: usize,
+pub(crate) struct ItemStore {
+    tombstone_ttl: u64,
+    held: BTreeMap<Kind, BTreeMap<Arc<str>, StoredItem>>,
+    live: usize,
     ranges: Ranges,
-    /// When a tombstone may have to be quietened or forgotten.
+    /// When tombstones become quiet or expire.
     due: BTreeSet<(u64, Name)>,
 }
 
-impl Replica {
-    pub(crate) fn new(tombstone_for: Duration) -> Self {
+impl ItemStore {
+    pub(crate) fn new(tombstone_ttl: Duration) -> Self {
         let (held, due) = (BTreeMap::new(), BTreeSet::new());
-        Self { tombstone_for: micros(tombstone_for), held, living: 0, ranges: Ranges::new(), due }
+        Self { tombstone_ttl: micros(tombstone_ttl), held, live: 0, ranges: Ranges::new(), due }
     }
 
     pub(crate) fn ranges(&self) -> &Ranges {
@@ -58,7 +58,7 @@
 
     /// How many items there are, without tombstones.
     pub(crate) fn len(&self) -> usize {
-        self.living
+        self.live
     }
 
     /// The items of one kind, without tombstones.
@@ -76,57 +76,57 @@
         self.held(kind, key).map(|held| &held.item)
     }
 
-    /// Whether an item of this name is held in this stamp or a newer one.
+    /// Whether an item of this name is known in this stamp or a newer one.
     pub(crate) fn holds(&self, kind: Kind, key: &str, stamp: Stamp) -> bool {
         self.get(kind, key).is_some_and(|item| item.stamp >= stamp)
     }
 
-    /// Whether the item came after that time.
-    pub(crate) fn is_taken_after(&self, entry: &Entry, time: u64) -> bool {
-        self.held(entry.kind, &entry.key).is_some_and(|held| held.taken_at > time)
+    /// Whether the item was merged after that time.
+    pub(crate) fn is_merged_after(&self, entry: &Entry, time: u64) -> bool {
+        self.held(entry.kind, &entry.key).is_some_and(|held| held.merged_at > time)
     }
 
-    /// How long ago the item was published, as far as is known here.
+    /// Time since the item's publication, in microseconds.
     pub(crate) fn age(&self, now: u64, kind: Kind, key: &str) -> Option<u64> {
         self.held(kind, key).map(|held| held.age(now))
     }
 
-    /// The item as it is to be sent.
+    /// The item with its age, as it is sent.
     pub(crate) fn aged(&self, now: u64, kind: Kind, key: &str) -> Option<Aged> {
         let held = self.held(kind, key)?;
         let age_ms = u32::try_from(held.age(now) / MILLISECOND_US).unwrap_or(u32::MAX);
         Some(Aged { item: held.item.clone(), age_ms })
     }
 
-    /// Takes an item in if it is newer than what is held. Returns whether it was.
-    pub(crate) fn take(&mut self, now: u64, aged: &Aged) -> bool {
+    /// Merges an item: the higher stamp wins. Returns whether the item was newer than the known one.
+    pub(crate) fn merge(&mut self, now: u64, aged: &Aged) -> bool {
         let Aged { item, age_ms } = aged;
         let age = u64::from(*age_ms) * MILLISECOND_US;
         let before = self.get(item.kind, &item.key);
-        let is_late_tombstone = item.removed && age >= self.tombstone_for && before.is_none();
+        let is_late_tombstone = item.removed && age >= self.tombstone_ttl && before.is_none();
         if is_late_tombstone || before.is_some_and(|before| before.stamp >= item.stamp) {
             return false;
         }
         let was_living = before.is_some_and(|before| !before.removed);
-        self.living = self.living + usize::from(!item.removed) - usize::from(was_living);
+        self.live = self.live + usize::from(!item.removed) - usize::from(was_living);
         self.put(now, item, age);
         true
     }
 
     fn put(&mut self, now: u64, item: &Item, age: u64) {
-        let forget_at = now.saturating_add(self.tombstone_for.saturating_sub(age));
+        let expires_at = now.saturating_add(self.tombstone_ttl.saturating_sub(age));
         self.ranges.remove(item.kind, &item.key);
-        if !item.removed || now < self.quiet_at(forget_at) {
+        if !item.removed || now < self.quiet_at(expires_at) {
             self.ranges.insert(item.entry());
         }
         if item.removed {
-            self.due.insert((self.quiet_at(forget_at), item.entry().name()));
+            self.due.insert((self.quiet_at(expires_at), item.entry().name()));
         }
-        let held = Held { item: item.clone(), taken_at: now, age_then: age, forget_at };
+        let held = StoredItem { item: item.clone(), merged_at: now, age_at_merge: age, expires_at };
         self.held.entry(item.kind).or_default().insert(Arc::clone(&item.key), held);
     }
 
-    /// Quietens and forgets tombstones whose time has come.
+    /// Makes tombstones quiet or drops them, as is due.
     pub(crate) fn expire(&mut self, now: u64) {
         while self.next_due() <= now {
             let Some((_, name)) = self.due.pop_first() else { return };
@@ -136,28 +136,28 @@
 
     fn expire_one(&mut self, now: u64, name: Name) {
         let Some(held) = self.held(name.0, &name.1) else { return };
-        let forget_at = held.forget_at;
-        if !held.item.removed || now < self.quiet_at(forget_at) {
+        let expires_at = held.expires_at;
+        if !held.item.removed || now < self.quiet_at(expires_at) {
             return;
         }
         self.ranges.remove(name.0, &name.1);
-        if now < forget_at {
-            self.due.insert((forget_at, name));
+        if now < expires_at {
+            self.due.insert((expires_at, name));
         } else if let Some(of_kind) = self.held.get_mut(&name.0) {
             of_kind.remove(&name.1);
         }
     }
 
-    /// When a tombstone may have to be looked at next.
+    /// When a tombstone may become quiet or expire next; `u64::MAX` for never.
     pub(crate) fn next_due(&self) -> u64 {
         self.due.first().map_or(u64::MAX, |(at, _)| *at)
     }
 
-    fn quiet_at(&self, forget_at: u64) -> u64 {
-        forget_at.saturating_sub(self.tombstone_for / QUIET_PART)
+    fn quiet_at(&self, expires_at: u64) -> u64 {
+        expires_at.saturating_sub(self.tombstone_ttl / QUIET_FRACTION)
     }
 
-    fn held(&self, kind: Kind, key: &str) -> Option<&Held> {
+    fn held(&self, kind: Kind, key: &str) -> Option<&StoredItem> {
         self.held.get(&kind)?.get(key)
     }
 }
--- a/gossip/src/lib.rs
+++ b/gossip/src/lib.rs
@@ -1,9 +1,13 @@
-//! Dissemination of fleet state: passed on to a few others, repaired by digests, sans-I/O.
+//! Gossip of fleet state with anti-entropy repair, sans-I/O.
 //!
-//! Every node holds every item. A node passes a new item on to a few others; from time to time it compares hashes
-//! over ranges of keys with one other node, and both repair what differs. The newest stamp of a key wins, so the order
-//! in which items come does not matter. There is no clock, no socket and no thread: the caller hands in messages and
-//! the time, and carries out the [`Output`]s. The mechanism and its figures: `docs/gossip.md`.
+//! Every node has every [`Item`]. A new item is pushed to a few peers, which push it on (rumor mongering); from time to time
+//! a node compares hashes over ranges of keys with one peer, and both repair what differs (anti-entropy). Demers et al.,
+//! "Epidemic Algorithms for Replicated Database Maintenance", PODC 1987. Of the items of one kind and key the highest
+//! version stamp wins, so the order in which items arrive doesn't matter.
+//!
+//! The crate is a state machine apart from the control plane, which uses it: no clock, no socket and no thread, so that the
+//! tests play fleets of hundreds of nodes in simulated time. The caller hands in messages and the time and carries out the
+//! [`Output`]s. Mechanism and figures: `docs/gossip.md`.
 
 mod acknowledgment;
 mod anti_entropy;
@@ -13,12 +17,12 @@
 mod fetch;
 mod gossip;
 mod item;
+mod item_store;
 mod message;
 mod output;
 mod peers;
 mod push;
 mod ranges;
-mod replica;
 mod replication_factor;
 
 pub use config::GossipConfig;
--- a/gossip/src/message.rs
+++ b/gossip/src/message.rs
@@ -1,4 +1,4 @@
-//! What nodes say to each other. Serialisation is done elsewhere (`proto`).
+//! Messages between nodes. `gradepaddle-proto` encodes them.
 
 use crate::{Aged, Entry, Item};
 
@@ -16,21 +16,22 @@
 /// A message from one node to another.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Message {
-    /// Whole items.
+    /// Items with their payloads.
     Push {
         /// The items.
         items: Vec<Aged>,
-        /// The receiver is to answer with [`Message::Acknowledge`] for what it then holds.
+        /// Whether the receiver has to answer with [`Message::Acknowledge`] for the items that it then has.
         acknowledge: bool,
-        /// Sent because two nodes differed, not because the items are new: many at once are not passed on.
+        /// Whether this repairs a difference between two nodes. Repairs of many items are not pushed on: they fill an empty
+        /// node or end a partition, where other nodes compare for themselves.
         repair: bool,
     },
-    /// Items with large payloads that the sender holds, to be fetched by whoever lacks them.
+    /// Items with large payloads that the receiver may fetch from the sender.
     Offer {
         /// Names and stamps of the items.
         entries: Vec<Entry>,
     },
-    /// Asks for items, of these stamps or newer ones.
+    /// Asks for items, in these stamps or newer ones.
     Fetch {
         /// Names and stamps of the items.
         entries: Vec<Entry>,
@@ -39,29 +40,29 @@
     Digest {
         /// Ranges of the first level in a question; whichever differ, or ranges within them, in an answer.
         ranges: Vec<RangeDigest>,
-        /// The receiver is to answer with a digest, an empty one where nothing differs.
+        /// Whether the receiver has to answer with a digest, an empty one if nothing differs.
         reply: bool,
     },
-    /// All that the sender holds in some ranges. The receiver sends what it has newer and fetches what it has older.
+    /// All entries of the sender in some ranges. The receiver sends its newer items and fetches its older ones.
     Entries {
-        /// The ranges, each whole.
+        /// The ranges, each complete.
         ranges: Vec<RangeEntries>,
     },
-    /// The sender holds these items, of these stamps or newer ones.
+    /// The sender has these items, in these stamps or newer ones.
     Acknowledge {
         /// Names and stamps as they were pushed.
         entries: Vec<Entry>,
-        /// The sender is about to end.
-        leaving: bool,
+        /// Whether the sender is shutting down, so that its copies will be gone soon.
+        shutting_down: bool,
     },
 }
 
-/// The hash over the entries of one range.
+/// The hash of one range of keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RangeDigest {
     /// Which range: 0 to 63 for the first level, 64 to 4159 for the ranges within them.
     pub index: u16,
-    /// The exclusive or of the hashes of the range's entries; zero for an empty range.
+    /// The exclusive or of the hashes of the range's entries; 0 for an empty range.
     pub hash: u64,
 }
 
@@ -75,7 +76,7 @@
 }
 
 impl Message {
-    /// About how many bytes the message takes when it is serialised; limits and counters go by it.
+    /// Estimated encoded size in bytes, which limits and counters use.
     pub fn size(&self) -> usize {
         MESSAGE_OVERHEAD_BYTES
             + match self {
@@ -89,17 +90,17 @@
     }
 }
 
-/// About how many bytes an item takes in a message.
+/// Estimated size of an item in a message, in bytes.
 pub(crate) fn item_size(item: &Item) -> usize {
     ITEM_OVERHEAD_BYTES + item.key.len() + item.payload.len()
 }
 
-/// About how many bytes an entry takes in a message.
+/// Estimated size of an entry in a message, in bytes.
 pub(crate) fn entry_size(entry: &Entry) -> usize {
     ENTRY_OVERHEAD_BYTES + entry.key.len()
 }
 
-/// About how many bytes the list of a range takes in a message.
+/// Estimated size of the entries of a range in a message, in bytes.
 pub(crate) fn range_entries_size(range: &RangeEntries) -> usize {
     RANGE_ENTRIES_BYTES + entries_size(&range.entries)
 }
@@ -107,3 +108,21 @@
 fn entries_size(entries: &[Entry]) -> usize {
     entries.iter().map(entry_size).sum()
 }
+
+/// Splits a list into batches whose sizes add up to at most `max` bytes; a larger element is a batch of its own.
+pub(crate) fn batches<T>(list: Vec<T>, max: usize, size: impl Fn(&T) -> usize) -> Vec<Vec<T>> {
+    let mut batches: Vec<Vec<T>> = Vec::new();
+    let mut remaining = 0;
+    for element in list {
+        let size = size(&element);
+        if batches.is_empty() || size > remaining {
+            batches.push(Vec::new());
+            remaining = max;
+        }
+        remaining = remaining.saturating_sub(size);
+        if let Some(batch) = batches.last_mut() {
+            batch.push(element);
+        }
+    }
+    batches
+}
--- a/gossip/src/output.rs
+++ b/gossip/src/output.rs
@@ -1,29 +1,29 @@
-//! What the caller is to do.
+//! Requests and reports to the caller.
 
 use std::net::SocketAddrV4;
 
 use crate::{Item, Message};
 
-/// One thing that the caller is to do or to know.
+/// A request to the caller, or a report.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
-    /// Send a message. It may be lost.
+    /// Send a message. It may be lost, duplicated or overtaken.
     Send {
         /// The receiver.
         to: SocketAddrV4,
         /// The message.
         message: Message,
     },
-    /// A newer item was taken in, an own one included.
+    /// An item is new here, one of another node or a published one; the higher stamp has won.
     Changed(Item),
-    /// As many other nodes as were asked for hold the item (or all, where there are fewer).
+    /// As many other nodes as were asked for have the item, or all where there are fewer.
     Acknowledged {
-        /// The publish_id given to `publish_acknowledged`.
+        /// The id given to [`crate::Gossip::publish_acknowledged`].
         publish_id: u64,
     },
-    /// Not enough other nodes said in time that they hold the item. It is spread all the same.
+    /// Not enough nodes acknowledged the item in time. It is gossiped all the same.
     AcknowledgmentFailed {
-        /// The publish_id given to `publish_acknowledged`.
+        /// The id given to [`crate::Gossip::publish_acknowledged`].
         publish_id: u64,
     },
 }
--- a/gossip/src/peers.rs
+++ b/gossip/src/peers.rs
@@ -1,22 +1,22 @@
-//! The other nodes, and the choice among them.
+//! The peers of a node, and the selection among them.
 
 use std::net::SocketAddrV4;
 
 use fastrand::Rng;
 
-/// Of this many choices of a peer to compare with, one goes to a far one.
-const FAR_ONE_IN: u32 = 4;
+/// One in this many comparisons goes to a peer of another zone.
+const FAR_PARTNER_ONE_IN: u32 = 4;
 
-/// Another node.
+/// Another node of the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Peer {
-    /// Where it takes messages.
+    /// The address at which it receives messages.
     pub address: SocketAddrV4,
-    /// It is in the same zone.
+    /// Whether it is in the same zone as this node.
     pub near: bool,
 }
 
-/// The other nodes in the order of their addresses, which is a ring.
+/// The peers in the order of their addresses, which is a ring.
 #[derive(Debug)]
 pub(crate) struct Peers {
     own: SocketAddrV4,
@@ -28,7 +28,7 @@
         Self { own, sorted: Vec::new() }
     }
 
-    /// Takes the whole list of peers; returns those that were not there before.
+    /// Replaces the list of peers; returns those that are new.
     pub(crate) fn replace(&mut self, peers: &[Peer]) -> Vec<SocketAddrV4> {
         let mut sorted: Vec<Peer> = peers.iter().filter(|peer| peer.address != self.own).copied().collect();
         sorted.sort_by_key(|peer| peer.address);
@@ -69,8 +69,8 @@
         rng.choose_multiple(candidates, count)
     }
 
-    /// Whom to pass new items on to: the next one on the ring and random others, `fanout` together; in a fleet of at
-    /// most one more than that, all.
+    /// The peers to push new items to: the next one on the ring and random others, `fanout` together; all of them if there is
+    /// at most one more.
     pub(crate) fn targets(
         &self,
         rng: &mut Rng,
@@ -88,9 +88,9 @@
         targets
     }
 
-    /// With whom to compare: mostly a near one, sometimes a far one.
+    /// The peer to compare with: mostly one of the same zone, sometimes one of another.
     pub(crate) fn partner(&self, rng: &mut Rng) -> Option<SocketAddrV4> {
-        let near = rng.u32(0..FAR_ONE_IN) != 0;
+        let near = rng.u32(0..FAR_PARTNER_ONE_IN) != 0;
         let preferred: Vec<&Peer> = self.sorted.iter().filter(|peer| peer.near == near).collect();
         let chosen = rng.choice(preferred).or_else(|| rng.choice(&self.sorted));
         chosen.map(|peer| peer.address)
--- a/gossip/src/ranges.rs
+++ b/gossip/src/ranges.rs
@@ -1,7 +1,7 @@
-//! Hashes over ranges of keys, kept up with every change.
+//! Hashes over ranges of keys, updated with every change.
 //!
 //! A key falls into one of 64 ranges and, within it, into one of 64 finer ones. The hash of a range is the exclusive or
-//! of the hashes of its entries, so that a change costs two exclusive ors and nothing is ever scanned again.
+//! of the hashes of its entries, so that a change costs two exclusive ors and nothing is ever scanned.
 
 use crate::{Entry, Kind, RangeDigest, Stamp};
 
@@ -49,7 +49,7 @@
         self.fine[fine].entries.push(entry);
     }
 
-    /// Takes the entry of this name out, if it is there.
+    /// Removes the entry of this name, if there is one.
     pub(crate) fn remove(&mut self, kind: Kind, key: &str) {
         let (top, fine) = positions(kind, key);
         let entries = &mut self.fine[fine].entries;
--- a/gossip/src/replication_factor.rs
+++ b/gossip/src/replication_factor.rs
@@ -1,11 +1,11 @@
-//! How many copies of an item are wanted, and where.
+//! How many nodes must have an item before its publication is acknowledged, and where.
 
 use std::net::SocketAddrV4;
 
-/// How many other nodes have to hold an item before it is confirmed, and which.
+/// How many other nodes must have an item before its publication is acknowledged, and which.
 ///
 /// Nodes of the group may all lose their memory at the same moment, and those beside it may go in any number; so copies
-/// can be asked for on both sides. Nodes that are about to end count for `count` only.
+/// can be asked for on both sides. Nodes that are shutting down count for `count` only.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReplicationFactor<'a> {
     /// How many altogether, or all peers where there are fewer.
@@ -19,13 +19,13 @@
 }
 
 impl<'a> ReplicationFactor<'a> {
-    /// ReplicationFactor anywhere, best at these nodes.
+    /// Copies anywhere, preferably at these nodes.
     pub fn anywhere(count: usize, prefer: &'a [SocketAddrV4]) -> ReplicationFactor<'a> {
         ReplicationFactor { count, group: prefer, inside: 0, outside: 0 }
     }
 }
 
-/// How many more copies are needed.
+/// How many acknowledgments are missing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Missing {
     pub inside: usize,
--- a/gossip/tests/acknowledgment.rs
+++ b/gossip/tests/acknowledgment.rs
@@ -5,43 +5,43 @@
 use googletest::prelude::*;
 use simulation::{MS, SECOND, Simulation, address, item, tombstone};
 
-fn holders(fleet: &Simulation, key: &str) -> usize {
+fn acknowledged_by(fleet: &Simulation, key: &str) -> usize {
     let holds = |node: &&gradepaddle_gossip::Gossip| node.stamp(simulation::KIND, key).is_some();
     fleet.nodes.iter().flatten().filter(holds).count()
 }
 
 #[gtest]
-fn confirmed_once_two_others_hold_it() {
+fn acknowledged_once_two_others_have_it() {
     for nodes in [3, 9, 78, 400] {
         let mut fleet = Simulation::new(nodes, 21);
         fleet.run_for(2 * SECOND);
         let begin = fleet.now;
         fleet.publish_acknowledged(0, item("a", 1, b"x"), 1, 2, &[]);
-        fleet.run_until_holds(begin + SECOND, |fleet| !fleet.tickets.is_empty());
+        fleet.run_until_condition(begin + SECOND, |fleet| !fleet.tickets.is_empty());
         let (at, confirmed) = fleet.tickets[&1];
         println!("{nodes} nodes: confirmed in {:.1} ms", (at - begin) as f64 / MS as f64);
         expect_that!(confirmed, eq(true));
         expect_that!(at - begin, le(5 * MS));
-        expect_that!(holders(&fleet, "a"), ge(3));
+        expect_that!(acknowledged_by(&fleet, "a"), ge(3));
     }
 }
 
 #[gtest]
-fn without_peers_confirmed_at_once() {
+fn acknowledged_immediately_without_peers() {
     let mut fleet = Simulation::without_peers(1, 22);
     fleet.publish_acknowledged(0, item("a", 1, b"x"), 1, 2, &[]);
     expect_that!(fleet.tickets.get(&1), some(eq(&(fleet.now, true))));
 }
 
 #[gtest]
-fn with_one_peer_confirmed_by_that_one() {
+fn acknowledged_by_the_only_peer() {
     let mut fleet = Simulation::new(2, 23);
     fleet.run_for(SECOND);
     fleet.publish_acknowledged(0, item("a", 1, b"x"), 1, 2, &[]);
     expect_that!(fleet.tickets.is_empty(), eq(true));
     fleet.run_for(10 * MS);
     expect_that!(fleet.tickets[&1].1, eq(true));
-    expect_that!(holders(&fleet, "a"), eq(2));
+    expect_that!(acknowledged_by(&fleet, "a"), eq(2));
 }
 
 #[gtest]
@@ -50,7 +50,7 @@
     fleet.run_for(SECOND);
     let prefer = [address(40), address(41), address(42)];
     fleet.publish_acknowledged(0, item("a", 1, b"x"), 1, 2, &prefer);
-    fleet.run_until_holds(fleet.now + SECOND, |fleet| !fleet.tickets.is_empty());
+    fleet.run_until_condition(fleet.now + SECOND, |fleet| !fleet.tickets.is_empty());
     for node in [40, 41] {
         expect_that!(fleet.node(node).get(simulation::KIND, "a"), some(anything()), "node {node}");
     }
@@ -58,7 +58,7 @@
 
 /// The first that are asked are gone; others are asked 100 ms later.
 #[gtest]
-fn others_are_asked_when_the_first_are_gone() {
+fn further_peers_are_asked_when_the_first_are_gone() {
     let mut fleet = Simulation::new(9, 25);
     fleet.run_for(SECOND);
     fleet.stop(3);
@@ -72,7 +72,7 @@
 }
 
 #[gtest]
-fn confirmed_over_lossy_links() {
+fn acknowledged_over_lossy_links() {
     let mut fleet = Simulation::new(9, 26);
     fleet.run_for(SECOND);
     fleet.loss = 0.3;
@@ -93,7 +93,7 @@
 
 /// Cut off from all, it gives up after two seconds, and the item spreads all the same later.
 #[gtest]
-fn unconfirmed_when_cut_off() {
+fn acknowledgment_fails_in_a_partition() {
     let mut fleet = Simulation::new(9, 27);
     fleet.run_for(SECOND);
     fleet.group[0] = 1;
@@ -103,7 +103,7 @@
     expect_that!(fleet.tickets.get(&1), some(eq(&(begin + 2 * SECOND, false))));
     fleet.group[0] = 0;
     fleet.run_for(2 * SECOND);
-    expect_that!(holders(&fleet, "a"), eq(9));
+    expect_that!(acknowledged_by(&fleet, "a"), eq(9));
 }
 
 /// With only one of eight reachable, two copies can't be had.
@@ -121,7 +121,7 @@
 
 /// A holder that has left since counts no more.
 #[gtest]
-fn a_copy_that_left_does_not_count() {
+fn the_copy_of_a_peer_that_has_left_does_not_count() {
     let mut fleet = Simulation::new(9, 29);
     fleet.run_for(SECOND);
     fleet.group.fill(1);
@@ -129,9 +129,9 @@
     fleet.group[1] = 0;
     fleet.publish_acknowledged(0, item("a", 1, b"x"), 1, 2, &[address(1)]);
     fleet.run_for(500 * MS);
-    expect_that!(holders(&fleet, "a"), eq(2));
+    expect_that!(acknowledged_by(&fleet, "a"), eq(2));
     fleet.stop(1);
-    fleet.meet(0);
+    fleet.set_all_peers(0);
     fleet.group.fill(0);
     fleet.group[3..].fill(1);
     fleet.run_for(500 * MS);
@@ -141,7 +141,7 @@
     expect_that!(fleet.tickets[&1].1, eq(true));
 }
 
-/// Where the peers shrink to the holders, that is all there are.
+/// Where the peers shrink to the acknowledged_by, that is all there are.
 #[gtest]
 fn fewer_peers_need_fewer_copies() {
     let mut fleet = Simulation::new(3, 30);
@@ -150,14 +150,14 @@
     fleet.publish_acknowledged(0, item("a", 1, b"x"), 1, 2, &[]);
     fleet.run_for(50 * MS);
     expect_that!(fleet.tickets.get(&1), none());
-    fleet.meet(0);
+    fleet.set_all_peers(0);
     fleet.run_for(200 * MS);
     expect_that!(fleet.tickets[&1].1, eq(true));
 }
 
 /// What the others hold already in a newer stamp is confirmed: nothing older can come back.
 #[gtest]
-fn tombstones_and_newer_items_are_confirmed() {
+fn tombstones_and_newer_items_are_acknowledged() {
     let mut fleet = Simulation::new(3, 31);
     fleet.publish(1, item("a", 5, b"x"));
     fleet.run_for(SECOND);
--- a/gossip/tests/anti_entropy.rs
+++ b/gossip/tests/anti_entropy.rs
@@ -16,7 +16,7 @@
 
 /// The halves of a cut fleet change apart from each other; after the cut all have the newest of both.
 #[gtest]
-fn halves_of_a_cut_agree_after_it() {
+fn the_sides_of_a_partition_converge_after_it() {
     for (nodes, within) in [(3, SECOND), (9, SECOND), (78, 2 * SECOND), (400, 3 * SECOND)] {
         let mut fleet = Simulation::new(nodes, 11);
         for number in 0..200 {
@@ -35,10 +35,10 @@
         fleet.group.fill(0);
         let begin = fleet.now;
         let is_agreed = |fleet: &Simulation| {
-            fleet.all_hold(&item("server-150", 3, b"newer"))
-                && fleet.all_hold(&item("new-0", 1, b"new"))
+            fleet.all_have_item(&item("server-150", 3, b"newer"))
+                && fleet.all_have_item(&item("new-0", 1, b"new"))
                 && (0..100).all(|number| {
-                    fleet.all_hold(&item(&format!("server-{number}"), 2 + number as u64 % 2, b"during"))
+                    fleet.all_have_item(&item(&format!("server-{number}"), 2 + number as u64 % 2, b"during"))
                 })
                 && all_have(fleet, 200)
         };
@@ -55,7 +55,7 @@
 
 /// A node that comes back empty has everything within a second, and does not flood the others with it.
 #[gtest]
-fn a_restarted_node_is_filled_within_a_second() {
+fn a_restarted_node_has_all_items_within_a_second() {
     for nodes in [3, 9, 78, 400] {
         let mut fleet = Simulation::new(nodes, 12);
         for number in 0..2_000 {
@@ -69,14 +69,14 @@
         let (begin, before) = (fleet.now, fleet.total());
         fleet.payload_received[0] = 0;
         fleet.restart(0);
-        let is_filled = fleet.run_until_holds(begin + SECOND, |fleet| len_of(fleet, 0) == 2_001);
+        let is_filled = fleet.run_until_condition(begin + SECOND, |fleet| len_of(fleet, 0) == 2_001);
         println!(
             "{nodes} nodes: filled with 2,001 items in {:.1} ms",
             (fleet.now - begin) as f64 / MS as f64
         );
         expect_that!(is_filled, eq(true), "{nodes} nodes");
         fleet.run_for(2 * SECOND);
-        let known = fleet.total().items_known - before.items_known;
+        let known = fleet.total().items_duplicate - before.items_duplicate;
         expect_that!(known, le(2 * 2_001), "{nodes} nodes: what came twice");
         expect_that!(fleet.payload_received[0], le(1_200_000), "{nodes} nodes");
     }
@@ -96,9 +96,9 @@
     fleet.publish(0, newer.clone());
     fleet.publish(1, only.clone());
     let before = fleet.total();
-    (0..2).for_each(|node| fleet.meet(node));
+    (0..2).for_each(|node| fleet.set_all_peers(node));
     fleet.run_for(SECOND);
-    expect_that!(fleet.all_hold(&newer) && fleet.all_hold(&only), eq(true));
+    expect_that!(fleet.all_have_item(&newer) && fleet.all_have_item(&only), eq(true));
     let bytes = fleet.total().bytes_sent - before.bytes_sent;
     println!("10,000 items on two nodes, two differ: {bytes} bytes in the first second");
     expect_that!(bytes, le(20_000));
@@ -112,8 +112,8 @@
         fleet.publish(number % 2, item(&format!("server-{number}"), 1, &[0; 100]));
     }
     let begin = fleet.now;
-    (0..2).for_each(|node| fleet.meet(node));
-    let is_repaired = fleet.run_until_holds(begin + 5 * SECOND, |fleet| all_have(fleet, 10_000));
+    (0..2).for_each(|node| fleet.set_all_peers(node));
+    let is_repaired = fleet.run_until_condition(begin + 5 * SECOND, |fleet| all_have(fleet, 10_000));
     println!("5,000 items to exchange each way: {} ms", (fleet.now - begin) / MS);
     expect_that!(is_repaired, eq(true));
     expect_that!(fleet.largest_message, le(33 * 1_024));
@@ -121,7 +121,7 @@
 
 /// Joining one after the other, every node gets what there was before it.
 #[gtest]
-fn nodes_that_join_later_get_everything() {
+fn nodes_that_join_later_get_all_items() {
     let mut fleet = Simulation::without_peers(9, 15);
     fleet.publish(0, item("first", 1, b"x"));
     for joined in 1..=9 {
@@ -137,7 +137,7 @@
 
 /// A new peer is not visited by all others at once.
 #[gtest]
-fn a_newcomer_is_not_visited_by_all_at_once() {
+fn not_all_peers_compare_with_a_new_node_at_once() {
     let mut fleet = Simulation::without_peers(200, 16);
     let all: Vec<Peer> = (0..200).map(|peer| Peer { address: address(peer), near: true }).collect();
     (0..199).for_each(|node| fleet.set_peers(node, &all[..199]));
@@ -163,7 +163,7 @@
 
 /// A node sends no more for repairs than it may; what is put off comes later.
 #[gtest]
-fn repairs_keep_to_their_bytes_per_second() {
+fn repairs_stay_within_their_rate_limit() {
     let config =
         GossipConfig::builder().address(address(0)).seed(1).max_repair_bytes_per_second(100_000).build();
     let mut fleet = Simulation::without_peers(2, 18);
@@ -171,7 +171,7 @@
     for number in 0..3_000 {
         fleet.publish(0, item(&format!("server-{number}"), 1, &[0; 100]));
     }
-    (0..2).for_each(|node| fleet.meet(node));
+    (0..2).for_each(|node| fleet.set_all_peers(node));
     for second in 1..=3 {
         fleet.run_for(SECOND);
         let bytes = fleet.payload_received[1];
@@ -183,7 +183,7 @@
 
 /// Whatever way an item takes, and however long it stays anywhere, all know when it was published.
 #[gtest]
-fn its_age_comes_along_with_an_item() {
+fn an_item_travels_with_its_age() {
     for nodes in [3, 9, 78] {
         let mut fleet = Simulation::new(nodes, 14);
         fleet.run_for(SECOND);
--- a/gossip/tests/cost.rs
+++ b/gossip/tests/cost.rs
@@ -11,7 +11,7 @@
 
 /// At rest: a digest each way every half second, each below a kilobyte, however many items there are.
 #[gtest]
-fn a_fleet_at_rest_only_compares_digests() {
+fn an_idle_fleet_only_compares_digests() {
     let mut fleet = Simulation::new(10, 1);
     for number in 0..1_000 {
         fleet.publish(number % 10, item(&format!("server-{number}"), 1, &[0; 100]));
@@ -47,7 +47,7 @@
         let begin = fleet.now;
         fleet.publish(change % 10, item.clone());
         fleet.run_for(SECOND / 15);
-        expect_that!(fleet.all_hold(&item), eq(true), "change {change}");
+        expect_that!(fleet.all_have_item(&item), eq(true), "change {change}");
         worst = worst.max(fleet.last_arrival(&item).at - begin);
     }
     let after = fleet.total();
@@ -84,7 +84,8 @@
     let per_second = |amount: u64| 2.0 * per_node_and_second(amount, NODES, 1);
     let messages = per_second(after.messages_sent - before.messages_sent);
     let bytes = per_second(after.bytes_sent - before.bytes_sent);
-    let received = after.items_taken + after.items_known - before.items_taken - before.items_known;
+    let received =
+        after.items_accepted + after.items_duplicate - before.items_accepted - before.items_duplicate;
     let copies = received as f64 / (PER_MILLISECOND * MILLISECONDS * (NODES - 1)) as f64;
     println!(
         "5,000 changes/s, 400 nodes, per node: {messages:.0} messages/s, {bytes:.0} bytes/s, {copies:.2} copies"
@@ -93,7 +94,7 @@
     expect_that!(bytes, le(4_000_000.0));
     expect_that!(copies, le(3.2));
     let begin = fleet.now;
-    let reached = fleet.run_until_holds(begin + 2 * SECOND, |fleet| fleet.all_hold(&last));
+    let reached = fleet.run_until_condition(begin + 2 * SECOND, |fleet| fleet.all_have_item(&last));
     println!("the last change was everywhere within {:.1} ms", (fleet.now - begin) as f64 / MS as f64 + 1.0);
     expect_that!(reached, eq(true));
     expect_that!(fleet.nodes.iter().flatten().all(|node| node.len() == KEYS), eq(true));
@@ -101,7 +102,7 @@
 
 /// A large payload is offered by its stamp and comes to each node once.
 #[gtest]
-fn a_large_payload_comes_to_each_node_once() {
+fn a_large_payload_is_sent_to_each_node_once() {
     for (nodes, kilobytes) in [(3, 10), (9, 200), (78, 200), (400, 50)] {
         let mut fleet = Simulation::new(nodes, 4);
         fleet.run_for(2 * SECOND);
@@ -109,7 +110,7 @@
         let item = item("configuration", 1, &payload);
         let begin = fleet.now;
         fleet.publish(0, item.clone());
-        let reached = fleet.run_until_holds(begin + 2 * SECOND, |fleet| fleet.all_hold(&item));
+        let reached = fleet.run_until_condition(begin + 2 * SECOND, |fleet| fleet.all_have_item(&item));
         let ms = (fleet.now - begin) as f64 / MS as f64;
         expect_that!(reached, eq(true), "{nodes} nodes");
         fleet.run_for(5 * SECOND);
@@ -136,7 +137,7 @@
     let item = item("configuration", 1, &payload);
     let begin = fleet.now;
     fleet.publish(0, item.clone());
-    let reached = fleet.run_until_holds(begin + 5 * SECOND, |fleet| fleet.all_hold(&item));
+    let reached = fleet.run_until_condition(begin + 5 * SECOND, |fleet| fleet.all_have_item(&item));
     println!("100 KB, 78 nodes, 10 % lost: everywhere in {} ms", (fleet.now - begin) / MS);
     expect_that!(reached, eq(true));
     let most = fleet.payload_received.iter().copied().max().unwrap_or(0) as f64 / payload.len() as f64;
--- a/gossip/tests/golden.rs
+++ b/gossip/tests/golden.rs
@@ -85,7 +85,7 @@
         Message::Fetch { entries: entries.clone() }.size(),
         Message::Digest { ranges: vec![digest; 3], reply: true }.size(),
         Message::Entries { ranges }.size(),
-        Message::Acknowledge { entries, leaving: false }.size(),
+        Message::Acknowledge { entries, shutting_down: false }.size(),
     ];
     expect_that!(sizes, eq([102, 44, 44, 46, 77, 44]));
 }
--- a/gossip/tests/merge.rs
+++ b/gossip/tests/merge.rs
@@ -90,8 +90,8 @@
             let newest = newest.max_by_key(|other| other.stamp).filter(|newest| !newest.removed);
             prop_assert_eq!(one.get(item.kind, &item.key), newest);
         }
-        let living = (0..3).map(|kind| one.items(Kind(kind)).count()).sum::<usize>();
-        prop_assert_eq!(one.len(), living);
+        let live = (0..3).map(|kind| one.items(Kind(kind)).count()).sum::<usize>();
+        prop_assert_eq!(one.len(), live);
     }
 
     /// Whatever two nodes hold, comparing makes them equal.
--- a/gossip/tests/push.rs
+++ b/gossip/tests/push.rs
@@ -9,7 +9,7 @@
 use simulation::{KIND, MS, SECOND, address, item};
 
 /// A node whose first comparisons are over.
-fn settled(peers: usize) -> Gossip {
+fn node_at_rest(peers: usize) -> Gossip {
     let mut node = Gossip::new(GossipConfig::builder().address(address(0)).seed(3).build(), 0);
     let peers: Vec<Peer> =
         (0..=peers).map(|peer| Peer { address: address(peer), near: peer % 3 == 0 }).collect();
@@ -54,8 +54,8 @@
 }
 
 #[gtest]
-fn what_comes_together_goes_on_together_to_three_others() {
-    let mut node = settled(20);
+fn items_that_arrive_together_are_pushed_together_to_three_peers() {
+    let mut node = node_at_rest(20);
     let items = many(5, 10);
     let sent = receive(&mut node, MS, 7, push(&items, false));
     expect_that!(sent.len(), eq(3));
@@ -68,8 +68,8 @@
 }
 
 #[gtest]
-fn a_small_fleet_is_told_whole() {
-    let mut node = settled(4);
+fn in_a_small_fleet_all_peers_are_pushed_to() {
+    let mut node = node_at_rest(4);
     let sent = receive(&mut node, MS, 2, push(&many(1, 10), false));
     let mut told: Vec<SocketAddrV4> = sent.into_iter().map(|(to, _)| to).collect();
     told.sort();
@@ -78,8 +78,8 @@
 
 /// The second item within 20 ms waits for those that follow; who sent one in the meantime is not told of it.
 #[gtest]
-fn items_in_quick_succession_are_collected() {
-    let mut node = settled(4);
+fn items_in_quick_succession_are_batched() {
+    let mut node = node_at_rest(4);
     let items = many(3, 10);
     expect_that!(receive(&mut node, MS, 1, push(&items[..1], false)).len(), eq(3));
     expect_that!(receive(&mut node, 2 * MS, 1, push(&items[1..2], false)).len(), eq(0));
@@ -99,16 +99,16 @@
 }
 
 #[gtest]
-fn a_repair_of_many_items_is_not_passed_on() {
-    let mut node = settled(20);
+fn a_repair_of_many_items_is_not_pushed_on() {
+    let mut node = node_at_rest(20);
     expect_that!(receive(&mut node, MS, 7, push(&many(9, 10), true)).len(), eq(0));
     let few: Vec<Item> = (0..8).map(|number| item(&format!("other-{number}"), 1, b"")).collect();
     expect_that!(receive(&mut node, 2 * MS, 7, push(&few, true)).len(), eq(3));
 }
 
 #[gtest]
-fn messages_are_cut_at_32_kib() {
-    let mut node = settled(3);
+fn messages_are_split_at_32_kib() {
+    let mut node = node_at_rest(3);
     let items = many(100, 1_000);
     let sent = receive(&mut node, MS, 1, push(&items, false));
     expect_that!(sent.len(), eq(2 * 4));
@@ -117,7 +117,7 @@
 
 #[gtest]
 fn large_payloads_are_offered_and_sent_when_fetched() {
-    let mut node = settled(3);
+    let mut node = node_at_rest(3);
     let (at_limit, large) = (item("at-limit", 1, &[0; 2_048]), item("large", 1, &[0; 2_049]));
     let sent = receive(&mut node, MS, 1, push(&[at_limit.clone(), large.clone()], false));
     let pushes =
@@ -131,8 +131,8 @@
 
 /// One fetch at a time; after 300 ms another offerer is asked; in the end none.
 #[gtest]
-fn an_offer_is_fetched_once_and_elsewhere_when_late() {
-    let mut node = settled(9);
+fn an_offer_is_fetched_once_and_elsewhere_after_a_timeout() {
+    let mut node = node_at_rest(9);
     let entry = item("large", 1, b"").entry();
     let offer = || Message::Offer { entries: vec![entry.clone()] };
     let fetch = Message::Fetch { entries: vec![entry.clone()] };
@@ -151,7 +151,7 @@
 /// A fetched item is passed on as an offer; a newer stamp is fetched though an older one is on its way.
 #[gtest]
 fn a_newer_offer_is_fetched_at_once() {
-    let mut node = settled(9);
+    let mut node = node_at_rest(9);
     let (older, newer) = (item("large", 1, &[1; 5_000]), item("large", 2, &[2; 5_000]));
     receive(&mut node, MS, 3, Message::Offer { entries: vec![older.entry()] });
     let sent = receive(&mut node, 2 * MS, 4, Message::Offer { entries: vec![newer.entry()] });
@@ -167,7 +167,7 @@
 /// Of four comparisons, about three are with near peers, though these are the fewer.
 #[gtest]
 fn comparisons_prefer_near_peers() {
-    let mut node = settled(30);
+    let mut node = node_at_rest(30);
     let (mut near, mut all) = (0, 0);
     while all < 1_000 {
         let now = node.next_wake();
@@ -184,7 +184,7 @@
 /// Digests of equal nodes are answered with an empty one, and that is not answered.
 #[gtest]
 fn equal_digests_end_the_comparison() {
-    let (mut one, mut other) = (settled(3), settled(3));
+    let (mut one, mut other) = (node_at_rest(3), node_at_rest(3));
     let items = many(50, 10);
     for node in [&mut one, &mut other] {
         receive(node, MS, 3, push(&items, false));
@@ -201,8 +201,8 @@
 
 /// Indices that no range has, and lists of them, do no harm.
 #[gtest]
-fn unknown_ranges_are_passed_over() {
-    let mut node = settled(3);
+fn unknown_ranges_are_ignored() {
+    let mut node = node_at_rest(3);
     let ranges = vec![gradepaddle_gossip::RangeDigest { index: u16::MAX, hash: 1 }];
     expect_that!(receive(&mut node, MS, 1, Message::Digest { ranges, reply: false }).len(), eq(0));
     let ranges = vec![gradepaddle_gossip::RangeEntries { index: 4_160, entries: Vec::new() }];
@@ -212,7 +212,7 @@
 /// With forty peers, a new one is compared with within `500 ms x 40 / 4`, however seldom chance would choose it.
 #[gtest]
 fn new_peers_are_compared_with_soon() {
-    let mut node = settled(30);
+    let mut node = node_at_rest(30);
     let peers: Vec<Peer> = (1..=40).map(|peer| Peer { address: address(peer), near: true }).collect();
     node.set_peers(SECOND, &peers);
     let mut visited = Vec::new();
@@ -238,8 +238,8 @@
 
 /// A repair of more than eight items leaves out what came in the last 100 ms; a small one leaves out nothing.
 #[gtest]
-fn a_large_repair_leaves_out_what_is_on_its_way() {
-    let mut node = settled(20);
+fn a_large_repair_leaves_out_items_in_flight() {
+    let mut node = node_at_rest(20);
     receive(&mut node, 1_000 * MS, 7, push(&many(8, 10), false));
     expect_that!(sent_to_an_empty_node(&mut node, 1_050 * MS), eq(8));
     receive(&mut node, 1_080 * MS, 7, push(&[item("ninth", 1, b"")], false));
--- a/gossip/tests/reach.rs
+++ b/gossip/tests/reach.rs
@@ -1,4 +1,4 @@
-//! How fast and by how many hops an item reaches every node. The table that it prints is the one in `docs/spread.md`.
+//! How fast and by how many hops an item reaches every node. The table that it prints is the one in `docs/gossip.md`.
 
 mod simulation;
 
@@ -29,7 +29,7 @@
     copies: f64,
 }
 
-/// Publishes items in a settled fleet and measures when the last node takes each.
+/// Publishes items in a node_at_rest fleet and measures when the last node takes each.
 fn reach(nodes: usize, loss: f64) -> Reach {
     let mut fleet = Simulation::new(nodes, 7 + nodes as u64);
     fleet.run_for(2 * SECOND);
@@ -42,13 +42,14 @@
         let begin = fleet.now;
         fleet.publish(rng.usize(0..nodes), item.clone());
         fleet.run_for(SETTLED_AFTER);
-        assert!(fleet.all_hold(&item), "item {number} is everywhere after {SETTLED_AFTER} microseconds");
+        assert!(fleet.all_have_item(&item), "item {number} is everywhere after {SETTLED_AFTER} microseconds");
         let last = fleet.last_arrival(&item);
         times.push(last.at - begin);
         hops = hops.max(last.hops);
     }
     let total = fleet.total();
-    let received = total.items_taken + total.items_known - before.items_taken - before.items_known;
+    let received =
+        total.items_accepted + total.items_duplicate - before.items_accepted - before.items_duplicate;
     times.sort_unstable();
     let ms = |time: u64| time as f64 / MS as f64;
     let copies = received as f64 / (ITEMS * (nodes - 1)) as f64;
@@ -66,7 +67,7 @@
 
 /// Without losses, passing on alone reaches everyone, within hops that grow with the logarithm.
 #[gtest]
-fn an_item_reaches_every_node_by_passing_on() {
+fn an_item_reaches_every_node_by_pushes_alone() {
     for (nodes, worst_ms) in [(3, 5.0), (9, 10.0), (78, 20.0), (400, 30.0)] {
         let reach = reach(nodes, 0.0);
         expect_that!(reach.hops, le(hops_at_most(nodes)), "{nodes} nodes: {reach:?}");
--- a/gossip/tests/replication_factor.rs
+++ b/gossip/tests/replication_factor.rs
@@ -14,13 +14,13 @@
 }
 
 /// The nodes that hold an item.
-fn holders(fleet: &Simulation, key: &str) -> Vec<usize> {
+fn acknowledged_by(fleet: &Simulation, key: &str) -> Vec<usize> {
     let holds = |node: &usize| fleet.nodes[*node].as_ref().is_some_and(|one| one.get(KIND, key).is_some());
     (0..fleet.nodes.len()).filter(holds).collect()
 }
 
 #[gtest]
-fn a_confirmed_item_outlives_the_memory_of_the_whole_group() {
+fn an_acknowledged_item_survives_the_loss_of_the_group() {
     for seed in 0..200 {
         for publisher in [0, 1, 5] {
             let mut fleet = Simulation::new(9, seed);
@@ -30,68 +30,68 @@
                 group().into_iter().filter(|one| *one != address(publisher)).collect();
             let (inside, outside) = if publisher < 3 { (1, 1) } else { (2, 0) };
             let copies = ReplicationFactor { count: 2, group: &others, inside, outside };
-            fleet.publish_on_both_sides(publisher, item("a", 1, b"x"), 1, copies);
-            let confirmed = fleet.run_until_holds(3 * SECOND, |fleet| fleet.tickets.contains_key(&1));
+            fleet.publish_with_replication(publisher, item("a", 1, b"x"), 1, copies);
+            let confirmed = fleet.run_until_condition(3 * SECOND, |fleet| fleet.tickets.contains_key(&1));
             expect_that!((confirmed, fleet.tickets[&1].1), eq((true, true)));
-            let held = holders(&fleet, "a");
+            let held = acknowledged_by(&fleet, "a");
             expect_that!(held.iter().filter(|node| **node < 3).count(), ge(2), "{publisher} of seed {seed}");
             expect_that!(held.iter().filter(|node| **node >= 3).count(), ge(1), "{publisher} of seed {seed}");
             // All of the group lose power, and what is on its way with them.
             (0..3).for_each(|node| fleet.restart(node));
             fleet.group.fill(0);
             fleet.run_for(6 * SECOND);
-            expect_that!(holders(&fleet, "a").len(), eq(9), "{publisher} of seed {seed}");
+            expect_that!(acknowledged_by(&fleet, "a").len(), eq(9), "{publisher} of seed {seed}");
         }
     }
 }
 
 #[gtest]
-fn unconfirmed_where_no_node_outside_the_group_answers() {
+fn acknowledgment_fails_if_no_node_outside_the_group_answers() {
     let mut fleet = Simulation::new(9, 1);
     (3..9).for_each(|node| fleet.group[node] = 1);
     let others = [address(1), address(2)];
     let copies = ReplicationFactor { count: 2, group: &others, inside: 1, outside: 1 };
-    fleet.publish_on_both_sides(0, item("a", 1, b"x"), 1, copies);
+    fleet.publish_with_replication(0, item("a", 1, b"x"), 1, copies);
     fleet.run_for(4 * SECOND);
     expect_that!(fleet.tickets[&1].1, eq(false));
 }
 
 #[gtest]
-fn a_group_without_other_nodes_confirms_by_itself() {
+fn a_group_without_other_nodes_acknowledges_by_itself() {
     let mut fleet = Simulation::new(3, 1);
     let others = [address(1), address(2)];
     let copies = ReplicationFactor { count: 2, group: &others, inside: 1, outside: 1 };
-    fleet.publish_on_both_sides(0, item("a", 1, b"x"), 1, copies);
+    fleet.publish_with_replication(0, item("a", 1, b"x"), 1, copies);
     fleet.run_for(100 * MS);
     expect_that!(fleet.tickets[&1].1, eq(true));
 }
 
 #[gtest]
-fn nodes_that_are_about_to_end_dont_count() {
+fn nodes_that_are_shutting_down_do_not_count() {
     for seed in 0..200 {
         let mut fleet = Simulation::new(9, seed);
         let leavers = [1, 4, 5, 6];
         (3..=7).filter(|node| !leavers.contains(node)).for_each(|node| fleet.group[node] = 1);
-        leavers.iter().for_each(|node| fleet.node(*node).leave());
+        leavers.iter().for_each(|node| fleet.node(*node).shut_down());
         let others = [address(1), address(2)];
         let copies = ReplicationFactor { count: 2, group: &others, inside: 1, outside: 1 };
-        fleet.publish_on_both_sides(0, item("a", 1, b"x"), 1, copies);
-        fleet.run_until_holds(3 * SECOND, |fleet| fleet.tickets.contains_key(&1));
+        fleet.publish_with_replication(0, item("a", 1, b"x"), 1, copies);
+        fleet.run_until_condition(3 * SECOND, |fleet| fleet.tickets.contains_key(&1));
         expect_that!(fleet.tickets[&1].1, eq(true), "seed {seed}");
-        let held = holders(&fleet, "a");
+        let held = acknowledged_by(&fleet, "a");
         expect_that!(held, contains(eq(&2)), "seed {seed}");
         expect_that!(held, contains(eq(&8)), "seed {seed}");
     }
 }
 
 #[gtest]
-fn where_all_others_are_about_to_end_their_copies_will_have_to_do() {
+fn copies_of_nodes_that_shut_down_suffice_where_there_are_no_others() {
     let mut fleet = Simulation::new(3, 1);
-    [1, 2].iter().for_each(|node| fleet.node(*node).leave());
+    [1, 2].iter().for_each(|node| fleet.node(*node).shut_down());
     let others = [address(1), address(2)];
     let copies = ReplicationFactor { count: 2, group: &others, inside: 1, outside: 1 };
-    fleet.publish_on_both_sides(0, item("a", 1, b"x"), 1, copies);
+    fleet.publish_with_replication(0, item("a", 1, b"x"), 1, copies);
     fleet.run_for(100 * MS);
     expect_that!(fleet.tickets[&1].1, eq(true));
-    expect_that!(holders(&fleet, "a"), elements_are![eq(&0), eq(&1), eq(&2)]);
+    expect_that!(acknowledged_by(&fleet, "a"), elements_are![eq(&0), eq(&1), eq(&2)]);
 }
--- a/gossip/tests/simulation/mod.rs
+++ b/gossip/tests/simulation/mod.rs
@@ -93,7 +93,7 @@
     /// A fleet whose nodes all know each other from the start.
     pub fn new(nodes: usize, seed: u64) -> Self {
         let mut simulation = Self::without_peers(nodes, seed);
-        (0..nodes).for_each(|node| simulation.meet(node));
+        (0..nodes).for_each(|node| simulation.set_all_peers(node));
         simulation
     }
 
@@ -127,7 +127,7 @@
     }
 
     /// Tells a node of all others that are there.
-    pub fn meet(&mut self, node: usize) {
+    pub fn set_all_peers(&mut self, node: usize) {
         let others = (0..self.nodes.len()).filter(|other| *other != node && self.nodes[*other].is_some());
         let peers: Vec<Peer> = others
             .map(|other| Peer { address: address(other), near: other % ZONES == node % ZONES })
@@ -155,7 +155,7 @@
         let fresh = self.fresh(node);
         self.nodes[node] = Some(fresh);
         self.wakes[node] = u64::MAX;
-        self.meet(node);
+        self.set_all_peers(node);
     }
 
     pub fn publish(&mut self, node: usize, item: Item) {
@@ -179,7 +179,7 @@
     }
 
     /// Has copies on both sides of a group of nodes.
-    pub fn publish_on_both_sides(
+    pub fn publish_with_replication(
         &mut self,
         node: usize,
         item: Item,
@@ -203,7 +203,7 @@
     }
 
     /// Runs until something holds, at most until a time. Returns whether it holds.
-    pub fn run_until_holds(&mut self, until: u64, mut holds: impl FnMut(&Self) -> bool) -> bool {
+    pub fn run_until_condition(&mut self, until: u64, mut holds: impl FnMut(&Self) -> bool) -> bool {
         loop {
             if holds(self) {
                 return true;
@@ -258,16 +258,16 @@
             match output {
                 Output::Send { to, message } => self.post(node, node_of(to), message),
                 Output::Changed(item) => self.arrive(node, from, &item),
-                Output::Acknowledged { publish_id } => self.settle(publish_id, true),
-                Output::AcknowledgmentFailed { publish_id } => self.settle(publish_id, false),
+                Output::Acknowledged { publish_id } => self.acknowledge(publish_id, true),
+                Output::AcknowledgmentFailed { publish_id } => self.acknowledge(publish_id, false),
             }
         }
         self.schedule_wake(node);
     }
 
-    fn settle(&mut self, publish_id: u64, confirmed: bool) {
+    fn acknowledge(&mut self, publish_id: u64, confirmed: bool) {
         let before = self.tickets.insert(publish_id, (self.now, confirmed));
-        assert!(before.is_none(), "a publish_id is settled once");
+        assert!(before.is_none(), "a publish_id is node_at_rest once");
     }
 
     fn arrive(&mut self, node: usize, from: Option<usize>, item: &Item) {
@@ -311,7 +311,7 @@
     }
 
     /// Whether all nodes that are there hold an item in this stamp.
-    pub fn all_hold(&self, item: &Item) -> bool {
+    pub fn all_have_item(&self, item: &Item) -> bool {
         self.nodes.iter().flatten().all(|node| node.get(item.kind, &item.key) == Some(item))
     }
 
@@ -333,12 +333,12 @@
             total.bytes_sent += one.bytes_sent;
             total.messages_received += one.messages_received;
             total.bytes_received += one.bytes_received;
-            total.items_taken += one.items_taken;
-            total.items_known += one.items_known;
+            total.items_accepted += one.items_accepted;
+            total.items_duplicate += one.items_duplicate;
             total.comparisons += one.comparisons;
             total.repairs += one.repairs;
             total.fetches += one.fetches;
-            total.repairs_put_off += one.repairs_put_off;
+            total.repairs_deferred += one.repairs_deferred;
         }
         total
     }
--- a/gossip/tests/storm.rs
+++ b/gossip/tests/storm.rs
@@ -61,14 +61,14 @@
     fleet.group.fill(0);
     let end = fleet.now;
     let newest = item("current", CHANGES, PAYLOAD);
-    let all = fleet.run_until_holds(end + 10 * SECOND, |fleet| fleet.all_hold(&newest));
+    let all = fleet.run_until_condition(end + 10 * SECOND, |fleet| fleet.all_have_item(&newest));
     assert!(all, "seed {seed}: some of {nodes} nodes never have the newest");
     spans.push(fleet.now - end);
     spans
 }
 
 #[gtest]
-fn whoever_starts_in_a_storm_of_changes_ends_with_the_newest() {
+fn nodes_that_start_during_a_storm_of_changes_converge_to_the_newest() {
     for nodes in [3, 9, 60] {
         let mut spans: Vec<u64> = (0..SEEDS).flat_map(|seed| storm(nodes, seed)).collect();
         spans.sort_unstable();
--- a/gossip/tests/tombstones.rs
+++ b/gossip/tests/tombstones.rs
@@ -14,7 +14,7 @@
     (0..fleet.nodes.len()).filter(|node| knows(fleet, *node)).count()
 }
 
-fn holding(fleet: &Simulation) -> usize {
+fn nodes_with_item(fleet: &Simulation) -> usize {
     fleet.nodes.iter().flatten().filter(|node| node.get(KIND, "a").is_some()).count()
 }
 
@@ -26,11 +26,11 @@
 }
 
 #[gtest]
-fn a_removed_item_is_gone_everywhere_and_forgotten_after_a_minute() {
+fn a_removed_item_is_gone_everywhere_and_its_tombstone_expires_after_a_minute() {
     let mut fleet = fleet_with_a(9, 41);
     fleet.publish(1, tombstone("a", 2));
     fleet.run_for(2 * SECOND);
-    expect_that!(holding(&fleet), eq(0));
+    expect_that!(nodes_with_item(&fleet), eq(0));
     expect_that!(fleet.nodes.iter().flatten().all(Gossip::is_empty), eq(true));
     fleet.run_for(57 * SECOND);
     expect_that!(knowing(&fleet), eq(9));
@@ -40,31 +40,31 @@
 
 /// While the tombstone is kept, an older item that comes back is refused and its holder told.
 #[gtest]
-fn an_older_item_does_not_come_back_within_the_time() {
+fn an_older_item_does_not_come_back_before_the_tombstone_expires() {
     for away in [20, 50, 55] {
         let mut fleet = fleet_with_a(9, 42);
         fleet.group[8] = 1;
         fleet.publish(1, tombstone("a", 2));
         fleet.run_for(away * SECOND);
-        expect_that!(holding(&fleet), eq(1));
+        expect_that!(nodes_with_item(&fleet), eq(1));
         fleet.group[8] = 0;
         fleet.run_for(3 * SECOND);
-        expect_that!(holding(&fleet), eq(0), "after {away} s");
+        expect_that!(nodes_with_item(&fleet), eq(0), "after {away} s");
         fleet.run_for(60 * SECOND);
-        expect_that!(holding(&fleet) + knowing(&fleet), eq(0), "after {away} s");
+        expect_that!(nodes_with_item(&fleet) + knowing(&fleet), eq(0), "after {away} s");
     }
 }
 
 /// The documented bound: a holder that was away for longer than the tombstone brings the item back.
 #[gtest]
-fn the_bound_is_the_tombstones_time() {
+fn an_older_item_comes_back_after_the_tombstone_has_expired() {
     let mut fleet = fleet_with_a(9, 43);
     fleet.group[8] = 1;
     fleet.publish(1, tombstone("a", 2));
     fleet.run_for(65 * SECOND);
     fleet.group[8] = 0;
     fleet.run_for(3 * SECOND);
-    expect_that!(holding(&fleet), eq(9));
+    expect_that!(nodes_with_item(&fleet), eq(9));
 }
 
 /// Restarts one after the other, each filled by the others, don't keep a tombstone alive.
@@ -89,13 +89,13 @@
     let again = item("a", 3, b"again");
     fleet.publish(2, again.clone());
     fleet.run_for(100 * SECOND);
-    expect_that!(fleet.all_hold(&again), eq(true));
+    expect_that!(fleet.all_have_item(&again), eq(true));
 }
 
 /// Nodes quieten a tombstone some milliseconds apart, so a comparison in between may tell one in vain; it is taken
 /// nowhere, and that happens less than once per tombstone in the whole fleet.
 #[gtest]
-fn forgetting_causes_hardly_any_repairs() {
+fn expiry_of_tombstones_causes_hardly_any_repairs() {
     let mut fleet = fleet_with_a(78, 46);
     for number in 0..300 {
         fleet.publish(number % 78, tombstone(&format!("server-{number}"), 1));
@@ -105,6 +105,6 @@
     let before = fleet.total();
     fleet.run_for(70 * SECOND);
     let after = fleet.total();
-    expect_that!(after.items_taken - before.items_taken, eq(0));
+    expect_that!(after.items_accepted - before.items_accepted, eq(0));
     expect_that!(after.repairs - before.repairs, le(300));
 }
--- a/proto/src/gossip.rs
+++ b/proto/src/gossip.rs
@@ -96,9 +96,9 @@
                 to.uint64(1, ENTRIES);
                 to.repeated_messages(2, ranges);
             }
-            Message::Acknowledge { entries, leaving } => {
+            Message::Acknowledge { entries, shutting_down } => {
                 list(to, ACKNOWLEDGE, entries);
-                to.bool(3, *leaving);
+                to.bool(3, *shutting_down);
             }
         }
     }
@@ -122,7 +122,7 @@
             DIGEST => Message::Digest { ranges: fields.repeated_messages(2)?, reply: fields.bool(3) },
             ENTRIES => Message::Entries { ranges: fields.repeated_messages(2)? },
             ACKNOWLEDGE => {
-                Message::Acknowledge { entries: fields.repeated_messages(2)?, leaving: fields.bool(3) }
+                Message::Acknowledge { entries: fields.repeated_messages(2)?, shutting_down: fields.bool(3) }
             }
             variant => return UnknownVariantSnafu { message: "spread message", variant }.fail(),
         })
--- a/proto/tests/common/mod.rs
+++ b/proto/tests/common/mod.rs
@@ -251,7 +251,7 @@
             .prop_map(|(ranges, reply)| Message::Digest { ranges, reply }),
         vec(range_entries(), 0..4).prop_map(|ranges| Message::Entries { ranges }),
         (vec(entry(), 0..5), any::<bool>())
-            .prop_map(|(entries, leaving)| Message::Acknowledge { entries, leaving }),
+            .prop_map(|(entries, shutting_down)| Message::Acknowledge { entries, shutting_down }),
     ]
     .boxed()
 }
--- a/proto/tests/golden.rs
+++ b/proto/tests/golden.rs
@@ -354,8 +354,14 @@
     golden.check("dissemination/digest/default", &Message::Digest { ranges: vec![], reply: false });
     golden.check("dissemination/entries", &Message::Entries { ranges: vec![ranges] });
     golden.check("dissemination/entries/default", &Message::Entries { ranges: vec![] });
-    golden.check("dissemination/confirm", &Message::Acknowledge { entries: vec![entry(1)], leaving: true });
-    golden.check("dissemination/confirm/default", &Message::Acknowledge { entries: vec![], leaving: false });
+    golden.check(
+        "dissemination/confirm",
+        &Message::Acknowledge { entries: vec![entry(1)], shutting_down: true },
+    );
+    golden.check(
+        "dissemination/confirm/default",
+        &Message::Acknowledge { entries: vec![], shutting_down: false },
+    );
     golden.check_all_compared();
 }
 
