--- a/control/src/heartbeat.rs
+++ b/control/src/heartbeat.rs
@@ -4,54 +4,54 @@
 
 use crate::{
     Body, HeartbeatReply, KnownView, Output, ProposalNumber, Replica, ReplicaId,
-    lease::{Grant, PrimaryClock, lease_until},
+    lease::{GrantedLease, PrimaryClock, lease_until},
 };
 
 impl Replica {
     /// Until when this replica may act as the primary.
     pub(crate) fn lease_until(&self) -> Option<u64> {
         let leadership = self.leadership.as_ref()?;
-        lease_until(&self.config, &leadership.view, &leadership.contacts)
+        lease_until(&self.config, &leadership.view, &leadership.peers)
     }
 
     /// Whether this replica leads but reaches no majority any longer.
-    pub(crate) fn has_lost_contact(&self) -> bool {
-        self.leadership.as_ref().is_some_and(|leadership| leadership.renewals.lost_contact(self.now()))
+    pub(crate) fn has_lost_quorum(&self) -> bool {
+        self.leadership.as_ref().is_some_and(|leadership| leadership.lease_renewals.quorum_lost(self.now()))
     }
 
-    pub(crate) fn beat(&mut self, out: &mut Vec<Output>) {
+    pub(crate) fn maybe_broadcast_heartbeat(&mut self, out: &mut Vec<Output>) {
         let (now, every) = (self.now(), self.config.heartbeat_interval);
         let lease_until = self.lease_until();
         let Some(leadership) = self.leadership.as_mut().filter(|lead| now >= lead.next_heartbeat) else {
             return;
         };
         leadership.next_heartbeat = now + every;
-        leadership.renewals.note(lease_until);
+        leadership.lease_renewals.record(lease_until);
         // Members that can be heard no longer may still hear this one: their leases for it must be let run out.
-        if leadership.renewals.lost_contact(now) {
+        if leadership.lease_renewals.quorum_lost(now) {
             return;
         }
         let (epoch, view) = (leadership.epoch, Arc::clone(&leadership.view));
-        let joiners = leadership.joiners.values().filter(|joiner| joiner.asks(now));
+        let joiners = leadership.joiners.values().filter(|joiner| joiner.is_requesting(now));
         let joiners: Vec<_> = joiners.map(|joiner| joiner.member.address).collect();
         let members = view.members.iter().filter(|member| member.id != self.id);
         for address in members.map(|member| member.address).chain(joiners) {
             self.send(address, Body::Heartbeat { epoch, sent: now }, out);
         }
-        self.release_the_left(out);
+        self.notify_removed_members(out);
     }
 
     /// Tells members that were left out that the view without them needs them no longer.
-    pub(crate) fn release_the_left(&mut self, out: &mut Vec<Output>) {
+    pub(crate) fn notify_removed_members(&mut self, out: &mut Vec<Output>) {
         let now = self.now();
         let Some(leadership) = self.leadership.as_mut() else { return };
-        leadership.left.retain(|_, (_, until)| now < *until);
-        if leadership.left.is_empty() || !self.view_change_complete() {
+        leadership.removed.retain(|_, (_, until)| now < *until);
+        if leadership.removed.is_empty() || !self.view_change_complete() {
             return;
         }
         let Some(leadership) = &self.leadership else { return };
         let view = KnownView { view: Arc::clone(&leadership.view), active: true };
-        for (address, _) in leadership.left.values() {
+        for (address, _) in leadership.removed.values() {
             self.send(*address, Body::Accept { view: view.clone() }, out);
         }
     }
@@ -61,13 +61,12 @@
     pub(crate) fn view_change_complete(&self) -> bool {
         let Some(leadership) = &self.leadership else { return false };
         let epoch = leadership.epoch;
-        let others =
-            leadership.contacts.values().filter(|contact| contact.active_epoch_durable == epoch).count();
+        let others = leadership.peers.values().filter(|peer| peer.active_epoch_durable == epoch).count();
         let know = others + usize::from(self.activation_durable());
         know > self.config.machine_losses.max(1) || know == leadership.view.members.len()
     }
 
-    pub(crate) fn on_heartbeat(
+    pub(crate) fn handle_heartbeat(
         &mut self,
         from: SocketAddrV4,
         sender: ReplicaId,
@@ -75,7 +74,7 @@
         sent: u64,
         out: &mut Vec<Output>,
     ) {
-        self.note_epoch(epoch);
+        self.observe_epoch(epoch);
         // A lease is granted only under a promise that a restart would find, so that the restart knows its holder.
         let promised = self
             .promised
@@ -85,17 +84,17 @@
         let granted = promised.filter(|_| lasting);
         if let Some(proposal_number) = granted {
             let sent_at = self.sent_at(epoch, sent);
-            self.grant(proposal_number, sent_at + self.config.lease_duration);
-            self.hear_at(sent_at);
+            self.grant_lease(proposal_number, sent_at + self.config.lease_duration);
+            self.reset_election_timer_at(sent_at);
             if self.view_epoch() == epoch {
-                self.note_active(out);
+                self.mark_view_active(out);
             }
         }
         let activation_durable = self.activation_durable();
-        self.send(from, self.echo(epoch, sent, granted.is_some(), activation_durable), out);
+        self.send(from, self.heartbeat_reply(epoch, sent, granted.is_some(), activation_durable), out);
         if granted.is_some() && !activation_durable && self.view.as_ref().is_some_and(|known| known.active) {
             // The primary needn't wait for its next heartbeat to learn that this one knows of the view for good.
-            let effect = self.reply_once_durable(from, self.echo(epoch, sent, true, true));
+            let effect = self.reply_once_durable(from, self.heartbeat_reply(epoch, sent, true, true));
             self.persist(Vec::new(), effect, out);
         }
     }
@@ -113,17 +112,17 @@
     }
 
     /// Grants a lease, unless a longer one was granted to the candidate before.
-    fn grant(&mut self, proposal_number: ProposalNumber, until: u64) {
+    fn grant_lease(&mut self, proposal_number: ProposalNumber, until: u64) {
         let before =
-            self.granted.filter(|grant| grant.proposal_number.candidate == proposal_number.candidate);
-        let until = before.map_or(until, |grant| grant.until.max(until));
-        self.granted = Some(Grant { proposal_number, until });
+            self.granted_lease.filter(|grant| grant.proposal_number.candidate == proposal_number.candidate);
+        let until = before.map_or(until, |grant| grant.expires_at.max(until));
+        self.granted_lease = Some(GrantedLease { proposal_number, expires_at: until });
         if until > self.now() {
-            self.poll = None;
+            self.pre_vote = None;
         }
     }
 
-    fn echo(&self, epoch: u64, sent: u64, granted: bool, activation_durable: bool) -> Body {
+    fn heartbeat_reply(&self, epoch: u64, sent: u64, granted: bool, activation_durable: bool) -> Body {
         Body::HeartbeatReply(HeartbeatReply {
             epoch,
             sent,
@@ -136,7 +135,7 @@
         })
     }
 
-    pub(crate) fn on_echo(
+    pub(crate) fn handle_heartbeat_reply(
         &mut self,
         from: SocketAddrV4,
         sender: ReplicaId,
@@ -145,25 +144,25 @@
     ) {
         let HeartbeatReply { epoch, sent, granted, promised, view_epoch, .. } = reply;
         let (now, own) = (self.now(), self.promised);
-        self.note_epoch(promised.map_or(0, |proposal_number| proposal_number.epoch));
+        self.observe_epoch(promised.map_or(0, |proposal_number| proposal_number.epoch));
         let Some(leadership) = self.leadership.as_mut() else { return };
         let ours = (leadership.first_epoch..=leadership.epoch).contains(&epoch) && sent <= now;
         if let Some(joiner) = leadership.joiners.get_mut(&sender).filter(|_| ours) {
-            joiner.note_echo(now, sent, reply.healthy);
+            joiner.record_heartbeat_reply(now, sent, reply.healthy);
         }
-        let Some(contact) = leadership.contacts.get_mut(&sender).filter(|_| ours) else { return };
-        contact.heard = now;
-        contact.answered = true;
-        contact.healthy = reply.healthy;
-        contact.shutting_down = reply.shutting_down;
+        let Some(peer) = leadership.peers.get_mut(&sender).filter(|_| ours) else { return };
+        peer.last_heard = now;
+        peer.has_replied = true;
+        peer.healthy = reply.healthy;
+        peer.shutting_down = reply.shutting_down;
         if reply.activation_durable {
-            contact.active_epoch_durable = contact.active_epoch_durable.max(view_epoch);
+            peer.active_epoch_durable = peer.active_epoch_durable.max(view_epoch);
         }
         if granted {
-            contact.lease_sent = contact.lease_sent.max(Some(sent));
-            contact.estranged = None;
+            peer.lease_sent = peer.lease_sent.max(Some(sent));
+            peer.diverged_since = None;
         } else if promised > own {
-            contact.estranged = contact.estranged.or(Some(now));
+            peer.diverged_since = peer.diverged_since.or(Some(now));
         }
         if view_epoch < leadership.epoch {
             let view = KnownView { view: Arc::clone(&leadership.view), active: true };
--- a/control/src/installation.rs
+++ b/control/src/installation.rs
@@ -12,44 +12,44 @@
     campaign::{Campaign, Stage},
     config::MILLISECOND,
     disk::Effect,
-    membership::{Candidate, Wanted, pick_backups},
+    membership::{BackupCandidate, Membership, choose_backups},
     transfer::{state_bytes, transfer_time},
     view::BOOTSTRAP_EPOCH,
 };
 
 /// A future backup that hasn't installed the state after this span and the time of its transfer is passed over for
 /// another.
-const INSTALL_WITHIN: u64 = 500 * MILLISECOND;
+const INSTALL_TIMEOUT: u64 = 500 * MILLISECOND;
 
 impl Campaign {
     /// The view to be, with backups among those that have promised and aren't passed over.
     ///
     /// The wish for other members waits if it would leave the primary without a backup.
-    fn next_view(&self, me: &Member, passed_over: &BTreeSet<ReplicaId>, losses: usize) -> View {
-        let wanted = self.wanted.as_ref().filter(|_| self.base.active);
-        let wished = self.arrange(wanted, me, passed_over, losses);
+    fn next_view(&self, me: &Member, excluded: &BTreeSet<ReplicaId>, losses: usize) -> View {
+        let membership = self.membership.as_ref().filter(|_| self.base_view.active);
+        let wished = self.compose(membership, me, excluded, losses);
         let alone = wished.backups.is_empty() && wished.members.len() > 1;
-        if alone { self.arrange(None, me, passed_over, losses) } else { wished }
+        if alone { self.compose(None, me, excluded, losses) } else { wished }
     }
 
-    fn arrange(
+    fn compose(
         &self,
-        wanted: Option<&Wanted>,
+        membership: Option<&Membership>,
         me: &Member,
-        passed_over: &BTreeSet<ReplicaId>,
+        excluded: &BTreeSet<ReplicaId>,
         losses: usize,
     ) -> View {
-        let base = &self.base.view;
-        let members = wanted.map_or(&base.members, |wanted| &wanted.members);
-        let previous_members = match (self.base.active, *members == base.members) {
+        let base = &self.base_view.view;
+        let members = membership.map_or(&base.members, |membership| &membership.members);
+        let previous_members = match (self.base_view.active, *members == base.members) {
             (false, _) => base.previous_members.clone(),
             (true, true) => Vec::new(),
             (true, false) => base.members.clone(),
         };
         // One that is about to end, or whose disk was slow, has written its promise and is better than no backup.
-        let healthy = self.candidates(members, me.id, passed_over, true);
+        let healthy = self.backup_candidates(members, me.id, excluded, true);
         let (candidates, count) = match healthy.is_empty() {
-            true => (self.candidates(members, me.id, passed_over, false), 1),
+            true => (self.backup_candidates(members, me.id, excluded, false), 1),
             false => (healthy, losses.max(1)),
         };
         View {
@@ -57,56 +57,56 @@
             members: members.clone(),
             previous_members,
             primary: me.id,
-            backups: pick_backups(&me.zone, candidates, count),
-            target_size: wanted.map_or(base.target_size, |wanted| wanted.target_size),
+            backups: choose_backups(&me.zone, candidates, count),
+            target_size: membership.map_or(base.target_size, |membership| membership.target_size),
         }
     }
 
     /// The members that have promised and may become backups.
-    fn candidates<'a>(
+    fn backup_candidates<'a>(
         &self,
         members: &'a [Member],
         own: ReplicaId,
-        passed_over: &BTreeSet<ReplicaId>,
+        excluded: &BTreeSet<ReplicaId>,
         healthy: bool,
-    ) -> Vec<Candidate<'a>> {
+    ) -> Vec<BackupCandidate<'a>> {
         let eligible = members.iter().filter(|member| {
             let promised = self.promises.get(&member.id).is_some_and(|promised| promised.healthy || !healthy);
-            member.id != own && promised && !passed_over.contains(&member.id)
+            member.id != own && promised && !excluded.contains(&member.id)
         });
         eligible
-            .map(|member| Candidate { member, holds_data: self.base.view.holds_data(member.id) })
+            .map(|member| BackupCandidate { member, holds_data: self.base_view.view.holds_data(member.id) })
             .collect()
     }
 }
 
 impl Replica {
     /// Begins to install the state that the campaign has found.
-    pub(crate) fn install(&mut self, source: Data, out: &mut Vec<Output>) {
+    pub(crate) fn start_installation(&mut self, source: Data, out: &mut Vec<Output>) {
         let (me, losses, now) = (self.member(), self.config.machine_losses, self.now());
         let Some(campaign) = self.campaign.as_mut() else { return };
-        let passed_over = BTreeSet::new();
-        let view = campaign.next_view(&me, &passed_over, losses);
+        let excluded = BTreeSet::new();
+        let view = campaign.next_view(&me, &excluded, losses);
         let position = LogPosition { epoch: campaign.epoch, sequence: source.position.sequence };
-        campaign.stage = Stage::Installing {
+        campaign.stage = Stage::InstallingSnapshots {
             view: Arc::new(view),
             source: source.clone(),
             installed: BTreeSet::new(),
             attempts: BTreeMap::new(),
-            passed_over,
+            excluded,
             since: now,
         };
         let epoch = campaign.epoch;
-        let record = self.take_state(position, source.position, &source.state);
-        self.persist(vec![record], Some(Effect::OwnInstall { epoch }), out);
+        let record = self.hold_snapshot(position, source.position, &source.state);
+        self.persist(vec![record], Some(Effect::OwnSnapshot { epoch }), out);
         self.resend_stage(out);
         if self.config.injected_fault == Some(InjectedFault::AcceptsBeforeInstall) {
-            self.begin_accepting(out);
+            self.start_accepting(out);
         }
     }
 
     /// Holds the state under a new position, and says how to write that.
-    fn take_state(
+    fn hold_snapshot(
         &mut self,
         position: LogPosition,
         source: LogPosition,
@@ -121,24 +121,24 @@
 
     /// Repeats what the present stage of the campaign has to say to those who haven't answered.
     pub(crate) fn resend_stage(&mut self, out: &mut Vec<Output>) {
-        self.pass_over_the_silent();
+        self.replace_unresponsive_backups();
         let Some(campaign) = &self.campaign else { return };
         match &campaign.stage {
-            Stage::Gathering => {}
-            Stage::Installing { view, installed, .. } => {
+            Stage::CollectingPromises => {}
+            Stage::InstallingSnapshots { view, installed, .. } => {
                 let waiting: Vec<ReplicaId> =
                     view.backups.iter().copied().filter(|id| !installed.contains(id)).collect();
                 let (epoch, installed_here) = (campaign.epoch, installed.contains(&self.id));
-                self.keep_others_patient(&waiting, out);
-                waiting.into_iter().for_each(|id| self.send_install(id, out));
+                self.keep_other_members_waiting(&waiting, out);
+                waiting.into_iter().for_each(|id| self.send_install_snapshot(id, out));
                 if !installed_here {
-                    self.persist(Vec::new(), Some(Effect::OwnInstall { epoch }), out);
+                    self.persist(Vec::new(), Some(Effect::OwnSnapshot { epoch }), out);
                 }
             }
-            Stage::Accepting { view, accepted } => {
+            Stage::AcceptingView { view, accepted } => {
                 let known = KnownView { view: Arc::clone(view), active: false };
                 let mut everyone = view.everyone();
-                everyone.extend(campaign.base.view.everyone());
+                everyone.extend(campaign.base_view.view.everyone());
                 everyone.sort_by_key(|member| member.id);
                 everyone.dedup_by_key(|member| member.id);
                 let waiting = everyone.iter().filter(|member| !accepted.contains(&member.id));
@@ -154,11 +154,11 @@
     }
 
     /// Tells those that have nothing to install that the campaign goes on, so that none of them begins another.
-    fn keep_others_patient(&self, waiting: &[ReplicaId], out: &mut Vec<Output>) {
+    fn keep_other_members_waiting(&self, waiting: &[ReplicaId], out: &mut Vec<Output>) {
         let Some(campaign) = &self.campaign else { return };
-        let Stage::Installing { source, .. } = &campaign.stage else { return };
+        let Stage::InstallingSnapshots { source, .. } = &campaign.stage else { return };
         let (epoch, released) = (campaign.epoch, campaign.released);
-        for member in campaign.base.view.everyone() {
+        for member in campaign.base_view.view.everyone() {
             if member.id != self.id && !waiting.contains(&member.id) {
                 let position = Some(source.position);
                 self.send(member.address, Body::Prepare(Prepare { epoch, position, released }), out);
@@ -168,11 +168,11 @@
 
     /// Asks a future backup to install the state. The state itself goes along only if the backup needs it and hasn't
     /// been sent it; after that this only asks whether it came.
-    fn send_install(&mut self, to: ReplicaId, out: &mut Vec<Output>) {
+    fn send_install_snapshot(&mut self, to: ReplicaId, out: &mut Vec<Output>) {
         let Some(campaign) = self.campaign.as_mut() else { return };
         let shown = campaign.promises.get(&to).and_then(|promised| promised.position);
         let epoch = campaign.epoch;
-        let Stage::Installing { view, source, attempts, .. } = &mut campaign.stage else { return };
+        let Stage::InstallingSnapshots { view, source, attempts, .. } = &mut campaign.stage else { return };
         let Some(address) = view.member(to).map(|member| member.address) else { return };
         let whole = shown != Some(source.position) && !attempts.contains_key(&to);
         if whole {
@@ -189,31 +189,32 @@
     }
 
     /// Chooses other backups while the view isn't known to anybody yet.
-    fn pass_over_the_silent(&mut self) {
+    fn replace_unresponsive_backups(&mut self) {
         let (me, losses, now) = (self.member(), self.config.machine_losses, self.now());
         let Some(campaign) = self.campaign.as_mut() else { return };
-        let Stage::Installing { view, source, installed, attempts, passed_over, since } = &mut campaign.stage
+        let Stage::InstallingSnapshots { view, source, installed, attempts, excluded, since } =
+            &mut campaign.stage
         else {
             return;
         };
         let transfers = transfer_time(state_bytes(&source.state) * attempts.len());
-        if now < *since + INSTALL_WITHIN + transfers {
+        if now < *since + INSTALL_TIMEOUT + transfers {
             return;
         }
-        let mut silent = passed_over.clone();
+        let mut silent = excluded.clone();
         silent.extend(view.backups.iter().filter(|id| !installed.contains(id)));
         *since = now;
         let next = campaign.next_view(&me, &silent, losses);
         if next.backups.is_empty() {
             return;
         }
-        if let Stage::Installing { view, passed_over, .. } = &mut campaign.stage {
+        if let Stage::InstallingSnapshots { view, excluded, .. } = &mut campaign.stage {
             *view = Arc::new(next);
-            *passed_over = silent;
+            *excluded = silent;
         }
     }
 
-    pub(crate) fn on_install(
+    pub(crate) fn handle_install_snapshot(
         &mut self,
         from: SocketAddrV4,
         sender: ReplicaId,
@@ -224,7 +225,7 @@
         if self.promised != Some(ProposalNumber { epoch, candidate: sender }) {
             return;
         }
-        self.hear();
+        self.reset_election_timer();
         let held = self.data.as_ref().map(|data| data.position);
         let complete = self.reply_once_durable(
             from,
@@ -244,7 +245,7 @@
             );
         };
         let (position, state) = self.as_installed(position, source, state);
-        let record = self.take_state(position, source, &state);
+        let record = self.hold_snapshot(position, source, &state);
         self.persist(vec![record], complete, out);
     }
 
@@ -266,7 +267,7 @@
     }
 
     /// A future backup lacks the state, although it was thought to hold it or was sent it.
-    pub(crate) fn on_incomplete(
+    pub(crate) fn handle_snapshot_missing(
         &mut self,
         sender: ReplicaId,
         epoch: u64,
@@ -276,11 +277,11 @@
         let Some(campaign) = self.campaign.as_mut().filter(|campaign| campaign.epoch == epoch) else {
             // With an attempt, it is a late answer to the installation, which is over.
             if attempt == 0 {
-                self.note_outdated_backup(sender, epoch);
+                self.mark_backup_outdated(sender, epoch);
             }
             return;
         };
-        let Stage::Installing { view, source, attempts, .. } = &mut campaign.stage else { return };
+        let Stage::InstallingSnapshots { view, source, attempts, .. } = &mut campaign.stage else { return };
         let known = attempts.get(&sender).copied().unwrap_or(0);
         let Some(member) = view.member(sender).filter(|_| attempt == known) else { return };
         attempts.insert(sender, known + 1);
@@ -295,48 +296,48 @@
         self.send(address, install, out);
     }
 
-    pub(crate) fn on_installed(&mut self, sender: ReplicaId, epoch: u64, out: &mut Vec<Output>) {
+    pub(crate) fn handle_snapshot_installed(&mut self, sender: ReplicaId, epoch: u64, out: &mut Vec<Output>) {
         let Some(campaign) = self.campaign.as_mut().filter(|campaign| campaign.epoch == epoch) else {
             return;
         };
-        let Stage::Installing { view, installed, .. } = &mut campaign.stage else { return };
+        let Stage::InstallingSnapshots { view, installed, .. } = &mut campaign.stage else { return };
         installed.insert(sender);
         let all = view.backups.iter().all(|id| installed.contains(id)) && installed.contains(&self.id);
         if all {
-            self.begin_accepting(out);
+            self.start_accepting(out);
         }
     }
 
-    fn begin_accepting(&mut self, out: &mut Vec<Output>) {
+    fn start_accepting(&mut self, out: &mut Vec<Output>) {
         let Some(campaign) = self.campaign.as_mut() else { return };
-        let Stage::Installing { view, .. } = &campaign.stage else { return };
+        let Stage::InstallingSnapshots { view, .. } = &campaign.stage else { return };
         let (view, epoch) = (Arc::clone(view), campaign.epoch);
-        campaign.stage = Stage::Accepting { view: Arc::clone(&view), accepted: BTreeSet::new() };
+        campaign.stage = Stage::AcceptingView { view: Arc::clone(&view), accepted: BTreeSet::new() };
         let known = KnownView { view, active: false };
         self.view = Some(known.clone());
         self.persist(vec![Record::View(known)], Some(Effect::OwnAccept { epoch }), out);
         self.resend_stage(out);
     }
 
-    pub(crate) fn on_accept(&mut self, from: SocketAddrV4, known: KnownView, out: &mut Vec<Output>) {
+    pub(crate) fn handle_accept(&mut self, from: SocketAddrV4, known: KnownView, out: &mut Vec<Output>) {
         let (proposal_number, epoch) = (known.view.proposal_number(), known.view.epoch);
-        self.note_epoch(epoch);
-        if self.holds_view_without_data(&known.view) {
+        self.observe_epoch(epoch);
+        if self.names_backup_without_data(&known.view) {
             return;
         }
         self.learn_view(known, out);
         let accepted = self.promised == Some(proposal_number) && self.view_epoch() == epoch;
         if !accepted {
-            let refusal = Body::Reject(Reject { epoch, promised: self.promised, view: self.view.clone() });
-            return self.send(from, refusal, out);
+            let rejection = Body::Reject(Reject { epoch, promised: self.promised, view: self.view.clone() });
+            return self.send(from, rejection, out);
         }
-        self.hear();
+        self.reset_election_timer();
         let effect = self.reply_once_durable(from, Body::Accepted { epoch });
         self.persist(Vec::new(), effect, out);
     }
 
     /// A view that names this replica as a backup before it has the data; no candidate sends one.
-    fn holds_view_without_data(&self, view: &View) -> bool {
+    fn names_backup_without_data(&self, view: &View) -> bool {
         let installed = self.data.as_ref().is_some_and(|data| data.position.epoch >= view.epoch);
         let lacking = view.backups.contains(&self.id) && view.epoch > BOOTSTRAP_EPOCH && !installed;
         lacking && self.config.injected_fault != Some(InjectedFault::AcceptsBeforeInstall)
@@ -344,14 +345,14 @@
 
     /// Takes in a view that exists, whether or not it may be accepted here.
     pub(crate) fn learn_view(&mut self, known: KnownView, out: &mut Vec<Output>) {
-        self.note_epoch(known.view.epoch);
+        self.observe_epoch(known.view.epoch);
         let (epoch, own) = (known.view.epoch, self.view_epoch());
         if self.campaign.as_ref().is_some_and(|campaign| campaign.epoch == epoch) {
             return;
         }
         if epoch == own {
             if known.active {
-                self.note_active(out);
+                self.mark_view_active(out);
             }
             return;
         }
@@ -367,21 +368,21 @@
             self.step_down(out);
         }
         if known.view.primary != self.id && self.leadership.is_some() {
-            self.drop_leadership(out);
+            self.end_leadership(out);
             if self.campaign.is_none() {
-                self.dismiss_queue(out);
+                self.reject_queued_proposals(out);
             }
         }
-        self.poll = None;
+        self.pre_vote = None;
         self.view = Some(known.clone());
         records.push(Record::View(known.clone()));
-        records.extend(self.founding_data(&known.view));
-        records.extend(known.active.then(|| self.drop_data()).flatten());
+        records.extend(self.bootstrap_data(&known.view));
+        records.extend(known.active.then(|| self.maybe_discard_data()).flatten());
         self.persist(records, None, out);
     }
 
     /// The data set of the first view holds the empty state from the start.
-    pub(crate) fn founding_data(&mut self, view: &View) -> Option<Record> {
+    pub(crate) fn bootstrap_data(&mut self, view: &View) -> Option<Record> {
         let founding = view.epoch == BOOTSTRAP_EPOCH && view.holds_data(self.id) && self.data.is_none();
         founding.then(|| {
             let data =
@@ -392,15 +393,15 @@
     }
 
     /// The view is active, so whoever isn't in its data set needs the data no longer.
-    pub(crate) fn note_active(&mut self, out: &mut Vec<Output>) {
+    pub(crate) fn mark_view_active(&mut self, out: &mut Vec<Output>) {
         let Some(known) = self.view.as_mut().filter(|known| !known.active) else { return };
         known.active = true;
         let mut records = vec![Record::View(known.clone())];
-        records.extend(self.drop_data());
+        records.extend(self.maybe_discard_data());
         self.persist(records, None, out);
     }
 
-    fn drop_data(&mut self) -> Option<Record> {
+    fn maybe_discard_data(&mut self) -> Option<Record> {
         let needed = self.current_view().is_none_or(|view| view.holds_data(self.id));
         let promised_on = self.promised_epoch() > self.view_epoch();
         if needed || promised_on || self.data.is_none() {
@@ -410,11 +411,11 @@
         Some(Record::SnapshotDiscarded)
     }
 
-    pub(crate) fn on_accepted(&mut self, sender: ReplicaId, epoch: u64, out: &mut Vec<Output>) {
+    pub(crate) fn handle_accepted(&mut self, sender: ReplicaId, epoch: u64, out: &mut Vec<Output>) {
         let Some(campaign) = self.campaign.as_mut().filter(|campaign| campaign.epoch == epoch) else {
             return;
         };
-        let Stage::Accepting { view, accepted } = &mut campaign.stage else { return };
+        let Stage::AcceptingView { view, accepted } = &mut campaign.stage else { return };
         accepted.insert(sender);
         let mut known = KnownView { view: Arc::clone(view), active: false };
         known.active = self.config.injected_fault == Some(InjectedFault::SkipsPrior);
@@ -422,7 +423,7 @@
         if data_set && known.quorum(accepted) {
             let answered = accepted.iter().chain(campaign.promises.keys()).copied().collect();
             self.campaign = None;
-            self.lead(known.view, &answered, out);
+            self.become_primary(known.view, &answered, out);
         }
     }
 }
--- a/control/src/leadership.rs
+++ b/control/src/leadership.rs
@@ -9,12 +9,12 @@
 use crate::{
     Change, LogPosition, ProposalId, ReplicaId, View,
     config::MILLISECOND,
-    lease::{Contact, Renewals},
+    lease::{LeaseRenewals, PeerState},
     membership::Joiner,
 };
 
 /// After a view, the next change of the view waits at least this long.
-pub(crate) const VIEW_PAUSE: u64 = 200 * MILLISECOND;
+pub(crate) const VIEW_CHANGE_INTERVAL: u64 = 200 * MILLISECOND;
 
 /// A change that waits for its turn.
 #[derive(Debug)]
@@ -26,7 +26,7 @@
 
 /// The change in replication.
 #[derive(Debug)]
-pub(crate) struct Pending {
+pub(crate) struct PendingChange {
     /// Who is to be answered; none once the answer limit has passed.
     pub proposal_id: Option<ProposalId>,
     pub change: Change,
@@ -35,7 +35,7 @@
     pub durable: BTreeSet<ReplicaId>,
     pub next_send: u64,
     /// How often it has gone to the backups.
-    pub sendings: u32,
+    pub transmissions: u32,
 }
 
 /// What the primary of an active view keeps in mind.
@@ -45,14 +45,14 @@
     pub view: Arc<View>,
     /// The first epoch of this unbroken lead: echoes from before are void.
     pub first_epoch: u64,
-    pub contacts: BTreeMap<ReplicaId, Contact>,
+    pub peers: BTreeMap<ReplicaId, PeerState>,
     pub joiners: BTreeMap<ReplicaId, Joiner>,
     /// Members that were left out, until when they are told once the view without them is settled.
-    pub left: BTreeMap<ReplicaId, (SocketAddrV4, u64)>,
+    pub removed: BTreeMap<ReplicaId, (SocketAddrV4, u64)>,
     /// Replicas whose machine has come back as another replica.
-    pub gone: BTreeSet<ReplicaId>,
-    pub pending: Option<Pending>,
-    pub renewals: Renewals,
+    pub replaced: BTreeSet<ReplicaId>,
+    pub pending: Option<PendingChange>,
+    pub lease_renewals: LeaseRenewals,
     pub next_heartbeat: u64,
     pub next_view_change: u64,
 }
--- a/control/src/lease.rs
+++ b/control/src/lease.rs
@@ -5,7 +5,7 @@
 use crate::{ProposalNumber, ReplicaConfig, ReplicaId, View, config::MILLISECOND};
 
 /// So many heartbeats without a renewal of the lease show that the primary has lost contact.
-const FAILED_RENEWALS: u32 = 4;
+const MAX_FAILED_RENEWALS: u32 = 4;
 
 /// The right to act as the primary, which a majority has granted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -18,21 +18,21 @@
 
 /// A lease as the member sees it that granted it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Grant {
+pub(crate) struct GrantedLease {
     /// The promise under which it was granted.
     pub proposal_number: ProposalNumber,
     /// Until when nobody else is promised anything.
-    pub until: u64,
+    pub expires_at: u64,
 }
 
-impl Grant {
+impl GrantedLease {
     /// Whether the grant forbids a promise to the candidate.
     pub fn blocks(&self, now: u64, candidate: ReplicaId, released: Option<ProposalNumber>) -> bool {
         let given_up = released.is_some_and(|proposal_number| {
             proposal_number.candidate == self.proposal_number.candidate
                 && proposal_number.epoch >= self.proposal_number.epoch
         });
-        now < self.until && candidate != self.proposal_number.candidate && !given_up
+        now < self.expires_at && candidate != self.proposal_number.candidate && !given_up
     }
 }
 
@@ -61,13 +61,13 @@
 
 /// What the primary knows of another member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Contact {
+pub(crate) struct PeerState {
     /// When the latest heartbeat was sent for which the member granted a lease.
     pub lease_sent: Option<u64>,
     /// When an echo last came, or when the primary began to wait for one.
-    pub heard: u64,
+    pub last_heard: u64,
     /// Whether any echo has come.
-    pub answered: bool,
+    pub has_replied: bool,
     /// Whether the member may hold data.
     pub healthy: bool,
     /// Whether the member is about to end in good order.
@@ -75,47 +75,47 @@
     /// The epoch of the view that the member would know to be active after a restart, 0 if there is none.
     pub active_epoch_durable: u64,
     /// Since when the member has been bound by a promise beyond the primary's, or has lacked changes that it had.
-    pub estranged: Option<u64>,
+    pub diverged_since: Option<u64>,
 }
 
 /// A member that had no part in the campaign of a new primary counts as silent for this long already.
-const SILENT_IN_CAMPAIGN: u64 = 1_300 * MILLISECOND;
+const UNRESPONSIVE_IN_CAMPAIGN: u64 = 1_300 * MILLISECOND;
 
-impl Contact {
+impl PeerState {
     /// A member from which nothing has come yet.
-    pub fn new(now: u64) -> Contact {
-        Contact {
+    pub fn new(now: u64) -> PeerState {
+        PeerState {
             lease_sent: None,
-            heard: now,
-            answered: false,
+            last_heard: now,
+            has_replied: false,
             healthy: true,
             shutting_down: false,
             active_epoch_durable: 0,
-            estranged: None,
+            diverged_since: None,
         }
     }
 
     /// A member that was asked during the campaign of a new primary and hasn't answered.
-    pub fn silent_in_campaign(now: u64) -> Contact {
-        Contact { heard: now.saturating_sub(SILENT_IN_CAMPAIGN), ..Contact::new(now) }
+    pub fn unresponsive_in_campaign(now: u64) -> PeerState {
+        PeerState { last_heard: now.saturating_sub(UNRESPONSIVE_IN_CAMPAIGN), ..PeerState::new(now) }
     }
 
     /// Whether the member has answered within the span.
-    pub fn live(&self, now: u64, span: u64) -> bool {
-        self.answered && now < self.heard + span
+    pub fn is_live(&self, now: u64, span: u64) -> bool {
+        self.has_replied && now < self.last_heard + span
     }
 }
 
 /// Heartbeats in a row that did not renew the lease.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Renewals {
+pub(crate) struct LeaseRenewals {
     lease_until: Option<u64>,
     failed: u32,
 }
 
-impl Renewals {
+impl LeaseRenewals {
     /// Notes that another heartbeat is due, and until when the lease runs by now.
-    pub fn note(&mut self, lease_until: Option<u64>) {
+    pub fn record(&mut self, lease_until: Option<u64>) {
         let renewed = lease_until > self.lease_until;
         self.failed = if renewed { 0 } else { self.failed.saturating_add(1) };
         self.lease_until = lease_until;
@@ -124,8 +124,8 @@
     /// Whether the primary has lost contact: its lease has run out, and heartbeats don't bring it back.
     ///
     /// A primary that was frozen has sent none meanwhile and still tries.
-    pub fn lost_contact(&self, now: u64) -> bool {
-        self.failed >= FAILED_RENEWALS && self.lease_until.is_none_or(|until| now >= until)
+    pub fn quorum_lost(&self, now: u64) -> bool {
+        self.failed >= MAX_FAILED_RENEWALS && self.lease_until.is_none_or(|until| now >= until)
     }
 }
 
@@ -133,7 +133,7 @@
 pub(crate) fn lease_until(
     config: &ReplicaConfig,
     view: &View,
-    contacts: &BTreeMap<ReplicaId, Contact>,
+    peers: &BTreeMap<ReplicaId, PeerState>,
 ) -> Option<u64> {
     let needed = view.members.len() / 2;
     if needed == 0 {
@@ -141,7 +141,7 @@
     }
     let others = view.members.iter().filter(|member| member.id != view.primary);
     let mut sent: Vec<u64> =
-        others.filter_map(|member| contacts.get(&member.id).and_then(|contact| contact.lease_sent)).collect();
+        others.filter_map(|member| peers.get(&member.id).and_then(|peer| peer.lease_sent)).collect();
     sent.sort_unstable_by(|left, right| right.cmp(left));
     sent.get(needed - 1).map(|sent| sent + config.lease_duration - config.lease_margin)
 }
--- a/control/src/membership.rs
+++ b/control/src/membership.rs
@@ -5,24 +5,24 @@
     sync::Arc,
 };
 
-use crate::{Member, ReplicaId, View, config::MILLISECOND, lease::Contact};
+use crate::{Member, ReplicaId, View, config::MILLISECOND, lease::PeerState};
 
 /// A member silent for so long may be replaced by one that wants to join.
-pub(crate) const UNREACHABLE_AFTER: u64 = 2_000 * MILLISECOND;
+pub(crate) const UNREACHABLE_TIMEOUT: u64 = 2_000 * MILLISECOND;
 /// A member of a core with more members than it was founded with goes after this silence.
-const SURPLUS_SILENT: u64 = 1_500 * MILLISECOND;
+const SURPLUS_TIMEOUT: u64 = 1_500 * MILLISECOND;
 /// A core of this size never goes on with fewer members.
-const SMALLEST_SHRUNK: usize = 3;
+const MIN_SHRUNK_SIZE: usize = 3;
 /// A backup silent for so long is replaced if a change waits for it.
-pub(crate) const BACKUP_SILENT_IN_CHANGE: u64 = 800 * MILLISECOND;
+pub(crate) const BACKUP_TIMEOUT_IN_CHANGE: u64 = 800 * MILLISECOND;
 /// A backup silent for so long is replaced in any case.
-pub(crate) const BACKUP_SILENT: u64 = 1_500 * MILLISECOND;
+pub(crate) const BACKUP_TIMEOUT: u64 = 1_500 * MILLISECOND;
 /// A witness bound by a foreign promise for so long is brought back by a new epoch.
-const ESTRANGED_AFTER: u64 = 1_000 * MILLISECOND;
+const DIVERGED_WITNESS_TIMEOUT: u64 = 1_000 * MILLISECOND;
 /// A member that answered within this span counts as live.
-pub(crate) const LIVE_WITHIN: u64 = 800 * MILLISECOND;
+pub(crate) const LIVENESS_TIMEOUT: u64 = 800 * MILLISECOND;
 /// A replica that asked to join within this span is still there.
-const JOINER_WITHIN: u64 = 3_000 * MILLISECOND;
+const JOIN_REQUEST_VALIDITY: u64 = 3_000 * MILLISECOND;
 
 /// A replica that asks to join.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -30,11 +30,11 @@
     pub member: Member,
     pub first_boot: bool,
     /// When it last asked.
-    pub seen: u64,
+    pub last_request: u64,
     /// When it first asked: an answer to anything that was sent before shows nothing.
-    first_seen: u64,
+    first_request: u64,
     /// When it last answered the primary.
-    answered: Option<u64>,
+    last_reply: Option<u64>,
     /// Whether it may hold data.
     healthy: bool,
 }
@@ -43,42 +43,49 @@
     /// A replica that asks for the first time.
     pub fn new(member: &Member, now: u64) -> Joiner {
         let member = member.clone();
-        Joiner { member, first_boot: false, seen: now, first_seen: now, answered: None, healthy: false }
+        Joiner {
+            member,
+            first_boot: false,
+            last_request: now,
+            first_request: now,
+            last_reply: None,
+            healthy: false,
+        }
     }
 
     /// Whether it has asked lately.
-    pub fn asks(&self, now: u64) -> bool {
-        now < self.seen + JOINER_WITHIN
+    pub fn is_requesting(&self, now: u64) -> bool {
+        now < self.last_request + JOIN_REQUEST_VALIDITY
     }
 
     /// Notes its answer to a heartbeat of that time.
-    pub fn note_echo(&mut self, now: u64, sent: u64, healthy: bool) {
-        if sent >= self.first_seen {
-            self.answered = Some(now);
+    pub fn record_heartbeat_reply(&mut self, now: u64, sent: u64, healthy: bool) {
+        if sent >= self.first_request {
+            self.last_reply = Some(now);
             self.healthy = healthy;
         }
     }
 
     /// Whether it is there, can be reached both ways, and could hold data. A request to join alone shows none of it: it
     /// may be the word of a replica that is long gone.
-    fn ready(&self, now: u64) -> bool {
-        let there = self.answered.is_some_and(|answered| now < answered + LIVE_WITHIN);
-        self.asks(now) && there && self.healthy
+    fn is_ready(&self, now: u64) -> bool {
+        let there = self.last_reply.is_some_and(|answered| now < answered + LIVENESS_TIMEOUT);
+        self.is_requesting(now) && there && self.healthy
     }
 }
 
 /// The members that the primary wants next.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Wanted {
+pub(crate) struct Membership {
     pub members: Vec<Member>,
     pub target_size: usize,
 }
 
 /// What the primary goes by when it looks at its view.
-pub(crate) struct Outlook<'a> {
+pub(crate) struct MembershipPlanner<'a> {
     pub now: u64,
     pub view: &'a View,
-    pub contacts: &'a BTreeMap<ReplicaId, Contact>,
+    pub peers: &'a BTreeMap<ReplicaId, PeerState>,
     pub joiners: &'a BTreeMap<ReplicaId, Joiner>,
     pub change_waits: bool,
     /// How many machines may be lost at once, and so how many backups are wanted.
@@ -86,192 +93,191 @@
     /// Whether the view no longer depends on the members of the one before.
     pub view_change_complete: bool,
     /// Whether the primary itself is about to end: it is the one that is to go.
-    pub leaves: bool,
+    pub primary_shutting_down: bool,
     /// A fault for tests of the tests.
     pub grows_at_once: bool,
 }
 
-impl Outlook<'_> {
+impl MembershipPlanner<'_> {
     /// The members of the next view, if there should be one now. Nobody goes without a successor while an earlier change
     /// is open.
-    pub fn wanted(&self) -> Option<Wanted> {
-        let shrunk = || self.view_change_complete.then(|| self.shrinking()).flatten();
-        self.joining().or_else(shrunk).or_else(|| self.rearranged())
+    pub fn next_membership(&self) -> Option<Membership> {
+        let shrunk = || self.view_change_complete.then(|| self.shrink()).flatten();
+        self.admit_joiner().or_else(shrunk).or_else(|| self.rearrange())
     }
 
     /// A replica comes in, for a member that it was or that is gone, or besides all others.
-    fn joining(&self) -> Option<Wanted> {
+    fn admit_joiner(&self) -> Option<Membership> {
         let outside = self.joiners.values().filter(|joiner| self.view.member(joiner.member.id).is_none());
         outside
-            .filter(|joiner| self.grows_at_once || joiner.ready(self.now))
+            .filter(|joiner| self.grows_at_once || joiner.is_ready(self.now))
             .find_map(|joiner| self.admit(joiner))
     }
 
-    fn admit(&self, joiner: &Joiner) -> Option<Wanted> {
+    fn admit(&self, joiner: &Joiner) -> Option<Membership> {
         let may_grow = self.grows_at_once || self.may_grow();
-        let makes_room = self.full() || !may_grow;
-        let leaver =
-            self.namesake(&joiner.member).or_else(|| makes_room.then(|| self.replaceable()).flatten());
-        if leaver.is_none() && !may_grow {
+        let makes_room = self.is_full() || !may_grow;
+        let removed_member = self
+            .member_at_address_of(&joiner.member)
+            .or_else(|| makes_room.then(|| self.replaceable()).flatten());
+        if removed_member.is_none() && !may_grow {
             return None;
         }
-        let mut members = self.without(leaver);
+        let mut members = self.without(removed_member);
         members.push(joiner.member.clone());
-        let late_founder = joiner.first_boot && leaver.is_none();
-        let target_size = self.view.target_size.max(if late_founder { members.len() } else { 0 });
-        self.reachable(Wanted { members, target_size }, joiner.member.id)
+        let late_first_boot = joiner.first_boot && removed_member.is_none();
+        let target_size = self.view.target_size.max(if late_first_boot { members.len() } else { 0 });
+        self.if_reachable(Membership { members, target_size }, joiner.member.id)
     }
 
     /// Whether the core bears as much with one member more. A larger majority beside a silent member would make it
     /// depend on each of the others: the joiner waits until that member is back, or comes in for it.
     fn may_grow(&self) -> bool {
-        let all_live = self.view.members.iter().all(|member| self.live(member.id));
-        all_live || borne(self.staying() + 1, self.view.members.len() + 1) >= self.losses
+        let all_live = self.view.members.iter().all(|member| self.is_live(member.id));
+        all_live || tolerable_losses(self.remaining_members() + 1, self.view.members.len() + 1) >= self.losses
     }
 
     /// The member that a joiner comes in for: one out of reach, or one that is about to end.
     fn replaceable(&self) -> Option<ReplicaId> {
-        self.unreachable(UNREACHABLE_AFTER).or_else(|| self.shutting_down())
+        self.longest_unreachable(UNREACHABLE_TIMEOUT).or_else(|| self.shutting_down_member())
     }
 
     /// A member goes without another one in its place: one too many, or one whose absence the core bears better as a
     /// smaller core. An even size bears no more losses than the odd one below.
-    fn shrinking(&self) -> Option<Wanted> {
+    fn shrink(&self) -> Option<Membership> {
         let size = self.view.members.len();
         let surplus = size > self.view.target_size;
-        let patience = if surplus { SURPLUS_SILENT } else { UNREACHABLE_AFTER };
-        let better_without =
-            size > SMALLEST_SHRUNK && size.is_multiple_of(2) && borne(self.staying(), size) < self.losses;
-        if self.leaves || (!surplus && !better_without) {
+        let timeout = if surplus { SURPLUS_TIMEOUT } else { UNREACHABLE_TIMEOUT };
+        let better_without = size > MIN_SHRUNK_SIZE
+            && size.is_multiple_of(2)
+            && tolerable_losses(self.remaining_members(), size) < self.losses;
+        if self.primary_shutting_down || (!surplus && !better_without) {
             return None;
         }
-        let leaver = self.unreachable(patience).or_else(|| self.shutting_down())?;
-        let members = self.without(Some(leaver));
-        self.reachable(Wanted { members, target_size: self.view.target_size }, self.view.primary)
+        let removed_member = self.longest_unreachable(timeout).or_else(|| self.shutting_down_member())?;
+        let members = self.without(Some(removed_member));
+        self.if_reachable(Membership { members, target_size: self.view.target_size }, self.view.primary)
     }
 
     /// The same members anew: another choice of backups, or an epoch above a foreign promise.
-    fn rearranged(&self) -> Option<Wanted> {
-        let estranged = self.view.members.iter().any(|member| self.estranged(member.id));
-        if !estranged && !self.backups_ail() {
+    fn rearrange(&self) -> Option<Membership> {
+        let has_diverged = self.view.members.iter().any(|member| self.has_diverged(member.id));
+        if !has_diverged && !self.backups_need_change() {
             return None;
         }
-        let wanted = Wanted { members: self.view.members.clone(), target_size: self.view.target_size };
-        self.reachable(wanted, self.view.primary)
+        let membership =
+            Membership { members: self.view.members.clone(), target_size: self.view.target_size };
+        self.if_reachable(membership, self.view.primary)
     }
 
-    fn estranged(&self, id: ReplicaId) -> bool {
-        let patience = if self.view.backups.contains(&id) { 0 } else { ESTRANGED_AFTER };
-        let since = self.contacts.get(&id).and_then(|contact| contact.estranged);
-        since.is_some_and(|since| self.now >= since + patience)
+    fn has_diverged(&self, id: ReplicaId) -> bool {
+        let timeout = if self.view.backups.contains(&id) { 0 } else { DIVERGED_WITNESS_TIMEOUT };
+        let since = self.peers.get(&id).and_then(|peer| peer.diverged_since);
+        since.is_some_and(|since| self.now >= since + timeout)
     }
 
-    fn backups_ail(&self) -> bool {
-        let sound = self.view.backups.iter().filter(|id| !self.ails(**id)).count();
+    fn backups_need_change(&self) -> bool {
+        let sound = self.view.backups.iter().filter(|id| !self.is_failing(**id)).count();
         let ailing = self.view.backups.len() - sound;
-        let spare = self.view.members.iter().any(|member| self.spare(member.id));
+        let spare = self.view.members.iter().any(|member| self.is_spare(member.id));
         let missing = self.view.backups.len() < self.losses;
         (ailing > 0 && (spare || sound > 0)) || (missing && spare)
     }
 
-    fn ails(&self, backup: ReplicaId) -> bool {
-        let patience = if self.change_waits { BACKUP_SILENT_IN_CHANGE } else { BACKUP_SILENT };
-        self.contacts
-            .get(&backup)
-            .is_some_and(|contact| !contact.healthy || self.now >= contact.heard + patience)
+    fn is_failing(&self, backup: ReplicaId) -> bool {
+        let timeout = if self.change_waits { BACKUP_TIMEOUT_IN_CHANGE } else { BACKUP_TIMEOUT };
+        self.peers.get(&backup).is_some_and(|peer| !peer.healthy || self.now >= peer.last_heard + timeout)
     }
 
-    fn spare(&self, id: ReplicaId) -> bool {
-        !self.view.holds_data(id) && self.may_keep_data(id)
+    fn is_spare(&self, id: ReplicaId) -> bool {
+        !self.view.holds_data(id) && self.can_hold_data(id)
     }
 
-    fn live(&self, id: ReplicaId) -> bool {
+    fn is_live(&self, id: ReplicaId) -> bool {
         id == self.view.primary
-            || self.contacts.get(&id).is_some_and(|contact| contact.live(self.now, LIVE_WITHIN))
+            || self.peers.get(&id).is_some_and(|peer| peer.is_live(self.now, LIVENESS_TIMEOUT))
     }
 
     /// The member whose machine has come back as another replica.
-    fn namesake(&self, joiner: &Member) -> Option<ReplicaId> {
+    fn member_at_address_of(&self, joiner: &Member) -> Option<ReplicaId> {
         let same = self.view.members.iter().find(|member| member.address == joiner.address)?;
         (same.id != self.view.primary).then_some(same.id)
     }
 
-    fn full(&self) -> bool {
+    fn is_full(&self) -> bool {
         self.view.members.len() >= self.view.target_size
     }
 
     /// The member that has been out of reach the longest, if for so long.
-    fn unreachable(&self, patience: u64) -> Option<ReplicaId> {
+    fn longest_unreachable(&self, timeout: u64) -> Option<ReplicaId> {
         let others = self.view.members.iter().filter(|member| member.id != self.view.primary);
         let silent = others.filter_map(|member| {
-            let contact = self.contacts.get(&member.id)?;
+            let peer = self.peers.get(&member.id)?;
             // One that this primary has never heard may have missed the first heartbeats.
-            let patience = if contact.answered { patience } else { UNREACHABLE_AFTER };
-            (self.now >= contact.heard + patience).then_some((contact.heard, member.id))
+            let timeout = if peer.has_replied { timeout } else { UNREACHABLE_TIMEOUT };
+            (self.now >= peer.last_heard + timeout).then_some((peer.last_heard, member.id))
         });
         silent.min().map(|(_, id)| id)
     }
 
     /// A member that is about to end, if another one can hold the data.
-    fn shutting_down(&self) -> Option<ReplicaId> {
-        let leaver = self.view.members.iter().find(|member| self.is_shutting_down(member.id))?;
-        let others = self.view.members.iter().filter(|member| member.id != leaver.id);
-        let mut keepers = others.filter(|member| self.may_keep_data(member.id));
-        keepers.next().map(|_| leaver.id)
+    fn shutting_down_member(&self) -> Option<ReplicaId> {
+        let removed_member = self.view.members.iter().find(|member| self.is_shutting_down(member.id))?;
+        let others = self.view.members.iter().filter(|member| member.id != removed_member.id);
+        let mut data_holders = others.filter(|member| self.can_hold_data(member.id));
+        data_holders.next().map(|_| removed_member.id)
     }
 
     fn is_shutting_down(&self, id: ReplicaId) -> bool {
-        self.contacts.get(&id).is_some_and(|contact| contact.shutting_down)
+        self.peers.get(&id).is_some_and(|peer| peer.shutting_down)
     }
 
     /// Whether a member other than the primary is live and may hold data.
-    fn may_keep_data(&self, id: ReplicaId) -> bool {
-        id != self.view.primary
-            && self.live(id)
-            && self.contacts.get(&id).is_some_and(|contact| contact.healthy)
+    fn can_hold_data(&self, id: ReplicaId) -> bool {
+        id != self.view.primary && self.is_live(id) && self.peers.get(&id).is_some_and(|peer| peer.healthy)
     }
 
     /// How many members are live and stay.
-    fn staying(&self) -> usize {
-        let stays = |member: &&Member| self.live(member.id) && !self.is_shutting_down(member.id);
+    fn remaining_members(&self) -> usize {
+        let stays = |member: &&Member| self.is_live(member.id) && !self.is_shutting_down(member.id);
         self.view.members.iter().filter(stays).count()
     }
 
-    fn without(&self, leaver: Option<ReplicaId>) -> Vec<Member> {
-        self.view.members.iter().filter(|member| Some(member.id) != leaver).cloned().collect()
+    fn without(&self, removed_member: Option<ReplicaId>) -> Vec<Member> {
+        self.view.members.iter().filter(|member| Some(member.id) != removed_member).cloned().collect()
     }
 
     /// Keeps a wish only if a majority of the members now and of those wanted can be reached.
-    fn reachable(&self, wanted: Wanted, joiner: ReplicaId) -> Option<Wanted> {
-        let live = |member: &&Member| member.id == joiner || self.live(member.id);
+    fn if_reachable(&self, membership: Membership, joiner: ReplicaId) -> Option<Membership> {
+        let live = |member: &&Member| member.id == joiner || self.is_live(member.id);
         let enough = |members: &[Member]| members.iter().filter(live).count() * 2 > members.len();
-        (enough(&self.view.members) && enough(&wanted.members)).then_some(wanted)
+        (enough(&self.view.members) && enough(&membership.members)).then_some(membership)
     }
 }
 
 /// How many more losses a core of this size bears while so many of its members are there.
-fn borne(present: usize, size: usize) -> usize {
+fn tolerable_losses(present: usize, size: usize) -> usize {
     present.saturating_sub(size / 2 + 1)
 }
 
 /// A member that may become a backup.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Candidate<'a> {
+pub(crate) struct BackupCandidate<'a> {
     pub member: &'a Member,
     /// Whether it holds the data already.
     pub holds_data: bool,
 }
 
 /// Chooses the backups of a primary: first one from each other zone, those with the data before others.
-pub(crate) fn pick_backups(
+pub(crate) fn choose_backups(
     zone: &Arc<str>,
-    mut candidates: Vec<Candidate<'_>>,
+    mut candidates: Vec<BackupCandidate<'_>>,
     count: usize,
 ) -> Vec<ReplicaId> {
     let mut taken_zones: BTreeSet<&str> = BTreeSet::from([&**zone]);
     let mut backups = Vec::new();
     while backups.len() < count && !candidates.is_empty() {
-        let rank = |candidate: &Candidate<'_>| {
+        let rank = |candidate: &BackupCandidate<'_>| {
             (taken_zones.contains(&*candidate.member.zone), !candidate.holds_data, candidate.member.id)
         };
         let best = (0..candidates.len()).min_by_key(|index| rank(&candidates[*index])).unwrap_or(0);
--- a/control/src/replica.rs
+++ b/control/src/replica.rs
@@ -5,16 +5,16 @@
 use crate::{
     Body, ControlState, Data, InjectedFault, Input, KnownView, LogPosition, Member, Message, Output,
     ProposalNumber, Record, RecoveredState, ReplicaConfig, ReplicaId, Role, SnapshotInstalled, Status, View,
-    campaign::{Campaign, DataSent, Poll},
+    campaign::{Campaign, PreVote, SnapshotSent},
     config::MILLISECOND,
     disk::{Disk, Effect},
-    handover::Handover,
     leadership::{Leadership, Proposal},
-    lease::{Grant, Lease, PrimaryClock},
+    leadership_transfer::LeadershipTransfer,
+    lease::{GrantedLease, Lease, PrimaryClock},
 };
 
 /// A replica that isn't a member asks to join this often.
-const JOIN_EVERY: u64 = 1_000 * MILLISECOND;
+const JOIN_INTERVAL: u64 = 1_000 * MILLISECOND;
 
 /// A replica of the control state.
 #[derive(Debug)]
@@ -26,28 +26,28 @@
     pub(crate) data: Option<Data>,
     pub(crate) committed: Arc<ControlState>,
     pub(crate) disk: Disk,
-    pub(crate) granted: Option<Grant>,
+    pub(crate) granted_lease: Option<GrantedLease>,
     pub(crate) primary_clock: Option<PrimaryClock>,
     /// The latest candidate that was sent the data with a promise.
-    pub(crate) data_sent: Option<DataSent>,
+    pub(crate) snapshot_sent: Option<SnapshotSent>,
     pub(crate) highest_epoch: u64,
     /// When there was last a sign that somebody leads or is about to.
     pub(crate) last_heard: u64,
     /// How much of its patience after that this replica waives.
-    pub(crate) head_start: u64,
-    pub(crate) poll: Option<Poll>,
+    pub(crate) waived_timeout: u64,
+    pub(crate) pre_vote: Option<PreVote>,
     pub(crate) campaign: Option<Campaign>,
     pub(crate) leadership: Option<Leadership>,
-    pub(crate) handover: Option<Handover>,
+    pub(crate) leadership_transfer: Option<LeadershipTransfer>,
     pub(crate) queue: Vec<Proposal>,
     pub(crate) random: u64,
     /// The latest campaign was for want of another primary's heartbeats, not asked for by it.
-    pub(crate) from_silence: bool,
+    pub(crate) campaign_after_timeout: bool,
     announced: Option<u64>,
     peers: Vec<SocketAddrV4>,
     next_join: u64,
     shutting_down: Option<u64>,
-    ended: bool,
+    exit_announced: bool,
     now: u64,
 }
 
@@ -75,36 +75,37 @@
             promised,
             committed: recovered.data.as_ref().map(|data| Arc::clone(&data.state)).unwrap_or_default(),
             disk: Disk::recovered(promised),
-            granted: promised.map(|proposal_number| Grant { proposal_number, until: now + lease }),
+            granted_lease: promised
+                .map(|proposal_number| GrantedLease { proposal_number, expires_at: now + lease }),
             primary_clock: None,
-            data_sent: None,
+            snapshot_sent: None,
             highest_epoch: promised.map_or(0, |proposal_number| proposal_number.epoch).max(view_epoch),
             last_heard: now,
-            head_start: 0,
-            poll: None,
+            waived_timeout: 0,
+            pre_vote: None,
             campaign: None,
             leadership: None,
-            handover: None,
+            leadership_transfer: None,
             queue: Vec::new(),
             random: config.seed ^ recovered.id.0 ^ 0x9E37_79B9_7F4A_7C15,
-            from_silence: false,
+            campaign_after_timeout: false,
             announced: None,
             peers: Vec::new(),
             next_join: now,
             shutting_down: None,
-            ended: false,
+            exit_announced: false,
             now,
             view: recovered.view,
             data: recovered.data,
             config,
         }
-        .returned()
+        .waive_timeout_of_returning_primary()
     }
 
     /// A primary that comes back needn't wait for silence: its lease bars only others.
-    fn returned(mut self) -> Replica {
+    fn waive_timeout_of_returning_primary(mut self) -> Replica {
         if self.view.as_ref().is_some_and(|known| known.view.primary == self.id) {
-            self.head_start = self.config.lease_duration;
+            self.waived_timeout = self.config.lease_duration;
         }
         self
     }
@@ -114,40 +115,43 @@
         self.now = self.now.max(now);
         match input {
             Input::Tick => {}
-            Input::Message { from, message } => self.receive(from, message, out),
+            Input::Message { from, message } => self.step(from, message, out),
             Input::WriteCompleted { write_id } => {
-                for effect in self.disk.persisted(write_id) {
-                    self.run(effect, out);
+                for effect in self.disk.complete_write(write_id) {
+                    self.apply_effect(effect, out);
                 }
             }
-            Input::WriteFailed { write_id } => self.disk.failed(self.now, write_id),
+            Input::WriteFailed { write_id } => self.disk.fail_write(self.now, write_id),
             Input::Propose { proposal_id, change } => self.propose(proposal_id, change, out),
-            Input::Bootstrap { view } => self.found(view, out),
+            Input::Bootstrap { view } => self.bootstrap(view, out),
             Input::Peers(peers) => {
                 self.peers = peers;
                 self.next_join = self.next_join.min(self.now);
             }
             Input::ShutDown => self.shutting_down = self.shutting_down.or(Some(self.now)),
         }
-        self.advance(out);
+        self.tick(out);
     }
 
     /// The time at which the replica wants a [`Input::Tick`] at the latest.
     pub fn next_wake(&self) -> u64 {
-        let mut wakes = vec![self.disk.wake(self.now), self.lead_wake(), self.election_wake()];
-        wakes.push(self.handover.map(|handover| handover.next_send));
+        let mut wakes =
+            vec![self.disk.next_deadline(self.now), self.primary_deadline(), self.election_deadline()];
+        wakes.push(self.leadership_transfer.map(|transfer| transfer.next_send));
         wakes.push(self.queue.first().map(|proposal| proposal.since + self.config.proposal_timeout));
         wakes.push(self.wants_to_join().then_some(self.next_join));
         wakes.push(
-            self.shutting_down.filter(|_| !self.ended).map(|since| since + self.config.shutdown_timeout),
+            self.shutting_down
+                .filter(|_| !self.exit_announced)
+                .map(|since| since + self.config.shutdown_timeout),
         );
-        let idle = self.now + JOIN_EVERY;
+        let idle = self.now + JOIN_INTERVAL;
         wakes.into_iter().flatten().min().unwrap_or(idle).clamp(self.now + MILLISECOND, idle)
     }
 
     /// Whether the lead of this replica began with the silence of another primary: the core was not stable then.
     pub fn took_over_after_timeout(&self) -> bool {
-        self.leadership.is_some() && self.from_silence
+        self.leadership.is_some() && self.campaign_after_timeout
     }
 
     /// The epoch in which this replica leads at this time, if it does. Read the clock just before acting on it.
@@ -204,7 +208,7 @@
             leading: self.leading(self.now),
             lease_until: self.lease_until(),
             sequence: self.data.as_ref().map(|data| data.position.sequence),
-            disk_healthy: self.disk.well(self.now),
+            disk_healthy: self.disk.is_healthy(self.now),
         }
     }
 
@@ -219,63 +223,63 @@
         }
     }
 
-    fn receive(&mut self, from: SocketAddrV4, message: Message, out: &mut Vec<Output>) {
+    fn step(&mut self, from: SocketAddrV4, message: Message, out: &mut Vec<Output>) {
         let sender = message.sender;
         if sender == self.id {
             return;
         }
         match message.body {
-            Body::Heartbeat { epoch, sent } => self.on_heartbeat(from, sender, epoch, sent, out),
-            Body::HeartbeatReply(reply) => self.on_echo(from, sender, reply, out),
-            Body::PreVote { epoch } => self.on_poll(from, sender, epoch, out),
-            Body::PreVoteReply(reply) => self.on_poll_reply(sender, reply, out),
-            Body::Prepare(prepare) => self.on_prepare(from, sender, prepare, out),
-            Body::Promise(promise) => self.on_promise(sender, promise, out),
-            Body::Reject(reject) => self.on_refuse(sender, reject, out),
-            Body::InstallSnapshot(install) => self.on_install(from, sender, install, out),
+            Body::Heartbeat { epoch, sent } => self.handle_heartbeat(from, sender, epoch, sent, out),
+            Body::HeartbeatReply(reply) => self.handle_heartbeat_reply(from, sender, reply, out),
+            Body::PreVote { epoch } => self.handle_pre_vote(from, sender, epoch, out),
+            Body::PreVoteReply(reply) => self.handle_pre_vote_reply(sender, reply, out),
+            Body::Prepare(prepare) => self.handle_prepare(from, sender, prepare, out),
+            Body::Promise(promise) => self.handle_promise(sender, promise, out),
+            Body::Reject(reject) => self.handle_reject(sender, reject, out),
+            Body::InstallSnapshot(install) => self.handle_install_snapshot(from, sender, install, out),
             Body::SnapshotInstalled(SnapshotInstalled { epoch, complete: true, .. }) => {
-                self.on_installed(sender, epoch, out);
+                self.handle_snapshot_installed(sender, epoch, out);
             }
             Body::SnapshotInstalled(SnapshotInstalled { epoch, complete: false, attempt }) => {
-                self.on_incomplete(sender, epoch, attempt, out);
+                self.handle_snapshot_missing(sender, epoch, attempt, out);
             }
-            Body::Accept { view } => self.on_accept(from, view, out),
-            Body::Accepted { epoch } => self.on_accepted(sender, epoch, out),
-            Body::Replicate(replicate) => self.on_replicate(from, sender, replicate, out),
+            Body::Accept { view } => self.handle_accept(from, view, out),
+            Body::Accepted { epoch } => self.handle_accepted(sender, epoch, out),
+            Body::Replicate(replicate) => self.handle_replicate(from, sender, replicate, out),
             Body::Replicated { epoch, sequence } => {
-                self.on_replicated(sender, LogPosition { epoch, sequence }, out);
+                self.handle_replicated(sender, LogPosition { epoch, sequence }, out);
             }
-            Body::Join { member, first_boot } => self.on_join(from, member, first_boot, out),
-            Body::TransferLeadership { released } => self.on_take_over(released, out),
+            Body::Join { member, first_boot } => self.handle_join(from, member, first_boot, out),
+            Body::TransferLeadership { released } => self.handle_transfer_leadership(released, out),
         }
     }
 
-    fn run(&mut self, effect: Effect, out: &mut Vec<Output>) {
+    fn apply_effect(&mut self, effect: Effect, out: &mut Vec<Output>) {
         match effect {
             Effect::Send { to, message } => out.push(Output::Send { to, message }),
-            Effect::Founded => self.on_founded(),
-            Effect::OwnPromise { epoch } => self.on_own_promise(epoch, out),
-            Effect::OwnInstall { epoch } => self.on_installed(self.id, epoch, out),
-            Effect::OwnAccept { epoch } => self.on_accepted(self.id, epoch, out),
-            Effect::OwnWrite { position } => self.on_replicated(self.id, position, out),
+            Effect::BootstrapDurable => self.handle_bootstrap_durable(),
+            Effect::OwnPromise { epoch } => self.handle_own_promise(epoch, out),
+            Effect::OwnSnapshot { epoch } => self.handle_snapshot_installed(self.id, epoch, out),
+            Effect::OwnAccept { epoch } => self.handle_accepted(self.id, epoch, out),
+            Effect::OwnChange { position } => self.handle_replicated(self.id, position, out),
         }
     }
 
     /// Does whatever is due at this time.
-    fn advance(&mut self, out: &mut Vec<Output>) {
-        if self.disk.stale() && self.disk.may_try(self.now) {
+    fn tick(&mut self, out: &mut Vec<Output>) {
+        if self.disk.is_stale() && self.disk.may_write(self.now) {
             self.persist(Vec::new(), None, out);
         }
-        self.advance_lead(out);
-        self.advance_election(out);
-        self.advance_handover(out);
-        self.expire_queue(out);
-        self.ask_to_join(out);
-        self.advance_leaving(out);
-        self.announce(out);
+        self.tick_primary(out);
+        self.tick_election(out);
+        self.tick_leadership_transfer(out);
+        self.expire_proposals(out);
+        self.maybe_request_join(out);
+        self.tick_shutdown(out);
+        self.maybe_announce_leadership(out);
     }
 
-    fn announce(&mut self, out: &mut Vec<Output>) {
+    fn maybe_announce_leadership(&mut self, out: &mut Vec<Output>) {
         let leading = self.leading(self.now);
         if leading == self.announced {
             return;
@@ -294,22 +298,22 @@
     ///
     /// With no records, the effect waits for whatever is under way. After a failure everything is written anew.
     pub(crate) fn persist(&mut self, records: Vec<Record>, effect: Option<Effect>, out: &mut Vec<Output>) {
-        let records = if self.disk.stale() { self.everything() } else { records };
+        let records = if self.disk.is_stale() { self.all_records() } else { records };
         if records.is_empty() {
-            if let Some(effect) = effect.and_then(|effect| self.disk.attach(effect)) {
-                self.run(effect, out);
+            if let Some(effect) = effect.and_then(|effect| self.disk.attach_effect(effect)) {
+                self.apply_effect(effect, out);
             }
             return;
         }
-        if !self.disk.may_try(self.now) {
-            self.disk.spoil();
+        if !self.disk.may_write(self.now) {
+            self.disk.mark_stale();
             return;
         }
-        let write_id = self.disk.issue(self.now, self.promised, effect);
+        let write_id = self.disk.start_write(self.now, self.promised, effect);
         out.push(Output::Persist { write_id, records });
     }
 
-    fn everything(&self) -> Vec<Record> {
+    fn all_records(&self) -> Vec<Record> {
         let mut records: Vec<Record> = self.promised.map(Record::Promise).into_iter().collect();
         records.extend(self.view.clone().map(Record::View));
         records.push(self.data.clone().map_or(Record::SnapshotDiscarded, Record::Snapshot));
@@ -346,7 +350,7 @@
 
     /// Whether this replica may hold data for others.
     pub(crate) fn healthy(&self) -> bool {
-        self.disk.well(self.now) && self.shutting_down.is_none()
+        self.disk.is_healthy(self.now) && self.shutting_down.is_none()
     }
 
     pub(crate) fn is_shutting_down(&self) -> bool {
@@ -354,24 +358,24 @@
     }
 
     /// Notes a sign that somebody leads or is about to.
-    pub(crate) fn hear(&mut self) {
-        self.hear_at(self.now);
+    pub(crate) fn reset_election_timer(&mut self) {
+        self.reset_election_timer_at(self.now);
     }
 
     /// Notes a sign that left its sender at this time.
-    pub(crate) fn hear_at(&mut self, time: u64) {
+    pub(crate) fn reset_election_timer_at(&mut self, time: u64) {
         if time >= self.last_heard {
             self.last_heard = time;
-            self.head_start = 0;
+            self.waived_timeout = 0;
         }
     }
 
-    pub(crate) fn note_epoch(&mut self, epoch: u64) {
+    pub(crate) fn observe_epoch(&mut self, epoch: u64) {
         self.highest_epoch = self.highest_epoch.max(epoch);
     }
 
     /// A number from 0 up to the limit.
-    pub(crate) fn draw(&mut self, limit: u64) -> u64 {
+    pub(crate) fn random_below(&mut self, limit: u64) -> u64 {
         self.random =
             self.random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.random >> 33) % limit.max(1)
@@ -383,11 +387,11 @@
         !member && !self.is_shutting_down() && anyone_known
     }
 
-    fn ask_to_join(&mut self, out: &mut Vec<Output>) {
+    fn maybe_request_join(&mut self, out: &mut Vec<Output>) {
         if !self.wants_to_join() || self.now < self.next_join {
             return;
         }
-        self.next_join = self.now + JOIN_EVERY;
+        self.next_join = self.now + JOIN_INTERVAL;
         let mut addresses: BTreeMap<SocketAddrV4, ()> = self.peers.iter().map(|peer| (*peer, ())).collect();
         if let Some(view) = self.current_view() {
             addresses.extend(view.members.iter().map(|member| (member.address, ())));
@@ -401,18 +405,18 @@
         }
     }
 
-    fn advance_leaving(&mut self, out: &mut Vec<Output>) {
-        let Some(since) = self.shutting_down.filter(|_| !self.ended) else { return };
+    fn tick_shutdown(&mut self, out: &mut Vec<Output>) {
+        let Some(since) = self.shutting_down.filter(|_| !self.exit_announced) else { return };
         let hasty = self.config.injected_fault == Some(InjectedFault::EndsAtOnce);
-        if hasty || !self.needed() || self.now >= since + self.config.shutdown_timeout {
-            self.ended = true;
+        if hasty || !self.is_needed() || self.now >= since + self.config.shutdown_timeout {
+            self.exit_announced = true;
             out.push(Output::ReadyToExit);
         }
     }
 
     /// Whether others count on this replica: it holds data, its view isn't known to be active, or a view with more
     /// members than it was founded with is about to go on without it.
-    fn needed(&self) -> bool {
+    fn is_needed(&self) -> bool {
         let counted_on = self.view.as_ref().is_some_and(|known| {
             let surplus = known.view.members.len() > known.view.target_size;
             let goes = surplus && known.view.member(self.id).is_some();
--- a/control/src/transfer.rs
+++ b/control/src/transfer.rs
@@ -5,7 +5,7 @@
 /// What the slowest link that is planned for carries in a microsecond, in bytes: 8 Mbit/s.
 const BYTES_PER_MICROSECOND: u64 = 1;
 /// The spans between repetitions are doubled no more often than this.
-const DOUBLED_AT_MOST: u32 = 4;
+const MAX_DOUBLINGS: u32 = 4;
 
 /// How long so many bytes take on a slow link, in microseconds.
 pub(crate) fn transfer_time(bytes: usize) -> u64 {
@@ -14,8 +14,8 @@
 
 /// How long to wait for an answer to something of so many bytes beyond the wait for something small, in microseconds.
 /// It doubles with each repetition, so that a link slower than planned for isn't flooded either.
-pub(crate) fn extra_patience(bytes: usize, repetitions: u32) -> u64 {
-    transfer_time(bytes) << repetitions.min(DOUBLED_AT_MOST)
+pub(crate) fn retransmission_delay(bytes: usize, repetitions: u32) -> u64 {
+    transfer_time(bytes) << repetitions.min(MAX_DOUBLINGS)
 }
 
 /// About how many bytes the state takes on the wire.
