--- a/controlplane/src/node/status.rs
+++ b/controlplane/src/node/status.rs
@@ -3,6 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
+use gradepaddle_control::Role;
 use gradepaddle_proto::Registration;
 use serde::Serialize;
 
@@ -22,7 +23,7 @@
     epoch: u64,
     primary: Option<SocketAddrV4>,
     members: Vec<SocketAddrV4>,
-    role: Option<String>,
+    role: Option<&'static str>,
     leading: Option<u64>,
     sequence: Option<u64>,
     disk_well: Option<bool>,
@@ -56,6 +57,17 @@
     heartbeats_at: SocketAddrV4,
 }
 
+/// The name of a role as operators see it.
+fn role_name(role: Role) -> &'static str {
+    match role {
+        Role::NonMember => "outside",
+        Role::Witness => "witness",
+        Role::Backup => "backup",
+        Role::Candidate => "candidate",
+        Role::Primary => "primary",
+    }
+}
+
 impl Node {
     pub(super) fn status(&self, now: Micros) -> Answer {
         let identity = self.session.identity();
@@ -69,7 +81,7 @@
             epoch: view.epoch,
             primary: view.primary,
             members: view.members.clone(),
-            role: replica.as_ref().map(|replica| format!("{:?}", replica.role).to_lowercase()),
+            role: replica.as_ref().map(|replica| role_name(replica.role)),
             leading: self.replica.as_ref().and_then(|replica| replica.leading(now)),
             sequence: replica.as_ref().and_then(|replica| replica.sequence),
             disk_well: replica.as_ref().map(|replica| replica.disk_healthy),
