--- a/control/src/campaign.rs
+++ b/control/src/campaign.rs
@@ -6,7 +6,7 @@
 };
 
 use crate::{
-    Data, InjectedFault, KnownView, LogPosition, ProposalNumber, ReplicaId, View,
+    Data, FaultInjection, KnownView, LogPosition, ProposalNumber, ReplicaId, View,
     config::MILLISECOND,
     membership::Membership,
     transfer::{state_bytes, transfer_time},
@@ -111,10 +111,10 @@
 }
 
 impl Campaign {
-    pub fn has_quorum(&self, injected_fault: Option<InjectedFault>) -> bool {
+    pub fn has_quorum(&self, fault: FaultInjection) -> bool {
         let present = self.promises.keys().copied().collect();
         let holder = self.promises.keys().any(|id| self.usable_position(*id).is_some());
-        self.base_view.quorum(&present) && (holder || injected_fault == Some(InjectedFault::TakesAnyData))
+        self.base_view.quorum(&present) && (holder || fault.takes_any_data())
     }
 
     /// The position that a member of the latest view's data set has shown.
--- a/control/src/config.rs
+++ b/control/src/config.rs
@@ -4,6 +4,8 @@
 
 use typed_builder::TypedBuilder;
 
+use crate::FaultInjection;
+
 /// One millisecond in the unit of the steady clock.
 pub(crate) const MILLISECOND: u64 = 1_000;
 
@@ -40,8 +42,8 @@
     #[builder(default = 0)]
     pub seed: u64,
     /// A fault for tests of the tests; never set in service.
-    #[builder(default)]
-    pub injected_fault: Option<InjectedFault>,
+    #[builder(default, setter(into))]
+    pub injected_fault: FaultInjection,
 }
 
 impl ReplicaConfig {
@@ -50,37 +52,3 @@
         (self.lease_duration / self.lease_margin.max(1)).saturating_sub(1).max(1)
     }
 }
-
-/// Faults of the protocol that tests build in to show that they would be noticed.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum InjectedFault {
-    /// Acknowledges a change before the backups have it.
-    AcknowledgesEarly,
-    /// Replies with a promise that isn't on the disk.
-    ForgetsPromise,
-    /// Grants an epoch while the lease of another runs.
-    IgnoresLease,
-    /// The primary never stops for want of a lease.
-    LeadsForever,
-    /// Has a view accepted before its backups hold the data.
-    AcceptsBeforeInstall,
-    /// Takes the state from whoever answers, or none, instead of the newest of the data set.
-    TakesAnyData,
-    /// Counts any view as active, and never asks the members of the view before.
-    SkipsPrior,
-    /// Grants again after a restart without waiting for the leases that it forgot.
-    GrantsAfterRestart,
-    /// Judges a rival of a pending change at once.
-    JudgesRivalEarly,
-    /// A replica that is to end doesn't wait until others hold what it holds or it has been taken out of the view.
-    EndsAtOnce,
-    /// Enlarges a view although a member is silent, on the word of a joiner that may be gone; and a new primary begins
-    /// to wait for silent members anew.
-    GrowsAtOnce,
-    /// The primary lets its state be read after its lease has run out.
-    ReadsWithoutLease,
-    /// Forgets the accepted orders when a state is installed.
-    ForgetsOrdersAtInstall,
-    /// Installs a state under the position that it had before.
-    InstallsWithoutEpoch,
-}
--- a/control/src/election.rs
+++ b/control/src/election.rs
@@ -7,8 +7,8 @@
 };
 
 use crate::{
-    Body, Data, InjectedFault, KnownView, LogPosition, Output, PreVoteReply, Prepare, Promise,
-    ProposalNumber, Record, Reject, Replica, ReplicaId,
+    Body, Data, KnownView, LogPosition, Output, PreVoteReply, Prepare, Promise, ProposalNumber, Record,
+    Reject, Replica, ReplicaId,
     campaign::{Campaign, PreVote, ReceivedPromise, SnapshotSent, Stage},
     config::MILLISECOND,
     disk::Effect,
@@ -176,7 +176,7 @@
         candidate: ReplicaId,
         released: Option<ProposalNumber>,
     ) -> bool {
-        if self.config.injected_fault == Some(InjectedFault::IgnoresLease) {
+        if self.config.injected_fault.ignores_lease() {
             return false;
         }
         let own_lead = candidate != self.id && self.leading(self.now()).is_some();
@@ -190,7 +190,7 @@
         out: &mut Vec<Output>,
     ) {
         let Some(mut base) = self.view.clone() else { return };
-        base.active |= self.config.injected_fault == Some(InjectedFault::SkipsPrior);
+        base.active |= self.config.injected_fault.skips_previous_members();
         self.observe_epoch(self.promised_epoch().max(base.view.epoch));
         let epoch = self.highest_epoch + 1;
         self.observe_epoch(epoch);
@@ -267,7 +267,7 @@
             records.push(Record::Promise(proposal_number));
         }
         let reply = self.make_promise(proposal_number, position);
-        if self.config.injected_fault == Some(InjectedFault::ForgetsPromise) {
+        if self.config.injected_fault.forgets_promise() {
             return self.send(from, reply, out);
         }
         let effect = self.reply_once_durable(from, reply);
@@ -331,7 +331,7 @@
 
     /// Bases the campaign on a later view that somebody knows.
     fn maybe_rebase(&mut self, mut shown: KnownView, out: &mut Vec<Output>) {
-        shown.active |= self.config.injected_fault == Some(InjectedFault::SkipsPrior);
+        shown.active |= self.config.injected_fault.skips_previous_members();
         let Some(campaign) = self.campaign.as_mut() else { return };
         if shown.view.epoch == campaign.base_view.view.epoch {
             campaign.base_view.active |= shown.active;
@@ -353,11 +353,11 @@
     }
 
     fn maybe_record_quorum(&mut self, out: &mut Vec<Output>) {
-        let (now, injected_fault) = (self.now(), self.config.injected_fault);
+        let (now, fault) = (self.now(), self.config.injected_fault);
         let Some(campaign) = self.campaign.as_mut() else { return };
         if campaign.stage.collecting_promises()
             && campaign.quorum_since.is_none()
-            && campaign.has_quorum(injected_fault)
+            && campaign.has_quorum(fault)
         {
             campaign.quorum_since = Some(now);
         }
@@ -380,7 +380,7 @@
     /// The newest state among those that the data set of the latest view has shown.
     fn newest_data(&self) -> Option<Data> {
         let campaign = self.campaign.as_ref()?;
-        if self.config.injected_fault == Some(InjectedFault::TakesAnyData) {
+        if self.config.injected_fault.takes_any_data() {
             let any = campaign.promises.values().find_map(|promised| promised.data.clone());
             return Some(any.unwrap_or_default());
         }
--- a/control/src/installation.rs
+++ b/control/src/installation.rs
@@ -7,8 +7,8 @@
 };
 
 use crate::{
-    AcceptedHistory, Body, ControlState, Data, InjectedFault, InstallSnapshot, KnownView, LogPosition,
-    Member, Output, Prepare, ProposalNumber, Record, Reject, Replica, ReplicaId, SnapshotInstalled, View,
+    Body, ControlState, Data, InstallSnapshot, KnownView, LogPosition, Member, Output, Prepare,
+    ProposalNumber, Record, Reject, Replica, ReplicaId, SnapshotInstalled, View,
     campaign::{Campaign, Stage},
     config::MILLISECOND,
     disk::Effect,
@@ -100,7 +100,7 @@
         let record = self.hold_snapshot(position, source.position, &source.state);
         self.persist(vec![record], Some(Effect::OwnSnapshot { epoch }), out);
         self.resend_stage(out);
-        if self.config.injected_fault == Some(InjectedFault::AcceptsBeforeInstall) {
+        if self.config.injected_fault.accepts_before_install() {
             self.start_accepting(out);
         }
     }
@@ -244,28 +244,11 @@
                 out,
             );
         };
-        let (position, state) = self.as_installed(position, source, state);
+        let Data { position, state } = self.config.injected_fault.installed(position, source, state);
         let record = self.hold_snapshot(position, source, &state);
         self.persist(vec![record], complete, out);
     }
 
-    /// What is to be held for an installation; another thing only in versions that are broken on purpose.
-    fn as_installed(
-        &self,
-        position: LogPosition,
-        source: LogPosition,
-        state: Arc<ControlState>,
-    ) -> (LogPosition, Arc<ControlState>) {
-        match self.config.injected_fault {
-            Some(InjectedFault::ForgetsOrdersAtInstall) => {
-                let forgetful = ControlState { accepted: AcceptedHistory::default(), ..(*state).clone() };
-                (position, Arc::new(forgetful))
-            }
-            Some(InjectedFault::InstallsWithoutEpoch) => (source, state),
-            _ => (position, state),
-        }
-    }
-
     /// A future backup lacks the state, although it was thought to hold it or was sent it.
     pub(crate) fn handle_snapshot_missing(
         &mut self,
@@ -340,7 +323,7 @@
     fn names_backup_without_data(&self, view: &View) -> bool {
         let installed = self.data.as_ref().is_some_and(|data| data.position.epoch >= view.epoch);
         let lacking = view.backups.contains(&self.id) && view.epoch > BOOTSTRAP_EPOCH && !installed;
-        lacking && self.config.injected_fault != Some(InjectedFault::AcceptsBeforeInstall)
+        lacking && !self.config.injected_fault.accepts_before_install()
     }
 
     /// Takes in a view that exists, whether or not it may be accepted here.
@@ -418,7 +401,7 @@
         let Stage::AcceptingView { view, accepted } = &mut campaign.stage else { return };
         accepted.insert(sender);
         let mut known = KnownView { view: Arc::clone(view), active: false };
-        known.active = self.config.injected_fault == Some(InjectedFault::SkipsPrior);
+        known.active = self.config.injected_fault.skips_previous_members();
         let data_set = view.backups.iter().all(|id| accepted.contains(id)) && accepted.contains(&self.id);
         if data_set && known.quorum(accepted) {
             let answered = accepted.iter().chain(campaign.promises.keys()).copied().collect();
--- a/control/src/lib.rs
+++ b/control/src/lib.rs
@@ -8,6 +8,7 @@
 mod config;
 mod disk;
 mod election;
+mod fault_injection;
 mod heartbeat;
 mod history;
 mod input;
@@ -27,7 +28,10 @@
 mod view;
 mod view_change;
 
-pub use config::{InjectedFault, ReplicaConfig};
+pub use config::ReplicaConfig;
+pub use fault_injection::FaultInjection;
+#[cfg(feature = "fault-injection")]
+pub use fault_injection::InjectedFault;
 pub use history::{
     ACCEPTED_HISTORY_BYTES, ACCEPTED_HISTORY_ENTRIES, AcceptedConfiguration, AcceptedHistory, HistoryLookup,
 };
--- a/control/src/replica.rs
+++ b/control/src/replica.rs
@@ -3,8 +3,8 @@
 use std::{collections::BTreeMap, net::SocketAddrV4, sync::Arc};
 
 use crate::{
-    Body, ControlState, Data, InjectedFault, Input, KnownView, LogPosition, Member, Message, Output,
-    ProposalNumber, Record, RecoveredState, ReplicaConfig, ReplicaId, Role, SnapshotInstalled, Status, View,
+    Body, ControlState, Data, Input, KnownView, LogPosition, Member, Message, Output, ProposalNumber, Record,
+    RecoveredState, ReplicaConfig, ReplicaId, Role, SnapshotInstalled, Status, View,
     campaign::{Campaign, PreVote, SnapshotSent},
     config::MILLISECOND,
     disk::{Disk, Effect},
@@ -64,11 +64,7 @@
     /// A replica that starts at this time with what was on its disk.
     pub fn new(config: ReplicaConfig, recovered: RecoveredState, now: u64) -> Replica {
         let promised = recovered.promised;
-        let lease = if config.injected_fault == Some(InjectedFault::GrantsAfterRestart) {
-            0
-        } else {
-            config.lease_duration
-        };
+        let lease = if config.injected_fault.grants_after_restart() { 0 } else { config.lease_duration };
         let view_epoch = recovered.view.as_ref().map_or(0, |known| known.view.epoch);
         Replica {
             id: recovered.id,
@@ -162,8 +158,8 @@
     /// The lease under which this replica leads at this time, if it does.
     pub fn lease(&self, now: u64) -> Option<Lease> {
         let epoch = self.leadership.as_ref()?.epoch;
-        if self.config.injected_fault == Some(InjectedFault::LeadsForever) {
-            return Some(Lease { epoch, until: u64::MAX });
+        if let Some(lease) = self.config.injected_fault.lease_without_end(epoch) {
+            return Some(lease);
         }
         let until = self.lease_until().filter(|until| now < *until)?;
         Some(Lease { epoch, until })
@@ -171,11 +167,9 @@
 
     /// The current state, if this replica leads at this time. Whoever passes it on looks at the lease once more.
     pub fn read(&self, now: u64) -> Option<LeaseRead<'_>> {
-        let mut lease = self.lease(now);
-        if self.config.injected_fault == Some(InjectedFault::ReadsWithoutLease) {
-            lease = self.leadership.as_ref().map(|lead| Lease { epoch: lead.epoch, until: u64::MAX });
-        }
-        Some(LeaseRead { lease: lease?, state: &self.committed })
+        let unbounded = |lead: &Leadership| self.config.injected_fault.read_lease_without_end(lead.epoch);
+        let lease = self.leadership.as_ref().and_then(unbounded).or_else(|| self.lease(now))?;
+        Some(LeaseRead { lease, state: &self.committed })
     }
 
     /// The state that was last committed as far as this replica knows; current only while it leads.
@@ -407,7 +401,7 @@
 
     fn tick_shutdown(&mut self, out: &mut Vec<Output>) {
         let Some(since) = self.shutting_down.filter(|_| !self.exit_announced) else { return };
-        let hasty = self.config.injected_fault == Some(InjectedFault::EndsAtOnce);
+        let hasty = self.config.injected_fault.exits_at_once();
         if hasty || !self.is_needed() || self.now >= since + self.config.shutdown_timeout {
             self.exit_announced = true;
             out.push(Output::ReadyToExit);
--- a/control/src/replication.rs
+++ b/control/src/replication.rs
@@ -3,8 +3,8 @@
 use std::{collections::BTreeSet, net::SocketAddrV4, sync::Arc};
 
 use crate::{
-    Body, Change, ControlState, Data, InjectedFault, KnownView, LogPosition, Outcome, Output, ProposalId,
-    ProposalNumber, Record, Replica, ReplicaId, Replicate, SnapshotInstalled, View,
+    Body, Change, ControlState, Data, KnownView, LogPosition, Outcome, Output, ProposalId, ProposalNumber,
+    Record, Replica, ReplicaId, Replicate, SnapshotInstalled, View,
     config::MILLISECOND,
     disk::Effect,
     leadership::{Leadership, PendingChange, Proposal, VIEW_CHANGE_INTERVAL},
@@ -92,7 +92,7 @@
         self.reset_election_timer();
         let before = self.leadership.take();
         let first_epoch = before.as_ref().map_or(view.epoch, |before| before.first_epoch);
-        let fresh_timeouts = self.config.injected_fault == Some(InjectedFault::GrowsAtOnce);
+        let fresh_timeouts = self.config.injected_fault.grows_at_once();
         let (mut known, joiners, mut removed, replaced) = before
             .map(|before| (before.peers, before.joiners, before.removed, before.replaced))
             .unwrap_or_default();
@@ -199,24 +199,7 @@
                 None => self.start_change(proposal_id, change, since, out),
             }
         }
-        if self.config.injected_fault == Some(InjectedFault::JudgesRivalEarly) {
-            self.check_rivals_early(out);
-        }
-    }
-
-    fn check_rivals_early(&mut self, out: &mut Vec<Output>) {
-        let (Some(data), true) = (&self.data, self.leadership.is_some()) else { return };
-        let state = Arc::clone(&data.state);
-        self.queue.retain(|proposal| match state.check(&proposal.change) {
-            ChangeCheck::Conflict { current } => {
-                out.push(Output::Answer {
-                    proposal_id: proposal.proposal_id,
-                    outcome: Outcome::Conflict { current },
-                });
-                false
-            }
-            _ => true,
-        });
+        self.inject_early_rejections(out);
     }
 
     fn can_start_change(&self) -> bool {
@@ -315,7 +298,7 @@
         position: LogPosition,
         out: &mut Vec<Output>,
     ) {
-        let early = self.config.injected_fault == Some(InjectedFault::AcknowledgesEarly);
+        let early = self.config.injected_fault.acknowledges_early();
         let Some(leadership) = self.leadership.as_mut() else { return };
         let Some(pending) = leadership.pending.as_mut().filter(|pending| pending.position == position) else {
             return;
--- a/control/src/view_change.rs
+++ b/control/src/view_change.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddrV4, sync::Arc};
 
 use crate::{
-    Body, InjectedFault, KnownView, Member, Output, Replica,
+    Body, KnownView, Member, Output, Replica,
     leadership::VIEW_CHANGE_INTERVAL,
     membership::{Joiner, LIVENESS_TIMEOUT, Membership, MembershipPlanner},
 };
@@ -78,7 +78,7 @@
             losses: self.config.machine_losses.max(1),
             view_change_complete: self.view_change_complete(),
             primary_shutting_down: self.is_shutting_down(),
-            grows_at_once: self.config.injected_fault == Some(InjectedFault::GrowsAtOnce),
+            grows_at_once: self.config.injected_fault.grows_at_once(),
         };
         planner.next_membership()
     }
