--- /dev/null
+++ b/control/src/accept_phase.rs
@@ -0,0 +1,35 @@
+//! The last phase of a campaign: the view goes to all members, and is active once a quorum has accepted it.
+
+use std::{collections::BTreeSet, sync::Arc};
+
+use crate::{KnownView, Output, Record, Replica, ReplicaId, campaign::Stage, disk::Effect};
+
+impl Replica {
+    pub(crate) fn start_accepting(&mut self, out: &mut Vec<Output>) {
+        let Some(campaign) = self.election.campaign.as_mut() else { return };
+        let Stage::InstallingSnapshots { view, .. } = &campaign.stage else { return };
+        let (view, epoch) = (Arc::clone(view), campaign.epoch);
+        campaign.stage = Stage::AcceptingView { view: Arc::clone(&view), accepted: BTreeSet::new() };
+        let known = KnownView { view, active: false };
+        self.stored.view = Some(known.clone());
+        self.persist(vec![Record::View(known)], Some(Effect::OwnAccept { epoch }), out);
+        self.resend_stage(out);
+    }
+
+    pub(crate) fn handle_accepted(&mut self, sender: ReplicaId, epoch: u64, out: &mut Vec<Output>) {
+        let Some(campaign) = self.election.campaign.as_mut().filter(|campaign| campaign.epoch == epoch)
+        else {
+            return;
+        };
+        let Stage::AcceptingView { view, accepted } = &mut campaign.stage else { return };
+        accepted.insert(sender);
+        let mut known = KnownView { view: Arc::clone(view), active: false };
+        known.active = self.config.injected_fault.skips_previous_members();
+        let data_set = view.backups.iter().all(|id| accepted.contains(id)) && accepted.contains(&self.id);
+        if data_set && known.quorum(accepted) {
+            let answered = accepted.iter().chain(campaign.promises.keys()).copied().collect();
+            self.election.campaign = None;
+            self.become_primary(known.view, &answered, out);
+        }
+    }
+}
--- a/control/src/campaign.rs
+++ b/control/src/campaign.rs
@@ -6,46 +6,16 @@
 };
 
 use crate::{
-    Data, FaultInjection, KnownView, LogPosition, ProposalNumber, ReplicaId, View,
-    config::MILLISECOND,
+    Data, FaultInjection, KnownView, LogPosition, Micros, ProposalNumber, ReplicaId, View,
     membership::Membership,
-    transfer::{state_bytes, transfer_time},
+    time::MILLISECOND,
+    transmission::{state_bytes, transfer_time},
 };
 
 /// A campaign that takes longer begins anew with a higher epoch.
-const CAMPAIGN_TIMEOUT: u64 = 1_200 * MILLISECOND;
+const CAMPAIGN_TIMEOUT: Micros = 1_200 * MILLISECOND;
 /// A campaign that a rival has got in the way of begins anew this long after the first refusal if no quorum has come.
-const REJECTED_CAMPAIGN_TIMEOUT: u64 = 250 * MILLISECOND;
-
-/// Asks around whether a campaign would succeed, in rounds that are repeated before the answers are there.
-#[derive(Debug)]
-pub(crate) struct PreVote {
-    pub base_view: KnownView,
-    /// The rounds whose answers count, with their times.
-    pub rounds: Vec<(u64, u64)>,
-    /// Who would promise, with the time of the round that was answered.
-    pub granted: BTreeMap<ReplicaId, u64>,
-    pub next_send: u64,
-}
-
-impl PreVote {
-    /// Forgets the rounds that are too old, and what was answered to them.
-    pub fn expire_before(&mut self, time: u64) {
-        self.rounds.retain(|(_, at)| *at >= time);
-        self.granted.retain(|_, at| *at >= time);
-    }
-
-    pub fn record_grant(&mut self, sender: ReplicaId, round: u64) {
-        let asked = self.rounds.iter().find(|(known, _)| *known == round);
-        if let Some((_, at)) = asked {
-            self.granted.insert(sender, *at);
-        }
-    }
-
-    pub fn has_quorum(&self) -> bool {
-        self.base_view.quorum(&self.granted.keys().copied().collect())
-    }
-}
+const REJECTED_CAMPAIGN_TIMEOUT: Micros = 250 * MILLISECOND;
 
 /// What a member said when it promised.
 #[derive(Debug)]
@@ -61,7 +31,7 @@
     pub proposal_number: ProposalNumber,
     /// What the candidate held.
     pub candidate_position: Option<LogPosition>,
-    pub sent_at: u64,
+    pub sent_at: Micros,
     pub repetitions: u32,
 }
 
@@ -78,7 +48,7 @@
         /// How often the state has been sent whole to a backup; never to those that hold the source.
         attempts: BTreeMap<ReplicaId, u64>,
         excluded: BTreeSet<ReplicaId>,
-        since: u64,
+        since: Micros,
     },
     /// The view is being accepted; it can't be altered any more.
     AcceptingView { view: Arc<View>, accepted: BTreeSet<ReplicaId> },
@@ -96,16 +66,16 @@
 pub(crate) struct Campaign {
     pub epoch: u64,
     pub released: Option<ProposalNumber>,
-    pub started: u64,
-    pub next_send: u64,
+    pub started: Micros,
+    pub next_send: Micros,
     /// The latest view that any promise has shown.
     pub base_view: KnownView,
     pub position: Option<LogPosition>,
     pub promises: BTreeMap<ReplicaId, ReceivedPromise>,
     pub rejected: BTreeSet<ReplicaId>,
     /// When a member first refused because of a rival.
-    pub rejected_since: Option<u64>,
-    pub quorum_since: Option<u64>,
+    pub rejected_since: Option<Micros>,
+    pub quorum_since: Option<Micros>,
     pub membership: Option<Membership>,
     pub stage: Stage,
 }
@@ -129,14 +99,14 @@
     }
 
     /// When the campaign has taken too long.
-    pub fn deadline(&self) -> u64 {
+    pub fn deadline(&self) -> Micros {
         let held_up =
             self.rejected_since.filter(|_| self.stage.collecting_promises() && self.quorum_since.is_none());
         let ends = self.started + self.time_limit();
         held_up.map_or(ends, |since| ends.min(since + REJECTED_CAMPAIGN_TIMEOUT))
     }
 
-    fn time_limit(&self) -> u64 {
+    fn time_limit(&self) -> Micros {
         match &self.stage {
             // One backup that is passed over for another, or one transfer that has to be made twice.
             Stage::InstallingSnapshots { source, attempts, .. } => {
--- a/control/src/config.rs
+++ b/control/src/config.rs
@@ -4,10 +4,7 @@
 
 use typed_builder::TypedBuilder;
 
-use crate::FaultInjection;
-
-/// One millisecond in the unit of the steady clock.
-pub(crate) const MILLISECOND: u64 = 1_000;
+use crate::{FaultInjection, Micros, time::MILLISECOND};
 
 /// Settings of a replica.
 #[derive(Debug, Clone, TypedBuilder)]
@@ -25,19 +22,19 @@
     pub machine_losses: usize,
     /// The length of a lease in microseconds.
     #[builder(default = 1_500 * MILLISECOND)]
-    pub lease_duration: u64,
+    pub lease_duration: Micros,
     /// How much sooner the primary stops than its lease runs out, in microseconds.
     #[builder(default = 100 * MILLISECOND)]
-    pub lease_margin: u64,
+    pub lease_margin: Micros,
     /// The time between heartbeats in microseconds.
     #[builder(default = 300 * MILLISECOND)]
-    pub heartbeat_interval: u64,
+    pub heartbeat_interval: Micros,
     /// The longest time to an answer in microseconds.
     #[builder(default = 3_500 * MILLISECOND)]
-    pub proposal_timeout: u64,
+    pub proposal_timeout: Micros,
     /// How long a replica that is about to end waits at most until others hold what it holds, in microseconds.
     #[builder(default = 7_000 * MILLISECOND)]
-    pub shutdown_timeout: u64,
+    pub shutdown_timeout: Micros,
     /// Spreads the campaigns of replicas.
     #[builder(default = 0)]
     pub seed: u64,
--- a/control/src/disk.rs
+++ b/control/src/disk.rs
@@ -2,12 +2,12 @@
 
 use std::{collections::VecDeque, net::SocketAddrV4};
 
-use crate::{LogPosition, Message, ProposalNumber, WriteId, config::MILLISECOND};
+use crate::{LogPosition, Message, Micros, ProposalNumber, WriteId, time::MILLISECOND};
 
 /// A write that takes longer than this counts the disk as unwell.
-const SLOW_WRITE: u64 = 600 * MILLISECOND;
+const SLOW_WRITE: Micros = 600 * MILLISECOND;
 /// After a failed write the disk is tried again this much later.
-const RETRY_INTERVAL: u64 = 500 * MILLISECOND;
+const RETRY_INTERVAL: Micros = 500 * MILLISECOND;
 
 /// What happens once everything that was known when it was asked for is durable.
 #[derive(Debug, Clone, PartialEq)]
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 struct PendingWrite {
     write_id: WriteId,
-    issued: u64,
+    issued: Micros,
     promised: Option<ProposalNumber>,
     effects: Vec<Effect>,
     /// False once an earlier write has failed: what this one builds on isn't there.
@@ -45,7 +45,7 @@
     /// Since the last failure nothing has been written in full.
     stale: bool,
     failing: bool,
-    last_failure: u64,
+    last_failure: Micros,
 }
 
 impl Disk {
@@ -70,17 +70,17 @@
     }
 
     /// Whether writes succeed in time.
-    pub fn is_healthy(&self, now: u64) -> bool {
+    pub fn is_healthy(&self, now: Micros) -> bool {
         !self.failing && self.outstanding.front().is_none_or(|oldest| now < oldest.issued + SLOW_WRITE)
     }
 
     /// Whether a new write may be tried.
-    pub fn may_write(&self, now: u64) -> bool {
+    pub fn may_write(&self, now: Micros) -> bool {
         !self.failing || (self.outstanding.is_empty() && now >= self.last_failure + RETRY_INTERVAL)
     }
 
     /// When this disk wants attention: to be tried again, or to be called slow.
-    pub fn next_deadline(&self, now: u64) -> Option<u64> {
+    pub fn next_deadline(&self, now: Micros) -> Option<Micros> {
         match self.outstanding.front() {
             Some(oldest) => Some(oldest.issued + SLOW_WRITE).filter(|at| *at > now),
             None => self.failing.then(|| self.last_failure + RETRY_INTERVAL),
@@ -90,7 +90,7 @@
     /// Notes a write and gives it a name.
     pub fn start_write(
         &mut self,
-        now: u64,
+        now: Micros,
         promised: Option<ProposalNumber>,
         effect: Option<Effect>,
     ) -> WriteId {
@@ -128,7 +128,7 @@
     }
 
     /// Ends a write that failed, and with it all that came after it.
-    pub fn fail_write(&mut self, now: u64, write_id: WriteId) {
+    pub fn fail_write(&mut self, now: Micros, write_id: WriteId) {
         if self.take(write_id).is_none() {
             return;
         }
--- a/control/src/election.rs
+++ b/control/src/election.rs
@@ -2,34 +2,50 @@
 
 use std::{
     collections::{BTreeMap, BTreeSet},
-    net::SocketAddrV4,
     sync::Arc,
 };
 
 use crate::{
-    Body, Data, KnownView, LogPosition, Output, PreVoteReply, Prepare, Promise, ProposalNumber, Record,
-    Reject, Replica, ReplicaId,
-    campaign::{Campaign, PreVote, ReceivedPromise, SnapshotSent, Stage},
-    config::MILLISECOND,
+    Micros, Output, ProposalNumber, Record, Replica,
+    campaign::{Campaign, SnapshotSent, Stage},
     disk::Effect,
     membership::Membership,
-    transfer::{retransmission_delay, state_bytes},
+    pre_vote::PreVote,
+    prepare_phase::PROMISE_GRACE_PERIOD,
+    time::MILLISECOND,
 };
 
 /// Polls and requests of a campaign are repeated this often.
-pub(crate) const RESEND_INTERVAL: u64 = 150 * MILLISECOND;
-/// An answer to a poll counts for so long after the question; a link may take a while in each direction.
-const PRE_VOTE_VALIDITY: u64 = 1_000 * MILLISECOND;
-/// After a quorum has promised, the candidate waits this much longer for others, who may be better backups.
-const PROMISE_GRACE_PERIOD: u64 = 40 * MILLISECOND;
+pub(crate) const RESEND_INTERVAL: Micros = 150 * MILLISECOND;
+
 /// Backups wait this much longer than the one ranked before them.
-const ELECTION_STAGGER: u64 = 120 * MILLISECOND;
+const ELECTION_STAGGER: Micros = 120 * MILLISECOND;
 /// The campaigns of replicas are spread over this span.
-const ELECTION_JITTER: u64 = 60 * MILLISECOND;
+const ELECTION_JITTER: Micros = 60 * MILLISECOND;
+
+/// What a replica keeps in mind of elections. `election.rs` owns the timers, `pre_vote.rs` the pre-vote, the files of the
+/// three phases the campaign.
+#[derive(Debug)]
+pub(crate) struct ElectionState {
+    /// The highest epoch that this replica has seen anywhere.
+    pub highest_epoch: u64,
+    /// When there was last a sign that somebody leads or is about to.
+    pub last_heard: Micros,
+    /// How much of the election timeout this replica waives.
+    pub waived_timeout: Micros,
+    pub pre_vote: Option<PreVote>,
+    pub campaign: Option<Campaign>,
+    /// The latest campaign began because another primary's heartbeats were missing, not at its request.
+    pub campaign_after_timeout: bool,
+    /// The latest candidate that was sent the data with a promise.
+    pub snapshot_sent: Option<SnapshotSent>,
+    /// State of the generator that spreads campaigns.
+    pub random: u64,
+}
 
 impl Replica {
-    pub(crate) fn election_deadline(&self) -> Option<u64> {
-        if let Some(campaign) = &self.campaign {
+    pub(crate) fn election_deadline(&self) -> Option<Micros> {
+        if let Some(campaign) = &self.election.campaign {
             let gathered = campaign
                 .quorum_since
                 .filter(|_| campaign.stage.collecting_promises())
@@ -37,14 +53,14 @@
             let due = campaign.next_send.min(campaign.deadline());
             return Some(gathered.map_or(due, |gathered| gathered.min(due)));
         }
-        match &self.pre_vote {
+        match &self.election.pre_vote {
             Some(pre_vote) => Some(pre_vote.next_send),
             None => self.election_due(),
         }
     }
 
     pub(crate) fn tick_election(&mut self, out: &mut Vec<Output>) {
-        if let Some(campaign) = &self.campaign {
+        if let Some(campaign) = &self.election.campaign {
             if self.now() >= campaign.deadline() {
                 self.abandon_campaign(out);
             } else if campaign.stage.collecting_promises() {
@@ -52,13 +68,13 @@
             }
             self.resend_campaign(out);
         }
-        if self.campaign.is_none() && self.election_due().is_some_and(|due| self.now() >= due) {
+        if self.election.campaign.is_none() && self.election_due().is_some_and(|due| self.now() >= due) {
             self.broadcast_pre_vote(out);
         }
     }
 
     /// When this replica seeks to lead for want of a primary.
-    fn election_due(&self) -> Option<u64> {
+    fn election_due(&self) -> Option<Micros> {
         let view = self.current_view()?;
         view.member(self.id)?;
         // One that is about to end may still be the only one that can pass the data on.
@@ -72,7 +88,7 @@
             return Some(
                 self.lease_until()
                     .unwrap_or(0)
-                    .max(self.last_heard)
+                    .max(self.election.last_heard)
                     .saturating_add(self.config.lease_duration),
             );
         }
@@ -81,7 +97,11 @@
             Some(rank) => self.config.lease_duration + rank as u64 * ELECTION_STAGGER,
             None => 2 * self.config.lease_duration + self.witness_rank() * ELECTION_STAGGER,
         };
-        Some(self.last_heard + timeout.saturating_sub(self.waived_timeout) + self.spread(ELECTION_JITTER))
+        Some(
+            self.election.last_heard
+                + timeout.saturating_sub(self.election.waived_timeout)
+                + self.spread(ELECTION_JITTER),
+        )
     }
 
     fn witness_rank(&self) -> u64 {
@@ -94,116 +114,32 @@
     /// A span below the limit that stays the same for this replica and epoch.
     fn spread(&self, limit: u64) -> u64 {
         let mixed = (self.config.seed ^ self.id.0)
-            .wrapping_add(self.highest_epoch)
+            .wrapping_add(self.election.highest_epoch)
             .wrapping_mul(0x9E37_79B9_7F4A_7C15);
         (mixed >> 32) % limit
     }
 
-    fn broadcast_pre_vote(&mut self, out: &mut Vec<Output>) {
-        if self.pre_vote.as_ref().is_some_and(|pre_vote| self.now() < pre_vote.next_send) {
-            return;
-        }
-        let Some(known) = self.view.clone() else { return };
-        let (now, round) = (self.now(), self.random_below(u64::MAX >> 34) + self.now());
-        let before =
-            self.pre_vote.take().filter(|pre_vote| pre_vote.base_view.view.epoch >= known.view.epoch);
-        let fresh =
-            || PreVote { base_view: known, rounds: Vec::new(), granted: BTreeMap::new(), next_send: 0 };
-        let mut pre_vote = before.unwrap_or_else(fresh);
-        pre_vote.expire_before(now.saturating_sub(PRE_VOTE_VALIDITY));
-        pre_vote.rounds.push((round, now));
-        pre_vote.next_send = now + RESEND_INTERVAL;
-        if self.lease_forbids_promise(self.id, None) {
-            pre_vote.granted.remove(&self.id);
-        } else {
-            pre_vote.granted.insert(self.id, now);
-        }
-        for member in pre_vote.base_view.view.everyone().iter().filter(|member| member.id != self.id) {
-            self.send(member.address, Body::PreVote { epoch: round }, out);
-        }
-        self.pre_vote = Some(pre_vote);
-        self.maybe_campaign(out);
-    }
-
-    pub(crate) fn handle_pre_vote(
-        &mut self,
-        from: SocketAddrV4,
-        sender: ReplicaId,
-        epoch: u64,
-        out: &mut Vec<Output>,
-    ) {
-        let known =
-            self.view.as_ref().is_none_or(|known| known.view.everyone().iter().any(|m| m.id == sender));
-        let granted = known && !self.lease_forbids_promise(sender, None);
-        let reply = Body::PreVoteReply(PreVoteReply {
-            epoch,
-            granted,
-            promised: self.promised,
-            view: self.view.clone(),
-        });
-        self.send(from, reply, out);
-    }
-
-    pub(crate) fn handle_pre_vote_reply(
-        &mut self,
-        sender: ReplicaId,
-        PreVoteReply { epoch: round, granted, promised, view }: PreVoteReply,
-        out: &mut Vec<Output>,
-    ) {
-        self.observe_epoch(promised.map_or(0, |proposal_number| proposal_number.epoch));
-        if let Some(view) = view {
-            self.learn_view(view, out);
-        }
-        let now = self.now();
-        if let Some(pre_vote) = self.pre_vote.as_mut().filter(|_| granted) {
-            pre_vote.expire_before(now.saturating_sub(PRE_VOTE_VALIDITY));
-            pre_vote.record_grant(sender, round);
-            self.maybe_campaign(out);
-        }
-    }
-
-    fn maybe_campaign(&mut self, out: &mut Vec<Output>) {
-        let granted_by_quorum = self.pre_vote.as_ref().is_some_and(PreVote::has_quorum);
-        if granted_by_quorum && self.campaign.is_none() && !self.lease_forbids_promise(self.id, None) {
-            self.pre_vote = None;
-            self.start_campaign(None, None, out);
-        }
-    }
-
-    /// Whether a lease forbids this replica to promise anything to the candidate.
-    pub(crate) fn lease_forbids_promise(
-        &self,
-        candidate: ReplicaId,
-        released: Option<ProposalNumber>,
-    ) -> bool {
-        if self.config.injected_fault.ignores_lease() {
-            return false;
-        }
-        let own_lead = candidate != self.id && self.leading(self.now()).is_some();
-        own_lead || self.granted_lease.is_some_and(|grant| grant.blocks(self.now(), candidate, released))
-    }
-
     pub(crate) fn start_campaign(
         &mut self,
         released: Option<ProposalNumber>,
         membership: Option<Membership>,
         out: &mut Vec<Output>,
     ) {
-        let Some(mut base) = self.view.clone() else { return };
+        let Some(mut base) = self.stored.view.clone() else { return };
         base.active |= self.config.injected_fault.skips_previous_members();
         self.observe_epoch(self.promised_epoch().max(base.view.epoch));
-        let epoch = self.highest_epoch + 1;
+        let epoch = self.election.highest_epoch + 1;
         self.observe_epoch(epoch);
         let proposal_number = ProposalNumber { epoch, candidate: self.id };
-        self.promised = Some(proposal_number);
-        self.campaign_after_timeout = released.is_none() && base.view.primary != self.id;
-        self.campaign = Some(Campaign {
+        self.stored.promised = Some(proposal_number);
+        self.election.campaign_after_timeout = released.is_none() && base.view.primary != self.id;
+        self.election.campaign = Some(Campaign {
             epoch,
             released,
             started: self.now(),
             next_send: self.now() + RESEND_INTERVAL,
             base_view: base,
-            position: self.data.as_ref().map(|data| data.position),
+            position: self.stored.data.as_ref().map(|data| data.position),
             promises: BTreeMap::new(),
             rejected: BTreeSet::new(),
             rejected_since: None,
@@ -215,229 +151,23 @@
         self.persist(vec![Record::Promise(proposal_number)], Some(Effect::OwnPromise { epoch }), out);
     }
 
-    pub(crate) fn handle_own_promise(&mut self, epoch: u64, out: &mut Vec<Output>) {
-        let position = self.data.as_ref().map(|data| data.position);
-        let (data, healthy) = (self.data.clone(), self.healthy());
-        let Some(campaign) = self.campaign.as_mut().filter(|campaign| campaign.epoch == epoch) else {
-            return;
-        };
-        campaign.promises.insert(self.id, ReceivedPromise { position, data, healthy });
-        self.broadcast_prepare(out);
-        self.maybe_record_quorum(out);
-    }
-
-    /// Asks all who haven't promised yet.
-    pub(crate) fn broadcast_prepare(&mut self, out: &mut Vec<Output>) {
-        let Some(campaign) = &self.campaign else { return };
-        if !campaign.promises.contains_key(&self.id) {
-            return;
-        }
-        let Campaign { epoch, position, released, .. } = *campaign;
-        for member in campaign.base_view.view.everyone() {
-            if !campaign.promises.contains_key(&member.id) {
-                self.send(member.address, Body::Prepare(Prepare { epoch, position, released }), out);
-            }
-        }
-    }
-
-    pub(crate) fn handle_prepare(
-        &mut self,
-        from: SocketAddrV4,
-        sender: ReplicaId,
-        Prepare { epoch, position, released }: Prepare,
-        out: &mut Vec<Output>,
-    ) {
-        self.observe_epoch(epoch);
-        let proposal_number = ProposalNumber { epoch, candidate: sender };
-        let repeated = self.promised == Some(proposal_number);
-        let member =
-            self.view.as_ref().is_none_or(|known| known.view.everyone().iter().any(|m| m.id == sender));
-        if !repeated
-            && (epoch <= self.promised_epoch() || !member || self.lease_forbids_promise(sender, released))
-        {
-            let rejection = Body::Reject(Reject { epoch, promised: self.promised, view: self.view.clone() });
-            return self.send(from, rejection, out);
-        }
-        let mut records = Vec::new();
-        self.reset_election_timer();
-        if !repeated {
-            self.promised = Some(proposal_number);
-            self.pre_vote = None;
-            self.step_down(out);
-            records.push(Record::Promise(proposal_number));
-        }
-        let reply = self.make_promise(proposal_number, position);
-        if self.config.injected_fault.forgets_promise() {
-            return self.send(from, reply, out);
-        }
-        let effect = self.reply_once_durable(from, reply);
-        self.persist(records, effect, out);
-    }
-
-    fn make_promise(&mut self, proposal_number: ProposalNumber, held: Option<LogPosition>) -> Body {
-        let newer = self.data.clone().filter(|data| held.is_none_or(|held| held < data.position));
-        let data = newer.filter(|data| self.should_send_snapshot(proposal_number, held, data));
-        Body::Promise(Promise {
-            epoch: proposal_number.epoch,
-            view: self.view.clone(),
-            position: self.data.as_ref().map(|data| data.position),
-            data,
-            healthy: self.healthy(),
-        })
-    }
-
-    /// Notes that the data goes to a candidate, unless it went before and may still be on its way.
-    fn should_send_snapshot(
-        &mut self,
-        proposal_number: ProposalNumber,
-        held: Option<LogPosition>,
-        data: &Data,
-    ) -> bool {
-        let before = self
-            .snapshot_sent
-            .filter(|sent| sent.proposal_number == proposal_number && sent.candidate_position == held);
-        let timeout = |sent: SnapshotSent| retransmission_delay(state_bytes(&data.state), sent.repetitions);
-        if before.is_some_and(|sent| self.now() < sent.sent_at + timeout(sent)) {
-            return false;
-        }
-        let repetitions = before.map_or(0, |sent| sent.repetitions + 1);
-        self.snapshot_sent = Some(SnapshotSent {
-            proposal_number,
-            candidate_position: held,
-            sent_at: self.now(),
-            repetitions,
-        });
-        true
-    }
-
-    pub(crate) fn handle_promise(
-        &mut self,
-        sender: ReplicaId,
-        Promise { epoch, view, position, data, healthy }: Promise,
-        out: &mut Vec<Output>,
-    ) {
-        let Some(campaign) = self.campaign.as_mut() else { return };
-        if campaign.epoch != epoch || !campaign.stage.collecting_promises() {
-            return;
-        }
-        let before = campaign.promises.remove(&sender).filter(|before| before.position == position);
-        let data = data.or_else(|| before.and_then(|before| before.data));
-        campaign.promises.insert(sender, ReceivedPromise { position, data, healthy });
-        if let Some(view) = view {
-            self.maybe_rebase(view, out);
-        }
-        self.maybe_record_quorum(out);
-    }
-
-    /// Bases the campaign on a later view that somebody knows.
-    fn maybe_rebase(&mut self, mut shown: KnownView, out: &mut Vec<Output>) {
-        shown.active |= self.config.injected_fault.skips_previous_members();
-        let Some(campaign) = self.campaign.as_mut() else { return };
-        if shown.view.epoch == campaign.base_view.view.epoch {
-            campaign.base_view.active |= shown.active;
-        } else if shown.view.epoch > campaign.base_view.view.epoch {
-            campaign.base_view = shown;
-            campaign.membership = None;
-            campaign.quorum_since = None;
-            self.end_leadership(out);
-            let Some(campaign) = self.campaign.as_mut() else { return };
-            if campaign.base_view.view.epoch >= campaign.epoch
-                || campaign.base_view.view.member(self.id).is_none()
-            {
-                let learnt = campaign.base_view.clone();
-                self.abandon_campaign(out);
-                return self.learn_view(learnt, out);
-            }
-            self.broadcast_prepare(out);
-        }
-    }
-
-    fn maybe_record_quorum(&mut self, out: &mut Vec<Output>) {
-        let (now, fault) = (self.now(), self.config.injected_fault);
-        let Some(campaign) = self.campaign.as_mut() else { return };
-        if campaign.stage.collecting_promises()
-            && campaign.quorum_since.is_none()
-            && campaign.has_quorum(fault)
-        {
-            campaign.quorum_since = Some(now);
-        }
-        self.maybe_start_installation(out);
-    }
-
-    fn maybe_start_installation(&mut self, out: &mut Vec<Output>) {
-        let Some(campaign) = &self.campaign else { return };
-        let Some(since) = campaign.quorum_since else { return };
-        let gathered = campaign.all_promised() || self.now() >= since + PROMISE_GRACE_PERIOD;
-        if !campaign.stage.collecting_promises() || !gathered {
-            return;
-        }
-        match self.newest_data() {
-            Some(data) => self.start_installation(data, out),
-            None => self.request_data(out),
-        }
-    }
-
-    /// The newest state among those that the data set of the latest view has shown.
-    fn newest_data(&self) -> Option<Data> {
-        let campaign = self.campaign.as_ref()?;
-        if self.config.injected_fault.takes_any_data() {
-            let any = campaign.promises.values().find_map(|promised| promised.data.clone());
-            return Some(any.unwrap_or_default());
-        }
-        let best = campaign.promises.keys().filter_map(|id| campaign.usable_position(*id)).max()?;
-        let held = campaign.promises.values().filter_map(|promised| promised.data.as_ref());
-        held.chain(&self.data).find(|data| data.position == best).cloned()
-    }
-
-    /// Has the promises repeated together with the data, because the own turned out to be worthless.
-    fn request_data(&mut self, out: &mut Vec<Output>) {
-        let Some(campaign) = self.campaign.as_mut() else { return };
-        if campaign.position.take().is_some() {
-            campaign.promises.retain(|id, _| *id == self.id);
-            campaign.quorum_since = None;
-            self.broadcast_prepare(out);
-        }
-    }
-
-    pub(crate) fn handle_reject(
-        &mut self,
-        sender: ReplicaId,
-        Reject { epoch, promised, view }: Reject,
-        out: &mut Vec<Output>,
-    ) {
-        let now = self.now();
-        self.observe_epoch(promised.map_or(0, |proposal_number| proposal_number.epoch));
-        if let Some(view) = view {
-            self.learn_view(view, out);
-        }
-        let Some(campaign) = self.campaign.as_mut().filter(|campaign| campaign.epoch == epoch) else {
-            return;
-        };
-        if promised.is_some_and(|proposal_number| proposal_number.epoch >= epoch) {
-            campaign.rejected.insert(sender);
-            campaign.rejected_since.get_or_insert(now);
-            if campaign.cannot_reach_quorum() {
-                self.abandon_campaign(out);
-            }
-        }
-    }
-
     /// Ends a campaign that can't succeed; a primary of an active view goes on leading.
     pub(crate) fn abandon_campaign(&mut self, out: &mut Vec<Output>) {
-        if self.campaign.take().is_none() {
+        if self.election.campaign.take().is_none() {
             return;
         }
         if self.leadership.is_none() {
             let pause = self.random_below(2 * ELECTION_JITTER);
-            self.last_heard = self.now() + pause;
-            self.waived_timeout = self.config.lease_duration;
+            self.election.last_heard = self.now() + pause;
+            self.election.waived_timeout = self.config.lease_duration;
             self.reject_queued_proposals(out);
         }
     }
 
     fn resend_campaign(&mut self, out: &mut Vec<Output>) {
         let now = self.now();
-        let Some(campaign) = self.campaign.as_mut().filter(|campaign| now >= campaign.next_send) else {
+        let Some(campaign) = self.election.campaign.as_mut().filter(|campaign| now >= campaign.next_send)
+        else {
             return;
         };
         campaign.next_send = now + RESEND_INTERVAL;
@@ -451,4 +181,39 @@
             self.resend_stage(out);
         }
     }
+
+    /// Notes a sign that somebody leads or is about to.
+    pub(crate) fn reset_election_timer(&mut self) {
+        self.reset_election_timer_at(self.now());
+    }
+
+    /// Notes a sign that left its sender at this time.
+    pub(crate) fn reset_election_timer_at(&mut self, time: Micros) {
+        if time >= self.election.last_heard {
+            self.election.last_heard = time;
+            self.election.waived_timeout = 0;
+        }
+    }
+
+    pub(crate) fn observe_epoch(&mut self, epoch: u64) {
+        self.election.highest_epoch = self.election.highest_epoch.max(epoch);
+    }
+
+    /// A number from 0 up to the limit.
+    pub(crate) fn random_below(&mut self, limit: u64) -> u64 {
+        self.election.random = self
+            .election
+            .random
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
+        (self.election.random >> 33) % limit.max(1)
+    }
+
+    /// A primary that comes back needn't wait for silence: its lease bars only others.
+    pub(crate) fn waive_timeout_of_returning_primary(mut self) -> Replica {
+        if self.stored.view.as_ref().is_some_and(|known| known.view.primary == self.id) {
+            self.election.waived_timeout = self.config.lease_duration;
+        }
+        self
+    }
 }
--- a/control/src/fault_injection.rs
+++ b/control/src/fault_injection.rs
@@ -6,7 +6,9 @@
 
 use std::sync::Arc;
 
-use crate::{AcceptedHistory, ChangeCheck, ControlState, Data, Lease, LogPosition, Outcome, Output, Replica};
+use crate::{
+    AcceptedHistory, ChangeCheck, ControlState, Data, Lease, LogPosition, Micros, Outcome, Output, Replica,
+};
 
 /// A fault of the protocol, one per broken version that the tests have to catch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -105,12 +107,12 @@
 
     /// The lease under which a primary leads although it may have none.
     pub(crate) fn lease_without_end(self, epoch: u64) -> Option<Lease> {
-        self.is(InjectedFault::LeadsForever).then_some(Lease { epoch, until: u64::MAX })
+        self.is(InjectedFault::LeadsForever).then_some(Lease { epoch, until: Micros::MAX })
     }
 
     /// The lease under which a primary lets its state be read although it may have none.
     pub(crate) fn read_lease_without_end(self, epoch: u64) -> Option<Lease> {
-        self.is(InjectedFault::ReadsWithoutLease).then_some(Lease { epoch, until: u64::MAX })
+        self.is(InjectedFault::ReadsWithoutLease).then_some(Lease { epoch, until: Micros::MAX })
     }
 
     /// What is held for an installation of this state under this position.
@@ -135,7 +137,7 @@
         if !self.config.injected_fault.is(InjectedFault::JudgesRivalEarly) {
             return;
         }
-        let (Some(data), true) = (&self.data, self.leadership.is_some()) else { return };
+        let (Some(data), true) = (&self.stored.data, self.leadership.is_some()) else { return };
         let state = Arc::clone(&data.state);
         self.queue.retain(|proposal| match state.check(&proposal.change) {
             ChangeCheck::Conflict { current } => {
--- a/control/src/heartbeat.rs
+++ b/control/src/heartbeat.rs
@@ -3,13 +3,21 @@
 use std::{net::SocketAddrV4, sync::Arc};
 
 use crate::{
-    Body, HeartbeatReply, KnownView, Output, ProposalNumber, Replica, ReplicaId,
+    Body, HeartbeatReply, KnownView, Micros, Output, ProposalNumber, Replica, ReplicaId,
     lease::{GrantedLease, PrimaryClock, lease_until},
 };
 
+/// The lease that this replica has granted, as a member.
+#[derive(Debug)]
+pub(crate) struct LeaseGrant {
+    pub granted: Option<GrantedLease>,
+    /// What is known of the clock of the primary that it was granted to.
+    pub primary_clock: Option<PrimaryClock>,
+}
+
 impl Replica {
     /// Until when this replica may act as the primary.
-    pub(crate) fn lease_until(&self) -> Option<u64> {
+    pub(crate) fn lease_until(&self) -> Option<Micros> {
         let leadership = self.leadership.as_ref()?;
         lease_until(&self.config, &leadership.view, &leadership.peers)
     }
@@ -42,7 +50,7 @@
     }
 
     /// Tells members that were left out that the view without them needs them no longer.
-    pub(crate) fn notify_removed_members(&mut self, out: &mut Vec<Output>) {
+    fn notify_removed_members(&mut self, out: &mut Vec<Output>) {
         let now = self.now();
         let Some(leadership) = self.leadership.as_mut() else { return };
         leadership.removed.retain(|_, (_, until)| now < *until);
@@ -71,12 +79,13 @@
         from: SocketAddrV4,
         sender: ReplicaId,
         epoch: u64,
-        sent: u64,
+        sent: Micros,
         out: &mut Vec<Output>,
     ) {
         self.observe_epoch(epoch);
         // A lease is granted only under a promise that a restart would find, so that the restart knows its holder.
         let promised = self
+            .stored
             .promised
             .filter(|proposal_number| proposal_number.candidate == sender && proposal_number.epoch >= epoch);
         let lasting =
@@ -92,7 +101,10 @@
         }
         let activation_durable = self.activation_durable();
         self.send(from, self.heartbeat_reply(epoch, sent, granted.is_some(), activation_durable), out);
-        if granted.is_some() && !activation_durable && self.view.as_ref().is_some_and(|known| known.active) {
+        if granted.is_some()
+            && !activation_durable
+            && self.stored.view.as_ref().is_some_and(|known| known.active)
+        {
             // The primary needn't wait for its next heartbeat to learn that this one knows of the view for good.
             let effect = self.reply_once_durable(from, self.heartbeat_reply(epoch, sent, true, true));
             self.persist(Vec::new(), effect, out);
@@ -101,33 +113,35 @@
 
     /// When a heartbeat left at the latest, by this replica's clock. It may have been on its way for long, and its sender
     /// may be gone: its lease counts from its sending, as at the sender.
-    fn sent_at(&mut self, epoch: u64, sent: u64) -> u64 {
+    fn sent_at(&mut self, epoch: u64, sent: Micros) -> Micros {
         let (now, drift) = (self.now(), self.config.clock_drift());
-        let known = self.primary_clock.filter(|clock| clock.epoch == epoch);
+        let known = self.lease_grant.primary_clock.filter(|clock| clock.epoch == epoch);
         let sent_at = known.map_or(now, |clock| clock.sent_at(sent, drift).min(now));
         if sent_at == now {
-            self.primary_clock = Some(PrimaryClock { epoch, sent, heard: now });
+            self.lease_grant.primary_clock = Some(PrimaryClock { epoch, sent, heard: now });
         }
         sent_at
     }
 
     /// Grants a lease, unless a longer one was granted to the candidate before.
-    fn grant_lease(&mut self, proposal_number: ProposalNumber, until: u64) {
-        let before =
-            self.granted_lease.filter(|grant| grant.proposal_number.candidate == proposal_number.candidate);
+    fn grant_lease(&mut self, proposal_number: ProposalNumber, until: Micros) {
+        let before = self
+            .lease_grant
+            .granted
+            .filter(|grant| grant.proposal_number.candidate == proposal_number.candidate);
         let until = before.map_or(until, |grant| grant.expires_at.max(until));
-        self.granted_lease = Some(GrantedLease { proposal_number, expires_at: until });
+        self.lease_grant.granted = Some(GrantedLease { proposal_number, expires_at: until });
         if until > self.now() {
-            self.pre_vote = None;
+            self.election.pre_vote = None;
         }
     }
 
-    fn heartbeat_reply(&self, epoch: u64, sent: u64, granted: bool, activation_durable: bool) -> Body {
+    fn heartbeat_reply(&self, epoch: u64, sent: Micros, granted: bool, activation_durable: bool) -> Body {
         Body::HeartbeatReply(HeartbeatReply {
             epoch,
             sent,
             granted,
-            promised: self.promised,
+            promised: self.stored.promised,
             view_epoch: self.view_epoch(),
             healthy: self.healthy(),
             shutting_down: self.is_shutting_down(),
@@ -143,7 +157,7 @@
         out: &mut Vec<Output>,
     ) {
         let HeartbeatReply { epoch, sent, granted, promised, view_epoch, .. } = reply;
-        let (now, own) = (self.now(), self.promised);
+        let (now, own) = (self.now(), self.stored.promised);
         self.observe_epoch(promised.map_or(0, |proposal_number| proposal_number.epoch));
         let Some(leadership) = self.leadership.as_mut() else { return };
         let ours = (leadership.first_epoch..=leadership.epoch).contains(&epoch) && sent <= now;
--- a/control/src/leadership.rs
+++ b/control/src/leadership.rs
@@ -7,22 +7,16 @@
 };
 
 use crate::{
-    Change, LogPosition, ProposalId, ReplicaId, View,
-    config::MILLISECOND,
+    Change, ChangeCheck, KnownView, LogPosition, Micros, Outcome, Output, ProposalId, Replica, ReplicaId,
+    View,
+    joining::Joiner,
     lease::{LeaseRenewals, PeerState},
-    membership::Joiner,
+    proposals::Proposal,
+    time::MILLISECOND,
 };
 
 /// After a view, the next change of the view waits at least this long.
-pub(crate) const VIEW_CHANGE_INTERVAL: u64 = 200 * MILLISECOND;
-
-/// A change that waits for its turn.
-#[derive(Debug)]
-pub(crate) struct Proposal {
-    pub proposal_id: ProposalId,
-    pub change: Change,
-    pub since: u64,
-}
+pub(crate) const VIEW_CHANGE_INTERVAL: Micros = 200 * MILLISECOND;
 
 /// The change in replication.
 #[derive(Debug)]
@@ -31,9 +25,9 @@
     pub proposal_id: Option<ProposalId>,
     pub change: Change,
     pub position: LogPosition,
-    pub since: u64,
+    pub since: Micros,
     pub durable: BTreeSet<ReplicaId>,
-    pub next_send: u64,
+    pub next_send: Micros,
     /// How often it has gone to the backups.
     pub transmissions: u32,
 }
@@ -53,6 +47,120 @@
     pub replaced: BTreeSet<ReplicaId>,
     pub pending: Option<PendingChange>,
     pub lease_renewals: LeaseRenewals,
-    pub next_heartbeat: u64,
-    pub next_view_change: u64,
+    pub next_heartbeat: Micros,
+    pub next_view_change: Micros,
+}
+
+impl Replica {
+    pub(crate) fn primary_deadline(&self) -> Option<Micros> {
+        let leadership = self.leadership.as_ref()?;
+        let sending = leadership.pending.as_ref().filter(|_| self.election.campaign.is_none());
+        let resend = sending.map(|pending| pending.next_send);
+        let lapse = self.lease_until().filter(|until| *until > self.now());
+        [Some(leadership.next_heartbeat), resend, lapse].into_iter().flatten().min()
+    }
+
+    pub(crate) fn tick_primary(&mut self, out: &mut Vec<Output>) {
+        if self.leadership.is_none() {
+            return;
+        }
+        self.maybe_broadcast_heartbeat(out);
+        self.process_queue(out);
+        self.maybe_send_change(out);
+        if !self.healthy() && self.transfer_target().is_some() {
+            return self.transfer_leadership(out);
+        }
+        if self.disk.is_healthy(self.now()) {
+            self.maybe_change_view(out);
+        }
+    }
+
+    /// Leads the view, which is active from now on.
+    ///
+    /// `answered` are the members that took part in the campaign for it.
+    pub(crate) fn become_primary(
+        &mut self,
+        view: Arc<View>,
+        answered: &BTreeSet<ReplicaId>,
+        out: &mut Vec<Output>,
+    ) {
+        self.stored.view = Some(KnownView { view: Arc::clone(&view), active: false });
+        self.mark_view_active(out);
+        if let Some(data) = &self.stored.data {
+            self.committed = Arc::clone(&data.state);
+        }
+        out.push(Output::Committed { state: Arc::clone(&self.committed) });
+        let pending = self.leadership.as_mut().and_then(|leadership| leadership.pending.take());
+        self.start_leadership(view, answered);
+        if let Some(pending) = pending {
+            self.resolve_pending_change(pending, out);
+        }
+    }
+
+    /// Decides about a change that was in replication when the view changed: it is part of the new view's state, or
+    /// it never comes into force unless it is replicated anew.
+    fn resolve_pending_change(&mut self, pending: PendingChange, out: &mut Vec<Output>) {
+        let Some(proposal_id) = pending.proposal_id else { return };
+        match self.committed.check(&pending.change) {
+            ChangeCheck::AlreadyApplied => {
+                out.push(Output::Answer { proposal_id, outcome: Outcome::Committed })
+            }
+            _ => self.queue.insert(0, Proposal { proposal_id, change: pending.change, since: pending.since }),
+        }
+    }
+
+    pub(crate) fn start_leadership(&mut self, view: Arc<View>, answered: &BTreeSet<ReplicaId>) {
+        let now = self.now();
+        self.reset_election_timer();
+        let before = self.leadership.take();
+        let first_epoch = before.as_ref().map_or(view.epoch, |before| before.first_epoch);
+        let fresh_timeouts = self.config.injected_fault.grows_at_once();
+        let (mut known, joiners, mut removed, replaced) = before
+            .map(|before| (before.peers, before.joiners, before.removed, before.replaced))
+            .unwrap_or_default();
+        let tell_until = now + self.config.shutdown_timeout;
+        removed.extend(view.previous_members.iter().map(|member| (member.id, (member.address, tell_until))));
+        removed.retain(|id, _| view.member(*id).is_none());
+        let peers = view.members.iter().filter(|member| member.id != self.id).map(|member| {
+            let fresh = match answered.contains(&member.id) || fresh_timeouts {
+                true => PeerState::new(now),
+                false => PeerState::unresponsive_in_campaign(now),
+            };
+            let mut peer = known.remove(&member.id).unwrap_or(fresh);
+            peer.diverged_since = None;
+            (member.id, peer)
+        });
+        self.leadership = Some(Leadership {
+            epoch: view.epoch,
+            peers: peers.collect(),
+            first_epoch,
+            joiners: joiners.into_iter().filter(|(id, _)| view.member(*id).is_none()).collect(),
+            removed,
+            replaced,
+            pending: None,
+            lease_renewals: LeaseRenewals::default(),
+            next_heartbeat: now,
+            next_view_change: now + VIEW_CHANGE_INTERVAL,
+            view,
+        });
+    }
+
+    /// Ends the own lead and any campaign, because somebody else was promised an epoch or has formed a view.
+    pub(crate) fn step_down(&mut self, out: &mut Vec<Output>) {
+        self.election.campaign = None;
+        self.end_leadership(out);
+        self.reject_queued_proposals(out);
+    }
+
+    /// Ends the own lead; what was in replication has no clear answer.
+    pub(crate) fn end_leadership(&mut self, out: &mut Vec<Output>) {
+        let Some(leadership) = self.leadership.take() else { return };
+        if let Some(proposal_id) = leadership.pending.and_then(|pending| pending.proposal_id) {
+            out.push(Output::Answer { proposal_id, outcome: Outcome::Unknown });
+        }
+    }
+
+    pub(crate) fn other_primary_address(&self) -> Option<SocketAddrV4> {
+        self.primary_address().filter(|address| *address != self.config.address)
+    }
 }
--- a/control/src/leadership_transfer.rs
+++ b/control/src/leadership_transfer.rs
@@ -2,25 +2,25 @@
 
 use std::net::SocketAddrV4;
 
-use crate::{Body, Output, ProposalNumber, Replica, config::MILLISECOND};
+use crate::{Body, Micros, Output, ProposalNumber, Replica, membership::LIVENESS_TIMEOUT, time::MILLISECOND};
 
 /// The primary repeats its request to take over this often, and for so long.
-const TRANSFER_RESEND_INTERVAL: u64 = 200 * MILLISECOND;
-const TRANSFER_TIMEOUT: u64 = 1_000 * MILLISECOND;
+const TRANSFER_RESEND_INTERVAL: Micros = 200 * MILLISECOND;
+const TRANSFER_TIMEOUT: Micros = 1_000 * MILLISECOND;
 
 /// A lead that was given up for another replica.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct LeadershipTransfer {
     pub released: ProposalNumber,
     pub target: SocketAddrV4,
-    pub next_send: u64,
-    pub deadline: u64,
+    pub next_send: Micros,
+    pub deadline: Micros,
 }
 
 impl Replica {
     /// Gives up the lead and asks the best backup to take it.
     pub(crate) fn transfer_leadership(&mut self, out: &mut Vec<Output>) {
-        let Some(released) = self.promised else { return };
+        let Some(released) = self.stored.promised else { return };
         let Some(to) = self.transfer_target() else { return };
         self.step_down(out);
         self.reset_election_timer();
@@ -36,7 +36,7 @@
     pub(crate) fn tick_leadership_transfer(&mut self, out: &mut Vec<Output>) {
         let now = self.now();
         let Some(mut transfer) = self.leadership_transfer else { return };
-        if now >= transfer.deadline || self.promised != Some(transfer.released) {
+        if now >= transfer.deadline || self.stored.promised != Some(transfer.released) {
             self.leadership_transfer = None;
         } else if now >= transfer.next_send {
             transfer.next_send = now + TRANSFER_RESEND_INTERVAL;
@@ -49,11 +49,25 @@
         let Some(view) = self.current_view() else { return };
         let current =
             view.primary == released.candidate && view.holds_data(self.id) && view.epoch <= released.epoch;
-        let free =
-            self.campaign.is_none() && self.leadership.is_none() && self.promised_epoch() <= released.epoch;
+        let free = self.election.campaign.is_none()
+            && self.leadership.is_none()
+            && self.promised_epoch() <= released.epoch;
         if current && free && self.healthy() && !self.lease_forbids_promise(self.id, Some(released)) {
-            self.pre_vote = None;
+            self.election.pre_vote = None;
             self.start_campaign(Some(released), None, out);
         }
     }
 }
+
+impl Replica {
+    /// The best backup to take over: live, fit, bound to this view.
+    pub(crate) fn transfer_target(&self) -> Option<SocketAddrV4> {
+        let leadership = self.leadership.as_ref()?;
+        let ready = leadership.view.backups.iter().filter_map(|id| {
+            let peer = leadership.peers.get(id)?;
+            (peer.healthy && peer.is_live(self.now(), LIVENESS_TIMEOUT)).then_some((peer.last_heard, *id))
+        });
+        let (_, best) = ready.max()?;
+        leadership.view.member(best).map(|member| member.address)
+    }
+}
--- a/control/src/lease.rs
+++ b/control/src/lease.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::{ProposalNumber, ReplicaConfig, ReplicaId, View, config::MILLISECOND};
+use crate::{Micros, ProposalNumber, ReplicaConfig, ReplicaId, View, time::MILLISECOND};
 
 /// So many heartbeats without a renewal of the lease show that the primary has lost contact.
 const MAX_FAILED_RENEWALS: u32 = 4;
@@ -13,7 +13,7 @@
     /// The epoch in which the holder leads.
     pub epoch: u64,
     /// Until when, in microseconds of the holder's steady clock.
-    pub until: u64,
+    pub until: Micros,
 }
 
 /// A lease as the member sees it that granted it.
@@ -22,12 +22,12 @@
     /// The promise under which it was granted.
     pub proposal_number: ProposalNumber,
     /// Until when nobody else is promised anything.
-    pub expires_at: u64,
+    pub expires_at: Micros,
 }
 
 impl GrantedLease {
     /// Whether the grant forbids a promise to the candidate.
-    pub fn blocks(&self, now: u64, candidate: ReplicaId, released: Option<ProposalNumber>) -> bool {
+    pub fn blocks(&self, now: Micros, candidate: ReplicaId, released: Option<ProposalNumber>) -> bool {
         let given_up = released.is_some_and(|proposal_number| {
             proposal_number.candidate == self.proposal_number.candidate
                 && proposal_number.epoch >= self.proposal_number.epoch
@@ -45,15 +45,15 @@
     /// The epoch of the heartbeat.
     pub epoch: u64,
     /// When it was sent, by the primary's clock.
-    pub sent: u64,
+    pub sent: Micros,
     /// When it came, by the member's clock.
-    pub heard: u64,
+    pub heard: Micros,
 }
 
 impl PrimaryClock {
     /// When another heartbeat of the epoch left at the latest, by the member's clock. The clocks differ in rate by one
     /// part in `drift` at the most.
-    pub fn sent_at(&self, sent: u64, drift: u64) -> u64 {
+    pub fn sent_at(&self, sent: Micros, drift: u64) -> Micros {
         let later = sent.saturating_sub(self.sent);
         self.heard + later + later.div_ceil(drift)
     }
@@ -63,9 +63,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct PeerState {
     /// When the latest heartbeat was sent for which the member granted a lease.
-    pub lease_sent: Option<u64>,
+    pub lease_sent: Option<Micros>,
     /// When an echo last came, or when the primary began to wait for one.
-    pub last_heard: u64,
+    pub last_heard: Micros,
     /// Whether any echo has come.
     pub has_replied: bool,
     /// Whether the member may hold data.
@@ -75,15 +75,15 @@
     /// The epoch of the view that the member would know to be active after a restart, 0 if there is none.
     pub active_epoch_durable: u64,
     /// Since when the member has been bound by a promise beyond the primary's, or has lacked changes that it had.
-    pub diverged_since: Option<u64>,
+    pub diverged_since: Option<Micros>,
 }
 
 /// A member that had no part in the campaign of a new primary counts as silent for this long already.
-const UNRESPONSIVE_IN_CAMPAIGN: u64 = 1_300 * MILLISECOND;
+const UNRESPONSIVE_IN_CAMPAIGN: Micros = 1_300 * MILLISECOND;
 
 impl PeerState {
     /// A member from which nothing has come yet.
-    pub fn new(now: u64) -> PeerState {
+    pub fn new(now: Micros) -> PeerState {
         PeerState {
             lease_sent: None,
             last_heard: now,
@@ -96,12 +96,12 @@
     }
 
     /// A member that was asked during the campaign of a new primary and hasn't answered.
-    pub fn unresponsive_in_campaign(now: u64) -> PeerState {
+    pub fn unresponsive_in_campaign(now: Micros) -> PeerState {
         PeerState { last_heard: now.saturating_sub(UNRESPONSIVE_IN_CAMPAIGN), ..PeerState::new(now) }
     }
 
     /// Whether the member has answered within the span.
-    pub fn is_live(&self, now: u64, span: u64) -> bool {
+    pub fn is_live(&self, now: Micros, span: Micros) -> bool {
         self.has_replied && now < self.last_heard + span
     }
 }
@@ -109,13 +109,13 @@
 /// Heartbeats in a row that did not renew the lease.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct LeaseRenewals {
-    lease_until: Option<u64>,
+    lease_until: Option<Micros>,
     failed: u32,
 }
 
 impl LeaseRenewals {
     /// Notes that another heartbeat is due, and until when the lease runs by now.
-    pub fn record(&mut self, lease_until: Option<u64>) {
+    pub fn record(&mut self, lease_until: Option<Micros>) {
         let renewed = lease_until > self.lease_until;
         self.failed = if renewed { 0 } else { self.failed.saturating_add(1) };
         self.lease_until = lease_until;
@@ -124,7 +124,7 @@
     /// Whether the primary has lost contact: its lease has run out, and heartbeats don't bring it back.
     ///
     /// A primary that was frozen has sent none meanwhile and still tries.
-    pub fn quorum_lost(&self, now: u64) -> bool {
+    pub fn quorum_lost(&self, now: Micros) -> bool {
         self.failed >= MAX_FAILED_RENEWALS && self.lease_until.is_none_or(|until| now >= until)
     }
 }
@@ -134,7 +134,7 @@
     config: &ReplicaConfig,
     view: &View,
     peers: &BTreeMap<ReplicaId, PeerState>,
-) -> Option<u64> {
+) -> Option<Micros> {
     let needed = view.members.len() / 2;
     if needed == 0 {
         return Some(u64::MAX);
--- a/control/src/lib.rs
+++ b/control/src/lib.rs
@@ -4,27 +4,38 @@
 //! Each core machine runs one [`Replica`]. The caller hands it messages, completed writes and the time, and carries
 //! out the [`Output`]s. The protocol and the argument for its safety are in `docs/control-state.md`.
 
+mod accept_phase;
+mod acceptor;
 mod campaign;
 mod config;
 mod disk;
+mod durability;
 mod election;
 mod fault_injection;
 mod heartbeat;
 mod history;
 mod input;
-mod installation;
+mod joining;
+mod known_view;
 mod leadership;
 mod leadership_transfer;
 mod lease;
 mod member;
 mod membership;
 mod message;
+mod next_view;
+mod pre_vote;
+mod prepare_phase;
+mod proposals;
 mod record;
 mod replica;
 mod replication;
+mod shutdown;
+mod snapshot_installation;
 mod state;
 mod status;
-mod transfer;
+mod time;
+mod transmission;
 mod view;
 mod view_change;
 
@@ -46,4 +57,5 @@
 pub use replica::{LeaseRead, Replica};
 pub use state::{Change, ChangeCheck, ControlState, Fingerprint, StoredConfiguration};
 pub use status::{Role, Status};
+pub use time::Micros;
 pub use view::{KnownView, ProposalNumber, View};
--- a/control/src/membership.rs
+++ b/control/src/membership.rs
@@ -1,78 +1,23 @@
 //! Who should be in the next view.
 
-use std::{
-    collections::{BTreeMap, BTreeSet},
-    sync::Arc,
-};
+use std::collections::BTreeMap;
 
-use crate::{Member, ReplicaId, View, config::MILLISECOND, lease::PeerState};
+use crate::{Member, Micros, ReplicaId, View, joining::Joiner, lease::PeerState, time::MILLISECOND};
 
 /// A member silent for so long may be replaced by one that wants to join.
-pub(crate) const UNREACHABLE_TIMEOUT: u64 = 2_000 * MILLISECOND;
+pub(crate) const UNREACHABLE_TIMEOUT: Micros = 2_000 * MILLISECOND;
 /// A member of a core with more members than it was founded with goes after this silence.
-const SURPLUS_TIMEOUT: u64 = 1_500 * MILLISECOND;
+const SURPLUS_TIMEOUT: Micros = 1_500 * MILLISECOND;
 /// A core of this size never goes on with fewer members.
 const MIN_SHRUNK_SIZE: usize = 3;
 /// A backup silent for so long is replaced if a change waits for it.
-pub(crate) const BACKUP_TIMEOUT_IN_CHANGE: u64 = 800 * MILLISECOND;
+pub(crate) const BACKUP_TIMEOUT_IN_CHANGE: Micros = 800 * MILLISECOND;
 /// A backup silent for so long is replaced in any case.
-pub(crate) const BACKUP_TIMEOUT: u64 = 1_500 * MILLISECOND;
+pub(crate) const BACKUP_TIMEOUT: Micros = 1_500 * MILLISECOND;
 /// A witness bound by a foreign promise for so long is brought back by a new epoch.
-const DIVERGED_WITNESS_TIMEOUT: u64 = 1_000 * MILLISECOND;
+const DIVERGED_WITNESS_TIMEOUT: Micros = 1_000 * MILLISECOND;
 /// A member that answered within this span counts as live.
-pub(crate) const LIVENESS_TIMEOUT: u64 = 800 * MILLISECOND;
-/// A replica that asked to join within this span is still there.
-const JOIN_REQUEST_VALIDITY: u64 = 3_000 * MILLISECOND;
-
-/// A replica that asks to join.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Joiner {
-    pub member: Member,
-    pub first_boot: bool,
-    /// When it last asked.
-    pub last_request: u64,
-    /// When it first asked: an answer to anything that was sent before shows nothing.
-    first_request: u64,
-    /// When it last answered the primary.
-    last_reply: Option<u64>,
-    /// Whether it may hold data.
-    healthy: bool,
-}
-
-impl Joiner {
-    /// A replica that asks for the first time.
-    pub fn new(member: &Member, now: u64) -> Joiner {
-        let member = member.clone();
-        Joiner {
-            member,
-            first_boot: false,
-            last_request: now,
-            first_request: now,
-            last_reply: None,
-            healthy: false,
-        }
-    }
-
-    /// Whether it has asked lately.
-    pub fn is_requesting(&self, now: u64) -> bool {
-        now < self.last_request + JOIN_REQUEST_VALIDITY
-    }
-
-    /// Notes its answer to a heartbeat of that time.
-    pub fn record_heartbeat_reply(&mut self, now: u64, sent: u64, healthy: bool) {
-        if sent >= self.first_request {
-            self.last_reply = Some(now);
-            self.healthy = healthy;
-        }
-    }
-
-    /// Whether it is there, can be reached both ways, and could hold data. A request to join alone shows none of it: it
-    /// may be the word of a replica that is long gone.
-    fn is_ready(&self, now: u64) -> bool {
-        let there = self.last_reply.is_some_and(|answered| now < answered + LIVENESS_TIMEOUT);
-        self.is_requesting(now) && there && self.healthy
-    }
-}
+pub(crate) const LIVENESS_TIMEOUT: Micros = 800 * MILLISECOND;
 
 /// The members that the primary wants next.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -83,7 +28,7 @@
 
 /// What the primary goes by when it looks at its view.
 pub(crate) struct MembershipPlanner<'a> {
-    pub now: u64,
+    pub now: Micros,
     pub view: &'a View,
     pub peers: &'a BTreeMap<ReplicaId, PeerState>,
     pub joiners: &'a BTreeMap<ReplicaId, Joiner>,
@@ -209,7 +154,7 @@
     }
 
     /// The member that has been out of reach the longest, if for so long.
-    fn longest_unreachable(&self, timeout: u64) -> Option<ReplicaId> {
+    fn longest_unreachable(&self, timeout: Micros) -> Option<ReplicaId> {
         let others = self.view.members.iter().filter(|member| member.id != self.view.primary);
         let silent = others.filter_map(|member| {
             let peer = self.peers.get(&member.id)?;
@@ -259,31 +204,3 @@
 fn tolerable_losses(present: usize, size: usize) -> usize {
     present.saturating_sub(size / 2 + 1)
 }
-
-/// A member that may become a backup.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct BackupCandidate<'a> {
-    pub member: &'a Member,
-    /// Whether it holds the data already.
-    pub holds_data: bool,
-}
-
-/// Chooses the backups of a primary: first one from each other zone, those with the data before others.
-pub(crate) fn choose_backups(
-    zone: &Arc<str>,
-    mut candidates: Vec<BackupCandidate<'_>>,
-    count: usize,
-) -> Vec<ReplicaId> {
-    let mut taken_zones: BTreeSet<&str> = BTreeSet::from([&**zone]);
-    let mut backups = Vec::new();
-    while backups.len() < count && !candidates.is_empty() {
-        let rank = |candidate: &BackupCandidate<'_>| {
-            (taken_zones.contains(&*candidate.member.zone), !candidate.holds_data, candidate.member.id)
-        };
-        let best = (0..candidates.len()).min_by_key(|index| rank(&candidates[*index])).unwrap_or(0);
-        let chosen = candidates.swap_remove(best);
-        taken_zones.insert(&chosen.member.zone);
-        backups.push(chosen.member.id);
-    }
-    backups
-}
--- a/control/src/message.rs
+++ b/control/src/message.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use crate::{Change, ControlState, Data, KnownView, LogPosition, Member, ProposalNumber, ReplicaId};
+use crate::{Change, ControlState, Data, KnownView, LogPosition, Member, Micros, ProposalNumber, ReplicaId};
 
 /// A message between replicas.
 #[derive(Debug, Clone, PartialEq)]
@@ -21,7 +21,7 @@
         /// The epoch of the active view.
         epoch: u64,
         /// The steady time of the primary at sending.
-        sent: u64,
+        sent: Micros,
     },
     /// Answer to a heartbeat.
     HeartbeatReply(HeartbeatReply),
@@ -81,7 +81,7 @@
     /// The epoch of the heartbeat.
     pub epoch: u64,
     /// The time of the heartbeat.
-    pub sent: u64,
+    pub sent: Micros,
     /// Whether the lease is granted.
     pub granted: bool,
     /// The latest promise of the sender.
--- /dev/null
+++ b/control/src/pre_vote.rs
@@ -0,0 +1,124 @@
+//! Pre-vote: a replica asks whether a campaign would succeed before it uses up an epoch.
+//!
+//! Raft has the same step (Ongaro, Consensus: Bridging Theory and Practice, section 9.6). It keeps a replica that was
+//! partitioned from raising epochs that interrupt a primary that is well.
+
+use std::{collections::BTreeMap, net::SocketAddrV4};
+
+use crate::{
+    Body, KnownView, Micros, Output, PreVoteReply, Replica, ReplicaId, election::RESEND_INTERVAL,
+    time::MILLISECOND,
+};
+
+/// An answer to a poll counts for so long after the question; a link may take a while in each direction.
+const PRE_VOTE_VALIDITY: Micros = 1_000 * MILLISECOND;
+
+/// Asks around whether a campaign would succeed, in rounds that are repeated before the answers are there.
+#[derive(Debug)]
+pub(crate) struct PreVote {
+    pub base_view: KnownView,
+    /// The rounds whose answers count, with their times.
+    pub rounds: Vec<(u64, u64)>,
+    /// Who would promise, with the time of the round that was answered.
+    pub granted: BTreeMap<ReplicaId, u64>,
+    pub next_send: Micros,
+}
+
+impl PreVote {
+    /// Forgets the rounds that are too old, and what was answered to them.
+    pub fn expire_before(&mut self, time: Micros) {
+        self.rounds.retain(|(_, at)| *at >= time);
+        self.granted.retain(|_, at| *at >= time);
+    }
+
+    pub fn record_grant(&mut self, sender: ReplicaId, round: u64) {
+        let asked = self.rounds.iter().find(|(known, _)| *known == round);
+        if let Some((_, at)) = asked {
+            self.granted.insert(sender, *at);
+        }
+    }
+
+    pub fn has_quorum(&self) -> bool {
+        self.base_view.quorum(&self.granted.keys().copied().collect())
+    }
+}
+
+impl Replica {
+    pub(crate) fn broadcast_pre_vote(&mut self, out: &mut Vec<Output>) {
+        if self.election.pre_vote.as_ref().is_some_and(|pre_vote| self.now() < pre_vote.next_send) {
+            return;
+        }
+        let Some(known) = self.stored.view.clone() else { return };
+        let (now, round) = (self.now(), self.random_below(u64::MAX >> 34) + self.now());
+        let before = self
+            .election
+            .pre_vote
+            .take()
+            .filter(|pre_vote| pre_vote.base_view.view.epoch >= known.view.epoch);
+        let fresh =
+            || PreVote { base_view: known, rounds: Vec::new(), granted: BTreeMap::new(), next_send: 0 };
+        let mut pre_vote = before.unwrap_or_else(fresh);
+        pre_vote.expire_before(now.saturating_sub(PRE_VOTE_VALIDITY));
+        pre_vote.rounds.push((round, now));
+        pre_vote.next_send = now + RESEND_INTERVAL;
+        if self.lease_forbids_promise(self.id, None) {
+            pre_vote.granted.remove(&self.id);
+        } else {
+            pre_vote.granted.insert(self.id, now);
+        }
+        for member in pre_vote.base_view.view.everyone().iter().filter(|member| member.id != self.id) {
+            self.send(member.address, Body::PreVote { epoch: round }, out);
+        }
+        self.election.pre_vote = Some(pre_vote);
+        self.maybe_campaign(out);
+    }
+
+    pub(crate) fn handle_pre_vote(
+        &mut self,
+        from: SocketAddrV4,
+        sender: ReplicaId,
+        epoch: u64,
+        out: &mut Vec<Output>,
+    ) {
+        let known = self
+            .stored
+            .view
+            .as_ref()
+            .is_none_or(|known| known.view.everyone().iter().any(|m| m.id == sender));
+        let granted = known && !self.lease_forbids_promise(sender, None);
+        let reply = Body::PreVoteReply(PreVoteReply {
+            epoch,
+            granted,
+            promised: self.stored.promised,
+            view: self.stored.view.clone(),
+        });
+        self.send(from, reply, out);
+    }
+
+    pub(crate) fn handle_pre_vote_reply(
+        &mut self,
+        sender: ReplicaId,
+        PreVoteReply { epoch: round, granted, promised, view }: PreVoteReply,
+        out: &mut Vec<Output>,
+    ) {
+        self.observe_epoch(promised.map_or(0, |proposal_number| proposal_number.epoch));
+        if let Some(view) = view {
+            self.learn_view(view, out);
+        }
+        let now = self.now();
+        if let Some(pre_vote) = self.election.pre_vote.as_mut().filter(|_| granted) {
+            pre_vote.expire_before(now.saturating_sub(PRE_VOTE_VALIDITY));
+            pre_vote.record_grant(sender, round);
+            self.maybe_campaign(out);
+        }
+    }
+
+    fn maybe_campaign(&mut self, out: &mut Vec<Output>) {
+        let granted_by_quorum = self.election.pre_vote.as_ref().is_some_and(PreVote::has_quorum);
+        if granted_by_quorum && self.election.campaign.is_none() && !self.lease_forbids_promise(self.id, None)
+        {
+            self.election.pre_vote = None;
+            self.start_campaign(None, None, out);
+        }
+    }
+}
--- a/control/src/replica.rs
+++ b/control/src/replica.rs
@@ -1,54 +1,51 @@
 //! One replica: its state, the inputs it takes, and when it wants to be woken.
 
-use std::{collections::BTreeMap, net::SocketAddrV4, sync::Arc};
+use std::{net::SocketAddrV4, sync::Arc};
 
 use crate::{
-    Body, ControlState, Data, Input, KnownView, LogPosition, Member, Message, Output, ProposalNumber, Record,
-    RecoveredState, ReplicaConfig, ReplicaId, Role, SnapshotInstalled, Status, View,
-    campaign::{Campaign, PreVote, SnapshotSent},
-    config::MILLISECOND,
+    Body, ControlState, Input, Lease, LogPosition, Member, Message, Micros, Output, RecoveredState,
+    ReplicaConfig, ReplicaId, Role, SnapshotInstalled, Status, View,
     disk::{Disk, Effect},
-    leadership::{Leadership, Proposal},
+    durability::StoredState,
+    election::ElectionState,
+    heartbeat::LeaseGrant,
+    joining::{JOIN_INTERVAL, JoinState},
+    leadership::Leadership,
     leadership_transfer::LeadershipTransfer,
-    lease::{GrantedLease, Lease, PrimaryClock},
+    lease::GrantedLease,
+    proposals::Proposal,
+    shutdown::ShutdownState,
+    time::MILLISECOND,
 };
 
-/// A replica that isn't a member asks to join this often.
-const JOIN_INTERVAL: u64 = 1_000 * MILLISECOND;
-
 /// A replica of the control state.
 #[derive(Debug)]
 pub struct Replica {
     pub(crate) config: ReplicaConfig,
     pub(crate) id: ReplicaId,
-    pub(crate) promised: Option<ProposalNumber>,
-    pub(crate) view: Option<KnownView>,
-    pub(crate) data: Option<Data>,
-    pub(crate) committed: Arc<ControlState>,
+    /// Changed by `acceptor.rs`, `known_view.rs`, `snapshot_installation.rs`, `accept_phase.rs` and `replication.rs`.
+    pub(crate) stored: StoredState,
+    /// Writes on their way; only `durability.rs` starts one.
     pub(crate) disk: Disk,
-    pub(crate) granted_lease: Option<GrantedLease>,
-    pub(crate) primary_clock: Option<PrimaryClock>,
-    /// The latest candidate that was sent the data with a promise.
-    pub(crate) snapshot_sent: Option<SnapshotSent>,
-    pub(crate) highest_epoch: u64,
-    /// When there was last a sign that somebody leads or is about to.
-    pub(crate) last_heard: u64,
-    /// How much of its patience after that this replica waives.
-    pub(crate) waived_timeout: u64,
-    pub(crate) pre_vote: Option<PreVote>,
-    pub(crate) campaign: Option<Campaign>,
+    /// The state that was last committed as far as is known here; set by `replication.rs` and `leadership.rs`.
+    pub(crate) committed: Arc<ControlState>,
+    /// Owned by `heartbeat.rs`.
+    pub(crate) lease_grant: LeaseGrant,
+    /// Owned by `election.rs` and the files of the phases of a campaign.
+    pub(crate) election: ElectionState,
+    /// Present at the primary of an active view; begun and ended by `leadership.rs`.
     pub(crate) leadership: Option<Leadership>,
+    /// Owned by `leadership_transfer.rs`.
     pub(crate) leadership_transfer: Option<LeadershipTransfer>,
+    /// Owned by `proposals.rs`.
     pub(crate) queue: Vec<Proposal>,
-    pub(crate) random: u64,
-    /// The latest campaign was for want of another primary's heartbeats, not asked for by it.
-    pub(crate) campaign_after_timeout: bool,
+    /// Owned by `joining.rs`.
+    pub(crate) join: JoinState,
+    /// Owned by `shutdown.rs`.
+    pub(crate) shutdown: ShutdownState,
+    /// The epoch of which the caller was last notified that this replica leads in it.
     announced: Option<u64>,
-    peers: Vec<SocketAddrV4>,
-    next_join: u64,
-    shutting_down: Option<u64>,
-    exit_announced: bool,
-    now: u64,
+    now: Micros,
 }
 
 /// The current state, as long as the lease lasts under which it was read.
@@ -62,52 +59,43 @@
 
 impl Replica {
     /// A replica that starts at this time with what was on its disk.
-    pub fn new(config: ReplicaConfig, recovered: RecoveredState, now: u64) -> Replica {
+    pub fn new(config: ReplicaConfig, recovered: RecoveredState, now: Micros) -> Replica {
         let promised = recovered.promised;
         let lease = if config.injected_fault.grants_after_restart() { 0 } else { config.lease_duration };
         let view_epoch = recovered.view.as_ref().map_or(0, |known| known.view.epoch);
+        let granted =
+            promised.map(|proposal_number| GrantedLease { proposal_number, expires_at: now + lease });
+        let committed = recovered.data.as_ref().map(|data| Arc::clone(&data.state)).unwrap_or_default();
         Replica {
             id: recovered.id,
-            promised,
-            committed: recovered.data.as_ref().map(|data| Arc::clone(&data.state)).unwrap_or_default(),
+            stored: StoredState { promised, view: recovered.view, data: recovered.data },
             disk: Disk::recovered(promised),
-            granted_lease: promised
-                .map(|proposal_number| GrantedLease { proposal_number, expires_at: now + lease }),
-            primary_clock: None,
-            snapshot_sent: None,
-            highest_epoch: promised.map_or(0, |proposal_number| proposal_number.epoch).max(view_epoch),
-            last_heard: now,
-            waived_timeout: 0,
-            pre_vote: None,
-            campaign: None,
+            committed,
+            lease_grant: LeaseGrant { granted, primary_clock: None },
+            election: ElectionState {
+                highest_epoch: promised.map_or(0, |proposal_number| proposal_number.epoch).max(view_epoch),
+                last_heard: now,
+                waived_timeout: 0,
+                pre_vote: None,
+                campaign: None,
+                campaign_after_timeout: false,
+                snapshot_sent: None,
+                random: config.seed ^ recovered.id.0 ^ 0x9E37_79B9_7F4A_7C15,
+            },
             leadership: None,
             leadership_transfer: None,
             queue: Vec::new(),
-            random: config.seed ^ recovered.id.0 ^ 0x9E37_79B9_7F4A_7C15,
-            campaign_after_timeout: false,
+            join: JoinState { addresses: Vec::new(), next_request: now },
+            shutdown: ShutdownState::default(),
             announced: None,
-            peers: Vec::new(),
-            next_join: now,
-            shutting_down: None,
-            exit_announced: false,
             now,
-            view: recovered.view,
-            data: recovered.data,
             config,
         }
         .waive_timeout_of_returning_primary()
     }
 
-    /// A primary that comes back needn't wait for silence: its lease bars only others.
-    fn waive_timeout_of_returning_primary(mut self) -> Replica {
-        if self.view.as_ref().is_some_and(|known| known.view.primary == self.id) {
-            self.waived_timeout = self.config.lease_duration;
-        }
-        self
-    }
-
     /// Takes an input and adds what is to be done about it.
-    pub fn handle(&mut self, now: u64, input: Input, out: &mut Vec<Output>) {
+    pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
         match input {
             Input::Tick => {}
@@ -121,24 +109,25 @@
             Input::Propose { proposal_id, change } => self.propose(proposal_id, change, out),
             Input::Bootstrap { view } => self.bootstrap(view, out),
             Input::Peers(peers) => {
-                self.peers = peers;
-                self.next_join = self.next_join.min(self.now);
+                self.join.addresses = peers;
+                self.join.next_request = self.join.next_request.min(self.now);
             }
-            Input::ShutDown => self.shutting_down = self.shutting_down.or(Some(self.now)),
+            Input::ShutDown => self.shutdown.requested_at = self.shutdown.requested_at.or(Some(self.now)),
         }
         self.tick(out);
     }
 
     /// The time at which the replica wants a [`Input::Tick`] at the latest.
-    pub fn next_wake(&self) -> u64 {
+    pub fn next_wake(&self) -> Micros {
         let mut wakes =
             vec![self.disk.next_deadline(self.now), self.primary_deadline(), self.election_deadline()];
         wakes.push(self.leadership_transfer.map(|transfer| transfer.next_send));
         wakes.push(self.queue.first().map(|proposal| proposal.since + self.config.proposal_timeout));
-        wakes.push(self.wants_to_join().then_some(self.next_join));
+        wakes.push(self.wants_to_join().then_some(self.join.next_request));
         wakes.push(
-            self.shutting_down
-                .filter(|_| !self.exit_announced)
+            self.shutdown
+                .requested_at
+                .filter(|_| !self.shutdown.exit_announced)
                 .map(|since| since + self.config.shutdown_timeout),
         );
         let idle = self.now + JOIN_INTERVAL;
@@ -147,16 +136,16 @@
 
     /// Whether the lead of this replica began with the silence of another primary: the core was not stable then.
     pub fn took_over_after_timeout(&self) -> bool {
-        self.leadership.is_some() && self.campaign_after_timeout
+        self.leadership.is_some() && self.election.campaign_after_timeout
     }
 
     /// The epoch in which this replica leads at this time, if it does. Read the clock just before acting on it.
-    pub fn leading(&self, now: u64) -> Option<u64> {
+    pub fn leading(&self, now: Micros) -> Option<u64> {
         self.lease(now).map(|lease| lease.epoch)
     }
 
     /// The lease under which this replica leads at this time, if it does.
-    pub fn lease(&self, now: u64) -> Option<Lease> {
+    pub fn lease(&self, now: Micros) -> Option<Lease> {
         let epoch = self.leadership.as_ref()?.epoch;
         if let Some(lease) = self.config.injected_fault.lease_without_end(epoch) {
             return Some(lease);
@@ -166,7 +155,7 @@
     }
 
     /// The current state, if this replica leads at this time. Whoever passes it on looks at the lease once more.
-    pub fn read(&self, now: u64) -> Option<LeaseRead<'_>> {
+    pub fn read(&self, now: Micros) -> Option<LeaseRead<'_>> {
         let unbounded = |lead: &Leadership| self.config.injected_fault.read_lease_without_end(lead.epoch);
         let lease = self.leadership.as_ref().and_then(unbounded).or_else(|| self.lease(now))?;
         Some(LeaseRead { lease, state: &self.committed })
@@ -179,7 +168,7 @@
 
     /// The internal address of the primary of the view that is known here.
     pub fn primary_address(&self) -> Option<SocketAddrV4> {
-        let view = &self.view.as_ref()?.view;
+        let view = &self.stored.view.as_ref()?.view;
         view.member(view.primary).map(|member| member.address)
     }
 
@@ -198,10 +187,10 @@
         Status {
             id: self.id,
             role: self.role(),
-            view: self.view.clone(),
+            view: self.stored.view.clone(),
             leading: self.leading(self.now),
             lease_until: self.lease_until(),
-            sequence: self.data.as_ref().map(|data| data.position.sequence),
+            sequence: self.stored.data.as_ref().map(|data| data.position.sequence),
             disk_healthy: self.disk.is_healthy(self.now),
         }
     }
@@ -211,7 +200,7 @@
             _ if self.leadership.is_some() => Role::Primary,
             Some(view) if view.member(self.id).is_none() => Role::NonMember,
             None => Role::NonMember,
-            Some(_) if self.campaign.is_some() => Role::Candidate,
+            Some(_) if self.election.campaign.is_some() => Role::Candidate,
             Some(view) if view.backups.contains(&self.id) => Role::Backup,
             Some(_) => Role::Witness,
         }
@@ -248,7 +237,7 @@
         }
     }
 
-    fn apply_effect(&mut self, effect: Effect, out: &mut Vec<Output>) {
+    pub(crate) fn apply_effect(&mut self, effect: Effect, out: &mut Vec<Output>) {
         match effect {
             Effect::Send { to, message } => out.push(Output::Send { to, message }),
             Effect::BootstrapDurable => self.handle_bootstrap_durable(),
@@ -288,32 +277,6 @@
         }
     }
 
-    /// Makes records durable that are in memory already, and then brings about the effect.
-    ///
-    /// With no records, the effect waits for whatever is under way. After a failure everything is written anew.
-    pub(crate) fn persist(&mut self, records: Vec<Record>, effect: Option<Effect>, out: &mut Vec<Output>) {
-        let records = if self.disk.is_stale() { self.all_records() } else { records };
-        if records.is_empty() {
-            if let Some(effect) = effect.and_then(|effect| self.disk.attach_effect(effect)) {
-                self.apply_effect(effect, out);
-            }
-            return;
-        }
-        if !self.disk.may_write(self.now) {
-            self.disk.mark_stale();
-            return;
-        }
-        let write_id = self.disk.start_write(self.now, self.promised, effect);
-        out.push(Output::Persist { write_id, records });
-    }
-
-    fn all_records(&self) -> Vec<Record> {
-        let mut records: Vec<Record> = self.promised.map(Record::Promise).into_iter().collect();
-        records.extend(self.view.clone().map(Record::View));
-        records.push(self.data.clone().map_or(Record::SnapshotDiscarded, Record::Snapshot));
-        records
-    }
-
     pub(crate) fn send(&self, to: SocketAddrV4, body: Body, out: &mut Vec<Output>) {
         out.push(Output::Send { to, message: self.message(body) });
     }
@@ -322,16 +285,12 @@
         Message { sender: self.id, body }
     }
 
-    pub(crate) fn reply_once_durable(&self, to: SocketAddrV4, body: Body) -> Option<Effect> {
-        Some(Effect::Send { to, message: self.message(body) })
-    }
-
     pub(crate) fn now(&self) -> u64 {
         self.now
     }
 
     pub(crate) fn current_view(&self) -> Option<&Arc<View>> {
-        self.view.as_ref().map(|known| &known.view)
+        self.stored.view.as_ref().map(|known| &known.view)
     }
 
     pub(crate) fn view_epoch(&self) -> u64 {
@@ -339,88 +298,6 @@
     }
 
     pub(crate) fn promised_epoch(&self) -> u64 {
-        self.promised.map_or(0, |proposal_number| proposal_number.epoch)
-    }
-
-    /// Whether this replica may hold data for others.
-    pub(crate) fn healthy(&self) -> bool {
-        self.disk.is_healthy(self.now) && self.shutting_down.is_none()
-    }
-
-    pub(crate) fn is_shutting_down(&self) -> bool {
-        self.shutting_down.is_some()
-    }
-
-    /// Notes a sign that somebody leads or is about to.
-    pub(crate) fn reset_election_timer(&mut self) {
-        self.reset_election_timer_at(self.now);
-    }
-
-    /// Notes a sign that left its sender at this time.
-    pub(crate) fn reset_election_timer_at(&mut self, time: u64) {
-        if time >= self.last_heard {
-            self.last_heard = time;
-            self.waived_timeout = 0;
-        }
-    }
-
-    pub(crate) fn observe_epoch(&mut self, epoch: u64) {
-        self.highest_epoch = self.highest_epoch.max(epoch);
-    }
-
-    /// A number from 0 up to the limit.
-    pub(crate) fn random_below(&mut self, limit: u64) -> u64 {
-        self.random =
-            self.random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        (self.random >> 33) % limit.max(1)
-    }
-
-    fn wants_to_join(&self) -> bool {
-        let member = self.current_view().is_some_and(|view| view.member(self.id).is_some());
-        let anyone_known = self.view.is_some() || !self.peers.is_empty();
-        !member && !self.is_shutting_down() && anyone_known
-    }
-
-    fn maybe_request_join(&mut self, out: &mut Vec<Output>) {
-        if !self.wants_to_join() || self.now < self.next_join {
-            return;
-        }
-        self.next_join = self.now + JOIN_INTERVAL;
-        let mut addresses: BTreeMap<SocketAddrV4, ()> = self.peers.iter().map(|peer| (*peer, ())).collect();
-        if let Some(view) = self.current_view() {
-            addresses.extend(view.members.iter().map(|member| (member.address, ())));
-        }
-        addresses.remove(&self.config.address);
-        // One that knows a view was left out of it: it takes a place again and enlarges nothing for good.
-        let first_boot = self.config.first_boot && self.view.is_none();
-        let join = Body::Join { member: self.member(), first_boot };
-        for address in addresses.into_keys() {
-            self.send(address, join.clone(), out);
-        }
-    }
-
-    fn tick_shutdown(&mut self, out: &mut Vec<Output>) {
-        let Some(since) = self.shutting_down.filter(|_| !self.exit_announced) else { return };
-        let hasty = self.config.injected_fault.exits_at_once();
-        if hasty || !self.is_needed() || self.now >= since + self.config.shutdown_timeout {
-            self.exit_announced = true;
-            out.push(Output::ReadyToExit);
-        }
-    }
-
-    /// Whether others count on this replica: it holds data, its view isn't known to be active, or a view with more
-    /// members than it was founded with is about to go on without it.
-    fn is_needed(&self) -> bool {
-        let counted_on = self.view.as_ref().is_some_and(|known| {
-            let surplus = known.view.members.len() > known.view.target_size;
-            let goes = surplus && known.view.member(self.id).is_some();
-            !known.active || goes || known.view.holds_data(self.id)
-        });
-        self.leadership.is_some() || self.campaign.is_some() || counted_on
-    }
-
-    /// Whether this replica would know after a restart that its view is active.
-    pub(crate) fn activation_durable(&self) -> bool {
-        self.disk.all_durable() && self.view.as_ref().is_some_and(|known| known.active)
+        self.stored.promised.map_or(0, |proposal_number| proposal_number.epoch)
     }
 }
--- /dev/null
+++ b/control/src/shutdown.rs
@@ -0,0 +1,39 @@
+//! Graceful shutdown: the process stays until nobody depends on this replica any longer, or a time limit passes.
+
+use crate::{Micros, Output, Replica};
+
+/// How far a graceful shutdown has come.
+#[derive(Debug, Default)]
+pub(crate) struct ShutdownState {
+    pub requested_at: Option<Micros>,
+    /// Whether [`Output::ReadyToExit`] has been given.
+    pub exit_announced: bool,
+}
+
+impl Replica {
+    pub(crate) fn is_shutting_down(&self) -> bool {
+        self.shutdown.requested_at.is_some()
+    }
+
+    pub(crate) fn tick_shutdown(&mut self, out: &mut Vec<Output>) {
+        let Some(since) = self.shutdown.requested_at.filter(|_| !self.shutdown.exit_announced) else {
+            return;
+        };
+        let hasty = self.config.injected_fault.exits_at_once();
+        if hasty || !self.is_needed() || self.now() >= since + self.config.shutdown_timeout {
+            self.shutdown.exit_announced = true;
+            out.push(Output::ReadyToExit);
+        }
+    }
+
+    /// Whether others count on this replica: it holds data, its view isn't known to be active, or a view with more
+    /// members than it was founded with is about to go on without it.
+    fn is_needed(&self) -> bool {
+        let counted_on = self.stored.view.as_ref().is_some_and(|known| {
+            let surplus = known.view.members.len() > known.view.target_size;
+            let goes = surplus && known.view.member(self.id).is_some();
+            !known.active || goes || known.view.holds_data(self.id)
+        });
+        self.leadership.is_some() || self.election.campaign.is_some() || counted_on
+    }
+}
--- a/control/src/status.rs
+++ b/control/src/status.rs
@@ -1,6 +1,6 @@
 //! A glance at a replica from outside.
 
-use crate::{KnownView, ReplicaId};
+use crate::{KnownView, Micros, ReplicaId};
 
 /// What a replica does at present.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -29,7 +29,7 @@
     /// The epoch in which it leads within a lease.
     pub leading: Option<u64>,
     /// Until when the lease of a primary runs, in microseconds of the steady clock.
-    pub lease_until: Option<u64>,
+    pub lease_until: Option<Micros>,
     /// The number of changes in the state that it holds.
     pub sequence: Option<u64>,
     /// Whether its disk takes writes.
--- a/control/src/transfer.rs
+++ b/control/src/transmission.rs
@@ -1,6 +1,6 @@
 //! How long large messages may be on their way, so that what is sent again doesn't pile up on a slow link.
 
-use crate::{ACCEPTED_HISTORY_BYTES, Change, ControlState};
+use crate::{ACCEPTED_HISTORY_BYTES, Change, ControlState, Micros};
 
 /// What the slowest link that is planned for carries in a microsecond, in bytes: 8 Mbit/s.
 const BYTES_PER_MICROSECOND: u64 = 1;
@@ -8,13 +8,13 @@
 const MAX_DOUBLINGS: u32 = 4;
 
 /// How long so many bytes take on a slow link, in microseconds.
-pub(crate) fn transfer_time(bytes: usize) -> u64 {
+pub(crate) fn transfer_time(bytes: usize) -> Micros {
     bytes as u64 / BYTES_PER_MICROSECOND
 }
 
 /// How long to wait for an answer to something of so many bytes beyond the wait for something small, in microseconds.
 /// It doubles with each repetition, so that a link slower than planned for isn't flooded either.
-pub(crate) fn retransmission_delay(bytes: usize, repetitions: u32) -> u64 {
+pub(crate) fn retransmission_delay(bytes: usize, repetitions: u32) -> Micros {
     transfer_time(bytes) << repetitions.min(MAX_DOUBLINGS)
 }
 
