--- a/control/src/accept_phase.rs
+++ b/control/src/accept_phase.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeSet, sync::Arc};
 
-use crate::{KnownView, Output, Record, Replica, ReplicaId, campaign::Stage, disk::Effect};
+use crate::{Body, KnownView, Output, Record, Replica, ReplicaId, campaign::Stage, disk::Effect};
 
 impl Replica {
     pub(crate) fn start_accepting(&mut self, out: &mut Vec<Output>) {
@@ -32,4 +32,23 @@
             self.become_primary(known.view, &answered, out);
         }
     }
+
+    /// Sends the view to the members that haven't accepted it.
+    pub(crate) fn resend_accept(&mut self, out: &mut Vec<Output>) {
+        let Some(campaign) = &self.election.campaign else { return };
+        let Stage::AcceptingView { view, accepted } = &campaign.stage else { return };
+        let known = KnownView { view: Arc::clone(view), active: false };
+        let mut everyone = view.everyone();
+        everyone.extend(campaign.base_view.view.everyone());
+        everyone.sort_by_key(|member| member.id);
+        everyone.dedup_by_key(|member| member.id);
+        let waiting = everyone.iter().filter(|member| !accepted.contains(&member.id));
+        for member in waiting.filter(|member| member.id != self.id) {
+            self.send(member.address, Body::Accept { view: known.clone() }, out);
+        }
+        if !accepted.contains(&self.id) {
+            let epoch = campaign.epoch;
+            self.persist(Vec::new(), Some(Effect::OwnAccept { epoch }), out);
+        }
+    }
 }
--- a/control/src/campaign.rs
+++ b/control/src/campaign.rs
@@ -1,4 +1,4 @@
-//! What a candidate and its voters keep in mind: a poll, a campaign, how far it has come.
+//! A campaign: one attempt of a candidate to form the view of an epoch.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -12,12 +12,13 @@
     transmission::{state_bytes, transfer_time},
 };
 
-/// A campaign that takes longer begins anew with a higher epoch.
+/// A campaign that takes longer starts again with a higher epoch.
 const CAMPAIGN_TIMEOUT: Micros = 1_200 * MILLISECOND;
-/// A campaign that a rival has got in the way of begins anew this long after the first refusal if no quorum has come.
+/// A campaign that a rival has interfered with starts again this long after the first rejection, unless it has a
+/// quorum.
 const REJECTED_CAMPAIGN_TIMEOUT: Micros = 250 * MILLISECOND;
 
-/// What a member said when it promised.
+/// The content of a member's promise.
 #[derive(Debug)]
 pub(crate) struct ReceivedPromise {
     pub position: Option<LogPosition>,
@@ -25,55 +26,55 @@
     pub healthy: bool,
 }
 
-/// Data that went to a candidate together with a promise.
+/// A snapshot that was sent to a candidate together with a promise.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct SnapshotSent {
     pub proposal_number: ProposalNumber,
-    /// What the candidate held.
+    /// The position of the candidate's own data when it asked.
     pub candidate_position: Option<LogPosition>,
     pub sent_at: Micros,
     pub repetitions: u32,
 }
 
-/// How far a campaign has come.
+/// The phase that a campaign has reached.
 #[derive(Debug)]
 pub(crate) enum Stage {
-    /// Promises are gathered.
+    /// Phase 1 of Paxos: promises are collected.
     CollectingPromises,
-    /// The state goes to the backups of the view to be.
+    /// The state is installed on the backups of the next view.
     InstallingSnapshots {
         view: Arc<View>,
         source: Data,
         installed: BTreeSet<ReplicaId>,
-        /// How often the state has been sent whole to a backup; never to those that hold the source.
+        /// How often a snapshot was sent to each backup; those that hold the source position need none.
         attempts: BTreeMap<ReplicaId, u64>,
         excluded: BTreeSet<ReplicaId>,
         since: Micros,
     },
-    /// The view is being accepted; it can't be altered any more.
+    /// Phase 2 of Paxos: the view is sent to its members, and is immutable from here on.
     AcceptingView { view: Arc<View>, accepted: BTreeSet<ReplicaId> },
 }
 
 impl Stage {
-    /// Whether promises are still gathered.
+    /// Whether promises are still collected.
     pub fn collecting_promises(&self) -> bool {
         matches!(self, Stage::CollectingPromises)
     }
 }
 
-/// A try to form a view.
+/// One attempt to form a view.
 #[derive(Debug)]
 pub(crate) struct Campaign {
     pub epoch: u64,
     pub released: Option<ProposalNumber>,
     pub started: Micros,
     pub next_send: Micros,
-    /// The latest view that any promise has shown.
+    /// The latest view that any promise has reported.
     pub base_view: KnownView,
     pub position: Option<LogPosition>,
     pub promises: BTreeMap<ReplicaId, ReceivedPromise>,
     pub rejected: BTreeSet<ReplicaId>,
-    /// When a member first refused because of a rival.
+    /// When a member first rejected the campaign because of a rival.
     pub rejected_since: Option<Micros>,
     pub quorum_since: Option<Micros>,
     pub membership: Option<Membership>,
@@ -87,7 +88,7 @@
         self.base_view.quorum(&present) && (holder || fault.takes_any_data())
     }
 
-    /// The position that a member of the latest view's data set has shown.
+    /// The position that a member reported, if it belongs to the data set of the latest view.
     pub fn usable_position(&self, id: ReplicaId) -> Option<LogPosition> {
         let position = self.promises.get(&id)?.position?;
         (self.base_view.view.holds_data(id) && position.epoch >= self.base_view.view.epoch)
@@ -98,7 +99,7 @@
         self.base_view.view.members.iter().all(|member| self.promises.contains_key(&member.id))
     }
 
-    /// When the campaign has taken too long.
+    /// When the campaign times out.
     pub fn deadline(&self) -> Micros {
         let held_up =
             self.rejected_since.filter(|_| self.stage.collecting_promises() && self.quorum_since.is_none());
@@ -108,7 +109,7 @@
 
     fn time_limit(&self) -> Micros {
         match &self.stage {
-            // One backup that is passed over for another, or one transfer that has to be made twice.
+            // Allows for one backup that is replaced by another, or one transfer that is repeated.
             Stage::InstallingSnapshots { source, attempts, .. } => {
                 CAMPAIGN_TIMEOUT + 2 * transfer_time(state_bytes(&source.state) * attempts.len())
             }
--- a/control/src/config.rs
+++ b/control/src/config.rs
@@ -1,4 +1,4 @@
-//! Settings of a replica, and the spans of time that the protocol uses.
+//! Settings of a replica.
 
 use std::{net::SocketAddrV4, sync::Arc};
 
@@ -17,34 +17,35 @@
     /// Whether the whole system starts for the first time.
     #[builder(default = false)]
     pub first_boot: bool,
-    /// How many machines may be lost at once.
+    /// How many machines may be lost at once; the number of backups that a view should have.
     #[builder(default = 1)]
     pub machine_losses: usize,
     /// The length of a lease in microseconds.
     #[builder(default = 1_500 * MILLISECOND)]
     pub lease_duration: Micros,
-    /// How much sooner the primary stops than its lease runs out, in microseconds.
+    /// How long before the expiry of its lease the primary stops acting on it, in microseconds. It covers clock
+    /// drift.
     #[builder(default = 100 * MILLISECOND)]
     pub lease_margin: Micros,
     /// The time between heartbeats in microseconds.
     #[builder(default = 300 * MILLISECOND)]
     pub heartbeat_interval: Micros,
-    /// The longest time to an answer in microseconds.
+    /// After this time a proposal is answered, if need be with [`crate::Outcome::Unknown`], in microseconds.
     #[builder(default = 3_500 * MILLISECOND)]
     pub proposal_timeout: Micros,
-    /// How long a replica that is about to end waits at most until others hold what it holds, in microseconds.
+    /// The longest time that a graceful shutdown waits until no other replica depends on this one, in microseconds.
     #[builder(default = 7_000 * MILLISECOND)]
     pub shutdown_timeout: Micros,
-    /// Spreads the campaigns of replicas.
+    /// Seed of the jitter between the campaigns of replicas.
     #[builder(default = 0)]
     pub seed: u64,
-    /// A fault for tests of the tests; never set in service.
+    /// A fault for tests that show that the tests notice it; never set in service.
     #[builder(default, setter(into))]
     pub injected_fault: FaultInjection,
 }
 
 impl ReplicaConfig {
-    /// Clocks of two replicas differ in rate by one part in this many at the most: what the margin of the lease allows.
+    /// The clocks of two replicas differ in rate by at most one part in this many: what the lease margin allows for.
     pub(crate) fn clock_drift(&self) -> u64 {
         (self.lease_duration / self.lease_margin.max(1)).saturating_sub(1).max(1)
     }
--- a/control/src/disk.rs
+++ b/control/src/disk.rs
@@ -1,28 +1,28 @@
-//! Writes on their way to the disk, and what waits for them.
+//! Pending writes to the disk, the effects that wait for them, and the health of the disk.
 
 use std::{collections::VecDeque, net::SocketAddrV4};
 
 use crate::{LogPosition, Message, Micros, ProposalNumber, WriteId, time::MILLISECOND};
 
-/// A write that takes longer than this counts the disk as unwell.
+/// A disk whose oldest pending write takes longer than this is unhealthy.
 const SLOW_WRITE: Micros = 600 * MILLISECOND;
-/// After a failed write the disk is tried again this much later.
+/// Delay between a failed write and the next one.
 const RETRY_INTERVAL: Micros = 500 * MILLISECOND;
 
-/// What happens once everything that was known when it was asked for is durable.
+/// What happens once everything that was in memory when it was requested is durable.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum Effect {
     /// Send a message.
     Send { to: SocketAddrV4, message: Message },
-    /// The founding of the system is durable.
+    /// The first view of the system is durable.
     BootstrapDurable,
-    /// The own promise of a candidate is durable.
+    /// The candidate's own promise is durable.
     OwnPromise { epoch: u64 },
-    /// The state is installed at the candidate itself.
+    /// The state is installed on the candidate itself.
     OwnSnapshot { epoch: u64 },
     /// The candidate itself has accepted its view.
     OwnAccept { epoch: u64 },
-    /// The primary has written a change.
+    /// The primary's own write of a change is durable.
     OwnChange { position: LogPosition },
 }
 
@@ -32,17 +32,17 @@
     issued: Micros,
     promised: Option<ProposalNumber>,
     effects: Vec<Effect>,
-    /// False once an earlier write has failed: what this one builds on isn't there.
+    /// False once an earlier write has failed: the records that this write builds on are missing.
     valid: bool,
 }
 
-/// The writes under way and the health of the disk.
+/// The pending writes and the health of the disk.
 #[derive(Debug, Default)]
 pub(crate) struct Disk {
     next_write_id: u64,
     outstanding: VecDeque<PendingWrite>,
     durable_promise: Option<ProposalNumber>,
-    /// Since the last failure nothing has been written in full.
+    /// A write has failed and no complete set of records has been written since.
     stale: bool,
     failing: bool,
     last_failure: Micros,
@@ -54,32 +54,32 @@
         Disk { durable_promise: promised, ..Disk::default() }
     }
 
-    /// The promise that a restart would find.
+    /// The promise that a restart would recover.
     pub fn durable_promise(&self) -> Option<ProposalNumber> {
         self.durable_promise
     }
 
-    /// Whether the next write has to hold everything.
+    /// Whether the next write has to contain the complete state.
     pub fn is_stale(&self) -> bool {
         self.stale
     }
 
-    /// Whether all that is in memory is durable.
+    /// Whether everything that is in memory is durable.
     pub fn all_durable(&self) -> bool {
         self.outstanding.is_empty() && !self.stale
     }
 
-    /// Whether writes succeed in time.
+    /// Whether writes succeed, and in time.
     pub fn is_healthy(&self, now: Micros) -> bool {
         !self.failing && self.outstanding.front().is_none_or(|oldest| now < oldest.issued + SLOW_WRITE)
     }
 
-    /// Whether a new write may be tried.
+    /// Whether a new write may be started.
     pub fn may_write(&self, now: Micros) -> bool {
         !self.failing || (self.outstanding.is_empty() && now >= self.last_failure + RETRY_INTERVAL)
     }
 
-    /// When this disk wants attention: to be tried again, or to be called slow.
+    /// When the disk should be retried, or becomes unhealthy because a write is slow.
     pub fn next_deadline(&self, now: Micros) -> Option<Micros> {
         match self.outstanding.front() {
             Some(oldest) => Some(oldest.issued + SLOW_WRITE).filter(|at| *at > now),
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Notes a write and gives it a name.
+    /// Records a write and returns its id.
     pub fn start_write(
         &mut self,
         now: Micros,
@@ -102,7 +102,7 @@
         write_id
     }
 
-    /// Lets an effect wait for the latest write under way; gives it back if there is none.
+    /// Attaches an effect to the latest pending write; returns it if there is none.
     pub fn attach_effect(&mut self, effect: Effect) -> Option<Effect> {
         let Some(latest) = self.outstanding.back_mut() else { return Some(effect) };
         if !latest.effects.contains(&effect) {
@@ -111,12 +111,12 @@
         None
     }
 
-    /// Notes that memory has gone ahead without a write being tried.
+    /// Records that memory has changed without a write.
     pub fn mark_stale(&mut self) {
         self.stale = true;
     }
 
-    /// Ends a write that is durable: returns what waited for it.
+    /// Completes a durable write and returns the effects that waited for it.
     pub fn complete_write(&mut self, write_id: WriteId) -> Vec<Effect> {
         let Some(write) = self.take(write_id) else { return Vec::new() };
         if !write.valid {
@@ -127,7 +127,7 @@
         write.effects
     }
 
-    /// Ends a write that failed, and with it all that came after it.
+    /// Completes a failed write, and invalidates all that were started after it.
     pub fn fail_write(&mut self, now: Micros, write_id: WriteId) {
         if self.take(write_id).is_none() {
             return;
--- a/control/src/durability.rs
+++ b/control/src/durability.rs
@@ -1,10 +1,10 @@
-//! What has to be durable before a replica says so: records of the stored state, and the effects that wait for them.
+//! Durability: the stored state, its records, and the rule that a reply waits for the records that it depends on.
 
 use std::net::SocketAddrV4;
 
 use crate::{Body, Data, KnownView, Output, ProposalNumber, Record, Replica, disk::Effect};
 
-/// What the records on the disk add up to, as it is in memory. Whoever changes a field persists a record of the change.
+/// The state that the records on disk add up to. Code that changes a field also persists the record of the change.
 #[derive(Debug)]
 pub(crate) struct StoredState {
     /// The latest promise.
@@ -16,9 +16,9 @@
 }
 
 impl Replica {
-    /// Makes records durable that are in memory already, and then brings about the effect.
+    /// Persists records of changes that are in memory already, and applies the effect once they are durable.
     ///
-    /// With no records, the effect waits for whatever is under way. After a failure everything is written anew.
+    /// Without records, the effect waits for the pending writes. After a failed write the complete state is written.
     pub(crate) fn persist(&mut self, records: Vec<Record>, effect: Option<Effect>, out: &mut Vec<Output>) {
         let records = if self.disk.is_stale() { self.all_records() } else { records };
         if records.is_empty() {
--- a/control/src/election.rs
+++ b/control/src/election.rs
@@ -1,4 +1,4 @@
-//! How a replica comes to form a view: poll, promises, and what it takes from them.
+//! Elections: when a replica campaigns for an epoch, and how a campaign starts, is repeated and ends.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -15,21 +15,21 @@
     time::MILLISECOND,
 };
 
-/// Polls and requests of a campaign are repeated this often.
+/// Interval at which pre-votes and the requests of a campaign are repeated.
 pub(crate) const RESEND_INTERVAL: Micros = 150 * MILLISECOND;
 
-/// Backups wait this much longer than the one ranked before them.
+/// Each backup waits this much longer than the one ranked before it.
 const ELECTION_STAGGER: Micros = 120 * MILLISECOND;
-/// The campaigns of replicas are spread over this span.
+/// The campaigns of replicas are spread over this interval.
 const ELECTION_JITTER: Micros = 60 * MILLISECOND;
 
-/// What a replica keeps in mind of elections. `election.rs` owns the timers, `pre_vote.rs` the pre-vote, the files of the
-/// three phases the campaign.
+/// State of elections. `election.rs` owns the timers, `pre_vote.rs` the pre-vote, and the files of the
+/// phases (`prepare_phase.rs`, `snapshot_installation.rs`, `accept_phase.rs`) the campaign.
 #[derive(Debug)]
 pub(crate) struct ElectionState {
     /// The highest epoch that this replica has seen anywhere.
     pub highest_epoch: u64,
-    /// When there was last a sign that somebody leads or is about to.
+    /// The last time at which a primary or a candidate was active, as far as is known here.
     pub last_heard: Micros,
     /// How much of the election timeout this replica waives.
     pub waived_timeout: Micros,
@@ -73,11 +73,11 @@
         }
     }
 
-    /// When this replica seeks to lead for want of a primary.
+    /// When this replica campaigns unless it hears from a primary before.
     fn election_due(&self) -> Option<Micros> {
         let view = self.current_view()?;
         view.member(self.id)?;
-        // One that is about to end may still be the only one that can pass the data on.
+        // A replica that shuts down may campaign: it can be the only one that has the data.
         if !self.disk.is_healthy(self.now()) {
             return None;
         }
@@ -111,7 +111,7 @@
         self.current_view().map_or(0, rank) as u64
     }
 
-    /// A span below the limit that stays the same for this replica and epoch.
+    /// A duration below the limit that depends only on this replica and the epoch.
     fn spread(&self, limit: u64) -> u64 {
         let mixed = (self.config.seed ^ self.id.0)
             .wrapping_add(self.election.highest_epoch)
@@ -147,11 +147,11 @@
             membership,
             stage: Stage::CollectingPromises,
         });
-        // Others are asked only once the own promise is durable, so that an epoch is never used twice.
+        // Others are asked only once the own promise is durable, so that a restart never uses an epoch twice.
         self.persist(vec![Record::Promise(proposal_number)], Some(Effect::OwnPromise { epoch }), out);
     }
 
-    /// Ends a campaign that can't succeed; a primary of an active view goes on leading.
+    /// Ends a campaign that can't succeed; the primary of an active view stays primary.
     pub(crate) fn abandon_campaign(&mut self, out: &mut Vec<Output>) {
         if self.election.campaign.take().is_none() {
             return;
@@ -182,12 +182,12 @@
         }
     }
 
-    /// Notes a sign that somebody leads or is about to.
+    /// Restarts the election timer, because a primary or a candidate is active.
     pub(crate) fn reset_election_timer(&mut self) {
         self.reset_election_timer_at(self.now());
     }
 
-    /// Notes a sign that left its sender at this time.
+    /// Restarts the election timer as of the time at which the message was sent.
     pub(crate) fn reset_election_timer_at(&mut self, time: Micros) {
         if time >= self.election.last_heard {
             self.election.last_heard = time;
@@ -199,7 +199,7 @@
         self.election.highest_epoch = self.election.highest_epoch.max(epoch);
     }
 
-    /// A number from 0 up to the limit.
+    /// A pseudo-random number below the limit.
     pub(crate) fn random_below(&mut self, limit: u64) -> u64 {
         self.election.random = self
             .election
@@ -209,7 +209,7 @@
         (self.election.random >> 33) % limit.max(1)
     }
 
-    /// A primary that comes back needn't wait for silence: its lease bars only others.
+    /// A primary that restarts campaigns at once: its lease blocks only others.
     pub(crate) fn waive_timeout_of_returning_primary(mut self) -> Replica {
         if self.stored.view.as_ref().is_some_and(|known| known.view.primary == self.id) {
             self.election.waived_timeout = self.config.lease_duration;
--- a/control/src/heartbeat.rs
+++ b/control/src/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of the primary and what members echo: the lease, and what is known of each member.
+//! Heartbeats of the primary and the replies to them, which grant the lease and report the health of each member.
 
 use std::{net::SocketAddrV4, sync::Arc};
 
@@ -16,13 +16,13 @@
 }
 
 impl Replica {
-    /// Until when this replica may act as the primary.
+    /// When the lease of this primary expires.
     pub(crate) fn lease_until(&self) -> Option<Micros> {
         let leadership = self.leadership.as_ref()?;
         lease_until(&self.config, &leadership.view, &leadership.peers)
     }
 
-    /// Whether this replica leads but reaches no majority any longer.
+    /// Whether this replica is primary but no longer reaches a majority.
     pub(crate) fn has_lost_quorum(&self) -> bool {
         self.leadership.as_ref().is_some_and(|leadership| leadership.lease_renewals.quorum_lost(self.now()))
     }
@@ -35,7 +35,8 @@
         };
         leadership.next_heartbeat = now + every;
         leadership.lease_renewals.record(lease_until);
-        // Members that can be heard no longer may still hear this one: their leases for it must be let run out.
+        // After a one-way partition members may still receive heartbeats: without this stop they would renew a lease
+        // that the primary can't use, and block its successor.
         if leadership.lease_renewals.quorum_lost(now) {
             return;
         }
@@ -49,7 +50,7 @@
         self.notify_removed_members(out);
     }
 
-    /// Tells members that were left out that the view without them needs them no longer.
+    /// Notifies removed members that the view no longer depends on them.
     fn notify_removed_members(&mut self, out: &mut Vec<Output>) {
         let now = self.now();
         let Some(leadership) = self.leadership.as_mut() else { return };
@@ -64,8 +65,8 @@
         }
     }
 
-    /// Whether the present view no longer depends on the members of the one before: after as many losses as may come
-    /// at once, somebody still knows that it is active.
+    /// Whether the view no longer depends on the previous members: after as many losses as are tolerated at once, a
+    /// member still knows that it is active.
     pub(crate) fn view_change_complete(&self) -> bool {
         let Some(leadership) = &self.leadership else { return false };
         let epoch = leadership.epoch;
@@ -83,7 +84,8 @@
         out: &mut Vec<Output>,
     ) {
         self.observe_epoch(epoch);
-        // A lease is granted only under a promise that a restart would find, so that the restart knows its holder.
+        // A lease is granted only under a durable promise, so that after a restart the member still knows the lease
+        // holder.
         let promised = self
             .stored
             .promised
@@ -105,14 +107,16 @@
             && !activation_durable
             && self.stored.view.as_ref().is_some_and(|known| known.active)
         {
-            // The primary needn't wait for its next heartbeat to learn that this one knows of the view for good.
+            // A second reply, so that the primary needn't wait for its next heartbeat to learn that the activation is
+            // durable here.
             let effect = self.reply_once_durable(from, self.heartbeat_reply(epoch, sent, true, true));
             self.persist(Vec::new(), effect, out);
         }
     }
 
-    /// When a heartbeat left at the latest, by this replica's clock. It may have been on its way for long, and its sender
-    /// may be gone: its lease counts from its sending, as at the sender.
+    /// The latest time at which a heartbeat was sent, by this replica's clock. It may have been delayed for long and
+    /// its
+    /// sender may be gone: the lease counts from the sending on both sides.
     fn sent_at(&mut self, epoch: u64, sent: Micros) -> Micros {
         let (now, drift) = (self.now(), self.config.clock_drift());
         let known = self.lease_grant.primary_clock.filter(|clock| clock.epoch == epoch);
@@ -123,7 +127,7 @@
         sent_at
     }
 
-    /// Grants a lease, unless a longer one was granted to the candidate before.
+    /// Grants a lease, unless a longer one was already granted to the candidate.
     fn grant_lease(&mut self, proposal_number: ProposalNumber, until: Micros) {
         let before = self
             .lease_grant
--- a/control/src/history.rs
+++ b/control/src/history.rs
@@ -1,18 +1,18 @@
-//! The accepted configurations, so that an order that is sent again is known.
+//! The bounded history of accepted configurations, by which a change that is sent again is recognised.
 
 use std::collections::VecDeque;
 
 use crate::Fingerprint;
 
-/// How many accepted configurations are remembered.
+/// How many accepted configurations the history holds.
 ///
 /// A day holds hundreds of changes; this is one every ten seconds for a whole day, in about 200 KB encoded.
 pub const ACCEPTED_HISTORY_ENTRIES: usize = 8_192;
 
-/// About what one of them takes when it is encoded, in bytes.
+/// Approximate encoded size of one entry in bytes.
 pub const ACCEPTED_HISTORY_BYTES: usize = 24;
 
-/// A configuration that has been put in force.
+/// A configuration that was committed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AcceptedConfiguration {
     /// Its version.
@@ -21,18 +21,18 @@
     pub fingerprint: Fingerprint,
 }
 
-/// What is known of an order that may have been taken before.
+/// Result of a lookup in the history.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HistoryLookup {
-    /// It was taken.
+    /// It was accepted.
     Accepted,
-    /// It was never taken.
+    /// It was never accepted.
     NotAccepted,
-    /// Its version is so old that nothing is known of it any more.
+    /// Its version is older than the history, so it may have been accepted or not.
     Truncated,
 }
 
-/// The latest accepted configurations, in the order of their versions, which only ever rise.
+/// The latest accepted configurations in ascending order of their versions.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct AcceptedHistory {
     latest: VecDeque<AcceptedConfiguration>,
@@ -40,32 +40,32 @@
 }
 
 impl AcceptedHistory {
-    /// A history of these configurations, the oldest first, with all up to a version forgotten (0 for none).
+    /// A history of these configurations, the oldest first, truncated through a version (0 for none).
     pub fn new(latest: Vec<AcceptedConfiguration>, truncated_through: u64) -> AcceptedHistory {
         AcceptedHistory { latest: latest.into(), truncated_through }
     }
 
-    /// The remembered configurations, the oldest first.
+    /// The entries, the oldest first.
     pub fn iter(&self) -> impl ExactSizeIterator<Item = &AcceptedConfiguration> {
         self.latest.iter()
     }
 
-    /// The version up to which accepted configurations may have been forgotten, 0 if none was.
+    /// The version through which the history is truncated, 0 if it is complete.
     pub fn truncated_through(&self) -> u64 {
         self.truncated_through
     }
 
-    /// How many configurations are remembered.
+    /// The number of entries.
     pub fn len(&self) -> usize {
         self.latest.len()
     }
 
-    /// Whether none is remembered.
+    /// Whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.latest.is_empty()
     }
 
-    /// What is known of a configuration.
+    /// Looks up a configuration by version and fingerprint.
     pub fn lookup(&self, version: u64, fingerprint: Fingerprint) -> HistoryLookup {
         let found = self.latest.binary_search_by_key(&version, |accepted| accepted.version);
         match found {
@@ -76,7 +76,8 @@
         }
     }
 
-    /// Adds a configuration whose version is above all others, and forgets the oldest beyond [`ACCEPTED_HISTORY_ENTRIES`].
+    /// Appends a configuration whose version is higher than all others; drops the oldest beyond
+    /// [`ACCEPTED_HISTORY_ENTRIES`].
     pub(crate) fn push(&mut self, accepted: AcceptedConfiguration) {
         self.latest.push_back(accepted);
         if self.latest.len() > ACCEPTED_HISTORY_ENTRIES
--- a/control/src/input.rs
+++ b/control/src/input.rs
@@ -1,25 +1,25 @@
-//! What goes into a replica and what comes out.
+//! The inputs that a replica handles and the outputs that its caller carries out.
 
 use std::{net::SocketAddrV4, sync::Arc};
 
 use crate::{Change, ControlState, Message, Record, View};
 
-/// Names a write to the disk.
+/// Identifies a write to the disk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WriteId(pub u64);
 
-/// Names a proposal, chosen by the caller.
+/// Identifies a proposal; chosen by the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProposalId(pub u64);
 
-/// What a replica is told.
+/// An input to a replica.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Input {
     /// Time has passed.
     Tick,
-    /// A message came.
+    /// A message was received.
     Message {
-        /// The internal address of the machine from which it came.
+        /// The internal address of the sending machine.
         from: SocketAddrV4,
         /// The message.
         message: Message,
@@ -34,37 +34,37 @@
         /// The write.
         write_id: WriteId,
     },
-    /// A change is asked for.
+    /// A change is proposed.
     Propose {
-        /// Names the answer.
+        /// Identifies the proposal in [`Output::Answer`].
         proposal_id: ProposalId,
         /// The change.
         change: Change,
     },
-    /// The first view, at the first start of the whole system.
+    /// The first view, at the first start of the system.
     Bootstrap {
         /// The view, of epoch 1.
         view: View,
     },
     /// Internal addresses at which members may be found, for a replica that isn't a member.
     Peers(Vec<SocketAddrV4>),
-    /// The process is about to end in good order.
+    /// The process begins a graceful shutdown.
     ShutDown,
 }
 
-/// What the caller is to do.
+/// An action that the caller carries out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
     /// Send a message.
     Send {
-        /// The internal address.
+        /// The internal address of the receiver.
         to: SocketAddrV4,
         /// The message.
         message: Message,
     },
-    /// Make these records durable together, in the order of the write ids.
+    /// Make these records durable atomically, in the order of the write ids.
     Persist {
-        /// Names the write for [`Input::WriteCompleted`].
+        /// Identifies the write in [`Input::WriteCompleted`] and [`Input::WriteFailed`].
         write_id: WriteId,
         /// The records; an empty list tests the disk.
         records: Vec<Record>,
@@ -76,42 +76,42 @@
         /// The answer.
         outcome: Outcome,
     },
-    /// A committed state is known here, at the primary.
+    /// The primary has committed a state.
     Committed {
         /// The state.
         state: Arc<ControlState>,
     },
-    /// This replica leads from now on, within its lease.
+    /// This replica is primary from now on, within its lease.
     BecamePrimary {
         /// The epoch.
         epoch: u64,
     },
-    /// This replica doesn't lead any longer.
+    /// This replica is no longer primary, or its lease has expired.
     SteppedDown,
-    /// The process may end.
+    /// No other replica depends on this process any longer: it may exit.
     ReadyToExit,
 }
 
-/// The answer to a proposal.
+/// The result of a proposal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// The change is durable wherever it has to be.
+    /// The change is committed: durable on the primary and all backups.
     Committed,
-    /// Another version is current; the change isn't and won't be in force.
+    /// Another version is current; the change was not and won't be committed.
     Conflict {
         /// The current version.
         current: u64,
     },
-    /// The version isn't above the current one; the change isn't and won't be in force.
+    /// The version isn't higher than the current one; the change was not and won't be committed.
     VersionNotHigher {
         /// The current version.
         current: u64,
     },
-    /// This replica doesn't lead and has done nothing with the change.
+    /// This replica isn't primary and hasn't started to replicate the change.
     NotPrimary {
-        /// Whom to ask, if known.
+        /// The internal address of the primary, if known.
         primary: Option<SocketAddrV4>,
     },
-    /// The change may come into force or not.
+    /// The change may be committed or not.
     Unknown,
 }
--- a/control/src/joining.rs
+++ b/control/src/joining.rs
@@ -1,4 +1,4 @@
-//! Replicas that aren't members ask to join, and the primary keeps a list of those that do.
+//! Joining: non-members send join requests, and the primary tracks who has sent one.
 
 use std::{collections::BTreeMap, net::SocketAddrV4, sync::Arc};
 
@@ -6,13 +6,13 @@
     Body, KnownView, Member, Micros, Output, Replica, membership::LIVENESS_TIMEOUT, time::MILLISECOND,
 };
 
-/// A replica that isn't a member asks to join this often.
+/// Interval between the join requests of a non-member.
 pub(crate) const JOIN_INTERVAL: Micros = 1_000 * MILLISECOND;
 
-/// A replica that asked to join within this span is still there.
+/// How long a join request counts.
 const JOIN_REQUEST_VALIDITY: Micros = 3_000 * MILLISECOND;
 
-/// Where a replica that isn't a member looks for members.
+/// Join requests of a replica that isn't a member.
 #[derive(Debug)]
 pub(crate) struct JoinState {
     /// Internal addresses at which members may be found.
@@ -20,23 +20,23 @@
     pub next_request: Micros,
 }
 
-/// A replica that asks to join.
+/// A replica that has requested to join, as the primary sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Joiner {
     pub member: Member,
     pub first_boot: bool,
-    /// When it last asked.
+    /// When its last request arrived.
     pub last_request: Micros,
-    /// When it first asked: an answer to anything that was sent before shows nothing.
+    /// When its first request arrived: a reply to anything that was sent before doesn't count.
     first_request: Micros,
-    /// When it last answered the primary.
+    /// When it last replied to a heartbeat.
     last_reply: Option<Micros>,
     /// Whether it may hold data.
     healthy: bool,
 }
 
 impl Joiner {
-    /// A replica that asks for the first time.
+    /// A replica whose first request has arrived.
     pub fn new(member: &Member, now: Micros) -> Joiner {
         let member = member.clone();
         Joiner {
@@ -49,12 +49,12 @@
         }
     }
 
-    /// Whether it has asked lately.
+    /// Whether a request of it still counts.
     pub fn is_requesting(&self, now: Micros) -> bool {
         now < self.last_request + JOIN_REQUEST_VALIDITY
     }
 
-    /// Notes its answer to a heartbeat of that time.
+    /// Records its reply to a heartbeat that was sent at this time.
     pub fn record_heartbeat_reply(&mut self, now: Micros, sent: Micros, healthy: bool) {
         if sent >= self.first_request {
             self.last_reply = Some(now);
@@ -62,8 +62,9 @@
         }
     }
 
-    /// Whether it is there, can be reached both ways, and could hold data. A request to join alone shows none of it: it
-    /// may be the word of a replica that is long gone.
+    /// Whether it is running, reachable in both directions, and could hold data. A join request alone shows none of
+    /// this:
+    /// it may be a delayed message of a replica that is gone.
     pub fn is_ready(&self, now: Micros) -> bool {
         let there = self.last_reply.is_some_and(|answered| now < answered + LIVENESS_TIMEOUT);
         self.is_requesting(now) && there && self.healthy
@@ -88,7 +89,7 @@
             addresses.extend(view.members.iter().map(|member| (member.address, ())));
         }
         addresses.remove(&self.config.address);
-        // One that knows a view was left out of it: it takes a place again and enlarges nothing for good.
+        // A replica that knows a view was removed from it: it replaces a member and doesn't raise the target size.
         let first_boot = self.config.first_boot && self.stored.view.is_none();
         let join = Body::Join { member: self.member(), first_boot };
         for address in addresses.into_keys() {
@@ -124,7 +125,7 @@
             joiner.first_boot = first_boot;
             joiner.last_request = now;
             let epoch = leadership.epoch;
-            // Its word may be old: only an answer to this shows that it is there.
+            // The request may be delayed: only a reply to this heartbeat shows that the replica is running.
             if !leadership.lease_renewals.quorum_lost(now) {
                 self.send(member.address, Body::Heartbeat { epoch, sent: now }, out);
             }
--- a/control/src/known_view.rs
+++ b/control/src/known_view.rs
@@ -7,7 +7,7 @@
 };
 
 impl Replica {
-    /// Starts the system with its first view, unless this replica knows one.
+    /// Bootstraps the system with its first view, unless this replica already knows a view.
     pub(crate) fn bootstrap(&mut self, view: View, out: &mut Vec<Output>) {
         if self.stored.view.is_some() || self.stored.promised.is_some() || view.epoch != BOOTSTRAP_EPOCH {
             return;
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Takes in a view that exists, whether or not it may be accepted here.
+    /// Learns of a view that exists, whether or not this replica may accept it.
     pub(crate) fn learn_view(&mut self, known: KnownView, out: &mut Vec<Output>) {
         self.observe_epoch(known.view.epoch);
         let (epoch, own) = (known.view.epoch, self.view_epoch());
@@ -72,7 +72,7 @@
         self.persist(records, None, out);
     }
 
-    /// The data set of the first view holds the empty state from the start.
+    /// The data set of the first view holds the empty state without an installation.
     fn bootstrap_data(&mut self, view: &View) -> Option<Record> {
         let founding =
             view.epoch == BOOTSTRAP_EPOCH && view.holds_data(self.id) && self.stored.data.is_none();
@@ -84,7 +84,7 @@
         })
     }
 
-    /// The view is active, so whoever isn't in its data set needs the data no longer.
+    /// Marks the view as active; replicas outside its data set discard their data.
     pub(crate) fn mark_view_active(&mut self, out: &mut Vec<Output>) {
         let Some(known) = self.stored.view.as_mut().filter(|known| !known.active) else { return };
         known.active = true;
--- a/control/src/leadership.rs
+++ b/control/src/leadership.rs
@@ -1,4 +1,4 @@
-//! What the primary of an active view keeps in mind.
+//! The primary of an active view: how its leadership starts and ends, and what it does meanwhile.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -15,35 +15,35 @@
     time::MILLISECOND,
 };
 
-/// After a view, the next change of the view waits at least this long.
+/// Shortest time between two view changes.
 pub(crate) const VIEW_CHANGE_INTERVAL: Micros = 200 * MILLISECOND;
 
-/// The change in replication.
+/// The change that is being replicated.
 #[derive(Debug)]
 pub(crate) struct PendingChange {
-    /// Who is to be answered; none once the answer limit has passed.
+    /// The proposal to answer; none once it has timed out.
     pub proposal_id: Option<ProposalId>,
     pub change: Change,
     pub position: LogPosition,
     pub since: Micros,
     pub durable: BTreeSet<ReplicaId>,
     pub next_send: Micros,
-    /// How often it has gone to the backups.
+    /// How often it was sent to the backups.
     pub transmissions: u32,
 }
 
-/// What the primary of an active view keeps in mind.
+/// The primary of an active view: how its leadership starts and ends, and what it does meanwhile.
 #[derive(Debug)]
 pub(crate) struct Leadership {
     pub epoch: u64,
     pub view: Arc<View>,
-    /// The first epoch of this unbroken lead: echoes from before are void.
+    /// The first epoch of this uninterrupted leadership: replies to earlier heartbeats are void.
     pub first_epoch: u64,
     pub peers: BTreeMap<ReplicaId, PeerState>,
     pub joiners: BTreeMap<ReplicaId, Joiner>,
-    /// Members that were left out, until when they are told once the view without them is settled.
+    /// Removed members, which are notified that the view without them is active, each until a time.
     pub removed: BTreeMap<ReplicaId, (SocketAddrV4, u64)>,
-    /// Replicas whose machine has come back as another replica.
+    /// Replicas whose machine came back with an empty disk, as another replica.
     pub replaced: BTreeSet<ReplicaId>,
     pub pending: Option<PendingChange>,
     pub lease_renewals: LeaseRenewals,
@@ -75,9 +75,9 @@
         }
     }
 
-    /// Leads the view, which is active from now on.
+    /// Becomes primary of the view, which is active from now on.
     ///
-    /// `answered` are the members that took part in the campaign for it.
+    /// `answered` are the members that replied in the campaign for it.
     pub(crate) fn become_primary(
         &mut self,
         view: Arc<View>,
@@ -97,8 +97,8 @@
         }
     }
 
-    /// Decides about a change that was in replication when the view changed: it is part of the new view's state, or
-    /// it never comes into force unless it is replicated anew.
+    /// Resolves a change that was being replicated when the view changed: it is part of the new view's state, or
+    /// it isn't committed unless it is replicated again.
     fn resolve_pending_change(&mut self, pending: PendingChange, out: &mut Vec<Output>) {
         let Some(proposal_id) = pending.proposal_id else { return };
         match self.committed.check(&pending.change) {
@@ -145,14 +145,14 @@
         });
     }
 
-    /// Ends the own lead and any campaign, because somebody else was promised an epoch or has formed a view.
+    /// Ends the own leadership and any campaign, because another replica was promised an epoch or has formed a view.
     pub(crate) fn step_down(&mut self, out: &mut Vec<Output>) {
         self.election.campaign = None;
         self.end_leadership(out);
         self.reject_queued_proposals(out);
     }
 
-    /// Ends the own lead; what was in replication has no clear answer.
+    /// Ends the own leadership; the outcome of a change that was being replicated is unknown.
     pub(crate) fn end_leadership(&mut self, out: &mut Vec<Output>) {
         let Some(leadership) = self.leadership.take() else { return };
         if let Some(proposal_id) = leadership.pending.and_then(|pending| pending.proposal_id) {
--- a/control/src/leadership_transfer.rs
+++ b/control/src/leadership_transfer.rs
@@ -1,14 +1,14 @@
-//! A primary that can't go on gives its lead to a backup.
+//! Leadership transfer (Raft: Ongaro's thesis, section 3.10): a primary that can't continue hands over to a backup.
 
 use std::net::SocketAddrV4;
 
 use crate::{Body, Micros, Output, ProposalNumber, Replica, membership::LIVENESS_TIMEOUT, time::MILLISECOND};
 
-/// The primary repeats its request to take over this often, and for so long.
+/// Interval and total duration of the requests to a backup to become primary.
 const TRANSFER_RESEND_INTERVAL: Micros = 200 * MILLISECOND;
 const TRANSFER_TIMEOUT: Micros = 1_000 * MILLISECOND;
 
-/// A lead that was given up for another replica.
+/// A transfer that is under way.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct LeadershipTransfer {
     pub released: ProposalNumber,
@@ -18,7 +18,7 @@
 }
 
 impl Replica {
-    /// Gives up the lead and asks the best backup to take it.
+    /// Releases the own leases and asks the best backup to become primary.
     pub(crate) fn transfer_leadership(&mut self, out: &mut Vec<Output>) {
         let Some(released) = self.stored.promised else { return };
         let Some(to) = self.transfer_target() else { return };
@@ -60,7 +60,7 @@
 }
 
 impl Replica {
-    /// The best backup to take over: live, fit, bound to this view.
+    /// The best backup for a transfer: live, healthy, and heard from last.
     pub(crate) fn transfer_target(&self) -> Option<SocketAddrV4> {
         let leadership = self.leadership.as_ref()?;
         let ready = leadership.view.backups.iter().filter_map(|id| {
--- a/control/src/lease.rs
+++ b/control/src/lease.rs
@@ -1,27 +1,27 @@
-//! Leases: what a member grants, and how long the primary may act on what it was granted.
+//! Leases: what a member grants, and how long the primary may act on the grants (Gray and Cheriton, Leases, 1989).
 
 use std::collections::BTreeMap;
 
 use crate::{Micros, ProposalNumber, ReplicaConfig, ReplicaId, View, time::MILLISECOND};
 
-/// So many heartbeats without a renewal of the lease show that the primary has lost contact.
+/// After this many heartbeats without a renewal of its lease the primary has lost its quorum.
 const MAX_FAILED_RENEWALS: u32 = 4;
 
-/// The right to act as the primary, which a majority has granted.
+/// The right to act as the primary, granted by a majority.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Lease {
-    /// The epoch in which the holder leads.
+    /// The epoch in which the holder is primary.
     pub epoch: u64,
-    /// Until when, in microseconds of the holder's steady clock.
+    /// When it expires, in microseconds of the holder's monotonic clock.
     pub until: Micros,
 }
 
-/// A lease as the member sees it that granted it.
+/// A lease on the side of the member that granted it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct GrantedLease {
     /// The promise under which it was granted.
     pub proposal_number: ProposalNumber,
-    /// Until when nobody else is promised anything.
+    /// Until this time no other replica is promised anything.
     pub expires_at: Micros,
 }
 
@@ -36,23 +36,24 @@
     }
 }
 
-/// What a member knows of its primary's clock: a heartbeat of that one's process, and when it came.
+/// What a member knows of its primary's clock: one heartbeat of that process, and when it arrived.
 ///
-/// A process leads in an epoch that no other process leads in, and its steady clock is never set, so what it sent later
-/// in that epoch left later by as much as its clock says.
+/// An epoch has one primary process, and its monotonic clock is never set: what it sent later in that epoch left
+/// later by as much as its clock says.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct PrimaryClock {
     /// The epoch of the heartbeat.
     pub epoch: u64,
     /// When it was sent, by the primary's clock.
     pub sent: Micros,
-    /// When it came, by the member's clock.
+    /// When it arrived, by the member's clock.
     pub heard: Micros,
 }
 
 impl PrimaryClock {
-    /// When another heartbeat of the epoch left at the latest, by the member's clock. The clocks differ in rate by one
-    /// part in `drift` at the most.
+    /// The latest time at which another heartbeat of the epoch was sent, by the member's clock. The rates of the
+    /// clocks
+    /// differ by at most one part in `drift`.
     pub fn sent_at(&self, sent: Micros, drift: u64) -> Micros {
         let later = sent.saturating_sub(self.sent);
         self.heard + later + later.div_ceil(drift)
@@ -64,25 +65,26 @@
 pub(crate) struct PeerState {
     /// When the latest heartbeat was sent for which the member granted a lease.
     pub lease_sent: Option<Micros>,
-    /// When an echo last came, or when the primary began to wait for one.
+    /// When a reply last arrived, or when the primary began to wait for one.
     pub last_heard: Micros,
-    /// Whether any echo has come.
+    /// Whether any reply has arrived.
     pub has_replied: bool,
     /// Whether the member may hold data.
     pub healthy: bool,
-    /// Whether the member is about to end in good order.
+    /// Whether the member is in a graceful shutdown.
     pub shutting_down: bool,
     /// The epoch of the view that the member would know to be active after a restart, 0 if there is none.
     pub active_epoch_durable: u64,
-    /// Since when the member has been bound by a promise beyond the primary's, or has lacked changes that it had.
+    /// Since when the member has been bound by a promise of a later epoch, or has lacked changes that it
+    /// acknowledged.
     pub diverged_since: Option<Micros>,
 }
 
-/// A member that had no part in the campaign of a new primary counts as silent for this long already.
+/// A member that didn't reply in the campaign of a new primary counts as unresponsive for this long already.
 const UNRESPONSIVE_IN_CAMPAIGN: Micros = 1_300 * MILLISECOND;
 
 impl PeerState {
-    /// A member from which nothing has come yet.
+    /// A member that hasn't replied yet.
     pub fn new(now: Micros) -> PeerState {
         PeerState {
             lease_sent: None,
@@ -95,18 +97,18 @@
         }
     }
 
-    /// A member that was asked during the campaign of a new primary and hasn't answered.
+    /// A member that was asked during the campaign of a new primary and didn't reply.
     pub fn unresponsive_in_campaign(now: Micros) -> PeerState {
         PeerState { last_heard: now.saturating_sub(UNRESPONSIVE_IN_CAMPAIGN), ..PeerState::new(now) }
     }
 
-    /// Whether the member has answered within the span.
+    /// Whether the member has replied within the span.
     pub fn is_live(&self, now: Micros, span: Micros) -> bool {
         self.has_replied && now < self.last_heard + span
     }
 }
 
-/// Heartbeats in a row that did not renew the lease.
+/// Counts consecutive heartbeats that didn't renew the lease.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct LeaseRenewals {
     lease_until: Option<Micros>,
@@ -114,22 +116,22 @@
 }
 
 impl LeaseRenewals {
-    /// Notes that another heartbeat is due, and until when the lease runs by now.
+    /// Records that another heartbeat is due, and when the lease expires now.
     pub fn record(&mut self, lease_until: Option<Micros>) {
         let renewed = lease_until > self.lease_until;
         self.failed = if renewed { 0 } else { self.failed.saturating_add(1) };
         self.lease_until = lease_until;
     }
 
-    /// Whether the primary has lost contact: its lease has run out, and heartbeats don't bring it back.
+    /// Whether the primary has lost its quorum: its lease has expired, and heartbeats don't renew it.
     ///
-    /// A primary that was frozen has sent none meanwhile and still tries.
+    /// A process that was suspended has sent no heartbeats meanwhile, so it tries to renew first.
     pub fn quorum_lost(&self, now: Micros) -> bool {
         self.failed >= MAX_FAILED_RENEWALS && self.lease_until.is_none_or(|until| now >= until)
     }
 }
 
-/// Until when the primary may act: a majority, itself included, has granted it the lease.
+/// When the lease of the primary expires: a majority, including itself, has granted it until then.
 pub(crate) fn lease_until(
     config: &ReplicaConfig,
     view: &View,
--- a/control/src/lib.rs
+++ b/control/src/lib.rs
@@ -1,8 +1,26 @@
-//! Replicated control state of the router fleet: one primary, its backups, and witnesses, as a state machine
-//! without input or output of its own.
+//! The replicated control state of the fleet: a primary, its backups and witnesses agree on the configuration in force
+//! and on the newest version of each model.
 //!
-//! Each core machine runs one [`Replica`]. The caller hands it messages, completed writes and the time, and carries
-//! out the [`Output`]s. The protocol and the argument for its safety are in `docs/control-state.md`.
+//! Each core machine runs one [`Replica`], a state machine without I/O (sans-I/O): the caller passes it messages,
+//! completed writes and the time with [`Replica::handle`], and carries out the [`Output`]s. That keeps the protocol
+//! deterministic, so that tests play thousands of courses of events; it is a crate of its own so that nothing else can
+//! reach into its state.
+//!
+//! The protocol is primary-backup replication in numbered views (Viewstamped Replication Revisited, Liskov and Cowling
+//! 2012). A view is chosen by Paxos: a candidate gets promises for an epoch, finds the newest state, installs it on the
+//! backups, and has the view accepted (Paxos Made Simple, Lamport 2001; Vertical Paxos, Lamport et al. 2009, for a data
+//! set that is smaller than the members). The primary acts under leases (Gray and Cheriton 1989). Pre-vote and
+//! leadership transfer are those of Raft (Ongaro's thesis, sections 9.6 and 3.10). The argument for its safety is in
+//! `docs/control-state.md`.
+//!
+//! | concern | modules |
+//! | --- | --- |
+//! | replica, dispatch of inputs | `replica`, `durability`, `disk` |
+//! | forming a view | `election`, `pre_vote`, `prepare_phase`, `snapshot_installation`, `accept_phase`, `next_view` |
+//! | voting for a view | `acceptor`, `known_view` |
+//! | leading a view | `leadership`, `heartbeat`, `lease`, `proposals`, `replication`, `leadership_transfer` |
+//! | changing members | `membership`, `view_change`, `joining`, `shutdown` |
+//! | broken versions for tests | `fault_injection` |
 
 mod accept_phase;
 mod acceptor;
--- a/control/src/member.rs
+++ b/control/src/member.rs
@@ -1,10 +1,10 @@
-//! Who takes part: the identity of a replica and where it is reached.
+//! The identity of a replica, and the member of a view.
 
 use std::{fmt, net::SocketAddrV4, sync::Arc};
 
-/// The identity of a replica: a random number made together with an empty disk.
+/// The identity of a replica: a random number, created together with its stored state.
 ///
-/// A machine whose disk was emptied comes back under another identity, so it can't vouch for what was promised before.
+/// A machine that lost its disk comes back with another identity, because it no longer knows its promises.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReplicaId(pub u64);
 
@@ -14,7 +14,7 @@
     }
 }
 
-/// A replica that takes part in a view.
+/// A member of a view.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
     /// Its identity.
--- a/control/src/membership.rs
+++ b/control/src/membership.rs
@@ -1,57 +1,57 @@
-//! Who should be in the next view.
+//! Plans the members of the next view.
 
 use std::collections::BTreeMap;
 
 use crate::{Member, Micros, ReplicaId, View, joining::Joiner, lease::PeerState, time::MILLISECOND};
 
-/// A member silent for so long may be replaced by one that wants to join.
+/// A member that hasn't replied for this long may be replaced by a joiner.
 pub(crate) const UNREACHABLE_TIMEOUT: Micros = 2_000 * MILLISECOND;
-/// A member of a core with more members than it was founded with goes after this silence.
+/// A member is removed after this time without a reply while the view has more members than its target size.
 const SURPLUS_TIMEOUT: Micros = 1_500 * MILLISECOND;
-/// A core of this size never goes on with fewer members.
+/// A view of this size is never shrunk.
 const MIN_SHRUNK_SIZE: usize = 3;
-/// A backup silent for so long is replaced if a change waits for it.
+/// A backup that hasn't replied for this long is replaced while a change waits for it.
 pub(crate) const BACKUP_TIMEOUT_IN_CHANGE: Micros = 800 * MILLISECOND;
-/// A backup silent for so long is replaced in any case.
+/// A backup that hasn't replied for this long is replaced in any case.
 pub(crate) const BACKUP_TIMEOUT: Micros = 1_500 * MILLISECOND;
-/// A witness bound by a foreign promise for so long is brought back by a new epoch.
+/// A witness that has been bound by another candidate's promise for this long is brought back by a new epoch.
 const DIVERGED_WITNESS_TIMEOUT: Micros = 1_000 * MILLISECOND;
-/// A member that answered within this span counts as live.
+/// A member that replied within this time is live.
 pub(crate) const LIVENESS_TIMEOUT: Micros = 800 * MILLISECOND;
 
-/// The members that the primary wants next.
+/// The planned members of the next view.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Membership {
     pub members: Vec<Member>,
     pub target_size: usize,
 }
 
-/// What the primary goes by when it looks at its view.
+/// What the primary bases its plan on.
 pub(crate) struct MembershipPlanner<'a> {
     pub now: Micros,
     pub view: &'a View,
     pub peers: &'a BTreeMap<ReplicaId, PeerState>,
     pub joiners: &'a BTreeMap<ReplicaId, Joiner>,
     pub change_waits: bool,
-    /// How many machines may be lost at once, and so how many backups are wanted.
+    /// How many machines may be lost at once, and so how many backups the view should have.
     pub losses: usize,
-    /// Whether the view no longer depends on the members of the one before.
+    /// Whether the view no longer depends on the previous members.
     pub view_change_complete: bool,
-    /// Whether the primary itself is about to end: it is the one that is to go.
+    /// Whether the primary itself is shutting down: then no other member is removed.
     pub primary_shutting_down: bool,
-    /// A fault for tests of the tests.
+    /// An injected fault: see `fault_injection.rs`.
     pub grows_at_once: bool,
 }
 
 impl MembershipPlanner<'_> {
-    /// The members of the next view, if there should be one now. Nobody goes without a successor while an earlier change
-    /// is open.
+    /// The members of the next view, if there should be one now. No member is removed without a replacement while an
+    /// earlier change of members is incomplete.
     pub fn next_membership(&self) -> Option<Membership> {
         let shrunk = || self.view_change_complete.then(|| self.shrink()).flatten();
         self.admit_joiner().or_else(shrunk).or_else(|| self.rearrange())
     }
 
-    /// A replica comes in, for a member that it was or that is gone, or besides all others.
+    /// Admits a joiner: in place of the member at its address, of an unreachable one, or besides all others.
     fn admit_joiner(&self) -> Option<Membership> {
         let outside = self.joiners.values().filter(|joiner| self.view.member(joiner.member.id).is_none());
         outside
@@ -75,20 +75,21 @@
         self.if_reachable(Membership { members, target_size }, joiner.member.id)
     }
 
-    /// Whether the core bears as much with one member more. A larger majority beside a silent member would make it
-    /// depend on each of the others: the joiner waits until that member is back, or comes in for it.
+    /// Whether one more member keeps the fault tolerance. A larger majority beside an unresponsive member would make
+    /// the
+    /// view depend on each of the others: the joiner waits until that member is back, or replaces it.
     fn may_grow(&self) -> bool {
         let all_live = self.view.members.iter().all(|member| self.is_live(member.id));
         all_live || tolerable_losses(self.remaining_members() + 1, self.view.members.len() + 1) >= self.losses
     }
 
-    /// The member that a joiner comes in for: one out of reach, or one that is about to end.
+    /// The member that a joiner may replace: an unreachable one, or one that shuts down.
     fn replaceable(&self) -> Option<ReplicaId> {
         self.longest_unreachable(UNREACHABLE_TIMEOUT).or_else(|| self.shutting_down_member())
     }
 
-    /// A member goes without another one in its place: one too many, or one whose absence the core bears better as a
-    /// smaller core. An even size bears no more losses than the odd one below.
+    /// Removes a member without a replacement: a surplus one, or one without which the smaller view tolerates more
+    /// losses. An even size tolerates no more losses than the odd one below it.
     fn shrink(&self) -> Option<Membership> {
         let size = self.view.members.len();
         let surplus = size > self.view.target_size;
@@ -104,7 +105,8 @@
         self.if_reachable(Membership { members, target_size: self.view.target_size }, self.view.primary)
     }
 
-    /// The same members anew: another choice of backups, or an epoch above a foreign promise.
+    /// The same members in a new view: to choose other backups, or to exceed the epoch of another candidate's
+    /// promise.
     fn rearrange(&self) -> Option<Membership> {
         let has_diverged = self.view.members.iter().any(|member| self.has_diverged(member.id));
         if !has_diverged && !self.backups_need_change() {
@@ -143,7 +145,7 @@
             || self.peers.get(&id).is_some_and(|peer| peer.is_live(self.now, LIVENESS_TIMEOUT))
     }
 
-    /// The member whose machine has come back as another replica.
+    /// The member whose machine came back as another replica.
     fn member_at_address_of(&self, joiner: &Member) -> Option<ReplicaId> {
         let same = self.view.members.iter().find(|member| member.address == joiner.address)?;
         (same.id != self.view.primary).then_some(same.id)
@@ -153,19 +155,19 @@
         self.view.members.len() >= self.view.target_size
     }
 
-    /// The member that has been out of reach the longest, if for so long.
+    /// The member that has been unreachable the longest, if for longer than the timeout.
     fn longest_unreachable(&self, timeout: Micros) -> Option<ReplicaId> {
         let others = self.view.members.iter().filter(|member| member.id != self.view.primary);
         let silent = others.filter_map(|member| {
             let peer = self.peers.get(&member.id)?;
-            // One that this primary has never heard may have missed the first heartbeats.
+            // A member that never replied to this primary may have missed its first heartbeats.
             let timeout = if peer.has_replied { timeout } else { UNREACHABLE_TIMEOUT };
             (self.now >= peer.last_heard + timeout).then_some((peer.last_heard, member.id))
         });
         silent.min().map(|(_, id)| id)
     }
 
-    /// A member that is about to end, if another one can hold the data.
+    /// A member that shuts down, if another one can hold the data.
     fn shutting_down_member(&self) -> Option<ReplicaId> {
         let removed_member = self.view.members.iter().find(|member| self.is_shutting_down(member.id))?;
         let others = self.view.members.iter().filter(|member| member.id != removed_member.id);
@@ -182,7 +184,7 @@
         id != self.view.primary && self.is_live(id) && self.peers.get(&id).is_some_and(|peer| peer.healthy)
     }
 
-    /// How many members are live and stay.
+    /// How many members are live and not shutting down.
     fn remaining_members(&self) -> usize {
         let stays = |member: &&Member| self.is_live(member.id) && !self.is_shutting_down(member.id);
         self.view.members.iter().filter(stays).count()
@@ -192,7 +194,7 @@
         self.view.members.iter().filter(|member| Some(member.id) != removed_member).cloned().collect()
     }
 
-    /// Keeps a wish only if a majority of the members now and of those wanted can be reached.
+    /// Keeps the plan only if a majority of the present and of the planned members is live.
     fn if_reachable(&self, membership: Membership, joiner: ReplicaId) -> Option<Membership> {
         let live = |member: &&Member| member.id == joiner || self.is_live(member.id);
         let enough = |members: &[Member]| members.iter().filter(live).count() * 2 > members.len();
@@ -200,7 +202,7 @@
     }
 }
 
-/// How many more losses a core of this size bears while so many of its members are there.
+/// How many more losses a view of this size tolerates while this many of its members are present.
 fn tolerable_losses(present: usize, size: usize) -> usize {
     present.saturating_sub(size / 2 + 1)
 }
--- a/control/src/message.rs
+++ b/control/src/message.rs
@@ -1,4 +1,4 @@
-//! What replicas say to each other. Any message may be lost, repeated, delayed or overtaken.
+//! Messages between replicas. Any of them may be lost, duplicated, delayed or reordered.
 
 use std::sync::Arc;
 
@@ -7,9 +7,9 @@
 /// A message between replicas.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Message {
-    /// The replica that says it.
+    /// The sending replica.
     pub sender: ReplicaId,
-    /// What it says.
+    /// The content.
     pub body: Body,
 }
 
@@ -20,27 +20,27 @@
     Heartbeat {
         /// The epoch of the active view.
         epoch: u64,
-        /// The steady time of the primary at sending.
+        /// When it was sent, in microseconds of the primary's monotonic clock.
         sent: Micros,
     },
-    /// Answer to a heartbeat.
+    /// Reply to a heartbeat.
     HeartbeatReply(HeartbeatReply),
-    /// Would the receiver promise this epoch? Binds nobody.
+    /// Asks whether the receiver would promise an epoch; binds nobody.
     PreVote {
-        /// The epoch that would be asked for.
+        /// The round of the pre-vote, which its reply carries.
         epoch: u64,
     },
-    /// Answer to a poll.
+    /// Reply to a pre-vote.
     PreVoteReply(PreVoteReply),
-    /// The sender asks to be promised an epoch.
+    /// Phase 1a of Paxos: the sender asks for the promise of an epoch.
     Prepare(Prepare),
-    /// The epoch is promised to the receiver.
+    /// Phase 1b of Paxos: the epoch is promised to the receiver.
     Promise(Promise),
-    /// The receiver's epoch has been overtaken, or a lease stands against it.
+    /// The receiver's epoch is outdated, or a lease forbids a promise.
     Reject(Reject),
-    /// A candidate hands its state to a future backup.
+    /// A candidate installs its state on a future backup.
     InstallSnapshot(InstallSnapshot),
-    /// Answer to an installation.
+    /// Reply to an installation.
     SnapshotInstalled(SnapshotInstalled),
     /// A view to accept. It is only ever sent once all of its backups hold the data.
     Accept {
@@ -52,7 +52,7 @@
         /// The epoch.
         epoch: u64,
     },
-    /// The primary hands a change to a backup.
+    /// The primary sends a change to a backup.
     Replicate(Replicate),
     /// The change is durable at the sender.
     Replicated {
@@ -65,22 +65,22 @@
     Join {
         /// The replica.
         member: Member,
-        /// Whether it takes part in the first start of the whole system.
+        /// Whether it takes part in the first start of the system.
         first_boot: bool,
     },
-    /// The primary has given up its lead and asks the receiver to take over.
+    /// The primary has released its leases and asks the receiver to become primary.
     TransferLeadership {
-        /// The proposal number up to which it has given up.
+        /// The proposal number through which it has released them.
         released: ProposalNumber,
     },
 }
 
-/// Answer to a heartbeat.
+/// Reply to a heartbeat.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HeartbeatReply {
     /// The epoch of the heartbeat.
     pub epoch: u64,
-    /// The time of the heartbeat.
+    /// The time that the heartbeat carried.
     pub sent: Micros,
     /// Whether the lease is granted.
     pub granted: bool,
@@ -88,20 +88,20 @@
     pub promised: Option<ProposalNumber>,
     /// The epoch of the view that the sender has accepted, 0 if none.
     pub view_epoch: u64,
-    /// Whether the sender may hold data: its disk is well and it isn't leaving.
+    /// Whether the sender may hold data: its disk is healthy and it isn't shutting down.
     pub healthy: bool,
-    /// Whether the process of the sender is about to end in good order.
+    /// Whether the sender is in a graceful shutdown.
     pub shutting_down: bool,
     /// Whether the sender would know after a restart that its view is active.
     pub activation_durable: bool,
 }
 
-/// Answer to a poll.
+/// Reply to a pre-vote.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PreVoteReply {
-    /// The epoch of the poll.
+    /// The round of the pre-vote.
     pub epoch: u64,
-    /// Whether it would be promised.
+    /// Whether the sender would promise an epoch to the candidate.
     pub granted: bool,
     /// The latest promise of the sender.
     pub promised: Option<ProposalNumber>,
@@ -109,18 +109,18 @@
     pub view: Option<KnownView>,
 }
 
-/// The sender asks to be promised an epoch.
+/// Phase 1a of Paxos: the sender asks for the promise of an epoch.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Prepare {
     /// The epoch.
     pub epoch: u64,
-    /// What the sender holds of the data.
+    /// The position of the data that the sender holds.
     pub position: Option<LogPosition>,
-    /// The proposal number up to which the primary of before has given up its lead, for a hand-over.
+    /// For a leadership transfer: the proposal number through which the previous primary has released its leases.
     pub released: Option<ProposalNumber>,
 }
 
-/// The epoch is promised to the receiver.
+/// Phase 1b of Paxos: the epoch is promised to the receiver.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Promise {
     /// The epoch.
@@ -135,10 +135,10 @@
     pub healthy: bool,
 }
 
-/// The receiver's epoch has been overtaken, or a lease stands against it.
+/// The receiver's epoch is outdated, or a lease forbids a promise.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Reject {
-    /// The epoch that is refused.
+    /// The epoch that is rejected.
     pub epoch: u64,
     /// The latest promise of the sender.
     pub promised: Option<ProposalNumber>,
@@ -146,7 +146,7 @@
     pub view: Option<KnownView>,
 }
 
-/// A candidate hands its state to a future backup.
+/// A candidate installs its state on a future backup.
 #[derive(Debug, Clone, PartialEq)]
 pub struct InstallSnapshot {
     /// The epoch of the candidate.
@@ -161,18 +161,18 @@
     pub state: Option<Arc<ControlState>>,
 }
 
-/// Answer to an installation.
+/// Reply to an installation.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SnapshotInstalled {
     /// The epoch.
     pub epoch: u64,
-    /// Whether the state is durable at the sender; otherwise it has to be sent whole.
+    /// Whether the state is durable at the sender; otherwise a snapshot has to be sent.
     pub complete: bool,
-    /// The attempt of the installation that is answered.
+    /// The attempt of the installation that this replies to.
     pub attempt: u64,
 }
 
-/// The primary hands a change to a backup.
+/// The primary sends a change to a backup.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Replicate {
     /// The epoch of the view.
--- a/control/src/next_view.rs
+++ b/control/src/next_view.rs
@@ -5,9 +5,9 @@
 use crate::{Member, ReplicaId, View, campaign::Campaign, membership::Membership};
 
 impl Campaign {
-    /// The view to be, with backups among those that have promised and aren't passed over.
+    /// The next view, with backups among the members that have promised and aren't excluded.
     ///
-    /// The wish for other members waits if it would leave the primary without a backup.
+    /// A planned change of members is deferred if it would leave the primary without a backup.
     pub fn next_view(&self, me: &Member, excluded: &BTreeSet<ReplicaId>, losses: usize) -> View {
         let membership = self.membership.as_ref().filter(|_| self.base_view.active);
         let wished = self.compose(membership, me, excluded, losses);
@@ -29,7 +29,7 @@
             (true, true) => Vec::new(),
             (true, false) => base.members.clone(),
         };
-        // One that is about to end, or whose disk was slow, has written its promise and is better than no backup.
+        // A member that shuts down or has a slow disk has still made its promise durable: better than no backup.
         let healthy = self.backup_candidates(members, me.id, excluded, true);
         let (candidates, count) = match healthy.is_empty() {
             true => (self.backup_candidates(members, me.id, excluded, false), 1),
@@ -67,11 +67,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct BackupCandidate<'a> {
     pub member: &'a Member,
-    /// Whether it holds the data already.
+    /// Whether it already holds the data.
     pub holds_data: bool,
 }
 
-/// Chooses the backups of a primary: first one from each other zone, those with the data before others.
+/// Chooses the backups of a primary: other zones first, then members that already hold the data.
 fn choose_backups(zone: &Arc<str>, mut candidates: Vec<BackupCandidate<'_>>, count: usize) -> Vec<ReplicaId> {
     let mut taken_zones: BTreeSet<&str> = BTreeSet::from([&**zone]);
     let mut backups = Vec::new();
--- a/control/src/pre_vote.rs
+++ b/control/src/pre_vote.rs
@@ -10,22 +10,22 @@
     time::MILLISECOND,
 };
 
-/// An answer to a poll counts for so long after the question; a link may take a while in each direction.
+/// How long a reply counts after its pre-vote was sent; allows for slow links in both directions.
 const PRE_VOTE_VALIDITY: Micros = 1_000 * MILLISECOND;
 
-/// Asks around whether a campaign would succeed, in rounds that are repeated before the answers are there.
+/// A pre-vote in rounds; a round is repeated before all replies to the one before have arrived.
 #[derive(Debug)]
 pub(crate) struct PreVote {
     pub base_view: KnownView,
-    /// The rounds whose answers count, with their times.
+    /// The rounds whose replies count, with the time at which each was sent.
     pub rounds: Vec<(u64, u64)>,
-    /// Who would promise, with the time of the round that was answered.
+    /// The members that would promise, with the time of the round that they replied to.
     pub granted: BTreeMap<ReplicaId, u64>,
     pub next_send: Micros,
 }
 
 impl PreVote {
-    /// Forgets the rounds that are too old, and what was answered to them.
+    /// Drops the rounds that are too old, and the replies to them.
     pub fn expire_before(&mut self, time: Micros) {
         self.rounds.retain(|(_, at)| *at >= time);
         self.granted.retain(|_, at| *at >= time);
--- a/control/src/prepare_phase.rs
+++ b/control/src/prepare_phase.rs
@@ -6,10 +6,11 @@
     time::MILLISECOND,
 };
 
-/// After a quorum has promised, the candidate waits this much longer for others, who may be better backups.
+/// After a quorum of promises the candidate waits this much longer for other members, which may be better backups.
 pub(crate) const PROMISE_GRACE_PERIOD: Micros = 40 * MILLISECOND;
 
 impl Replica {
+    /// The own promise is durable: now others may be asked.
     pub(crate) fn handle_own_promise(&mut self, epoch: u64, out: &mut Vec<Output>) {
         let position = self.stored.data.as_ref().map(|data| data.position);
         let (data, healthy) = (self.stored.data.clone(), self.healthy());
@@ -22,7 +23,7 @@
         self.maybe_record_quorum(out);
     }
 
-    /// Asks all who haven't promised yet.
+    /// Asks all members that haven't promised yet.
     pub(crate) fn broadcast_prepare(&mut self, out: &mut Vec<Output>) {
         let Some(campaign) = &self.election.campaign else { return };
         if !campaign.promises.contains_key(&self.id) {
@@ -55,7 +56,7 @@
         self.maybe_record_quorum(out);
     }
 
-    /// Bases the campaign on a later view that somebody knows.
+    /// Rebases the campaign on a later view that a member knows.
     fn maybe_rebase(&mut self, mut shown: KnownView, out: &mut Vec<Output>) {
         shown.active |= self.config.injected_fault.skips_previous_members();
         let Some(campaign) = self.election.campaign.as_mut() else { return };
@@ -103,7 +104,8 @@
         }
     }
 
-    /// The newest state among those that the data set of the latest view has shown.
+    /// The newest state among those of the data set of the latest view (Paxos Made Simple, section 2.2: the
+    /// highest-numbered proposal).
     fn newest_data(&self) -> Option<Data> {
         let campaign = self.election.campaign.as_ref()?;
         if self.config.injected_fault.takes_any_data() {
@@ -115,7 +117,8 @@
         held.chain(&self.stored.data).find(|data| data.position == best).cloned()
     }
 
-    /// Has the promises repeated together with the data, because the own turned out to be worthless.
+    /// Requests the promises again together with the data, because the candidate's own data turned out to be
+    /// outdated.
     fn request_data(&mut self, out: &mut Vec<Output>) {
         let Some(campaign) = self.election.campaign.as_mut() else { return };
         if campaign.position.take().is_some() {
--- a/control/src/proposals.rs
+++ b/control/src/proposals.rs
@@ -1,8 +1,8 @@
-//! Changes that are asked for: they wait in a queue, are checked when their turn comes, and are answered.
+//! Proposals: changes wait in a queue, are checked when their turn comes, and are answered.
 
 use crate::{Change, Micros, Outcome, Output, ProposalId, Replica};
 
-/// A change that waits for its turn.
+/// A change that waits in the queue.
 #[derive(Debug)]
 pub(crate) struct Proposal {
     pub proposal_id: ProposalId,
@@ -19,7 +19,7 @@
         self.queue.push(Proposal { proposal_id, change, since: self.now() });
     }
 
-    /// Answers those whose changes have not been begun.
+    /// Rejects the proposals whose replication hasn't started.
     pub(crate) fn reject_queued_proposals(&mut self, out: &mut Vec<Output>) {
         let outcome = Outcome::NotPrimary { primary: self.other_primary_address() };
         let rejected = std::mem::take(&mut self.queue);
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Judges the changes whose turn has come, and begins with the first that is to be replicated.
+    /// Checks the changes whose turn has come, and starts the first that has to be replicated.
     pub(crate) fn process_queue(&mut self, out: &mut Vec<Output>) {
         while self.can_start_change() && !self.queue.is_empty() {
             let Proposal { proposal_id, change, since } = self.queue.remove(0);
--- a/control/src/record.rs
+++ b/control/src/record.rs
@@ -1,19 +1,19 @@
-//! What a replica keeps on its disk.
+//! The records that a replica stores, and the state that they add up to.
 
 use std::sync::Arc;
 
 use crate::{Change, ControlState, KnownView, ProposalNumber, ReplicaId};
 
-/// Identifies a state: no two states bear the same position.
+/// The position of a state in the replicated log; no two states have the same.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct LogPosition {
     /// The epoch under which the state was installed or the latest change was written.
     pub epoch: u64,
-    /// The number of changes since the founding.
+    /// The number of changes since the bootstrap.
     pub sequence: u64,
 }
 
-/// The replicated state as a replica holds it, the latest change perhaps not yet acknowledged.
+/// The replicated state as a replica holds it; its latest change may not be committed yet.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Data {
     /// Its position.
@@ -22,14 +22,14 @@
     pub state: Arc<ControlState>,
 }
 
-/// One piece of what has to be durable. Later records replace earlier ones of their kind.
+/// One record of the stored state. A later record replaces earlier ones of its kind.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Record {
     /// The latest promise.
     Promise(ProposalNumber),
     /// The latest accepted view.
     View(KnownView),
-    /// The whole state.
+    /// A snapshot of the state.
     Snapshot(Data),
     /// A change on top of the state that was written before.
     Changed {
@@ -38,22 +38,22 @@
         /// The change.
         change: Change,
     },
-    /// The state stays the same and bears this position from now on.
+    /// The state is unchanged and has this position from now on.
     Moved(LogPosition),
-    /// The state isn't kept here any longer.
+    /// The replica no longer holds the state.
     SnapshotDiscarded,
 }
 
-/// What a replica finds on its disk when it starts.
+/// What a replica recovers from its disk when it starts.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RecoveredState {
-    /// Its identity, made together with the disk.
+    /// Its identity, created together with the stored state.
     pub id: ReplicaId,
     /// The latest promise.
     pub promised: Option<ProposalNumber>,
     /// The latest accepted view.
     pub view: Option<KnownView>,
-    /// The state, if this replica keeps it.
+    /// The state, if this replica holds it.
     pub data: Option<Data>,
 }
 
@@ -63,8 +63,8 @@
         RecoveredState { id, promised: None, view: None, data: None }
     }
 
-    /// Takes in one record. One that builds on a state that was never written, because that write failed, changes
-    /// nothing: the state that is here goes on bearing its own position.
+    /// Applies one record. A record that builds on a state that was never written, because its write failed, changes
+    /// nothing: the state keeps its own position.
     pub fn apply(&mut self, record: Record) {
         match record {
             Record::Promise(proposal_number) => self.promised = Some(proposal_number),
--- a/control/src/replica.rs
+++ b/control/src/replica.rs
@@ -1,4 +1,4 @@
-//! One replica: its state, the inputs it takes, and when it wants to be woken.
+//! One replica: its state, the inputs that it handles, and when it has to be woken.
 
 use std::{net::SocketAddrV4, sync::Arc};
 
@@ -48,7 +48,7 @@
     now: Micros,
 }
 
-/// The current state, as long as the lease lasts under which it was read.
+/// A linearizable read: the committed state, valid until the lease expires under which it was read.
 #[derive(Debug, Clone, Copy)]
 pub struct LeaseRead<'a> {
     /// The lease.
@@ -58,7 +58,7 @@
 }
 
 impl Replica {
-    /// A replica that starts at this time with what was on its disk.
+    /// A replica that starts at this time with the state recovered from its disk.
     pub fn new(config: ReplicaConfig, recovered: RecoveredState, now: Micros) -> Replica {
         let promised = recovered.promised;
         let lease = if config.injected_fault.grants_after_restart() { 0 } else { config.lease_duration };
@@ -94,7 +94,7 @@
         .waive_timeout_of_returning_primary()
     }
 
-    /// Takes an input and adds what is to be done about it.
+    /// Handles an input and appends the outputs that the caller has to carry out.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
         match input {
@@ -117,7 +117,7 @@
         self.tick(out);
     }
 
-    /// The time at which the replica wants a [`Input::Tick`] at the latest.
+    /// The latest time at which the replica needs an [`Input::Tick`].
     pub fn next_wake(&self) -> Micros {
         let mut wakes =
             vec![self.disk.next_deadline(self.now), self.primary_deadline(), self.election_deadline()];
@@ -134,17 +134,18 @@
         wakes.into_iter().flatten().min().unwrap_or(idle).clamp(self.now + MILLISECOND, idle)
     }
 
-    /// Whether the lead of this replica began with the silence of another primary: the core was not stable then.
+    /// Whether this replica became primary because another primary timed out, and not by a leadership transfer.
     pub fn took_over_after_timeout(&self) -> bool {
         self.leadership.is_some() && self.election.campaign_after_timeout
     }
 
-    /// The epoch in which this replica leads at this time, if it does. Read the clock just before acting on it.
+    /// The epoch in which this replica is primary at this time, if it is. Read the clock just before acting on the
+    /// result.
     pub fn leading(&self, now: Micros) -> Option<u64> {
         self.lease(now).map(|lease| lease.epoch)
     }
 
-    /// The lease under which this replica leads at this time, if it does.
+    /// The lease under which this replica is primary at this time, if it is.
     pub fn lease(&self, now: Micros) -> Option<Lease> {
         let epoch = self.leadership.as_ref()?.epoch;
         if let Some(lease) = self.config.injected_fault.lease_without_end(epoch) {
@@ -154,19 +155,19 @@
         Some(Lease { epoch, until })
     }
 
-    /// The current state, if this replica leads at this time. Whoever passes it on looks at the lease once more.
+    /// The current state, if this replica is primary at this time. Check the lease again before passing the state on.
     pub fn read(&self, now: Micros) -> Option<LeaseRead<'_>> {
         let unbounded = |lead: &Leadership| self.config.injected_fault.read_lease_without_end(lead.epoch);
         let lease = self.leadership.as_ref().and_then(unbounded).or_else(|| self.lease(now))?;
         Some(LeaseRead { lease, state: &self.committed })
     }
 
-    /// The state that was last committed as far as this replica knows; current only while it leads.
+    /// The last committed state that this replica knows; it is current only while this replica is primary.
     pub fn state(&self) -> &ControlState {
         &self.committed
     }
 
-    /// The internal address of the primary of the view that is known here.
+    /// The internal address of the primary of the latest known view.
     pub fn primary_address(&self) -> Option<SocketAddrV4> {
         let view = &self.stored.view.as_ref()?.view;
         view.member(view.primary).map(|member| member.address)
@@ -182,7 +183,7 @@
         Member { id: self.id, address: self.config.address, zone: Arc::clone(&self.config.zone) }
     }
 
-    /// A glance at this replica.
+    /// The status of this replica.
     pub fn status(&self) -> Status {
         Status {
             id: self.id,
--- a/control/src/replication.rs
+++ b/control/src/replication.rs
@@ -1,4 +1,4 @@
-//! What the primary does: one change at a time, from the queue to the backups; and the receiving side.
+//! Replication of one change at a time from the primary to its backups (Viewstamped Replication; primary-backup).
 
 use std::{collections::BTreeSet, net::SocketAddrV4, sync::Arc};
 
@@ -11,7 +11,7 @@
     transmission::{change_bytes, retransmission_delay},
 };
 
-/// A change is handed again to backups that haven't it this often.
+/// Interval at which a change is sent again to backups that haven't acknowledged it.
 const REPLICATION_RESEND_INTERVAL: Micros = 150 * MILLISECOND;
 
 impl Replica {
@@ -38,7 +38,7 @@
         if let Some(leadership) = self.leadership.as_mut() {
             leadership.pending = Some(pending);
         }
-        // Asked for first: what waits for no record of its own must find this one under way.
+        // Persisted before it is sent: an effect without records of its own must find this write pending.
         self.persist(vec![Record::Changed { position, change }], Some(Effect::OwnChange { position }), out);
         self.maybe_send_change(out);
     }
@@ -88,7 +88,8 @@
         }
         let follows = |data: &Data| data.position.epoch == epoch && data.position.sequence + 1 >= sequence;
         let Some(data) = self.stored.data.clone().filter(follows) else {
-            // Only a disk that went back to an older copy leads here. The primary would wait for ever.
+            // Reached only after a disk was restored from an older copy. Without a reply the primary would wait for
+            // ever.
             return self.send(
                 from,
                 Body::SnapshotInstalled(SnapshotInstalled { epoch, complete: false, attempt: 0 }),
@@ -117,14 +118,14 @@
         };
         pending.durable.insert(sender);
         let backups = leadership.view.backups.iter().all(|id| pending.durable.contains(id));
-        // Once the own promise has gone on, the state is settled by the view that is being formed.
+        // Once this replica has promised a later epoch, the next view decides about the change.
         let own_epoch = self.stored.promised == Some(leadership.view.proposal_number());
         if own_epoch && pending.durable.contains(&self.id) && (backups || early) {
             self.commit(out);
         }
     }
 
-    /// A backup of the present view lacks changes that it has acknowledged: a new view installs the state there anew.
+    /// A backup lacks changes that it has acknowledged: a view change installs the state there again.
     pub(crate) fn mark_backup_outdated(&mut self, backup: ReplicaId, epoch: u64) {
         let now = self.now();
         let Some(leadership) = self.leadership.as_mut().filter(|lead| lead.epoch == epoch) else { return };
@@ -144,7 +145,7 @@
         out.extend(pending.proposal_id.map(answer));
     }
 
-    /// The state that was committed last, shared.
+    /// The last committed state, shared.
     pub fn shared_state(&self) -> Arc<ControlState> {
         Arc::clone(&self.committed)
     }
--- a/control/src/shutdown.rs
+++ b/control/src/shutdown.rs
@@ -1,8 +1,8 @@
-//! Graceful shutdown: the process stays until nobody depends on this replica any longer, or a time limit passes.
+//! Graceful shutdown: the process stays until no other replica depends on this one, or a timeout passes.
 
 use crate::{Micros, Output, Replica};
 
-/// How far a graceful shutdown has come.
+/// Progress of a graceful shutdown.
 #[derive(Debug, Default)]
 pub(crate) struct ShutdownState {
     pub requested_at: Option<Micros>,
@@ -26,8 +26,8 @@
         }
     }
 
-    /// Whether others count on this replica: it holds data, its view isn't known to be active, or a view with more
-    /// members than it was founded with is about to go on without it.
+    /// Whether others depend on this replica: it holds data, its view isn't known to be active, or a view with more
+    /// members than its target size is about to be replaced by one without it.
     fn is_needed(&self) -> bool {
         let counted_on = self.stored.view.as_ref().is_some_and(|known| {
             let surplus = known.view.members.len() > known.view.target_size;
--- a/control/src/snapshot_installation.rs
+++ b/control/src/snapshot_installation.rs
@@ -1,4 +1,4 @@
-//! The second half of a campaign: the data goes to the backups, then the view to all; and the receiving side.
+//! The second phase of a campaign: the state is installed on the backups of the next view; and the receiving side.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -7,20 +7,20 @@
 };
 
 use crate::{
-    Body, ControlState, Data, InstallSnapshot, KnownView, LogPosition, Micros, Output, Prepare,
-    ProposalNumber, Record, Replica, ReplicaId, SnapshotInstalled,
+    Body, ControlState, Data, InstallSnapshot, LogPosition, Micros, Output, Prepare, ProposalNumber, Record,
+    Replica, ReplicaId, SnapshotInstalled,
     campaign::Stage,
     disk::Effect,
     time::MILLISECOND,
     transmission::{state_bytes, transfer_time},
 };
 
-/// A future backup that hasn't installed the state after this span and the time of its transfer is passed over for
+/// A future backup that hasn't installed the state after this time, plus the time of the transfer, is replaced by
 /// another.
 const INSTALL_TIMEOUT: Micros = 500 * MILLISECOND;
 
 impl Replica {
-    /// Begins to install the state that the campaign has found.
+    /// Starts to install the state that the campaign has found.
     pub(crate) fn start_installation(&mut self, source: Data, out: &mut Vec<Output>) {
         let (me, losses, now) = (self.member(), self.config.machine_losses, self.now());
         let Some(campaign) = self.election.campaign.as_mut() else { return };
@@ -44,14 +44,15 @@
         }
     }
 
-    /// Holds the state under a new position, and says how to write that.
+    /// Holds the state under a new position, and returns the record of it.
     fn hold_snapshot(
         &mut self,
         position: LogPosition,
         source: LogPosition,
         state: &Arc<ControlState>,
     ) -> Record {
-        // A new position is only given to a state that is durable; else it might come to stand for another.
+        // Only a durable state may get a new position without being written again: after a crash the position could
+        // otherwise belong to another state.
         let held =
             self.disk.all_durable() && self.stored.data.as_ref().is_some_and(|data| data.position == source);
         let data = Data { position, state: Arc::clone(state) };
@@ -59,7 +60,7 @@
         if held { Record::Moved(position) } else { Record::Snapshot(data) }
     }
 
-    /// Repeats what the present stage of the campaign has to say to those who haven't answered.
+    /// Repeats the requests of the present phase to the replicas that haven't replied.
     pub(crate) fn resend_stage(&mut self, out: &mut Vec<Output>) {
         self.replace_unresponsive_backups();
         let Some(campaign) = &self.election.campaign else { return };
@@ -75,25 +76,12 @@
                     self.persist(Vec::new(), Some(Effect::OwnSnapshot { epoch }), out);
                 }
             }
-            Stage::AcceptingView { view, accepted } => {
-                let known = KnownView { view: Arc::clone(view), active: false };
-                let mut everyone = view.everyone();
-                everyone.extend(campaign.base_view.view.everyone());
-                everyone.sort_by_key(|member| member.id);
-                everyone.dedup_by_key(|member| member.id);
-                let waiting = everyone.iter().filter(|member| !accepted.contains(&member.id));
-                for member in waiting.filter(|member| member.id != self.id) {
-                    self.send(member.address, Body::Accept { view: known.clone() }, out);
-                }
-                if !accepted.contains(&self.id) {
-                    let epoch = campaign.epoch;
-                    self.persist(Vec::new(), Some(Effect::OwnAccept { epoch }), out);
-                }
-            }
+            Stage::AcceptingView { .. } => self.resend_accept(out),
         }
     }
 
-    /// Tells those that have nothing to install that the campaign goes on, so that none of them begins another.
+    /// Repeats the prepare request to members that have nothing to install, so that their election timers don't
+    /// expire.
     fn keep_other_members_waiting(&self, waiting: &[ReplicaId], out: &mut Vec<Output>) {
         let Some(campaign) = &self.election.campaign else { return };
         let Stage::InstallingSnapshots { source, .. } = &campaign.stage else { return };
@@ -106,8 +94,8 @@
         }
     }
 
-    /// Asks a future backup to install the state. The state itself goes along only if the backup needs it and hasn't
-    /// been sent it; after that this only asks whether it came.
+    /// Asks a future backup to install the state. The state itself is included only if the backup needs it and hasn't
+    /// been sent it; a repetition only asks whether it arrived.
     fn send_install_snapshot(&mut self, to: ReplicaId, out: &mut Vec<Output>) {
         let Some(campaign) = self.election.campaign.as_mut() else { return };
         let shown = campaign.promises.get(&to).and_then(|promised| promised.position);
@@ -128,7 +116,7 @@
         self.send(address, install, out);
     }
 
-    /// Chooses other backups while the view isn't known to anybody yet.
+    /// Chooses other backups while no other replica knows the view yet.
     fn replace_unresponsive_backups(&mut self) {
         let (me, losses, now) = (self.member(), self.config.machine_losses, self.now());
         let Some(campaign) = self.election.campaign.as_mut() else { return };
@@ -193,7 +181,7 @@
         self.persist(vec![record], complete, out);
     }
 
-    /// A future backup lacks the state, although it was thought to hold it or was sent it.
+    /// A future backup lacks the state, although it reported the source position or was sent the state.
     pub(crate) fn handle_snapshot_missing(
         &mut self,
         sender: ReplicaId,
@@ -203,7 +191,7 @@
     ) {
         let Some(campaign) = self.election.campaign.as_mut().filter(|campaign| campaign.epoch == epoch)
         else {
-            // With an attempt, it is a late answer to the installation, which is over.
+            // A reply with an attempt belongs to an installation that is over.
             if attempt == 0 {
                 self.mark_backup_outdated(sender, epoch);
             }
--- a/control/src/state.rs
+++ b/control/src/state.rs
@@ -1,4 +1,4 @@
-//! The state that is replicated, and how a change to it is judged and applied.
+//! The replicated state, and how a change to it is checked and applied.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -19,7 +19,7 @@
     pub fingerprint: Fingerprint,
 }
 
-/// What the replicas keep.
+/// The replicated state.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ControlState {
     /// The configuration in force, if there has been one.
@@ -30,7 +30,7 @@
     pub models: BTreeMap<String, u64>,
 }
 
-/// A change that is asked for. Its validity has been checked by the caller.
+/// A proposed change. The caller has validated its content.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
     /// Put a configuration in force.
@@ -53,31 +53,32 @@
     },
 }
 
-/// What is to be done with a change when its turn comes.
+/// The result of checking a change against the committed state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChangeCheck {
-    /// It is in force already, or was.
+    /// It was committed before.
     AlreadyApplied,
     /// Another version is current.
     Conflict {
         /// The version in force.
         current: u64,
     },
-    /// Its version isn't above the current one.
+    /// Its version isn't higher than the current one.
     VersionNotHigher {
         /// The version in force.
         current: u64,
     },
-    /// It is so old that it may have been taken or not.
+    /// It is older than the history, so it may have been committed or not.
     HistoryTruncated,
-    /// It builds on a version that isn't in force yet: refused now, another copy of it could still be taken later.
+    /// It builds on a version that isn't committed yet. Another copy of it could still be committed later, so its
+    /// outcome is unknown.
     BaseNotCommitted,
-    /// It is to be replicated.
+    /// It has to be replicated.
     Proceed,
 }
 
 impl ChangeCheck {
-    /// What becomes of a change that is not to be replicated; `None` for one that is.
+    /// The outcome of a change that isn't replicated; `None` for one that is.
     pub fn outcome(self) -> Option<Outcome> {
         match self {
             ChangeCheck::AlreadyApplied => Some(Outcome::Committed),
@@ -95,7 +96,7 @@
         self.configuration.as_ref().map_or(0, |configuration| configuration.version)
     }
 
-    /// Judges a change against this state.
+    /// Checks a change against this state.
     pub(crate) fn check(&self, change: &Change) -> ChangeCheck {
         match change {
             Change::PutConfiguration { if_match, version, fingerprint, .. } => {
@@ -108,10 +109,10 @@
         }
     }
 
-    /// Judges a configuration that builds on the version `if_match`.
+    /// Checks a configuration that builds on the version `if_match`.
     pub fn check_configuration(&self, if_match: u64, version: u64, fingerprint: Fingerprint) -> ChangeCheck {
         let current = self.current_version();
-        // One that isn't above its own base has never been taken, however old it is.
+        // One whose version isn't higher than its own base was never accepted, however old it is.
         let takeable = version > if_match;
         match self.accepted.lookup(version, fingerprint) {
             HistoryLookup::Accepted => ChangeCheck::AlreadyApplied,
@@ -123,7 +124,7 @@
         }
     }
 
-    /// The state after a change that was judged to proceed.
+    /// The state after a change whose check was [`ChangeCheck::Proceed`].
     pub fn after(&self, change: &Change) -> ControlState {
         let mut next = self.clone();
         match change {
--- a/control/src/status.rs
+++ b/control/src/status.rs
@@ -1,23 +1,23 @@
-//! A glance at a replica from outside.
+//! The status of a replica as its caller sees it.
 
 use crate::{KnownView, Micros, ReplicaId};
 
-/// What a replica does at present.
+/// The role of a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// Not a member of the view that it knows, or knows none.
+    /// Not a member of the latest view that it knows, or it knows none.
     NonMember,
     /// A member without data.
     Witness,
-    /// Holds the data for a primary.
+    /// A member that holds the data besides the primary.
     Backup,
-    /// Seeks to form a view.
+    /// Campaigns to form a view.
     Candidate,
-    /// Leads the active view, perhaps without a lease at the moment.
+    /// Primary of the active view; its lease may have expired.
     Primary,
 }
 
-/// A glance at a replica.
+/// The status of a replica.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Status {
     /// Its identity.
@@ -26,12 +26,12 @@
     pub role: Role,
     /// The view that it has accepted.
     pub view: Option<KnownView>,
-    /// The epoch in which it leads within a lease.
+    /// The epoch in which it is primary within a valid lease.
     pub leading: Option<u64>,
-    /// Until when the lease of a primary runs, in microseconds of the steady clock.
+    /// When the lease of a primary expires, in microseconds of the monotonic clock.
     pub lease_until: Option<Micros>,
     /// The number of changes in the state that it holds.
     pub sequence: Option<u64>,
-    /// Whether its disk takes writes.
+    /// Whether writes to its disk succeed in time.
     pub disk_healthy: bool,
 }
--- a/control/src/view.rs
+++ b/control/src/view.rs
@@ -1,4 +1,4 @@
-//! Views: who the members are, who leads, who holds the data, and what counts as a quorum.
+//! Views (Viewstamped Replication Revisited; Vertical Paxos calls them configurations) and their quorums.
 
 use std::{collections::BTreeSet, sync::Arc};
 
@@ -7,7 +7,7 @@
 /// The epoch of the first view.
 pub(crate) const BOOTSTRAP_EPOCH: u64 = 1;
 
-/// The right to form the view of one epoch: members promise an epoch to one candidate only.
+/// A proposal number (Paxos Made Simple, section 2.2): an epoch, and the one candidate that may form its view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProposalNumber {
     /// The epoch.
@@ -16,19 +16,19 @@
     pub candidate: ReplicaId,
 }
 
-/// One view: the arrangement that holds for an epoch.
+/// One view: the members and their roles in one epoch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct View {
     /// Its epoch, unique to the view.
     pub epoch: u64,
-    /// All replicas that take part; those that are neither primary nor backup are witnesses.
+    /// All members; those that are neither primary nor backup are witnesses: they vote but hold no data.
     pub members: Vec<Member>,
-    /// The members of the view before, where they differ. Until the view is known to be active, a majority of these
+    /// The members of the previous view, if they differ. Until the view is known to be active, a majority of these
     /// is needed besides a majority of the members.
     pub previous_members: Vec<Member>,
-    /// The replica that leads.
+    /// The primary.
     pub primary: ReplicaId,
-    /// The replicas that hold the data besides the primary.
+    /// The backups: they hold the data besides the primary.
     pub backups: Vec<ReplicaId>,
     /// The number of members to which the view shrinks again after replacements.
     pub target_size: usize,
@@ -39,7 +39,7 @@
 pub struct KnownView {
     /// The view.
     pub view: Arc<View>,
-    /// Whether it is known to have been accepted by its quorum. Only then may a successor change the members.
+    /// Whether its quorum is known to have accepted it. Only then may the next view change the members.
     pub active: bool,
 }
 
@@ -59,7 +59,7 @@
         self.primary == id || self.backups.contains(&id)
     }
 
-    /// Members and prior members, each once.
+    /// Members and previous members, without duplicates.
     pub fn everyone(&self) -> Vec<Member> {
         let mut everyone = self.members.clone();
         for member in &self.previous_members {
@@ -72,7 +72,7 @@
 }
 
 impl KnownView {
-    /// Whether these replicas may decide for the view: a majority of its members, and one of the prior members as
+    /// Whether these replicas are a quorum of the view: a majority of its members, and one of the previous members as
     /// long as the view isn't known to be active.
     pub fn quorum(&self, present: &BTreeSet<ReplicaId>) -> bool {
         majority(&self.view.members, present)
--- a/control/src/view_change.rs
+++ b/control/src/view_change.rs
@@ -1,4 +1,4 @@
-//! Replicas that ask to join, and the primary's wish for another view.
+//! View changes that the primary starts: to change members or backups, or to raise the epoch.
 
 use crate::{
     Member, Output, Replica,
@@ -16,7 +16,7 @@
         {
             return;
         }
-        // An own try that led to nothing has bound members to its epoch: it has to be made good.
+        // An own campaign that failed has bound members to its epoch: only a view of a higher epoch frees them.
         let broken_off = self.stored.promised != Some(leadership.view.proposal_number());
         let Some(membership) = self.planned_membership() else {
             if broken_off {
