--- a/control/tests/broken_versions.rs
+++ b/control/tests/broken_versions.rs
@@ -9,20 +9,6 @@
 /// So many seeds are tried at most.
 const SEEDS: u64 = 3_000;
 
-fn plan(replicas: usize, machine_losses: usize) -> Plan {
-    Plan {
-        replicas,
-        machine_losses,
-        length: 14 * SECOND,
-        every: 500_000,
-        injected_fault: None,
-        emptied_vouches: false,
-        only: Vec::new(),
-        clock_rates: ClockRates::USUAL,
-        rounds: None,
-    }
-}
-
 /// The first seed in which the broken version breaks a rule that the sound one keeps.
 fn first_breach(broken: &Plan) -> Option<(u64, Violation)> {
     let sound = Plan { injected_fault: None, emptied_vouches: false, ..broken.clone() };
@@ -57,7 +43,7 @@
 }
 
 fn flawed(injected_fault: InjectedFault) -> Result<()> {
-    caught(&Plan { injected_fault: Some(injected_fault), ..plan(3, 1) })
+    caught(&Plan { injected_fault: Some(injected_fault), ..Plan::new(3, 1) })
 }
 
 #[gtest]
@@ -75,7 +61,12 @@
         Fault::Mend,
         Fault::Weather,
     ];
-    caught(&Plan { injected_fault: Some(InjectedFault::ForgetsPromise), only, every: 300_000, ..plan(3, 1) })
+    caught(&Plan {
+        injected_fault: Some(InjectedFault::ForgetsPromise),
+        only,
+        every: 300_000,
+        ..Plan::new(3, 1)
+    })
 }
 
 #[gtest]
@@ -96,24 +87,29 @@
 #[gtest]
 fn accepting_before_the_backups_have_the_data_is_caught() -> Result<()> {
     let only = vec![Fault::WipeInWrite, Fault::WipeLeader, Fault::CutLink, Fault::Mend, Fault::Weather];
-    caught(&Plan { injected_fault: Some(InjectedFault::AcceptsBeforeInstall), only, ..plan(3, 1) })
+    caught(&Plan { injected_fault: Some(InjectedFault::AcceptsBeforeInstall), only, ..Plan::new(3, 1) })
 }
 
 #[gtest]
 fn taking_any_data_is_caught() -> Result<()> {
-    caught(&Plan { injected_fault: Some(InjectedFault::TakesAnyData), ..plan(5, 1) })
+    caught(&Plan { injected_fault: Some(InjectedFault::TakesAnyData), ..Plan::new(5, 1) })
 }
 
 #[gtest]
 fn leaving_out_the_members_of_before_is_caught() -> Result<()> {
     let only = vec![Fault::Add, Fault::Cut, Fault::SplitAtChange];
-    caught(&Plan { injected_fault: Some(InjectedFault::SkipsPrior), only, every: 1_500_000, ..plan(3, 1) })
+    caught(&Plan {
+        injected_fault: Some(InjectedFault::SkipsPrior),
+        only,
+        every: 1_500_000,
+        ..Plan::new(3, 1)
+    })
 }
 
 #[gtest]
 fn granting_at_once_after_a_restart_is_caught() -> Result<()> {
     let only = vec![Fault::CutLink, Fault::CutLink, Fault::CutLink, Fault::Crash, Fault::Crash, Fault::Mend];
-    caught(&Plan { injected_fault: Some(InjectedFault::GrantsAfterRestart), only, ..plan(3, 1) })
+    caught(&Plan { injected_fault: Some(InjectedFault::GrantsAfterRestart), only, ..Plan::new(3, 1) })
 }
 
 #[gtest]
@@ -133,7 +129,7 @@
 
 #[gtest]
 fn an_emptied_disk_that_vouches_is_caught() -> Result<()> {
-    caught(&Plan { emptied_vouches: true, ..plan(3, 1) })
+    caught(&Plan { emptied_vouches: true, ..Plan::new(3, 1) })
 }
 
 /// Losses as soon as the ones before no longer count, which is after this span.
@@ -148,7 +144,7 @@
         disk_trouble: calm,
         only,
     };
-    Plan { rounds: Some(rounds), ..plan(3, 1) }
+    Plan { rounds: Some(rounds), ..Plan::new(3, 1) }
 }
 
 #[gtest]
@@ -172,7 +168,7 @@
     let only =
         vec![Fault::Cut, Fault::OneWayCut, Fault::CutLink, Fault::Split, Fault::FreezeLeader, Fault::Mend];
     let clock_rates = ClockRates { slowest: 850, fastest: 1_150 };
-    let apart = Plan { only, clock_rates, ..plan(3, 1) };
+    let apart = Plan { only, clock_rates, ..Plan::new(3, 1) };
     let found = (0..SEEDS).find_map(|seed| World::new(apart.clone(), seed).play().violation);
     verify_that!(found.map(|violation| format!("{violation:?}")), some(contains_substring("TwoLeaders")))
 }
--- a/control/tests/exploration.rs
+++ b/control/tests/exploration.rs
@@ -3,36 +3,16 @@
 mod simulator;
 
 use googletest::prelude::*;
-use simulator::{ClockRates, Fault, Plan, Report, SECOND, World};
+use simulator::{ClockRates, Fault, Plan, Report, World, seeds};
 
 /// How many seeds each size of the core is given.
 const SEEDS: u64 = 2_000;
 
-fn plan(replicas: usize, machine_losses: usize) -> Plan {
-    Plan {
-        replicas,
-        machine_losses,
-        length: 14 * SECOND,
-        every: 500_000,
-        injected_fault: None,
-        emptied_vouches: false,
-        only: Vec::new(),
-        clock_rates: ClockRates::USUAL,
-        rounds: None,
-    }
-}
-
-fn seeds() -> std::ops::Range<u64> {
-    let number = |name: &str| std::env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
-    let first = number("EXPLORE_FROM").unwrap_or(0);
-    first..first + number("EXPLORE_SEEDS").unwrap_or(SEEDS)
-}
-
 fn explore(plan: &Plan) -> Result<()> {
     let mut total = Report::default();
     let mut slowest = (0, 0);
     let mut failures = Vec::new();
-    for seed in seeds() {
+    for seed in seeds(SEEDS) {
         let report = World::new(plan.clone(), seed).play();
         if let Some(violation) = report.violation {
             failures.push(format!("seed {seed}: {violation:?}"));
@@ -54,17 +34,17 @@
 
 #[gtest]
 fn three_replicas_one_loss() -> Result<()> {
-    explore(&plan(3, 1))
+    explore(&Plan::new(3, 1))
 }
 
 #[gtest]
 fn five_replicas_two_losses() -> Result<()> {
-    explore(&plan(5, 2))
+    explore(&Plan::new(5, 2))
 }
 
 #[gtest]
 fn eight_replicas_two_losses() -> Result<()> {
-    explore(&plan(8, 2))
+    explore(&Plan::new(8, 2))
 }
 
 /// The margin of the lease is for this: clocks may differ in rate by 6 in 100.
@@ -73,5 +53,5 @@
     let only =
         vec![Fault::Cut, Fault::OneWayCut, Fault::CutLink, Fault::Split, Fault::FreezeLeader, Fault::Mend];
     let clock_rates = ClockRates { slowest: 970, fastest: 1_030 };
-    explore(&Plan { only, clock_rates, ..plan(3, 1) })
+    explore(&Plan { only, clock_rates, ..Plan::new(3, 1) })
 }
--- a/control/tests/linearizability.rs
+++ b/control/tests/linearizability.rs
@@ -4,7 +4,7 @@
 
 use googletest::prelude::*;
 use gradepaddle_control::InjectedFault;
-use simulator::{ClockRates, Fault, History, Operation, Plan, Response, SECOND, World};
+use simulator::{Fault, History, Operation, Plan, Response, World, seeds};
 
 const OPERATORS: usize = 8;
 /// How many seeds each size of the core is given.
@@ -13,28 +13,12 @@
 const BROKEN_SEEDS: u64 = 2_000;
 
 fn plan(replicas: usize, machine_losses: usize) -> Plan {
-    Plan {
-        replicas,
-        machine_losses,
-        length: 14 * SECOND,
-        every: 700_000,
-        injected_fault: None,
-        emptied_vouches: false,
-        only: Vec::new(),
-        clock_rates: ClockRates::USUAL,
-        rounds: None,
-    }
-}
-
-fn seeds() -> std::ops::Range<u64> {
-    let number = |name: &str| std::env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
-    let first = number("EXPLORE_FROM").unwrap_or(0);
-    first..first + number("EXPLORE_SEEDS").unwrap_or(SEEDS)
+    Plan { every: 700_000, ..Plan::new(replicas, machine_losses) }
 }
 
 fn explore(plan: &Plan) -> Result<()> {
     let (mut calls, mut longest, mut failures) = (0, 0, Vec::new());
-    for seed in seeds() {
+    for seed in seeds(SEEDS) {
         let report = World::new(plan.clone(), seed).with_operators(OPERATORS).play();
         calls += report.history.len();
         longest = longest.max(report.history.len());
--- a/control/tests/second_losses.rs
+++ b/control/tests/second_losses.rs
@@ -3,7 +3,7 @@
 mod simulator;
 
 use googletest::prelude::*;
-use simulator::{ClockRates, Loss, MILLISECOND, Plan, Report, Rounds, SECOND, World};
+use simulator::{Loss, MILLISECOND, Plan, Report, Rounds, SECOND, World, number_from_environment, seeds};
 
 /// How many seeds each plan is given.
 const SEEDS: u64 = 150;
@@ -21,31 +21,13 @@
 };
 
 fn plan(replicas: usize, machine_losses: usize, rounds: Rounds) -> Plan {
-    Plan {
-        replicas,
-        machine_losses,
-        length: 0,
-        every: 0,
-        injected_fault: None,
-        emptied_vouches: false,
-        only: Vec::new(),
-        clock_rates: ClockRates::USUAL,
-        rounds: Some(rounds),
-    }
-}
-
-fn number(name: &str) -> Option<u64> {
-    std::env::var(name).ok().and_then(|text| text.parse().ok())
-}
-
-fn seeds() -> std::ops::Range<u64> {
-    let first = number("EXPLORE_FROM").unwrap_or(0);
-    first..first + number("EXPLORE_SEEDS").unwrap_or(SEEDS)
+    Plan { length: 0, every: 0, rounds: Some(rounds), ..Plan::new(replicas, machine_losses) }
 }
 
 /// Plays a plan once for each seed, with cores of 3, 5 and 8.
 fn explore(rounds: Rounds) -> Result<()> {
-    let catch_up = number("EXPLORE_CATCH_UP_MS").map_or(rounds.catch_up, |span| span * MILLISECOND);
+    let catch_up =
+        number_from_environment("EXPLORE_CATCH_UP_MS").map_or(rounds.catch_up, |span| span * MILLISECOND);
     let rounds = Rounds { catch_up, ..rounds };
     let mut failures = Vec::new();
     let mut courses = 0;
@@ -53,7 +35,7 @@
         let plan = plan(replicas, losses, rounds);
         let mut total = Report::default();
         let mut slowest = (0, 0);
-        for seed in seeds() {
+        for seed in seeds(SEEDS) {
             let report = World::new(plan.clone(), seed).play();
             courses += 1;
             if let Some(violation) = report.violation {
--- a/control/tests/simulator/faults.rs
+++ b/control/tests/simulator/faults.rs
@@ -2,7 +2,7 @@
 
 use gradepaddle_control::InjectedFault;
 
-use super::world::Loss;
+use super::{SECOND, world::Loss};
 
 /// What a course of events is made of.
 #[derive(Debug, Clone)]
@@ -24,6 +24,23 @@
     pub clock_rates: ClockRates,
 }
 
+impl Plan {
+    /// A course of 14 s with any fault about every half second, and nothing broken on purpose.
+    pub fn new(replicas: usize, machine_losses: usize) -> Plan {
+        Plan {
+            replicas,
+            machine_losses,
+            length: 14 * SECOND,
+            every: 500_000,
+            injected_fault: None,
+            emptied_vouches: false,
+            only: Vec::new(),
+            clock_rates: ClockRates::USUAL,
+            rounds: None,
+        }
+    }
+}
+
 /// How fast the steady clocks of machines run, in thousandths of the true rate.
 #[derive(Debug, Clone, Copy)]
 pub struct ClockRates {
--- /dev/null
+++ b/control/tests/simulator/world/machine.rs
@@ -0,0 +1,194 @@
+//! A machine of the world: its clock, its disk, its process, and how they start, stop and are lost.
+
+use std::{
+    net::{Ipv4Addr, SocketAddrV4},
+    sync::Arc,
+};
+
+use gradepaddle_control::{Input, ProposalId, Replica, ReplicaConfig, ReplicaId};
+
+use super::{Event, World, rounds::Departure};
+
+use crate::simulator::{MILLISECOND, SECOND, disk::Disk};
+
+pub(super) struct Machine {
+    pub(super) address: SocketAddrV4,
+    pub(super) zone: Arc<str>,
+    pub(super) replica: Option<Replica>,
+    pub(super) disk: Disk,
+    pub(super) incarnation: u64,
+    pub(super) frozen: Option<u64>,
+    pub(super) held: Vec<Event>,
+    pub(super) removed: bool,
+    pub(super) first_boot: bool,
+    pub(super) leaving: bool,
+    /// The steady clock of the machine: a start of its own and a rate slightly off.
+    pub(super) clock_start: u64,
+    pub(super) clock_rate: u64,
+    pub(super) next_wake: u64,
+    pub(super) asked: Vec<ProposalId>,
+    /// What happens to the machine around its next write.
+    pub(super) doom: Option<Doom>,
+    /// What becomes of it once it has ended in good order, in a course of rounds.
+    pub(super) departure: Option<Departure>,
+}
+
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum Doom {
+    Crash,
+    Wipe,
+}
+
+impl Machine {
+    pub(super) fn local(&self, now: u64) -> u64 {
+        self.clock_start + now / 1_000 * self.clock_rate + now % 1_000
+    }
+
+    pub(super) fn global(&self, local: u64) -> u64 {
+        (local.saturating_sub(self.clock_start)) * 1_000 / self.clock_rate + 1
+    }
+}
+
+impl World {
+    pub(super) fn add_machine(&mut self, place: usize, first_boot: bool) -> usize {
+        let index = self.machines.len();
+        let address =
+            SocketAddrV4::new(Ipv4Addr::new(10, 1, (index / 200) as u8, (index % 200) as u8 + 1), 7640);
+        let id = self.fresh_id();
+        let clock_start = self.clock_start();
+        self.machines.push(Machine {
+            address,
+            zone: Arc::from(format!("zone-{}", place % 3)),
+            replica: None,
+            disk: Disk::empty(id),
+            incarnation: 0,
+            frozen: None,
+            held: Vec::new(),
+            removed: false,
+            first_boot,
+            leaving: false,
+            clock_start,
+            clock_rate: self.random.between(self.plan.clock_rates.slowest, self.plan.clock_rates.fastest),
+            next_wake: u64::MAX,
+            asked: Vec::new(),
+            doom: None,
+            departure: None,
+        });
+        index
+    }
+
+    /// A steady clock may start near 0 or anywhere.
+    pub(super) fn clock_start(&mut self) -> u64 {
+        let span = [SECOND, 1 << 34][self.random.below(2)];
+        self.random.between(0, span)
+    }
+
+    pub(super) fn fresh_id(&mut self) -> ReplicaId {
+        self.next_id = self.next_id.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
+        ReplicaId(self.next_id)
+    }
+
+    pub(super) fn frozen(&self, machine: usize) -> bool {
+        self.machines[machine].frozen.is_some()
+    }
+
+    pub(super) fn start(&mut self, index: usize) {
+        let peers: Vec<SocketAddrV4> =
+            self.machines.iter().filter(|machine| !machine.removed).map(|machine| machine.address).collect();
+        let (now, seed) = (self.now, self.random.next());
+        let machine = &mut self.machines[index];
+        if machine.removed || machine.replica.is_some() {
+            return;
+        }
+        let config = ReplicaConfig::builder()
+            .address(machine.address)
+            .zone(Arc::clone(&machine.zone))
+            .first_boot(machine.first_boot && machine.incarnation == 0)
+            .machine_losses(self.plan.machine_losses)
+            .seed(seed)
+            .injected_fault(self.plan.injected_fault)
+            .build();
+        machine.incarnation += 1;
+        machine.leaving = false;
+        machine.next_wake = u64::MAX;
+        machine.replica = Some(Replica::new(config, machine.disk.kept.clone(), machine.local(now)));
+        if machine.incarnation > 1 || !machine.first_boot {
+            let own = machine.address;
+            self.input(index, Input::Peers(peers.into_iter().filter(|peer| *peer != own).collect()));
+        } else {
+            self.input(index, Input::Tick);
+        }
+    }
+
+    pub(super) fn thaw(&mut self, index: usize) {
+        let now = self.now;
+        let machine = &mut self.machines[index];
+        if machine.frozen.is_none_or(|until| until > now) {
+            return;
+        }
+        machine.frozen = None;
+        for event in std::mem::take(&mut machine.held) {
+            self.schedule(self.random.clone().between(1, 300), event);
+            self.random.next();
+        }
+    }
+
+    pub(super) fn crash(&mut self, index: usize) {
+        let clock_start = self.clock_start();
+        let machine = &mut self.machines[index];
+        if machine.replica.take().is_none() {
+            return;
+        }
+        machine.disk.crash(&mut self.random);
+        machine.incarnation += 1;
+        machine.frozen = None;
+        machine.held.clear();
+        machine.doom = None;
+        // The steady clock may start anew with the machine.
+        machine.clock_start = clock_start;
+        for proposal_id in std::mem::take(&mut machine.asked) {
+            self.clients.unanswered(proposal_id);
+        }
+    }
+
+    pub(super) fn crash_and_restart(&mut self, index: usize) {
+        self.crash(index);
+        let longest = [80, 3_000][self.random.below(2)];
+        let pause = self.random.between(1, longest) * MILLISECOND;
+        self.schedule(pause, Event::Start { machine: index });
+    }
+
+    pub(super) fn wipe(&mut self, index: usize) {
+        self.crash(index);
+        let id = if self.plan.emptied_vouches { self.machines[index].disk.kept.id } else { self.fresh_id() };
+        self.machines[index].disk = Disk::empty(id);
+        let pause = self.random.between(20, 2_000) * MILLISECOND;
+        self.schedule(pause, Event::Start { machine: index });
+    }
+
+    pub(super) fn replace(&mut self, index: usize) {
+        self.crash(index);
+        self.machines[index].removed = true;
+        let added = self.add_machine(index, false);
+        let pause = self.random.between(20, 2_000) * MILLISECOND;
+        self.schedule(pause, Event::Start { machine: added });
+    }
+
+    pub(super) fn end(&mut self, index: usize) {
+        if self.machines[index].departure.is_some() {
+            return self.departed(index);
+        }
+        if self.machines[index].leaving {
+            self.crash_and_restart(index);
+        }
+    }
+
+    pub(super) fn running(&self) -> Vec<usize> {
+        (0..self.machines.len()).filter(|index| self.machines[*index].replica.is_some()).collect()
+    }
+
+    pub(super) fn some_machine(&mut self) -> usize {
+        let running = self.running();
+        if running.is_empty() { 0 } else { running[self.random.below(running.len())] }
+    }
+}
--- /dev/null
+++ b/control/tests/simulator/world/operators.rs
@@ -0,0 +1,125 @@
+//! Operators: which changes they ask for, and the history of what they were answered.
+
+use gradepaddle_control::{Change, Input, Outcome, ProposalId, Replica};
+
+use super::{Event, World};
+
+use crate::simulator::{
+    MILLISECOND,
+    checker::Violation,
+    history::{Operation, Response},
+};
+
+impl World {
+    /// Several operators act within a moment: with rivals on top of one version, the same order at several machines,
+    /// and orders that were sent before.
+    pub(super) fn wish_at_once(&mut self) {
+        let first = self.clients.wish(&mut self.random);
+        let base = match &first {
+            Change::PutConfiguration { if_match, .. } => Some(*if_match),
+            Change::NameVersion { .. } => None,
+        };
+        let mut orders = vec![first.clone()];
+        for _ in 1..self.random.between(1, self.operators as u64) {
+            let again = (!self.sent_before.is_empty()).then(|| self.random.below(self.sent_before.len()));
+            orders.push(match (self.random.below(4), base, again) {
+                (0, ..) => first.clone(),
+                (1, _, Some(again)) => self.sent_before[again].clone(),
+                (_, Some(base), _) => self.clients.configuration(base, &mut self.random),
+                _ => first.clone(),
+            });
+        }
+        for change in orders {
+            let machine = self.some_machine();
+            let pause = self.random.between(1, 200 * MILLISECOND);
+            self.sent_before.push(change.clone());
+            self.schedule(pause, Event::Propose { machine, change, tries: 4 });
+        }
+        if self.healed.is_none() {
+            let pause = self.random.between(100, 800) * MILLISECOND;
+            self.schedule(pause, Event::Wish);
+        }
+    }
+
+    pub(super) fn note_asked(&mut self, proposal_id: ProposalId, change: &Change) {
+        if let Change::PutConfiguration { if_match, version, fingerprint, .. } = change
+            && self.operators > 0
+        {
+            let (if_match, version, fingerprint) = (*if_match, *version, *fingerprint);
+            let name = self.history.ask(Operation::Put { if_match, version, fingerprint });
+            self.orders.insert(proposal_id, name);
+        }
+    }
+
+    pub(super) fn note_answered(&mut self, proposal_id: ProposalId, outcome: Outcome) {
+        let Some(name) = self.orders.remove(&proposal_id) else { return };
+        match outcome {
+            Outcome::Committed => self.history.answer(name, Response::Committed),
+            Outcome::Conflict { .. } | Outcome::VersionNotHigher { .. } => {
+                self.history.answer(name, Response::Refused);
+            }
+            Outcome::NotPrimary { .. } => self.history.nothing_done(name),
+            Outcome::Unknown => {}
+        }
+    }
+
+    /// Whoever leads is asked for the configuration.
+    pub(super) fn note_read(&mut self, index: usize) {
+        if self.operators > 0 && self.leading(index).is_some() {
+            let state = self.machines[index].replica.as_ref().map(Replica::state);
+            let found = state.and_then(|state| state.configuration.as_ref()).map(|one| one.fingerprint);
+            self.history.read(found);
+        }
+    }
+
+    pub(super) fn ask(&mut self, index: usize, change: Change, tries: usize) {
+        if self.machines[index].replica.is_none() || self.frozen(index) || tries == 0 {
+            return;
+        }
+        self.checker.sent(&change);
+        let proposal_id = self.clients.proposal_id(&change);
+        self.machines[index].asked.push(proposal_id);
+        if self.trace {
+            eprintln!(
+                "{:>10} {} is asked {proposal_id:?} {change:?}",
+                self.now, self.machines[index].address
+            );
+        }
+        self.note_read(index);
+        self.note_asked(proposal_id, &change);
+        self.input(index, Input::Propose { proposal_id, change });
+    }
+
+    pub(super) fn answered(&mut self, index: usize, proposal_id: ProposalId, outcome: Outcome) {
+        let Some(change) = self.clients.open.remove(&proposal_id) else {
+            return self.checker.report(Violation::Fork(format!("{proposal_id:?} answered twice")));
+        };
+        if self.trace {
+            eprintln!(
+                "{:>10} {} answers {proposal_id:?} {outcome:?}",
+                self.now, self.machines[index].address
+            );
+        }
+        self.note_answered(proposal_id, outcome);
+        self.machines[index].asked.retain(|asked| *asked != proposal_id);
+        if outcome == Outcome::Committed && self.plan.replicas > 1 {
+            let view = self.machines[index].replica.as_ref().and_then(|replica| replica.status().view);
+            if view.is_some_and(|known| known.view.backups.is_empty()) {
+                self.checker.report(Violation::Alone(format!("{proposal_id:?}")));
+            }
+        }
+        self.checker.answered(&change, outcome);
+        self.clients.learn(&change, outcome);
+        let probed = self.probe.as_ref() == Some(&change);
+        if probed && outcome == Outcome::Committed {
+            self.recovered = self.healed.map(|healed| self.now - healed);
+        }
+        if let Outcome::NotPrimary { primary: Some(primary) } = outcome {
+            let target = self.machines.iter().position(|machine| machine.address == primary);
+            if let Some(machine) = target.filter(|_| !probed && self.random.permille(800)) {
+                let pause = self.random.between(1, 5) * MILLISECOND;
+                self.schedule(pause, Event::Propose { machine, change, tries: 1 });
+            }
+        }
+    }
+}
--- a/control/tests/simulator/world/rounds.rs
+++ b/control/tests/simulator/world/rounds.rs
@@ -9,7 +9,7 @@
 use gradepaddle_control::{Body, Input, Message};
 
 use super::{Event, MILLISECOND, World};
-use crate::simulator::faults::Rounds;
+use crate::simulator::{disk::Disk, faults::Rounds};
 
 /// A machine that was told to end is killed after this.
 const GRACE: u64 = 7_400 * MILLISECOND;
@@ -165,7 +165,7 @@
     fn lose_disk(&mut self, victim: usize) {
         self.crash(victim);
         let id = self.fresh_id();
-        self.machines[victim].disk = super::Disk::empty(id);
+        self.machines[victim].disk = Disk::empty(id);
         self.start_later(victim, LONGEST_PAUSE);
     }
 
--- a/control/tests/slow_links/mod.rs
+++ b/control/tests/slow_links/mod.rs
@@ -4,8 +4,7 @@
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use std::{
-    cmp::Reverse,
-    collections::{BTreeMap, BinaryHeap, VecDeque},
+    collections::{BTreeMap, VecDeque},
     net::SocketAddrV4,
     sync::Arc,
 };
@@ -15,6 +14,11 @@
     ProposalId, Record, RecoveredState, Replica, ReplicaConfig, ReplicaId, Replicate, View, WriteId,
 };
 
+#[path = "../common/event_queue.rs"]
+mod event_queue;
+
+use event_queue::EventQueue;
+
 pub const MILLISECOND: u64 = 1_000;
 pub const SECOND: u64 = 1_000_000;
 /// A message without a configuration, in bytes.
@@ -46,29 +50,6 @@
     Operator,
 }
 
-struct Scheduled {
-    at: u64,
-    order: u64,
-    event: Event,
-}
-
-impl PartialEq for Scheduled {
-    fn eq(&self, other: &Self) -> bool {
-        (self.at, self.order) == (other.at, other.order)
-    }
-}
-impl Eq for Scheduled {}
-impl PartialOrd for Scheduled {
-    fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
-        Some(self.cmp(other))
-    }
-}
-impl Ord for Scheduled {
-    fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.at, self.order).cmp(&(other.at, other.order))
-    }
-}
-
 /// What goes from one machine to another.
 struct Connection {
     to: SocketAddrV4,
@@ -103,8 +84,7 @@
 /// A few core machines and an operator.
 pub struct Fleet {
     pub now: u64,
-    order: u64,
-    events: BinaryHeap<Reverse<Scheduled>>,
+    events: EventQueue<Event>,
     pub machines: Vec<Machine>,
     speed: Speed,
     losses: usize,
@@ -122,8 +102,7 @@
     pub fn founded(size: usize, losses: usize, speed: Speed) -> Fleet {
         let mut fleet = Fleet {
             now: 1_000 * MILLISECOND,
-            order: 0,
-            events: BinaryHeap::new(),
+            events: EventQueue::new(),
             machines: Vec::new(),
             speed,
             losses,
@@ -288,17 +267,16 @@
 
     pub fn run_for(&mut self, span: u64) {
         let end = self.now + span;
-        while self.events.peek().is_some_and(|Reverse(next)| next.at <= end) {
-            let Some(Reverse(next)) = self.events.pop() else { break };
-            self.now = self.now.max(next.at);
-            self.happen(next.event);
+        while self.events.next_at().is_some_and(|next| next <= end) {
+            let Some((at, event)) = self.events.pop() else { break };
+            self.now = self.now.max(at);
+            self.happen(event);
         }
         self.now = end;
     }
 
     fn schedule(&mut self, at: u64, event: Event) {
-        self.order += 1;
-        self.events.push(Reverse(Scheduled { at, order: self.order, event }));
+        self.events.push(at, event);
     }
 
     fn happen(&mut self, event: Event) {
