--- a/controlplane/src/node/serving.rs
+++ b/controlplane/src/node/serving.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
+use gradepaddle_gossip::{Item, Stamp};
 use gradepaddle_placement::{ModelVersion, ServerEntry, ServerState};
 use gradepaddle_proto::{Decode, Encode, Registration};
-use gradepaddle_spread::{Item, Stamp};
 
 use super::{Event, Node, Output};
 use crate::Micros;
@@ -223,7 +223,7 @@
         (_, true) => ServerState::Lost,
         _ => ServerState::Ready,
     };
-    let weights = registration.weights.iter();
+    let weights = registration.models.iter();
     ServerEntry {
         id: registration.id.clone(),
         service: registration.service.clone(),
