--- a/config/src/configuration/body.rs
+++ b/config/src/configuration/body.rs
@@ -2,8 +2,8 @@
 
 use super::object::Object;
 use super::route::RouteKind;
-use crate::finding::{Finding, WHOLE};
-use crate::number::{Amount, Milliseconds, Whole};
+use crate::finding::{Finding, WHOLE_DOCUMENT};
+use crate::number::{Milliseconds, NonNegative, UnsignedInteger};
 use serde::Deserialize;
 use std::net::SocketAddrV4;
 
@@ -12,7 +12,7 @@
 
 #[derive(Debug, Deserialize)]
 pub(super) struct Body {
-    pub version: Whole,
+    pub version: UnsignedInteger,
     pub routes: Vec<Object<RouteBody>>,
     pub backends: Vec<Object<ServiceBody>>,
     pub limits: Option<Object<LimitsBody>>,
@@ -28,21 +28,22 @@
     pub kind: RouteKind,
     pub timeout_ms: Milliseconds,
     pub target_ms: Option<Milliseconds>,
-    pub priority: Option<Whole>,
+    pub priority: Option<UnsignedInteger>,
     pub backend: Option<String>,
     pub traffic_split: Option<Vec<Object<TargetBody>>>,
-    pub tries: Option<Whole>,
+    #[serde(rename = "tries")]
+    pub max_attempts: Option<UnsignedInteger>,
     pub public: Option<bool>,
     pub sticky: Option<bool>,
     pub resumable: Option<bool>,
     #[serde(rename = "gap_aim_ms")]
-    pub gap_aim: Option<Milliseconds>,
+    pub event_gap_target: Option<Milliseconds>,
 }
 
 #[derive(Debug, Deserialize)]
 pub(super) struct TargetBody {
     pub backend: String,
-    pub weight: Amount,
+    pub weight: NonNegative,
 }
 
 #[derive(Debug, Deserialize)]
@@ -50,26 +51,26 @@
 pub(super) struct ServiceBody {
     pub name: String,
     pub health_path: Option<String>,
-    pub max_conns: Option<Whole>,
+    pub max_conns: Option<UnsignedInteger>,
     pub protocol: Option<String>,
     pub tls: Option<bool>,
     pub engine: Option<Object<EngineBody>>,
     pub cache_store: Option<SocketAddrV4>,
     pub zone: Option<String>,
-    pub cache_tokens: Option<Whole>,
-    pub link_mbps: Option<Amount>,
-    pub max_in_flight: Option<Whole>,
+    pub cache_tokens: Option<UnsignedInteger>,
+    pub link_mbps: Option<NonNegative>,
+    pub max_in_flight: Option<UnsignedInteger>,
 }
 
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(super) struct EngineBody {
-    pub slots: Option<Whole>,
-    pub cache_tokens: Option<Whole>,
-    pub token_bytes: Option<Whole>,
-    pub link_mbps: Option<Amount>,
-    pub stride: Option<Whole>,
-    pub max_in_flight: Option<Whole>,
+    pub slots: Option<UnsignedInteger>,
+    pub cache_tokens: Option<UnsignedInteger>,
+    pub token_bytes: Option<UnsignedInteger>,
+    pub link_mbps: Option<NonNegative>,
+    pub stride: Option<UnsignedInteger>,
+    pub max_in_flight: Option<UnsignedInteger>,
     pub models: Option<Vec<Object<ModelBody>>>,
 }
 
@@ -81,8 +82,8 @@
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(super) struct LimitsBody {
-    pub max_header_bytes: Option<Whole>,
-    pub max_body_bytes: Option<Whole>,
+    pub max_header_bytes: Option<UnsignedInteger>,
+    pub max_body_bytes: Option<UnsignedInteger>,
     pub header_timeout_ms: Option<Milliseconds>,
     pub idle_timeout_ms: Option<Milliseconds>,
 }
@@ -92,7 +93,7 @@
 pub(super) struct TenantBody {
     pub name: String,
     pub api_keys: Option<Vec<String>>,
-    pub priority: Option<Whole>,
+    pub priority: Option<UnsignedInteger>,
     pub isolated: Option<bool>,
 }
 
@@ -103,16 +104,16 @@
     pub fn read(body: &[u8]) -> Result<Self, Finding> {
         match serde_json::from_slice(body) {
             Ok(Object(read)) => Ok(read),
-            Err(error) => Err(Self::first_unreadable(body, &error)),
+            Err(error) => Err(Self::locate_error(body, &error)),
         }
     }
 
     /// The value of a body that can't be read, with its place.
-    fn first_unreadable(body: &[u8], error: &serde_json::Error) -> Finding {
+    fn locate_error(body: &[u8], error: &serde_json::Error) -> Finding {
         let mut deserializer = serde_json::Deserializer::from_slice(body);
         let read: Result<Object<Self>, _> = serde_path_to_error::deserialize(&mut deserializer);
-        let place = read.err().map(|error| error.path().to_string()).filter(|path| path != ROOT);
-        Finding::unreadable(place.unwrap_or_else(|| WHOLE.to_owned()), error)
+        let path = read.err().map(|error| error.path().to_string()).filter(|path| path != ROOT);
+        Finding::unreadable(path.unwrap_or_else(|| WHOLE_DOCUMENT.to_owned()), error)
     }
 
     /// The tenants.
--- a/config/src/configuration/build.rs
+++ b/config/src/configuration/build.rs
@@ -2,11 +2,11 @@
 
 use super::body::{Body, EngineBody, LimitsBody, RouteBody, ServiceBody, TenantBody};
 use super::object::Object;
-use super::route::{DEFAULT_PRIORITY, DEFAULT_TRIES};
+use super::route::{DEFAULT_MAX_ATTEMPTS, DEFAULT_PRIORITY};
 use super::route_table::RouteTable;
 use super::service::{DEFAULT_HEALTH_PATH, DEFAULT_PROTOCOL};
 use super::{Configuration, Engine, Limits, Route, Service, ServiceKind, Target, Tenant};
-use crate::number::Whole;
+use crate::number::UnsignedInteger;
 use foldhash::{HashMap, HashMapExt};
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -53,14 +53,14 @@
         path_prefix: body.path_prefix.into(),
         kind: body.kind,
         timeout: body.timeout_ms.0,
-        target: body.target_ms.unwrap_or(body.timeout_ms).0,
-        priority: body.priority.map_or(DEFAULT_PRIORITY, Whole::saturated),
+        latency_target: body.target_ms.unwrap_or(body.timeout_ms).0,
+        priority: body.priority.map_or(DEFAULT_PRIORITY, UnsignedInteger::saturating_into),
         split,
-        tries: body.tries.map_or(DEFAULT_TRIES, Whole::saturated).max(1),
+        max_attempts: body.max_attempts.map_or(DEFAULT_MAX_ATTEMPTS, UnsignedInteger::saturating_into).max(1),
         public: body.public.unwrap_or_default(),
         sticky: body.sticky.unwrap_or_default(),
         resumable: body.resumable.unwrap_or_default(),
-        gap_aim: body.gap_aim.map(|aim| aim.0),
+        event_gap_target: body.event_gap_target.map(|aim| aim.0),
     }
 }
 
@@ -91,7 +91,7 @@
 fn servers(body: &ServiceBody) -> ServiceKind {
     ServiceKind::Servers {
         health_path: text_or(body.health_path.as_deref(), DEFAULT_HEALTH_PATH),
-        max_connections: body.max_conns.map(Whole::saturated),
+        max_connections: body.max_conns.map(UnsignedInteger::saturating_into),
         tls: body.tls.unwrap_or_default(),
         protocol: text_or(body.protocol.as_deref(), DEFAULT_PROTOCOL),
         engine: body.engine.as_ref().map(|Object(body)| engine(body)),
@@ -124,8 +124,10 @@
     let default = Limits::default();
     let Some(body) = body else { return default };
     Limits {
-        max_header_bytes: body.max_header_bytes.map_or(default.max_header_bytes, Whole::saturated),
-        max_body_bytes: body.max_body_bytes.map_or(default.max_body_bytes, Whole::saturated),
+        max_header_bytes: body
+            .max_header_bytes
+            .map_or(default.max_header_bytes, UnsignedInteger::saturating_into),
+        max_body_bytes: body.max_body_bytes.map_or(default.max_body_bytes, UnsignedInteger::saturating_into),
         header_timeout: body.header_timeout_ms.map_or(default.header_timeout, |timeout| timeout.0),
         idle_timeout: body.idle_timeout_ms.map_or(default.idle_timeout, |timeout| timeout.0),
     }
@@ -135,14 +137,14 @@
     Tenant {
         name: Arc::from(body.name.as_str()),
         api_keys: body.api_keys.iter().flatten().map(|key| Arc::from(key.as_str())).collect(),
-        priority: body.priority.map(Whole::saturated),
+        priority: body.priority.map(UnsignedInteger::saturating_into),
         isolated: body.isolated.unwrap_or_default(),
     }
 }
 
 /// A count; 1 where it is absent or 0.
-fn count_of_one_or_more(count: Option<Whole>) -> u32 {
-    count.map_or(1, Whole::saturated).max(1)
+fn count_of_one_or_more(count: Option<UnsignedInteger>) -> u32 {
+    count.map_or(1, UnsignedInteger::saturating_into).max(1)
 }
 
 fn text_or(text: Option<&str>, default: &str) -> Arc<str> {
--- a/config/src/configuration/check.rs
+++ b/config/src/configuration/check.rs
@@ -13,8 +13,8 @@
 pub(super) fn check(body: &Body) -> Vec<Finding> {
     let mut findings = Vec::new();
     check_routes(body, &mut findings);
-    check_places_of_routes(body, &mut findings);
-    check_keys(body, &mut findings);
+    check_duplicate_routes(body, &mut findings);
+    check_duplicate_keys(body, &mut findings);
     findings
 }
 
@@ -36,19 +36,19 @@
     findings: &mut Vec<Finding>,
 ) {
     let targets = route.targets();
-    for (name, _, place) in &targets {
+    for (name, _, path) in &targets {
         let service = (*name).to_owned();
         let problem = match services.get(name) {
             None => Problem::UnknownService { service },
             Some(known) if known.cache_store.is_some() => Problem::StoreInRoute { service },
             Some(_) => continue,
         };
-        findings.push(Finding::new(format!("routes[{index}].{place}"), problem));
+        findings.push(Finding::new(format!("routes[{index}].{path}"), problem));
     }
     if targets.is_empty() && route.traffic_split.is_none() {
         findings.push(Finding::new(format!("routes[{index}].backend"), Problem::Missing));
     } else if targets.iter().all(|(_, weight, _)| *weight == 0.0) {
-        findings.push(Finding::new(format!("routes[{index}].trafficSplit"), Problem::NoWeight));
+        findings.push(Finding::new(format!("routes[{index}].trafficSplit"), Problem::ZeroWeight));
     }
 }
 
@@ -58,26 +58,26 @@
     }
 }
 
-fn check_places_of_routes(body: &Body, findings: &mut Vec<Finding>) {
+fn check_duplicate_routes(body: &Body, findings: &mut Vec<Finding>) {
     let mut taken = HashMap::new();
     for (index, Object(route)) in body.routes.iter().enumerate() {
         match taken.entry((host_key(&route.host), route.path_prefix.as_str())) {
             Entry::Vacant(place) => _ = place.insert(index),
             Entry::Occupied(place) => {
-                let problem = Problem::SharedHostAndPrefix { first: *place.get() };
+                let problem = Problem::DuplicateRoute { first: *place.get() };
                 findings.push(Finding::new(format!("routes[{index}]"), problem));
             }
         }
     }
 }
 
-fn check_keys(body: &Body, findings: &mut Vec<Finding>) {
+fn check_duplicate_keys(body: &Body, findings: &mut Vec<Finding>) {
     let mut holders = HashMap::new();
     for (index, tenant) in body.tenants().enumerate() {
         for (position, key) in tenant.api_keys.iter().flatten().enumerate() {
             let (first, holder) = *holders.entry(key.as_str()).or_insert((index, tenant.name.as_str()));
             if first != index {
-                let problem = Problem::SharedKey { first, tenant: holder.to_owned() };
+                let problem = Problem::DuplicateKey { first, tenant: holder.to_owned() };
                 findings.push(Finding::new(format!("customers[{index}].apiKeys[{position}]"), problem));
             }
         }
--- a/config/src/configuration/repeated_field.rs
+++ b/config/src/configuration/repeated_field.rs
@@ -2,7 +2,7 @@
 //!
 //! Readers differ in which of the two they take, so that machines could differ in what they do.
 
-use crate::finding::{Finding, Findings, Problem, WHOLE};
+use crate::finding::{Finding, Findings, Problem, WHOLE_DOCUMENT};
 use foldhash::{HashSet, HashSetExt};
 use serde::de::{DeserializeSeed, MapAccess, SeqAccess, Visitor};
 use serde::{Deserialize, Deserializer};
@@ -15,7 +15,7 @@
     let mut deserializer = serde_json::Deserializer::from_slice(body);
     walk.deserialize(&mut deserializer)
         .and_then(|()| deserializer.end())
-        .map_err(|error| Finding::unreadable(WHOLE, error))?;
+        .map_err(|error| Finding::unreadable(WHOLE_DOCUMENT, error))?;
     Findings::or(walk.findings, || ())
 }
 
@@ -23,7 +23,7 @@
 #[derive(Default)]
 struct Walk {
     /// Path of the value at hand.
-    place: String,
+    path: String,
     findings: Vec<Finding>,
 }
 
@@ -33,14 +33,14 @@
 
 impl Walk {
     fn enter_field(&mut self, name: &str) {
-        if !self.place.is_empty() {
-            self.place.push('.');
+        if !self.path.is_empty() {
+            self.path.push('.');
         }
-        self.place.push_str(name);
+        self.path.push_str(name);
     }
 
     fn enter_element(&mut self, index: usize) {
-        write!(self.place, "[{index}]").expect("a string takes all that is written to it");
+        write!(self.path, "[{index}]").expect("a string takes all that is written to it");
     }
 }
 
@@ -61,24 +61,24 @@
 
     fn visit_map<A: MapAccess<'de>>(self, mut fields: A) -> Result<(), A::Error> {
         let mut names = HashSet::new();
-        let outer = self.place.len();
+        let outer = self.path.len();
         while let Some(name) = fields.next_key::<Name<'de>>()? {
             self.enter_field(&name.0);
             if !names.insert(name) {
-                self.findings.push(Finding::new(&self.place, Problem::RepeatedField));
+                self.findings.push(Finding::new(&self.path, Problem::DuplicateField));
             }
             fields.next_value_seed(&mut *self)?;
-            self.place.truncate(outer);
+            self.path.truncate(outer);
         }
         Ok(())
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut elements: A) -> Result<(), A::Error> {
-        let outer = self.place.len();
+        let outer = self.path.len();
         for index in 0.. {
             self.enter_element(index);
             let element = elements.next_element_seed(&mut *self)?;
-            self.place.truncate(outer);
+            self.path.truncate(outer);
             if element.is_none() {
                 break;
             }
--- a/config/src/configuration/route.rs
+++ b/config/src/configuration/route.rs
@@ -7,7 +7,7 @@
 /// Rank of a route that states none.
 pub(super) const DEFAULT_PRIORITY: u8 = 5;
 /// Number of servers for a request of a route that states none.
-pub(super) const DEFAULT_TRIES: u32 = 1;
+pub(super) const DEFAULT_MAX_ATTEMPTS: u32 = 1;
 
 /// A route.
 #[derive(Clone, Debug, PartialEq)]
@@ -23,13 +23,13 @@
     /// Longest time that a request may be held; above 0.
     pub timeout: Duration,
     /// Time within which an answer earns its full worth; the time-out where the body states none.
-    pub target: Duration,
+    pub latency_target: Duration,
     /// Rank; 0 is the highest.
     pub priority: u8,
     /// Its services with their weights, all above 0: each service once, in the order of their first mention.
     pub split: Vec<Target>,
     /// Most servers that one request may be sent to; at least 1.
-    pub tries: u32,
+    pub max_attempts: u32,
     /// Whether its requests need no key.
     pub public: bool,
     /// Whether its requests name parts of prompts, which are worth going back for.
@@ -37,7 +37,7 @@
     /// Whether its streams may be taken up at another server.
     pub resumable: bool,
     /// Longest pause between the events of a stream that is still in time.
-    pub gap_aim: Option<Duration>,
+    pub event_gap_target: Option<Duration>,
 }
 
 /// A service of a route.
--- a/config/src/difference.rs
+++ b/config/src/difference.rs
@@ -22,7 +22,7 @@
         route: Arc<str>,
     },
     /// The requests of a route go to other services.
-    RouteMoved {
+    RouteServicesChanged {
         /// Name of the route.
         route: Arc<str>,
         /// Its services before.
@@ -31,7 +31,7 @@
         to: ServiceNames,
     },
     /// The services of a route get other parts of its requests.
-    RouteReweighted {
+    RouteWeightsChanged {
         /// Name of the route.
         route: Arc<str>,
     },
@@ -45,7 +45,7 @@
         to: Duration,
     },
     /// Something else of a route is another.
-    RouteAltered {
+    RouteChanged {
         /// Name of the route.
         route: Arc<str>,
         /// What is another.
@@ -62,7 +62,7 @@
         service: Arc<str>,
     },
     /// The terms of a service are others.
-    ServiceAltered {
+    ServiceChanged {
         /// Name of the service.
         service: Arc<str>,
     },
@@ -110,20 +110,20 @@
 pub enum RouteField {
     /// [`Route::kind`]
     Kind,
-    /// [`Route::target`]
-    Target,
+    /// [`Route::latency_target`]
+    LatencyTarget,
     /// [`Route::priority`]
     Priority,
-    /// [`Route::tries`]
-    Tries,
+    /// [`Route::max_attempts`]
+    MaxAttempts,
     /// [`Route::public`]
     Public,
     /// [`Route::sticky`]
     Sticky,
     /// [`Route::resumable`]
     Resumable,
-    /// [`Route::gap_aim`]
-    GapAim,
+    /// [`Route::event_gap_target`]
+    EventGapTarget,
 }
 
 /// Names of services in alphabetical order; displayed with commas between them.
@@ -160,9 +160,9 @@
     let route = &after.name;
     let (from, to) = (ServiceNames::of(&before.split), ServiceNames::of(&after.split));
     if from != to {
-        changes.push(Change::RouteMoved { route: Arc::clone(route), from, to });
+        changes.push(Change::RouteServicesChanged { route: Arc::clone(route), from, to });
     } else if parts(&before.split) != parts(&after.split) {
-        changes.push(Change::RouteReweighted { route: Arc::clone(route) });
+        changes.push(Change::RouteWeightsChanged { route: Arc::clone(route) });
     }
     if before.timeout != after.timeout {
         changes.push(Change::RouteTimeout {
@@ -171,20 +171,20 @@
             to: after.timeout,
         });
     }
-    let altered = altered_fields(before, after);
-    changes.extend(altered.map(|field| Change::RouteAltered { route: Arc::clone(route), field }));
+    let altered = changed_fields(before, after);
+    changes.extend(altered.map(|field| Change::RouteChanged { route: Arc::clone(route), field }));
 }
 
-fn altered_fields(before: &Route, after: &Route) -> impl Iterator<Item = RouteField> {
+fn changed_fields(before: &Route, after: &Route) -> impl Iterator<Item = RouteField> {
     let fields = [
         (RouteField::Kind, before.kind != after.kind),
-        (RouteField::Target, before.target != after.target),
+        (RouteField::LatencyTarget, before.latency_target != after.latency_target),
         (RouteField::Priority, before.priority != after.priority),
-        (RouteField::Tries, before.tries != after.tries),
+        (RouteField::MaxAttempts, before.max_attempts != after.max_attempts),
         (RouteField::Public, before.public != after.public),
         (RouteField::Sticky, before.sticky != after.sticky),
         (RouteField::Resumable, before.resumable != after.resumable),
-        (RouteField::GapAim, before.gap_aim != after.gap_aim),
+        (RouteField::EventGapTarget, before.event_gap_target != after.event_gap_target),
     ];
     fields.into_iter().filter(|(_, altered)| *altered).map(|(field, _)| field)
 }
@@ -206,7 +206,7 @@
         (None, Some(service)) => Some(Change::ServiceAdded { service: Arc::clone(&service.name) }),
         (Some(service), None) => Some(Change::ServiceRemoved { service: Arc::clone(&service.name) }),
         (Some(before), Some(after)) if before != after => {
-            Some(Change::ServiceAltered { service: Arc::clone(&after.name) })
+            Some(Change::ServiceChanged { service: Arc::clone(&after.name) })
         }
         _ => None,
     }
@@ -223,7 +223,7 @@
 }
 
 fn compare_keys(old: &[Tenant], new: &[Tenant], changes: &mut Vec<Change>) {
-    let (old, new) = (held_keys(old), held_keys(new));
+    let (old, new) = (keys_by_tenant(old), keys_by_tenant(new));
     for &(tenant, key) in old.difference(&new) {
         changes.push(Change::KeyRemoved { tenant: Arc::clone(tenant), key: Arc::clone(key) });
     }
@@ -233,7 +233,7 @@
 }
 
 /// Each key with the name of its tenant.
-fn held_keys(tenants: &[Tenant]) -> BTreeSet<(&Arc<str>, &Arc<str>)> {
+fn keys_by_tenant(tenants: &[Tenant]) -> BTreeSet<(&Arc<str>, &Arc<str>)> {
     tenants.iter().flat_map(|tenant| tenant.api_keys.iter().map(move |key| (&tenant.name, key))).collect()
 }
 
@@ -283,13 +283,13 @@
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             Self::Kind => "kind",
-            Self::Target => "target",
+            Self::LatencyTarget => "target",
             Self::Priority => "priority",
-            Self::Tries => "tries",
+            Self::MaxAttempts => "tries",
             Self::Public => "public",
             Self::Sticky => "sticky",
             Self::Resumable => "resumable",
-            Self::GapAim => "gap_aim",
+            Self::EventGapTarget => "gap_aim",
         })
     }
 }
@@ -299,17 +299,17 @@
         match self {
             Self::RouteAdded { route } => write!(formatter, "route {route} added"),
             Self::RouteRemoved { route } => write!(formatter, "route {route} removed"),
-            Self::RouteMoved { route, from, to } => {
+            Self::RouteServicesChanged { route, from, to } => {
                 write!(formatter, "route {route} moved from {from} to {to}")
             }
-            Self::RouteReweighted { route } => write!(formatter, "route {route} has other weights"),
+            Self::RouteWeightsChanged { route } => write!(formatter, "route {route} has other weights"),
             Self::RouteTimeout { route, from, to } => {
                 write!(formatter, "route {route} has a time-out of {to:?} instead of {from:?}")
             }
-            Self::RouteAltered { route, field } => write!(formatter, "route {route} has another {field}"),
+            Self::RouteChanged { route, field } => write!(formatter, "route {route} has another {field}"),
             Self::ServiceAdded { service } => write!(formatter, "service {service} added"),
             Self::ServiceRemoved { service } => write!(formatter, "service {service} removed"),
-            Self::ServiceAltered { service } => write!(formatter, "service {service} has other terms"),
+            Self::ServiceChanged { service } => write!(formatter, "service {service} has other terms"),
             Self::KeyAdded { tenant, .. } => write!(formatter, "tenant {tenant} has one more key"),
             Self::KeyRemoved { tenant, .. } => write!(formatter, "tenant {tenant} has lost a key"),
             Self::Isolation { tenant, isolated: true } => {
--- a/config/src/finding.rs
+++ b/config/src/finding.rs
@@ -4,7 +4,7 @@
 use std::fmt::{self, Display, Formatter};
 
 /// Place of a finding that concerns the text as a whole.
-pub const WHOLE: &str = "whole text";
+pub const WHOLE_DOCUMENT: &str = "whole text";
 
 /// One thing that is wrong with a text.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
@@ -20,7 +20,7 @@
     Missing,
     /// An object has two fields of one name.
     #[snafu(display("is there twice in one object"))]
-    RepeatedField,
+    DuplicateField,
     /// A route names a service that the configuration doesn't have.
     #[snafu(display("names the unknown service {service:?}"))]
     UnknownService {
@@ -35,19 +35,19 @@
     },
     /// Another route before this one has the same host and prefix.
     #[snafu(display("has the host and prefix of routes[{first}]"))]
-    SharedHostAndPrefix {
+    DuplicateRoute {
         /// Index of the first route that has them.
         first: usize,
     },
     /// The weights of a route's services sum to 0.
     #[snafu(display("has weights that sum to 0"))]
-    NoWeight,
+    ZeroWeight,
     /// A time-out is 0.
     #[snafu(display("is a time-out of 0"))]
     ZeroTimeout,
     /// Another tenant before this one holds the same key. The key itself is a secret and not shown.
     #[snafu(display("is a key of customers[{first}] ({tenant:?}) too"))]
-    SharedKey {
+    DuplicateKey {
         /// Index of the first tenant that holds the key.
         first: usize,
         /// Name of that tenant.
@@ -58,7 +58,7 @@
     UnknownList,
     /// A patch names an item twice.
     #[snafu(display("names {name:?}, which {first} names too"))]
-    NamedTwice {
+    DuplicateName {
         /// Name of the item.
         name: String,
         /// Where it is named first.
@@ -66,13 +66,13 @@
     },
     /// A patch removes an item that the configuration doesn't have.
     #[snafu(display("names {name:?}, which isn't there"))]
-    NotThere {
+    UnknownItem {
         /// Name of the item.
         name: String,
     },
     /// A patch names an item of a name that several have.
     #[snafu(display("names {name:?}, which several items are called"))]
-    NameOfSeveral {
+    AmbiguousName {
         /// The name.
         name: String,
     },
@@ -86,7 +86,7 @@
     },
     /// The last port of a range lies before the first.
     #[snafu(display("ends at {last}, before its first port {first}"))]
-    PortsReversed {
+    ReversedPortRange {
         /// First port of the range.
         first: u16,
         /// Last port of the range.
@@ -96,10 +96,10 @@
 
 /// A problem and its place.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
-#[snafu(display("{place}: {problem}"))]
+#[snafu(display("{path}: {problem}"))]
 pub struct Finding {
-    /// Path of the value in the text, such as `routes[2].timeoutMs`; [`WHOLE`] for the text itself.
-    pub place: String,
+    /// Path of the value in the text, such as `routes[2].timeoutMs`; [`WHOLE_DOCUMENT`] for the text itself.
+    pub path: String,
     /// What is wrong there.
     #[snafu(source)]
     pub problem: Problem,
@@ -107,13 +107,13 @@
 
 impl Finding {
     /// A problem at a place.
-    pub fn new(place: impl Into<String>, problem: Problem) -> Self {
-        Self { place: place.into(), problem }
+    pub fn new(path: impl Into<String>, problem: Problem) -> Self {
+        Self { path: path.into(), problem }
     }
 
     /// A value that can't be read.
-    pub(crate) fn unreadable(place: impl Into<String>, reason: impl Display) -> Self {
-        Self::new(place, Problem::Unreadable { reason: reason.to_string() })
+    pub(crate) fn unreadable(path: impl Into<String>, reason: impl Display) -> Self {
+        Self::new(path, Problem::Unreadable { reason: reason.to_string() })
     }
 }
 
--- a/config/src/lib.rs
+++ b/config/src/lib.rs
@@ -15,7 +15,7 @@
     Configuration, Engine, Limits, Route, RouteKind, Service, ServiceKind, Target, Tenant,
 };
 pub use difference::{Change, RouteField, ServiceNames, diff};
-pub use finding::{Finding, Findings, Problem, WHOLE};
+pub use finding::{Finding, Findings, Problem, WHOLE_DOCUMENT};
 pub use fingerprint::{Fingerprint, fingerprint};
 pub use patch::Patch;
-pub use settings::{Listen, MachineLimits, Settings, Survive, TimeBounds};
+pub use settings::{FaultTolerance, Listen, MachineLimits, Settings, TimeBounds};
--- a/config/src/number.rs
+++ b/config/src/number.rs
@@ -13,11 +13,11 @@
 
 /// A whole number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Whole(pub u64);
+pub(crate) struct UnsignedInteger(pub u64);
 
-impl Whole {
+impl UnsignedInteger {
     /// As another type of whole number; its largest value for what doesn't fit.
-    pub fn saturated<T: TryFrom<u64> + Bounded>(self) -> T {
+    pub fn saturating_into<T: TryFrom<u64> + Bounded>(self) -> T {
         T::try_from(self.0).unwrap_or(T::LARGEST)
     }
 }
@@ -41,7 +41,7 @@
 
 /// A number, whole or not; finite.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Amount(pub f64);
+pub(crate) struct NonNegative(pub f64);
 
 /// A duration given in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -51,28 +51,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Seconds(pub Duration);
 
-impl<'de> Deserialize<'de> for Whole {
+impl<'de> Deserialize<'de> for UnsignedInteger {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        deserializer.deserialize_any(WholeVisitor).map(Self)
+        deserializer.deserialize_any(UnsignedIntegerVisitor).map(Self)
     }
 }
 
-impl<'de> Deserialize<'de> for Amount {
+impl<'de> Deserialize<'de> for NonNegative {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        deserializer.deserialize_any(AmountVisitor).map(Self)
+        deserializer.deserialize_any(NonNegativeVisitor).map(Self)
     }
 }
 
 impl<'de> Deserialize<'de> for Milliseconds {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        let Amount(milliseconds) = Amount::deserialize(deserializer)?;
+        let NonNegative(milliseconds) = NonNegative::deserialize(deserializer)?;
         Ok(Self(duration(milliseconds / MILLISECONDS_PER_SECOND)))
     }
 }
 
 impl<'de> Deserialize<'de> for Seconds {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        Amount::deserialize(deserializer).map(|Amount(seconds)| Self(duration(seconds)))
+        NonNegative::deserialize(deserializer).map(|NonNegative(seconds)| Self(duration(seconds)))
     }
 }
 
@@ -80,9 +80,9 @@
     Duration::try_from_secs_f64(seconds).map_or(LONGEST, |duration| duration.min(LONGEST))
 }
 
-struct WholeVisitor;
+struct UnsignedIntegerVisitor;
 
-impl Visitor<'_> for WholeVisitor {
+impl Visitor<'_> for UnsignedIntegerVisitor {
     type Value = u64;
 
     fn expecting(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
@@ -106,9 +106,9 @@
     }
 }
 
-struct AmountVisitor;
+struct NonNegativeVisitor;
 
-impl Visitor<'_> for AmountVisitor {
+impl Visitor<'_> for NonNegativeVisitor {
     type Value = f64;
 
     fn expecting(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
--- a/config/src/patch.rs
+++ b/config/src/patch.rs
@@ -12,8 +12,8 @@
 
 use crate::configuration::object::Object;
 use crate::configuration::repeated_field;
-use crate::finding::{Finding, Findings, Problem, WHOLE};
-use crate::number::Whole;
+use crate::finding::{Finding, Findings, Problem, WHOLE_DOCUMENT};
+use crate::number::UnsignedInteger;
 
 /// The lists of a configuration whose items have names.
 const NAMED_LISTS: [&str; 3] = ["routes", "backends", "customers"];
@@ -46,7 +46,7 @@
 
 #[derive(Deserialize)]
 struct PatchBody<'a> {
-    version: Whole,
+    version: UnsignedInteger,
     #[serde(borrow, default)]
     upsert: Members<'a>,
     #[serde(borrow, default)]
@@ -66,7 +66,7 @@
     pub fn parse(body: &[u8]) -> Result<Self, Findings> {
         repeated_field::check(body)?;
         let Object(read): Object<PatchBody<'_>> =
-            serde_json::from_slice(body).map_err(|error| Finding::unreadable(WHOLE, error))?;
+            serde_json::from_slice(body).map_err(|error| Finding::unreadable(WHOLE_DOCUMENT, error))?;
         let mut findings = Vec::new();
         check_lists("upsert", &read.upsert, &mut findings);
         check_lists("remove", &read.remove, &mut findings);
@@ -86,7 +86,7 @@
     /// It removes items that aren't there, names one that is there several times, or the base can't be read.
     pub fn apply(&self, base: &[u8]) -> Result<Vec<u8>, Findings> {
         let mut members: Members<'_> =
-            serde_json::from_slice(base).map_err(|error| Finding::unreadable(WHOLE, error))?;
+            serde_json::from_slice(base).map_err(|error| Finding::unreadable(WHOLE_DOCUMENT, error))?;
         let mut findings = Vec::new();
         members.set(VERSION, raw(&self.version));
         for list in &self.lists {
@@ -117,14 +117,14 @@
         let upserts = upserts.map(|(at, upsert)| (upsert.name.as_str(), format!("upsert.{list}[{at}]")));
         let removals = self.removals.iter().enumerate();
         let removals = removals.map(|(at, name)| (name.as_str(), format!("remove.{list}[{at}]")));
-        let mut places: HashMap<&str, String> = HashMap::new();
-        for (name, place) in upserts.chain(removals) {
-            match places.get(name) {
+        let mut paths: HashMap<&str, String> = HashMap::new();
+        for (name, path) in upserts.chain(removals) {
+            match paths.get(name) {
                 Some(first) => {
-                    let problem = Problem::NamedTwice { name: name.to_owned(), first: first.clone() };
-                    findings.push(Finding::new(place, problem));
+                    let problem = Problem::DuplicateName { name: name.to_owned(), first: first.clone() };
+                    findings.push(Finding::new(path, problem));
                 }
-                None => _ = places.insert(name, place),
+                None => _ = paths.insert(name, path),
             }
         }
     }
@@ -135,15 +135,15 @@
         let count = |name: &str| names.iter().filter(|known| known.as_deref() == Some(name)).count();
         for (at, name) in self.removals.iter().enumerate() {
             let problem = match count(name) {
-                0 => Problem::NotThere { name: name.clone() },
+                0 => Problem::UnknownItem { name: name.clone() },
                 1 => continue,
-                _ => Problem::NameOfSeveral { name: name.clone() },
+                _ => Problem::AmbiguousName { name: name.clone() },
             };
             findings.push(Finding::new(format!("remove.{}[{at}]", self.list), problem));
         }
         for (at, upsert) in self.upserts.iter().enumerate() {
             if count(&upsert.name) > 1 {
-                let problem = Problem::NameOfSeveral { name: upsert.name.clone() };
+                let problem = Problem::AmbiguousName { name: upsert.name.clone() };
                 findings.push(Finding::new(format!("upsert.{}[{at}]", self.list), problem));
             }
         }
@@ -173,12 +173,12 @@
 }
 
 fn upserts(list: &str, items: Option<&RawValue>, findings: &mut Vec<Finding>) -> Vec<Upsert> {
-    let place = format!("upsert.{list}");
-    let items: Vec<&RawValue> = read_list(&place, items, findings);
+    let path = format!("upsert.{list}");
+    let items: Vec<&RawValue> = read_list(&path, items, findings);
     let named = items.into_iter().enumerate().filter_map(|(at, item)| match name_of(item) {
         Some(name) => Some(Upsert { name, item: item.to_owned() }),
         None => {
-            findings.push(Finding::new(format!("{place}[{at}].name"), Problem::Missing));
+            findings.push(Finding::new(format!("{path}[{at}].name"), Problem::Missing));
             None
         }
     });
@@ -190,13 +190,13 @@
 }
 
 fn read_list<'a, T: Deserialize<'a>>(
-    place: &str,
+    path: &str,
     list: Option<&'a RawValue>,
     findings: &mut Vec<Finding>,
 ) -> Vec<T> {
     let read = list.map_or(Ok(Vec::new()), |list| serde_json::from_str(list.get()));
     read.unwrap_or_else(|error| {
-        findings.push(Finding::unreadable(place, error));
+        findings.push(Finding::unreadable(path, error));
         Vec::new()
     })
 }
--- a/config/src/settings.rs
+++ b/config/src/settings.rs
@@ -6,10 +6,10 @@
 mod bounds;
 mod reader;
 
-pub use bounds::{Survive, TimeBounds};
+pub use bounds::{FaultTolerance, TimeBounds};
 
-use crate::finding::{Finding, Findings, Problem, WHOLE};
-use crate::number::{Amount, Milliseconds, Whole};
+use crate::finding::{Finding, Findings, Problem, WHOLE_DOCUMENT};
+use crate::number::{Milliseconds, NonNegative, UnsignedInteger};
 use reader::Reader;
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 const DEFAULT_INTERNAL_PORTS: (u16, u16) = (7640, 7655);
-const DEFAULT_BEAT_EVERY: Duration = Duration::from_secs(1);
+const DEFAULT_HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 const DEFAULT_CPU_SHARE: f64 = 1.0;
 const DEFAULT_CPU_CORES: f64 = 1.0;
 const DEFAULT_MEMORY_MB: u64 = 160;
@@ -47,12 +47,12 @@
     pub seed_nodes: Vec<SocketAddrV4>,
     /// Whether the whole system starts for the first time, on empty disks.
     pub first_boot: bool,
-    /// Whether the loss of this machine counts towards [`Survive::machine_losses`].
+    /// Whether the loss of this machine counts towards [`FaultTolerance::machine_losses`].
     pub loss_counts: bool,
     /// Folder of the disk, where there is one.
     pub data_path: Option<PathBuf>,
     /// Time between two heartbeats of a server.
-    pub beat_every: Duration,
+    pub heartbeat_interval: Duration,
     /// Names of the parts of the rules that are in force.
     pub guarantees: Vec<String>,
     /// The region of each zone.
@@ -62,7 +62,7 @@
     /// What the machine and the process have.
     pub limits: MachineLimits,
     /// What may be lost at once.
-    pub survive: Survive,
+    pub fault_tolerance: FaultTolerance,
     /// Figures of the rules.
     pub bounds: TimeBounds,
 }
@@ -113,8 +113,9 @@
     /// The file can't be read, or its text isn't right, as in [`Settings::read`].
     pub fn load(path: impl AsRef<Path>) -> Result<Self, Findings> {
         let path = path.as_ref();
-        let text = std::fs::read_to_string(path)
-            .map_err(|error| Finding::unreadable(WHOLE, format_args!("{}: {error}", path.display())))?;
+        let text = std::fs::read_to_string(path).map_err(|error| {
+            Finding::unreadable(WHOLE_DOCUMENT, format_args!("{}: {error}", path.display()))
+        })?;
         Self::read(&text)
     }
 
@@ -137,12 +138,14 @@
             first_boot: reader.optional("firstBoot").unwrap_or_default(),
             loss_counts: reader.optional("lossCounts").unwrap_or_default(),
             data_path: reader.text("dataPath").map(PathBuf::from),
-            beat_every: reader.optional("beatEveryMs").map_or(DEFAULT_BEAT_EVERY, |Milliseconds(beat)| beat),
+            heartbeat_interval: reader
+                .optional("beatEveryMs")
+                .map_or(DEFAULT_HEARTBEAT_INTERVAL, |Milliseconds(interval)| interval),
             guarantees: reader.optional("guarantees").unwrap_or_default(),
             zones: reader.optional("zones").unwrap_or_default(),
             listen: Listen::from_reader(reader),
             limits: MachineLimits::from_reader(reader),
-            survive: Survive::from_reader(reader),
+            fault_tolerance: FaultTolerance::from_reader(reader),
             bounds: TimeBounds::from_reader(reader),
         }
     }
@@ -161,18 +164,26 @@
 impl MachineLimits {
     fn from_reader(reader: &mut Reader) -> Self {
         Self {
-            cpu_share: reader.optional("limits.cpuShare").map_or(DEFAULT_CPU_SHARE, |Amount(share)| share),
-            cpu_cores: reader.optional("limits.cpuCores").map_or(DEFAULT_CPU_CORES, |Amount(cores)| cores),
-            memory_mb: reader.optional("limits.memoryMb").map_or(DEFAULT_MEMORY_MB, |Whole(size)| size),
-            open_files: reader.optional("limits.openFiles").map_or(DEFAULT_OPEN_FILES, |Whole(count)| count),
-            link_mbps: reader.optional("limits.linkMbps").map_or(DEFAULT_LINK_MBPS, |Amount(rate)| rate),
-            disk_mb: reader.optional("limits.diskMb").map(|Whole(size)| size),
+            cpu_share: reader
+                .optional("limits.cpuShare")
+                .map_or(DEFAULT_CPU_SHARE, |NonNegative(share)| share),
+            cpu_cores: reader
+                .optional("limits.cpuCores")
+                .map_or(DEFAULT_CPU_CORES, |NonNegative(cores)| cores),
+            memory_mb: reader
+                .optional("limits.memoryMb")
+                .map_or(DEFAULT_MEMORY_MB, |UnsignedInteger(size)| size),
+            open_files: reader
+                .optional("limits.openFiles")
+                .map_or(DEFAULT_OPEN_FILES, |UnsignedInteger(count)| count),
+            link_mbps: reader.optional("limits.linkMbps").map_or(DEFAULT_LINK_MBPS, |NonNegative(rate)| rate),
+            disk_mb: reader.optional("limits.diskMb").map(|UnsignedInteger(size)| size),
         }
     }
 }
 
 fn check_ports((first, last): (u16, u16), reader: &mut Reader) {
     if last < first {
-        reader.findings.push(Finding::new("internalPorts", Problem::PortsReversed { first, last }));
+        reader.findings.push(Finding::new("internalPorts", Problem::ReversedPortRange { first, last }));
     }
 }
--- a/config/src/settings/bounds.rs
+++ b/config/src/settings/bounds.rs
@@ -1,12 +1,12 @@
 //! Figures of the rules: what may be lost at once, and the bounds in time.
 
 use super::reader::Reader;
-use crate::number::{Amount, Milliseconds, Seconds, Whole};
+use crate::number::{Milliseconds, NonNegative, Seconds, UnsignedInteger};
 use std::time::Duration;
 
 /// What may be lost at once while every rule still holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Survive {
+pub struct FaultTolerance {
     /// Machines whose loss counts.
     pub machine_losses: u32,
     /// Whole zones.
@@ -15,7 +15,7 @@
     pub region_losses: u32,
 }
 
-impl Survive {
+impl FaultTolerance {
     pub(super) fn from_reader(reader: &mut Reader) -> Self {
         let default = Self::default();
         Self {
@@ -26,7 +26,7 @@
     }
 }
 
-impl Default for Survive {
+impl Default for FaultTolerance {
     fn default() -> Self {
         Self { machine_losses: 1, zones: 0, region_losses: 0 }
     }
@@ -40,9 +40,9 @@
     /// After this the address of an ended server may go to a server of another service.
     pub reuse_after: Duration,
     /// How long a machine must have been undisturbed for the bounds to hold for it.
-    pub in_touch: Duration,
+    pub undisturbed_for: Duration,
     /// Within this an order of the operator must be acknowledged.
-    pub ack_within: Duration,
+    pub acknowledgment_limit: Duration,
     /// For this long after its return a machine still counts as lost.
     pub catch_up: Duration,
     /// Later than this after it said that it leaves, a server must get no requests.
@@ -72,7 +72,7 @@
     /// An event of a stream that takes longer than this to its client is late.
     pub transit: Duration,
     /// Whether servers refuse orders with a fence lower than one they have seen.
-    pub checks_fence: bool,
+    pub checks_fencing_token: bool,
     /// Time within which two holders must not take turns in giving orders.
     pub lease: Duration,
     /// For this long after a thaw or a healed link, orders don't count.
@@ -89,8 +89,12 @@
         Self {
             seed_lag: seconds(reader, "timeBounds.seedLagS", default.seed_lag),
             reuse_after: seconds(reader, "timeBounds.reuseAfterS", default.reuse_after),
-            in_touch: milliseconds(reader, "timeBounds.inTouchMs", default.in_touch),
-            ack_within: milliseconds(reader, "timeBounds.ackWithinMs", default.ack_within),
+            undisturbed_for: milliseconds(reader, "timeBounds.inTouchMs", default.undisturbed_for),
+            acknowledgment_limit: milliseconds(
+                reader,
+                "timeBounds.ackWithinMs",
+                default.acknowledgment_limit,
+            ),
             catch_up: seconds(reader, "timeBounds.catchUpS", default.catch_up),
             drain: milliseconds(reader, "timeBounds.drainMs", default.drain),
             grace: seconds(reader, "timeBounds.graceS", default.grace),
@@ -105,7 +109,7 @@
             retry_slack: amount(reader, "timeBounds.retrySlack", default.retry_slack),
             recover: seconds(reader, "timeBounds.recoverS", default.recover),
             transit: milliseconds(reader, "timeBounds.transitMs", default.transit),
-            checks_fence: flag(reader, "timeBounds.checksFence", default.checks_fence),
+            checks_fencing_token: flag(reader, "timeBounds.checksFence", default.checks_fencing_token),
             lease: milliseconds(reader, "timeBounds.leaseMs", default.lease),
             thaw: milliseconds(reader, "timeBounds.thawMs", default.thaw),
             version: milliseconds(reader, "timeBounds.versionMs", default.version),
@@ -119,8 +123,8 @@
         Self {
             seed_lag: Duration::from_secs(3),
             reuse_after: Duration::from_secs(2),
-            in_touch: Duration::from_secs(3),
-            ack_within: Duration::from_secs(4),
+            undisturbed_for: Duration::from_secs(3),
+            acknowledgment_limit: Duration::from_secs(4),
             catch_up: Duration::from_secs(4),
             drain: Duration::from_secs(2),
             grace: Duration::from_secs(8),
@@ -135,7 +139,7 @@
             retry_slack: 58.0,
             recover: Duration::from_secs(12),
             transit: Duration::from_millis(120),
-            checks_fence: true,
+            checks_fencing_token: true,
             lease: Duration::from_secs(3),
             thaw: Duration::from_millis(300),
             version: Duration::from_secs(8),
@@ -144,22 +148,22 @@
     }
 }
 
-fn count(reader: &mut Reader, place: &str, default: u32) -> u32 {
-    reader.optional::<Whole>(place).map_or(default, Whole::saturated)
+fn count(reader: &mut Reader, path: &str, default: u32) -> u32 {
+    reader.optional::<UnsignedInteger>(path).map_or(default, UnsignedInteger::saturating_into)
 }
 
-fn amount(reader: &mut Reader, place: &str, default: f64) -> f64 {
-    reader.optional(place).map_or(default, |Amount(amount)| amount)
+fn amount(reader: &mut Reader, path: &str, default: f64) -> f64 {
+    reader.optional(path).map_or(default, |NonNegative(amount)| amount)
 }
 
-fn flag(reader: &mut Reader, place: &str, default: bool) -> bool {
-    reader.optional(place).unwrap_or(default)
+fn flag(reader: &mut Reader, path: &str, default: bool) -> bool {
+    reader.optional(path).unwrap_or(default)
 }
 
-fn seconds(reader: &mut Reader, place: &str, default: Duration) -> Duration {
-    reader.optional(place).map_or(default, |Seconds(duration)| duration)
+fn seconds(reader: &mut Reader, path: &str, default: Duration) -> Duration {
+    reader.optional(path).map_or(default, |Seconds(duration)| duration)
 }
 
-fn milliseconds(reader: &mut Reader, place: &str, default: Duration) -> Duration {
-    reader.optional(place).map_or(default, |Milliseconds(duration)| duration)
+fn milliseconds(reader: &mut Reader, path: &str, default: Duration) -> Duration {
+    reader.optional(path).map_or(default, |Milliseconds(duration)| duration)
 }
--- a/config/tests/common/mod.rs
+++ b/config/tests/common/mod.rs
@@ -94,6 +94,6 @@
     Problem::StoreInRoute { service: name.to_owned() }
 }
 
-pub fn shared_key(first: usize, tenant: &str) -> Problem {
-    Problem::SharedKey { first, tenant: tenant.to_owned() }
+pub fn duplicate_key(first: usize, tenant: &str) -> Problem {
+    Problem::DuplicateKey { first, tenant: tenant.to_owned() }
 }
--- a/config/tests/differences.rs
+++ b/config/tests/differences.rs
@@ -49,7 +49,7 @@
         ),
         (
             |body| body["routes"][0]["backend"] = json!("beta"),
-            vec![Change::RouteMoved {
+            vec![Change::RouteServicesChanged {
                 route: "first".into(),
                 from: services(&["alpha"]),
                 to: services(&["beta"]),
@@ -61,7 +61,7 @@
                 body["routes"][0]["trafficSplit"] =
                     json!([{"backend": "beta", "weight": 1}, {"backend": "alpha", "weight": 1}]);
             },
-            vec![Change::RouteMoved {
+            vec![Change::RouteServicesChanged {
                 route: "first".into(),
                 from: services(&["alpha"]),
                 to: services(&["alpha", "beta"]),
@@ -70,7 +70,7 @@
         ),
         (
             |body| body["routes"][2]["trafficSplit"][0]["weight"] = json!(40),
-            vec![Change::RouteReweighted { route: "third".into() }],
+            vec![Change::RouteWeightsChanged { route: "third".into() }],
             &["route third has other weights"],
         ),
         (
@@ -90,7 +90,7 @@
                     from: Duration::from_secs(2),
                     to: Duration::from_millis(2500),
                 },
-                Change::RouteAltered { route: "second".into(), field: RouteField::Target },
+                Change::RouteChanged { route: "second".into(), field: RouteField::LatencyTarget },
             ],
             &["route second has a time-out of 2.5s instead of 2s", "route second has another target"],
         ),
@@ -100,8 +100,8 @@
                 body["routes"][2]["kind"] = json!("unsafe");
             },
             vec![
-                Change::RouteAltered { route: "third".into(), field: RouteField::Kind },
-                Change::RouteAltered { route: "third".into(), field: RouteField::Public },
+                Change::RouteChanged { route: "third".into(), field: RouteField::Kind },
+                Change::RouteChanged { route: "third".into(), field: RouteField::Public },
             ],
             &["route third has another kind", "route third has another public"],
         ),
@@ -117,7 +117,7 @@
         ),
         (
             |body| body["backends"][0]["maxConns"] = json!(41),
-            vec![Change::ServiceAltered { service: "alpha".into() }],
+            vec![Change::ServiceChanged { service: "alpha".into() }],
             &["service alpha has other terms"],
         ),
         (
--- a/config/tests/golden.rs
+++ b/config/tests/golden.rs
@@ -101,17 +101,17 @@
         path_prefix: "/pufi791/".into(),
         kind: RouteKind::Streaming,
         timeout: Duration::from_secs(20),
-        target: Duration::from_millis(410),
+        latency_target: Duration::from_millis(410),
         priority: 2,
         split: vec![
             Target { service: "alpha".into(), weight: 90.0 },
             Target { service: "beta".into(), weight: 10.5 },
         ],
-        tries: 3,
+        max_attempts: 3,
         public: true,
         sticky: true,
         resumable: true,
-        gap_aim: Some(Duration::from_millis(420)),
+        event_gap_target: Some(Duration::from_millis(420)),
     };
     let few = Route {
         name: "r-few".into(),
@@ -119,14 +119,14 @@
         path_prefix: "/lohu930/".into(),
         kind: RouteKind::Unsafe,
         timeout: Duration::from_secs(6),
-        target: Duration::from_secs(6),
+        latency_target: Duration::from_secs(6),
         priority: 5,
         split: vec![Target { service: "beta".into(), weight: 1.0 }],
-        tries: 1,
+        max_attempts: 1,
         public: false,
         sticky: false,
         resumable: false,
-        gap_aim: None,
+        event_gap_target: None,
     };
     expect_that!(configuration.routes, eq(&[all, few]));
     let alpha = ServiceKind::Servers {
@@ -221,7 +221,7 @@
         ("", "firstBoot = true", |all| all.first_boot = true),
         ("", "lossCounts = true", |all| all.loss_counts = true),
         ("", "dataPath = '/data/my-edge'", |all| all.data_path = Some(PathBuf::from("/data/my-edge"))),
-        ("", "beatEveryMs = 1200", |all| all.beat_every = millis(1200)),
+        ("", "beatEveryMs = 1200", |all| all.heartbeat_interval = millis(1200)),
         ("", "guarantees = ['base', 'drain']", |all| all.guarantees = vec!["base".into(), "drain".into()]),
         ("zones", "hal-a = 'midden'", |all| all.zones = BTreeMap::from([("hal-a".into(), "midden".into())])),
         ("listenOn", "front = '10.1.0.23:8167'", |all| {
@@ -245,13 +245,13 @@
 #[gtest]
 fn each_figure_of_the_rules_is_read_by_its_name() {
     check_settings(&[
-        ("survive", "machineLosses = 3", |all| all.survive.machine_losses = 3),
-        ("survive", "zones = 2", |all| all.survive.zones = 2),
-        ("survive", "regionLosses = 1", |all| all.survive.region_losses = 1),
+        ("survive", "machineLosses = 3", |all| all.fault_tolerance.machine_losses = 3),
+        ("survive", "zones = 2", |all| all.fault_tolerance.zones = 2),
+        ("survive", "regionLosses = 1", |all| all.fault_tolerance.region_losses = 1),
         ("timeBounds", "seedLagS = 5", |all| all.bounds.seed_lag = millis(5000)),
         ("timeBounds", "reuseAfterS = 6", |all| all.bounds.reuse_after = millis(6000)),
-        ("timeBounds", "inTouchMs = 3100", |all| all.bounds.in_touch = millis(3100)),
-        ("timeBounds", "ackWithinMs = 4200", |all| all.bounds.ack_within = millis(4200)),
+        ("timeBounds", "inTouchMs = 3100", |all| all.bounds.undisturbed_for = millis(3100)),
+        ("timeBounds", "ackWithinMs = 4200", |all| all.bounds.acknowledgment_limit = millis(4200)),
         ("timeBounds", "catchUpS = 7", |all| all.bounds.catch_up = millis(7000)),
         ("timeBounds", "drainMs = 2100", |all| all.bounds.drain = millis(2100)),
         ("timeBounds", "graceS = 9", |all| all.bounds.grace = millis(9000)),
@@ -266,7 +266,7 @@
         ("timeBounds", "retrySlack = 59", |all| all.bounds.retry_slack = 59.0),
         ("timeBounds", "recoverS = 13", |all| all.bounds.recover = millis(13_000)),
         ("timeBounds", "transitMs = 130", |all| all.bounds.transit = millis(130)),
-        ("timeBounds", "checksFence = false", |all| all.bounds.checks_fence = false),
+        ("timeBounds", "checksFence = false", |all| all.bounds.checks_fencing_token = false),
         ("timeBounds", "leaseMs = 3200", |all| all.bounds.lease = millis(3200)),
         ("timeBounds", "thawMs = 310", |all| all.bounds.thaw = millis(310)),
         ("timeBounds", "versionMs = 8100", |all| all.bounds.version = millis(8100)),
--- a/config/tests/invalid_configurations.rs
+++ b/config/tests/invalid_configurations.rs
@@ -3,11 +3,11 @@
 mod common;
 
 use common::{
-    edited, findings, parse, parsed, push, remove, route, shared_key, store_in_route, unknown_service,
+    duplicate_key, edited, findings, parse, parsed, push, remove, route, store_in_route, unknown_service,
     valid_body,
 };
 use googletest::prelude::*;
-use gradepaddle_config::{Configuration, Finding, Problem, WHOLE};
+use gradepaddle_config::{Configuration, Finding, Problem, WHOLE_DOCUMENT};
 use serde_json::{Value, json};
 
 type Edit = fn(&mut Value);
@@ -67,13 +67,13 @@
             "same host and prefix",
             |body| push(&mut body["routes"], route("fourth", "two.example", "/a/")),
             "routes[3]",
-            Problem::SharedHostAndPrefix { first: 2 },
+            Problem::DuplicateRoute { first: 2 },
         ),
         (
             "same host but for its case",
             |body| push(&mut body["routes"], route("fourth", "Two.EXAMPLE", "/a/")),
             "routes[3]",
-            Problem::SharedHostAndPrefix { first: 2 },
+            Problem::DuplicateRoute { first: 2 },
         ),
         (
             "weights all 0",
@@ -82,13 +82,13 @@
                     json!([{"backend": "alpha", "weight": 0}, {"backend": "beta", "weight": 0.0}]);
             },
             "routes[2].trafficSplit",
-            Problem::NoWeight,
+            Problem::ZeroWeight,
         ),
         (
             "empty split",
             |body| body["routes"][2]["trafficSplit"] = json!([]),
             "routes[2].trafficSplit",
-            Problem::NoWeight,
+            Problem::ZeroWeight,
         ),
         (
             "neither service nor split",
@@ -112,11 +112,11 @@
             "key of two tenants",
             |body| push(&mut body["customers"][1]["apiKeys"], json!("key-2")),
             "customers[1].apiKeys[1]",
-            shared_key(0, "red"),
+            duplicate_key(0, "red"),
         ),
     ];
-    for (name, edit, place, problem) in cases {
-        expect_that!(findings(&edited(edit)), eq(&[Finding::new(place, problem)]), "{name}");
+    for (name, edit, path, problem) in cases {
+        expect_that!(findings(&edited(edit)), eq(&[Finding::new(path, problem)]), "{name}");
     }
 }
 
@@ -137,11 +137,11 @@
             Finding::new("routes[0].backend", unknown_service("gamma")),
             Finding::new("routes[0].timeoutMs", Problem::ZeroTimeout),
             Finding::new("routes[2].trafficSplit[0].backend", store_in_route("depot")),
-            Finding::new("routes[2].trafficSplit", Problem::NoWeight),
+            Finding::new("routes[2].trafficSplit", Problem::ZeroWeight),
             Finding::new("routes[2].timeoutMs", Problem::ZeroTimeout),
-            Finding::new("routes[1]", Problem::SharedHostAndPrefix { first: 0 }),
-            Finding::new("customers[2].apiKeys[0]", shared_key(1, "blue")),
-            Finding::new("customers[2].apiKeys[2]", shared_key(0, "red")),
+            Finding::new("routes[1]", Problem::DuplicateRoute { first: 0 }),
+            Finding::new("customers[2].apiKeys[0]", duplicate_key(1, "blue")),
+            Finding::new("customers[2].apiKeys[2]", duplicate_key(0, "red")),
         ])
     );
     let text = parse(&body).expect_err("it is invalid").to_string();
@@ -157,7 +157,7 @@
         push(&mut body["routes"], route("fourth", "one.example", "/a/"));
         push(&mut body["routes"], route("fifth", "one.example", "/a/"));
     });
-    let problem = || Problem::SharedHostAndPrefix { first: 0 };
+    let problem = || Problem::DuplicateRoute { first: 0 };
     expect_that!(
         findings(&body),
         eq(&[Finding::new("routes[3]", problem()), Finding::new("routes[4]", problem())])
@@ -167,9 +167,9 @@
 #[gtest]
 fn values_that_cant_be_read_are_unreadable_at_their_place() {
     let cases: Vec<(&str, Edit, &str)> = vec![
-        ("no version", |body| remove(body, "version"), WHOLE),
-        ("no routes", |body| remove(body, "routes"), WHOLE),
-        ("no services", |body| remove(body, "backends"), WHOLE),
+        ("no version", |body| remove(body, "version"), WHOLE_DOCUMENT),
+        ("no routes", |body| remove(body, "routes"), WHOLE_DOCUMENT),
+        ("no services", |body| remove(body, "backends"), WHOLE_DOCUMENT),
         ("negative version", |body| body["version"] = json!(-1), "version"),
         ("version with a fraction", |body| body["version"] = json!(7.5), "version"),
         ("version as a text", |body| body["version"] = json!("7"), "version"),
@@ -197,13 +197,13 @@
         ),
         ("key as a number", |body| body["customers"][0]["apiKeys"][1] = json!(4), "customers[0].apiKeys[1]"),
         ("limits as a list", |body| body["limits"] = json!([1, 2, 3, 4]), "limits"),
-        ("body as a list", |body| *body = json!([1, [], []]), WHOLE),
-        ("body as a number", |body| *body = json!(5), WHOLE),
+        ("body as a list", |body| *body = json!([1, [], []]), WHOLE_DOCUMENT),
+        ("body as a number", |body| *body = json!(5), WHOLE_DOCUMENT),
     ];
-    for (name, edit, place) in cases {
+    for (name, edit, path) in cases {
         let found = findings(&edited(edit));
         expect_that!(found.len(), eq(1), "{name}");
-        expect_that!(found[0].place, eq(place), "{name}");
+        expect_that!(found[0].path, eq(path), "{name}");
         expect_that!(found[0].problem, matches_pattern!(Problem::Unreadable { .. }), "{name}");
     }
 }
@@ -226,7 +226,7 @@
     for (name, body) in cases {
         let found = Configuration::parse(&body).expect_err(name);
         let first = &found.as_slice()[0];
-        expect_that!(first.place, eq(WHOLE), "{name}");
+        expect_that!(first.path, eq(WHOLE_DOCUMENT), "{name}");
         expect_that!(first.problem, matches_pattern!(Problem::Unreadable { .. }), "{name}");
     }
 }
@@ -251,10 +251,10 @@
         ),
         ("two", format!("{{\"x\":{{\"a\":1,\"a\":1}},\"x\":2,{inner}"), vec!["x.a", "x"]),
     ];
-    for (name, body, places) in cases {
+    for (name, body, paths) in cases {
         let found = Configuration::parse(body.as_bytes()).expect_err(name);
         let expected: Vec<Finding> =
-            places.into_iter().map(|place| Finding::new(place, Problem::RepeatedField)).collect();
+            paths.into_iter().map(|path| Finding::new(path, Problem::DuplicateField)).collect();
         expect_that!(found.as_slice(), eq(&expected), "{name}");
     }
 }
--- a/config/tests/patches.rs
+++ b/config/tests/patches.rs
@@ -4,7 +4,7 @@
 
 use common::{remove, route, valid_body};
 use googletest::prelude::*;
-use gradepaddle_config::{Configuration, Findings, Patch, Problem, WHOLE};
+use gradepaddle_config::{Configuration, Findings, Patch, Problem, WHOLE_DOCUMENT};
 use serde_json::{Value, json};
 
 /// What a patch makes of the valid body.
@@ -37,7 +37,7 @@
             Box::new(|body| body["routes"].as_array_mut().expect("routes").push(added.clone())),
         ),
         (
-            "a replaced route keeps its place and nothing of its former fields",
+            "a replaced route keeps its position and nothing of its former fields",
             json!({"version": 9, "upsert": {"routes": [replacing]}}),
             Box::new(|body| body["routes"][0] = replacing.clone()),
         ),
@@ -90,7 +90,7 @@
 #[gtest]
 fn bad_patches_are_refused_with_item_and_reason() {
     let named =
-        |name: &str, first: &str| Problem::NamedTwice { name: name.to_owned(), first: first.to_owned() };
+        |name: &str, first: &str| Problem::DuplicateName { name: name.to_owned(), first: first.to_owned() };
     let route = |name: &str| route(name, "three.example", &format!("/{name}/"));
     let cases: Vec<BadPatch> = vec![
         (
@@ -125,16 +125,16 @@
             "names that aren't there",
             json!({"version": 9, "remove": {"routes": ["first", "none"], "customers": ["nobody"]}}),
             vec![
-                ("remove.routes[1]", Problem::NotThere { name: "none".to_owned() }),
-                ("remove.customers[0]", Problem::NotThere { name: "nobody".to_owned() }),
+                ("remove.routes[1]", Problem::UnknownItem { name: "none".to_owned() }),
+                ("remove.customers[0]", Problem::UnknownItem { name: "nobody".to_owned() }),
             ],
         ),
     ];
     for (what, patch, wanted) in cases {
         let found = patched(&patch).expect_err(what);
         let found: Vec<(&str, &Problem)> =
-            found.as_slice().iter().map(|finding| (finding.place.as_str(), &finding.problem)).collect();
-        let wanted: Vec<(&str, &Problem)> = wanted.iter().map(|(place, problem)| (*place, problem)).collect();
+            found.as_slice().iter().map(|finding| (finding.path.as_str(), &finding.problem)).collect();
+        let wanted: Vec<(&str, &Problem)> = wanted.iter().map(|(path, problem)| (*path, problem)).collect();
         expect_that!(found, eq(&wanted), "{what}");
     }
 }
@@ -170,9 +170,9 @@
             "customers[2].apiKeys[0]",
         ),
     ];
-    for (what, patch, place) in cases {
+    for (what, patch, path) in cases {
         let findings = patched(&patch).expect_err(what);
-        expect_that!(findings.as_slice()[0].place, eq(place), "{what}");
+        expect_that!(findings.as_slice()[0].path, eq(path), "{what}");
     }
 }
 
@@ -191,13 +191,13 @@
     ];
     for body in cases {
         let findings = Patch::parse(body).expect_err(&String::from_utf8_lossy(body));
-        expect_that!(findings.as_slice()[0].place, eq(WHOLE), "{}", String::from_utf8_lossy(body));
+        expect_that!(findings.as_slice()[0].path, eq(WHOLE_DOCUMENT), "{}", String::from_utf8_lossy(body));
     }
     let findings =
         Patch::parse(br#"{"version":9,"upsert":{"routes":[{"name":"a","name":"b"}]}}"#).expect_err("twice");
-    expect_that!(findings.as_slice()[0].problem, eq(&Problem::RepeatedField));
+    expect_that!(findings.as_slice()[0].problem, eq(&Problem::DuplicateField));
     let findings = Patch::parse(br#"{"version":9,"remove":{"routes":[7]}}"#).expect_err("a number as a name");
-    expect_that!(findings.as_slice()[0].place, eq("remove.routes"));
+    expect_that!(findings.as_slice()[0].path, eq("remove.routes"));
 }
 
 /// A base in which a name stands twice: which one is meant can't be told.
@@ -208,7 +208,7 @@
         [r#"{"version":9,"upsert":{"routes":[{"name":"a"}]}}"#, r#"{"version":9,"remove":{"routes":["a"]}}"#]
     {
         let findings = Patch::parse(patch.as_bytes())?.apply(base).expect_err(patch);
-        expect_that!(findings.as_slice()[0].problem, eq(&Problem::NameOfSeveral { name: "a".to_owned() }));
+        expect_that!(findings.as_slice()[0].problem, eq(&Problem::AmbiguousName { name: "a".to_owned() }));
     }
     Ok(())
 }
--- a/config/tests/settings.rs
+++ b/config/tests/settings.rs
@@ -2,7 +2,7 @@
 
 use googletest::prelude::*;
 use gradepaddle_config::{
-    Finding, Findings, Listen, MachineLimits, Problem, Settings, Survive, TimeBounds, WHOLE,
+    FaultTolerance, Finding, Findings, Listen, MachineLimits, Problem, Settings, TimeBounds, WHOLE_DOCUMENT,
 };
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -22,11 +22,9 @@
 }
 
 /// Findings of a text as (place, whether it is a value that can't be read).
-fn places(findings: &Findings) -> Vec<(&str, bool)> {
+fn paths(findings: &Findings) -> Vec<(&str, bool)> {
     let findings = findings.as_slice().iter();
-    findings
-        .map(|found| (found.place.as_str(), matches!(found.problem, Problem::Unreadable { .. })))
-        .collect()
+    findings.map(|found| (found.path.as_str(), matches!(found.problem, Problem::Unreadable { .. }))).collect()
 }
 
 #[gtest]
@@ -48,7 +46,7 @@
         first_boot: false,
         loss_counts: true,
         data_path: Some(PathBuf::from("/data/node")),
-        beat_every: Duration::from_millis(1500),
+        heartbeat_interval: Duration::from_millis(1500),
         guarantees: guarantees.map(str::to_owned).into(),
         zones,
         listen: Listen {
@@ -64,12 +62,12 @@
             link_mbps: 250.0,
             disk_mb: Some(32),
         },
-        survive: Survive { machine_losses: 2, zones: 1, region_losses: 0 },
+        fault_tolerance: FaultTolerance { machine_losses: 2, zones: 1, region_losses: 0 },
         bounds: TimeBounds {
             seed_lag: Duration::from_secs(4),
             reuse_after: Duration::from_millis(1500),
-            in_touch: Duration::from_millis(3500),
-            ack_within: Duration::from_millis(4500),
+            undisturbed_for: Duration::from_millis(3500),
+            acknowledgment_limit: Duration::from_millis(4500),
             catch_up: Duration::from_secs(5),
             drain: Duration::from_millis(2200),
             grace: Duration::from_secs(9),
@@ -84,7 +82,7 @@
             retry_slack: 40.0,
             recover: Duration::from_secs(14),
             transit: Duration::from_millis(180),
-            checks_fence: false,
+            checks_fencing_token: false,
             lease: Duration::from_millis(2800),
             thaw: Duration::from_millis(350),
             version: Duration::from_secs(9),
@@ -103,12 +101,12 @@
     expect_that!(settings.data_path, none());
     expect_that!(settings.limits.disk_mb, none());
     expect_that!(settings.listen, eq(Listen::default()));
-    expect_that!(settings.survive, eq(Survive::default()));
+    expect_that!(settings.fault_tolerance, eq(FaultTolerance::default()));
     expect_that!(settings.bounds, eq(TimeBounds::default()));
     expect_that!(settings.seed_nodes, is_empty());
     expect_that!(settings.first_boot, eq(false));
     expect_that!(settings.loss_counts, eq(false));
-    expect_that!(settings.beat_every, gt(Duration::ZERO));
+    expect_that!(settings.heartbeat_interval, gt(Duration::ZERO));
 }
 
 #[gtest]
@@ -140,7 +138,7 @@
 
 #[gtest]
 fn who_and_where_a_process_is_has_no_default() {
-    let expected = ["nodeName", "ip", "zone"].map(|place| Finding::new(place, Problem::Missing));
+    let expected = ["nodeName", "ip", "zone"].map(|path| Finding::new(path, Problem::Missing));
     let findings = Settings::read("role = 'node'").expect_err("values are missing");
     expect_that!(findings.as_slice(), eq(&expected));
 }
@@ -151,7 +149,7 @@
         firstBoot = 'yes'\n[listenOn]\nfront = '10.0.0.1'\n[limits]\nopenFiles = 1.5\n[timeBounds]\ngraceS = nan\n";
     let findings = Settings::read(text).expect_err("much is wrong");
     expect_that!(
-        places(&findings),
+        paths(&findings),
         eq(&[
             ("nodeName", true),
             ("ip", true),
@@ -172,7 +170,7 @@
 fn a_text_that_isnt_toml_is_one_finding() {
     for text in ["nodeName", "nodeName = 'n", "ip = 1\nip = 2", "[a\n"] {
         let findings = Settings::read(text).expect_err("it isn't TOML");
-        expect_that!(places(&findings), eq(&[(WHOLE, true)]), "{text}");
+        expect_that!(paths(&findings), eq(&[(WHOLE_DOCUMENT, true)]), "{text}");
     }
 }
 
@@ -181,6 +179,6 @@
     let example = concat!(env!("CARGO_MANIFEST_DIR"), "/../examples/system/node.toml");
     expect_that!(Settings::load(example), ok(eq(&read(EXAMPLE))));
     let findings = Settings::load("/nowhere/node.toml").expect_err("there is no such file");
-    expect_that!(places(&findings), eq(&[(WHOLE, true)]));
+    expect_that!(paths(&findings), eq(&[(WHOLE_DOCUMENT, true)]));
     expect_that!(findings.to_string(), contains_substring("/nowhere/node.toml"));
 }
--- a/config/tests/valid_configurations.rs
+++ b/config/tests/valid_configurations.rs
@@ -25,17 +25,17 @@
             path_prefix: "/a/".into(),
             kind: RouteKind::Streaming,
             timeout: Duration::from_secs(9),
-            target: Duration::from_millis(450),
+            latency_target: Duration::from_millis(450),
             priority: 1,
             split: vec![
                 Target { service: "alpha".into(), weight: 70.0 },
                 Target { service: "beta".into(), weight: 30.0 }
             ],
-            tries: 2,
+            max_attempts: 2,
             public: true,
             sticky: true,
             resumable: true,
-            gap_aim: Some(Duration::from_millis(350)),
+            event_gap_target: Some(Duration::from_millis(350)),
         })
     );
     expect_that!(
@@ -104,14 +104,14 @@
             path_prefix: "/a/".into(),
             kind: RouteKind::Safe,
             timeout: Duration::from_secs(2),
-            target: Duration::from_secs(2),
+            latency_target: Duration::from_secs(2),
             priority: 5,
             split: vec![Target { service: "alpha".into(), weight: 1.0 }],
-            tries: 1,
+            max_attempts: 1,
             public: false,
             sticky: false,
             resumable: false,
-            gap_aim: None,
+            event_gap_target: None,
         })
     );
 }
--- a/system/src/run.rs
+++ b/system/src/run.rs
@@ -221,7 +221,7 @@
                     .address(link_address(&settings))
                     .zone(&*settings.zone)
                     .first_boot(settings.first_boot)
-                    .machine_losses(settings.survive.machine_losses as usize)
+                    .machine_losses(settings.fault_tolerance.machine_losses as usize)
                     .shutdown_timeout(settings.bounds.grace.saturating_sub(GRACE_MARGIN).as_micros() as u64)
                     .seed(random())
                     .build();
@@ -267,12 +267,12 @@
         first_boot: settings.first_boot,
     };
     let micros = |span: Duration| span.as_micros() as u64;
-    let losses = settings.survive.machine_losses as usize;
+    let losses = settings.fault_tolerance.machine_losses as usize;
     Node::new(NodeSetup {
         session: OwnSession::new(identity, seeds.clone(), CLOCK_START),
         spread: Gossip::new(GossipConfig::builder().address(own).seed(random()).build(), CLOCK_START),
         founding: Founding::new(own, &seeds, losses, settings.first_boot, CLOCK_START),
-        beat_every: micros(settings.beat_every),
+        beat_every: micros(settings.heartbeat_interval),
         order_lease: micros(settings.bounds.lease),
         version_times: VersionTimes {
             within: micros(settings.bounds.version),
