--- a/placement/examples/decision_cost.rs
+++ b/placement/examples/decision_cost.rs
@@ -12,7 +12,7 @@
 
 fn main() {
     for servers in [18u16, 140, 6_000] {
-        let mut node = engine_of(PlacementConfig::builder().own_zone("a").build(), servers);
+        let mut node = placer_of(PlacementConfig::builder().own_zone("a").build(), servers);
         node.set_balancer_count(78);
         let salt = place(&mut node, 0, 0, 0).salt.expect("version known");
         // Every server keeps the four common chunks and 30 subjects of its own.
--- a/placement/tests/saves.rs
+++ b/placement/tests/cache_store_saves.rs
@@ -22,7 +22,7 @@
 
 /// Has this many saves ordered one after the other, of which the store tells or not.
 fn save_some(node: &mut Placer, from: Micros, subjects: std::ops::Range<u64>, arrive: bool) -> Micros {
-    let salt = place(&mut engine(6), NOW, 1, 1).salt.expect("version known").to_string();
+    let salt = place(&mut placer(6), NOW, 1, 1).salt.expect("version known").to_string();
     let mut now = from;
     for subject in subjects {
         expect_that!(is_saved(node, now, subject, 1_000), eq(true), "{subject}");
@@ -37,8 +37,8 @@
 }
 
 #[gtest]
-fn prompts_that_are_mostly_their_own_are_saved_while_saves_arrive() {
-    let mut node = engine(6);
+fn mostly_unshared_prompts_are_saved_only_while_saves_arrive() {
+    let mut node = placer(6);
     expect_that!(is_saved(&mut node, NOW, 1, 20_000), eq(true));
     let now = save_some(&mut node, NOW + 100 * MS, 2..12, false);
     // SaveTracker of mostly shared prompts go on, which tell when the link has room again.
@@ -50,9 +50,9 @@
 }
 
 #[gtest]
-fn what_is_read_beside_a_move_is_saved() {
-    let salt = place(&mut engine(6), NOW, 1, 1).salt.expect("version known").to_string();
-    let mut node = engine(6);
+fn chunks_computed_beside_a_transfer_are_saved() {
+    let salt = place(&mut placer(6), NOW, 1, 1).salt.expect("version known").to_string();
+    let mut node = placer(6);
     // Another server keeps only the common chunk.
     node.apply_cache_event(NOW - MS, "i-1", added(&salt, &long(1, 1)[0]));
     node.observe_server_load(NOW - MS, "i-1", ServerLoadReport { running: 40, waiting: 40, slots: 48 });
@@ -64,9 +64,9 @@
 
 /// Moving a prompt pushes others out of the taker's memory, so that a short wait at its holder is better.
 #[gtest]
-fn a_short_wait_at_the_holder_is_better_than_a_move() {
+fn a_short_wait_at_the_holder_is_preferred_to_a_transfer() {
     for (backlog_ms, stays) in [(80.0, true), (400.0, false)] {
-        let mut node = engine(3);
+        let mut node = placer(3);
         node.set_balancer_count(2);
         let first = place(&mut node, NOW, 1, 1);
         serve(&mut node, NOW, &first);
--- a/placement/tests/common/mod.rs
+++ b/placement/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: entries, services, requests and an engine over a few servers.
+//! What the tests share: entries, services, requests and an placer over a few servers.
 #![allow(dead_code, reason = "each test file uses its own chunk")]
 
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -57,16 +57,16 @@
         .build()
 }
 
-/// An engine over `count` servers of version 1, in zone a.
-pub fn engine(count: u16) -> Placer {
-    engine_of(PlacementConfig::builder().own_zone("a").seed(7).build(), count)
+/// An placer over `count` servers of version 1, in zone a.
+pub fn placer(count: u16) -> Placer {
+    placer_of(PlacementConfig::builder().own_zone("a").seed(7).build(), count)
 }
 
-pub fn engine_of(config: PlacementConfig, count: u16) -> Placer {
-    let mut engine = Placer::new(config);
-    engine.set_services(0, vec![ServiceSpec::Model(pool()), ServiceSpec::Store(shelf())]);
-    (0..count).for_each(|number| engine.update_server(0, entry(number, 1)));
-    engine
+pub fn placer_of(config: PlacementConfig, count: u16) -> Placer {
+    let mut placer = Placer::new(config);
+    placer.set_services(0, vec![ServiceSpec::Model(pool()), ServiceSpec::Store(shelf())]);
+    (0..count).for_each(|number| placer.update_server(0, entry(number, 1)));
+    placer
 }
 
 pub fn chunk(id: u64, tokens: u32) -> PromptChunk {
@@ -95,14 +95,14 @@
 }
 
 /// Chooses for a long prompt.
-pub fn place(engine: &mut Placer, now: Micros, subject: u64, own: u64) -> Placement {
-    engine.place(now, &request(&long(subject, own)), &[]).expect("a server is ready")
+pub fn place(placer: &mut Placer, now: Micros, subject: u64, own: u64) -> Placement {
+    placer.place(now, &request(&long(subject, own)), &[]).expect("a server is ready")
 }
 
 /// Runs an attempt to its end within 100 ms.
-pub fn serve(engine: &mut Placer, now: Micros, choice: &Placement) {
-    engine.record_first_event(now + 60 * MS, choice.attempt);
-    engine.record_end(now + 100 * MS, choice.attempt, AttemptOutcome::Served, None, None);
+pub fn serve(placer: &mut Placer, now: Micros, choice: &Placement) {
+    placer.record_first_event(now + 60 * MS, choice.attempt);
+    placer.record_end(now + 100 * MS, choice.attempt, AttemptOutcome::Served, None, None);
 }
 
 pub fn added<'a>(salt: &'a str, chunk: &PromptChunk) -> CacheEvent<'a> {
--- a/placement/tests/common/simulation.rs
+++ b/placement/tests/common/simulation.rs
@@ -158,7 +158,7 @@
 pub struct Simulation {
     plan: Plan,
     random: Random,
-    engines: Vec<Placer>,
+    placers: Vec<Placer>,
     machines: Vec<Machine>,
     store: Cache,
     store_link: Micros,
@@ -184,21 +184,21 @@
             link_until: 0,
         });
         let machines: Vec<Machine> = machines.collect();
-        let engines = (0..plan.balancers).map(|node| {
+        let placers = (0..plan.balancers).map(|node| {
             let config = PlacementConfig::builder().own_zone(ZONES[node % 3]).seed(node as u64).build();
-            let mut engine = Placer::new(config);
+            let mut placer = Placer::new(config);
             let mut services = vec![ServiceSpec::Model(pool())];
             if plan.with_store {
                 services.push(ServiceSpec::Store(shelf()));
             }
-            engine.set_services(0, services);
-            engine.set_balancer_count(plan.balancers);
-            machines.iter().for_each(|machine| engine.update_server(0, machine.entry.clone()));
-            engine
+            placer.set_services(0, services);
+            placer.set_balancer_count(plan.balancers);
+            machines.iter().for_each(|machine| placer.update_server(0, machine.entry.clone()));
+            placer
         });
         Simulation {
             random: Random(plan.seed),
-            engines: engines.collect(),
+            placers: placers.collect(),
             machines,
             store: Cache { room: 1_354_697, ..Cache::default() },
             store_link: 0,
@@ -232,11 +232,11 @@
                         true => CacheEvent::Added { salt: &salt, chunk, tokens, model: MODEL },
                         false => CacheEvent::Dropped { salt: &salt, chunk, tokens: 0, model: MODEL },
                     };
-                    self.engines[node].apply_cache_event(now, &holder, kept);
+                    self.placers[node].apply_cache_event(now, &holder, kept);
                 }
             }
         }
-        self.outcome.counters = self.engines.iter().map(Placer::counters).collect();
+        self.outcome.counters = self.placers.iter().map(Placer::counters).collect();
         self.outcome
     }
 
@@ -296,7 +296,7 @@
             latency_target: [800 * MS, 400 * MS][job.kind],
             ..request(&job.chunks)
         };
-        let Ok(choice) = self.engines[job.balancer].place(now, &request, &[]) else {
+        let Ok(choice) = self.placers[job.balancer].place(now, &request, &[]) else {
             self.outcome.refused += 1;
             return;
         };
@@ -334,12 +334,12 @@
             None => self.store_link = end,
         }
         for chunk in &moved {
-            self.keep(end, machine, &job.salt, chunk);
+            self.cache_chunks(end, machine, &job.salt, chunk);
         }
         end
     }
 
-    fn keep(&mut self, now: Micros, machine: usize, salt: &Arc<str>, chunk: &PromptChunk) {
+    fn cache_chunks(&mut self, now: Micros, machine: usize, salt: &Arc<str>, chunk: &PromptChunk) {
         let server = &mut self.machines[machine];
         server.cache.touch(salt, chunk);
         let running: u64 = server.jobs.iter().map(|job| u64::from(job.out)).sum();
@@ -447,7 +447,7 @@
         }
         for job in ended {
             if let Some(attempt) = job.attempt {
-                self.engines[job.balancer].record_end(now + WAY, attempt, AttemptOutcome::Served, None, None);
+                self.placers[job.balancer].record_end(now + WAY, attempt, AttemptOutcome::Served, None, None);
             }
         }
         self.step(now, machine);
@@ -460,7 +460,7 @@
             self.outcome.first_ms[job.kind].push(took);
         }
         for chunk in &job.chunks {
-            self.keep(now, machine, &job.salt, chunk);
+            self.cache_chunks(now, machine, &job.salt, chunk);
             if job.save {
                 self.store.touch(&job.salt, chunk);
                 self.store.shrink(0);
@@ -469,9 +469,9 @@
         }
         if let Some(attempt) = job.attempt {
             let id = self.machines[machine].entry.id.clone();
-            self.engines[job.balancer].record_first_event(now + WAY, attempt);
-            self.engines[job.balancer].observe_server_load(now + WAY, &id, report);
-            self.engines[job.balancer].record_cache_contact(now + WAY, STORE);
+            self.placers[job.balancer].record_first_event(now + WAY, attempt);
+            self.placers[job.balancer].observe_server_load(now + WAY, &id, report);
+            self.placers[job.balancer].record_cache_contact(now + WAY, STORE);
         }
     }
 }
--- a/placement/tests/golden.rs
+++ b/placement/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Choices, pinned: two engines that tell each other what they know are driven by calls drawn by seed, and everything
+//! Choices, pinned: two placers that tell each other what they know are driven by calls drawn by seed, and everything
 //! that they return goes into one number. The numbers were taken from commit 4552024: a change of names or of structure
 //! leaves them as they are, a change of a decision does not.
 
@@ -90,9 +90,9 @@
     }
 }
 
-/// One engine with the attempts that are in flight there.
+/// A placer with the attempts that are in flight there.
 struct Node {
-    engine: Placer,
+    placer: Placer,
     attempts: Vec<(AttemptId, Arc<str>)>,
     sequence: u64,
 }
@@ -106,11 +106,11 @@
             .index_entries(900)
             .retry_slack(3.0)
             .build();
-        let mut engine = Placer::new(config);
-        engine.set_services(0, services(105_065));
-        engine.set_balancer_count(2);
-        (0..SERVERS).for_each(|number| engine.update_server(0, server(number, 1, ServerState::Ready)));
-        Node { engine, attempts: Vec::new(), sequence: 0 }
+        let mut placer = Placer::new(config);
+        placer.set_services(0, services(105_065));
+        placer.set_balancer_count(2);
+        (0..SERVERS).for_each(|number| placer.update_server(0, server(number, 1, ServerState::Ready)));
+        Node { placer, attempts: Vec::new(), sequence: 0 }
     }
 }
 
@@ -218,11 +218,11 @@
         resumed_from: None,
     };
     let tried: Vec<Arc<str>> = (0..random.below(3)).map(|_| Arc::from(server_id(random))).collect();
-    node.engine.record_request(now, request.service);
-    match node.engine.place(now, &request, &tried) {
+    node.placer.record_request(now, request.service);
+    match node.placer.place(now, &request, &tried) {
         Ok(choice) => {
             digest.choice(&choice);
-            digest.number(node.engine.start_deadline(choice.attempt).unwrap_or(u64::MAX));
+            digest.number(node.placer.start_deadline(choice.attempt).unwrap_or(u64::MAX));
             node.attempts.push((choice.attempt, choice.server));
         }
         Err(refusal) => digest.refusal(refusal),
@@ -237,9 +237,9 @@
     let (attempt, server) = node.attempts[at].clone();
     if random.chance(55) {
         let told = random.chance(50).then(|| random.below(4));
-        let begun = node.engine.outdated_start(now, attempt, told);
+        let begun = node.placer.outdated_start(now, attempt, told);
         digest.number(begun.map_or(0, |begun| mix(begun.version ^ (begun.binding << 8)) ^ begun.waited));
-        node.engine.record_first_event(now, attempt);
+        node.placer.record_first_event(now, attempt);
         return;
     }
     node.attempts.swap_remove(at);
@@ -247,30 +247,30 @@
         .chance(30)
         .then(|| vec![ModelVersion { model: Arc::from(model(random)), version: 1 + random.below(3) }]);
     let load = load(random);
-    node.engine.record_end(now, attempt, outcome(random), load, versions.as_deref());
-    digest.number(u64::from(node.engine.accepts_requests(&server)));
+    node.placer.record_end(now, attempt, outcome(random), load, versions.as_deref());
+    digest.number(u64::from(node.placer.accepts_requests(&server)));
 }
 
 fn change_server(node: &mut Node, now: Micros, random: &mut Random) {
     let (id, span) = (server_id(random), random.below(400) * MS);
     match random.below(12) {
-        0 => node.engine.remove_server(now, &id),
+        0 => node.placer.remove_server(now, &id),
         1..=4 => {
             let states = [ServerState::Ready, ServerState::Ready, ServerState::Ready, ServerState::Draining];
             let lost = random.chance(10);
             let state = if lost { ServerState::Lost } else { states[random.below(4) as usize] };
             let number = random.below(u64::from(SERVERS)) as u16;
-            node.engine.update_server(now, server(number, 1 + random.below(3), state));
+            node.placer.update_server(now, server(number, 1 + random.below(3), state));
         }
-        5 => node.engine.pause_server(now, &id, span),
-        6 => node.engine.record_server_failure(now, &id),
-        7 => node.engine.observe_version(now, &id, model(random), 1 + random.below(3)),
+        5 => node.placer.pause_server(now, &id, span),
+        6 => node.placer.record_server_failure(now, &id),
+        7 => node.placer.observe_version(now, &id, model(random), 1 + random.below(3)),
         8..=10 => {
             if let Some(load) = load(random) {
-                node.engine.observe_server_load(now, &id, load);
+                node.placer.observe_server_load(now, &id, load);
             }
         }
-        _ => node.engine.set_balancer_count(1 + random.below(5) as usize),
+        _ => node.placer.set_balancer_count(1 + random.below(5) as usize),
     }
 }
 
@@ -278,9 +278,9 @@
     let (model, version) = (model(random), 1 + random.below(3));
     let binds_at = now + random.below(3_000) * MS;
     if random.chance(70) {
-        node.engine.announce_version(binds_at, model, version);
+        node.placer.announce_version(binds_at, model, version);
     } else {
-        node.engine.extend_version_deadline(binds_at, model, version);
+        node.placer.extend_version_deadline(binds_at, model, version);
     }
 }
 
@@ -292,22 +292,22 @@
     let chunk = chunks(random)[0];
     let (id, tokens) = (chunk.id, chunk.tokens);
     match random.below(20) {
-        0 => node.engine.reset_cache_holder(now, &holder),
-        1 => node.engine.record_source_failure(now, &holder),
-        2..=5 => node.engine.record_cache_contact(now, &holder),
+        0 => node.placer.reset_cache_holder(now, &holder),
+        1 => node.placer.record_source_failure(now, &holder),
+        2..=5 => node.placer.record_cache_contact(now, &holder),
         6..=8 => {
             let dropped = CacheEvent::Dropped { salt: &salt, chunk: id, tokens: 0, model: MODEL };
-            node.engine.apply_cache_event(now, &holder, dropped);
+            node.placer.apply_cache_event(now, &holder, dropped);
         }
         _ => {
             let added = CacheEvent::Added { salt: &salt, chunk: id, tokens, model: MODEL };
-            node.engine.apply_cache_event(now, &holder, added);
+            node.placer.apply_cache_event(now, &holder, added);
         }
     }
     if random.chance(30) {
         let chunks = vec![CachedTokens { key: chunk_key(&salt, id), tokens }];
         let changes = StoreUpdate { store: holder_hash(&holder), reset: random.chance(4), chunks };
-        node.engine.queue_store_update(changes);
+        node.placer.queue_store_update(changes);
     }
 }
 
@@ -315,18 +315,18 @@
 fn exchange(nodes: &mut [Node; 2], from: usize, now: Micros, digest: &mut Digest) {
     let sender = &mut nodes[from];
     sender.sequence += 1;
-    let (sequence, loads) = (sender.sequence, sender.engine.local_loads(now));
+    let (sequence, loads) = (sender.sequence, sender.placer.local_loads(now));
     for load in &loads {
         digest.number(load.server ^ u64::from(load.running) ^ load.tokens);
         digest.float(load.backlog_ms);
     }
-    let sightings = sender.engine.take_prefill_reports();
+    let sightings = sender.placer.take_prefill_reports();
     for sighting in &sightings {
         digest.number(sighting.server ^ sighting.key ^ sighting.version ^ sighting.salt);
         sighting.chunks.iter().for_each(|chunk| digest.number(chunk.id ^ u64::from(chunk.tokens)));
     }
-    let changes = sender.engine.take_store_updates();
-    let receiver = &mut nodes[1 - from].engine;
+    let changes = sender.placer.take_store_updates();
+    let receiver = &mut nodes[1 - from].placer;
     digest.number(u64::from(receiver.apply_peer_loads(now, from as u64, sequence, loads)));
     receiver.apply_peer_prefill_reports(now, &sightings);
     for change in &changes {
@@ -337,7 +337,7 @@
 }
 
 fn look(node: &Node, now: Micros, digest: &mut Digest) {
-    let mut servers: Vec<_> = node.engine.server_statuses(now).collect();
+    let mut servers: Vec<_> = node.placer.server_statuses(now).collect();
     servers.sort_by(|a, b| a.id.cmp(&b.id));
     for server in servers {
         digest.text(&server.id);
@@ -353,7 +353,7 @@
             digest.number(known.version);
         }
     }
-    let counters = node.engine.counters();
+    let counters = node.placer.counters();
     let counts = [
         counters.placements,
         counters.cached,
@@ -367,20 +367,20 @@
         counters.rejected_overloaded,
     ];
     counts.into_iter().for_each(|count| digest.number(count));
-    digest.number(node.engine.in_flight() as u64);
-    let TableSizes { keys, cached_chunks, .. } = node.engine.table_sizes();
+    digest.number(node.placer.in_flight() as u64);
+    let TableSizes { keys, cached_chunks, .. } = node.placer.table_sizes();
     [keys, cached_chunks].into_iter().for_each(|size| digest.number(size as u64));
 }
 
 fn count_repeats(node: &mut Node, now: Micros, random: &mut Random, digest: &mut Digest) {
     let service = if random.chance(70) { common::SERVICE } else { SECOND_SERVICE };
-    let allowed = node.engine.may_retry(now, service);
+    let allowed = node.placer.may_retry(now, service);
     digest.number(u64::from(allowed));
     if allowed {
-        node.engine.record_retry(now, service);
+        node.placer.record_retry(now, service);
     }
     let longest = 100 * MS + random.below(300) * MS;
-    node.engine.observe_stream_pause(StreamPause { service, longest });
+    node.placer.observe_stream_pause(StreamPause { service, longest });
 }
 
 fn play(seed: u64) -> u64 {
@@ -405,14 +405,14 @@
             nodes.iter().for_each(|node| look(node, now, &mut digest));
         }
         if step == STEPS / 2 {
-            nodes.iter_mut().for_each(|node| node.engine.set_services(now, services(60_000)));
+            nodes.iter_mut().for_each(|node| node.placer.set_services(now, services(60_000)));
         }
     }
     digest.0
 }
 
 #[gtest]
-fn choices_are_those_of_the_first_version() {
+fn placements_match_the_recorded_digests() {
     let digests: Vec<String> = (1..=6).map(|seed| format!("{:016x}", play(seed))).collect();
     expect_that!(digests, eq(&DIGESTS));
 }
--- a/placement/tests/sources.rs
+++ b/placement/tests/kv_transfers.rs
@@ -10,11 +10,11 @@
 
 /// The home of a subject, the salt, and a node that knows nothing of either.
 fn fresh(subject: u64, servers: u16) -> (std::sync::Arc<str>, String, Placer) {
-    let choice = place(&mut engine(servers), NOW, subject, 1);
-    (choice.server, choice.salt.expect("version known").to_string(), engine(servers))
+    let choice = place(&mut placer(servers), NOW, subject, 1);
+    (choice.server, choice.salt.expect("version known").to_string(), placer(servers))
 }
 
-fn keep(node: &mut Placer, holder: &str, salt: &str, chunks: &[PromptChunk]) {
+fn cache_chunks(node: &mut Placer, holder: &str, salt: &str, chunks: &[PromptChunk]) {
     chunks.iter().for_each(|chunk| node.apply_cache_event(NOW - 100 * MS, holder, added(salt, chunk)));
 }
 
@@ -23,9 +23,9 @@
 }
 
 #[gtest]
-fn a_busy_holder_is_the_source_of_the_next() {
+fn a_busy_holder_is_the_source_for_another_server() {
     let (_, salt, mut node) = fresh(1, 3);
-    keep(&mut node, "i-1", &salt, &long(1, 1)[..2]);
+    cache_chunks(&mut node, "i-1", &salt, &long(1, 1)[..2]);
     let report = ServerLoadReport { running: 30, waiting: 10, slots: 48 };
     node.observe_server_load(NOW - MS, "i-1", report);
     let choice = place(&mut node, NOW, 1, 2);
@@ -35,7 +35,7 @@
 }
 
 #[gtest]
-fn the_one_that_keeps_most_is_the_source_and_of_equals_the_nearer() {
+fn the_holder_of_the_longest_prefix_is_the_source_and_of_equals_the_nearest() {
     // i-0 and i-3 stand in zone a, i-1 and i-4 in b, i-2 and i-5 in c.
     for (holders, chosen, source) in [
         (vec![("i-1", 2), ("i-2", 1)], "i-0", "i-1"),
@@ -45,7 +45,7 @@
     ] {
         let (_, salt, mut node) = fresh(1, 6);
         for (holder, count) in &holders {
-            keep(&mut node, holder, &salt, &long(1, 1)[..*count]);
+            cache_chunks(&mut node, holder, &salt, &long(1, 1)[..*count]);
         }
         let busy = ServerLoadReport { running: 40, waiting: 40, slots: 48 };
         for number in 0..6 {
@@ -61,7 +61,7 @@
 }
 
 #[gtest]
-fn a_source_that_failed_left_or_has_other_weights_is_not_named() {
+fn a_failed_removed_or_outdated_holder_is_no_source() {
     type Change = fn(&mut Placer);
     let changes: [Change; 6] = [
         |node| node.record_server_failure(NOW - 10 * MS, "i-1"),
@@ -73,7 +73,7 @@
     ];
     for change in changes {
         let (_, salt, mut node) = fresh(1, 3);
-        keep(&mut node, "i-1", &salt, &long(1, 1)[..2]);
+        cache_chunks(&mut node, "i-1", &salt, &long(1, 1)[..2]);
         change(&mut node);
         let tried = ["i-1".into()];
         let choice = node.place(NOW, &request(&long(1, 2)), &tried).expect("two are left");
@@ -85,9 +85,9 @@
 }
 
 #[gtest]
-fn the_store_serves_what_no_server_keeps_while_it_is_heard() {
+fn the_store_is_a_source_while_it_has_contact() {
     let (home, salt, mut node) = fresh(1, 3);
-    keep(&mut node, STORE, &salt, &long(1, 1)[..2]);
+    cache_chunks(&mut node, STORE, &salt, &long(1, 1)[..2]);
     let choice = place(&mut node, NOW, 1, 2);
     expect_that!(choice.server, eq(&home));
     expect_that!(choice.fetch, some(eq(store_address())));
@@ -99,21 +99,21 @@
         [(|node| node.record_source_failure(NOW - 10 * MS, STORE), NOW), (|_| {}, NOW + 3_000 * MS)];
     for (change, at) in changes {
         let (_, salt, mut node) = fresh(1, 3);
-        keep(&mut node, STORE, &salt, &long(1, 1)[..2]);
+        cache_chunks(&mut node, STORE, &salt, &long(1, 1)[..2]);
         change(&mut node);
         let choice = place(&mut node, at, 1, 2);
         expect_that!((choice.fetch, choice.save), eq((None, None)));
     }
     let (_, salt, mut node) = fresh(1, 3);
-    keep(&mut node, STORE, &salt, &long(1, 1)[..2]);
+    cache_chunks(&mut node, STORE, &salt, &long(1, 1)[..2]);
     node.reset_cache_holder(NOW - 10 * MS, STORE);
     let choice = place(&mut node, NOW, 1, 2);
     expect_that!(choice.save, some(eq(store_address())));
 }
 
 #[gtest]
-fn new_parts_are_saved_once() {
-    let mut node = engine(3);
+fn new_chunks_are_saved_once() {
+    let mut node = placer(3);
     node.record_cache_contact(NOW, STORE);
     let first = place(&mut node, NOW, 1, 1);
     expect_that!(first.save, some(eq(store_address())));
@@ -131,8 +131,8 @@
 }
 
 #[gtest]
-fn short_heads_are_not_moved() {
-    let mut node = engine(3);
+fn short_prefixes_are_not_transferred() {
+    let mut node = placer(3);
     node.record_cache_contact(NOW, STORE);
     let chunks = [chunk(1, 20), chunk(2, 40), chunk(3, 600)];
     let choice = node.place(NOW, &request(&chunks), &[]).expect("ready");
@@ -140,8 +140,8 @@
 }
 
 #[gtest]
-fn what_began_at_a_server_is_kept_there() {
-    let mut node = engine(3);
+fn chunks_count_as_cached_after_the_first_event() {
+    let mut node = placer(3);
     let choice = place(&mut node, NOW, 1, 1);
     expect_that!(node.table_sizes().cached_chunks, eq(0));
     node.record_first_event(NOW + 200 * MS, choice.attempt);
@@ -153,8 +153,8 @@
 }
 
 #[gtest]
-fn the_index_is_bounded_by_each_holders_memory_and_in_all() {
-    let mut node = engine(2);
+fn the_index_is_bounded_by_each_holders_capacity_and_in_all() {
+    let mut node = placer(2);
     for id in 0..1_000 {
         node.apply_cache_event(NOW, "i-0", added("s", &chunk(id, 3_000)));
     }
@@ -169,7 +169,7 @@
     );
     node.apply_cache_event(NOW, "i-0", CacheEvent::Dropped { salt: "s", chunk: 0, tokens: 0, model: MODEL });
     expect_that!(node.table_sizes().cached_chunks, eq(before - 1));
-    let mut node = engine_of(PlacementConfig::builder().index_entries(1_000).build(), 4);
+    let mut node = placer_of(PlacementConfig::builder().index_entries(1_000).build(), 4);
     for id in 0..2_000 {
         for number in 0..4 {
             node.apply_cache_event(NOW, &format!("i-{number}"), added("s", &chunk(id, 10)));
@@ -179,8 +179,8 @@
 }
 
 #[gtest]
-fn what_is_dropped_and_added_again_takes_no_more_room() {
-    let mut node = engine(1);
+fn dropping_and_adding_chunks_does_not_grow_the_index() {
+    let mut node = placer(1);
     for id in 0..100 {
         node.apply_cache_event(NOW, "i-0", added("s", &chunk(id, 16)));
     }
@@ -202,8 +202,8 @@
 }
 
 #[gtest]
-fn an_entry_takes_few_bytes() {
-    let mut node = engine_of(PlacementConfig::builder().index_entries(200_000).build(), 100);
+fn an_index_entry_takes_few_bytes() {
+    let mut node = placer_of(PlacementConfig::builder().index_entries(200_000).build(), 100);
     let mut count = 0;
     for number in 0..100u64 {
         for id in 0..1_500 {
@@ -219,7 +219,7 @@
 }
 
 #[gtest]
-fn ids_and_lists_of_parts_are_read() {
+fn chunk_ids_and_lists_are_parsed() {
     let list = PromptChunk::list("5c1e07a2:800,91bd3f06:410,e4402b7d:250").expect("well formed");
     expect_that!(list, eq(&[chunk(0x5c1e_07a2, 800), chunk(0x91bd_3f06, 410), chunk(0xe440_2b7d, 250)]));
     expect_that!(PromptChunk::id("00000000000000ff"), eq(255));
@@ -239,7 +239,7 @@
 /// Seen on kctc-grown: of the chunks that an older holder was asked for, nine in ten were gone, since more is read there
 /// than other nodes know of. The store keeps them for longer.
 #[gtest]
-fn a_holder_that_has_not_used_them_for_long_comes_after_the_store() {
+fn a_holder_with_long_unused_chunks_comes_after_the_store() {
     for (unused, source) in [(100 * MS, address_of("i-1")), (5_000 * MS, store_address())] {
         let (_, salt, mut node) = fresh(1, 3);
         // It had to make room for what was read there: ten prompts a second, each of a sixteenth of its memory.
--- a/placement/tests/versions.rs
+++ b/placement/tests/model_versions.rs
@@ -24,7 +24,7 @@
 }
 
 #[gtest]
-fn salts_differ_by_version_wall_and_model_and_agree_between_nodes() {
+fn salts_differ_by_version_isolation_and_model_and_agree_between_nodes() {
     let walls = [
         CacheIsolation::Shared(0),
         CacheIsolation::Shared(1),
@@ -36,7 +36,7 @@
         for isolation in &walls {
             for model in [MODEL, "m1"] {
                 let salt = |seed| {
-                    let mut node = engine_of(PlacementConfig::builder().seed(seed).build(), 0);
+                    let mut node = placer_of(PlacementConfig::builder().seed(seed).build(), 0);
                     let models = vec![ModelVersion { model: model.into(), version }];
                     node.update_server(0, ServerEntry { models, ..entry(0, version) });
                     let chunks = long(1, 1);
@@ -58,10 +58,10 @@
 }
 
 #[gtest]
-fn where_the_version_is_unknown_nothing_is_shared() {
+fn nothing_is_shared_where_the_version_is_unknown() {
     let mut salts = BTreeSet::new();
     for seed in [1, 2] {
-        let mut node = engine_of(PlacementConfig::builder().seed(seed).build(), 0);
+        let mut node = placer_of(PlacementConfig::builder().seed(seed).build(), 0);
         node.update_server(0, ServerEntry { models: vec![], ..entry(0, 1) });
         for own in 0..20 {
             let choice = place(&mut node, 1 + own, 1, own);
@@ -75,8 +75,8 @@
 }
 
 #[gtest]
-fn parts_beyond_a_wall_are_neither_warm_nor_a_source() {
-    let mut node = engine(6);
+fn isolated_chunks_are_neither_counted_nor_a_source() {
+    let mut node = placer(6);
     node.record_cache_contact(0, "none");
     let chunks = long(3, 1);
     let mine = |isolation: CacheIsolation| PlacementRequest { isolation, ..request(&chunks) };
@@ -91,8 +91,8 @@
 }
 
 #[gtest]
-fn newer_weights_are_preferred_and_the_older_left_out_in_time() {
-    let mut node = engine(6);
+fn newer_versions_are_preferred_and_older_ones_left_out_in_time() {
+    let mut node = placer(6);
     node.announce_version(NAMED + WITHIN, MODEL, 2);
     node.observe_version(NAMED + 1, "i-0", MODEL, 2);
     node.observe_version(NAMED + 1, "i-1", MODEL, 2);
@@ -115,8 +115,8 @@
 }
 
 #[gtest]
-fn while_none_has_the_version_that_is_due_there_is_no_server() {
-    let mut node = engine(3);
+fn no_server_is_selected_while_none_has_the_required_version() {
+    let mut node = placer(3);
     node.announce_version(NAMED + WITHIN, MODEL, 2);
     expect_that!(servers_chosen(&mut node, NAMED + 6_499 * MS).len(), gt(0));
     expect_that!(servers_chosen(&mut node, NAMED + 6_500 * MS).len(), eq(0));
@@ -132,8 +132,8 @@
 }
 
 #[gtest]
-fn two_names_each_bind_in_their_time() {
-    let mut node = engine_of(PlacementConfig::builder().build(), 0);
+fn two_announced_versions_become_binding_in_turn() {
+    let mut node = placer_of(PlacementConfig::builder().build(), 0);
     (0..3).for_each(|n| node.update_server(0, entry(n, u64::from(n) + 1)));
     node.announce_version(NAMED + WITHIN, MODEL, 2);
     node.announce_version(NAMED + WITHIN + 3_000 * MS, MODEL, 3);
@@ -159,11 +159,11 @@
 }
 
 #[gtest]
-fn a_server_whose_wait_ends_after_its_version_is_outdated_is_left_out() {
+fn a_server_whose_queue_outlasts_its_version_is_left_out() {
     // The server is silent: what follows is expected to wait as long as the first has waited, and version 2 binds after
     // 8 s. Nothing else leaves it out before 6.5 s.
     for (waited, chosen) in [(3_000, true), (3_700, true), (4_100, false), (5_000, false)] {
-        let mut node = engine(1);
+        let mut node = placer(1);
         node.announce_version(NAMED + WITHIN, MODEL, 2);
         place(&mut node, NAMED, 1, 1);
         let choice = node.place(NAMED + waited * MS, &request(&long(1, 2)), &[]);
@@ -172,8 +172,8 @@
 }
 
 #[gtest]
-fn what_has_not_begun_is_to_be_taken_back_before_its_version_is_outdated() {
-    let mut node = engine(3);
+fn an_attempt_has_to_start_before_its_version_is_outdated() {
+    let mut node = placer(3);
     let waiting = place(&mut node, NAMED, 1, 1);
     let begun = place(&mut node, NAMED, 2, 2);
     node.record_first_event(NAMED + MS, begun.attempt);
@@ -194,8 +194,8 @@
 }
 
 #[gtest]
-fn what_begins_too_late_is_told_and_counted() {
-    let mut node = engine(1);
+fn an_outdated_start_is_reported_and_counted() {
+    let mut node = placer(1);
     let late = place(&mut node, NAMED, 1, 1);
     let loaded = place(&mut node, NAMED, 2, 2);
     node.announce_version(NAMED + WITHIN, MODEL, 2);
@@ -209,7 +209,7 @@
 
 #[gtest]
 fn versions_at_a_server_only_grow() {
-    let mut node = engine(1);
+    let mut node = placer(1);
     let expected = |node: &mut Placer, now| place(node, now, 1, now).expect_version;
     node.observe_version(1, "i-0", MODEL, 3);
     node.update_server(2, entry(0, 2));
@@ -228,8 +228,8 @@
 }
 
 #[gtest]
-fn parts_of_an_older_version_are_not_warm() {
-    let mut node = engine(3);
+fn chunks_of_an_older_version_do_not_count_as_cached() {
+    let mut node = placer(3);
     let old = place(&mut node, 2_000 * MS, 1, 1);
     serve(&mut node, 2_000 * MS, &old);
     (0..3).for_each(|n| node.observe_version(3_000 * MS, &format!("i-{n}"), MODEL, 2));
--- a/placement/tests/sharing.rs
+++ b/placement/tests/peer_loads.rs
@@ -18,7 +18,7 @@
 
 /// A node that knows of one other balancer.
 fn pair(servers: u16) -> Placer {
-    let mut node = engine(servers);
+    let mut node = placer(servers);
     node.set_balancer_count(2);
     node
 }
@@ -29,7 +29,7 @@
 }
 
 #[gtest]
-fn a_long_reading_that_another_balancer_sent_is_avoided() {
+fn a_long_prefill_of_another_balancer_is_avoided() {
     let home = home(3, 1);
     let mut node = pair(3);
     node.apply_peer_loads(NOW - MS, PEER, 1, vec![load(&home, 900.0)]);
@@ -37,7 +37,7 @@
 }
 
 #[gtest]
-fn what_was_told_counts_down_and_is_forgotten() {
+fn reported_loads_count_down_and_expire() {
     let home = home(3, 1);
     for (told_ago, what) in [(1_000 * MS, "read meanwhile"), (3_000 * MS, "too old")] {
         let mut node = pair(3);
@@ -47,7 +47,7 @@
 }
 
 #[gtest]
-fn a_message_that_was_overtaken_changes_nothing() {
+fn an_overtaken_report_changes_nothing() {
     let home = home(3, 1);
     let mut node = pair(3);
     node.apply_peer_loads(NOW - 2 * MS, PEER, 5, vec![load(&home, 900.0)]);
@@ -60,7 +60,7 @@
 }
 
 #[gtest]
-fn own_loads_are_told_until_they_end() {
+fn local_loads_are_reported_until_they_end() {
     let mut node = pair(3);
     let choice = place(&mut node, NOW, 1, 1);
     let told = node.local_loads(NOW);
@@ -72,7 +72,7 @@
 }
 
 #[gtest]
-fn a_prompt_read_at_one_balancer_is_fetched_from_there_at_another() {
+fn a_prefill_seen_by_one_balancer_is_a_source_at_another() {
     let (mut one, mut other) = (pair(6), pair(6));
     let first = place(&mut one, NOW, 1, 1);
     serve(&mut one, NOW, &first);
@@ -88,7 +88,7 @@
 }
 
 #[gtest]
-fn a_store_is_named_even_where_the_parts_are_believed_to_be_kept() {
+fn the_store_is_a_source_even_where_the_chunks_are_believed_cached() {
     let mut node = pair(3);
     node.record_cache_contact(NOW - MS, STORE);
     let first = place(&mut node, NOW, 1, 1);
@@ -100,7 +100,7 @@
 }
 
 #[gtest]
-fn a_long_reading_goes_where_nobody_is_held_up() {
+fn a_long_prefill_goes_where_it_delays_nobody() {
     let chunks = [chunk(1, 2_520), chunk(1_001, 3_780), chunk(7, 30_000)];
     let home = pair(2).place(NOW, &request(&chunks), &[]).expect("a server is ready").server;
     let mut node = pair(2);
@@ -117,7 +117,7 @@
 }
 
 #[gtest]
-fn a_server_that_is_held_back_gets_nothing_until_it_is_released() {
+fn a_paused_server_gets_nothing_until_it_is_resumed() {
     let home = home(2, 1);
     let mut node = pair(2);
     node.pause_server(NOW, &home, 8_000 * MS);
@@ -131,7 +131,7 @@
 }
 
 #[gtest]
-fn a_postponed_version_binds_later_and_one_that_binds_stays() {
+fn an_extended_deadline_counts_unless_the_version_is_binding_already() {
     let mut node = pair(2);
     node.announce_version(NOW + WITHIN, MODEL, 2);
     node.extend_version_deadline(NOW + WITHIN + 6_000 * MS, MODEL, 2);
--- a/placement/tests/placement.rs
+++ b/placement/tests/placement.rs
@@ -9,10 +9,10 @@
 use gradepaddle_placement::*;
 
 #[gtest]
-fn nodes_agree_on_the_home_of_a_fresh_key() {
+fn nodes_agree_on_the_home_of_an_unknown_key() {
     let nodes = [("a", 1), ("b", 2), ("c", 3)];
     let mut nodes =
-        nodes.map(|(zone, seed)| engine_of(PlacementConfig::builder().own_zone(zone).seed(seed).build(), 18));
+        nodes.map(|(zone, seed)| placer_of(PlacementConfig::builder().own_zone(zone).seed(seed).build(), 18));
     let mut used = BTreeSet::new();
     for subject in 0..200 {
         let now = 2_000 * MS + subject * 1_000 * MS;
@@ -29,9 +29,9 @@
 }
 
 #[gtest]
-fn a_leaving_server_moves_only_its_own_keys() {
+fn a_removed_server_moves_only_its_own_keys() {
     let homes = |count| {
-        let mut node = engine(count);
+        let mut node = placer(count);
         (0..100u64).map(move |subject| {
             let now = 2_000 * MS + subject * 1_000 * MS;
             let choice = place(&mut node, now, subject, subject);
@@ -47,8 +47,8 @@
 }
 
 #[gtest]
-fn a_key_stays_where_it_is_warm_spreads_under_load_and_comes_back() {
-    let mut node = engine(6);
+fn a_key_stays_at_its_cached_server_spreads_under_load_and_returns() {
+    let mut node = placer(6);
     let mut now = 2_000 * MS;
     let first = place(&mut node, now, 1, 1);
     serve(&mut node, now, &first);
@@ -81,8 +81,8 @@
 }
 
 #[gtest]
-fn what_is_common_to_many_keys_draws_none_of_them() {
-    let mut node = engine(6);
+fn a_prefix_common_to_many_keys_attracts_none_of_them() {
+    let mut node = placer(6);
     // Subjects 0, 4, 8 ... share their first chunk; its first holder must not become home of all.
     let mut used = BTreeSet::new();
     for turn in 0..20u64 {
@@ -95,11 +95,11 @@
 }
 
 #[gtest]
-fn a_server_that_has_the_parts_by_its_own_word_is_preferred() {
+fn a_server_that_reports_the_chunks_as_cached_is_preferred() {
     for holder in 0..6 {
-        let mut node = engine(6);
+        let mut node = placer(6);
         let salt = place(&mut node, 0, 9, 1).salt.expect("version known");
-        let mut node = engine(6);
+        let mut node = placer(6);
         for shared in &long(9, 1)[..2] {
             node.apply_cache_event(1_900 * MS, &format!("i-{holder}"), added(&salt, shared));
         }
@@ -114,9 +114,9 @@
 }
 
 #[gtest]
-fn draining_lost_and_gone_servers_get_nothing() {
+fn draining_lost_and_removed_servers_get_nothing() {
     for state in [ServerState::Draining, ServerState::Lost, ServerState::Gone] {
-        let mut node = engine(4);
+        let mut node = placer(4);
         for number in 0..3 {
             node.update_server(0, ServerEntry { state, ..entry(number, 1) });
         }
@@ -129,8 +129,8 @@
 }
 
 #[gtest]
-fn lost_ones_are_used_only_where_nothing_else_is_left_and_the_leaving_never() {
-    let mut node = engine(2);
+fn lost_servers_are_a_last_resort_and_draining_ones_are_never_used() {
+    let mut node = placer(2);
     node.update_server(0, ServerEntry { state: ServerState::Lost, ..entry(0, 1) });
     node.update_server(0, ServerEntry { state: ServerState::Draining, ..entry(1, 1) });
     expect_that!(&*place(&mut node, 1, 1, 1).server, eq("i-0"));
@@ -140,14 +140,14 @@
 }
 
 #[gtest]
-fn a_server_that_failed_is_left_out_for_a_growing_time() {
+fn a_failing_server_is_ejected_for_a_growing_time() {
     for outcome in [
         AttemptOutcome::ConnectFailed,
         AttemptOutcome::Broken,
         AttemptOutcome::TimedOut,
         AttemptOutcome::ServerError,
     ] {
-        let mut node = engine(3);
+        let mut node = placer(3);
         let mut now = 2_000 * MS;
         for span in [200, 400, 800, 1_600, 2_000, 2_000] {
             let home = place(&mut node, now, 5, now);
@@ -172,8 +172,8 @@
 }
 
 #[gtest]
-fn failures_of_one_moment_count_once_and_an_answer_clears_them() {
-    let mut node = engine(1);
+fn simultaneous_failures_count_once_and_an_answer_resets_them() {
+    let mut node = placer(1);
     let now = 2_000 * MS;
     let many: Vec<_> = (0..8).map(|own| place(&mut node, now, 1, own)).collect();
     for choice in &many {
@@ -189,8 +189,8 @@
 }
 
 #[gtest]
-fn one_that_turned_a_request_away_rests_for_a_moment() {
-    let mut node = engine(3);
+fn a_rejecting_server_is_ejected_for_a_moment() {
+    let mut node = placer(3);
     let now = 2_000 * MS;
     let home = place(&mut node, now, 5, 1);
     node.record_end(now, home.attempt, AttemptOutcome::NotRun, None, None);
@@ -200,8 +200,8 @@
 }
 
 #[gtest]
-fn those_tried_come_last() {
-    let mut node = engine(3);
+fn servers_tried_before_come_last() {
+    let mut node = placer(3);
     let now = 2_000 * MS;
     let mut tried = Vec::new();
     for turn in 0..3 {
@@ -215,8 +215,8 @@
 }
 
 #[gtest]
-fn load_counts_what_others_are_seen_to_have_there() {
-    let mut node = engine(3);
+fn load_counts_the_requests_of_other_balancers() {
+    let mut node = placer(3);
     node.set_balancer_count(9);
     let now = 2_000 * MS;
     let home = place(&mut node, now, 5, 1);
@@ -238,8 +238,8 @@
 }
 
 #[gtest]
-fn a_slow_server_is_learned() {
-    let mut node = engine(1);
+fn the_slowness_of_a_server_is_learned() {
+    let mut node = placer(1);
     let mut now = 2_000 * MS;
     for own in 0..20 {
         // Nothing of it is kept yet, so that 7,600 tokens are read: 200 ms at usual speed.
@@ -254,8 +254,8 @@
 }
 
 #[gtest]
-fn a_new_server_counts_at_the_mean_load_of_the_others_for_a_moment() {
-    let mut node = engine(3);
+fn a_new_server_counts_at_the_mean_load_for_a_moment() {
+    let mut node = placer(3);
     let now = 2_000 * MS;
     for own in 0..30 {
         place(&mut node, now, own, own);
@@ -274,8 +274,8 @@
 }
 
 #[gtest]
-fn memory_that_running_requests_would_fill_is_avoided() {
-    let mut node = engine(2);
+fn a_server_whose_memory_would_fill_is_avoided() {
+    let mut node = placer(2);
     let now = 2_000 * MS;
     let home = place(&mut node, now, 5, 1);
     serve(&mut node, now, &home);
@@ -291,8 +291,8 @@
 }
 
 #[gtest]
-fn only_a_full_fleet_refuses_and_only_what_would_come_too_late() {
-    let mut node = engine_of(PlacementConfig::builder().own_zone("a").build(), 0);
+fn only_a_full_fleet_rejects_and_only_requests_that_would_be_late() {
+    let mut node = placer_of(PlacementConfig::builder().own_zone("a").build(), 0);
     (0..2).for_each(|n| node.update_server(0, ServerEntry { slots: 4, ..entry(n, 1) }));
     let now = 2_000 * MS;
     let chunks = long(1, 1);
@@ -316,8 +316,8 @@
 }
 
 #[gtest]
-fn an_unknown_service_and_an_empty_one_have_no_server() {
-    let mut node = engine(0);
+fn an_unknown_or_empty_service_has_no_server() {
+    let mut node = placer(0);
     let chunks = long(1, 1);
     for service in [SERVICE, "elsewhere"] {
         let request = PlacementRequest { service, ..request(&chunks) };
@@ -326,8 +326,8 @@
 }
 
 #[gtest]
-fn requests_without_parts_or_model_are_spread() {
-    let mut node = engine(6);
+fn requests_without_chunks_or_model_are_spread() {
+    let mut node = placer(6);
     let used: BTreeSet<_> = (0..60u64)
         .map(|turn| {
             let now = 2_000 * MS + turn * 1_000 * MS;
@@ -344,8 +344,8 @@
 }
 
 #[gtest]
-fn attempts_of_a_server_that_is_gone_trouble_nobody() {
-    let mut node = engine(1);
+fn attempts_at_a_removed_server_have_no_effect() {
+    let mut node = placer(1);
     let old = place(&mut node, 1, 1, 1);
     node.remove_server(2, "i-0");
     node.update_server(3, entry(5, 1));
--- a/placement/tests/budget.rs
+++ b/placement/tests/retry_budget.rs
@@ -65,7 +65,7 @@
 }
 
 #[gtest]
-fn no_window_of_the_whole_fleet_exceeds_the_bound() {
+fn no_window_exceeds_the_retry_bound_over_all_nodes() {
     for (count, slack) in [(1, 58.0), (9, 58.0), (9, 60.0), (78, 58.0), (78, 10.0)] {
         for uneven in [0.0, 0.7, 1.5] {
             for wave in [0, 1, 2] {
@@ -89,7 +89,7 @@
 }
 
 #[gtest]
-fn a_node_alone_repeats_within_its_share_of_the_slack() {
+fn a_node_without_requests_retries_within_its_share_of_the_slack() {
     let mut node = RetryBudget::new(0.2, 58.0, WINDOW);
     node.set_balancer_count(0, 9);
     let repeats = (0..100).filter(|_| {
@@ -106,7 +106,7 @@
 }
 
 #[gtest]
-fn fewer_balancers_count_only_after_some_windows() {
+fn fewer_balancers_count_only_after_several_windows() {
     let mut node = RetryBudget::new(0.2, 58.0, WINDOW);
     node.set_balancer_count(WINDOW, 78);
     node.set_balancer_count(2 * WINDOW, 1);
@@ -116,8 +116,8 @@
 }
 
 #[gtest]
-fn the_engine_keeps_one_budget_for_each_service() {
-    let mut node = common::engine(1);
+fn each_service_has_its_own_retry_budget() {
+    let mut node = common::placer(1);
     node.set_balancer_count(78);
     expect_that!(node.may_retry(WINDOW, "a"), eq(false));
     (0..100).for_each(|_| node.record_request(WINDOW, "a"));
--- a/placement/tests/simulation.rs
+++ b/placement/tests/simulation.rs
@@ -38,12 +38,12 @@
 }
 
 #[gtest]
-fn first_tokens_come_sooner_than_by_chance_or_by_hash_alone() {
+fn first_tokens_are_faster_than_by_random_or_hash_placement() {
     for times in [1.0, 3.0] {
         for seed in [1, 2, 3] {
             let all = [Policy::Placer, Policy::Random, Policy::Hash];
             let [ours, random, hash] = all.map(|policy| Simulation::new(plan(policy, times, seed)).run());
-            report("engine", times, &ours);
+            report("placer", times, &ours);
             report("random", times, &random);
             report("hash", times, &hash);
             expect_that!(ours.refused, eq(0));
@@ -57,7 +57,7 @@
 }
 
 #[gtest]
-fn equal_seeds_give_equal_choices() {
+fn equal_seeds_give_equal_placements() {
     let run = || Simulation::new(plan(Policy::Placer, 1.0, 5)).run();
     let (one, other) = (run(), run());
     expect_that!(one.first_ms, eq(&other.first_ms));
--- a/placement/tests/store_changes.rs
+++ b/placement/tests/store_updates.rs
@@ -10,7 +10,7 @@
 
 /// The salt of version 1.
 fn salt() -> String {
-    place(&mut engine(3), NOW, 1, 1).salt.expect("version known").to_string()
+    place(&mut placer(3), NOW, 1, 1).salt.expect("version known").to_string()
 }
 
 /// Changes at a store: chunks of a subject by number, and the tokens that are kept now.
@@ -24,14 +24,14 @@
 
 /// A node that does not listen, after it was told these changes one after the other.
 fn told(all: &[StoreUpdate]) -> Placer {
-    let mut node = engine(3);
+    let mut node = placer(3);
     node.record_cache_contact(NOW, STORE);
     all.iter().for_each(|changes| node.apply_peer_store_update(NOW - 100 * MS, changes));
     node
 }
 
 #[gtest]
-fn what_a_store_keeps_is_known_where_nobody_listens_to_it() {
+fn store_updates_reach_nodes_that_do_not_subscribe() {
     let whole = changes(STORE, &[(0, 2_520), (1, 3_780)]);
     let reset = StoreUpdate { reset: true, ..changes(STORE, &[]) };
     // What was told, whether the store is known to have the chunks, and whether it is sent them.
@@ -60,8 +60,8 @@
 }
 
 #[gtest]
-fn what_is_to_be_told_is_taken_once_and_bounded() {
-    let mut node = engine(3);
+fn store_updates_are_taken_once_and_bounded() {
+    let mut node = placer(3);
     (0..1_000).for_each(|_| node.queue_store_update(changes(STORE, &[(0, 2_520)])));
     expect_that!(node.take_store_updates(), len(all![gt(100), le(256)]));
     expect_that!(node.take_store_updates(), is_empty());
--- a/placement/tests/pauses.rs
+++ b/placement/tests/stream_pauses.rs
@@ -19,9 +19,9 @@
 /// The home of a long prompt that nobody has read, and a node where two streams of another balancer run there.
 fn streams_at_home(pauses: &[Micros], event_gap_target: Micros) -> (Arc<str>, Arc<str>) {
     let chunks = long(1, 1);
-    let mut node = engine(4);
+    let mut node = placer(4);
     let home = node.place(NOW, &long_request(&chunks, event_gap_target), &[]).expect("a server").server;
-    let mut node = engine(4);
+    let mut node = placer(4);
     node.set_balancer_count(2);
     // Some request has told of the bound before.
     node.place(NOW - 5_000 * MS, &long_request(&long(2, 2), event_gap_target), &[]).expect("a server");
@@ -29,7 +29,7 @@
         node.observe_stream_pause(StreamPause { service: SERVICE, longest: *longest });
     }
     // The server's own hash is what others name it by.
-    let mut other = engine(4);
+    let mut other = placer(4);
     let chosen = other.place(NOW, &long_request(&chunks, event_gap_target), &[]).expect("a server");
     let mut told = other.local_loads(NOW);
     told.iter_mut().for_each(|load| (load.backlog_ms, load.running) = (0.0, 2));
@@ -40,7 +40,7 @@
 }
 
 #[gtest]
-fn a_long_reading_keeps_away_from_streams_that_it_would_make_late() {
+fn a_long_prefill_avoids_servers_whose_streams_it_would_delay() {
     let rows: Vec<(&str, Vec<Micros>, Micros, bool)> = vec![
         ("nothing is known of pauses", vec![], BOUND, true),
         ("pauses are short", vec![60 * MS; 100], BOUND, true),
@@ -57,7 +57,7 @@
 
 /// Most streams meet no reading: what the few see that do is learned, and not forgotten over the others.
 #[gtest]
-fn the_longest_pauses_count_not_the_usual_ones() {
+fn the_longest_pauses_count_and_not_the_mean() {
     let mut pauses = Vec::new();
     for _ in 0..40 {
         pauses.push(400 * MS);
@@ -68,8 +68,8 @@
 }
 
 #[gtest]
-fn a_service_that_is_not_known_learns_nothing() {
-    let mut node = engine(2);
+fn pauses_of_an_unknown_service_are_ignored() {
+    let mut node = placer(2);
     node.observe_stream_pause(StreamPause { service: "other", longest: 9_000 * MS });
     expect_that!(place(&mut node, NOW, 1, 1).server.len(), gt(0));
 }
