--- /dev/null
+++ b/store/src/entry.rs
@@ -0,0 +1,42 @@
+//! The content of a frame: records, and in the first frame of a log the identity of the replica besides.
+
+use gradepaddle_control::{Record, RecoveredState, ReplicaId};
+use gradepaddle_proto::{Decode, DecodeError, Encode, FieldWriter, Fields};
+
+/// Field number of the identity, in the first frame only.
+const IDENTITY_FIELD: u32 = 1;
+/// Field number of the records, repeated.
+const RECORD_FIELD: u32 = 2;
+
+/// The content of a frame.
+#[derive(Debug)]
+pub(crate) struct Entry {
+    pub id: Option<ReplicaId>,
+    pub records: Vec<Record>,
+}
+
+impl Entry {
+    /// The first entry of a log: the complete state.
+    pub fn snapshot(state: &RecoveredState) -> Entry {
+        let mut records: Vec<Record> = state.promised.map(Record::Promise).into_iter().collect();
+        records.extend(state.view.clone().map(Record::View));
+        records.extend(state.data.clone().map(Record::Snapshot));
+        Entry { id: Some(state.id), records }
+    }
+}
+
+impl Encode for Entry {
+    fn encode(&self, to: &mut FieldWriter) {
+        to.some_number(IDENTITY_FIELD, self.id.map(|id| id.0));
+        to.messages(RECORD_FIELD, &self.records);
+    }
+}
+
+impl Decode for Entry {
+    fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
+        Ok(Entry {
+            id: fields.some_number(IDENTITY_FIELD).map(ReplicaId),
+            records: fields.messages(RECORD_FIELD)?,
+        })
+    }
+}
--- a/store/src/error.rs
+++ b/store/src/error.rs
@@ -1,46 +1,49 @@
-//! Why a write or an opening failed.
+//! Why the stored state can't be opened or written.
 
 use std::io;
 
+use gradepaddle_proto::DecodeError;
 use snafu::Snafu;
 
-/// Why the state couldn't be read or made durable.
+/// Why the stored state couldn't be read or made durable.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum StoreError {
-    /// The folder couldn't be made or opened.
+    /// The directory couldn't be created or opened.
     #[snafu(display("the folder can't be used: {source}"))]
-    OpenFolder {
-        /// What the system says.
+    OpenDirectory {
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The state couldn't be read.
+    /// The log couldn't be read.
     #[snafu(display("the state can't be read: {source}"))]
     Read {
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A write failed; it may be tried again.
+    /// A write failed; it may be retried.
     #[snafu(display("the state can't be written: {source}"))]
     Write {
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The file was written by a build with a format that this one doesn't know.
+    /// The log has a format version that this build doesn't know.
     #[snafu(display("the state has format {format}, which this build doesn't know"))]
-    Format {
-        /// The format.
+    UnknownFormat {
+        /// The format version of the log.
         format: u32,
     },
-    /// An entry is whole, but this build can't read it.
+    /// An entry has a valid checksum, but this build can't decode it.
     #[snafu(display("the entry at byte {offset} is whole but can't be read by this build"))]
-    Unreadable {
-        /// Where the entry begins.
+    UnreadableEntry {
+        /// The offset of the entry in the log, in bytes.
         offset: usize,
+        /// Why it can't be decoded.
+        source: DecodeError,
     },
-    /// The log has outgrown its limit, and no checkpoint has succeeded.
+    /// The log has reached its maximum length, and no checkpoint has succeeded.
     #[snafu(display("the log has {length} bytes and can't be checkpointed"))]
-    Overgrown {
+    LogFull {
         /// The length of the log in bytes.
         length: u64,
     },
--- a/store/src/frame.rs
+++ b/store/src/frame.rs
@@ -1,33 +1,36 @@
-//! Frames of a file: a head, then for each frame its length, its checksum and its content.
+//! The framing of the log: a file header, then frames of length, checksum and content, all little-endian.
+//!
+//! The checksum of a frame also covers the checksum of the frame before it. So a frame that an earlier, failed write has
+//! left behind never passes for the successor of the present last frame.
 
 use crc32fast::Hasher;
 
-/// What a file begins with.
-const MARK: &[u8; 4] = b"gpcs";
-/// The format of the file.
-pub(crate) const FORMAT: u32 = 1;
-/// Length of the mark and the format.
-pub(crate) const HEAD_BYTES: usize = 8;
-/// Length of what precedes the content of a frame.
-pub(crate) const FRAME_HEAD_BYTES: usize = 8;
+/// The magic number at the start of the file.
+const MAGIC: &[u8; 4] = b"gpcs";
+/// The format version of the file.
+pub(crate) const FORMAT_VERSION: u32 = 1;
+/// Length of magic number and format version, in bytes.
+pub(crate) const FILE_HEADER_BYTES: usize = 8;
+/// Length of what precedes the content of a frame, in bytes.
+pub(crate) const FRAME_HEADER_BYTES: usize = 8;
 
 /// The checksum that the first frame continues.
-pub(crate) const FIRST_CHAIN: u32 = FORMAT;
+pub(crate) const INITIAL_CHECKSUM: u32 = FORMAT_VERSION;
 
-/// The head of a file.
-pub(crate) fn head() -> Vec<u8> {
-    [MARK.as_slice(), &FORMAT.to_le_bytes()].concat()
+/// The header of a file.
+pub(crate) fn file_header() -> Vec<u8> {
+    [MAGIC.as_slice(), &FORMAT_VERSION.to_le_bytes()].concat()
 }
 
-/// The format that a file states, if it bears the mark.
-pub(crate) fn format_of(file: &[u8]) -> Option<u32> {
-    let format = file.strip_prefix(MARK)?.get(..4)?;
+/// The format version of a file, if it starts with the magic number.
+pub(crate) fn format_version(file: &[u8]) -> Option<u32> {
+    let format = file.strip_prefix(MAGIC)?.get(..4)?;
     format.try_into().ok().map(u32::from_le_bytes)
 }
 
-/// Appends a frame and returns the checksum that the next one continues.
-pub(crate) fn append(to: &mut Vec<u8>, chain: u32, content: &[u8]) -> u32 {
-    let checksum = checksum(chain, content);
+/// Appends a frame and returns its checksum, which the next frame continues.
+pub(crate) fn append(to: &mut Vec<u8>, previous: u32, content: &[u8]) -> u32 {
+    let checksum = checksum(previous, content);
     to.extend_from_slice(&u32::try_from(content.len()).unwrap_or(u32::MAX).to_le_bytes());
     to.extend_from_slice(&checksum.to_le_bytes());
     to.extend_from_slice(content);
@@ -37,27 +40,27 @@
 /// A frame that was read.
 pub(crate) struct Frame<'a> {
     pub content: &'a [u8],
-    /// The checksum that the next frame continues.
-    pub chain: u32,
-    /// Where the next frame begins.
+    /// Its checksum, which the next frame continues.
+    pub checksum: u32,
+    /// The offset at which the next frame begins, in bytes.
     pub end: usize,
 }
 
-/// Reads the frame at an offset; none where it is torn or isn't the one that was appended there last.
-pub(crate) fn read(file: &[u8], offset: usize, chain: u32) -> Option<Frame<'_>> {
-    let head = file.get(offset..offset.checked_add(FRAME_HEAD_BYTES)?)?;
-    let (length, stated) = head.split_at(4);
+/// Reads the frame at an offset; `None` if it is torn or doesn't continue the previous checksum.
+pub(crate) fn read(file: &[u8], offset: usize, previous: u32) -> Option<Frame<'_>> {
+    let header = file.get(offset..offset.checked_add(FRAME_HEADER_BYTES)?)?;
+    let (length, stored) = header.split_at(4);
     let length = u32::from_le_bytes(length.try_into().ok()?) as usize;
-    let stated = u32::from_le_bytes(stated.try_into().ok()?);
-    let start = offset + FRAME_HEAD_BYTES;
+    let stored = u32::from_le_bytes(stored.try_into().ok()?);
+    let start = offset + FRAME_HEADER_BYTES;
     let end = start.checked_add(length)?;
     let content = file.get(start..end)?;
-    (checksum(chain, content) == stated).then_some(Frame { content, chain: stated, end })
+    (checksum(previous, content) == stored).then_some(Frame { content, checksum: stored, end })
 }
 
-fn checksum(chain: u32, content: &[u8]) -> u32 {
+fn checksum(previous: u32, content: &[u8]) -> u32 {
     let mut hasher = Hasher::new();
-    hasher.update(&chain.to_le_bytes());
+    hasher.update(&previous.to_le_bytes());
     hasher.update(&(content.len() as u64).to_le_bytes());
     hasher.update(content);
     hasher.finalize()
--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -1,20 +1,23 @@
-//! Control state on disk: what a replica has to find again after it was killed or lost power.
+//! The control state of a replica on disk: what it has to recover after a crash or a power loss.
 //!
-//! One file, [`STATE_FILE`], holds a snapshot and the entries that were appended since. A checkpoint writes a new file
-//! beside it and renames it over the old one. Each frame's checksum continues the one before it, so that neither a
-//! torn tail nor what an earlier try has left behind can pass for an entry.
+//! The file [`LOG_FILE`] holds a snapshot and the entries appended since. A checkpoint writes a new log under
+//! [`CHECKPOINT_FILE`], syncs it and renames it over the old one. The checksum of each frame continues that of the frame
+//! before, so that neither a torn tail nor the remains of an earlier, failed write pass for an entry.
 //!
-//! The house style asks for `okaywal`. It doesn't fit these machines: on a full disk it panics while it rolls back, and
-//! a segment whose creation was torn by a loss of power keeps it from opening at all. This is its nearest kin.
+//! It is a crate of its own because it alone blocks on the disk: `gradepaddle-control` decides what has to be durable and
+//! does no I/O; [`Writer`] runs the writes on a thread of its own. `okaywal` was considered and rejected: on a full disk
+//! it panics during its rollback, and a segment whose creation was interrupted by a power loss keeps it from opening.
 
+mod directory;
+mod entry;
 mod error;
-mod folder;
 mod frame;
-mod snapshot;
+mod log;
 mod storage;
 mod writer;
 
+pub use directory::{Directory, FsDirectory, WritableFile};
 pub use error::StoreError;
-pub use folder::{Folder, OpenFile, RealFolder};
-pub use storage::{CHECKPOINT_AFTER, FRESH_FILE, Limits, Opened, Origin, STATE_FILE, Storage};
-pub use writer::{Done, Writer};
+pub use log::{CHECKPOINT_FILE, LOG_FILE};
+pub use storage::{CHECKPOINT_BYTES, LogLimits, Opened, Origin, Storage};
+pub use writer::{WriteResult, Writer};
--- a/store/src/writer.rs
+++ b/store/src/writer.rs
@@ -1,4 +1,4 @@
-//! A thread that waits for the disk, so that nobody else has to.
+//! A thread that blocks on the disk, so that nobody else has to.
 
 use std::{
     sync::mpsc::{Receiver, Sender, channel},
@@ -9,51 +9,57 @@
 
 use crate::{Storage, StoreError};
 
-/// A write has come to an end.
+/// The result of one write.
 #[derive(Debug)]
-pub struct Done {
+#[must_use]
+pub struct WriteResult {
     /// The write.
     pub write_id: WriteId,
     /// Whether it is durable.
     pub result: Result<(), StoreError>,
 }
 
-/// Hands records to the thread that writes them, in order.
+struct WriteRequest {
+    write_id: WriteId,
+    records: Vec<Record>,
+}
+
+/// Passes records to the thread that writes them, in order.
 ///
-/// The thread ends once the writer is dropped and all that was handed over has been tried.
+/// The thread exits once all clones of the writer are dropped and every request has been attempted.
 #[derive(Debug, Clone)]
 pub struct Writer {
-    work: Sender<(WriteId, Vec<Record>)>,
+    requests: Sender<WriteRequest>,
 }
 
 impl Writer {
-    /// Starts the thread. It calls `done` after each write.
+    /// Starts the thread. It calls `on_result` after each write.
     ///
     /// # Errors
     ///
     /// [`StoreError::Write`] if the thread can't be started.
-    pub fn start(storage: Storage, done: Box<dyn Fn(Done) + Send>) -> Result<Writer, StoreError> {
-        let (work, orders) = channel();
+    pub fn start(storage: Storage, on_result: Box<dyn Fn(WriteResult) + Send>) -> Result<Writer, StoreError> {
+        let (requests, queue) = channel();
         let thread = thread::Builder::new().name("control-store".to_owned());
-        let started = thread.spawn(move || write_all(storage, &orders, &*done));
-        started.map(|_| Writer { work }).map_err(|source| StoreError::Write { source })
+        let started = thread.spawn(move || write_all(storage, &queue, &*on_result));
+        started.map(|_| Writer { requests }).map_err(|source| StoreError::Write { source })
     }
 
-    /// Asks for records to be made durable.
+    /// Requests that records be made durable; the result goes to the callback of [`Writer::start`].
     pub fn write(&self, write_id: WriteId, records: Vec<Record>) {
-        // The thread ends only with the last writer, so the order always finds it.
-        let _ = self.work.send((write_id, records));
+        // The thread outlives every writer, so its queue is still open.
+        let _ = self.requests.send(WriteRequest { write_id, records });
     }
 }
 
-fn write_all(mut storage: Storage, orders: &Receiver<(WriteId, Vec<Record>)>, done: &dyn Fn(Done)) {
-    for (write_id, records) in orders {
-        let result = storage.append_only(records);
+fn write_all(mut storage: Storage, queue: &Receiver<WriteRequest>, on_result: &dyn Fn(WriteResult)) {
+    for WriteRequest { write_id, records } in queue {
+        let result = storage.append_without_checkpoint(records);
         let durable = result.is_ok();
-        // Whoever waits for the records needn't wait for the checkpoint.
-        done(Done { write_id, result });
+        // Reported before the checkpoint, which nothing that waits for the records depends on.
+        on_result(WriteResult { write_id, result });
         if durable {
-            storage.checkpoint_if_due();
+            storage.maybe_checkpoint();
         }
     }
 }
--- a/store/tests/crashes.rs
+++ b/store/tests/crashes.rs
@@ -4,22 +4,22 @@
 
 use std::sync::Arc;
 
-use disk::{Disk, Trouble};
+use disk::{Disk, DiskFault};
 use googletest::prelude::*;
 use gradepaddle_control::{
     Change, ControlState, Data, KnownView, LogPosition, Member, ProposalNumber, Record, RecoveredState,
     ReplicaId, View,
 };
-use gradepaddle_store::{FRESH_FILE, Limits, Origin, STATE_FILE, Storage};
+use gradepaddle_store::{CHECKPOINT_FILE, LOG_FILE, LogLimits, Origin, Storage};
 
 const ID: ReplicaId = ReplicaId(77);
 const OTHER: ReplicaId = ReplicaId(78);
 /// Small, so that checkpoints come often.
-const SMALL: Limits = Limits { checkpoint_after: 600, log_limit: 1 << 20 };
+const SMALL: LogLimits = LogLimits { checkpoint_bytes: 600, max_log_bytes: 1 << 20 };
 /// No checkpoint comes in between.
-const ROOMY: Limits = Limits { checkpoint_after: 1 << 20, log_limit: 1 << 22 };
+const ROOMY: LogLimits = LogLimits { checkpoint_bytes: 1 << 20, max_log_bytes: 1 << 22 };
 
-fn open(disk: &Disk, limits: Limits, fresh: ReplicaId) -> (Storage, RecoveredState, Origin) {
+fn open(disk: &Disk, limits: LogLimits, fresh: ReplicaId) -> (Storage, RecoveredState, Origin) {
     let opened = Storage::open_in(Box::new(disk.clone()), limits, fresh).expect("the disk is well");
     (opened.storage, opened.recovered, opened.origin)
 }
@@ -83,10 +83,10 @@
 fn an_empty_disk_gets_the_fresh_identity_and_keeps_it() {
     let disk = Disk::new(1);
     let (_, first, origin) = open(&disk, SMALL, ID);
-    expect_that!((first, origin), eq(&(RecoveredState::empty(ID), Origin::New)));
+    expect_that!((first, origin), eq(&(RecoveredState::empty(ID), Origin::Created)));
     disk.lose_power();
     let (_, second, origin) = open(&disk, SMALL, OTHER);
-    expect_that!((second, origin), eq(&(RecoveredState::empty(ID), Origin::Kept)));
+    expect_that!((second, origin), eq(&(RecoveredState::empty(ID), Origin::Recovered)));
 }
 
 #[gtest]
@@ -125,9 +125,9 @@
         expect_that!(storage.append(records(step)), ok(anything()));
         lengths.push(storage.log_length());
     }
-    let whole = disk.bytes(STATE_FILE);
+    let whole = disk.bytes(LOG_FILE);
     for cut in lengths[0] as usize..=whole.len() {
-        disk.put(STATE_FILE, &whole[..cut]);
+        disk.put(LOG_FILE, &whole[..cut]);
         let entries = lengths.iter().filter(|length| **length <= cut as u64).count() as u64 - 1;
         let (mut storage, found, _) = open(&disk, ROOMY, OTHER);
         expect_that!(found, eq(&after_steps(entries)), "cut at {cut}");
@@ -146,12 +146,12 @@
         expect_that!(storage.append(records(step)), ok(anything()));
         lengths.push(storage.log_length());
     }
-    let whole = disk.bytes(STATE_FILE);
+    let whole = disk.bytes(LOG_FILE);
     for wrong in lengths[11] as usize..whole.len() {
         for flip in [0x01, 0x80, 0xFF] {
             let mut bytes = whole.clone();
             bytes[wrong] ^= flip;
-            disk.put(STATE_FILE, &bytes);
+            disk.put(LOG_FILE, &bytes);
             let entries = lengths.iter().filter(|length| **length <= wrong as u64).count() as u64 - 1;
             let (_, found, _) = open(&disk, ROOMY, OTHER);
             expect_that!(found, eq(&after_steps(entries)), "byte {wrong}");
@@ -164,19 +164,19 @@
     let disk = Disk::new(6);
     let (mut storage, ..) = open(&disk, ROOMY, ID);
     expect_that!(storage.append(records(0)), ok(anything()));
-    let mut bytes = disk.bytes(STATE_FILE);
+    let mut bytes = disk.bytes(LOG_FILE);
     bytes[17] ^= 0xFF;
-    disk.put(STATE_FILE, &bytes);
+    disk.put(LOG_FILE, &bytes);
     let (_, found, origin) = open(&disk, ROOMY, OTHER);
-    expect_that!((found, origin), eq(&(RecoveredState::empty(OTHER), Origin::Damaged)));
+    expect_that!((found, origin), eq(&(RecoveredState::empty(OTHER), Origin::Corrupted)));
 }
 
 #[gtest]
 fn an_unknown_format_is_refused_and_left_alone() {
     let disk = Disk::new(7);
-    disk.put(STATE_FILE, b"gpcs\x09\0\0\0anything");
+    disk.put(LOG_FILE, b"gpcs\x09\0\0\0anything");
     expect_that!(Storage::open_in(Box::new(disk.clone()), SMALL, ID).err(), some(anything()));
-    expect_that!(disk.bytes(STATE_FILE), eq(b"gpcs\x09\0\0\0anything"));
+    expect_that!(disk.bytes(LOG_FILE), eq(b"gpcs\x09\0\0\0anything"));
 }
 
 #[gtest]
@@ -184,34 +184,39 @@
     let disk = Disk::new(8);
     let (mut storage, ..) = open(&disk, ROOMY, ID);
     expect_that!(storage.append(records(0)), ok(anything()));
-    disk.put(FRESH_FILE, b"gpcs\x01\0\0\0half a snap");
+    disk.put(CHECKPOINT_FILE, b"gpcs\x01\0\0\0half a snap");
     let (_, found, _) = open(&disk, ROOMY, OTHER);
     expect_that!(found, eq(&after_steps(1)));
 }
 
 #[gtest]
 fn a_disk_in_trouble_refuses_and_then_works_again() {
-    for trouble in [Trouble::Full, Trouble::Short, Trouble::Sync] {
+    for fault in [DiskFault::Full, DiskFault::TornWrite, DiskFault::SyncFails] {
         let disk = Disk::new(9);
         let (mut storage, ..) = open(&disk, SMALL, ID);
         expect_that!(storage.append(records(0)), ok(anything()));
-        disk.set_trouble(trouble);
+        disk.set_fault(fault);
         for _ in 0..3 {
-            expect_that!(storage.append(records(1)), err(anything()), "{trouble:?}");
+            expect_that!(storage.append(records(1)), err(anything()), "{fault:?}");
         }
-        disk.set_trouble(Trouble::None);
-        expect_that!(storage.append(records(1)), ok(anything()), "{trouble:?}");
+        disk.set_fault(DiskFault::None);
+        expect_that!(storage.append(records(1)), ok(anything()), "{fault:?}");
         disk.lose_power();
         let (_, found, _) = open(&disk, SMALL, OTHER);
-        expect_that!(found, eq(&after_steps(2)), "{trouble:?}");
+        expect_that!(found, eq(&after_steps(2)), "{fault:?}");
     }
 }
 
 /// What is found is what was acknowledged, or that and one of the writes that have failed since.
 #[gtest]
 fn any_trouble_and_any_loss_of_power_keep_what_was_acknowledged() -> Result<()> {
-    const TROUBLES: [Trouble; 5] =
-        [Trouble::Full, Trouble::Short, Trouble::Sync, Trouble::Rename, Trouble::None];
+    const FAULTS: [DiskFault; 5] = [
+        DiskFault::Full,
+        DiskFault::TornWrite,
+        DiskFault::SyncFails,
+        DiskFault::RenameReportsFailure,
+        DiskFault::None,
+    ];
     for seed in 0..3_000 {
         let disk = Disk::new(seed);
         let (mut storage, ..) = open(&disk, SMALL, ID);
@@ -219,7 +224,7 @@
         let mut doubtful = Vec::new();
         for step in 0..60 {
             let (strikes, kind, falls) = disk.dice();
-            disk.set_trouble(if strikes { TROUBLES[kind as usize] } else { Trouble::None });
+            disk.set_fault(if strikes { FAULTS[kind as usize] } else { DiskFault::None });
             match storage.append(records(step)) {
                 Ok(()) => {
                     kept = after(kept, records(step));
@@ -231,9 +236,9 @@
                 disk.lose_power();
                 let (reopened, found, origin) = open(&disk, SMALL, OTHER);
                 let allowed = found == kept || doubtful.contains(&found);
-                verify_that!((allowed, origin), eq((true, Origin::Kept))).with_failure_message(|| {
-                    format!("seed {seed}, step {step}: {found:?} instead of {kept:?}")
-                })?;
+                verify_that!((allowed, origin), eq((true, Origin::Recovered))).with_failure_message(
+                    || format!("seed {seed}, step {step}: {found:?} instead of {kept:?}"),
+                )?;
                 kept = found;
                 doubtful.clear();
                 storage = reopened;
--- a/store/tests/disk/mod.rs
+++ b/store/tests/disk/mod.rs
@@ -8,7 +8,7 @@
     sync::{Arc, Mutex, MutexGuard},
 };
 
-use gradepaddle_store::{Folder, OpenFile};
+use gradepaddle_store::{Directory, WritableFile};
 
 #[derive(Debug, Clone)]
 enum Step {
@@ -25,16 +25,16 @@
 
 /// What the disk refuses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Trouble {
+pub enum DiskFault {
     None,
     /// Every write, cut and rename is refused.
     Full,
     /// Writes are cut in half and then refused.
-    Short,
+    TornWrite,
     /// Syncs fail, for files and folder.
-    Sync,
+    SyncFails,
     /// Renames are carried out and reported as failed.
-    Rename,
+    RenameReportsFailure,
 }
 
 #[derive(Debug)]
@@ -42,7 +42,7 @@
     inodes: Vec<Inode>,
     names: BTreeMap<String, usize>,
     durable_names: BTreeMap<String, usize>,
-    pub trouble: Trouble,
+    pub fault: DiskFault,
     /// How many bytes the files may take together.
     capacity: usize,
     random: u64,
@@ -58,7 +58,7 @@
             inodes: Vec::new(),
             names: BTreeMap::new(),
             durable_names: BTreeMap::new(),
-            trouble: Trouble::None,
+            fault: DiskFault::None,
             capacity: usize::MAX,
             random: seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1,
         })))
@@ -68,8 +68,8 @@
         self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    pub fn set_trouble(&self, trouble: Trouble) {
-        self.contents().trouble = trouble;
+    pub fn set_fault(&self, fault: DiskFault) {
+        self.contents().fault = fault;
     }
 
     /// Writes that would take more bytes than this are refused from now on.
@@ -106,7 +106,7 @@
     /// Power goes and comes back.
     pub fn lose_power(&self) {
         let mut contents = self.contents();
-        contents.trouble = Trouble::None;
+        contents.fault = DiskFault::None;
         let renamed = contents.below(2) == 0;
         contents.names = if renamed { contents.names.clone() } else { contents.durable_names.clone() };
         contents.durable_names = contents.names.clone();
@@ -173,12 +173,8 @@
         }
     }
 
-    fn refuse(&self, troubles: &[Trouble]) -> io::Result<()> {
-        if troubles.contains(&self.trouble) {
-            Err(io::Error::from(io::ErrorKind::StorageFull))
-        } else {
-            Ok(())
-        }
+    fn refuse(&self, faults: &[DiskFault]) -> io::Result<()> {
+        if faults.contains(&self.fault) { Err(io::Error::from(io::ErrorKind::StorageFull)) } else { Ok(()) }
     }
 
     fn take(&mut self, inode: usize, step: Step) {
@@ -187,16 +183,16 @@
     }
 }
 
-impl Folder for Disk {
+impl Directory for Disk {
     fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>> {
         let contents = self.contents();
         Ok(contents.names.get(name).map(|inode| contents.inodes[*inode].current.clone()))
     }
 
-    fn open(&self, name: &str) -> io::Result<Box<dyn OpenFile>> {
+    fn open(&self, name: &str) -> io::Result<Box<dyn WritableFile>> {
         let mut contents = self.contents();
         if !contents.names.contains_key(name) {
-            contents.refuse(&[Trouble::Full])?;
+            contents.refuse(&[DiskFault::Full])?;
         }
         let inode = contents.inode(name);
         Ok(Box::new(Opened { disk: self.clone(), inode, name: name.to_owned() }))
@@ -204,15 +200,15 @@
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
         let mut contents = self.contents();
-        contents.refuse(&[Trouble::Full])?;
+        contents.refuse(&[DiskFault::Full])?;
         let inode = contents.names.remove(from).ok_or(io::ErrorKind::NotFound)?;
         contents.names.insert(to.to_owned(), inode);
-        contents.refuse(&[Trouble::Rename])
+        contents.refuse(&[DiskFault::RenameReportsFailure])
     }
 
     fn sync(&self) -> io::Result<()> {
         let mut contents = self.contents();
-        contents.refuse(&[Trouble::Sync])?;
+        contents.refuse(&[DiskFault::SyncFails])?;
         contents.durable_names = contents.names.clone();
         Ok(())
     }
@@ -224,32 +220,32 @@
     name: String,
 }
 
-impl OpenFile for Opened {
+impl WritableFile for Opened {
     fn write_at(&mut self, offset: u64, bytes: &[u8]) -> io::Result<()> {
         let mut contents = self.disk.contents();
-        contents.refuse(&[Trouble::Full])?;
+        contents.refuse(&[DiskFault::Full])?;
         let grown = (offset as usize + bytes.len()).saturating_sub(contents.inodes[self.inode].current.len());
         if contents.space() + grown > contents.capacity {
             let room = contents.capacity.saturating_sub(contents.space()).min(bytes.len());
             contents.take(self.inode, Step::Write { offset, bytes: bytes[..room].to_vec() });
             return Err(io::Error::from(io::ErrorKind::StorageFull));
         }
-        let short = contents.trouble == Trouble::Short;
+        let short = contents.fault == DiskFault::TornWrite;
         let bytes = if short { bytes[..bytes.len() / 2].to_vec() } else { bytes.to_vec() };
         contents.take(self.inode, Step::Write { offset, bytes });
-        contents.refuse(&[Trouble::Short])
+        contents.refuse(&[DiskFault::TornWrite])
     }
 
-    fn set_length(&mut self, length: u64) -> io::Result<()> {
+    fn set_len(&mut self, length: u64) -> io::Result<()> {
         let mut contents = self.disk.contents();
-        contents.refuse(&[Trouble::Full])?;
+        contents.refuse(&[DiskFault::Full])?;
         contents.take(self.inode, Step::Length(length));
         Ok(())
     }
 
     fn sync(&mut self) -> io::Result<()> {
         let mut contents = self.disk.contents();
-        contents.refuse(&[Trouble::Sync])?;
+        contents.refuse(&[DiskFault::SyncFails])?;
         let inode = &mut contents.inodes[self.inode];
         inode.durable = inode.current.clone();
         inode.unsynced.clear();
--- a/store/tests/golden.rs
+++ b/store/tests/golden.rs
@@ -23,14 +23,14 @@
     AcceptedConfiguration, AcceptedHistory, Change, ControlState, Data, KnownView, LogPosition, Member,
     ProposalNumber, Record, RecoveredState, ReplicaId, StoredConfiguration, View,
 };
-use gradepaddle_store::{Limits, Origin, STATE_FILE, Storage};
+use gradepaddle_store::{LOG_FILE, LogLimits, Origin, Storage};
 
 const ID: ReplicaId = ReplicaId(0x1122_3344_5566_7788);
 const OTHER: ReplicaId = ReplicaId(78);
 /// Each entry makes a checkpoint due.
-const EACH: Limits = Limits { checkpoint_after: 1, log_limit: 1 << 20 };
+const EACH: LogLimits = LogLimits { checkpoint_bytes: 1, max_log_bytes: 1 << 20 };
 /// No checkpoint comes in between.
-const ROOMY: Limits = Limits { checkpoint_after: 1 << 20, log_limit: 1 << 22 };
+const ROOMY: LogLimits = LogLimits { checkpoint_bytes: 1 << 20, max_log_bytes: 1 << 22 };
 
 fn member(id: u64, host: u8, zone: &str) -> Member {
     let address = format!("10.20.0.{host}:7640").parse().expect("an address");
@@ -107,7 +107,7 @@
 
 /// The file in a folder of test data.
 fn golden(name: &str) -> Vec<u8> {
-    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name).join(STATE_FILE);
+    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name).join(LOG_FILE);
     fs::read(path).expect("the test data is there")
 }
 
@@ -115,7 +115,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn open(disk: &Disk, limits: Limits) -> Storage {
+fn open(disk: &Disk, limits: LogLimits) -> Storage {
     Storage::open_in(Box::new(disk.clone()), limits, ID).expect("the disk is well").storage
 }
 
@@ -123,9 +123,9 @@
 fn appended(records: Vec<Record>) -> String {
     let disk = Disk::new(1);
     let mut storage = open(&disk, ROOMY);
-    let before = disk.bytes(STATE_FILE).len();
+    let before = disk.bytes(LOG_FILE).len();
     storage.append(records).expect("the disk is well");
-    hex(&disk.bytes(STATE_FILE)[before..])
+    hex(&disk.bytes(LOG_FILE)[before..])
 }
 
 /// A copy of a folder of test data on the operating system's own disk, removed in the end.
@@ -139,13 +139,13 @@
         let path = std::env::temp_dir().join(name_of_copy);
         let _ = fs::remove_dir_all(&path);
         fs::create_dir_all(&path).expect("a folder for the copy");
-        fs::write(path.join(STATE_FILE), golden(name)).expect("a copy of the file");
+        fs::write(path.join(LOG_FILE), golden(name)).expect("a copy of the file");
         Copied(path)
     }
 
     fn recovered(&self) -> RecoveredState {
         let opened = Storage::open(&self.0, OTHER).expect("an earlier version's folder can be opened");
-        assert_eq!(opened.origin, Origin::Kept);
+        assert_eq!(opened.origin, Origin::Recovered);
         opened.recovered
     }
 }
@@ -216,7 +216,7 @@
 fn a_torn_tail_of_an_earlier_version_costs_nothing_that_was_acknowledged() {
     let copied = Copied::new("torn_tail");
     expect_all_entries(&copied.recovered());
-    expect_that!(fs::read(copied.0.join(STATE_FILE)).ok(), some(eq(&golden("checkpoint_and_records"))));
+    expect_that!(fs::read(copied.0.join(LOG_FILE)).ok(), some(eq(&golden("checkpoint_and_records"))));
 }
 
 #[gtest]
@@ -242,7 +242,7 @@
     let copied = Copied::new("torn_tail");
     let mut opened = Storage::open(&copied.0, OTHER).expect("an earlier version's folder can be opened");
     opened.storage.append(one_more()).expect("the disk is well");
-    let whole = fs::read(copied.0.join(STATE_FILE)).expect("the file is there");
+    let whole = fs::read(copied.0.join(LOG_FILE)).expect("the file is there");
     let torn = golden("torn_tail");
     expect_that!(whole.len(), eq(torn.len() + 5));
     expect_that!(&whole[..torn.len()], eq(&torn[..]));
@@ -252,21 +252,21 @@
 fn the_writer_hands_the_same_bytes_to_the_disk() {
     let disk = Disk::new(1);
     let mut storage = open(&disk, EACH);
-    expect_that!(hex(&disk.bytes(STATE_FILE)), eq(&hex(&golden("fresh"))));
-    expect_that!(hex(&disk.bytes(STATE_FILE)), eq("67706373010000000a00000032605ee80888ef99abc5e88c9111"));
+    expect_that!(hex(&disk.bytes(LOG_FILE)), eq(&hex(&golden("fresh"))));
+    expect_that!(hex(&disk.bytes(LOG_FILE)), eq("67706373010000000a00000032605ee80888ef99abc5e88c9111"));
     storage.append(snapshot()).expect("the disk is well");
     drop(storage);
     let mut storage = open(&disk, ROOMY);
     for records in later() {
         storage.append(records).expect("the disk is well");
     }
-    expect_that!(hex(&disk.bytes(STATE_FILE)), eq(&hex(&golden("checkpoint_and_records"))));
+    expect_that!(hex(&disk.bytes(LOG_FILE)), eq(&hex(&golden("checkpoint_and_records"))));
 
     let disk = Disk::new(2);
     let mut storage = open(&disk, ROOMY);
     storage.append(snapshot()).expect("the disk is well");
     storage.append(vec![Record::SnapshotDiscarded]).expect("the disk is well");
-    expect_that!(hex(&disk.bytes(STATE_FILE)), eq(&hex(&golden("discarded_data"))));
+    expect_that!(hex(&disk.bytes(LOG_FILE)), eq(&hex(&golden("discarded_data"))));
 }
 
 #[gtest]
--- a/store/tests/long_days.rs
+++ b/store/tests/long_days.rs
@@ -4,10 +4,10 @@
 
 use std::sync::Arc;
 
-use disk::{Disk, Trouble};
+use disk::{Disk, DiskFault};
 use googletest::prelude::*;
 use gradepaddle_control::{Change, ControlState, Data, LogPosition, Record, RecoveredState, ReplicaId};
-use gradepaddle_store::{FRESH_FILE, Limits, Origin, STATE_FILE, Storage};
+use gradepaddle_store::{CHECKPOINT_FILE, LOG_FILE, LogLimits, Origin, Storage};
 
 const ID: ReplicaId = ReplicaId(77);
 const OTHER: ReplicaId = ReplicaId(78);
@@ -20,7 +20,7 @@
 
 fn open(disk: &Disk) -> (Storage, RecoveredState, Origin) {
     let opened =
-        Storage::open_in(Box::new(disk.clone()), Limits::default(), OTHER).expect("the disk is well");
+        Storage::open_in(Box::new(disk.clone()), LogLimits::default(), OTHER).expect("the disk is well");
     (opened.storage, opened.recovered, opened.origin)
 }
 
@@ -40,7 +40,8 @@
 }
 
 fn begun(disk: &Disk) -> Storage {
-    let opened = Storage::open_in(Box::new(disk.clone()), Limits::default(), ID).expect("the disk is well");
+    let opened =
+        Storage::open_in(Box::new(disk.clone()), LogLimits::default(), ID).expect("the disk is well");
     let mut storage = opened.storage;
     let data =
         Data { position: LogPosition { epoch: 1, sequence: 0 }, state: Arc::new(ControlState::default()) };
@@ -64,7 +65,7 @@
         if step.is_multiple_of(500) {
             disk.lose_power();
             let (reopened, found, origin) = open(&disk);
-            expect_that!((version(&found), origin), eq((step, Origin::Kept)));
+            expect_that!((version(&found), origin), eq((step, Origin::Recovered)));
             storage = reopened;
         }
     }
@@ -92,7 +93,7 @@
         disk.lose_power();
         let (mut storage, found, origin) = open(&disk);
         let whole = version(&found);
-        expect_that!(origin, eq(Origin::Kept), "{room} KB");
+        expect_that!(origin, eq(Origin::Recovered), "{room} KB");
         expect_that!(whole, any!(eq(taken), eq(taken + 1)), "{room} KB");
         disk.set_capacity(FOLDER);
         for step in whole + 1..=30 {
@@ -110,14 +111,14 @@
     disk.set_capacity(FOLDER);
     let (mut last, mut refused) = (0, 0);
     for step in 1..=600 {
-        disk.set_trouble(if step % 3 == 0 { Trouble::Rename } else { Trouble::None });
+        disk.set_fault(if step % 3 == 0 { DiskFault::RenameReportsFailure } else { DiskFault::None });
         match storage.append(vec![change(last + 1)]) {
             Ok(()) => last += 1,
             Err(_) => refused += 1,
         }
         expect_that!(disk.space(), lt(FOLDER));
     }
-    disk.set_trouble(Trouble::None);
+    disk.set_fault(DiskFault::None);
     expect_that!(refused, lt(400));
     expect_that!(storage.append(vec![change(last + 1)]), ok(anything()));
     expect_that!(version(&open(&disk).1), eq(last + 1));
@@ -132,13 +133,13 @@
         storage.append(vec![change(step)]).expect("the disk is well");
         lengths.push((step, storage.log_length()));
     }
-    let whole = disk.bytes(STATE_FILE);
+    let whole = disk.bytes(LOG_FILE);
     // The entries since the latest checkpoint, cut at any of some hundred places.
     let since = lengths.windows(2).rposition(|pair| pair[1].1 < pair[0].1).map_or(0, |index| index + 1);
     let after_checkpoint = &lengths[since..];
     for cut in (after_checkpoint[0].1 as usize..=whole.len()).step_by(1_009) {
-        disk.put(STATE_FILE, &whole[..cut]);
-        disk.put(FRESH_FILE, &whole[..cut / 2]);
+        disk.put(LOG_FILE, &whole[..cut]);
+        disk.put(CHECKPOINT_FILE, &whole[..cut / 2]);
         let kept = after_checkpoint.iter().rfind(|(_, length)| *length <= cut as u64).map(|(step, _)| *step);
         expect_that!(Some(version(&open(&disk).1)), eq(kept), "cut at {cut}");
     }
--- a/store/tests/on_a_real_folder.rs
+++ b/store/tests/on_a_real_folder.rs
@@ -30,11 +30,11 @@
 fn records_are_found_again() -> Result<()> {
     let scratch = Scratch::new("again");
     let mut opened = Storage::open(&scratch.0, ReplicaId(5)).or_fail()?;
-    expect_that!(opened.origin, eq(Origin::New));
+    expect_that!(opened.origin, eq(Origin::Created));
     opened.storage.append(vec![promise(9)]).or_fail()?;
     drop(opened);
     let opened = Storage::open(&scratch.0, ReplicaId(6)).or_fail()?;
-    expect_that!(opened.origin, eq(Origin::Kept));
+    expect_that!(opened.origin, eq(Origin::Recovered));
     expect_that!(opened.recovered.id, eq(ReplicaId(5)));
     expect_that!(opened.recovered.promised, some(eq(ProposalNumber { epoch: 9, candidate: ReplicaId(3) })));
     Ok(())
--- a/store/tests/writer.rs
+++ b/store/tests/writer.rs
@@ -14,11 +14,13 @@
 use disk::Disk;
 use googletest::prelude::*;
 use gradepaddle_control::{ProposalNumber, Record, ReplicaId, WriteId};
-use gradepaddle_store::{Done, FRESH_FILE, Folder, Limits, OpenFile, Origin, Storage, Writer};
+use gradepaddle_store::{
+    CHECKPOINT_FILE, Directory, LogLimits, Origin, Storage, WritableFile, WriteResult, Writer,
+};
 
 const ID: ReplicaId = ReplicaId(7);
 /// Each entry makes a checkpoint due.
-const EACH: Limits = Limits { checkpoint_after: 1, log_limit: 1 << 20 };
+const EACH: LogLimits = LogLimits { checkpoint_bytes: 1, max_log_bytes: 1 << 20 };
 /// Longer than any write in memory takes; only a failing test waits for so long.
 const PATIENCE: Duration = Duration::from_secs(5);
 
@@ -47,13 +49,13 @@
     gate: Arc<Gate>,
 }
 
-impl Folder for HangingInCheckpoints {
+impl Directory for HangingInCheckpoints {
     fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>> {
         self.disk.read(name)
     }
 
-    fn open(&self, name: &str) -> io::Result<Box<dyn OpenFile>> {
-        if name == FRESH_FILE {
+    fn open(&self, name: &str) -> io::Result<Box<dyn WritableFile>> {
+        if name == CHECKPOINT_FILE {
             self.gate.pass();
         }
         self.disk.open(name)
@@ -64,7 +66,7 @@
     }
 
     fn sync(&self) -> io::Result<()> {
-        Folder::sync(&self.disk)
+        Directory::sync(&self.disk)
     }
 }
 
@@ -73,15 +75,15 @@
     vec![Record::Promise(ProposalNumber { epoch, candidate: ID }); 20]
 }
 
-fn told(answers: &Receiver<Done>) -> Option<(u64, bool)> {
+fn told(answers: &Receiver<WriteResult>) -> Option<(u64, bool)> {
     answers.recv_timeout(PATIENCE).ok().map(|done| (done.write_id.0, done.result.is_ok()))
 }
 
 #[gtest]
 fn a_checkpoint_that_hangs_holds_back_no_answer() -> Result<()> {
     let (disk, gate) = (Disk::new(1), Arc::new(Gate::default()));
-    let folder = HangingInCheckpoints { disk: disk.clone(), gate: Arc::clone(&gate) };
-    let opened = Storage::open_in(Box::new(folder), EACH, ID).or_fail()?;
+    let directory = HangingInCheckpoints { disk: disk.clone(), gate: Arc::clone(&gate) };
+    let opened = Storage::open_in(Box::new(directory), EACH, ID).or_fail()?;
     let (tell, answers) = channel();
     let writer = Writer::start(opened.storage, Box::new(move |done| drop(tell.send(done)))).or_fail()?;
     gate.set_closed(true);
@@ -94,7 +96,7 @@
     // The channel ends with the thread.
     expect_that!(answers.recv().is_err(), eq(true));
     let found = Storage::open_in(Box::new(disk), EACH, ReplicaId(8)).or_fail()?;
-    expect_that!(found.origin, eq(Origin::Kept));
+    expect_that!(found.origin, eq(Origin::Recovered));
     expect_that!(found.recovered.promised.map(|proposal_number| proposal_number.epoch), some(eq(6)));
     Ok(())
 }
--- a/system/src/run.rs
+++ b/system/src/run.rs
@@ -27,7 +27,7 @@
 use gradepaddle_gossip::{Gossip, GossipConfig};
 use gradepaddle_placement::{PlacementConfig, Placer};
 use gradepaddle_proto::Identity;
-use gradepaddle_store::{Done, Storage, StoreError, Writer};
+use gradepaddle_store::{Storage, StoreError, WriteResult, Writer};
 use slog::{Logger, info, warn};
 use snafu::{OptionExt, ResultExt};
 use tokio::net::{TcpListener, TcpSocket, UdpSocket};
@@ -242,7 +242,7 @@
 ) -> Result<(Writer, RecoveredState), StoreError> {
     let opened = Storage::open(path, ReplicaId(random()))?;
     let back = back.clone();
-    let done = move |done: Done| {
+    let done = move |result: WriteResult| {
         let input = match done.result {
             Ok(()) => Input::Persisted(done.write_id),
             Err(_) => Input::PersistFailed(done.write_id),
