--- a/system/src/run.rs
+++ b/system/src/run.rs
@@ -242,15 +242,15 @@
 ) -> Result<(Writer, RecoveredState), StoreError> {
     let opened = Storage::open(path, ReplicaId(random()))?;
     let back = back.clone();
-    let done = move |result: WriteResult| {
-        let input = match done.result {
-            Ok(()) => Input::Persisted(done.write_id),
-            Err(_) => Input::PersistFailed(done.write_id),
+    let on_result = move |write: WriteResult| {
+        let input = match write.result {
+            Ok(()) => Input::Persisted(write.write_id),
+            Err(_) => Input::PersistFailed(write.write_id),
         };
         // Without a driver nobody waits for it.
         let _ = back.send(DriverEvent::Input(input));
     };
-    let writer = Writer::start(opened.storage, Box::new(done))?;
+    let writer = Writer::start(opened.storage, Box::new(on_result))?;
     Ok((writer, opened.recovered))
 }
 
