--- a/control/tests/broken_versions.rs
+++ b/control/tests/broken_versions.rs
@@ -14,8 +14,8 @@
     let sound = Plan { injected_fault: None, emptied_vouches: false, ..broken.clone() };
     (0..SEEDS).find_map(|seed| {
         let violation = World::new(broken.clone(), seed).play().violation?;
-        let innocent = World::new(sound.clone(), seed).play().violation.is_none();
-        (innocent && (counts(broken, &violation))).then_some((seed, violation))
+        let sound_passes = World::new(sound.clone(), seed).play().violation.is_none();
+        (sound_passes && (counts(broken, &violation))).then_some((seed, violation))
     })
 }
 
@@ -28,7 +28,7 @@
         InjectedFault::InstallsWithoutEpoch,
     ];
     broken.injected_fault.is_some_and(|injected_fault| stops.contains(&injected_fault))
-        || !matches!(violation, Violation::Stuck(_))
+        || !matches!(violation, Violation::NoProgress(_))
 }
 
 fn caught(plan: &Plan) -> Result<()> {
@@ -42,51 +42,57 @@
     }
 }
 
-fn flawed(injected_fault: InjectedFault) -> Result<()> {
+fn caught_with(injected_fault: InjectedFault) -> Result<()> {
     caught(&Plan { injected_fault: Some(injected_fault), ..Plan::new(3, 1) })
 }
 
 #[gtest]
 fn acknowledging_before_the_backup_is_caught() -> Result<()> {
-    flawed(InjectedFault::AcknowledgesEarly)
+    caught_with(InjectedFault::AcknowledgesEarly)
 }
 
 #[gtest]
-fn a_promise_that_is_forgotten_is_caught() -> Result<()> {
+fn a_promise_that_is_not_durable_is_caught() -> Result<()> {
     let only = vec![
         Fault::CrashInWrite,
         Fault::CrashInWrite,
         Fault::CutLink,
-        Fault::OneWayCut,
-        Fault::Mend,
-        Fault::Weather,
+        Fault::OneWayPartition,
+        Fault::HealNetwork,
+        Fault::NetworkConditions,
     ];
     caught(&Plan {
         injected_fault: Some(InjectedFault::ForgetsPromise),
         only,
-        every: 300_000,
+        fault_interval: 300_000,
         ..Plan::new(3, 1)
     })
 }
 
 #[gtest]
 fn granting_against_a_lease_is_caught() -> Result<()> {
-    flawed(InjectedFault::IgnoresLease)
+    caught_with(InjectedFault::IgnoresLease)
 }
 
 #[gtest]
 fn leading_without_a_lease_is_caught() -> Result<()> {
-    flawed(InjectedFault::LeadsForever)
+    caught_with(InjectedFault::LeadsForever)
 }
 
 #[gtest]
 fn reading_without_a_lease_is_caught() -> Result<()> {
-    flawed(InjectedFault::ReadsWithoutLease)
+    caught_with(InjectedFault::ReadsWithoutLease)
 }
 
 #[gtest]
 fn accepting_before_the_backups_have_the_data_is_caught() -> Result<()> {
-    let only = vec![Fault::WipeInWrite, Fault::WipeLeader, Fault::CutLink, Fault::Mend, Fault::Weather];
+    let only = vec![
+        Fault::WipeInWrite,
+        Fault::WipeLeader,
+        Fault::CutLink,
+        Fault::HealNetwork,
+        Fault::NetworkConditions,
+    ];
     caught(&Plan { injected_fault: Some(InjectedFault::AcceptsBeforeInstall), only, ..Plan::new(3, 1) })
 }
 
@@ -96,39 +102,40 @@
 }
 
 #[gtest]
-fn leaving_out_the_members_of_before_is_caught() -> Result<()> {
-    let only = vec![Fault::Add, Fault::Cut, Fault::SplitAtChange];
+fn skipping_the_previous_members_is_caught() -> Result<()> {
+    let only = vec![Fault::Add, Fault::Partition, Fault::SplitAtChange];
     caught(&Plan {
         injected_fault: Some(InjectedFault::SkipsPrior),
         only,
-        every: 1_500_000,
+        fault_interval: 1_500_000,
         ..Plan::new(3, 1)
     })
 }
 
 #[gtest]
-fn granting_at_once_after_a_restart_is_caught() -> Result<()> {
-    let only = vec![Fault::CutLink, Fault::CutLink, Fault::CutLink, Fault::Crash, Fault::Crash, Fault::Mend];
+fn granting_leases_at_once_after_a_restart_is_caught() -> Result<()> {
+    let only =
+        vec![Fault::CutLink, Fault::CutLink, Fault::CutLink, Fault::Crash, Fault::Crash, Fault::HealNetwork];
     caught(&Plan { injected_fault: Some(InjectedFault::GrantsAfterRestart), only, ..Plan::new(3, 1) })
 }
 
 #[gtest]
-fn refusing_the_rival_of_a_pending_change_is_caught() -> Result<()> {
-    flawed(InjectedFault::JudgesRivalEarly)
+fn rejecting_the_rival_of_a_pending_change_is_caught() -> Result<()> {
+    caught_with(InjectedFault::JudgesRivalEarly)
 }
 
 #[gtest]
-fn forgetting_accepted_orders_at_an_installation_is_caught() -> Result<()> {
-    flawed(InjectedFault::ForgetsOrdersAtInstall)
+fn losing_the_accepted_history_at_an_installation_is_caught() -> Result<()> {
+    caught_with(InjectedFault::ForgetsOrdersAtInstall)
 }
 
 #[gtest]
-fn installing_a_state_without_its_epoch_is_caught() -> Result<()> {
-    flawed(InjectedFault::InstallsWithoutEpoch)
+fn installing_a_snapshot_without_its_epoch_is_caught() -> Result<()> {
+    caught_with(InjectedFault::InstallsWithoutEpoch)
 }
 
 #[gtest]
-fn an_emptied_disk_that_vouches_is_caught() -> Result<()> {
+fn an_identity_that_survives_its_disk_is_caught() -> Result<()> {
     caught(&Plan { emptied_vouches: true, ..Plan::new(3, 1) })
 }
 
@@ -148,13 +155,13 @@
 }
 
 #[gtest]
-fn a_leaver_that_ends_before_others_go_on_without_it_is_caught() -> Result<()> {
+fn exiting_before_the_view_is_independent_is_caught() -> Result<()> {
     let only = &[Loss::PlannedReplacement, Loss::Wipe];
     caught(&Plan { injected_fault: Some(InjectedFault::EndsAtOnce), ..rounds(only, 4 * SECOND) })
 }
 
 #[gtest]
-fn a_core_that_grows_beside_a_silent_member_is_caught() -> Result<()> {
+fn growing_beside_an_unresponsive_member_is_caught() -> Result<()> {
     // It takes a little longer than the sound version, which is through after 3.5 s.
     caught(&Plan {
         injected_fault: Some(InjectedFault::GrowsAtOnce),
@@ -164,9 +171,15 @@
 
 /// Not a version but a world that is broken: clocks that differ by more than the margin of the lease.
 #[gtest]
-fn clocks_that_run_too_far_apart_are_caught() -> Result<()> {
-    let only =
-        vec![Fault::Cut, Fault::OneWayCut, Fault::CutLink, Fault::Split, Fault::FreezeLeader, Fault::Mend];
+fn clock_drift_beyond_the_lease_margin_is_caught() -> Result<()> {
+    let only = vec![
+        Fault::Partition,
+        Fault::OneWayPartition,
+        Fault::CutLink,
+        Fault::Split,
+        Fault::SuspendLeader,
+        Fault::HealNetwork,
+    ];
     let clock_rates = ClockRates { slowest: 850, fastest: 1_150 };
     let apart = Plan { only, clock_rates, ..Plan::new(3, 1) };
     let found = (0..SEEDS).find_map(|seed| World::new(apart.clone(), seed).play().violation);
--- a/control/tests/catch_up.rs
+++ b/control/tests/catch_up.rs
@@ -23,7 +23,7 @@
     let state = (0..CHANGES).fold(ControlState::default(), |state, version| {
         state.after(&put(version, if version + 1 == CHANGES { body } else { 0 }))
     });
-    let mut fleet = Fleet::founded(size, losses, speed);
+    let mut fleet = Fleet::bootstrapped(size, losses, speed);
     fleet.adopt(state);
     fleet
 }
@@ -58,9 +58,9 @@
         fleet.run_for(down);
         if how == Return::CutInTransfer {
             fleet.run_for(BROKEN_OFF);
-            fleet.cut_off(place);
+            fleet.partition(place);
             fleet.run_for(down);
-            fleet.mend();
+            fleet.heal_network();
         }
         if how == Return::KilledInTransfer {
             fleet.run_for(BROKEN_OFF);
@@ -120,7 +120,7 @@
 }
 
 #[gtest]
-fn a_member_catches_up_with_the_largest_bodies_that_a_slow_link_bears() {
+fn a_member_catches_up_with_the_largest_bodies_for_a_slow_link() {
     all_returns(3, 1, 1_000 * KILOBYTE, SLOW, CATCH_UP);
 }
 
--- a/control/tests/cluster/mod.rs
+++ b/control/tests/cluster/mod.rs
@@ -20,29 +20,29 @@
 /// How a disk behaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Disk {
-    Well,
+    Healthy,
     Full,
     Hanging,
 }
 
-pub struct Seat {
+pub struct Node {
     pub address: SocketAddrV4,
     pub replica: Option<Replica>,
     pub kept: RecoveredState,
     pub disk: Disk,
     waiting: VecDeque<(gradepaddle_control::WriteId, Vec<gradepaddle_control::Record>)>,
-    pub may_end: bool,
-    pub frozen: bool,
+    pub ready_to_exit: bool,
+    pub suspended: bool,
     pub writes: usize,
     first_boot: bool,
 }
 
 /// The replicas; places are numbered from 0, and place 0 leads at first.
-pub struct Bench {
+pub struct Cluster {
     pub now: u64,
-    pub seats: Vec<Seat>,
+    pub nodes: Vec<Node>,
     pub losses: usize,
-    mail: VecDeque<(SocketAddrV4, SocketAddrV4, Message)>,
+    in_flight: VecDeque<(SocketAddrV4, SocketAddrV4, Message)>,
     cut: BTreeSet<SocketAddrV4>,
     /// Links that carry nothing, each in one direction.
     cut_links: BTreeSet<(SocketAddrV4, SocketAddrV4)>,
@@ -52,26 +52,26 @@
     next_proposal_id: u64,
 }
 
-impl Bench {
+impl Cluster {
     /// A founded core whose place 0 leads.
-    pub fn founded(size: usize, losses: usize) -> Bench {
-        let mut bench = Bench::bare(size, losses);
-        let view = bench.first_view(size);
+    pub fn bootstrapped(size: usize, losses: usize) -> Cluster {
+        let mut cluster = Cluster::bare(size, losses);
+        let view = cluster.first_view(size);
         for place in 0..size {
-            bench.input(place, Input::Bootstrap { view: view.clone() });
+            cluster.input(place, Input::Bootstrap { view: view.clone() });
         }
-        bench.run(100);
-        assert_eq!(bench.leader(), Some(0));
-        bench
+        cluster.run(100);
+        assert_eq!(cluster.leader(), Some(0));
+        cluster
     }
 
     /// Replicas that know no view.
-    pub fn bare(size: usize, losses: usize) -> Bench {
-        let mut bench = Bench {
+    pub fn bare(size: usize, losses: usize) -> Cluster {
+        let mut cluster = Cluster {
             now: 1_000 * MILLISECOND,
-            seats: Vec::new(),
+            nodes: Vec::new(),
             losses,
-            mail: VecDeque::new(),
+            in_flight: VecDeque::new(),
             cut: BTreeSet::new(),
             cut_links: BTreeSet::new(),
             held: Vec::new(),
@@ -79,9 +79,9 @@
             next_proposal_id: 0,
         };
         for _ in 0..size {
-            bench.add(true);
+            cluster.add(true);
         }
-        bench
+        cluster
     }
 
     pub fn first_view(&self, size: usize) -> View {
@@ -97,22 +97,22 @@
     }
 
     fn member(&self, place: usize) -> Member {
-        let seat = &self.seats[place];
-        Member { id: seat.kept.id, address: seat.address, zone: zone(place) }
+        let node = &self.nodes[place];
+        Member { id: node.kept.id, address: node.address, zone: zone(place) }
     }
 
     /// A machine with an empty disk at a new address.
     pub fn add(&mut self, first_boot: bool) -> usize {
-        let place = self.seats.len();
+        let place = self.nodes.len();
         let address = format!("10.0.0.{}:7640", place + 1).parse().expect("an address");
-        self.seats.push(Seat {
+        self.nodes.push(Node {
             address,
             replica: None,
             kept: RecoveredState::empty(ReplicaId(1_000 + place as u64)),
-            disk: Disk::Well,
+            disk: Disk::Healthy,
             waiting: VecDeque::new(),
-            may_end: false,
-            frozen: false,
+            ready_to_exit: false,
+            suspended: false,
             writes: 0,
             first_boot,
         });
@@ -122,66 +122,66 @@
 
     pub fn start(&mut self, place: usize) {
         let peers =
-            self.seats.iter().map(|seat| seat.address).filter(|peer| *peer != self.seats[place].address);
+            self.nodes.iter().map(|node| node.address).filter(|peer| *peer != self.nodes[place].address);
         let peers: Vec<SocketAddrV4> = peers.collect();
-        let seat = &mut self.seats[place];
+        let node = &mut self.nodes[place];
         let config = ReplicaConfig::builder()
-            .address(seat.address)
+            .address(node.address)
             .zone(zone(place))
             .machine_losses(self.losses)
-            .first_boot(seat.first_boot)
+            .first_boot(node.first_boot)
             .build();
-        seat.replica = Some(Replica::new(config, seat.kept.clone(), self.now));
+        node.replica = Some(Replica::new(config, node.kept.clone(), self.now));
         self.input(place, Input::Peers(peers));
     }
 
     pub fn crash(&mut self, place: usize) {
-        self.seats[place].replica = None;
-        self.seats[place].waiting.clear();
+        self.nodes[place].replica = None;
+        self.nodes[place].waiting.clear();
     }
 
     /// The machine comes back with an empty disk.
     pub fn wipe(&mut self, place: usize) {
         self.crash(place);
-        let id = ReplicaId(self.seats[place].kept.id.0 + 100);
-        self.seats[place].kept = RecoveredState::empty(id);
-        self.seats[place].first_boot = false;
+        let id = ReplicaId(self.nodes[place].kept.id.0 + 100);
+        self.nodes[place].kept = RecoveredState::empty(id);
+        self.nodes[place].first_boot = false;
     }
 
     /// All begin anew with this state on the disks of the data set.
     pub fn adopt(&mut self, state: ControlState) {
         let state = Arc::new(state);
-        for place in 0..self.seats.len() {
+        for place in 0..self.nodes.len() {
             self.crash(place);
-            if let Some(data) = &mut self.seats[place].kept.data {
+            if let Some(data) = &mut self.nodes[place].kept.data {
                 data.state = Arc::clone(&state);
             }
         }
-        (0..self.seats.len()).for_each(|place| self.start(place));
+        (0..self.nodes.len()).for_each(|place| self.start(place));
         self.run(3_000);
     }
 
     pub fn cut(&mut self, place: usize) {
-        self.cut.insert(self.seats[place].address);
+        self.cut.insert(self.nodes[place].address);
     }
 
-    pub fn mend(&mut self) {
+    pub fn heal_network(&mut self) {
         self.cut.clear();
         self.cut_links.clear();
     }
 
     /// What the one place says doesn't reach the other.
     pub fn cut_link(&mut self, from: usize, to: usize) {
-        self.cut_links.insert((self.seats[from].address, self.seats[to].address));
+        self.cut_links.insert((self.nodes[from].address, self.nodes[to].address));
     }
 
-    pub fn freeze(&mut self, place: usize) {
-        self.seats[place].frozen = true;
+    pub fn suspend(&mut self, place: usize) {
+        self.nodes[place].suspended = true;
     }
 
     /// The place goes on, with what has come meanwhile.
-    pub fn thaw(&mut self, place: usize) {
-        self.seats[place].frozen = false;
+    pub fn resume(&mut self, place: usize) {
+        self.nodes[place].suspended = false;
         let (ready, held) = std::mem::take(&mut self.held).into_iter().partition(|(to, _)| *to == place);
         self.held = held;
         let ready: Vec<(usize, Input)> = ready;
@@ -189,11 +189,11 @@
     }
 
     pub fn set_disk(&mut self, place: usize, disk: Disk) {
-        self.seats[place].disk = disk;
+        self.nodes[place].disk = disk;
     }
 
     pub fn replica(&self, place: usize) -> &Replica {
-        self.seats[place].replica.as_ref().expect("it runs")
+        self.nodes[place].replica.as_ref().expect("it runs")
     }
 
     pub fn view(&self, place: usize) -> KnownView {
@@ -203,19 +203,19 @@
     /// The places of the members of the view that the leader leads.
     pub fn members(&self) -> Vec<usize> {
         let view = self.view(self.leader().expect("somebody leads")).view;
-        (0..self.seats.len()).filter(|place| view.member(self.seats[*place].kept.id).is_some()).collect()
+        (0..self.nodes.len()).filter(|place| view.member(self.nodes[*place].kept.id).is_some()).collect()
     }
 
     pub fn backups(&self) -> Vec<usize> {
         let view = self.view(self.leader().expect("somebody leads")).view;
-        (0..self.seats.len()).filter(|place| view.backups.contains(&self.seats[*place].kept.id)).collect()
+        (0..self.nodes.len()).filter(|place| view.backups.contains(&self.nodes[*place].kept.id)).collect()
     }
 
     pub fn leader(&self) -> Option<usize> {
         let leads = |place: &usize| {
-            self.seats[*place].replica.as_ref().is_some_and(|replica| replica.leading(self.now).is_some())
+            self.nodes[*place].replica.as_ref().is_some_and(|replica| replica.leading(self.now).is_some())
         };
-        (0..self.seats.len()).find(leads)
+        (0..self.nodes.len()).find(leads)
     }
 
     /// Asks for a change and returns its ticket.
@@ -232,24 +232,24 @@
 
     pub fn input(&mut self, place: usize, input: Input) {
         let now = self.now;
-        let seat = &mut self.seats[place];
-        if seat.frozen {
+        let node = &mut self.nodes[place];
+        if node.suspended {
             return self.held.push((place, input));
         }
-        let Some(replica) = seat.replica.as_mut() else { return };
+        let Some(replica) = node.replica.as_mut() else { return };
         let mut out = Vec::new();
         replica.handle(now, input, &mut out);
         for output in out {
             match output {
-                Output::Send { to, message } => self.mail.push_back((seat.address, to, message)),
+                Output::Send { to, message } => self.in_flight.push_back((node.address, to, message)),
                 Output::Persist { write_id, records } => {
-                    seat.writes += 1;
-                    seat.waiting.push_back((write_id, records));
+                    node.writes += 1;
+                    node.waiting.push_back((write_id, records));
                 }
                 Output::Answer { proposal_id, outcome } => {
                     self.answers.insert(proposal_id, outcome);
                 }
-                Output::ReadyToExit => seat.may_end = true,
+                Output::ReadyToExit => node.ready_to_exit = true,
                 _ => {}
             }
         }
@@ -261,8 +261,8 @@
         while self.now < end {
             self.settle();
             self.now += STEP;
-            for place in 0..self.seats.len() {
-                if !self.seats[place].frozen {
+            for place in 0..self.nodes.len() {
+                if !self.nodes[place].suspended {
                     self.input(place, Input::Tick);
                 }
             }
@@ -273,11 +273,11 @@
     /// Delivers and writes until nothing is under way.
     pub fn settle(&mut self) {
         loop {
-            let wrote = (0..self.seats.len()).any(|place| self.write(place));
-            let Some((from, to, message)) = self.mail.pop_front() else {
+            let wrote = (0..self.nodes.len()).any(|place| self.write(place));
+            let Some((from, to, message)) = self.in_flight.pop_front() else {
                 if wrote { continue } else { return }
             };
-            let place = self.seats.iter().position(|seat| seat.address == to);
+            let place = self.nodes.iter().position(|node| node.address == to);
             let cut =
                 self.cut.contains(&from) || self.cut.contains(&to) || self.cut_links.contains(&(from, to));
             if let Some(place) = place.filter(|_| !cut) {
@@ -287,15 +287,15 @@
     }
 
     fn write(&mut self, place: usize) -> bool {
-        let seat = &mut self.seats[place];
-        if seat.disk == Disk::Hanging || seat.frozen {
+        let node = &mut self.nodes[place];
+        if node.disk == Disk::Hanging || node.suspended {
             return false;
         }
-        let Some((write_id, records)) = seat.waiting.pop_front() else { return false };
-        if seat.disk == Disk::Full {
+        let Some((write_id, records)) = node.waiting.pop_front() else { return false };
+        if node.disk == Disk::Full {
             self.input(place, Input::WriteFailed { write_id });
         } else {
-            records.into_iter().for_each(|record| seat.kept.apply(record));
+            records.into_iter().for_each(|record| node.kept.apply(record));
             self.input(place, Input::WriteCompleted { write_id });
         }
         true
--- a/control/tests/exploration.rs
+++ b/control/tests/exploration.rs
@@ -49,9 +49,15 @@
 
 /// The margin of the lease is for this: clocks may differ in rate by 6 in 100.
 #[gtest]
-fn three_replicas_whose_clocks_run_apart() -> Result<()> {
-    let only =
-        vec![Fault::Cut, Fault::OneWayCut, Fault::CutLink, Fault::Split, Fault::FreezeLeader, Fault::Mend];
+fn three_replicas_with_clock_drift() -> Result<()> {
+    let only = vec![
+        Fault::Partition,
+        Fault::OneWayPartition,
+        Fault::CutLink,
+        Fault::Split,
+        Fault::SuspendLeader,
+        Fault::HealNetwork,
+    ];
     let clock_rates = ClockRates { slowest: 970, fastest: 1_030 };
     explore(&Plan { only, clock_rates, ..Plan::new(3, 1) })
 }
--- a/control/tests/linearizability.rs
+++ b/control/tests/linearizability.rs
@@ -13,7 +13,7 @@
 const BROKEN_SEEDS: u64 = 2_000;
 
 fn plan(replicas: usize, machine_losses: usize) -> Plan {
-    Plan { every: 700_000, ..Plan::new(replicas, machine_losses) }
+    Plan { fault_interval: 700_000, ..Plan::new(replicas, machine_losses) }
 }
 
 fn explore(plan: &Plan) -> Result<()> {
@@ -32,17 +32,17 @@
 }
 
 #[gtest]
-fn three_replicas_are_one_register() -> Result<()> {
+fn three_replicas_are_linearizable() -> Result<()> {
     explore(&plan(3, 1))
 }
 
 #[gtest]
-fn five_replicas_are_one_register() -> Result<()> {
+fn five_replicas_are_linearizable() -> Result<()> {
     explore(&plan(5, 2))
 }
 
 #[gtest]
-fn eight_replicas_are_one_register() -> Result<()> {
+fn eight_replicas_are_linearizable() -> Result<()> {
     explore(&plan(8, 2))
 }
 
@@ -56,8 +56,8 @@
 }
 
 #[gtest]
-fn broken_versions_have_histories_that_nothing_explains() {
-    let takeovers = vec![Fault::CrashLeader, Fault::WipeLeader, Fault::Cut, Fault::Mend];
+fn broken_versions_have_histories_that_are_not_linearizable() {
+    let takeovers = vec![Fault::CrashLeader, Fault::WipeLeader, Fault::Partition, Fault::HealNetwork];
     let often = Plan { only: takeovers, ..plan(3, 1) };
     let rows = [
         (InjectedFault::ForgetsOrdersAtInstall, often.clone()),
@@ -89,7 +89,7 @@
 }
 
 #[gtest]
-fn the_search_tells_histories_apart() {
+fn the_search_distinguishes_histories() {
     use Response::{Committed, InForce, Refused};
     let first = (put(0, 1, 10), Some(Committed));
     let rows = [
@@ -137,7 +137,7 @@
 }
 
 #[gtest]
-fn calls_at_once_may_come_in_any_order() {
+fn concurrent_calls_may_take_effect_in_any_order() {
     let mut history = History::default();
     let (one, two) = (history.ask(put(0, 1, 10)), history.ask(put(1, 2, 20)));
     history.answer(two, Response::Committed);
--- a/control/tests/quorum_loss.rs
+++ b/control/tests/quorum_loss.rs
@@ -1,10 +1,10 @@
 //! A primary that loses contact for twenty seconds, in each way, while callers ask on both sides.
 
-mod bench;
+mod cluster;
 
 use std::collections::BTreeSet;
 
-use bench::{Bench, put};
+use cluster::{Cluster, put};
 use googletest::prelude::*;
 use gradepaddle_control::{Change, Outcome, ProposalId};
 
@@ -46,7 +46,7 @@
 
 /// A core with a place in trouble, and callers everywhere.
 struct Course {
-    bench: Bench,
+    cluster: Cluster,
     troubled: usize,
     trouble: Trouble,
     began: u64,
@@ -66,13 +66,13 @@
 
 impl Course {
     fn new(size: usize, losses: usize, troubled: usize, trouble: Trouble) -> Course {
-        let mut bench = Bench::founded(size, losses);
-        let proposal_id = bench.ask(0, put(0, 1, 1));
-        bench.run(700);
-        assert_eq!(bench.answer(proposal_id), Some(Outcome::Committed));
-        let began = bench.now / bench::MILLISECOND;
+        let mut cluster = Cluster::bootstrapped(size, losses);
+        let proposal_id = cluster.ask(0, put(0, 1, 1));
+        cluster.run(700);
+        assert_eq!(cluster.answer(proposal_id), Some(Outcome::Committed));
+        let began = cluster.now / cluster::MILLISECOND;
         Course {
-            bench,
+            cluster,
             troubled,
             trouble,
             began,
@@ -86,41 +86,41 @@
     }
 
     fn milliseconds(&self) -> u64 {
-        self.bench.now / bench::MILLISECOND
+        self.cluster.now / cluster::MILLISECOND
     }
 
     fn begin_trouble(&mut self) {
         let troubled = self.troubled;
-        for other in (0..self.bench.seats.len()).filter(|other| *other != troubled) {
+        for other in (0..self.cluster.nodes.len()).filter(|other| *other != troubled) {
             if matches!(self.trouble, Trouble::Cut | Trouble::Deaf | Trouble::CutAndFrozen) {
-                self.bench.cut_link(other, troubled);
+                self.cluster.cut_link(other, troubled);
             }
             if matches!(self.trouble, Trouble::Cut | Trouble::Mute | Trouble::CutAndFrozen) {
-                self.bench.cut_link(troubled, other);
+                self.cluster.cut_link(troubled, other);
             }
         }
         if self.trouble == Trouble::Frozen {
-            self.bench.freeze(troubled);
+            self.cluster.suspend(troubled);
         }
     }
 
     fn end_trouble(&mut self) {
-        self.bench.mend();
-        self.bench.thaw(self.troubled);
+        self.cluster.heal_network();
+        self.cluster.resume(self.troubled);
         self.ended = Some(self.milliseconds());
     }
 
     /// Two operators ask for different changes on top of the newest version, at each place that answers.
     fn ask(&mut self) {
         let at = self.milliseconds();
-        for place in 0..self.bench.seats.len() {
+        for place in 0..self.cluster.nodes.len() {
             for _ in 0..2 {
-                if self.bench.seats[place].frozen {
+                if self.cluster.nodes[place].suspended {
                     continue;
                 }
                 self.next_fingerprint += 1;
                 let change: Change = put(self.newest, self.newest + 1, self.next_fingerprint);
-                let proposal_id = self.bench.ask(place, change);
+                let proposal_id = self.cluster.ask(place, change);
                 let if_match = self.newest;
                 self.asked.push(Asked { place, at, if_match, proposal_id, judged: false });
             }
@@ -132,15 +132,15 @@
         let now = self.milliseconds();
         let old_lease_is_over = now >= self.began + LEASE;
         let mut leaders = Vec::new();
-        for place in 0..self.bench.seats.len() {
-            let Some(reading) = self.bench.replica(place).read(self.bench.now) else { continue };
+        for place in 0..self.cluster.nodes.len() {
+            let Some(reading) = self.cluster.replica(place).read(self.cluster.now) else { continue };
             leaders.push(place);
             let version = reading.state.current_version();
             ensure(version >= self.newest, || format!("{version} is read at {place}, not {}", self.newest))?;
         }
         ensure(leaders.len() <= 1, || format!("{leaders:?} lead"))?;
         for asked in &mut self.asked {
-            let Some(outcome) = self.bench.answer(asked.proposal_id).filter(|_| !asked.judged) else {
+            let Some(outcome) = self.cluster.answer(asked.proposal_id).filter(|_| !asked.judged) else {
                 continue;
             };
             asked.judged = true;
@@ -168,7 +168,7 @@
         let overdue = self
             .asked
             .iter()
-            .find(|asked| now > asked.at + ANSWER_LIMIT + 100 && !self.bench.seats[asked.place].frozen);
+            .find(|asked| now > asked.at + ANSWER_LIMIT + 100 && !self.cluster.nodes[asked.place].suspended);
         verify_that!(overdue.map(|asked| (asked.place, asked.at)), none())
     }
 
@@ -177,7 +177,7 @@
             if (step * 5).is_multiple_of(ASK_EVERY) {
                 self.ask();
             }
-            self.bench.run(5);
+            self.cluster.run(5);
             self.judge()?;
         }
         Ok(())
@@ -188,11 +188,11 @@
         self.begin_trouble();
         self.go_on(TROUBLE / 4)?;
         if self.trouble == Trouble::CutAndFrozen {
-            self.bench.freeze(self.troubled);
+            self.cluster.suspend(self.troubled);
         }
         self.go_on(TROUBLE / 2)?;
         if self.trouble == Trouble::CutAndFrozen {
-            self.bench.thaw(self.troubled);
+            self.cluster.resume(self.troubled);
         }
         self.go_on(TROUBLE / 4)?;
         let elsewhere = self.acknowledged_elsewhere.map(|at| at - self.began);
@@ -207,9 +207,9 @@
         let ended = self.milliseconds();
         while self.milliseconds() < ended + 5_000 {
             self.go_on(5)?;
-            let leader = self.bench.leader();
-            let known = self.bench.replica(self.troubled).primary_address();
-            if leader.is_some_and(|leader| known == Some(self.bench.seats[leader].address)) {
+            let leader = self.cluster.leader();
+            let known = self.cluster.replica(self.troubled).primary_address();
+            if leader.is_some_and(|leader| known == Some(self.cluster.nodes[leader].address)) {
                 return Ok(self.milliseconds() - ended);
             }
         }
@@ -220,7 +220,7 @@
 
 /// Design page, points 3 to 5: nothing is decided without the lease, and those that can talk go on.
 #[gtest]
-fn a_primary_without_contact_decides_nothing_and_others_take_over() -> Result<()> {
+fn a_primary_without_quorum_decides_nothing_and_is_replaced() -> Result<()> {
     for (size, losses) in [(3, 1), (5, 2), (8, 2)] {
         for trouble in TROUBLES {
             let course = Course::new(size, losses, 0, trouble);
@@ -237,7 +237,7 @@
 
 /// The same for a backup and for a witness: the primary goes on with the others.
 #[gtest]
-fn a_member_without_contact_holds_up_nobody_for_long() -> Result<()> {
+fn a_partitioned_member_delays_others_only_briefly() -> Result<()> {
     for troubled in [1, 2] {
         for trouble in TROUBLES {
             let course = Course::new(3, 1, troubled, trouble);
--- a/control/tests/retried_changes.rs
+++ b/control/tests/retried_changes.rs
@@ -1,8 +1,8 @@
 //! An order that is sent again after a lost answer is never refused, however many others came in between.
 
-mod bench;
+mod cluster;
 
-use bench::{Bench, put};
+use cluster::{Cluster, put};
 use googletest::prelude::*;
 use gradepaddle_control::{ACCEPTED_HISTORY_ENTRIES, ControlState, Outcome};
 
@@ -10,61 +10,61 @@
 const CHANGES: u64 = 1_000;
 
 /// Puts versions `first + 1` to `last` in force, each on top of the one before.
-fn change(bench: &mut Bench, first: u64, last: u64) {
-    let leader = bench.leader().expect("somebody leads");
+fn change(cluster: &mut Cluster, first: u64, last: u64) {
+    let leader = cluster.leader().expect("somebody leads");
     for version in first + 1..=last {
-        let proposal_id = bench.ask(leader, put(version - 1, version, u128::from(version)));
-        bench.settle();
-        assert_eq!(bench.answer(proposal_id), Some(Outcome::Committed), "version {version}");
+        let proposal_id = cluster.ask(leader, put(version - 1, version, u128::from(version)));
+        cluster.settle();
+        assert_eq!(cluster.answer(proposal_id), Some(Outcome::Committed), "version {version}");
         if version.is_multiple_of(20) {
-            bench.run(20);
+            cluster.run(20);
         }
     }
 }
 
 /// The answers to every order up to a version, each sent again.
-fn sent_again(bench: &mut Bench, last: u64) -> Vec<(u64, Option<Outcome>)> {
-    let leader = bench.leader().expect("somebody leads");
+fn sent_again(cluster: &mut Cluster, last: u64) -> Vec<(u64, Option<Outcome>)> {
+    let leader = cluster.leader().expect("somebody leads");
     let answers = (1..=last).map(|version| {
-        let proposal_id = bench.ask(leader, put(version - 1, version, u128::from(version)));
-        bench.settle();
-        (version, bench.answer(proposal_id))
+        let proposal_id = cluster.ask(leader, put(version - 1, version, u128::from(version)));
+        cluster.settle();
+        (version, cluster.answer(proposal_id))
     });
     answers.filter(|(_, answer)| *answer != Some(Outcome::Committed)).collect()
 }
 
 #[gtest]
-fn an_order_is_acknowledged_again_after_a_thousand_others() {
-    let mut bench = Bench::founded(3, 1);
-    change(&mut bench, 0, CHANGES);
-    expect_that!(sent_again(&mut bench, CHANGES), is_empty());
-    expect_that!(bench.replica(0).state().current_version(), eq(CHANGES));
+fn a_retry_is_acknowledged_after_a_thousand_other_changes() {
+    let mut cluster = Cluster::bootstrapped(3, 1);
+    change(&mut cluster, 0, CHANGES);
+    expect_that!(sent_again(&mut cluster, CHANGES), is_empty());
+    expect_that!(cluster.replica(0).state().current_version(), eq(CHANGES));
 }
 
 #[gtest]
-fn restarts_takeovers_and_newcomers_remember_the_orders() {
-    let mut bench = Bench::founded(3, 1);
-    change(&mut bench, 0, 200);
-    bench.crash(0);
-    bench.run(3_000);
-    change(&mut bench, 200, 300);
-    expect_that!(sent_again(&mut bench, 300), is_empty(), "after a takeover");
-    let leader = bench.leader().expect("somebody leads");
-    bench.start(0);
-    bench.run(3_000);
-    bench.wipe(leader);
-    bench.start(leader);
-    bench.run(5_000);
-    expect_that!(sent_again(&mut bench, 300), is_empty(), "after the loss of a disk");
+fn the_accepted_history_survives_restarts_view_changes_and_joins() {
+    let mut cluster = Cluster::bootstrapped(3, 1);
+    change(&mut cluster, 0, 200);
+    cluster.crash(0);
+    cluster.run(3_000);
+    change(&mut cluster, 200, 300);
+    expect_that!(sent_again(&mut cluster, 300), is_empty(), "after a takeover");
+    let leader = cluster.leader().expect("somebody leads");
+    cluster.start(0);
+    cluster.run(3_000);
+    cluster.wipe(leader);
+    cluster.start(leader);
+    cluster.run(5_000);
+    expect_that!(sent_again(&mut cluster, 300), is_empty(), "after the loss of a disk");
     for place in 0..3 {
-        bench.crash(place);
+        cluster.crash(place);
     }
     for place in 0..3 {
-        bench.start(place);
+        cluster.start(place);
     }
-    bench.run(5_000);
-    expect_that!(sent_again(&mut bench, 300), is_empty(), "after all lost power");
-    change(&mut bench, 300, 310);
+    cluster.run(5_000);
+    expect_that!(sent_again(&mut cluster, 300), is_empty(), "after all lost power");
+    change(&mut cluster, 300, 310);
 }
 
 /// A state after so many changes, each two above the one before.
@@ -75,11 +75,11 @@
 }
 
 #[gtest]
-fn an_order_that_is_forgotten_gets_no_clear_answer_and_all_others_a_true_one() {
+fn a_retry_older_than_the_history_is_answered_unknown_and_all_others_truly() {
     let kept = ACCEPTED_HISTORY_ENTRIES as u64;
     let current = 2 * (kept + 10);
-    let mut bench = Bench::founded(3, 1);
-    bench.adopt(state_after(kept + 10));
+    let mut cluster = Cluster::bootstrapped(3, 1);
+    cluster.adopt(state_after(kept + 10));
     let conflict = Some(Outcome::Conflict { current });
     let rows = [
         ("forgotten", put(0, 2, 1), Some(Outcome::Unknown)),
@@ -94,23 +94,23 @@
         ("a new one", put(current, current + 1, 999), Some(Outcome::Committed)),
     ];
     for (what, change, outcome) in rows {
-        let proposal_id = bench.ask(0, change);
-        bench.settle();
-        expect_that!(bench.answer(proposal_id), eq(outcome), "{what}");
+        let proposal_id = cluster.ask(0, change);
+        cluster.settle();
+        expect_that!(cluster.answer(proposal_id), eq(outcome), "{what}");
     }
 }
 
 /// Two orders are under way at once, the second on top of the first; the second overtakes it, and comes twice.
 #[gtest]
-fn an_order_that_overtakes_its_base_is_not_refused_since_its_copy_may_be_taken() {
-    let mut bench = Bench::founded(3, 1);
+fn a_change_that_overtakes_its_base_is_answered_unknown() {
+    let mut cluster = Cluster::bootstrapped(3, 1);
     let (base, next) = (put(0, 1, 1), put(1, 2, 2));
-    let early = bench.ask(0, next.clone());
-    bench.settle();
-    expect_that!(bench.answer(early), some(eq(Outcome::Unknown)));
+    let early = cluster.ask(0, next.clone());
+    cluster.settle();
+    expect_that!(cluster.answer(early), some(eq(Outcome::Unknown)));
     for change in [base, next] {
-        let proposal_id = bench.ask(0, change);
-        bench.settle();
-        expect_that!(bench.answer(proposal_id), some(eq(Outcome::Committed)));
+        let proposal_id = cluster.ask(0, change);
+        cluster.settle();
+        expect_that!(cluster.answer(proposal_id), some(eq(Outcome::Committed)));
     }
 }
--- a/control/tests/simulator/checker.rs
+++ b/control/tests/simulator/checker.rs
@@ -15,7 +15,7 @@
     /// An acknowledged change isn't part of the committed states.
     Lost(String),
     /// A change is acknowledged that no backup holds.
-    Alone(String),
+    NoBackup(String),
     /// Two replicas lead at the same time.
     TwoLeaders(ReplicaId, ReplicaId),
     /// Two replicas led in one epoch.
@@ -25,7 +25,7 @@
     /// A refusal that wasn't true, or of a change that came into force.
     FalseRefusal(String),
     /// Nothing was acknowledged in time although all is well again.
-    Stuck(String),
+    NoProgress(String),
 }
 
 /// A configuration that clients have sent.
--- a/control/tests/simulator/clients.rs
+++ b/control/tests/simulator/clients.rs
@@ -19,7 +19,7 @@
 
 impl Clients {
     /// The next change that somebody wants.
-    pub fn wish(&mut self, random: &mut Random) -> Change {
+    pub fn next_change(&mut self, random: &mut Random) -> Change {
         if !self.unclear.is_empty() && random.permille(350) {
             let index = random.below(self.unclear.len());
             return self.unclear.swap_remove(index);
--- a/control/tests/simulator/world.rs
+++ b/control/tests/simulator/world.rs
@@ -15,7 +15,7 @@
 use gradepaddle_control::{Change, Input, Member, Message, ProposalId, View};
 
 use self::{
-    machine::{Doom, Machine},
+    machine::{Machine, WriteCrash},
     recovery::RECOVERY_LIMIT,
 };
 
@@ -36,17 +36,17 @@
     Wake { machine: usize, incarnation: u64 },
     DiskDone { machine: usize, incarnation: u64 },
     Start { machine: usize },
-    Thaw { machine: usize },
+    Resume { machine: usize },
     Bootstrap { machine: usize, view: View },
-    Wish,
+    ProposeNext,
     Propose { machine: usize, change: Change, tries: usize },
-    Strike,
-    Doom { machine: usize, incarnation: u64, doom: Doom },
+    InjectFault,
+    WriteCrash { machine: usize, incarnation: u64, write_crash: WriteCrash },
     Round,
     PowerLoss,
     Terminate { machine: usize },
     GraceOver { machine: usize, incarnation: u64 },
-    DiskWell { machine: usize },
+    DiskRecovers { machine: usize },
     Join,
     Heal,
     Probe,
@@ -85,7 +85,7 @@
     /// The longest ordinary write, in microseconds.
     disk_takes: u64,
     /// The next change of members splits the network.
-    trap: bool,
+    split_armed: bool,
     trace: bool,
     /// How many operators act at once; none for the ordinary course, in which no history is kept.
     operators: usize,
@@ -113,7 +113,7 @@
             recovered: None,
             played: 0,
             highest_epoch: 0,
-            trap: false,
+            split_armed: false,
             operators: 0,
             history: History::default(),
             orders: BTreeMap::new(),
@@ -165,11 +165,11 @@
                 self.schedule(late, Event::Bootstrap { machine, view: view.clone() });
             }
         }
-        self.schedule(600 * MILLISECOND, Event::Wish);
+        self.schedule(600 * MILLISECOND, Event::ProposeNext);
         if let Some(rounds) = self.plan.rounds {
             return self.begin_rounds(rounds);
         }
-        self.schedule(1_500 * MILLISECOND, Event::Strike);
+        self.schedule(1_500 * MILLISECOND, Event::InjectFault);
         self.schedule(self.plan.length, Event::Heal);
     }
 
@@ -190,7 +190,7 @@
             }
         }
         if self.recovered.is_none() {
-            self.checker.report(Violation::Stuck(self.describe()));
+            self.checker.report(Violation::NoProgress(self.describe()));
         }
         Report {
             violation: self.checker.found,
@@ -207,7 +207,7 @@
         match event {
             Event::Deliver { to, from, message } => {
                 if let Some(machine) = self.machines.iter().position(|machine| machine.address == to) {
-                    if self.frozen(machine) {
+                    if self.suspended(machine) {
                         return self.machines[machine].held.push(Event::Deliver { to, from, message });
                     }
                     if self.trace {
@@ -219,7 +219,7 @@
             Event::Wake { machine, incarnation } => {
                 if self.machines[machine].incarnation == incarnation {
                     self.machines[machine].next_wake = u64::MAX;
-                    if self.frozen(machine) {
+                    if self.suspended(machine) {
                         return self.machines[machine].held.push(Event::Wake { machine, incarnation });
                     }
                     self.input(machine, Input::Tick);
@@ -227,15 +227,15 @@
             }
             Event::DiskDone { machine, incarnation } => self.disk_done(machine, incarnation),
             Event::Start { machine } => self.start(machine),
-            Event::Thaw { machine } => self.thaw(machine),
+            Event::Resume { machine } => self.resume(machine),
             Event::Bootstrap { machine, view } => {
                 if self.machines[machine].incarnation == 1 {
                     self.input(machine, Input::Bootstrap { view });
                 }
             }
-            Event::Wish if self.operators > 0 => self.wish_at_once(),
-            Event::Wish => {
-                let change = self.clients.wish(&mut self.random);
+            Event::ProposeNext if self.operators > 0 => self.propose_concurrently(),
+            Event::ProposeNext => {
+                let change = self.clients.next_change(&mut self.random);
                 let rivals = if self.random.permille(250) { 2 } else { 1 };
                 for _ in 0..rivals {
                     let change = match (&change, rivals) {
@@ -249,23 +249,24 @@
                 }
                 if self.healed.is_none() {
                     let pause = self.random.between(30, 500) * MILLISECOND;
-                    self.schedule(pause, Event::Wish);
+                    self.schedule(pause, Event::ProposeNext);
                 }
             }
             Event::Propose { machine, change, tries } => self.ask(machine, change, tries),
-            Event::Strike => {
+            Event::InjectFault => {
                 if self.healed.is_none() {
-                    self.strike();
-                    let pause = self.random.between(self.plan.every / 4, self.plan.every * 2);
-                    self.schedule(pause, Event::Strike);
+                    self.inject_fault();
+                    let pause =
+                        self.random.between(self.plan.fault_interval / 4, self.plan.fault_interval * 2);
+                    self.schedule(pause, Event::InjectFault);
                 }
             }
-            Event::Doom { machine, incarnation, doom } => {
+            Event::WriteCrash { machine, incarnation, write_crash } => {
                 if self.machines[machine].incarnation == incarnation && self.healed.is_none() {
-                    match doom {
-                        Doom::Crash => self.crash_and_restart(machine),
-                        Doom::Wipe if self.spare_losses() > 0 => self.wipe(machine),
-                        Doom::Wipe => {}
+                    match write_crash {
+                        WriteCrash::Crash => self.crash_and_restart(machine),
+                        WriteCrash::Wipe if self.spare_losses() > 0 => self.wipe(machine),
+                        WriteCrash::Wipe => {}
                     }
                 }
             }
@@ -273,7 +274,7 @@
             Event::PowerLoss => self.lose_power(&[]),
             Event::Terminate { machine } => self.terminate(machine),
             Event::GraceOver { machine, incarnation } => self.grace_over(machine, incarnation),
-            Event::DiskWell { machine } => self.machines[machine].disk.full = false,
+            Event::DiskRecovers { machine } => self.machines[machine].disk.full = false,
             Event::Join => self.network.heal(),
             Event::Heal => self.heal(),
             Event::Probe => self.probe(),
--- a/control/tests/simulator/world/fault_effects.rs
+++ b/control/tests/simulator/world/fault_effects.rs
@@ -4,7 +4,7 @@
 
 use gradepaddle_control::Input;
 
-use super::{Event, World, machine::Doom};
+use super::{Event, World, machine::WriteCrash};
 
 use crate::simulator::{
     MILLISECOND,
@@ -12,7 +12,7 @@
 };
 
 impl World {
-    pub(super) fn strike(&mut self) {
+    pub(super) fn inject_fault(&mut self) {
         let kinds: &[Fault] = if self.plan.only.is_empty() { FAULTS } else { &self.plan.only };
         let fault = kinds[self.random.below(kinds.len())];
         let victim = self.some_machine();
@@ -42,11 +42,11 @@
                     self.replace(victim);
                 }
             }
-            Fault::Cut => self.cut_off(victim, true, true),
-            Fault::CrashInWrite => self.machines[victim].doom = Some(Doom::Crash),
+            Fault::Partition => self.partition(victim, true, true),
+            Fault::CrashInWrite => self.machines[victim].write_crash = Some(WriteCrash::Crash),
             Fault::WipeInWrite => {
                 if let Some(leader) = self.leader() {
-                    self.machines[leader].doom = Some(Doom::Wipe);
+                    self.machines[leader].write_crash = Some(WriteCrash::Wipe);
                 }
             }
             Fault::Add => {
@@ -61,17 +61,17 @@
                 self.network.cut(one, two);
                 self.network.cut(two, one);
             }
-            Fault::OneWayCut => {
+            Fault::OneWayPartition => {
                 let inward = self.random.permille(500);
-                self.cut_off(victim, inward, !inward);
+                self.partition(victim, inward, !inward);
             }
             Fault::Split => self.split(),
-            Fault::SplitAtChange => self.trap = true,
-            Fault::Mend => self.network.heal(),
-            Fault::Freeze => self.freeze(victim),
-            Fault::FreezeLeader => {
+            Fault::SplitAtChange => self.split_armed = true,
+            Fault::HealNetwork => self.network.heal(),
+            Fault::Suspend => self.suspend(victim),
+            Fault::SuspendLeader => {
                 if let Some(leader) = self.leader() {
-                    self.freeze(leader);
+                    self.suspend(leader);
                 }
             }
             Fault::DiskFull => self.machines[victim].disk.full = true,
@@ -79,23 +79,23 @@
                 let until = self.now + self.random.between(100, 4_000) * MILLISECOND;
                 self.machines[victim].disk.hangs_until = until;
             }
-            Fault::DiskWell => self.machines.iter_mut().for_each(|machine| machine.disk.full = false),
-            Fault::Leave => {
-                self.machines[victim].leaving = true;
+            Fault::DiskRecovers => self.machines.iter_mut().for_each(|machine| machine.disk.full = false),
+            Fault::ShutDown => {
+                self.machines[victim].shutting_down = true;
                 self.input(victim, Input::ShutDown);
             }
-            Fault::Weather => {
+            Fault::NetworkConditions => {
                 let severity = self.random.between(0, 4);
                 self.network.loss = severity * self.random.between(0, 70);
                 self.network.late = severity * self.random.between(0, 30);
                 self.network.twice = severity * self.random.between(0, 50);
             }
-            Fault::WipesAndPowerLoss => self.final_fault(victim),
+            Fault::WipesAndPowerLoss => self.inject_wipes_and_power_loss(victim),
         }
     }
 
     /// As many machines as allowed lose their disks while all others lose power.
-    pub(super) fn final_fault(&mut self, victim: usize) {
+    pub(super) fn inject_wipes_and_power_loss(&mut self, victim: usize) {
         let spare = self.spare_losses();
         let leader = self.leader();
         let mut lost: Vec<usize> = leader.into_iter().chain([victim]).collect();
@@ -110,16 +110,16 @@
         }
     }
 
-    pub(super) fn freeze(&mut self, index: usize) {
-        if self.frozen(index) || self.machines[index].replica.is_none() {
+    pub(super) fn suspend(&mut self, index: usize) {
+        if self.suspended(index) || self.machines[index].replica.is_none() {
             return;
         }
         let pause = self.random.between(100, 5_000) * MILLISECOND;
-        self.machines[index].frozen = Some(self.now + pause);
-        self.schedule(pause, Event::Thaw { machine: index });
+        self.machines[index].suspended = Some(self.now + pause);
+        self.schedule(pause, Event::Resume { machine: index });
     }
 
-    pub(super) fn cut_off(&mut self, index: usize, inward: bool, outward: bool) {
+    pub(super) fn partition(&mut self, index: usize, inward: bool, outward: bool) {
         let own = self.machines[index].address;
         for other in self.machines.iter().map(|machine| machine.address).filter(|address| *address != own) {
             if inward {
--- a/control/tests/simulator/world/input_output.rs
+++ b/control/tests/simulator/world/input_output.rs
@@ -55,19 +55,20 @@
 
     pub(super) fn send(&mut self, index: usize, to: SocketAddrV4, message: Message) {
         let from = self.machines[index].address;
-        self.spring_trap(index, &message);
+        self.maybe_split_at_view_change(index, &message);
         self.notice_change(&message);
         for delay in self.network.deliveries(from, to, &mut self.random) {
             self.schedule(delay, Event::Deliver { to, from, message: message.clone() });
         }
     }
 
-    pub(super) fn spring_trap(&mut self, index: usize, message: &Message) {
+    pub(super) fn maybe_split_at_view_change(&mut self, index: usize, message: &Message) {
         let Body::Accept { view } = &message.body else { return };
-        if !self.trap || view.active || view.view.previous_members.is_empty() || self.healed.is_some() {
+        if !self.split_armed || view.active || view.view.previous_members.is_empty() || self.healed.is_some()
+        {
             return;
         }
-        self.trap = false;
+        self.split_armed = false;
         self.network.heal();
         let own = self.machines[index].address;
         let old =
@@ -98,11 +99,11 @@
         machine.disk.busy_until = done;
         machine.disk.begin(write_id, records);
         let incarnation = machine.incarnation;
-        let doom = machine.doom.take();
+        let write_crash = machine.write_crash.take();
         self.schedule(done - now, Event::DiskDone { machine: index, incarnation });
-        if let Some(doom) = doom {
+        if let Some(write_crash) = write_crash {
             let after = self.random.between(1, 2 * (done - now) + MILLISECOND);
-            self.schedule(after, Event::Doom { machine: index, incarnation, doom });
+            self.schedule(after, Event::WriteCrash { machine: index, incarnation, write_crash });
         }
     }
 
@@ -116,7 +117,7 @@
             let pause = machine.disk.hangs_until - now;
             return self.schedule(pause, Event::DiskDone { machine: index, incarnation });
         }
-        if machine.frozen.is_some() {
+        if machine.suspended.is_some() {
             return machine.held.push(Event::DiskDone { machine: index, incarnation });
         }
         if let Some((write_id, durable)) = machine.disk.finish() {
--- a/control/tests/simulator/world/machine.rs
+++ b/control/tests/simulator/world/machine.rs
@@ -17,24 +17,24 @@
     pub(super) replica: Option<Replica>,
     pub(super) disk: Disk,
     pub(super) incarnation: u64,
-    pub(super) frozen: Option<u64>,
+    pub(super) suspended: Option<u64>,
     pub(super) held: Vec<Event>,
     pub(super) removed: bool,
     pub(super) first_boot: bool,
-    pub(super) leaving: bool,
+    pub(super) shutting_down: bool,
     /// The steady clock of the machine: a start of its own and a rate slightly off.
     pub(super) clock_start: u64,
     pub(super) clock_rate: u64,
     pub(super) next_wake: u64,
     pub(super) asked: Vec<ProposalId>,
     /// What happens to the machine around its next write.
-    pub(super) doom: Option<Doom>,
+    pub(super) write_crash: Option<WriteCrash>,
     /// What becomes of it once it has ended in good order, in a course of rounds.
     pub(super) departure: Option<Departure>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Doom {
+pub(super) enum WriteCrash {
     Crash,
     Wipe,
 }
@@ -62,16 +62,16 @@
             replica: None,
             disk: Disk::empty(id),
             incarnation: 0,
-            frozen: None,
+            suspended: None,
             held: Vec::new(),
             removed: false,
             first_boot,
-            leaving: false,
+            shutting_down: false,
             clock_start,
             clock_rate: self.random.between(self.plan.clock_rates.slowest, self.plan.clock_rates.fastest),
             next_wake: u64::MAX,
             asked: Vec::new(),
-            doom: None,
+            write_crash: None,
             departure: None,
         });
         index
@@ -88,8 +88,8 @@
         ReplicaId(self.next_id)
     }
 
-    pub(super) fn frozen(&self, machine: usize) -> bool {
-        self.machines[machine].frozen.is_some()
+    pub(super) fn suspended(&self, machine: usize) -> bool {
+        self.machines[machine].suspended.is_some()
     }
 
     pub(super) fn start(&mut self, index: usize) {
@@ -109,7 +109,7 @@
             .injected_fault(self.plan.injected_fault)
             .build();
         machine.incarnation += 1;
-        machine.leaving = false;
+        machine.shutting_down = false;
         machine.next_wake = u64::MAX;
         machine.replica = Some(Replica::new(config, machine.disk.kept.clone(), machine.local(now)));
         if machine.incarnation > 1 || !machine.first_boot {
@@ -120,13 +120,13 @@
         }
     }
 
-    pub(super) fn thaw(&mut self, index: usize) {
+    pub(super) fn resume(&mut self, index: usize) {
         let now = self.now;
         let machine = &mut self.machines[index];
-        if machine.frozen.is_none_or(|until| until > now) {
+        if machine.suspended.is_none_or(|until| until > now) {
             return;
         }
-        machine.frozen = None;
+        machine.suspended = None;
         for event in std::mem::take(&mut machine.held) {
             self.schedule(self.random.clone().between(1, 300), event);
             self.random.next();
@@ -141,9 +141,9 @@
         }
         machine.disk.crash(&mut self.random);
         machine.incarnation += 1;
-        machine.frozen = None;
+        machine.suspended = None;
         machine.held.clear();
-        machine.doom = None;
+        machine.write_crash = None;
         // The steady clock may start anew with the machine.
         machine.clock_start = clock_start;
         for proposal_id in std::mem::take(&mut machine.asked) {
@@ -178,7 +178,7 @@
         if self.machines[index].departure.is_some() {
             return self.departed(index);
         }
-        if self.machines[index].leaving {
+        if self.machines[index].shutting_down {
             self.crash_and_restart(index);
         }
     }
--- a/control/tests/simulator/world/operators.rs
+++ b/control/tests/simulator/world/operators.rs
@@ -13,8 +13,8 @@
 impl World {
     /// Several operators act within a moment: with rivals on top of one version, the same order at several machines,
     /// and orders that were sent before.
-    pub(super) fn wish_at_once(&mut self) {
-        let first = self.clients.wish(&mut self.random);
+    pub(super) fn propose_concurrently(&mut self) {
+        let first = self.clients.next_change(&mut self.random);
         let base = match &first {
             Change::PutConfiguration { if_match, .. } => Some(*if_match),
             Change::NameVersion { .. } => None,
@@ -37,7 +37,7 @@
         }
         if self.healed.is_none() {
             let pause = self.random.between(100, 800) * MILLISECOND;
-            self.schedule(pause, Event::Wish);
+            self.schedule(pause, Event::ProposeNext);
         }
     }
 
@@ -73,7 +73,7 @@
     }
 
     pub(super) fn ask(&mut self, index: usize, change: Change, tries: usize) {
-        if self.machines[index].replica.is_none() || self.frozen(index) || tries == 0 {
+        if self.machines[index].replica.is_none() || self.suspended(index) || tries == 0 {
             return;
         }
         self.checker.sent(&change);
@@ -105,7 +105,7 @@
         if outcome == Outcome::Committed && self.plan.replicas > 1 {
             let view = self.machines[index].replica.as_ref().and_then(|replica| replica.status().view);
             if view.is_some_and(|known| known.view.backups.is_empty()) {
-                self.checker.report(Violation::Alone(format!("{proposal_id:?}")));
+                self.checker.report(Violation::NoBackup(format!("{proposal_id:?}")));
             }
         }
         self.checker.answered(&change, outcome);
--- a/control/tests/simulator/world/recovery.rs
+++ b/control/tests/simulator/world/recovery.rs
@@ -19,19 +19,19 @@
         self.network.calm();
         for index in 0..self.machines.len() {
             let now = self.now;
-            if self.machines[index].leaving {
+            if self.machines[index].shutting_down {
                 self.crash(index);
             }
             let machine = &mut self.machines[index];
             machine.disk.full = false;
             machine.disk.hangs_until = now;
             machine.disk.busy_until = now;
-            machine.frozen = machine.frozen.map(|_| now);
+            machine.suspended = machine.suspended.map(|_| now);
             let incarnation = machine.incarnation;
             for _ in 0..machine.disk.waiting() {
                 self.schedule(MILLISECOND, Event::DiskDone { machine: index, incarnation });
             }
-            self.thaw(index);
+            self.resume(index);
             self.start(index);
         }
         self.schedule(1, Event::Probe);
--- a/control/tests/simulator/world/rounds.rs
+++ b/control/tests/simulator/world/rounds.rs
@@ -14,7 +14,7 @@
 /// A machine that was told to end is killed after this.
 const GRACE: u64 = 7_400 * MILLISECOND;
 /// How often a round that isn't over is looked at again.
-const LOOK_EVERY: u64 = 5 * MILLISECOND;
+const POLL_INTERVAL: u64 = 5 * MILLISECOND;
 /// A process starts at least this long after its machine went down.
 const SHORTEST_PAUSE: u64 = 20 * MILLISECOND;
 /// And at most this long.
@@ -96,7 +96,7 @@
     pub(super) fn round(&mut self) {
         let Some(rounds) = self.plan.rounds else { return };
         if self.rounds.departing > 0 || self.now < self.rounds.whole_at {
-            return self.schedule(LOOK_EVERY, Event::Round);
+            return self.schedule(POLL_INTERVAL, Event::Round);
         }
         if self.rounds.left == 0 {
             return self.schedule(1, Event::Heal);
@@ -122,7 +122,7 @@
         if rounds.disk_trouble && self.random.permille(400) {
             self.spoil_a_disk();
         }
-        self.schedule(LOOK_EVERY, Event::Round);
+        self.schedule(POLL_INTERVAL, Event::Round);
     }
 
     /// As many machines as may be lost, or fewer; often the leader is among them.
@@ -195,7 +195,7 @@
 
     fn cut_for_a_while(&mut self, victim: usize) {
         let (inward, outward) = [(true, true), (true, false), (false, true)][self.random.below(3)];
-        self.cut_off(victim, inward, outward);
+        self.partition(victim, inward, outward);
         let span = self.random.between(500 * MILLISECOND, 5_000 * MILLISECOND);
         self.schedule(span, Event::Join);
         self.counts_again_after(span);
@@ -209,7 +209,7 @@
 
     /// SIGTERM.
     pub(super) fn terminate(&mut self, index: usize) {
-        self.machines[index].leaving = true;
+        self.machines[index].shutting_down = true;
         let incarnation = self.machines[index].incarnation;
         self.schedule(GRACE, Event::GraceOver { machine: index, incarnation });
         if self.machines[index].replica.is_none() {
@@ -263,7 +263,7 @@
             return;
         }
         for index in self.running() {
-            if self.machines[index].departure.is_some() && self.machines[index].leaving {
+            if self.machines[index].departure.is_some() && self.machines[index].shutting_down {
                 self.departed(index);
             } else if wiped.contains(&index) {
                 self.lose_disk(index);
@@ -279,7 +279,7 @@
         let span = self.random.between(200 * MILLISECOND, 2_500 * MILLISECOND);
         if self.random.permille(500) {
             self.machines[victim].disk.full = true;
-            self.schedule(span, Event::DiskWell { machine: victim });
+            self.schedule(span, Event::DiskRecovers { machine: victim });
         } else {
             self.machines[victim].disk.hangs_until = self.now + span;
         }
--- a/control/tests/slow_links/mod.rs
+++ b/control/tests/slow_links/mod.rs
@@ -99,7 +99,7 @@
 
 impl Fleet {
     /// A founded core.
-    pub fn founded(size: usize, losses: usize, speed: Speed) -> Fleet {
+    pub fn bootstrapped(size: usize, losses: usize, speed: Speed) -> Fleet {
         let mut fleet = Fleet {
             now: 1_000 * MILLISECOND,
             events: EventQueue::new(),
@@ -175,7 +175,7 @@
     }
 
     /// Cuts a machine off from all others; what is on its way to and from it is lost.
-    pub fn cut_off(&mut self, place: usize) {
+    pub fn partition(&mut self, place: usize) {
         let address = self.machines[place].address;
         self.cut.push(place);
         for (other, machine) in self.machines.iter_mut().enumerate() {
@@ -183,7 +183,7 @@
         }
     }
 
-    pub fn mend(&mut self) {
+    pub fn heal_network(&mut self) {
         self.cut.clear();
     }
 
@@ -391,9 +391,9 @@
 
     /// Sends the next change, or the one that has no clear answer yet, to whoever leads.
     fn operate(&mut self) {
-        const LOOK_EVERY: u64 = 50 * MILLISECOND;
-        const SILENCE: u64 = SECOND;
-        if self.operator.asked.is_none_or(|(_, since)| self.now >= since + SILENCE)
+        const POLL_INTERVAL: u64 = 50 * MILLISECOND;
+        const ANSWER_TIMEOUT: u64 = SECOND;
+        if self.operator.asked.is_none_or(|(_, since)| self.now >= since + ANSWER_TIMEOUT)
             && let Some(leader) = self.leader()
         {
             self.operator.next_proposal_id += 1;
@@ -402,7 +402,7 @@
             let change = put(self.operator.version, self.operator.body);
             self.input(leader, Input::Propose { proposal_id, change });
         }
-        self.schedule(self.now + LOOK_EVERY, Event::Operator);
+        self.schedule(self.now + POLL_INTERVAL, Event::Operator);
     }
 
     fn answered(&mut self, proposal_id: ProposalId, outcome: Outcome) {
--- a/control/tests/successive_losses.rs
+++ b/control/tests/successive_losses.rs
@@ -21,7 +21,7 @@
 };
 
 fn plan(replicas: usize, machine_losses: usize, rounds: Rounds) -> Plan {
-    Plan { length: 0, every: 0, rounds: Some(rounds), ..Plan::new(replicas, machine_losses) }
+    Plan { length: 0, fault_interval: 0, rounds: Some(rounds), ..Plan::new(replicas, machine_losses) }
 }
 
 /// Plays a plan once for each seed, with cores of 3, 5 and 8.
@@ -71,7 +71,7 @@
 }
 
 #[gtest]
-fn orderly_ends_and_losses() -> Result<()> {
+fn graceful_shutdowns_and_losses() -> Result<()> {
     let only = &[Loss::OrderlyReplacement, Loss::OrderlyRestart, Loss::Wipe, Loss::Replace];
     explore(Rounds { only, ..ROUNDS })
 }
@@ -82,7 +82,7 @@
 }
 
 #[gtest]
-fn all_kinds_of_losses_and_power_losses_of_the_whole_core() -> Result<()> {
+fn all_kinds_of_losses_and_power_losses_of_all_members() -> Result<()> {
     explore(Rounds { power_losses: true, ..ROUNDS })
 }
 
@@ -97,13 +97,13 @@
 }
 
 #[gtest]
-fn power_losses_of_the_whole_core_as_members_change() -> Result<()> {
+fn power_losses_of_all_members_during_view_changes() -> Result<()> {
     explore(Rounds { power_losses_at_changes: true, ..ROUNDS })
 }
 
 /// A heartbeat that comes 2.5 s late must not renew the lease of a primary that is gone for good.
 #[gtest]
-fn losses_after_a_heartbeat_that_comes_late() -> Result<()> {
+fn losses_after_a_delayed_heartbeat() -> Result<()> {
     const SEED: u64 = 8_583;
     let plan = plan(5, 2, Rounds { power_losses: true, weather: true, ..ROUNDS });
     match World::new(plan, SEED).play().violation {
--- a/store/tests/file_system.rs
+++ b/store/tests/file_system.rs
@@ -27,7 +27,7 @@
 }
 
 #[gtest]
-fn records_are_found_again() -> Result<()> {
+fn records_are_recovered() -> Result<()> {
     let scratch = Scratch::new("again");
     let mut opened = Storage::open(&scratch.0, ReplicaId(5)).or_fail()?;
     expect_that!(opened.origin, eq(Origin::Created));
@@ -41,7 +41,7 @@
 }
 
 #[gtest]
-fn the_thread_writes_in_order_and_says_so() -> Result<()> {
+fn the_writer_thread_writes_in_order_and_reports_each_write() -> Result<()> {
     let scratch = Scratch::new("thread");
     let opened = Storage::open(&scratch.0, ReplicaId(5)).or_fail()?;
     let (tell, told) = channel();
--- a/store/tests/golden.rs
+++ b/store/tests/golden.rs
@@ -207,13 +207,13 @@
 }
 
 #[gtest]
-fn a_folder_of_an_earlier_version_holds_all_that_was_acknowledged() {
+fn a_directory_of_an_earlier_version_holds_all_that_was_acknowledged() {
     let copied = Copied::new("checkpoint_and_records");
     expect_all_entries(&copied.recovered());
 }
 
 #[gtest]
-fn a_torn_tail_of_an_earlier_version_costs_nothing_that_was_acknowledged() {
+fn a_torn_tail_of_an_earlier_version_loses_nothing_acknowledged() {
     let copied = Copied::new("torn_tail");
     expect_all_entries(&copied.recovered());
     expect_that!(fs::read(copied.0.join(LOG_FILE)).ok(), some(eq(&golden("checkpoint_and_records"))));
@@ -232,13 +232,13 @@
 }
 
 #[gtest]
-fn a_fresh_folder_of_an_earlier_version_holds_its_identity() {
+fn a_new_directory_of_an_earlier_version_holds_its_identity() {
     let found = Copied::new("fresh").recovered();
     expect_that!(found, eq(&RecoveredState::empty(ReplicaId(0x1122_3344_5566_7788))));
 }
 
 #[gtest]
-fn a_folder_of_an_earlier_version_takes_further_records() {
+fn a_directory_of_an_earlier_version_accepts_further_records() {
     let copied = Copied::new("torn_tail");
     let mut opened = Storage::open(&copied.0, OTHER).expect("an earlier version's folder can be opened");
     opened.storage.append(one_more()).expect("the disk is well");
@@ -249,7 +249,7 @@
 }
 
 #[gtest]
-fn the_writer_hands_the_same_bytes_to_the_disk() {
+fn the_same_bytes_are_written() {
     let disk = Disk::new(1);
     let mut storage = open(&disk, EACH);
     expect_that!(hex(&disk.bytes(LOG_FILE)), eq(&hex(&golden("fresh"))));
--- a/store/tests/power_loss.rs
+++ b/store/tests/power_loss.rs
@@ -80,7 +80,7 @@
 }
 
 #[gtest]
-fn an_empty_disk_gets_the_fresh_identity_and_keeps_it() {
+fn an_empty_directory_gets_the_given_identity_and_keeps_it() {
     let disk = Disk::new(1);
     let (_, first, origin) = open(&disk, SMALL, ID);
     expect_that!((first, origin), eq(&(RecoveredState::empty(ID), Origin::Created)));
@@ -90,7 +90,7 @@
 }
 
 #[gtest]
-fn everything_written_is_found_again_across_checkpoints() {
+fn everything_written_is_recovered_across_checkpoints() {
     for limits in [SMALL, ROOMY] {
         let disk = Disk::new(2);
         let (mut storage, ..) = open(&disk, limits, ID);
@@ -117,7 +117,7 @@
 }
 
 #[gtest]
-fn a_log_cut_at_any_byte_yields_the_whole_entries_before_it() {
+fn a_log_truncated_at_any_byte_yields_the_complete_entries_before_it() {
     let disk = Disk::new(4);
     let (mut storage, ..) = open(&disk, ROOMY, ID);
     let mut lengths = vec![storage.log_length()];
@@ -138,7 +138,7 @@
 }
 
 #[gtest]
-fn a_wrong_byte_in_the_last_entries_yields_what_is_before_them() {
+fn a_corrupted_byte_in_the_last_entries_yields_what_is_before_them() {
     let disk = Disk::new(5);
     let (mut storage, ..) = open(&disk, ROOMY, ID);
     let mut lengths = vec![storage.log_length()];
@@ -160,7 +160,7 @@
 }
 
 #[gtest]
-fn a_damaged_snapshot_makes_another_replica() {
+fn a_corrupted_snapshot_gives_the_replica_another_identity() {
     let disk = Disk::new(6);
     let (mut storage, ..) = open(&disk, ROOMY, ID);
     expect_that!(storage.append(records(0)), ok(anything()));
@@ -172,7 +172,7 @@
 }
 
 #[gtest]
-fn an_unknown_format_is_refused_and_left_alone() {
+fn an_unknown_format_is_rejected_and_left_unchanged() {
     let disk = Disk::new(7);
     disk.put(LOG_FILE, b"gpcs\x09\0\0\0anything");
     expect_that!(Storage::open_in(Box::new(disk.clone()), SMALL, ID).err(), some(anything()));
@@ -180,7 +180,7 @@
 }
 
 #[gtest]
-fn a_checkpoint_that_was_begun_is_passed_over() {
+fn an_unfinished_checkpoint_is_ignored() {
     let disk = Disk::new(8);
     let (mut storage, ..) = open(&disk, ROOMY, ID);
     expect_that!(storage.append(records(0)), ok(anything()));
@@ -190,7 +190,7 @@
 }
 
 #[gtest]
-fn a_disk_in_trouble_refuses_and_then_works_again() {
+fn a_failing_disk_rejects_writes_and_then_works_again() {
     for fault in [DiskFault::Full, DiskFault::TornWrite, DiskFault::SyncFails] {
         let disk = Disk::new(9);
         let (mut storage, ..) = open(&disk, SMALL, ID);
@@ -209,7 +209,7 @@
 
 /// What is found is what was acknowledged, or that and one of the writes that have failed since.
 #[gtest]
-fn any_trouble_and_any_loss_of_power_keep_what_was_acknowledged() -> Result<()> {
+fn any_disk_fault_and_any_power_loss_keep_what_was_acknowledged() -> Result<()> {
     const FAULTS: [DiskFault; 5] = [
         DiskFault::Full,
         DiskFault::TornWrite,
--- a/store/tests/sustained_load.rs
+++ b/store/tests/sustained_load.rs
@@ -54,7 +54,7 @@
 }
 
 #[gtest]
-fn ten_thousand_large_changes_stay_within_the_folder_and_come_back() {
+fn ten_thousand_large_changes_stay_within_the_directory_and_are_recovered() {
     let disk = Disk::new(1);
     let mut storage = begun(&disk);
     let (mut most, mut longest) = (0, 0);
@@ -77,7 +77,7 @@
 }
 
 #[gtest]
-fn a_disk_that_fills_up_in_the_midst_of_a_checkpoint_loses_nothing() {
+fn a_disk_that_fills_up_during_a_checkpoint_loses_nothing() {
     for room in (0..600).step_by(20) {
         let disk = Disk::new(room as u64);
         let mut storage = begun(&disk);
@@ -105,7 +105,7 @@
 }
 
 #[gtest]
-fn a_checkpoint_that_fails_over_and_over_is_made_up_for_within_the_folder() {
+fn a_checkpoint_that_fails_repeatedly_stays_within_the_directory() {
     let disk = Disk::new(3);
     let mut storage = begun(&disk);
     disk.set_capacity(FOLDER);
--- a/store/tests/writer.rs
+++ b/store/tests/writer.rs
@@ -80,7 +80,7 @@
 }
 
 #[gtest]
-fn a_checkpoint_that_hangs_holds_back_no_answer() -> Result<()> {
+fn a_checkpoint_that_hangs_delays_no_completion() -> Result<()> {
     let (disk, gate) = (Disk::new(1), Arc::new(Gate::default()));
     let directory = HangingInCheckpoints { disk: disk.clone(), gate: Arc::clone(&gate) };
     let opened = Storage::open_in(Box::new(directory), EACH, ID).or_fail()?;
