--- a/dataplane/src/routing.rs
+++ b/dataplane/src/routing.rs
@@ -67,10 +67,11 @@
     head: &Head,
     shared_isolation: u64,
 ) -> Result<RoutedRequest, LocalResponse> {
-    let host = head.get("host").filter(|_| head.all("host").count() == 1).ok_or(LocalResponse::BadRequest)?;
+    let host =
+        head.get("host").filter(|_| head.get_all("host").count() == 1).ok_or(LocalResponse::BadRequest)?;
     let route = configuration.route(host, head.path()).ok_or(LocalResponse::NotFound)?;
     let tenant = tenant(configuration, route, head)?;
-    let id = head.all("x-request-id").next().unwrap_or_default().to_vec();
+    let id = head.get_all("x-request-id").next().unwrap_or_default().to_vec();
     let service = select_service(route, &id).ok_or(LocalResponse::NotFound)?;
     let (prompt_tokens, max_output_tokens) = head.get("x-token-count").map(token_counts).unwrap_or_default();
     Ok(RoutedRequest {
@@ -82,9 +83,9 @@
         priority: tenant.and_then(|tenant| tenant.priority).unwrap_or(route.priority).min(LOWEST_PRIORITY),
         tenant: tenant.map(|tenant| tenant.name.clone()),
         timeout: requested_timeout(head).min(route.timeout),
-        latency_target: route.target,
-        event_gap_target: route.gap_aim,
-        max_attempts: route.tries.max(1),
+        latency_target: route.latency_target,
+        event_gap_target: route.event_gap_target,
+        max_attempts: route.max_attempts.max(1),
         idempotent: route.may_repeat(),
         streaming: route.kind == RouteKind::Streaming,
         resumable: route.resumable,
--- a/store/src/entry.rs
+++ b/store/src/entry.rs
@@ -27,16 +27,16 @@
 
 impl Encode for Entry {
     fn encode(&self, to: &mut FieldWriter) {
-        to.some_number(IDENTITY_FIELD, self.id.map(|id| id.0));
-        to.messages(RECORD_FIELD, &self.records);
+        to.optional_uint64(IDENTITY_FIELD, self.id.map(|id| id.0));
+        to.repeated_messages(RECORD_FIELD, &self.records);
     }
 }
 
 impl Decode for Entry {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
         Ok(Entry {
-            id: fields.some_number(IDENTITY_FIELD).map(ReplicaId),
-            records: fields.messages(RECORD_FIELD)?,
+            id: fields.optional_uint64(IDENTITY_FIELD).map(ReplicaId),
+            records: fields.repeated_messages(RECORD_FIELD)?,
         })
     }
 }
