--- a/control/src/acceptor.rs
+++ b/control/src/acceptor.rs
@@ -67,9 +67,15 @@
         self.persist(records, effect, out);
     }
 
-    fn make_promise(&mut self, proposal_number: ProposalNumber, held: Option<LogPosition>) -> Body {
-        let newer = self.stored.data.clone().filter(|data| held.is_none_or(|held| held < data.position));
-        let data = newer.filter(|data| self.should_send_snapshot(proposal_number, held, data));
+    fn make_promise(
+        &mut self,
+        proposal_number: ProposalNumber,
+        candidate_position: Option<LogPosition>,
+    ) -> Body {
+        let newer = self.stored.data.clone().filter(|data| {
+            candidate_position.is_none_or(|candidate_position| candidate_position < data.position)
+        });
+        let data = newer.filter(|data| self.should_send_snapshot(proposal_number, candidate_position, data));
         Body::Promise(Promise {
             epoch: proposal_number.epoch,
             view: self.stored.view.clone(),
@@ -83,24 +89,19 @@
     fn should_send_snapshot(
         &mut self,
         proposal_number: ProposalNumber,
-        held: Option<LogPosition>,
+        candidate_position: Option<LogPosition>,
         data: &Data,
     ) -> bool {
-        let before = self
-            .election
-            .snapshot_sent
-            .filter(|sent| sent.proposal_number == proposal_number && sent.candidate_position == held);
+        let before = self.election.snapshot_sent.filter(|sent| {
+            sent.proposal_number == proposal_number && sent.candidate_position == candidate_position
+        });
         let timeout = |sent: SnapshotSent| retransmission_delay(state_bytes(&data.state), sent.repetitions);
         if before.is_some_and(|sent| self.now() < sent.sent_at + timeout(sent)) {
             return false;
         }
         let repetitions = before.map_or(0, |sent| sent.repetitions + 1);
-        self.election.snapshot_sent = Some(SnapshotSent {
-            proposal_number,
-            candidate_position: held,
-            sent_at: self.now(),
-            repetitions,
-        });
+        self.election.snapshot_sent =
+            Some(SnapshotSent { proposal_number, candidate_position, sent_at: self.now(), repetitions });
         true
     }
 
--- a/control/src/campaign.rs
+++ b/control/src/campaign.rs
@@ -101,10 +101,10 @@
 
     /// When the campaign times out.
     pub fn deadline(&self) -> Micros {
-        let held_up =
+        let rejected =
             self.rejected_since.filter(|_| self.stage.collecting_promises() && self.quorum_since.is_none());
         let ends = self.started + self.time_limit();
-        held_up.map_or(ends, |since| ends.min(since + REJECTED_CAMPAIGN_TIMEOUT))
+        rejected.map_or(ends, |since| ends.min(since + REJECTED_CAMPAIGN_TIMEOUT))
     }
 
     fn time_limit(&self) -> Micros {
--- a/control/src/config.rs
+++ b/control/src/config.rs
@@ -14,7 +14,7 @@
     /// Its zone.
     #[builder(setter(into))]
     pub zone: Arc<str>,
-    /// Whether the whole system starts for the first time.
+    /// Whether the system starts for the first time.
     #[builder(default = false)]
     pub first_boot: bool,
     /// How many machines may be lost at once; the number of backups that a view should have.
--- a/control/src/disk.rs
+++ b/control/src/disk.rs
@@ -112,7 +112,7 @@
     }
 
     /// Records that memory has changed without a write.
-    pub fn mark_stale(&mut self) {
+    pub fn set_stale(&mut self) {
         self.stale = true;
     }
 
--- a/control/src/durability.rs
+++ b/control/src/durability.rs
@@ -28,7 +28,7 @@
             return;
         }
         if !self.disk.may_write(self.now()) {
-            self.disk.mark_stale();
+            self.disk.set_stale();
             return;
         }
         let write_id = self.disk.start_write(self.now(), self.stored.promised, effect);
--- a/control/src/fault_injection.rs
+++ b/control/src/fault_injection.rs
@@ -115,7 +115,7 @@
         self.is(InjectedFault::ReadsWithoutLease).then_some(Lease { epoch, until: Micros::MAX })
     }
 
-    /// What is held for an installation of this state under this position.
+    /// The data that results from installing this state under this position.
     pub(crate) fn installed(
         self,
         position: LogPosition,
--- a/control/src/heartbeat.rs
+++ b/control/src/heartbeat.rs
@@ -98,7 +98,7 @@
             self.grant_lease(proposal_number, sent_at + self.config.lease_duration);
             self.reset_election_timer_at(sent_at);
             if self.view_epoch() == epoch {
-                self.mark_view_active(out);
+                self.activate_view(out);
             }
         }
         let activation_durable = self.activation_durable();
--- a/control/src/known_view.rs
+++ b/control/src/known_view.rs
@@ -43,7 +43,7 @@
         }
         if epoch == own {
             if known.active {
-                self.mark_view_active(out);
+                self.activate_view(out);
             }
             return;
         }
@@ -74,9 +74,9 @@
 
     /// The data set of the first view holds the empty state without an installation.
     fn bootstrap_data(&mut self, view: &View) -> Option<Record> {
-        let founding =
+        let bootstrapping =
             view.epoch == BOOTSTRAP_EPOCH && view.holds_data(self.id) && self.stored.data.is_none();
-        founding.then(|| {
+        bootstrapping.then(|| {
             let data =
                 Data { position: LogPosition { epoch: BOOTSTRAP_EPOCH, sequence: 0 }, state: Arc::default() };
             self.stored.data = Some(data.clone());
@@ -85,7 +85,7 @@
     }
 
     /// Marks the view as active; replicas outside its data set discard their data.
-    pub(crate) fn mark_view_active(&mut self, out: &mut Vec<Output>) {
+    pub(crate) fn activate_view(&mut self, out: &mut Vec<Output>) {
         let Some(known) = self.stored.view.as_mut().filter(|known| !known.active) else { return };
         known.active = true;
         let mut records = vec![Record::View(known.clone())];
@@ -95,8 +95,8 @@
 
     fn maybe_discard_data(&mut self) -> Option<Record> {
         let needed = self.current_view().is_none_or(|view| view.holds_data(self.id));
-        let promised_on = self.promised_epoch() > self.view_epoch();
-        if needed || promised_on || self.stored.data.is_none() {
+        let promised_later = self.promised_epoch() > self.view_epoch();
+        if needed || promised_later || self.stored.data.is_none() {
             return None;
         }
         self.stored.data = None;
--- a/control/src/leadership.rs
+++ b/control/src/leadership.rs
@@ -85,7 +85,7 @@
         out: &mut Vec<Output>,
     ) {
         self.stored.view = Some(KnownView { view: Arc::clone(&view), active: false });
-        self.mark_view_active(out);
+        self.activate_view(out);
         if let Some(data) = &self.stored.data {
             self.committed = Arc::clone(&data.state);
         }
@@ -118,8 +118,9 @@
         let (mut known, joiners, mut removed, replaced) = before
             .map(|before| (before.peers, before.joiners, before.removed, before.replaced))
             .unwrap_or_default();
-        let tell_until = now + self.config.shutdown_timeout;
-        removed.extend(view.previous_members.iter().map(|member| (member.id, (member.address, tell_until))));
+        let notify_until = now + self.config.shutdown_timeout;
+        removed
+            .extend(view.previous_members.iter().map(|member| (member.id, (member.address, notify_until))));
         removed.retain(|id, _| view.member(*id).is_none());
         let peers = view.members.iter().filter(|member| member.id != self.id).map(|member| {
             let fresh = match answered.contains(&member.id) || fresh_timeouts {
--- a/control/src/membership.rs
+++ b/control/src/membership.rs
@@ -61,10 +61,10 @@
 
     fn admit(&self, joiner: &Joiner) -> Option<Membership> {
         let may_grow = self.grows_at_once || self.may_grow();
-        let makes_room = self.is_full() || !may_grow;
+        let replaces_member = self.is_full() || !may_grow;
         let removed_member = self
             .member_at_address_of(&joiner.member)
-            .or_else(|| makes_room.then(|| self.replaceable()).flatten());
+            .or_else(|| replaces_member.then(|| self.replaceable()).flatten());
         if removed_member.is_none() && !may_grow {
             return None;
         }
@@ -158,13 +158,13 @@
     /// The member that has been unreachable the longest, if for longer than the timeout.
     fn longest_unreachable(&self, timeout: Micros) -> Option<ReplicaId> {
         let others = self.view.members.iter().filter(|member| member.id != self.view.primary);
-        let silent = others.filter_map(|member| {
+        let unreachable = others.filter_map(|member| {
             let peer = self.peers.get(&member.id)?;
             // A member that never replied to this primary may have missed its first heartbeats.
             let timeout = if peer.has_replied { timeout } else { UNREACHABLE_TIMEOUT };
             (self.now >= peer.last_heard + timeout).then_some((peer.last_heard, member.id))
         });
-        silent.min().map(|(_, id)| id)
+        unreachable.min().map(|(_, id)| id)
     }
 
     /// A member that shuts down, if another one can hold the data.
--- a/control/src/pre_vote.rs
+++ b/control/src/pre_vote.rs
@@ -1,7 +1,7 @@
 //! Pre-vote: a replica asks whether a campaign would succeed before it uses up an epoch.
 //!
 //! Raft has the same step (Ongaro, Consensus: Bridging Theory and Practice, section 9.6). It keeps a replica that was
-//! partitioned from raising epochs that interrupt a primary that is well.
+//! partitioned from raising epochs that interrupt a healthy primary.
 
 use std::{collections::BTreeMap, net::SocketAddrV4};
 
--- a/control/src/prepare_phase.rs
+++ b/control/src/prepare_phase.rs
@@ -113,8 +113,8 @@
             return Some(any.unwrap_or_default());
         }
         let best = campaign.promises.keys().filter_map(|id| campaign.usable_position(*id)).max()?;
-        let held = campaign.promises.values().filter_map(|promised| promised.data.as_ref());
-        held.chain(&self.stored.data).find(|data| data.position == best).cloned()
+        let known_data = campaign.promises.values().filter_map(|promised| promised.data.as_ref());
+        known_data.chain(&self.stored.data).find(|data| data.position == best).cloned()
     }
 
     /// Requests the promises again together with the data, because the candidate's own data turned out to be
--- a/control/src/replication.rs
+++ b/control/src/replication.rs
@@ -126,7 +126,7 @@
     }
 
     /// A backup lacks changes that it has acknowledged: a view change installs the state there again.
-    pub(crate) fn mark_backup_outdated(&mut self, backup: ReplicaId, epoch: u64) {
+    pub(crate) fn record_outdated_backup(&mut self, backup: ReplicaId, epoch: u64) {
         let now = self.now();
         let Some(leadership) = self.leadership.as_mut().filter(|lead| lead.epoch == epoch) else { return };
         if let Some(peer) = leadership.peers.get_mut(&backup) {
--- a/control/src/snapshot_installation.rs
+++ b/control/src/snapshot_installation.rs
@@ -53,11 +53,11 @@
     ) -> Record {
         // Only a durable state may get a new position without being written again: after a crash the position could
         // otherwise belong to another state.
-        let held =
+        let durable =
             self.disk.all_durable() && self.stored.data.as_ref().is_some_and(|data| data.position == source);
         let data = Data { position, state: Arc::clone(state) };
         self.stored.data = Some(data.clone());
-        if held { Record::Moved(position) } else { Record::Snapshot(data) }
+        if durable { Record::Moved(position) } else { Record::Snapshot(data) }
     }
 
     /// Repeats the requests of the present phase to the replicas that haven't replied.
@@ -102,8 +102,8 @@
         let epoch = campaign.epoch;
         let Stage::InstallingSnapshots { view, source, attempts, .. } = &mut campaign.stage else { return };
         let Some(address) = view.member(to).map(|member| member.address) else { return };
-        let whole = shown != Some(source.position) && !attempts.contains_key(&to);
-        if whole {
+        let include_state = shown != Some(source.position) && !attempts.contains_key(&to);
+        if include_state {
             attempts.insert(to, 1);
         }
         let install = Body::InstallSnapshot(InstallSnapshot {
@@ -111,7 +111,7 @@
             sequence: source.position.sequence,
             source: source.position,
             attempt: attempts.get(&to).copied().unwrap_or(0),
-            state: whole.then(|| Arc::clone(&source.state)),
+            state: include_state.then(|| Arc::clone(&source.state)),
         });
         self.send(address, install, out);
     }
@@ -129,16 +129,16 @@
         if now < *since + INSTALL_TIMEOUT + transfers {
             return;
         }
-        let mut silent = excluded.clone();
-        silent.extend(view.backups.iter().filter(|id| !installed.contains(id)));
+        let mut unresponsive = excluded.clone();
+        unresponsive.extend(view.backups.iter().filter(|id| !installed.contains(id)));
         *since = now;
-        let next = campaign.next_view(&me, &silent, losses);
+        let next = campaign.next_view(&me, &unresponsive, losses);
         if next.backups.is_empty() {
             return;
         }
         if let Stage::InstallingSnapshots { view, excluded, .. } = &mut campaign.stage {
             *view = Arc::new(next);
-            *excluded = silent;
+            *excluded = unresponsive;
         }
     }
 
@@ -154,12 +154,12 @@
             return;
         }
         self.reset_election_timer();
-        let held = self.stored.data.as_ref().map(|data| data.position);
+        let own_position = self.stored.data.as_ref().map(|data| data.position);
         let complete = self.reply_once_durable(
             from,
             Body::SnapshotInstalled(SnapshotInstalled { epoch, complete: true, attempt }),
         );
-        if held.is_some_and(|held| held.epoch == epoch) {
+        if own_position.is_some_and(|own| own.epoch == epoch) {
             return self.persist(Vec::new(), complete, out);
         }
         let state = state.or_else(|| {
@@ -193,7 +193,7 @@
         else {
             // A reply with an attempt belongs to an installation that is over.
             if attempt == 0 {
-                self.mark_backup_outdated(sender, epoch);
+                self.record_outdated_backup(sender, epoch);
             }
             return;
         };
