--- a/control/tests/broken_versions.rs
+++ b/control/tests/broken_versions.rs
@@ -1,4 +1,4 @@
-//! Versions that are broken on purpose: the exploration finds each of them out.
+//! Broken versions of the protocol (injected faults): the exploration catches each of them.
 
 mod simulator;
 
--- a/control/tests/catch_up.rs
+++ b/control/tests/catch_up.rs
@@ -1,4 +1,4 @@
-//! After thousands of changes, over slow links: a member that restarts catches up while changes go on.
+//! Over slow links and after thousands of changes, a restarted member catches up while changes continue.
 
 mod slow_links;
 
--- a/control/tests/cluster/mod.rs
+++ b/control/tests/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! A few replicas on a calm network whose time a test moves, for the rules one by one.
+//! A cluster of a few replicas without random faults, whose clock a test advances.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -14,7 +14,7 @@
 };
 
 pub const MILLISECOND: u64 = 1_000;
-/// Time moves on in steps of this length.
+/// The clock advances in steps of this length, in microseconds.
 const STEP: u64 = 5 * MILLISECOND;
 
 /// How a disk behaves.
@@ -37,7 +37,7 @@
     first_boot: bool,
 }
 
-/// The replicas; places are numbered from 0, and place 0 leads at first.
+/// The replicas; nodes are numbered from 0, and node 0 is the first primary.
 pub struct Cluster {
     pub now: u64,
     pub nodes: Vec<Node>,
@@ -46,14 +46,14 @@
     cut: BTreeSet<SocketAddrV4>,
     /// Links that carry nothing, each in one direction.
     cut_links: BTreeSet<(SocketAddrV4, SocketAddrV4)>,
-    /// What has come for frozen places.
+    /// Inputs that have arrived for suspended nodes.
     held: Vec<(usize, Input)>,
     pub answers: BTreeMap<ProposalId, Outcome>,
     next_proposal_id: u64,
 }
 
 impl Cluster {
-    /// A founded core whose place 0 leads.
+    /// A bootstrapped cluster whose primary is node 0.
     pub fn bootstrapped(size: usize, losses: usize) -> Cluster {
         let mut cluster = Cluster::bare(size, losses);
         let view = cluster.first_view(size);
@@ -148,7 +148,7 @@
         self.nodes[place].first_boot = false;
     }
 
-    /// All begin anew with this state on the disks of the data set.
+    /// Restarts all, with this state on the disks of the data set.
     pub fn adopt(&mut self, state: ControlState) {
         let state = Arc::new(state);
         for place in 0..self.nodes.len() {
@@ -170,7 +170,7 @@
         self.cut_links.clear();
     }
 
-    /// What the one place says doesn't reach the other.
+    /// Drops all messages from one node to the other.
     pub fn cut_link(&mut self, from: usize, to: usize) {
         self.cut_links.insert((self.nodes[from].address, self.nodes[to].address));
     }
@@ -179,7 +179,7 @@
         self.nodes[place].suspended = true;
     }
 
-    /// The place goes on, with what has come meanwhile.
+    /// Resumes the node, with the inputs that have arrived meanwhile.
     pub fn resume(&mut self, place: usize) {
         self.nodes[place].suspended = false;
         let (ready, held) = std::mem::take(&mut self.held).into_iter().partition(|(to, _)| *to == place);
@@ -200,7 +200,7 @@
         self.replica(place).status().view.expect("it knows a view")
     }
 
-    /// The places of the members of the view that the leader leads.
+    /// The nodes that are members of the primary's view.
     pub fn members(&self) -> Vec<usize> {
         let view = self.view(self.leader().expect("somebody leads")).view;
         (0..self.nodes.len()).filter(|place| view.member(self.nodes[*place].kept.id).is_some()).collect()
@@ -218,7 +218,7 @@
         (0..self.nodes.len()).find(leads)
     }
 
-    /// Asks for a change and returns its ticket.
+    /// Proposes a change and returns the id of the proposal.
     pub fn ask(&mut self, place: usize, change: Change) -> ProposalId {
         self.next_proposal_id += 1;
         let proposal_id = ProposalId(self.next_proposal_id);
@@ -255,7 +255,7 @@
         }
     }
 
-    /// Lets so many milliseconds pass.
+    /// Advances the clock by this many milliseconds.
     pub fn run(&mut self, milliseconds: u64) {
         let end = self.now + milliseconds * MILLISECOND;
         while self.now < end {
--- a/control/tests/conformance.rs
+++ b/control/tests/conformance.rs
@@ -1,4 +1,4 @@
-//! The rules of the design page, one by one.
+//! The rules of `docs/control-state.md`, one by one.
 
 mod cluster;
 
--- a/control/tests/exploration.rs
+++ b/control/tests/exploration.rs
@@ -1,4 +1,4 @@
-//! Thousands of courses of events, each from one seed, in which everything that may go wrong does.
+//! Randomized simulation: thousands of deterministic courses of events, one per seed, with all kinds of faults.
 
 mod simulator;
 
--- a/control/tests/late_heartbeats.rs
+++ b/control/tests/late_heartbeats.rs
@@ -1,4 +1,4 @@
-//! A heartbeat that comes late grants a lease from its sending, not from its coming.
+//! A delayed heartbeat grants a lease from the time of its sending, not of its arrival.
 
 mod cluster;
 
--- a/control/tests/linearizability.rs
+++ b/control/tests/linearizability.rs
@@ -1,4 +1,4 @@
-//! Up to eight operators at once: whatever they are answered, one register that compares and sets explains it.
+//! The histories of up to eight concurrent operators are linearizable as a compare-and-set register.
 
 mod simulator;
 
--- a/control/tests/membership.rs
+++ b/control/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Changes of members, one by one: who comes in, who goes, and when one that leaves may end.
+//! View changes one by one: who is admitted, who is removed, and when a replica in shutdown may exit.
 
 mod cluster;
 
--- a/control/tests/quorum_loss.rs
+++ b/control/tests/quorum_loss.rs
@@ -1,4 +1,4 @@
-//! A primary that loses contact for twenty seconds, in each way, while callers ask on both sides.
+//! A primary loses its quorum for twenty seconds, in each kind of partition, while clients call both sides.
 
 mod cluster;
 
@@ -9,7 +9,7 @@
 use gradepaddle_control::{Change, Outcome, ProposalId};
 
 /// How long the trouble lasts, in milliseconds.
-const TROUBLE: u64 = 20_000;
+const FAULT_DURATION: u64 = 20_000;
 /// Somebody asks at each place this often, in milliseconds.
 const ASK_EVERY: u64 = 100;
 /// A lease that was renewed just before the cut has run out after this, in milliseconds.
@@ -19,21 +19,26 @@
 
 /// How a machine loses contact.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Trouble {
+enum LinkFault {
     /// Nothing gets through in either direction.
-    Cut,
+    Partition,
     /// It hears nobody, and all hear it.
     Deaf,
     /// All hear nothing of it, and it hears all.
     Mute,
     /// It is cut off, and frozen from one quarter of the time to three.
-    CutAndFrozen,
+    PartitionAndSuspend,
     /// The process stands still; its links are well.
-    Frozen,
+    Suspend,
 }
 
-const TROUBLES: [Trouble; 5] =
-    [Trouble::Cut, Trouble::Deaf, Trouble::Mute, Trouble::CutAndFrozen, Trouble::Frozen];
+const FAULTS: [LinkFault; 5] = [
+    LinkFault::Partition,
+    LinkFault::Deaf,
+    LinkFault::Mute,
+    LinkFault::PartitionAndSuspend,
+    LinkFault::Suspend,
+];
 
 /// A change that was asked for.
 struct Asked {
@@ -47,8 +52,8 @@
 /// A core with a place in trouble, and callers everywhere.
 struct Course {
     cluster: Cluster,
-    troubled: usize,
-    trouble: Trouble,
+    affected: usize,
+    fault: LinkFault,
     began: u64,
     ended: Option<u64>,
     asked: Vec<Asked>,
@@ -65,7 +70,7 @@
 }
 
 impl Course {
-    fn new(size: usize, losses: usize, troubled: usize, trouble: Trouble) -> Course {
+    fn new(size: usize, losses: usize, affected: usize, fault: LinkFault) -> Course {
         let mut cluster = Cluster::bootstrapped(size, losses);
         let proposal_id = cluster.ask(0, put(0, 1, 1));
         cluster.run(700);
@@ -73,8 +78,8 @@
         let began = cluster.now / cluster::MILLISECOND;
         Course {
             cluster,
-            troubled,
-            trouble,
+            affected,
+            fault,
             began,
             ended: None,
             asked: Vec::new(),
@@ -90,23 +95,23 @@
     }
 
     fn begin_trouble(&mut self) {
-        let troubled = self.troubled;
-        for other in (0..self.cluster.nodes.len()).filter(|other| *other != troubled) {
-            if matches!(self.trouble, Trouble::Cut | Trouble::Deaf | Trouble::CutAndFrozen) {
-                self.cluster.cut_link(other, troubled);
+        let affected = self.affected;
+        for other in (0..self.cluster.nodes.len()).filter(|other| *other != affected) {
+            if matches!(self.fault, LinkFault::Partition | LinkFault::Deaf | LinkFault::PartitionAndSuspend) {
+                self.cluster.cut_link(other, affected);
             }
-            if matches!(self.trouble, Trouble::Cut | Trouble::Mute | Trouble::CutAndFrozen) {
-                self.cluster.cut_link(troubled, other);
+            if matches!(self.fault, LinkFault::Partition | LinkFault::Mute | LinkFault::PartitionAndSuspend) {
+                self.cluster.cut_link(affected, other);
             }
         }
-        if self.trouble == Trouble::Frozen {
-            self.cluster.suspend(troubled);
+        if self.fault == LinkFault::Suspend {
+            self.cluster.suspend(affected);
         }
     }
 
     fn end_trouble(&mut self) {
         self.cluster.heal_network();
-        self.cluster.resume(self.troubled);
+        self.cluster.resume(self.affected);
         self.ended = Some(self.milliseconds());
     }
 
@@ -145,14 +150,14 @@
             };
             asked.judged = true;
             let clear = !matches!(outcome, Outcome::Unknown | Outcome::NotPrimary { .. });
-            let cut_off = asked.place == self.troubled && old_lease_is_over && self.ended.is_none();
+            let cut_off = asked.place == self.affected && old_lease_is_over && self.ended.is_none();
             ensure(!clear || !cut_off, || format!("{outcome:?} without contact at {now} ms"))?;
             match outcome {
                 Outcome::Committed => {
                     let first = self.taken_on.insert(asked.if_match);
                     ensure(first, || format!("two changes are taken on top of {}", asked.if_match))?;
                     self.newest = self.newest.max(asked.if_match + 1);
-                    if asked.place != self.troubled {
+                    if asked.place != self.affected {
                         self.acknowledged_elsewhere = self.acknowledged_elsewhere.or(Some(now));
                     }
                 }
@@ -186,17 +191,17 @@
     /// The whole course; gives how long the others took to acknowledge again, and how long all took after the end.
     fn play(mut self) -> Result<(u64, u64)> {
         self.begin_trouble();
-        self.go_on(TROUBLE / 4)?;
-        if self.trouble == Trouble::CutAndFrozen {
-            self.cluster.suspend(self.troubled);
+        self.go_on(FAULT_DURATION / 4)?;
+        if self.fault == LinkFault::PartitionAndSuspend {
+            self.cluster.suspend(self.affected);
         }
-        self.go_on(TROUBLE / 2)?;
-        if self.trouble == Trouble::CutAndFrozen {
-            self.cluster.resume(self.troubled);
+        self.go_on(FAULT_DURATION / 2)?;
+        if self.fault == LinkFault::PartitionAndSuspend {
+            self.cluster.resume(self.affected);
         }
-        self.go_on(TROUBLE / 4)?;
+        self.go_on(FAULT_DURATION / 4)?;
         let elsewhere = self.acknowledged_elsewhere.map(|at| at - self.began);
-        ensure(elsewhere.is_some(), || format!("{:?}: the others acknowledged nothing", self.trouble))?;
+        ensure(elsewhere.is_some(), || format!("{:?}: the others acknowledged nothing", self.fault))?;
         self.end_trouble();
         let recovered = self.recovery()?;
         Ok((elsewhere.or_fail()?, recovered))
@@ -208,7 +213,7 @@
         while self.milliseconds() < ended + 5_000 {
             self.go_on(5)?;
             let leader = self.cluster.leader();
-            let known = self.cluster.replica(self.troubled).primary_address();
+            let known = self.cluster.replica(self.affected).primary_address();
             if leader.is_some_and(|leader| known == Some(self.cluster.nodes[leader].address)) {
                 return Ok(self.milliseconds() - ended);
             }
@@ -222,14 +227,14 @@
 #[gtest]
 fn a_primary_without_quorum_decides_nothing_and_is_replaced() -> Result<()> {
     for (size, losses) in [(3, 1), (5, 2), (8, 2)] {
-        for trouble in TROUBLES {
-            let course = Course::new(size, losses, 0, trouble);
+        for fault in FAULTS {
+            let course = Course::new(size, losses, 0, fault);
             let (elsewhere, recovered) = course.play()?;
             println!(
-                "{size} replicas, {trouble:?}: others after {elsewhere} ms, all {recovered} ms after the end"
+                "{size} replicas, {fault:?}: others after {elsewhere} ms, all {recovered} ms after the end"
             );
-            expect_that!(elsewhere, lt(4_000), "{size} replicas, {trouble:?}");
-            expect_that!(recovered, lt(1_000), "{size} replicas, {trouble:?}");
+            expect_that!(elsewhere, lt(4_000), "{size} replicas, {fault:?}");
+            expect_that!(recovered, lt(1_000), "{size} replicas, {fault:?}");
         }
     }
     Ok(())
@@ -238,15 +243,15 @@
 /// The same for a backup and for a witness: the primary goes on with the others.
 #[gtest]
 fn a_partitioned_member_delays_others_only_briefly() -> Result<()> {
-    for troubled in [1, 2] {
-        for trouble in TROUBLES {
-            let course = Course::new(3, 1, troubled, trouble);
+    for affected in [1, 2] {
+        for fault in FAULTS {
+            let course = Course::new(3, 1, affected, fault);
             let (elsewhere, recovered) = course.play()?;
             println!(
-                "place {troubled}, {trouble:?}: others after {elsewhere} ms, all {recovered} ms after the end"
+                "place {affected}, {fault:?}: others after {elsewhere} ms, all {recovered} ms after the end"
             );
-            expect_that!(elsewhere, lt(4_000), "place {troubled}, {trouble:?}");
-            expect_that!(recovered, lt(1_000), "place {troubled}, {trouble:?}");
+            expect_that!(elsewhere, lt(4_000), "place {affected}, {fault:?}");
+            expect_that!(recovered, lt(1_000), "place {affected}, {fault:?}");
         }
     }
     Ok(())
--- a/control/tests/retried_changes.rs
+++ b/control/tests/retried_changes.rs
@@ -1,4 +1,4 @@
-//! An order that is sent again after a lost answer is never refused, however many others came in between.
+//! A change that is retried after a lost answer is never rejected, however many other changes were committed since.
 
 mod cluster;
 
--- a/control/tests/simulator/checker.rs
+++ b/control/tests/simulator/checker.rs
@@ -1,4 +1,4 @@
-//! What must hold, whatever happens.
+//! The invariants of the simulation.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -24,7 +24,7 @@
     Stale(String),
     /// A refusal that wasn't true, or of a change that came into force.
     FalseRefusal(String),
-    /// Nothing was acknowledged in time although all is well again.
+    /// Nothing was acknowledged in time although all faults have ended.
     NoProgress(String),
 }
 
--- a/control/tests/simulator/clients.rs
+++ b/control/tests/simulator/clients.rs
@@ -1,4 +1,4 @@
-//! Operators that change the configuration and name versions, sometimes at once and sometimes anew.
+//! Operators that propose configurations and model versions, sometimes concurrently and sometimes again.
 
 use std::{collections::BTreeMap, sync::Arc};
 
--- a/control/tests/simulator/disk.rs
+++ b/control/tests/simulator/disk.rs
@@ -1,4 +1,4 @@
-//! A disk as the store presents it: writes in order, each whole or not there; a failed one may turn up after a crash.
+//! A disk as the store presents it: ordered, atomic writes; a failed one may be found after a crash.
 
 use std::collections::VecDeque;
 
--- a/control/tests/simulator/faults.rs
+++ b/control/tests/simulator/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in a course of events.
+//! The plan of a course of events: which faults are injected, and how often.
 
 use gradepaddle_control::InjectedFault;
 
@@ -14,7 +14,7 @@
     /// A fault strikes about this often, in microseconds.
     pub fault_interval: u64,
     pub injected_fault: Option<InjectedFault>,
-    /// An emptied disk keeps its identity: the harness's own flaw.
+    /// An emptied disk keeps its identity: a fault of the harness itself.
     pub emptied_vouches: bool,
     /// Only faults of these kinds; all if empty.
     pub only: Vec<Fault>,
@@ -54,7 +54,7 @@
     pub const USUAL: ClockRates = ClockRates { slowest: 995, fastest: 1_006 };
 }
 
-/// Losses one after the other, each as soon as the one before no longer counts.
+/// Successive losses, each as soon as the one before no longer counts.
 #[derive(Debug, Clone, Copy)]
 pub struct Rounds {
     /// How many there are.
--- a/control/tests/simulator/history.rs
+++ b/control/tests/simulator/history.rs
@@ -1,5 +1,5 @@
-//! What operators asked and were answered, and whether one register explains it: each call takes effect at one moment
-//! between its question and its answer.
+//! A history of calls and answers, and a check of its linearizability: each call takes effect at one moment
+//! between its invocation and its response (Wing and Gong, Testing and Verifying Concurrent Objects, 1993).
 
 use std::collections::HashSet;
 
--- a/control/tests/simulator/mod.rs
+++ b/control/tests/simulator/mod.rs
@@ -1,4 +1,4 @@
-//! A deterministic world of core machines: one seed, one course of events. Nothing in it waits for a clock.
+//! A deterministic simulation of core machines: one seed gives one course of events. Nothing waits for a real clock.
 
 #![allow(dead_code, reason = "each test file uses a part of the simulator")]
 
--- a/control/tests/simulator/network.rs
+++ b/control/tests/simulator/network.rs
@@ -1,4 +1,4 @@
-//! Links that lose, delay, repeat and reorder, and cuts in one direction or both.
+//! Links that lose, delay, duplicate and reorder messages, and partitions in one direction or both.
 
 use std::{collections::BTreeSet, net::SocketAddrV4};
 
--- a/control/tests/simulator/random.rs
+++ b/control/tests/simulator/random.rs
@@ -1,4 +1,4 @@
-//! Numbers that look random and depend on the seed alone.
+//! A pseudo-random generator that depends on the seed alone (SplitMix64).
 
 #[derive(Debug, Clone)]
 pub struct Random(u64);
--- a/control/tests/simulator/world.rs
+++ b/control/tests/simulator/world.rs
@@ -1,4 +1,4 @@
-//! The machines, the events between them, and the course of a run.
+//! The simulated machines, the events between them, and the main loop.
 
 mod fault_effects;
 mod input_output;
@@ -52,7 +52,7 @@
     Probe,
 }
 
-/// What a run has seen.
+/// The result of a course.
 #[derive(Debug, Clone, Default)]
 pub struct Report {
     pub violation: Option<Violation>,
@@ -66,7 +66,7 @@
     pub history: History,
 }
 
-/// A world of machines.
+/// The simulated cluster.
 pub struct World {
     plan: Plan,
     now: u64,
@@ -87,7 +87,7 @@
     /// The next change of members splits the network.
     split_armed: bool,
     trace: bool,
-    /// How many operators act at once; none for the ordinary course, in which no history is kept.
+    /// The number of concurrent operators; 0 for a course without a history.
     operators: usize,
     history: History,
     /// The names of open orders in the history.
--- a/control/tests/simulator/world/fault_effects.rs
+++ b/control/tests/simulator/world/fault_effects.rs
@@ -1,4 +1,4 @@
-//! Faults as they strike the world.
+//! The effects of the injected faults.
 
 use std::{collections::BTreeMap, net::SocketAddrV4};
 
--- a/control/tests/simulator/world/invariants.rs
+++ b/control/tests/simulator/world/invariants.rs
@@ -1,4 +1,4 @@
-//! What is checked after every event, and how many losses a machine may suffer without breaking the promises.
+//! The invariants that are checked after every event, and how many more disks may be lost.
 
 use gradepaddle_control::{Member, Replica};
 
--- a/control/tests/simulator/world/machine.rs
+++ b/control/tests/simulator/world/machine.rs
@@ -1,4 +1,4 @@
-//! A machine of the world: its clock, its disk, its process, and how they start, stop and are lost.
+//! A simulated machine: its clock, its disk, its process, and how they start, stop and are lost.
 
 use std::{
     net::{Ipv4Addr, SocketAddrV4},
--- a/control/tests/simulator/world/operators.rs
+++ b/control/tests/simulator/world/operators.rs
@@ -1,4 +1,4 @@
-//! Operators: which changes they ask for, and the history of what they were answered.
+//! Operators: the changes that they propose, and the history of the answers.
 
 use gradepaddle_control::{Change, Input, Outcome, ProposalId, Replica};
 
@@ -11,8 +11,8 @@
 };
 
 impl World {
-    /// Several operators act within a moment: with rivals on top of one version, the same order at several machines,
-    /// and orders that were sent before.
+    /// Several operators act concurrently: rivals on top of one version, the same change at several machines,
+    /// and changes that were sent before.
     pub(super) fn propose_concurrently(&mut self) {
         let first = self.clients.next_change(&mut self.random);
         let base = match &first {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Whoever leads is asked for the configuration.
+    /// Reads the configuration from the primary.
     pub(super) fn note_read(&mut self, index: usize) {
         if self.operators > 0 && self.leading(index).is_some() {
             let state = self.machines[index].replica.as_ref().map(Replica::state);
--- a/control/tests/simulator/world/recovery.rs
+++ b/control/tests/simulator/world/recovery.rs
@@ -12,7 +12,7 @@
 pub(super) const RECOVERY_LIMIT: u64 = 4 * SECOND;
 
 impl World {
-    /// Ends all trouble and sees how long it takes until a change is acknowledged.
+    /// Ends all faults and measures the time until a change is acknowledged.
     pub(super) fn heal(&mut self) {
         self.healed = Some(self.now);
         self.network.heal();
--- a/control/tests/simulator/world/rounds.rs
+++ b/control/tests/simulator/world/rounds.rs
@@ -1,4 +1,4 @@
-//! Losses one after the other, each as soon as the one before no longer counts.
+//! Successive losses, each as soon as the one before no longer counts.
 //!
 //! What counts is judged from outside, by times alone: a machine is lost while it is down or cut off and for
 //! [`Rounds::catch_up`] after it is back or a new one has started; one that was removed stops counting once its
@@ -11,7 +11,7 @@
 use super::{Event, MILLISECOND, World};
 use crate::simulator::{disk::Disk, faults::Rounds};
 
-/// A machine that was told to end is killed after this.
+/// A machine in graceful shutdown is killed after this time.
 const GRACE: u64 = 7_400 * MILLISECOND;
 /// How often a round that isn't over is looked at again.
 const POLL_INTERVAL: u64 = 5 * MILLISECOND;
--- a/control/tests/slow_links/mod.rs
+++ b/control/tests/slow_links/mod.rs
@@ -25,7 +25,7 @@
 const SMALL_MESSAGE: usize = 150;
 /// An accepted configuration in the state, in bytes.
 const ACCEPTED_HISTORY_BYTES: usize = 24;
-/// What waits for one connection at most, in bytes; what comes on top is dropped.
+/// Capacity of the send queue of a connection, in bytes; the excess is dropped.
 const QUEUED_BYTES: usize = 12 * 1024 * 1024;
 /// Connections take turns on a link after so many bytes.
 const TURN: usize = 15_000;
@@ -81,7 +81,7 @@
     next_proposal_id: u64,
 }
 
-/// A few core machines and an operator.
+/// A cluster of core machines and an operator.
 pub struct Fleet {
     pub now: u64,
     events: EventQueue<Event>,
@@ -91,14 +91,14 @@
     operator: Operator,
     /// When changes were acknowledged, by version.
     pub acknowledged: BTreeMap<u64, u64>,
-    /// The most that has waited for a link at once, in bytes.
+    /// The longest send queue so far, in bytes.
     pub most_queued: usize,
-    /// Machines that nothing reaches and that reach nobody.
+    /// Partitioned machines.
     cut: Vec<usize>,
 }
 
 impl Fleet {
-    /// A founded core.
+    /// A bootstrapped cluster.
     pub fn bootstrapped(size: usize, losses: usize, speed: Speed) -> Fleet {
         let mut fleet = Fleet {
             now: 1_000 * MILLISECOND,
@@ -153,7 +153,7 @@
         }
     }
 
-    /// All begin anew, with this state on the disks of the data set.
+    /// Restarts all, with this state on the disks of the data set.
     pub fn adopt(&mut self, state: ControlState) {
         let state = Arc::new(state);
         self.operator.version = state.current_version();
@@ -174,7 +174,7 @@
         self.schedule(self.now, Event::Operator);
     }
 
-    /// Cuts a machine off from all others; what is on its way to and from it is lost.
+    /// Partitions a machine from all others; messages in flight to and from it are lost.
     pub fn partition(&mut self, place: usize) {
         let address = self.machines[place].address;
         self.cut.push(place);
@@ -389,7 +389,7 @@
         self.schedule(at, Event::Written { place, incarnation, write_id, records });
     }
 
-    /// Sends the next change, or the one that has no clear answer yet, to whoever leads.
+    /// Proposes the next change, or the one whose outcome is unknown, to the primary.
     fn operate(&mut self) {
         const POLL_INTERVAL: u64 = 50 * MILLISECOND;
         const ANSWER_TIMEOUT: u64 = SECOND;
@@ -411,7 +411,7 @@
                 if self.operator.asked.is_some_and(|(asked, _)| asked == proposal_id) {
                     self.operator.version += 1;
                     self.acknowledged.insert(self.operator.version, self.now);
-                    // The next one is sent as if this one had been silent for all but the pause.
+                    // The next one is proposed once the pause has passed.
                     let since = (self.now + self.operator.pause).saturating_sub(SECOND);
                     self.operator.asked = Some((ProposalId(u64::MAX), since));
                 }
--- a/control/tests/stale_data.rs
+++ b/control/tests/stale_data.rs
@@ -1,5 +1,5 @@
-//! A member that was away, lost its disk or got an old copy of it back never leads with less than was acknowledged,
-//! nor helps another to.
+//! A member that was down, lost its disk or was restored from an older copy never leads with less than was
+//! acknowledged, nor helps another to.
 
 mod cluster;
 
--- a/control/tests/successive_losses.rs
+++ b/control/tests/successive_losses.rs
@@ -1,4 +1,4 @@
-//! A second loss as soon as the first no longer counts: nothing acknowledged is lost, and somebody decides again.
+//! A second loss as soon as the first no longer counts: nothing acknowledged is lost, and a primary emerges again.
 
 mod simulator;
 
--- a/store/tests/disk/mod.rs
+++ b/store/tests/disk/mod.rs
@@ -1,4 +1,4 @@
-//! A disk in memory that forgets, at a loss of power, whatever wasn't synced: all of it, none, or any part.
+//! A simulated disk that loses unsynced writes at a power loss: all of them, none, or any part.
 
 #![allow(dead_code, reason = "each test file uses a part of the disk")]
 
--- a/store/tests/file_system.rs
+++ b/store/tests/file_system.rs
@@ -1,4 +1,4 @@
-//! The store on the operating system's own files, and its thread.
+//! The store on the file system, and its writer thread.
 
 use std::{path::PathBuf, sync::mpsc::channel};
 
--- a/store/tests/golden.rs
+++ b/store/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Stored bytes, as literals: what the writer hands to the disk, and folders that an earlier version has written.
+//! Stored bytes as literals: what is written today, and directories that an earlier version has written.
 //!
 //! The folders under `golden/` were written by the code of commit 4552024 with `Storage::open_in` on a `RealFolder`,
 //! from the records of [`snapshot`] and [`later`] below: `fresh` by opening alone; `checkpoint_and_records` by a
--- a/store/tests/power_loss.rs
+++ b/store/tests/power_loss.rs
@@ -1,4 +1,4 @@
-//! What is found after a loss of power or a torn write is all that was acknowledged, and nothing that wasn't asked for.
+//! After a power loss or a torn write everything acknowledged is recovered, and nothing that wasn't written.
 
 mod disk;
 
--- a/store/tests/sustained_load.rs
+++ b/store/tests/sustained_load.rs
@@ -1,4 +1,4 @@
-//! Thousands of changes with large bodies: the disk stays bounded, and what is found again is the newest.
+//! Thousands of changes with large bodies: the log stays bounded, and the newest state is recovered.
 
 mod disk;
 
--- a/store/tests/writer.rs
+++ b/store/tests/writer.rs
@@ -1,4 +1,4 @@
-//! The writing thread says that records are durable as soon as they are, whatever a checkpoint takes after that.
+//! The writer thread reports records as durable before it writes a checkpoint.
 
 mod disk;
 
