--- a/control/src/heartbeat.rs
+++ b/control/src/heartbeat.rs
@@ -54,14 +54,14 @@
     fn notify_removed_members(&mut self, out: &mut Vec<Output>) {
         let now = self.now();
         let Some(leadership) = self.leadership.as_mut() else { return };
-        leadership.removed.retain(|_, (_, until)| now < *until);
+        leadership.removed.retain(|_, removed| now < removed.notify_until);
         if leadership.removed.is_empty() || !self.view_change_complete() {
             return;
         }
         let Some(leadership) = &self.leadership else { return };
         let view = KnownView { view: Arc::clone(&leadership.view), active: true };
-        for (address, _) in leadership.removed.values() {
-            self.send(*address, Body::Accept { view: view.clone() }, out);
+        for removed in leadership.removed.values() {
+            self.send(removed.address, Body::Accept { view: view.clone() }, out);
         }
     }
 
--- a/control/src/leadership.rs
+++ b/control/src/leadership.rs
@@ -32,7 +32,7 @@
     pub transmissions: u32,
 }
 
-/// The primary of an active view: how its leadership starts and ends, and what it does meanwhile.
+/// What the primary of an active view keeps in memory.
 #[derive(Debug)]
 pub(crate) struct Leadership {
     pub epoch: u64,
@@ -41,8 +41,8 @@
     pub first_epoch: u64,
     pub peers: BTreeMap<ReplicaId, PeerState>,
     pub joiners: BTreeMap<ReplicaId, Joiner>,
-    /// Removed members, which are notified that the view without them is active, each until a time.
-    pub removed: BTreeMap<ReplicaId, (SocketAddrV4, u64)>,
+    /// Removed members, which are notified that the view without them is active.
+    pub removed: BTreeMap<ReplicaId, RemovedMember>,
     /// Replicas whose machine came back with an empty disk, as another replica.
     pub replaced: BTreeSet<ReplicaId>,
     pub pending: Option<PendingChange>,
@@ -51,6 +51,13 @@
     pub next_view_change: Micros,
 }
 
+/// A member that was removed from the view.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct RemovedMember {
+    pub address: SocketAddrV4,
+    pub notify_until: Micros,
+}
+
 impl Replica {
     pub(crate) fn primary_deadline(&self) -> Option<Micros> {
         let leadership = self.leadership.as_ref()?;
@@ -119,8 +126,11 @@
             .map(|before| (before.peers, before.joiners, before.removed, before.replaced))
             .unwrap_or_default();
         let notify_until = now + self.config.shutdown_timeout;
-        removed
-            .extend(view.previous_members.iter().map(|member| (member.id, (member.address, notify_until))));
+        removed.extend(
+            view.previous_members
+                .iter()
+                .map(|member| (member.id, RemovedMember { address: member.address, notify_until })),
+        );
         removed.retain(|id, _| view.member(*id).is_none());
         let peers = view.members.iter().filter(|member| member.id != self.id).map(|member| {
             let fresh = match answered.contains(&member.id) || fresh_timeouts {
--- a/control/src/pre_vote.rs
+++ b/control/src/pre_vote.rs
@@ -17,24 +17,31 @@
 #[derive(Debug)]
 pub(crate) struct PreVote {
     pub base_view: KnownView,
-    /// The rounds whose replies count, with the time at which each was sent.
-    pub rounds: Vec<(u64, u64)>,
+    /// The rounds whose replies count.
+    pub rounds: Vec<PreVoteRound>,
     /// The members that would promise, with the time of the round that they replied to.
-    pub granted: BTreeMap<ReplicaId, u64>,
+    pub granted: BTreeMap<ReplicaId, Micros>,
     pub next_send: Micros,
 }
 
+/// One round of a pre-vote.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct PreVoteRound {
+    /// A number that no earlier round had, as far as chance allows; replies carry it.
+    pub number: u64,
+    pub sent_at: Micros,
+}
+
 impl PreVote {
     /// Drops the rounds that are too old, and the replies to them.
     pub fn expire_before(&mut self, time: Micros) {
-        self.rounds.retain(|(_, at)| *at >= time);
-        self.granted.retain(|_, at| *at >= time);
+        self.rounds.retain(|round| round.sent_at >= time);
+        self.granted.retain(|_, sent_at| *sent_at >= time);
     }
 
     pub fn record_grant(&mut self, sender: ReplicaId, round: u64) {
-        let asked = self.rounds.iter().find(|(known, _)| *known == round);
-        if let Some((_, at)) = asked {
-            self.granted.insert(sender, *at);
+        if let Some(round) = self.rounds.iter().find(|known| known.number == round) {
+            self.granted.insert(sender, round.sent_at);
         }
     }
 
@@ -59,7 +66,7 @@
             || PreVote { base_view: known, rounds: Vec::new(), granted: BTreeMap::new(), next_send: 0 };
         let mut pre_vote = before.unwrap_or_else(fresh);
         pre_vote.expire_before(now.saturating_sub(PRE_VOTE_VALIDITY));
-        pre_vote.rounds.push((round, now));
+        pre_vote.rounds.push(PreVoteRound { number: round, sent_at: now });
         pre_vote.next_send = now + RESEND_INTERVAL;
         if self.lease_forbids_promise(self.id, None) {
             pre_vote.granted.remove(&self.id);
--- a/control/src/replica.rs
+++ b/control/src/replica.rs
@@ -167,6 +167,11 @@
         &self.committed
     }
 
+    /// The last committed state, shared.
+    pub fn shared_state(&self) -> Arc<ControlState> {
+        Arc::clone(&self.committed)
+    }
+
     /// The internal address of the primary of the latest known view.
     pub fn primary_address(&self) -> Option<SocketAddrV4> {
         let view = &self.stored.view.as_ref()?.view;
--- a/control/src/replication.rs
+++ b/control/src/replication.rs
@@ -3,8 +3,8 @@
 use std::{collections::BTreeSet, net::SocketAddrV4, sync::Arc};
 
 use crate::{
-    Body, Change, ControlState, Data, LogPosition, Micros, Outcome, Output, ProposalId, ProposalNumber,
-    Record, Replica, ReplicaId, Replicate, SnapshotInstalled,
+    Body, Change, Data, LogPosition, Micros, Outcome, Output, ProposalId, ProposalNumber, Record, Replica,
+    ReplicaId, Replicate, SnapshotInstalled,
     disk::Effect,
     leadership::PendingChange,
     time::MILLISECOND,
@@ -144,9 +144,4 @@
         let answer = |proposal_id| Output::Answer { proposal_id, outcome: Outcome::Committed };
         out.extend(pending.proposal_id.map(answer));
     }
-
-    /// The last committed state, shared.
-    pub fn shared_state(&self) -> Arc<ControlState> {
-        Arc::clone(&self.committed)
-    }
 }
