--- a/control/src/replication.rs
+++ b/control/src/replication.rs
@@ -3,8 +3,8 @@
 use std::{collections::BTreeSet, net::SocketAddrV4, sync::Arc};
 
 use crate::{
-    Body, Change, ControlState, Data, LogPosition, Micros, Outcome, Output, ProposalId, ProposalNumber,
-    Record, Replica, ReplicaId, Replicate, SnapshotInstalled,
+    Body, Change, Data, LogPosition, Micros, Outcome, Output, ProposalId, ProposalNumber, Record, Replica,
+    ReplicaId, Replicate, SnapshotInstalled,
     disk::Effect,
     leadership::PendingChange,
     time::MILLISECOND,
@@ -126,7 +126,7 @@
     }
 
     /// A backup lacks changes that it has acknowledged: a view change installs the state there again.
-    pub(crate) fn mark_backup_outdated(&mut self, backup: ReplicaId, epoch: u64) {
+    pub(crate) fn record_outdated_backup(&mut self, backup: ReplicaId, epoch: u64) {
         let now = self.now();
         let Some(leadership) = self.leadership.as_mut().filter(|lead| lead.epoch == epoch) else { return };
         if let Some(peer) = leadership.peers.get_mut(&backup) {
@@ -144,9 +144,4 @@
         let answer = |proposal_id| Output::Answer { proposal_id, outcome: Outcome::Committed };
         out.extend(pending.proposal_id.map(answer));
     }
-
-    /// The last committed state, shared.
-    pub fn shared_state(&self) -> Arc<ControlState> {
-        Arc::clone(&self.committed)
-    }
 }
--- a/control/tests/simulator/checker.rs
+++ b/control/tests/simulator/checker.rs
@@ -1,4 +1,4 @@
-//! What must hold, whatever happens.
+//! The invariants of the simulation.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -15,7 +15,7 @@
     /// An acknowledged change isn't part of the committed states.
     Lost(String),
     /// A change is acknowledged that no backup holds.
-    Alone(String),
+    NoBackup(String),
     /// Two replicas lead at the same time.
     TwoLeaders(ReplicaId, ReplicaId),
     /// Two replicas led in one epoch.
@@ -24,8 +24,8 @@
     Stale(String),
     /// A refusal that wasn't true, or of a change that came into force.
     FalseRefusal(String),
-    /// Nothing was acknowledged in time although all is well again.
-    Stuck(String),
+    /// Nothing was acknowledged in time although all faults have ended.
+    NoProgress(String),
 }
 
 /// A configuration that clients have sent.
--- a/control/tests/simulator/faults.rs
+++ b/control/tests/simulator/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in a course of events.
+//! The plan of a course of events: which faults are injected, and how often.
 
 use gradepaddle_control::InjectedFault;
 
@@ -12,9 +12,9 @@
     /// How long things go wrong, in microseconds.
     pub length: u64,
     /// A fault strikes about this often, in microseconds.
-    pub every: u64,
+    pub fault_interval: u64,
     pub injected_fault: Option<InjectedFault>,
-    /// An emptied disk keeps its identity: the harness's own flaw.
+    /// An emptied disk keeps its identity: a fault of the harness itself.
     pub emptied_vouches: bool,
     /// Only faults of these kinds; all if empty.
     pub only: Vec<Fault>,
@@ -31,7 +31,7 @@
             replicas,
             machine_losses,
             length: 14 * SECOND,
-            every: 500_000,
+            fault_interval: 500_000,
             injected_fault: None,
             emptied_vouches: false,
             only: Vec::new(),
@@ -54,7 +54,7 @@
     pub const USUAL: ClockRates = ClockRates { slowest: 995, fastest: 1_006 };
 }
 
-/// Losses one after the other, each as soon as the one before no longer counts.
+/// Successive losses, each as soon as the one before no longer counts.
 #[derive(Debug, Clone, Copy)]
 pub struct Rounds {
     /// How many there are.
@@ -86,20 +86,20 @@
     WipeAny,
     Replace,
     Add,
-    Cut,
-    OneWayCut,
+    Partition,
+    OneWayPartition,
     CutLink,
     Split,
     /// The next change of members parts the candidate and the newcomers from all others as it is announced.
     SplitAtChange,
-    Mend,
-    Freeze,
-    FreezeLeader,
+    HealNetwork,
+    Suspend,
+    SuspendLeader,
     DiskFull,
     DiskHangs,
-    DiskWell,
-    Leave,
-    Weather,
+    DiskRecovers,
+    ShutDown,
+    NetworkConditions,
     WipesAndPowerLoss,
 }
 
@@ -117,22 +117,22 @@
     Fault::WipeAny,
     Fault::Replace,
     Fault::Add,
-    Fault::Cut,
-    Fault::OneWayCut,
+    Fault::Partition,
+    Fault::OneWayPartition,
     Fault::CutLink,
     Fault::CutLink,
     Fault::Split,
     Fault::SplitAtChange,
-    Fault::Mend,
-    Fault::Mend,
-    Fault::Mend,
-    Fault::Freeze,
-    Fault::FreezeLeader,
+    Fault::HealNetwork,
+    Fault::HealNetwork,
+    Fault::HealNetwork,
+    Fault::Suspend,
+    Fault::SuspendLeader,
     Fault::DiskFull,
     Fault::DiskHangs,
-    Fault::DiskWell,
-    Fault::Leave,
-    Fault::Leave,
-    Fault::Weather,
+    Fault::DiskRecovers,
+    Fault::ShutDown,
+    Fault::ShutDown,
+    Fault::NetworkConditions,
     Fault::WipesAndPowerLoss,
 ];
--- a/store/tests/on_a_real_folder.rs
+++ b/store/tests/file_system.rs
@@ -1,4 +1,4 @@
-//! The store on the operating system's own files, and its thread.
+//! The store on the file system, and its writer thread.
 
 use std::{path::PathBuf, sync::mpsc::channel};
 
@@ -27,21 +27,21 @@
 }
 
 #[gtest]
-fn records_are_found_again() -> Result<()> {
+fn records_are_recovered() -> Result<()> {
     let scratch = Scratch::new("again");
     let mut opened = Storage::open(&scratch.0, ReplicaId(5)).or_fail()?;
-    expect_that!(opened.origin, eq(Origin::New));
+    expect_that!(opened.origin, eq(Origin::Created));
     opened.storage.append(vec![promise(9)]).or_fail()?;
     drop(opened);
     let opened = Storage::open(&scratch.0, ReplicaId(6)).or_fail()?;
-    expect_that!(opened.origin, eq(Origin::Kept));
+    expect_that!(opened.origin, eq(Origin::Recovered));
     expect_that!(opened.recovered.id, eq(ReplicaId(5)));
     expect_that!(opened.recovered.promised, some(eq(ProposalNumber { epoch: 9, candidate: ReplicaId(3) })));
     Ok(())
 }
 
 #[gtest]
-fn the_thread_writes_in_order_and_says_so() -> Result<()> {
+fn the_writer_thread_writes_in_order_and_reports_each_write() -> Result<()> {
     let scratch = Scratch::new("thread");
     let opened = Storage::open(&scratch.0, ReplicaId(5)).or_fail()?;
     let (tell, told) = channel();
