--- a/control/src/heartbeat.rs
+++ b/control/src/heartbeat.rs
@@ -1,20 +1,28 @@
-//! Heartbeats of the primary and what members echo: the lease, and what is known of each member.
+//! Heartbeats of the primary and the replies to them, which grant the lease and report the health of each member.
 
 use std::{net::SocketAddrV4, sync::Arc};
 
 use crate::{
-    Body, HeartbeatReply, KnownView, Output, ProposalNumber, Replica, ReplicaId,
+    Body, HeartbeatReply, KnownView, Micros, Output, ProposalNumber, Replica, ReplicaId,
     lease::{GrantedLease, PrimaryClock, lease_until},
 };
 
+/// The lease that this replica has granted, as a member.
+#[derive(Debug)]
+pub(crate) struct LeaseGrant {
+    pub granted: Option<GrantedLease>,
+    /// What is known of the clock of the primary that it was granted to.
+    pub primary_clock: Option<PrimaryClock>,
+}
+
 impl Replica {
-    /// Until when this replica may act as the primary.
-    pub(crate) fn lease_until(&self) -> Option<u64> {
+    /// When the lease of this primary expires.
+    pub(crate) fn lease_until(&self) -> Option<Micros> {
         let leadership = self.leadership.as_ref()?;
         lease_until(&self.config, &leadership.view, &leadership.peers)
     }
 
-    /// Whether this replica leads but reaches no majority any longer.
+    /// Whether this replica is primary but no longer reaches a majority.
     pub(crate) fn has_lost_quorum(&self) -> bool {
         self.leadership.as_ref().is_some_and(|leadership| leadership.lease_renewals.quorum_lost(self.now()))
     }
@@ -27,7 +35,8 @@
         };
         leadership.next_heartbeat = now + every;
         leadership.lease_renewals.record(lease_until);
-        // Members that can be heard no longer may still hear this one: their leases for it must be let run out.
+        // After a one-way partition members may still receive heartbeats: without this stop they would renew a lease
+        // that the primary can't use, and block its successor.
         if leadership.lease_renewals.quorum_lost(now) {
             return;
         }
@@ -41,8 +50,8 @@
         self.notify_removed_members(out);
     }
 
-    /// Tells members that were left out that the view without them needs them no longer.
-    pub(crate) fn notify_removed_members(&mut self, out: &mut Vec<Output>) {
+    /// Notifies removed members that the view no longer depends on them.
+    fn notify_removed_members(&mut self, out: &mut Vec<Output>) {
         let now = self.now();
         let Some(leadership) = self.leadership.as_mut() else { return };
         leadership.removed.retain(|_, (_, until)| now < *until);
@@ -56,8 +65,8 @@
         }
     }
 
-    /// Whether the present view no longer depends on the members of the one before: after as many losses as may come
-    /// at once, somebody still knows that it is active.
+    /// Whether the view no longer depends on the previous members: after as many losses as are tolerated at once, a
+    /// member still knows that it is active.
     pub(crate) fn view_change_complete(&self) -> bool {
         let Some(leadership) = &self.leadership else { return false };
         let epoch = leadership.epoch;
@@ -71,12 +80,14 @@
         from: SocketAddrV4,
         sender: ReplicaId,
         epoch: u64,
-        sent: u64,
+        sent: Micros,
         out: &mut Vec<Output>,
     ) {
         self.observe_epoch(epoch);
-        // A lease is granted only under a promise that a restart would find, so that the restart knows its holder.
+        // A lease is granted only under a durable promise, so that after a restart the member still knows the lease
+        // holder.
         let promised = self
+            .stored
             .promised
             .filter(|proposal_number| proposal_number.candidate == sender && proposal_number.epoch >= epoch);
         let lasting =
@@ -92,42 +103,49 @@
         }
         let activation_durable = self.activation_durable();
         self.send(from, self.heartbeat_reply(epoch, sent, granted.is_some(), activation_durable), out);
-        if granted.is_some() && !activation_durable && self.view.as_ref().is_some_and(|known| known.active) {
-            // The primary needn't wait for its next heartbeat to learn that this one knows of the view for good.
+        if granted.is_some()
+            && !activation_durable
+            && self.stored.view.as_ref().is_some_and(|known| known.active)
+        {
+            // A second reply, so that the primary needn't wait for its next heartbeat to learn that the activation is
+            // durable here.
             let effect = self.reply_once_durable(from, self.heartbeat_reply(epoch, sent, true, true));
             self.persist(Vec::new(), effect, out);
         }
     }
 
-    /// When a heartbeat left at the latest, by this replica's clock. It may have been on its way for long, and its sender
-    /// may be gone: its lease counts from its sending, as at the sender.
-    fn sent_at(&mut self, epoch: u64, sent: u64) -> u64 {
+    /// The latest time at which a heartbeat was sent, by this replica's clock. It may have been delayed for long and
+    /// its
+    /// sender may be gone: the lease counts from the sending on both sides.
+    fn sent_at(&mut self, epoch: u64, sent: Micros) -> Micros {
         let (now, drift) = (self.now(), self.config.clock_drift());
-        let known = self.primary_clock.filter(|clock| clock.epoch == epoch);
+        let known = self.lease_grant.primary_clock.filter(|clock| clock.epoch == epoch);
         let sent_at = known.map_or(now, |clock| clock.sent_at(sent, drift).min(now));
         if sent_at == now {
-            self.primary_clock = Some(PrimaryClock { epoch, sent, heard: now });
+            self.lease_grant.primary_clock = Some(PrimaryClock { epoch, sent, heard: now });
         }
         sent_at
     }
 
-    /// Grants a lease, unless a longer one was granted to the candidate before.
-    fn grant_lease(&mut self, proposal_number: ProposalNumber, until: u64) {
-        let before =
-            self.granted_lease.filter(|grant| grant.proposal_number.candidate == proposal_number.candidate);
+    /// Grants a lease, unless a longer one was already granted to the candidate.
+    fn grant_lease(&mut self, proposal_number: ProposalNumber, until: Micros) {
+        let before = self
+            .lease_grant
+            .granted
+            .filter(|grant| grant.proposal_number.candidate == proposal_number.candidate);
         let until = before.map_or(until, |grant| grant.expires_at.max(until));
-        self.granted_lease = Some(GrantedLease { proposal_number, expires_at: until });
+        self.lease_grant.granted = Some(GrantedLease { proposal_number, expires_at: until });
         if until > self.now() {
-            self.pre_vote = None;
+            self.election.pre_vote = None;
         }
     }
 
-    fn heartbeat_reply(&self, epoch: u64, sent: u64, granted: bool, activation_durable: bool) -> Body {
+    fn heartbeat_reply(&self, epoch: u64, sent: Micros, granted: bool, activation_durable: bool) -> Body {
         Body::HeartbeatReply(HeartbeatReply {
             epoch,
             sent,
             granted,
-            promised: self.promised,
+            promised: self.stored.promised,
             view_epoch: self.view_epoch(),
             healthy: self.healthy(),
             shutting_down: self.is_shutting_down(),
@@ -143,7 +161,7 @@
         out: &mut Vec<Output>,
     ) {
         let HeartbeatReply { epoch, sent, granted, promised, view_epoch, .. } = reply;
-        let (now, own) = (self.now(), self.promised);
+        let (now, own) = (self.now(), self.stored.promised);
         self.observe_epoch(promised.map_or(0, |proposal_number| proposal_number.epoch));
         let Some(leadership) = self.leadership.as_mut() else { return };
         let ours = (leadership.first_epoch..=leadership.epoch).contains(&epoch) && sent <= now;
