--- a/config/src/configuration/body.rs
+++ b/config/src/configuration/body.rs
@@ -101,6 +101,10 @@
     /// Parses a body; the finding is the first value that can't be parsed.
     ///
     /// Tracking paths costs more than parsing, so it is left to a second pass over an invalid body.
+    ///
+    /// # Errors
+    ///
+    /// `Problem::Unreadable` with the path of the first value that can't be parsed.
     pub fn read(body: &[u8]) -> Result<Self, Finding> {
         match serde_json::from_slice(body) {
             Ok(Object(read)) => Ok(read),
--- a/config/src/configuration/repeated_field.rs
+++ b/config/src/configuration/repeated_field.rs
@@ -10,6 +10,10 @@
 use std::fmt::{self, Formatter, Write};
 
 /// Checks the syntax of a body and that the fields of each of its objects have different names.
+///
+/// # Errors
+///
+/// [`Problem::Unreadable`] if the body isn't JSON; otherwise a [`Problem::DuplicateField`] for each repetition.
 pub(crate) fn check(body: &[u8]) -> Result<(), Findings> {
     let mut walk = Walk::default();
     let mut deserializer = serde_json::Deserializer::from_slice(body);
--- a/gossip/src/anti_entropy.rs
+++ b/gossip/src/anti_entropy.rs
@@ -106,9 +106,9 @@
             theirs.entries.iter().map(|entry| ((entry.kind, &*entry.key), entry.stamp)).collect();
         let unlisted = |entry: &&Entry| !listed.contains_key(&(entry.kind, &*entry.key));
         missing.extend(self.items.ranges().entries(theirs.index).filter(unlisted).cloned());
-        let held =
+        let known =
             theirs.entries.iter().filter_map(|entry| Some((entry, self.items.get(entry.kind, &entry.key)?)));
-        missing.extend(held.filter(|(entry, own)| own.stamp > entry.stamp).map(|(_, own)| own.entry()));
+        missing.extend(known.filter(|(entry, own)| own.stamp > entry.stamp).map(|(_, own)| own.entry()));
     }
 
     /// Sends items that another node asked for.
--- a/gossip/src/item.rs
+++ b/gossip/src/item.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-/// What an item is about. This package knows nothing of the kinds; whoever uses it sets the constants.
+/// The kind of an item. The user of this crate defines the constants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Kind(pub u8);
 
@@ -19,7 +19,7 @@
 /// One replicated item.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Item {
-    /// What it is about.
+    /// Its kind.
     pub kind: Kind,
     /// Its name within the kind.
     pub key: Arc<str>,
@@ -52,7 +52,7 @@
 /// The name and stamp of an item, without its payload.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Entry {
-    /// What the item is about.
+    /// The kind of the item.
     pub kind: Kind,
     /// The item's name within the kind.
     pub key: Arc<str>,
--- a/gossip/src/item_store.rs
+++ b/gossip/src/item_store.rs
@@ -39,7 +39,7 @@
 #[derive(Debug)]
 pub(crate) struct ItemStore {
     tombstone_ttl: u64,
-    held: BTreeMap<Kind, BTreeMap<Arc<str>, StoredItem>>,
+    by_kind: BTreeMap<Kind, BTreeMap<Arc<str>, StoredItem>>,
     live: usize,
     ranges: Ranges,
     /// When tombstones become quiet or expire.
@@ -48,8 +48,8 @@
 
 impl ItemStore {
     pub(crate) fn new(tombstone_ttl: Duration) -> Self {
-        let (held, due) = (BTreeMap::new(), BTreeSet::new());
-        Self { tombstone_ttl: micros(tombstone_ttl), held, live: 0, ranges: Ranges::new(), due }
+        let (by_kind, due) = (BTreeMap::new(), BTreeSet::new());
+        Self { tombstone_ttl: micros(tombstone_ttl), by_kind, live: 0, ranges: Ranges::new(), due }
     }
 
     pub(crate) fn ranges(&self) -> &Ranges {
@@ -63,17 +63,17 @@
 
     /// The items of one kind, without tombstones.
     pub(crate) fn items(&self, kind: Kind) -> impl Iterator<Item = &Item> {
-        self.held
+        self.by_kind
             .get(&kind)
             .into_iter()
             .flat_map(BTreeMap::values)
-            .map(|held| &held.item)
+            .map(|stored| &stored.item)
             .filter(|item| !item.removed)
     }
 
     /// An item, which may be a tombstone.
     pub(crate) fn get(&self, kind: Kind, key: &str) -> Option<&Item> {
-        self.held(kind, key).map(|held| &held.item)
+        self.stored(kind, key).map(|stored| &stored.item)
     }
 
     /// Whether an item of this name is known in this stamp or a newer one.
@@ -83,19 +83,19 @@
 
     /// Whether the item was merged after that time.
     pub(crate) fn is_merged_after(&self, entry: &Entry, time: u64) -> bool {
-        self.held(entry.kind, &entry.key).is_some_and(|held| held.merged_at > time)
+        self.stored(entry.kind, &entry.key).is_some_and(|stored| stored.merged_at > time)
     }
 
     /// Time since the item's publication, in microseconds.
     pub(crate) fn age(&self, now: u64, kind: Kind, key: &str) -> Option<u64> {
-        self.held(kind, key).map(|held| held.age(now))
+        self.stored(kind, key).map(|stored| stored.age(now))
     }
 
     /// The item with its age, as it is sent.
     pub(crate) fn aged(&self, now: u64, kind: Kind, key: &str) -> Option<Aged> {
-        let held = self.held(kind, key)?;
-        let age_ms = u32::try_from(held.age(now) / MILLISECOND_US).unwrap_or(u32::MAX);
-        Some(Aged { item: held.item.clone(), age_ms })
+        let stored = self.stored(kind, key)?;
+        let age_ms = u32::try_from(stored.age(now) / MILLISECOND_US).unwrap_or(u32::MAX);
+        Some(Aged { item: stored.item.clone(), age_ms })
     }
 
     /// Merges an item: the higher stamp wins. Returns whether the item was newer than the known one.
@@ -122,8 +122,8 @@
         if item.removed {
             self.due.insert((self.quiet_at(expires_at), item.entry().name()));
         }
-        let held = StoredItem { item: item.clone(), merged_at: now, age_at_merge: age, expires_at };
-        self.held.entry(item.kind).or_default().insert(Arc::clone(&item.key), held);
+        let stored = StoredItem { item: item.clone(), merged_at: now, age_at_merge: age, expires_at };
+        self.by_kind.entry(item.kind).or_default().insert(Arc::clone(&item.key), stored);
     }
 
     /// Makes tombstones quiet or drops them, as is due.
@@ -135,15 +135,15 @@
     }
 
     fn expire_one(&mut self, now: u64, name: Name) {
-        let Some(held) = self.held(name.0, &name.1) else { return };
-        let expires_at = held.expires_at;
-        if !held.item.removed || now < self.quiet_at(expires_at) {
+        let Some(stored) = self.stored(name.0, &name.1) else { return };
+        let expires_at = stored.expires_at;
+        if !stored.item.removed || now < self.quiet_at(expires_at) {
             return;
         }
         self.ranges.remove(name.0, &name.1);
         if now < expires_at {
             self.due.insert((expires_at, name));
-        } else if let Some(of_kind) = self.held.get_mut(&name.0) {
+        } else if let Some(of_kind) = self.by_kind.get_mut(&name.0) {
             of_kind.remove(&name.1);
         }
     }
@@ -157,7 +157,7 @@
         expires_at.saturating_sub(self.tombstone_ttl / QUIET_FRACTION)
     }
 
-    fn held(&self, kind: Kind, key: &str) -> Option<&StoredItem> {
-        self.held.get(&kind)?.get(key)
+    fn stored(&self, kind: Kind, key: &str) -> Option<&StoredItem> {
+        self.by_kind.get(&kind)?.get(key)
     }
 }
--- a/gossip/src/push.rs
+++ b/gossip/src/push.rs
@@ -42,11 +42,11 @@
     /// The nodes that are known to have all queued items.
     fn known_by_all(&self) -> Vec<SocketAddrV4> {
         let mut all = self.known_by.values();
-        let mut common = all.next().cloned().unwrap_or_default();
+        let mut known_by_all = all.next().cloned().unwrap_or_default();
         for known_by in all {
-            common.retain(|node| known_by.contains(node));
+            known_by_all.retain(|node| known_by.contains(node));
         }
-        common
+        known_by_all
     }
 }
 
@@ -193,8 +193,8 @@
         entries: impl Iterator<Item = Entry>,
         out: &mut Vec<Output>,
     ) {
-        let held = entries.filter_map(|entry| Some((entry.stamp, self.items.get(entry.kind, &entry.key)?)));
-        let newer = held.filter(|(stamp, own)| own.removed && own.stamp > *stamp);
+        let known = entries.filter_map(|entry| Some((entry.stamp, self.items.get(entry.kind, &entry.key)?)));
+        let newer = known.filter(|(stamp, own)| own.removed && own.stamp > *stamp);
         let items = newer.filter_map(|(_, own)| self.items.aged(now, own.kind, &own.key)).collect();
         self.send_push(to, items, true, out);
     }
--- a/gossip/src/ranges.rs
+++ b/gossip/src/ranges.rs
@@ -41,7 +41,7 @@
 
     /// Adds an entry that is not there in any stamp.
     pub(crate) fn insert(&mut self, entry: Entry) {
-        let (top, fine) = positions(entry.kind, &entry.key);
+        let Indices { top, fine } = indices(entry.kind, &entry.key);
         let hash = entry_hash(&entry);
         self.top[top].hash ^= hash;
         self.top[top].entries += 1;
@@ -51,7 +51,7 @@
 
     /// Removes the entry of this name, if there is one.
     pub(crate) fn remove(&mut self, kind: Kind, key: &str) {
-        let (top, fine) = positions(kind, key);
+        let Indices { top, fine } = indices(kind, key);
         let entries = &mut self.fine[fine].entries;
         let Some(position) = entries.iter().position(|entry| entry.kind == kind && &*entry.key == key) else {
             return;
@@ -101,11 +101,16 @@
     if index < TOP_RANGES { index * FINE_PER_TOP..(index + 1) * FINE_PER_TOP } else { 0..0 }
 }
 
-/// In which range of the first level and which finer one a key falls.
-fn positions(kind: Kind, key: &str) -> (usize, usize) {
+/// The indices of the two ranges that a key falls into: of the first level, and of the finer one among all finer ones.
+struct Indices {
+    top: usize,
+    fine: usize,
+}
+
+fn indices(kind: Kind, key: &str) -> Indices {
     let ranges = u64::from(TOP_RANGES * FINE_PER_TOP);
     let fine = (mixed(name_hash(kind, key)) % ranges) as usize;
-    (fine / usize::from(FINE_PER_TOP), fine)
+    Indices { top: fine / usize::from(FINE_PER_TOP), fine }
 }
 
 fn entry_hash(entry: &Entry) -> u64 {
--- a/gossip/tests/acknowledgment.rs
+++ b/gossip/tests/acknowledgment.rs
@@ -1,4 +1,4 @@
-//! Publishing that waits until others hold the item.
+//! Publishing that waits for acknowledgments.
 
 mod simulation;
 
@@ -17,10 +17,10 @@
         fleet.run_for(2 * SECOND);
         let begin = fleet.now;
         fleet.publish_acknowledged(0, item("a", 1, b"x"), 1, 2, &[]);
-        fleet.run_until_condition(begin + SECOND, |fleet| !fleet.tickets.is_empty());
-        let (at, confirmed) = fleet.tickets[&1];
-        println!("{nodes} nodes: confirmed in {:.1} ms", (at - begin) as f64 / MS as f64);
-        expect_that!(confirmed, eq(true));
+        fleet.run_until_condition(begin + SECOND, |fleet| !fleet.acknowledgments.is_empty());
+        let (at, acknowledged) = fleet.acknowledgments[&1];
+        println!("{nodes} nodes: acknowledged in {:.1} ms", (at - begin) as f64 / MS as f64);
+        expect_that!(acknowledged, eq(true));
         expect_that!(at - begin, le(5 * MS));
         expect_that!(acknowledged_by(&fleet, "a"), ge(3));
     }
@@ -30,7 +30,7 @@
 fn acknowledged_immediately_without_peers() {
     let mut fleet = Simulation::without_peers(1, 22);
     fleet.publish_acknowledged(0, item("a", 1, b"x"), 1, 2, &[]);
-    expect_that!(fleet.tickets.get(&1), some(eq(&(fleet.now, true))));
+    expect_that!(fleet.acknowledgments.get(&1), some(eq(&(fleet.now, true))));
 }
 
 #[gtest]
@@ -38,9 +38,9 @@
     let mut fleet = Simulation::new(2, 23);
     fleet.run_for(SECOND);
     fleet.publish_acknowledged(0, item("a", 1, b"x"), 1, 2, &[]);
-    expect_that!(fleet.tickets.is_empty(), eq(true));
+    expect_that!(fleet.acknowledgments.is_empty(), eq(true));
     fleet.run_for(10 * MS);
-    expect_that!(fleet.tickets[&1].1, eq(true));
+    expect_that!(fleet.acknowledgments[&1].1, eq(true));
     expect_that!(acknowledged_by(&fleet, "a"), eq(2));
 }
 
@@ -50,7 +50,7 @@
     fleet.run_for(SECOND);
     let prefer = [address(40), address(41), address(42)];
     fleet.publish_acknowledged(0, item("a", 1, b"x"), 1, 2, &prefer);
-    fleet.run_until_condition(fleet.now + SECOND, |fleet| !fleet.tickets.is_empty());
+    fleet.run_until_condition(fleet.now + SECOND, |fleet| !fleet.acknowledgments.is_empty());
     for node in [40, 41] {
         expect_that!(fleet.node(node).get(simulation::KIND, "a"), some(anything()), "node {node}");
     }
@@ -66,8 +66,8 @@
     let begin = fleet.now;
     fleet.publish_acknowledged(0, item("a", 1, b"x"), 1, 2, &[address(3), address(4)]);
     fleet.run_for(SECOND);
-    let (at, confirmed) = fleet.tickets[&1];
-    expect_that!(confirmed, eq(true));
+    let (at, acknowledged) = fleet.acknowledgments[&1];
+    expect_that!(acknowledged, eq(true));
     expect_that!(at - begin, le(250 * MS));
 }
 
@@ -87,11 +87,11 @@
         fleet.run_for(50 * MS);
     }
     fleet.run_for(3 * SECOND);
-    expect_that!(fleet.tickets.len(), eq(100));
-    expect_that!(fleet.tickets.values().filter(|(_, confirmed)| *confirmed).count(), eq(100));
+    expect_that!(fleet.acknowledgments.len(), eq(100));
+    expect_that!(fleet.acknowledgments.values().filter(|(_, acknowledged)| *acknowledged).count(), eq(100));
 }
 
-/// Cut off from all, it gives up after two seconds, and the item spreads all the same later.
+/// In a partition of its own the publisher gives up after two seconds; the item is gossiped all the same later.
 #[gtest]
 fn acknowledgment_fails_in_a_partition() {
     let mut fleet = Simulation::new(9, 27);
@@ -100,7 +100,7 @@
     let begin = fleet.now;
     fleet.publish_acknowledged(0, item("a", 1, b"x"), 1, 2, &[]);
     fleet.run_for(3 * SECOND);
-    expect_that!(fleet.tickets.get(&1), some(eq(&(begin + 2 * SECOND, false))));
+    expect_that!(fleet.acknowledgments.get(&1), some(eq(&(begin + 2 * SECOND, false))));
     fleet.group[0] = 0;
     fleet.run_for(2 * SECOND);
     expect_that!(acknowledged_by(&fleet, "a"), eq(9));
@@ -116,7 +116,7 @@
     fleet.group[1] = 0;
     fleet.publish_acknowledged(0, item("a", 1, b"x"), 1, 2, &[]);
     fleet.run_for(3 * SECOND);
-    expect_that!(fleet.tickets[&1].1, eq(false));
+    expect_that!(fleet.acknowledgments[&1].1, eq(false));
 }
 
 /// A holder that has left since counts no more.
@@ -135,10 +135,10 @@
     fleet.group.fill(0);
     fleet.group[3..].fill(1);
     fleet.run_for(500 * MS);
-    expect_that!(fleet.tickets.get(&1), none(), "only node 2 holds it beside node 0");
+    expect_that!(fleet.acknowledgments.get(&1), none(), "only node 2 holds it beside node 0");
     fleet.group.fill(0);
     fleet.run_for(500 * MS);
-    expect_that!(fleet.tickets[&1].1, eq(true));
+    expect_that!(fleet.acknowledgments[&1].1, eq(true));
 }
 
 /// Where the peers shrink to the acknowledged_by, that is all there are.
@@ -149,13 +149,13 @@
     fleet.stop(2);
     fleet.publish_acknowledged(0, item("a", 1, b"x"), 1, 2, &[]);
     fleet.run_for(50 * MS);
-    expect_that!(fleet.tickets.get(&1), none());
+    expect_that!(fleet.acknowledgments.get(&1), none());
     fleet.set_all_peers(0);
     fleet.run_for(200 * MS);
-    expect_that!(fleet.tickets[&1].1, eq(true));
+    expect_that!(fleet.acknowledgments[&1].1, eq(true));
 }
 
-/// What the others hold already in a newer stamp is confirmed: nothing older can come back.
+/// An item that the others know in a newer stamp is acknowledged: nothing older can come back.
 #[gtest]
 fn tombstones_and_newer_items_are_acknowledged() {
     let mut fleet = Simulation::new(3, 31);
@@ -164,6 +164,6 @@
     fleet.publish_acknowledged(0, item("a", 4, b"old"), 1, 2, &[]);
     fleet.publish_acknowledged(0, tombstone("a", 6), 2, 2, &[]);
     fleet.run_for(10 * MS);
-    expect_that!(fleet.tickets[&1].1 && fleet.tickets[&2].1, eq(true));
+    expect_that!(fleet.acknowledgments[&1].1 && fleet.acknowledgments[&2].1, eq(true));
     expect_that!(fleet.node(2).get(simulation::KIND, "a"), none());
 }
--- a/gossip/tests/anti_entropy.rs
+++ b/gossip/tests/anti_entropy.rs
@@ -1,4 +1,4 @@
-//! What passing on misses is repaired by comparisons: cuts, restarts, newcomers, many items.
+//! Comparisons repair what pushes miss: partitions, restarts, new nodes, many items.
 
 mod simulation;
 
@@ -14,7 +14,7 @@
     fleet.nodes.iter().flatten().all(|node| node.len() == items)
 }
 
-/// The halves of a cut fleet change apart from each other; after the cut all have the newest of both.
+/// The two sides of a partition change independently; after it all nodes have the newest items of both.
 #[gtest]
 fn the_sides_of_a_partition_converge_after_it() {
     for (nodes, within) in [(3, SECOND), (9, SECOND), (78, 2 * SECOND), (400, 3 * SECOND)] {
--- a/gossip/tests/cost.rs
+++ b/gossip/tests/cost.rs
@@ -1,4 +1,4 @@
-//! What the dissemination costs: at rest, with steady changes, with many, and for large payloads.
+//! What the gossip costs: at rest, with steady changes, with many, and for large payloads.
 
 mod simulation;
 
@@ -61,7 +61,7 @@
     expect_that!(worst_ms, le(66.0));
 }
 
-/// 5,000 changes a second over 400 nodes, for half a second: passed on in batches, so that messages stay few.
+/// 5,000 changes a second over 400 nodes, for half a second: pushed in batches, so that messages stay few.
 #[gtest]
 fn many_changes_go_in_batches() {
     const NODES: usize = 400;
--- a/gossip/tests/push.rs
+++ b/gossip/tests/push.rs
@@ -1,4 +1,4 @@
-//! One node, message by message: whom it passes what on to, and whom it asks.
+//! One node, message by message: what it pushes to whom, and whom it asks.
 
 mod simulation;
 
@@ -76,7 +76,7 @@
     expect_that!(told, eq(&vec![address(1), address(3), address(4)]));
 }
 
-/// The second item within 20 ms waits for those that follow; who sent one in the meantime is not told of it.
+/// The second item within 20 ms waits for those that follow; a node that sent it meanwhile doesn't get it back.
 #[gtest]
 fn items_in_quick_succession_are_batched() {
     let mut node = node_at_rest(4);
@@ -148,7 +148,7 @@
     expect_that!(fetches(receive(&mut node, 602 * MS, 5, offer())), eq(&vec![(address(5), fetch)]));
 }
 
-/// A fetched item is passed on as an offer; a newer stamp is fetched though an older one is on its way.
+/// A fetched item is offered on; a newer stamp is fetched though the fetch of an older one is in flight.
 #[gtest]
 fn a_newer_offer_is_fetched_at_once() {
     let mut node = node_at_rest(9);
--- a/gossip/tests/replication_factor.rs
+++ b/gossip/tests/replication_factor.rs
@@ -1,4 +1,4 @@
-//! ReplicationFactor on both sides of a group of nodes that may be lost together, and nodes that are about to end.
+//! Copies inside and outside a group of nodes that may be lost together, and nodes that are shutting down.
 
 mod simulation;
 
@@ -31,8 +31,9 @@
             let (inside, outside) = if publisher < 3 { (1, 1) } else { (2, 0) };
             let copies = ReplicationFactor { count: 2, group: &others, inside, outside };
             fleet.publish_with_replication(publisher, item("a", 1, b"x"), 1, copies);
-            let confirmed = fleet.run_until_condition(3 * SECOND, |fleet| fleet.tickets.contains_key(&1));
-            expect_that!((confirmed, fleet.tickets[&1].1), eq((true, true)));
+            let acknowledged =
+                fleet.run_until_condition(3 * SECOND, |fleet| fleet.acknowledgments.contains_key(&1));
+            expect_that!((acknowledged, fleet.acknowledgments[&1].1), eq((true, true)));
             let held = acknowledged_by(&fleet, "a");
             expect_that!(held.iter().filter(|node| **node < 3).count(), ge(2), "{publisher} of seed {seed}");
             expect_that!(held.iter().filter(|node| **node >= 3).count(), ge(1), "{publisher} of seed {seed}");
@@ -53,7 +54,7 @@
     let copies = ReplicationFactor { count: 2, group: &others, inside: 1, outside: 1 };
     fleet.publish_with_replication(0, item("a", 1, b"x"), 1, copies);
     fleet.run_for(4 * SECOND);
-    expect_that!(fleet.tickets[&1].1, eq(false));
+    expect_that!(fleet.acknowledgments[&1].1, eq(false));
 }
 
 #[gtest]
@@ -63,7 +64,7 @@
     let copies = ReplicationFactor { count: 2, group: &others, inside: 1, outside: 1 };
     fleet.publish_with_replication(0, item("a", 1, b"x"), 1, copies);
     fleet.run_for(100 * MS);
-    expect_that!(fleet.tickets[&1].1, eq(true));
+    expect_that!(fleet.acknowledgments[&1].1, eq(true));
 }
 
 #[gtest]
@@ -76,8 +77,8 @@
         let others = [address(1), address(2)];
         let copies = ReplicationFactor { count: 2, group: &others, inside: 1, outside: 1 };
         fleet.publish_with_replication(0, item("a", 1, b"x"), 1, copies);
-        fleet.run_until_condition(3 * SECOND, |fleet| fleet.tickets.contains_key(&1));
-        expect_that!(fleet.tickets[&1].1, eq(true), "seed {seed}");
+        fleet.run_until_condition(3 * SECOND, |fleet| fleet.acknowledgments.contains_key(&1));
+        expect_that!(fleet.acknowledgments[&1].1, eq(true), "seed {seed}");
         let held = acknowledged_by(&fleet, "a");
         expect_that!(held, contains(eq(&2)), "seed {seed}");
         expect_that!(held, contains(eq(&8)), "seed {seed}");
@@ -92,6 +93,6 @@
     let copies = ReplicationFactor { count: 2, group: &others, inside: 1, outside: 1 };
     fleet.publish_with_replication(0, item("a", 1, b"x"), 1, copies);
     fleet.run_for(100 * MS);
-    expect_that!(fleet.tickets[&1].1, eq(true));
+    expect_that!(fleet.acknowledgments[&1].1, eq(true));
     expect_that!(acknowledged_by(&fleet, "a"), elements_are![eq(&0), eq(&1), eq(&2)]);
 }
--- a/gossip/tests/simulation/mod.rs
+++ b/gossip/tests/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet in simulated time: seeded delays, losses, cuts and restarts. Nothing sleeps.
+//! A fleet in simulated time: seeded delays, losses, partitions and restarts. Nothing sleeps.
 
 #![allow(dead_code, reason = "each test file uses its part")]
 
@@ -75,8 +75,8 @@
     pub arrivals: BTreeMap<(usize, Arc<str>, u64), Arrival>,
     /// Whether arrivals are kept.
     pub keeps_arrivals: bool,
-    /// Confirmed (`true`) and unconfirmed tickets with their times.
-    pub tickets: BTreeMap<u64, (u64, bool)>,
+    /// Times of acknowledgments (`true`) and failed ones by publish id.
+    pub acknowledgments: BTreeMap<u64, (u64, bool)>,
     /// Bytes that payload-carrying messages brought to each node.
     pub payload_received: Vec<u64>,
     /// The largest digest and the largest message seen.
@@ -107,7 +107,7 @@
             group: vec![0; nodes],
             arrivals: BTreeMap::new(),
             keeps_arrivals: true,
-            tickets: BTreeMap::new(),
+            acknowledgments: BTreeMap::new(),
             payload_received: vec![0; nodes],
             largest_digest: 0,
             largest_message: 0,
@@ -126,7 +126,7 @@
         Gossip::new(config, self.now)
     }
 
-    /// Tells a node of all others that are there.
+    /// Makes all other running nodes the peers of a node.
     pub fn set_all_peers(&mut self, node: usize) {
         let others = (0..self.nodes.len()).filter(|other| *other != node && self.nodes[*other].is_some());
         let peers: Vec<Peer> = others
@@ -265,8 +265,8 @@
         self.schedule_wake(node);
     }
 
-    fn acknowledge(&mut self, publish_id: u64, confirmed: bool) {
-        let before = self.tickets.insert(publish_id, (self.now, confirmed));
+    fn acknowledge(&mut self, publish_id: u64, acknowledged: bool) {
+        let before = self.acknowledgments.insert(publish_id, (self.now, acknowledged));
         assert!(before.is_none(), "a publish_id is node_at_rest once");
     }
 
--- a/gossip/tests/storm.rs
+++ b/gossip/tests/storm.rs
@@ -1,4 +1,4 @@
-//! A storm of changes of one item: nodes that start anew in it, and those that were cut off, end with the newest.
+//! A storm of changes of one item: nodes that restart during it, and those behind a partition, converge to the newest.
 
 mod simulation;
 
@@ -33,7 +33,7 @@
         let publisher = usize::from(change > CHANGES / 2);
         fleet.publish(publisher, item("current", change, PAYLOAD));
         if change % 5 == 0 {
-            // A lagging neighbour is still cut off from all others, or only just back.
+            // A lagging neighbour is still partitioned from all others, or only just back.
             fleet.group.fill(0);
             let lagging = rng.usize(2..nodes);
             fleet.group[lagging] = 1;
--- a/gossip/tests/tombstones.rs
+++ b/gossip/tests/tombstones.rs
@@ -1,4 +1,4 @@
-//! Removed items: gone everywhere, kept as tombstones for a while, then forgotten everywhere.
+//! Removed items: gone everywhere, kept as tombstones until they expire everywhere.
 
 mod simulation;
 
@@ -38,7 +38,7 @@
     expect_that!(knowing(&fleet), eq(0));
 }
 
-/// While the tombstone is kept, an older item that comes back is refused and its holder told.
+/// Until the tombstone expires, an older item that comes back is rejected, and its sender gets the tombstone.
 #[gtest]
 fn an_older_item_does_not_come_back_before_the_tombstone_expires() {
     for away in [20, 50, 55] {
--- a/proto/src/frame.rs
+++ b/proto/src/frame.rs
@@ -1,7 +1,7 @@
 //! Frames on a connection between two nodes.
 //!
 //! A frame is the length of its body (4 bytes), the CRC-32 of its body (4 bytes, IEEE 802.3), both little-endian, and the
-//! body. Behind a damaged frame nothing can be told apart, so a connection ends with the first error.
+//! body. Behind a damaged frame the frame boundaries are unknown, so a connection ends with the first error.
 
 use snafu::{Snafu, ensure};
 
