--- a/config/src/difference.rs
+++ b/config/src/difference.rs
@@ -1,137 +1,17 @@
 //! What changes for requests from one configuration to another.
 //!
-//! A route is the same one if its host and prefix are the same; a service or tenant, if its name is.
+//! Routes are the same if host and prefix are, services and tenants if their name is.
 
-use crate::configuration::{Configuration, Limits, Route, Service, Target, Tenant, host_key};
-use std::collections::{BTreeMap, BTreeSet};
-use std::fmt::{self, Display, Formatter};
-use std::sync::Arc;
-use std::time::Duration;
+mod change;
 
-/// A change for requests. `route` is the name of the route in the new configuration, where it has it.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Change {
-    /// A route is new.
-    RouteAdded {
-        /// Name of the route.
-        route: Arc<str>,
-    },
-    /// A route is gone.
-    RouteRemoved {
-        /// Name of the route.
-        route: Arc<str>,
-    },
-    /// The requests of a route go to other services.
-    RouteServicesChanged {
-        /// Name of the route.
-        route: Arc<str>,
-        /// Its services before.
-        from: ServiceNames,
-        /// Its services from now on.
-        to: ServiceNames,
-    },
-    /// The services of a route get other parts of its requests.
-    RouteWeightsChanged {
-        /// Name of the route.
-        route: Arc<str>,
-    },
-    /// The time-out of a route is another.
-    RouteTimeout {
-        /// Name of the route.
-        route: Arc<str>,
-        /// Time-out before.
-        from: Duration,
-        /// Time-out from now on.
-        to: Duration,
-    },
-    /// Something else of a route is another.
-    RouteChanged {
-        /// Name of the route.
-        route: Arc<str>,
-        /// What is another.
-        field: RouteField,
-    },
-    /// A service is new.
-    ServiceAdded {
-        /// Name of the service.
-        service: Arc<str>,
-    },
-    /// A service is gone.
-    ServiceRemoved {
-        /// Name of the service.
-        service: Arc<str>,
-    },
-    /// The terms of a service are others.
-    ServiceChanged {
-        /// Name of the service.
-        service: Arc<str>,
-    },
-    /// A tenant has one more key.
-    KeyAdded {
-        /// Name of the tenant.
-        tenant: Arc<str>,
-        /// The key, which isn't displayed.
-        key: Arc<str>,
-    },
-    /// A tenant has lost a key.
-    KeyRemoved {
-        /// Name of the tenant.
-        tenant: Arc<str>,
-        /// The key, which isn't displayed.
-        key: Arc<str>,
-    },
-    /// A tenant shares cached parts no longer, or shares them again.
-    Isolation {
-        /// Name of the tenant.
-        tenant: Arc<str>,
-        /// Whether it is isolated from now on.
-        isolated: bool,
-    },
-    /// The rank of a tenant is another.
-    TenantPriority {
-        /// Name of the tenant.
-        tenant: Arc<str>,
-        /// Rank before.
-        from: Option<u8>,
-        /// Rank from now on.
-        to: Option<u8>,
-    },
-    /// What clients may send, or how long they may take, is another.
-    Limits {
-        /// Limits before.
-        from: Limits,
-        /// Limits from now on.
-        to: Limits,
-    },
-}
+pub use change::{Change, RouteField, ServiceNames};
 
-/// A value of a route beside its services and its time-out.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RouteField {
-    /// [`Route::kind`]
-    Kind,
-    /// [`Route::latency_target`]
-    LatencyTarget,
-    /// [`Route::priority`]
-    Priority,
-    /// [`Route::max_attempts`]
-    MaxAttempts,
-    /// [`Route::public`]
-    Public,
-    /// [`Route::sticky`]
-    Sticky,
-    /// [`Route::resumable`]
-    Resumable,
-    /// [`Route::event_gap_target`]
-    EventGapTarget,
-}
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
 
-/// Names of services in alphabetical order; displayed with commas between them.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ServiceNames(pub Vec<Arc<str>>);
+use crate::configuration::{Configuration, Route, Service, Target, Tenant, host_key};
 
-/// What changes for requests: first routes by host and prefix, then services,
-/// keys and tenants by name, then limits.
+/// The changes for requests: first routes by host and prefix, then services, keys and tenants by name, then limits.
 pub fn diff(old: &Configuration, new: &Configuration) -> Vec<Change> {
     let mut changes = Vec::new();
     compare_routes(old, new, &mut changes);
@@ -161,7 +41,7 @@
     let (from, to) = (ServiceNames::of(&before.split), ServiceNames::of(&after.split));
     if from != to {
         changes.push(Change::RouteServicesChanged { route: Arc::clone(route), from, to });
-    } else if parts(&before.split) != parts(&after.split) {
+    } else if shares(&before.split) != shares(&after.split) {
         changes.push(Change::RouteWeightsChanged { route: Arc::clone(route) });
     }
     if before.timeout != after.timeout {
@@ -189,8 +69,8 @@
     fields.into_iter().filter(|(_, altered)| *altered).map(|(field, _)| field)
 }
 
-/// The share of each service in a split.
-fn parts(split: &[Target]) -> BTreeMap<&str, f64> {
+/// The share of each service in a split, between 0 and 1.
+fn shares(split: &[Target]) -> BTreeMap<&str, f64> {
     let sum: f64 = split.iter().map(|target| target.weight).sum();
     split.iter().map(|target| (&*target.service, target.weight / sum)).collect()
 }
@@ -212,7 +92,7 @@
     }
 }
 
-/// Compares the tenants. One that isn't there is as good as one without keys, rank and isolation.
+/// Compares the tenants. An absent one is equivalent to one without keys, priority and isolation.
 fn compare_tenants(old: &Configuration, new: &Configuration, changes: &mut Vec<Change>) {
     compare_keys(&old.tenants, &new.tenants, changes);
     for (before, after) in pairs(&old.tenants, &new.tenants, |tenant| &*tenant.name) {
@@ -264,64 +144,3 @@
     }
     pairs.into_values()
 }
-
-impl ServiceNames {
-    fn of(split: &[Target]) -> Self {
-        let mut names: Vec<Arc<str>> = split.iter().map(|target| Arc::clone(&target.service)).collect();
-        names.sort();
-        Self(names)
-    }
-}
-
-impl Display for ServiceNames {
-    fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
-        formatter.write_str(&self.0.join(", "))
-    }
-}
-
-impl Display for RouteField {
-    fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
-        formatter.write_str(match self {
-            Self::Kind => "kind",
-            Self::LatencyTarget => "target",
-            Self::Priority => "priority",
-            Self::MaxAttempts => "tries",
-            Self::Public => "public",
-            Self::Sticky => "sticky",
-            Self::Resumable => "resumable",
-            Self::EventGapTarget => "gap_aim",
-        })
-    }
-}
-
-impl Display for Change {
-    fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::RouteAdded { route } => write!(formatter, "route {route} added"),
-            Self::RouteRemoved { route } => write!(formatter, "route {route} removed"),
-            Self::RouteServicesChanged { route, from, to } => {
-                write!(formatter, "route {route} moved from {from} to {to}")
-            }
-            Self::RouteWeightsChanged { route } => write!(formatter, "route {route} has other weights"),
-            Self::RouteTimeout { route, from, to } => {
-                write!(formatter, "route {route} has a time-out of {to:?} instead of {from:?}")
-            }
-            Self::RouteChanged { route, field } => write!(formatter, "route {route} has another {field}"),
-            Self::ServiceAdded { service } => write!(formatter, "service {service} added"),
-            Self::ServiceRemoved { service } => write!(formatter, "service {service} removed"),
-            Self::ServiceChanged { service } => write!(formatter, "service {service} has other terms"),
-            Self::KeyAdded { tenant, .. } => write!(formatter, "tenant {tenant} has one more key"),
-            Self::KeyRemoved { tenant, .. } => write!(formatter, "tenant {tenant} has lost a key"),
-            Self::Isolation { tenant, isolated: true } => {
-                write!(formatter, "tenant {tenant} is isolated now")
-            }
-            Self::Isolation { tenant, isolated: false } => {
-                write!(formatter, "tenant {tenant} is isolated no longer")
-            }
-            Self::TenantPriority { tenant, from, to } => {
-                write!(formatter, "tenant {tenant} has the rank {to:?} instead of {from:?}")
-            }
-            Self::Limits { .. } => formatter.write_str("the limits are others"),
-        }
-    }
-}
