--- a/controlplane/src/door.rs
+++ b/controlplane/src/door.rs
@@ -47,7 +47,7 @@
         let (answer, keeps) = match body {
             Ok(Ok(body)) => (answer(&head, &body, &driver).await, head.keeps_alive()),
             Ok(Err(ReadError::BodyTooLong)) => (Answer::message(413, "the body is too long"), false),
-            Ok(Err(ReadError::Malformed(what))) => (Answer::message(400, what), false),
+            Ok(Err(ReadError::Malformed { source })) => (Answer::message(400, &source.to_string()), false),
             Ok(Err(_)) | Err(_) => return,
         };
         // Looked at last of all: the process may have stood still since the driver answered.
@@ -62,7 +62,7 @@
 }
 
 async fn read_body(connection: &mut Connection, head: &Head, pool: &Pool) -> Result<Vec<u8>, ReadError> {
-    let framing = head.framing(Framing::Length(0)).map_err(ReadError::Malformed)?;
+    let framing = head.framing(Framing::Length(0)).map_err(ReadError::from)?;
     let mut body = Body::with_limit(framing, BODY_MOST)?;
     let mut bytes = pool.chain();
     while !connection.read_body(&mut body, &mut bytes, usize::MAX).await? {}
--- a/daemon/src/http.rs
+++ b/daemon/src/http.rs
@@ -6,8 +6,8 @@
 
 use crate::sockets::Permit;
 pub use gradepaddle_http::{
-    Body, BodyPart, BodyStream, ChunkedDecoder, Framing, Head, HeadSearch, ReadError, Request, chunk,
-    push_end_to_end_fields, push_framing_field,
+    Body, BodyPart, BodyStream, ChunkFrame, ChunkedDecoder, Framing, Head, HeadSearch, ReadError, Request,
+    chunk_frame, push_end_to_end_fields, push_framing_field,
 };
 
 /// A connection with its share of the descriptor budget.
--- a/daemon/src/probe.rs
+++ b/daemon/src/probe.rs
@@ -100,7 +100,7 @@
     let framing = if head.has_no_body() {
         Framing::Length(0)
     } else {
-        head.framing(Framing::UntilClose).map_err(ReadError::Malformed)?
+        head.framing(Framing::UntilClose).map_err(ReadError::from)?
     };
     let mut rest = Body::new(framing)?;
     let mut body = context.pool.chain();
--- a/daemon/src/routed_task.rs
+++ b/daemon/src/routed_task.rs
@@ -290,9 +290,9 @@
     let framing = request.framing();
     let mut interim = 0;
     let mut head = request_head(request, framing, span, &context.pool);
-    let (before, after) = match framing {
-        Some(Framing::Chunked) => http::chunk(&context.pool, request.body.len(), false),
-        _ => (context.pool.chain(), context.pool.chain()),
+    let http::ChunkFrame { before, after } = match framing {
+        Some(Framing::Chunked) => http::chunk_frame(&context.pool, request.body.len(), false),
+        _ => http::ChunkFrame::empty(&context.pool),
     };
     head.push_chain(&before);
     let early = write(connection, &[&head, &request.body, &after], &mut interim).await?;
@@ -313,9 +313,9 @@
         if !std::mem::replace(&mut lent.used, true) {
             report.spent();
         }
-        let (before, after) = match framing {
-            Some(Framing::Chunked) => http::chunk(&context.pool, bytes.len(), last),
-            _ => (context.pool.chain(), context.pool.chain()),
+        let http::ChunkFrame { before, after } = match framing {
+            Some(Framing::Chunked) => http::chunk_frame(&context.pool, bytes.len(), last),
+            _ => http::ChunkFrame::empty(&context.pool),
         };
         let early = write(connection, &[&before, &bytes, &after], &mut interim).await?;
         if early.is_some() || last {
--- a/daemon/src/service_table.rs
+++ b/daemon/src/service_table.rs
@@ -259,7 +259,7 @@
         match head.status() {
             Ok(200) => {}
             Ok(status) => return format!("discovery answered {status}").into(),
-            Err(why) => return why.into(),
+            Err(why) => return why.to_string().into(),
         }
         if head.framing(Framing::UntilClose) != Ok(Framing::Chunked) {
             return "the answer is not chunked".into();
--- a/daemon/src/terminal/intake.rs
+++ b/daemon/src/terminal/intake.rs
@@ -39,7 +39,7 @@
             ReadError::Closed => Unread::Gone,
             ReadError::HeadTooLong => Unread::Told(431, fault.to_string()),
             ReadError::BodyTooLong => Unread::Told(413, fault.to_string()),
-            ReadError::Malformed(_) => Unread::Told(400, fault.to_string()),
+            ReadError::Malformed { .. } => Unread::Told(400, fault.to_string()),
         }
     }
 }
@@ -76,8 +76,8 @@
             () = waiting.unwanted() => return Err(Unread::Gone),
         }
     };
-    head.check_request().map_err(ReadError::Malformed)?;
-    let framing = head.framing(Framing::Length(0)).map_err(ReadError::Malformed)?;
+    head.check_request().map_err(ReadError::from)?;
+    let framing = head.framing(Framing::Length(0)).map_err(ReadError::from)?;
     let mut rest = Body::new(framing)?;
     if head.list_contains("expect", "100-continue") && !connection.has_input() {
         let mut go_on = pool.chain();
--- a/daemon/src/terminal/outgoing.rs
+++ b/daemon/src/terminal/outgoing.rs
@@ -80,10 +80,10 @@
             return Ok(keep);
         };
         let frame = |length, last| match framing {
-            Framing::Chunked => http::chunk(pool, length, last),
-            _ => (pool.chain(), pool.chain()),
+            Framing::Chunked => http::chunk_frame(pool, length, last),
+            _ => http::ChunkFrame::empty(pool),
         };
-        let (before, after) = frame(body.len(), false);
+        let http::ChunkFrame { before, after } = frame(body.len(), false);
         connection.write(&[&head, &before, &body, &after]).await?;
         drop((head, before, body, after));
         let Flow { connection: mut from, body: mut rest, parking, .. } = *flow;
@@ -99,7 +99,7 @@
                 connection.reset_on_drop();
                 return Err(io::ErrorKind::UnexpectedEof.into());
             };
-            let (before, after) = frame(piece.len(), last);
+            let http::ChunkFrame { before, after } = frame(piece.len(), last);
             connection.write(&[&before, &piece, &after]).await?;
             if last {
                 break;
--- a/dataplane/src/cache_events/calls.rs
+++ b/dataplane/src/cache_events/calls.rs
@@ -137,7 +137,7 @@
         let connection = &mut self.connection;
         connection.write(&[request]).await.context(WriteSnafu)?;
         let head = connection.read_head().await.context(ReadSnafu)?;
-        let framing = head.framing(Framing::UntilClose).map_err(ReadError::Malformed).context(ReadSnafu)?;
+        let framing = head.framing(Framing::UntilClose).map_err(ReadError::from).context(ReadSnafu)?;
         let mut body = Body::with_limit(framing, MAX_RESPONSE_BYTES).context(ReadSnafu)?;
         let mut bytes = self.pool.chain();
         while !connection.read_body(&mut body, &mut bytes, usize::MAX).await.context(ReadSnafu)? {}
--- a/dataplane/src/client_connection.rs
+++ b/dataplane/src/client_connection.rs
@@ -187,7 +187,7 @@
 fn response_to(fault: &ReadError) -> NextRequest {
     match fault {
         ReadError::Closed => NextRequest::None,
-        ReadError::Malformed(_) => NextRequest::Invalid(LocalResponse::BadRequest),
+        ReadError::Malformed { .. } => NextRequest::Invalid(LocalResponse::BadRequest),
         ReadError::HeadTooLong => NextRequest::Invalid(LocalResponse::HeadTooLarge),
         ReadError::BodyTooLong => NextRequest::Invalid(LocalResponse::ContentTooLarge),
     }
--- a/dataplane/src/response_forwarding.rs
+++ b/dataplane/src/response_forwarding.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use gradepaddle_http::buffers::Chain;
-use gradepaddle_http::{Connection, Framing, chunk, push_end_to_end_fields, push_framing_field};
+use gradepaddle_http::{Connection, Framing, chunk_frame, push_end_to_end_fields, push_framing_field};
 use gradepaddle_placement::{AttemptOutcome, OutdatedStart, Placement, StreamPause};
 use slog::warn;
 use tokio::time::{Instant, sleep_until};
@@ -252,8 +252,8 @@
     ) -> Result<(), ForwardingOutcome> {
         match self.framing {
             Some(Framing::Chunked) => {
-                let (before, after) = chunk(&self.plane.pool, bytes.len(), last);
-                self.write(client, &[&before, bytes, &after]).await
+                let frame = chunk_frame(&self.plane.pool, bytes.len(), last);
+                self.write(client, &[&frame.before, bytes, &frame.after]).await
             }
             _ => self.write(client, &[bytes]).await,
         }
--- a/dataplane/src/upstream_response.rs
+++ b/dataplane/src/upstream_response.rs
@@ -29,7 +29,7 @@
     fn from(fault: &ReadError) -> Self {
         match fault {
             ReadError::Closed => ExchangeError::ConnectionLost,
-            ReadError::Malformed(_) | ReadError::HeadTooLong | ReadError::BodyTooLong => {
+            ReadError::Malformed { .. } | ReadError::HeadTooLong | ReadError::BodyTooLong => {
                 ExchangeError::InvalidResponse
             }
         }
--- a/http/src/buffers.rs
+++ b/http/src/buffers.rs
@@ -5,17 +5,17 @@
 use std::io::IoSlice;
 use std::rc::Rc;
 
-/// The size of each buffer: most messages, head and all, fit one.
+/// The size of each buffer, in bytes: most messages fit one.
 pub const SIZE: usize = 4096;
-/// Free buffers kept for the next message; more are given back to the system.
-const KEPT: usize = 1024;
+/// Free buffers that the pool keeps; more are given back to the allocator.
+const MAX_FREE: usize = 1024;
 
-/// Where room is short, messages flow in parts of this many bytes, else of that many.
-const PIECES: [usize; 2] = [SIZE, 8 * SIZE];
+/// How much of a message is moved at once, in bytes: while memory is low, and otherwise.
+const PART_SIZES: [usize; 2] = [SIZE, 8 * SIZE];
 
-/// A body up to this length is read whole before anything is done with it, a longer one flows. Where room is
-/// short, that is one buffer.
-const WHOLE: usize = 16 * SIZE;
+/// A body up to this length, in bytes, is buffered completely before it is forwarded, a longer one is streamed. While
+/// memory is low, that is one buffer.
+const MAX_BUFFERED_BODY: usize = 16 * SIZE;
 
 /// The pool that all messages take their buffers from.
 #[derive(Clone, Default)]
@@ -24,48 +24,48 @@
 struct Inner {
     free: RefCell<Vec<Box<[u8]>>>,
     /// Buffers that are in use.
-    out: Cell<usize>,
-    /// From so many on room is short.
-    short: Cell<usize>,
+    in_use: Cell<usize>,
+    /// From so many on memory is low.
+    low_from: Cell<usize>,
 }
 
 impl Default for Inner {
     fn default() -> Self {
-        Inner { free: RefCell::default(), out: Cell::default(), short: Cell::new(usize::MAX) }
+        Inner { free: RefCell::default(), in_use: Cell::default(), low_from: Cell::new(usize::MAX) }
     }
 }
 
 impl Pool {
-    /// Gives messages this many bytes in all: beyond three quarters of that they flow in small parts, so that
-    /// each connection adds a few buffers at most.
+    /// Limits the buffers to this many bytes: beyond three quarters of that, memory is low, and each connection adds a few
+    /// buffers at most.
     pub fn set_limit(&self, bytes: usize) {
-        self.0.short.set(bytes / 4 * 3 / SIZE);
+        self.0.low_from.set(bytes / 4 * 3 / SIZE);
     }
 
-    /// True if what is kept should become no more.
+    /// True if no more should be buffered.
     pub fn is_low(&self) -> bool {
-        self.0.out.get() >= self.0.short.get()
+        self.0.in_use.get() >= self.0.low_from.get()
     }
 
     /// How much of a message is moved at once.
     pub fn part_size(&self) -> usize {
-        PIECES[usize::from(!self.is_low())]
+        PART_SIZES[usize::from(!self.is_low())]
     }
 
-    /// How much of a body is kept at most.
+    /// How much of a body is buffered at most, in bytes.
     pub fn max_buffered_body(&self) -> usize {
-        if self.is_low() { SIZE } else { WHOLE }
+        if self.is_low() { SIZE } else { MAX_BUFFERED_BODY }
     }
 
     fn take(&self) -> Box<[u8]> {
-        self.0.out.set(self.0.out.get() + 1);
+        self.0.in_use.set(self.0.in_use.get() + 1);
         self.0.free.borrow_mut().pop().unwrap_or_else(|| vec![0; SIZE].into_boxed_slice())
     }
 
     fn give(&self, bytes: Box<[u8]>) {
-        self.0.out.set(self.0.out.get() - 1);
+        self.0.in_use.set(self.0.in_use.get() - 1);
         let mut free = self.0.free.borrow_mut();
-        if free.len() < KEPT.min(self.0.short.get()) {
+        if free.len() < MAX_FREE.min(self.0.low_from.get()) {
             free.push(bytes);
         }
     }
@@ -101,7 +101,7 @@
         self.len == 0
     }
 
-    /// Free room at the back, at least one byte; what is written there counts after [`Chain::commit`].
+    /// Free space at the back, at least one byte; what is written there counts after [`Chain::commit`].
     pub fn spare_capacity(&mut self) -> &mut [u8] {
         if self.links.back().is_none_or(|link| link.end == SIZE) {
             self.links.push_back(Link { bytes: self.pool.take(), start: 0, end: 0 });
@@ -111,7 +111,7 @@
         &mut link.bytes[link.end..]
     }
 
-    /// Counts bytes just written to [`Chain::spare_capacity`]. Room that was not used is given back.
+    /// Counts bytes just written to [`Chain::spare_capacity`]. A buffer that was not used is given back.
     pub fn commit(&mut self, count: usize) {
         if let Some(link) = self.links.back_mut() {
             link.end += count;
--- a/http/src/buffers/tests.rs
+++ b/http/src/buffers/tests.rs
@@ -18,7 +18,7 @@
     assert_eq!(chain.copy_front(3), message[2 * SIZE + 5..2 * SIZE + 8]);
     drop((chain, front));
     assert!(pool.0.free.borrow().len() >= 4, "the buffers are there to be used again");
-    assert_eq!(pool.0.out.get(), 0);
+    assert_eq!(pool.0.in_use.get(), 0);
 }
 
 /// Guards the memory limit: what is out is counted, and beyond its share messages flow in small parts.
--- a/http/src/connection.rs
+++ b/http/src/connection.rs
@@ -1,4 +1,7 @@
 //! A connection: messages are read from it through a buffer of its own, and written to it.
+//!
+//! Whatever waits for the other side is cancellation safe unless its documentation says otherwise: what has been read
+//! stays in the buffer.
 
 use std::io::{self, ErrorKind, IoSlice};
 use std::mem::MaybeUninit;
@@ -16,8 +19,8 @@
 
 /// A connection with what has been read from it and not used yet.
 ///
-/// The guard `G` is kept for as long as the socket is open, and dropped behind it: a share of a budget of descriptors,
-/// or a count of connections.
+/// The guard `G` lives as long as the socket is open, and is dropped after it: a share of a budget of descriptors, or a
+/// count of connections.
 pub struct Connection<G = ()> {
     stream: TcpStream,
     inbox: Chain,
@@ -30,10 +33,15 @@
     _guard: G,
 }
 
-/// How far a head has been looked for.
+/// How long the other side is given to close after a last response.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// How far a head has been searched for.
 #[derive(Default)]
 pub struct HeadSearch {
+    /// Bytes in which its end is not.
     searched: usize,
+    /// Bytes of empty lines before it.
     skipped: usize,
 }
 
@@ -41,7 +49,7 @@
     /// Takes over a stream and a guard. Buffers come from this pool; heads and bodies may be as long as [`MAX_HEAD_BYTES`]
     /// and [`MAX_BODY_BYTES`].
     pub fn new(stream: TcpStream, pool: &Pool, guard: G) -> Self {
-        // Without this a small write may wait for an acknowledgement; if it fails, it only does that.
+        // Without this a small write may wait for an acknowledgement, which is all that a failure costs.
         let _ = stream.set_nodelay(true);
         let (inbox, outbox) = (pool.chain(), pool.chain());
         Connection {
@@ -56,7 +64,7 @@
     }
 
     /// With other limits, in bytes: the longest head that is read, and the longest body that [`Connection::body`]
-    /// admits and [`Connection::linger`] reads away.
+    /// admits and [`Connection::close_lingering`] discards.
     pub fn with_limits(mut self, head: usize, body: u64) -> Self {
         self.set_limits(head, body);
         self
@@ -67,24 +75,32 @@
         (self.max_head, self.max_body) = (head, body);
     }
 
-    /// A body framed so, within this connection's limit. Error: [`ReadError::BodyTooLong`] if its length is beyond that.
+    /// A body framed so, within this connection's limit.
+    ///
+    /// # Errors
+    ///
+    /// [`ReadError::BodyTooLong`] if its length is beyond that.
     pub fn body(&self, framing: Framing) -> Result<Body, ReadError> {
         Body::with_limit(framing, self.max_body)
     }
 
-    /// True if bytes wait that no message has used.
+    /// True if bytes are buffered that no message has used.
     pub fn has_input(&self) -> bool {
         !self.inbox.is_empty()
     }
 
-    /// How many bytes wait.
+    /// How many bytes are buffered.
     pub fn buffered_bytes(&self) -> usize {
         self.inbox.len()
     }
 
-    /// Reads what there is; 0 bytes mean that the other side has ended. Safe to drop midway. A connection that
-    /// waits holds no buffer. Meanwhile what is left of a message that was sent is written, however slowly the other
-    /// side takes it: it may do so behind its answer.
+    /// Reads what there is into the buffer and gives the number of bytes; 0 means that the other side has closed. Cancellation
+    /// safe. A connection that waits occupies no buffer of the pool. Meanwhile the rest of a message that was sent is
+    /// written, however slowly the other side reads it: it may do so after its response.
+    ///
+    /// # Errors
+    ///
+    /// The error of the socket; also a reset that an earlier write met.
     pub async fn fill(&mut self) -> io::Result<usize> {
         loop {
             if self.outbox.is_empty() {
@@ -112,14 +128,14 @@
         let read = self.stream.try_read(self.inbox.spare_capacity());
         self.inbox.commit(*read.as_ref().unwrap_or(&0));
         match read {
-            // The reset that made a write fail is told only once: what reads like an end may be one.
+            // The kernel reports the reset that made a write fail only once: what reads like an end may be that reset.
             Ok(0) if self.write_failed => Err(ErrorKind::ConnectionReset.into()),
             read => read,
         }
     }
 
-    /// Sends a message: writes what the other side takes at once, and the rest while something is read. The other side
-    /// may answer before it has read all; an error shows when its answer is read.
+    /// Sends a message: writes what the socket takes at once, and the rest while something is read. The other side may
+    /// respond before it has read everything; an error shows when its response is read.
     pub fn send(&mut self, chains: &[&Chain]) {
         let written = match self.outbox.is_empty() {
             true => write_now(&self.stream, chains, &mut self.write_failed),
@@ -130,13 +146,13 @@
         }
     }
 
-    /// Writes of what was sent as much as the other side takes at this moment.
+    /// Writes as much of the unsent rest as the socket takes now.
     fn flush(&mut self) {
         let written = write_now(&self.stream, &[&self.outbox], &mut self.write_failed);
         self.outbox.consume(written);
     }
 
-    /// True if not all that was sent has been written: the connection can bear no other message.
+    /// True if a message was not written to its end: the connection can bear no other.
     pub fn has_unsent(&self) -> bool {
         !self.outbox.is_empty() || self.write_failed
     }
@@ -148,8 +164,11 @@
         }
     }
 
-    /// Reads the next head. Safe to drop midway. Error: the connection has ended, or what came is no head, or is longer
-    /// than this connection's limit.
+    /// Reads the next head. Cancellation safe.
+    ///
+    /// # Errors
+    ///
+    /// [`ReadError::Closed`], [`ReadError::Malformed`], or [`ReadError::HeadTooLong`] beyond this connection's limit.
     pub async fn read_head(&mut self) -> Result<Head, ReadError> {
         let mut search = HeadSearch::default();
         loop {
@@ -160,7 +179,11 @@
         }
     }
 
-    /// The next head, if it is there. Empty lines before it are skipped, as RFC 9112 asks.
+    /// The next head, if it is buffered. Empty lines before it are skipped (RFC 9112, section 2.2).
+    ///
+    /// # Errors
+    ///
+    /// [`ReadError::Malformed`], or [`ReadError::HeadTooLong`] beyond this connection's limit.
     pub fn take_head(&mut self, search: &mut HeadSearch) -> Result<Option<Head>, ReadError> {
         while search.searched == 0 && matches!(self.inbox.bytes().next(), Some(b'\r' | b'\n')) {
             self.inbox.consume(1);
@@ -172,7 +195,7 @@
             }
             let text = self.inbox.copy_front(end);
             self.inbox.consume(end);
-            return Head::parse(text).map(Some).map_err(ReadError::Malformed);
+            return Ok(Some(Head::parse(text)?));
         }
         search.searched = self.inbox.len();
         match search.searched + search.skipped > self.max_head {
@@ -181,8 +204,12 @@
         }
     }
 
-    /// Moves what comes of a body, until `to` holds `most` or no more has come yet; true once it is whole. Waits
-    /// for some of it if need be. Safe to drop midway.
+    /// Moves what comes of a body, until `to` holds `most` bytes or no more has come yet; true once it is complete. Waits
+    /// for some of it if need be. Cancellation safe: what was moved is in `to`.
+    ///
+    /// # Errors
+    ///
+    /// [`ReadError::Closed`] if the connection ended within the body, else as [`Body::take`].
     pub async fn read_body(
         &mut self,
         body: &mut Body,
@@ -205,7 +232,7 @@
                 false => self.fill().await,
             };
             match read {
-                // A reset does not end a body, it cuts it short.
+                // A reset does not end a body, it truncates it.
                 Ok(0) => return body.finish().map(|()| true),
                 Ok(_) => {}
                 Err(_) => return Err(ReadError::Closed),
@@ -213,8 +240,12 @@
         }
     }
 
-    /// Reads more of a chunked body without end that is used as it comes, `most` bytes at once; true once it
-    /// has ended all the same.
+    /// Reads more of a chunked body that has no planned end and is used as it comes, `most` bytes at once; true once it
+    /// has ended all the same. Cancellation safe.
+    ///
+    /// # Errors
+    ///
+    /// [`ReadError::Closed`] if the connection ended, else as [`ChunkedDecoder::take`].
     pub async fn read_chunks(
         &mut self,
         chunks: &mut ChunkedDecoder,
@@ -233,7 +264,11 @@
         }
     }
 
-    /// The next head, if it has come: while one side still sends, the other may speak already.
+    /// The next head, if it has come: a response may come while its request is still being sent.
+    ///
+    /// # Errors
+    ///
+    /// As [`Connection::read_head`].
     pub fn try_head(&mut self) -> Result<Option<Head>, ReadError> {
         let mut search = HeadSearch::default();
         loop {
@@ -249,28 +284,32 @@
         }
     }
 
-    /// Ready once there is something to read, or the other side has ended.
+    /// Ready once there is something to read, or the other side has closed. Cancellation safe.
     pub async fn readable(&self) {
-        // A socket that cannot even be asked shows that at the next read.
+        // A socket that fails here fails at the next read too, which reports it.
         let _ = self.stream.readable().await;
     }
 
-    /// Ready once the other side has ended or broken the connection, also behind bytes that nobody reads. Looks now and
-    /// then: unread bytes keep the socket readable, so that nothing else would wake us.
+    /// Ready once the other side has closed or reset the connection, also behind bytes that nobody reads. Polls: unread
+    /// bytes keep the socket readable, so that no event would wake the task. Cancellation safe.
     pub async fn peer_closed(&self) {
-        const LOOK: Duration = Duration::from_millis(40);
+        const POLL_INTERVAL: Duration = Duration::from_millis(40);
         while !matches!(self.stream.ready(Interest::READABLE).await, Ok(ready) if ready.is_read_closed()) {
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Lets the other side see a break, not an end, once this is dropped.
+    /// Has the connection reset, not closed, when it is dropped; unsent bytes are discarded then.
     pub fn reset_on_drop(&self) {
-        // If it fails, only an answer without length looks whole.
+        // If it fails, only a response without a length could pass for complete.
         let _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
 
-    /// Writes the chains one after the other, whole.
+    /// Writes the chains one after the other, to their end. Not cancellation safe: a part may have been written.
+    ///
+    /// # Errors
+    ///
+    /// As [`Connection::write_some`].
     pub async fn write(&self, chains: &[&Chain]) -> io::Result<()> {
         let mut stall_budget = StallBudget::for_reader();
         let total: usize = chains.iter().map(|chain| chain.len()).sum();
@@ -281,8 +320,12 @@
         Ok(())
     }
 
-    /// Writes some of what stands behind the first `written` bytes; an error if the other side takes none of it
-    /// for longer than its stall_budget allows. Safe to drop midway.
+    /// Writes some of what stands behind the first `written` bytes, and gives how many. Cancellation safe.
+    ///
+    /// # Errors
+    ///
+    /// [`ErrorKind::TimedOut`] if the other side reads nothing for longer than the stall budget allows, else the error of
+    /// the socket.
     pub async fn write_some(
         &self,
         chains: &[&Chain],
@@ -292,19 +335,19 @@
         write_some(&self.stream, chains, written, stall_budget).await
     }
 
-    /// True if the other side has neither ended nor said anything out of turn. Asks the kernel itself:
-    /// what tokio remembers of the socket is from the last time that the event queue was read, and a
-    /// request written behind an end that came since would count as one that may have run.
+    /// True if the other side has neither closed nor sent anything out of turn. Asks the kernel: tokio's readiness is
+    /// from the last time that the event queue was read, and a request written after a close that came since would count as
+    /// one that may have run.
     pub fn is_idle(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         let peeked = SockRef::from(&self.stream).peek(&mut byte);
         matches!(peeked, Err(e) if e.kind() == ErrorKind::WouldBlock) && self.inbox.is_empty()
     }
 
-    /// Ready once an idle connection is no longer quiet.
+    /// Ready once an idle connection was closed or received bytes.
     pub fn poll_disturbed(&self, cx: &mut Context<'_>) -> Poll<()> {
         while self.stream.poll_read_ready(cx).is_ready() {
-            // Reading nothing clears what woke us, so that a false alarm is waited out.
+            // Reading nothing clears tokio's readiness, so that a spurious wake-up is waited out.
             let nothing = self.stream.try_read(&mut [0]);
             if !matches!(nothing, Err(e) if e.kind() == ErrorKind::WouldBlock) {
                 return Poll::Ready(());
@@ -313,25 +356,25 @@
         Poll::Pending
     }
 
-    /// Ends our side after a last answer and waits a moment for the other: closing with bytes unread
-    /// would reset the connection, and the answer might be lost with it.
+    /// Closes this side after a last response and waits a moment for the other: closing with bytes unread would reset the
+    /// connection, and the response might be lost with it (RFC 9112, section 9.6).
     pub async fn close_lingering(mut self) {
         if self.stream.shutdown().await.is_err() {
             return;
         }
         let drain = async {
             let mut read = 0;
-            // A client that is amid the longest body may read its answer only behind that.
+            // A client that is still sending the longest body may read its response only after that.
             while read < self.max_body {
-                let waiting = self.inbox.len();
-                self.inbox.consume(waiting);
+                let buffered = self.inbox.len();
+                self.inbox.consume(buffered);
                 match self.fill().await {
                     Ok(0) | Err(_) => break,
                     Ok(count) => read += count as u64,
                 }
             }
         };
-        let _ = timeout(Duration::from_secs(1), drain).await;
+        let _ = timeout(LINGER_TIMEOUT, drain).await;
     }
 }
 
@@ -345,8 +388,8 @@
     slices
 }
 
-/// Writes as much as the other side takes at this moment; tells of all as written where it takes no more, since what it
-/// said before that can still be read.
+/// Writes as much as the socket takes now, and gives how many bytes. After an error everything counts as written: what the
+/// other side sent before can still be read.
 fn write_now(stream: &TcpStream, chains: &[&Chain], failed: &mut bool) -> usize {
     let total = chains.iter().map(|chain| chain.len()).sum();
     let mut written = 0;
--- a/http/src/head.rs
+++ b/http/src/head.rs
@@ -1,7 +1,8 @@
-//! The first line and headers of a message.
+//! The first line and the fields of a message (RFC 9110, section 5; RFC 9112, sections 2 to 6).
 
 use std::ops::Range;
 
+use crate::MalformedMessage;
 use crate::buffers::Chain;
 use crate::framing::Framing;
 
@@ -17,15 +18,16 @@
     "content-length",
     "expect",
 ];
+/// The most fields of a head.
 const MAX_FIELDS: usize = 128;
 
-/// Where a head ends in what was read, just behind its empty line, if it is all there. The first
-/// `searched` bytes were looked at before.
+/// Where a head ends in what was read, just behind its empty line, if it is complete. The first
+/// `searched` bytes were searched before.
 pub fn find_end(inbox: &Chain, searched: usize) -> Option<usize> {
     let from = searched.saturating_sub(3);
     let (mut line, mut start) = (1, 0);
     for slice in inbox.slices() {
-        // Whole buffers that were searched are stepped over: a head may come byte by byte.
+        // Buffers that were searched are skipped: a head may come byte by byte.
         for (at, byte) in slice.iter().enumerate().skip(from.saturating_sub(start)) {
             match byte {
                 b'\n' if line == 0 => return Some(start + at + 1),
@@ -43,6 +45,7 @@
 #[derive(Clone, Debug)]
 pub struct Head {
     text: Vec<u8>,
+    /// The three parts of the first line.
     first: [Range<usize>; 3],
     fields: Vec<(Range<usize>, Range<usize>)>,
 }
@@ -56,8 +59,12 @@
 }
 
 impl Head {
-    /// Parses a whole head, its empty line included. Error: what is wrong with its form.
-    pub fn parse(text: Vec<u8>) -> Result<Self, &'static str> {
+    /// Parses a complete head, its empty line included.
+    ///
+    /// # Errors
+    ///
+    /// What is wrong with its form.
+    pub fn parse(text: Vec<u8>) -> Result<Self, MalformedMessage> {
         let mut first = None;
         let mut fields = Vec::new();
         let mut start = 0;
@@ -69,30 +76,34 @@
                 first = Some(first_line(&text, line)?);
             } else if !line.is_empty() {
                 if fields.len() == MAX_FIELDS {
-                    return Err("too many headers");
+                    return Err(MalformedMessage::TooManyFields);
                 }
                 fields.push(field(&text, line)?);
             }
         }
-        Ok(Head { first: first.ok_or("there is no first line")?, fields, text })
+        Ok(Head { first: first.ok_or(MalformedMessage::NoFirstLine)?, fields, text })
     }
 
     fn part(&self, at: usize) -> &str {
         std::str::from_utf8(&self.text[self.first[at].clone()]).unwrap_or_default()
     }
 
-    /// Checks that this head begins a request of HTTP/1. Error: what is wrong with its first line.
-    pub fn check_request(&self) -> Result<(), &'static str> {
+    /// Checks that this head begins a request of HTTP/1.
+    ///
+    /// # Errors
+    ///
+    /// What is wrong with its first line.
+    pub fn check_request(&self) -> Result<(), MalformedMessage> {
         if !is_token(self.part(0).as_bytes()) {
-            return Err("the method is no token");
+            return Err(MalformedMessage::InvalidMethod);
         }
         let target = self.part(1);
         if !target.starts_with('/') || !target.bytes().all(|b| b.is_ascii_graphic()) {
-            return Err("the target is no path");
+            return Err(MalformedMessage::InvalidTarget);
         }
         match self.part(2) {
             "HTTP/1.1" | "HTTP/1.0" => Ok(()),
-            _ => Err("the version is not HTTP/1.1"),
+            _ => Err(MalformedMessage::UnsupportedRequestVersion),
         }
     }
 
@@ -111,30 +122,34 @@
         self.target().split('?').next().unwrap_or_default()
     }
 
-    /// An answer's status, 100 to 599. Error: what is wrong with its first line.
-    pub fn status(&self) -> Result<u16, &'static str> {
+    /// A response's status, 100 to 599.
+    ///
+    /// # Errors
+    ///
+    /// What is wrong with its first line.
+    pub fn status(&self) -> Result<u16, MalformedMessage> {
         if !self.part(0).starts_with("HTTP/1.") {
-            return Err("the version is not HTTP/1");
+            return Err(MalformedMessage::UnsupportedResponseVersion);
         }
         let status = self.part(1);
         match status.parse() {
             Ok(code @ 100..=599) if status.len() == 3 => Ok(code),
-            _ => Err("the status is no number of three digits"),
+            _ => Err(MalformedMessage::InvalidStatus),
         }
     }
 
-    /// An answer's status with its reason.
+    /// A response's status with its reason.
     pub fn status_line(&self) -> &str {
         let line = self.first[1].start..self.first[2].end;
         std::str::from_utf8(&self.text[line]).unwrap_or_default()
     }
 
-    /// True if an answer of this status has no body, whatever its headers say.
+    /// True if a response of this status has no body, whatever its fields say.
     pub fn has_no_body(&self) -> bool {
         matches!(self.part(1), "204" | "304")
     }
 
-    /// The values of a field.
+    /// All values of a field, whose name is compared without case.
     pub fn get_all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
         let named = move |(n, _): &&(Range<usize>, Range<usize>)| {
             self.text[n.clone()].eq_ignore_ascii_case(name.as_bytes())
@@ -147,7 +162,7 @@
         self.get_all(name).next().and_then(|value| std::str::from_utf8(value).ok())
     }
 
-    /// The fields that are meant for the far end, without those that speak of this connection.
+    /// The end-to-end fields: those that do not concern this connection alone (RFC 9110, section 7.6.1).
     pub fn end_to_end(&self) -> Fields<'_> {
         let mut all = Vec::with_capacity(self.fields.len());
         for (name, value) in &self.fields {
@@ -161,7 +176,7 @@
         all
     }
 
-    /// True if a field that holds a list names this word.
+    /// True if a field whose value is a comma-separated list contains this word.
     pub fn list_contains(&self, field: &str, word: &str) -> bool {
         self.get_all(field)
             .flat_map(|value| value.split(|b| *b == b','))
@@ -170,65 +185,71 @@
 
     /// True if the sender wants the connection to stay open.
     pub fn keeps_alive(&self) -> bool {
-        let old = self.part(0) == "HTTP/1.0" || self.part(2) == "HTTP/1.0";
-        !self.list_contains("connection", "close") && (!old || self.list_contains("connection", "keep-alive"))
+        let http_1_0 = self.part(0) == "HTTP/1.0" || self.part(2) == "HTTP/1.0";
+        !self.list_contains("connection", "close")
+            && (!http_1_0 || self.list_contains("connection", "keep-alive"))
     }
 
-    /// True if a request speaks HTTP/1.0, which knows no chunks.
+    /// True for a request of HTTP/1.0, which has no chunked coding.
     pub fn is_http_1_0(&self) -> bool {
         self.part(2) == "HTTP/1.0"
     }
 
-    /// How the body that follows is framed; `otherwise` if the head does not say. Error: what is wrong with the
-    /// fields that say it.
-    pub fn framing(&self, otherwise: Framing) -> Result<Framing, &'static str> {
+    /// How the body that follows is framed (RFC 9112, section 6.3); `default` if the head does not say.
+    ///
+    /// # Errors
+    ///
+    /// What is wrong with the fields that say it.
+    pub fn framing(&self, default: Framing) -> Result<Framing, MalformedMessage> {
         let mut lengths = self.get_all("content-length").flat_map(|value| value.split(|b| *b == b','));
         let mut codings = self.get_all("transfer-encoding");
         match (lengths.next(), codings.next()) {
-            (Some(_), Some(_)) => Err("both a length and a transfer coding"),
-            (None, None) => Ok(otherwise),
+            (Some(_), Some(_)) => Err(MalformedMessage::LengthAndCoding),
+            (None, None) => Ok(default),
             (None, Some(coding)) => match coding.eq_ignore_ascii_case(b"chunked") && codings.next().is_none()
             {
                 true => Ok(Framing::Chunked),
-                false => Err("an unknown transfer coding"),
+                false => Err(MalformedMessage::UnknownCoding),
             },
             (Some(length), None) => {
                 let length = length.trim_ascii();
                 if lengths.any(|other| other.trim_ascii() != length) {
-                    return Err("lengths that differ");
+                    return Err(MalformedMessage::DifferingLengths);
                 }
                 let digits = !length.is_empty() && length.iter().all(u8::is_ascii_digit);
                 let number = std::str::from_utf8(length).ok().filter(|_| digits);
                 // A length of more digits than any body has is no error of form: it is too long.
                 number
                     .map(|n| Framing::Length(n.parse().unwrap_or(u64::MAX)))
-                    .ok_or("the length is no number")
+                    .ok_or(MalformedMessage::InvalidLength)
             }
         }
     }
 }
 
-fn first_line(text: &[u8], line: Range<usize>) -> Result<[Range<usize>; 3], &'static str> {
+/// The spans of the three parts of a first line.
+fn first_line(text: &[u8], line: Range<usize>) -> Result<[Range<usize>; 3], MalformedMessage> {
     let bytes = &text[line.clone()];
     if std::str::from_utf8(bytes).is_err() || bytes.iter().any(|b| b.is_ascii_control()) {
-        return Err("the first line is no text");
+        return Err(MalformedMessage::FirstLineNotText);
     }
     let space = |from: usize| (from..line.end).find(|i| text[*i] == b' ');
-    let one = space(line.start).ok_or("the first line has too few parts")?;
-    // An answer may leave its reason out, and the space before it.
+    let one = space(line.start).ok_or(MalformedMessage::FirstLineTooShort)?;
+    // A response may leave its reason out, and the space before it.
     let two = space(one + 1).unwrap_or(line.end);
     Ok([line.start..one, one + 1..two, (two + 1).min(line.end)..line.end])
 }
 
-fn field(text: &[u8], line: Range<usize>) -> Result<(Range<usize>, Range<usize>), &'static str> {
+/// The spans of a field's name and value.
+fn field(text: &[u8], line: Range<usize>) -> Result<(Range<usize>, Range<usize>), MalformedMessage> {
     let bytes = &text[line.clone()];
-    let colon = bytes.iter().position(|b| *b == b':').ok_or("a header without a colon")?;
+    let colon = bytes.iter().position(|b| *b == b':').ok_or(MalformedMessage::FieldWithoutColon)?;
     if !is_token(&bytes[..colon]) {
-        return Err("a header's name is no token");
+        return Err(MalformedMessage::InvalidFieldName);
     }
     let value = &bytes[colon + 1..];
     if value.iter().any(|b| b.is_ascii_control() && *b != b'\t') {
-        return Err("a header holds a control character");
+        return Err(MalformedMessage::InvalidFieldValue);
     }
     let lead = value.len() - value.trim_ascii_start().len();
     let start = line.start + colon + 1 + lead;
--- a/http/src/lib.rs
+++ b/http/src/lib.rs
@@ -1,7 +1,8 @@
-//! HTTP/1.1 codec, pooled buffers and connections, shared by the balancer and the fleet.
+//! HTTP/1.1 (RFC 9112): heads, framing, pooled buffers and connections.
 //!
-//! Heads, framing and bodies do no I/O; [`Connection`] joins them to a socket. Buffers come from one [`buffers::Pool`]
-//! for each thread: nothing here but the plain values can be sent to another.
+//! A package of its own because two programs share it: the balancer in service (`daemon`) and the nodes of the fleet
+//! (`dataplane`, `controlplane`). Heads, framing and bodies do no I/O; [`Connection`] joins them to a socket. Buffers come
+//! from one [`buffers::Pool`] for each thread: nothing here but the plain values can be sent to another.
 
 mod body;
 pub mod buffers;
@@ -17,13 +18,15 @@
 
 pub use body::Body;
 pub use connection::{Connection, HeadSearch};
-pub use error::ReadError;
+pub use error::{MalformedMessage, ReadError};
 pub use framing::{ChunkedDecoder, Framing};
 pub use head::{Fields, Head};
-pub use message::{BodyPart, BodyStream, Request, chunk, push_end_to_end_fields, push_framing_field};
+pub use message::{
+    BodyPart, BodyStream, ChunkFrame, Request, chunk_frame, push_end_to_end_fields, push_framing_field,
+};
 
-/// The longest head that is read, in bytes, where a connection is not told otherwise.
+/// The longest head that is read, in bytes, unless a connection has another limit.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// The longest body that is passed on, in bytes, where a body is not told otherwise: bodies of 32 MB occur, and longer
-/// ones are nobody's.
+/// The longest body that is read, in bytes, unless a body has another limit: bodies of 32 MB occur, longer ones are
+/// mistakes or attacks.
 pub const MAX_BODY_BYTES: u64 = 40 * 1024 * 1024;
--- a/http/src/message.rs
+++ b/http/src/message.rs
@@ -1,4 +1,4 @@
-//! Requests with bodies that flow, and the parts of text that frame a message on its way out.
+//! Requests whose bodies are streamed, and the text that frames a message on its way out.
 
 use std::cell::RefCell;
 
@@ -9,9 +9,9 @@
 
 /// A request.
 pub struct Request {
-    /// Its first line and headers.
+    /// Its first line and fields.
     pub head: Head,
-    /// Its body without framing, or what is kept of one that flows.
+    /// Its body without framing, or the beginning of one that is streamed.
     pub body: Chain,
     /// What follows behind that.
     pub rest: Option<BodyStream>,
@@ -19,17 +19,17 @@
 
 /// The rest of a request's body, as its client sends it.
 pub struct BodyStream {
-    /// How long the whole body is, if its client said so.
+    /// The length of the complete body in bytes, if its client announced it.
     pub length: Option<u64>,
-    /// Where the parts come from. Whoever has used one of them is the only one to pass the request on.
+    /// Where the parts come from. Once one of them has been taken, only the taker can send the request.
     pub parts: RefCell<Option<mpsc::Receiver<BodyPart>>>,
 }
 
-/// A piece of a body.
+/// A part of a streamed body.
 pub struct BodyPart {
     /// The bytes, without framing.
     pub bytes: Chain,
-    /// None follows.
+    /// No part follows.
     pub last: bool,
 }
 
@@ -45,8 +45,23 @@
     }
 }
 
-/// What stands before and behind a piece of a body in chunks.
-pub fn chunk(pool: &Pool, length: usize, last: bool) -> (Chain, Chain) {
+/// What stands before and behind the data of a chunk (RFC 9112, section 7.1).
+pub struct ChunkFrame {
+    /// The size line.
+    pub before: Chain,
+    /// The line end, and the last chunk where the body ends.
+    pub after: Chain,
+}
+
+impl ChunkFrame {
+    /// That of a body that is not chunked.
+    pub fn empty(pool: &Pool) -> Self {
+        ChunkFrame { before: pool.chain(), after: pool.chain() }
+    }
+}
+
+/// The frame of a chunk of `length` bytes; `last`: it ends the body.
+pub fn chunk_frame(pool: &Pool, length: usize, last: bool) -> ChunkFrame {
     let (mut before, mut after) = (pool.chain(), pool.chain());
     // A chunk of no length would end the body.
     if length > 0 {
@@ -56,7 +71,7 @@
     if last {
         after.push(b"0\r\n\r\n");
     }
-    (before, after)
+    ChunkFrame { before, after }
 }
 
 /// Appends the field that says how a body is framed, if one has to.
@@ -68,10 +83,10 @@
     }
 }
 
-/// Appends the fields that are meant for the far end, but for those named.
-pub fn push_end_to_end_fields(to: &mut Chain, head: &Head, but: &[&str]) {
+/// Appends the end-to-end fields of a head (RFC 9110, section 7.6.1), less those in `except`.
+pub fn push_end_to_end_fields(to: &mut Chain, head: &Head, except: &[&str]) {
     for (name, value) in head.end_to_end() {
-        if !but.iter().any(|other| other.eq_ignore_ascii_case(name)) {
+        if !except.iter().any(|other| other.eq_ignore_ascii_case(name)) {
             to.push(name.as_bytes());
             to.push(b": ");
             to.push(value);
--- a/http/tests/golden.rs
+++ b/http/tests/golden.rs
@@ -2,7 +2,7 @@
 
 use gradepaddle_http::buffers::{Chain, Pool};
 use gradepaddle_http::{
-    Body, ChunkedDecoder, Framing, Head, ReadError, chunk, push_end_to_end_fields, push_framing_field,
+    Body, ChunkedDecoder, Framing, Head, ReadError, chunk_frame, push_end_to_end_fields, push_framing_field,
 };
 
 fn head(text: &str) -> Head {
@@ -103,8 +103,8 @@
         (0, false, "", ""),
         (0, true, "", "0\r\n\r\n"),
     ] {
-        let around = chunk(&pool, length, last);
-        assert_eq!((&*text(&around.0), &*text(&around.1)), (before, after));
+        let frame = chunk_frame(&pool, length, last);
+        assert_eq!((&*text(&frame.before), &*text(&frame.after)), (before, after));
     }
     for (framing, field) in [
         (Framing::Length(17), "Content-Length: 17\r\n"),
