--- a/dataplane/src/load_reports/content.rs
+++ b/dataplane/src/load_reports/content.rs
@@ -50,7 +50,7 @@
     }
 }
 
-pub(super) fn own_load(load: &ServerShare) -> LocalLoad {
+pub(super) fn local_load(load: &ServerShare) -> LocalLoad {
     LocalLoad {
         server: load.server,
         backlog_ms: f64::from(load.backlog_ms),
@@ -59,13 +59,13 @@
     }
 }
 
-pub(super) fn cached_prefix(sighting: &PrefillReport) -> KeptPrompt {
-    let chunks = sighting.parts.iter().map(|chunk| PromptPart { id: chunk.id, tokens: chunk.tokens });
-    let PrefillReport { server, key, version, salt, .. } = *sighting;
+pub(super) fn cached_prefix(prefill_report: &PrefillReport) -> KeptPrompt {
+    let chunks = prefill_report.parts.iter().map(|chunk| PromptPart { id: chunk.id, tokens: chunk.tokens });
+    let PrefillReport { server, key, version, salt, .. } = *prefill_report;
     KeptPrompt { server, key, version, salt, parts: chunks.collect() }
 }
 
-pub(super) fn sighting(prefix: &KeptPrompt) -> PrefillReport {
+pub(super) fn prefill_report(prefix: &KeptPrompt) -> PrefillReport {
     let chunks = prefix.parts.iter().map(|chunk| PromptChunk { id: chunk.id, tokens: chunk.tokens });
     let KeptPrompt { server, key, version, salt, .. } = *prefix;
     PrefillReport { server, key, version, salt, parts: chunks.collect() }
--- a/dataplane/src/load_reports/receiver.rs
+++ b/dataplane/src/load_reports/receiver.rs
@@ -6,7 +6,7 @@
 use gradepaddle_proto::{Decode, Encode, LoadShare};
 use tokio::net::UdpSocket;
 
-use super::content::{is_plausible, own_load, sighting, store_changes};
+use super::content::{is_plausible, local_load, prefill_report, store_changes};
 use crate::counters::increment;
 use crate::data_plane::DataPlane;
 
@@ -73,12 +73,12 @@
 fn apply(plane: &DataPlane, origin: SocketAddrV4, report: &LoadShare) -> bool {
     let peer = u64::from(u32::from(*origin.ip())) << 16 | u64::from(origin.port());
     let now = plane.now();
-    let loads = report.servers.iter().map(own_load).collect();
+    let loads = report.servers.iter().map(local_load).collect();
     let mut placer = plane.placer.borrow_mut();
     let is_latest = placer.apply_peer_loads(now, peer, report.sequence, loads);
     if is_latest {
-        let sightings: Vec<_> = report.kept.iter().map(sighting).collect();
-        placer.apply_peer_prefill_reports(now, &sightings);
+        let prefill_reports: Vec<_> = report.kept.iter().map(prefill_report).collect();
+        placer.apply_peer_prefill_reports(now, &prefill_reports);
         report
             .changes
             .iter()
--- a/dataplane/src/load_reports/sender.rs
+++ b/dataplane/src/load_reports/sender.rs
@@ -55,10 +55,10 @@
         plane.placer.borrow().local_loads(now).into_iter().map(server_load).collect();
     let new_prefixes = plane.placer.borrow_mut().take_prefill_reports();
     let new_changes = plane.placer.borrow_mut().take_store_updates();
-    let has_news = !new_prefixes.is_empty() || !new_changes.is_empty();
+    let has_new_items = !new_prefixes.is_empty() || !new_changes.is_empty();
     last.unchanged_intervals += 1;
     let is_due = last.unchanged_intervals >= MAX_UNCHANGED_INTERVALS;
-    if unchanged(&servers, &last.servers) && !has_news && !is_due {
+    if unchanged(&servers, &last.servers) && !has_new_items && !is_due {
         return;
     }
     last.unchanged_intervals = 0;
--- a/http/src/body/tests.rs
+++ b/http/src/body/tests.rs
@@ -6,7 +6,7 @@
 /// Guards against a body that depends on how the network cut it or on how it is taken, and against bytes of
 /// the next message that go with it.
 #[test]
-fn a_body_is_the_same_however_it_is_cut_and_taken() {
+fn a_body_does_not_depend_on_how_it_is_cut_and_taken() {
     let parts = prop::collection::vec(prop::collection::vec(any::<u8>(), 1..9000), 0..5);
     proptest!(crate::testing::fixed(), |(parts in parts, cut in 1..9000usize, most in 1..9000usize, kind in 0..3)| {
         let whole = parts.concat();
@@ -49,7 +49,7 @@
 
 /// Guards against an answer that claims 3 GB and keeps on coming, with or without saying so first.
 #[test]
-fn what_is_longer_than_any_body_is_turned_down() {
+fn a_body_beyond_the_limit_is_rejected() {
     assert!(matches!(Body::new(Framing::Length(MAX_BODY_BYTES + 1)), Err(ReadError::BodyTooLong)));
     let pool = Pool::default();
     let mut body = Body::new(Framing::UntilClose).expect("no length");
--- a/http/src/buffers.rs
+++ b/http/src/buffers.rs
@@ -127,9 +127,9 @@
     /// Appends a copy of these bytes.
     pub fn push(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
-            let room = self.spare_capacity();
-            let count = room.len().min(bytes.len());
-            room[..count].copy_from_slice(&bytes[..count]);
+            let space = self.spare_capacity();
+            let count = space.len().min(bytes.len());
+            space[..count].copy_from_slice(&bytes[..count]);
             self.commit(count);
             bytes = &bytes[count..];
         }
@@ -181,10 +181,10 @@
     pub fn io_slices(&self, mut skip: usize) -> Vec<IoSlice<'_>> {
         let mut slices = Vec::with_capacity(self.links.len());
         for slice in self.slices() {
-            let cut = skip.min(slice.len());
-            skip -= cut;
-            if cut < slice.len() {
-                slices.push(IoSlice::new(&slice[cut..]));
+            let skipped = skip.min(slice.len());
+            skip -= skipped;
+            if skipped < slice.len() {
+                slices.push(IoSlice::new(&slice[skipped..]));
             }
         }
         slices
--- a/http/src/buffers/tests.rs
+++ b/http/src/buffers/tests.rs
@@ -23,7 +23,7 @@
 
 /// Guards the memory limit: what is out is counted, and beyond its share messages flow in small parts.
 #[test]
-fn beyond_its_share_the_pool_gives_small_pieces() {
+fn a_pool_low_on_memory_gives_small_parts() {
     let pool = Pool::default();
     pool.set_limit(8 * SIZE);
     let mut chain = pool.chain();
--- a/http/src/connection/tests.rs
+++ b/http/src/connection/tests.rs
@@ -21,7 +21,7 @@
 
 /// Guards a limit from the settings against being taken for the default, and the last byte within it.
 #[tokio::test]
-async fn a_head_may_be_as_long_as_its_connection_says() {
+async fn the_limit_of_a_head_is_that_of_its_connection() {
     let pool = Pool::default();
     for (limit, length) in
         [(None, MAX_HEAD_BYTES), (Some(100), 100), (Some(3 * MAX_HEAD_BYTES), 3 * MAX_HEAD_BYTES)]
@@ -44,7 +44,7 @@
 /// Guards bodies longer than the default, where the settings allow them, and those shorter against more than they
 /// allow, announced or not.
 #[tokio::test]
-async fn a_body_may_be_as_long_as_its_connection_says() {
+async fn the_limit_of_a_body_is_that_of_its_connection() {
     let pool = Pool::default();
     let (mut connection, _other) = pair(&pool, ()).await;
     assert!(matches!(connection.body(Framing::Length(MAX_BODY_BYTES + 1)), Err(ReadError::BodyTooLong)));
@@ -80,7 +80,7 @@
 
 /// Guards a budget of descriptors against one given back early, or never.
 #[tokio::test]
-async fn the_guard_is_kept_as_long_as_the_socket() {
+async fn the_guard_lives_as_long_as_the_socket() {
     let (pool, guard) = (Pool::default(), Rc::new(()));
     let (connection, mut other) = pair(&pool, guard.clone()).await;
     assert_that!(Rc::strong_count(&guard), eq(2));
@@ -94,7 +94,7 @@
 
 /// Guards against a request written to a connection that its other side has spoken on or left.
 #[tokio::test]
-async fn an_idle_connection_stirs_when_the_other_side_speaks_or_leaves() {
+async fn an_idle_connection_is_disturbed_when_the_other_side_sends_or_closes() {
     for speaks in [true, false] {
         let (connection, mut other) = pair(&Pool::default(), ()).await;
         assert!(connection.is_idle());
@@ -114,7 +114,7 @@
 
 /// A reset is told once: to the write that fails. What is read behind that is no end of an answer without length.
 #[tokio::test]
-async fn a_reset_that_made_a_write_fail_reads_as_none_but_a_reset() {
+async fn a_reset_that_made_a_write_fail_is_read_as_a_reset() {
     let pool = Pool::default();
     let (mut connection, mut other) = pair(&pool, ()).await;
     other.write_all(b"abc").await.expect("written");
@@ -131,7 +131,7 @@
 
 /// The other side reads only behind its own word.
 #[tokio::test]
-async fn what_is_left_of_a_message_is_written_as_the_answer_is_read() {
+async fn the_rest_of_a_message_is_written_while_the_response_is_read() {
     let pool = Pool::default();
     let (mut connection, mut other) = pair(&pool, ()).await;
     let long = vec![b'x'; 24_000_000];
--- a/http/src/head/tests.rs
+++ b/http/src/head/tests.rs
@@ -12,7 +12,7 @@
 
 /// Guards against a panic on any input, and against a head whose end depends on the cut.
 #[test]
-fn any_head_is_parsed_or_turned_down() {
+fn any_head_is_parsed_or_rejected() {
     let line = prop_oneof![
         Just("GET /a?b HTTP/1.1".to_owned()),
         Just("Content-Length: 5, 5".to_owned()),
--- a/http/src/idle_reuse/tests.rs
+++ b/http/src/idle_reuse/tests.rs
@@ -3,7 +3,7 @@
 /// Guards unsafe requests against connections that die sooner than the settings say, connections against resets
 /// that have nothing to do with idle time, and the future against what once was.
 #[test]
-fn connections_are_trusted_for_as_long_as_they_have_lived() {
+fn connections_are_reused_for_as_long_as_none_was_lost() {
     let (start, ms) = (Instant::now(), Duration::from_millis);
     let idle_reuse = IdleReuse::new(start);
     // One in ten is reset whatever its connection, and nothing follows from that.
--- a/http/src/stall_budget/tests.rs
+++ b/http/src/stall_budget/tests.rs
@@ -3,7 +3,7 @@
 /// Guards honest senders, however slow by the platform's word, against being cut off, and descriptors against
 /// those that stand still or drip.
 #[test]
-fn the_promised_pace_lives_and_less_does_not() {
+fn a_sender_at_the_promised_rate_is_kept_and_a_slower_one_is_not() {
     let lives = |bytes: usize, every_ms: u64| {
         let mut stall_budget = StallBudget::for_sender();
         (0..10_000).all(|_| {
