--- a/controlplane/src/node/control.rs
+++ b/controlplane/src/node/control.rs
@@ -5,8 +5,8 @@
 
 use gradepaddle_config::{Configuration, Findings, Patch};
 use gradepaddle_control::{Change, ControlState, Input as ReplicaInput, Outcome, ProposalId};
-use gradepaddle_proto::{Content, ControlCall, Forward, Forwarded};
-use gradepaddle_spread::Copies;
+use gradepaddle_gossip::ReplicationFactor;
+use gradepaddle_proto::{Content, ControlCall, ForwardedCall, ForwardedReply};
 
 use super::{Asker, CALL_WITHIN, CALL_WITHIN_PER_BYTE, Confirming, Node, Output, Waiting};
 use crate::Micros;
@@ -67,7 +67,7 @@
                 self.confirming.insert(ticket, confirming);
                 let core = self.other_control_balancers();
                 let copies = self.copies(&core);
-                self.spread.publish_confirmed(now, item, ticket, copies, &mut results);
+                self.spread.publish_acknowledged(now, item, ticket, copies, &mut results);
             }
         }
         self.on_spread_outputs(now, results, out);
@@ -82,11 +82,11 @@
     /// Of the control balancers, `machine_losses` may be lost at once, so one more has to hold it, this node included if
     /// it is one that stays. All of them may lose power at once, and any number of the other nodes may go: so one of the
     /// others holds it, too.
-    fn copies<'a>(&self, core: &'a [SocketAddrV4]) -> Copies<'a> {
+    fn copies<'a>(&self, core: &'a [SocketAddrV4]) -> ReplicationFactor<'a> {
         let counts_itself = !self.leaving && self.session.view().members.contains(&self.own);
         let inside = self.machine_losses + usize::from(!counts_itself);
         let outside = usize::from(self.leaving || self.session.view().members.contains(&self.own));
-        Copies { count: self.machine_losses + 1, group: core, inside, outside }
+        ReplicationFactor { count: self.machine_losses + 1, group: core, inside, outside }
     }
 
     fn acknowledgement(&self, ticket: u64) -> Output {
@@ -124,7 +124,7 @@
         match primary {
             Some(primary) if may_forward => {
                 let ticket = self.wait(Self::waiting_for(now, asker, primary, &call));
-                let content = Content::Forward(Forward { ticket, call });
+                let content = Content::ForwardedCall(ForwardedCall { call_id: ticket, call });
                 out.push(Output::Send { to: primary, content });
             }
             _ => answer(now, asker, Answer::unavailable("no primary is known"), out),
@@ -222,10 +222,10 @@
         &mut self,
         now: Micros,
         from: SocketAddrV4,
-        forward: Forward,
+        forward: ForwardedCall,
         out: &mut Vec<Output>,
     ) {
-        self.decide(now, Asker::Node(from, forward.ticket), forward.call, false, out);
+        self.decide(now, Asker::Node(from, forward.call_id), forward.call, false, out);
     }
 
     /// Takes in the answer to a call that was passed on, if it comes from the node that was asked. Its lease was to last
@@ -235,15 +235,15 @@
         &mut self,
         now: Micros,
         from: SocketAddrV4,
-        told: &Forwarded,
+        told: &ForwardedReply,
         out: &mut Vec<Output>,
     ) {
-        let asked = self.waiting.get(&told.ticket).is_some_and(|waiting| waiting.decider == from);
+        let asked = self.waiting.get(&told.call_id).is_some_and(|waiting| waiting.decider == from);
         if !asked {
             return;
         }
-        let Some(waiting) = self.waiting.remove(&told.ticket) else { return };
-        let lease_ends = waiting.since.saturating_add(told.lease_left);
+        let Some(waiting) = self.waiting.remove(&told.call_id) else { return };
+        let lease_ends = waiting.since.saturating_add(told.lease_remaining);
         let given = Answer { status: told.status, body: told.body.clone(), valid_until: None };
         answer(now, waiting.asker, given.before(lease_ends.min(waiting.until)), out);
     }
@@ -264,13 +264,13 @@
     pub(super) fn committed(&mut self, now: Micros, state: &ControlState, out: &mut Vec<Output>) {
         let mut results = Vec::new();
         if let Some(configuration) = &state.configuration {
-            let stamp = gradepaddle_spread::Stamp { major: configuration.version, minor: 0 };
+            let stamp = gradepaddle_gossip::Stamp { major: configuration.version, minor: 0 };
             let payload = configuration.body.to_vec();
             let item = kinds::item(CONFIGURATION, CONFIGURATION_KEY, stamp, payload);
             self.spread.publish(now, item, &mut results);
         }
         for (model, version) in &state.models {
-            let stamp = gradepaddle_spread::Stamp { major: *version, minor: 0 };
+            let stamp = gradepaddle_gossip::Stamp { major: *version, minor: 0 };
             self.spread.publish(now, kinds::item(WEIGHTS, model, stamp, Vec::new()), &mut results);
         }
         self.on_spread_outputs(now, results, out);
@@ -301,11 +301,11 @@
     let answer = answer.at(now);
     match asker {
         Asker::Own(ticket) => out.push(Output::Answer { ticket, answer }),
-        Asker::Node(to, ticket) => {
+        Asker::Node(to, call_id) => {
             let Answer { status, body, valid_until } = answer;
-            let lease_left = valid_until.map_or(0, |until| until - now);
-            let told = Forwarded { ticket, status, body, lease_left };
-            out.push(Output::Send { to, content: Content::Forwarded(told) });
+            let lease_remaining = valid_until.map_or(0, |until| until - now);
+            let told = ForwardedReply { call_id, status, body, lease_remaining };
+            out.push(Output::Send { to, content: Content::ForwardedReply(told) });
         }
     }
 }
--- a/controlplane/src/rollout.rs
+++ b/controlplane/src/rollout.rs
@@ -8,8 +8,8 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
+use gradepaddle_gossip::{Item, Stamp};
 use gradepaddle_proto::{Decode, DecodeError, Encode, FieldWriter, Fields, Registration};
-use gradepaddle_spread::{Item, Stamp};
 
 use crate::Micros;
 use crate::kinds::{self, ORDERED};
@@ -52,15 +52,15 @@
 
 impl Encode for Ordered {
     fn encode(&self, to: &mut FieldWriter) {
-        to.text(1, &self.model);
-        to.number(2, self.version);
-        to.truth(3, self.done);
+        to.string(1, &self.model);
+        to.uint64(2, self.version);
+        to.bool(3, self.done);
     }
 }
 
 impl Decode for Ordered {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
-        Ok(Ordered { model: fields.text(1), version: fields.number(2), done: fields.truth(3) })
+        Ok(Ordered { model: fields.string(1), version: fields.uint64(2), done: fields.bool(3) })
     }
 }
 
@@ -389,5 +389,5 @@
 
 /// The version of a model that a server holds; none if it does not serve the model.
 fn holds(server: &Registration, model: &str) -> Option<u64> {
-    server.weights.iter().find(|one| &*one.model == model).map(|one| one.version)
+    server.models.iter().find(|one| &*one.model == model).map(|one| one.version)
 }
--- a/dataplane/src/load_reports/content.rs
+++ b/dataplane/src/load_reports/content.rs
@@ -1,7 +1,9 @@
 //! The content of a load report: the placer's figures as they travel, and which are accepted.
 
 use gradepaddle_placement::{CachedTokens, LocalLoad, PrefillReport, PromptChunk, StoreUpdate};
-use gradepaddle_proto::{KeptPrompt, LoadShare, PromptPart, ServerShare, StoreReport};
+use gradepaddle_proto::{
+    CacheStoreReport, CachedPrefix, PeerLoadReport, PromptChunk as ReportedChunk, ServerLoad,
+};
 
 use super::resend_window::ResendWindow;
 
@@ -19,30 +21,30 @@
 const MAX_PROMPT_CHUNKS: usize = 256;
 
 /// Prefixes seen cached in the last rounds.
-pub(super) fn cached_prefix_window() -> ResendWindow<KeptPrompt> {
+pub(super) fn cached_prefix_window() -> ResendWindow<CachedPrefix> {
     ResendWindow::new(MAX_PREFIXES)
 }
 
 /// Changes of cache stores in the last rounds.
-pub(super) fn store_report_window() -> ResendWindow<StoreReport> {
+pub(super) fn store_report_window() -> ResendWindow<CacheStoreReport> {
     ResendWindow::new(MAX_STORE_REPORTS)
 }
 
-pub(super) fn store_report(changes: &StoreUpdate) -> StoreReport {
-    let chunks = changes.parts.iter().take(MAX_CHANGED_CHUNKS);
+pub(super) fn store_report(changes: &StoreUpdate) -> CacheStoreReport {
+    let chunks = changes.chunks.iter().take(MAX_CHANGED_CHUNKS);
     let StoreUpdate { store, reset, .. } = *changes;
-    let parts = chunks.map(|chunk| PromptPart { id: chunk.key, tokens: chunk.tokens }).collect();
-    StoreReport { store, reset, parts }
+    let chunks = chunks.map(|chunk| ReportedChunk { id: chunk.key, tokens: chunk.tokens }).collect();
+    CacheStoreReport { store, reset, chunks }
 }
 
-pub(super) fn store_changes(report: &StoreReport) -> StoreUpdate {
-    let chunks = report.parts.iter().map(|chunk| CachedTokens { key: chunk.id, tokens: chunk.tokens });
-    let StoreReport { store, reset, .. } = *report;
-    StoreUpdate { store, reset, parts: chunks.collect() }
+pub(super) fn store_changes(report: &CacheStoreReport) -> StoreUpdate {
+    let chunks = report.chunks.iter().map(|chunk| CachedTokens { key: chunk.id, tokens: chunk.tokens });
+    let CacheStoreReport { store, reset, .. } = *report;
+    StoreUpdate { store, reset, chunks: chunks.collect() }
 }
 
-pub(super) fn server_load(load: LocalLoad) -> ServerShare {
-    ServerShare {
+pub(super) fn server_load(load: LocalLoad) -> ServerLoad {
+    ServerLoad {
         server: load.server,
         backlog_ms: load.backlog_ms.max(0.0) as u32,
         running: load.running,
@@ -50,7 +52,7 @@
     }
 }
 
-pub(super) fn local_load(load: &ServerShare) -> LocalLoad {
+pub(super) fn local_load(load: &ServerLoad) -> LocalLoad {
     LocalLoad {
         server: load.server,
         backlog_ms: f64::from(load.backlog_ms),
@@ -59,32 +61,33 @@
     }
 }
 
-pub(super) fn cached_prefix(prefill_report: &PrefillReport) -> KeptPrompt {
-    let chunks = prefill_report.parts.iter().map(|chunk| PromptPart { id: chunk.id, tokens: chunk.tokens });
+pub(super) fn cached_prefix(prefill_report: &PrefillReport) -> CachedPrefix {
+    let chunks =
+        prefill_report.chunks.iter().map(|chunk| ReportedChunk { id: chunk.id, tokens: chunk.tokens });
     let PrefillReport { server, key, version, salt, .. } = *prefill_report;
-    KeptPrompt { server, key, version, salt, parts: chunks.collect() }
+    CachedPrefix { server, key, version, salt, chunks: chunks.collect() }
 }
 
-pub(super) fn prefill_report(prefix: &KeptPrompt) -> PrefillReport {
-    let chunks = prefix.parts.iter().map(|chunk| PromptChunk { id: chunk.id, tokens: chunk.tokens });
-    let KeptPrompt { server, key, version, salt, .. } = *prefix;
-    PrefillReport { server, key, version, salt, parts: chunks.collect() }
+pub(super) fn prefill_report(prefix: &CachedPrefix) -> PrefillReport {
+    let chunks = prefix.chunks.iter().map(|chunk| PromptChunk { id: chunk.id, tokens: chunk.tokens });
+    let CachedPrefix { server, key, version, salt, .. } = *prefix;
+    PrefillReport { server, key, version, salt, chunks: chunks.collect() }
 }
 
 /// True if peers need no new report: they count down by themselves what is prefilled meanwhile.
-pub(super) fn unchanged(now: &[ServerShare], reported: &[ServerShare]) -> bool {
-    let without_backlog = |load: &ServerShare| (load.server, load.running, load.tokens);
+pub(super) fn unchanged(now: &[ServerLoad], reported: &[ServerLoad]) -> bool {
+    let without_backlog = |load: &ServerLoad| (load.server, load.running, load.tokens);
     now.len() == reported.len() && now.iter().map(without_backlog).eq(reported.iter().map(without_backlog))
 }
 
 /// False for figures that no node can have.
-pub(super) fn is_plausible(report: &LoadShare) -> bool {
-    let possible = |load: &ServerShare| {
+pub(super) fn is_plausible(report: &PeerLoadReport) -> bool {
+    let possible = |load: &ServerLoad| {
         load.running <= MAX_RUNNING && load.backlog_ms <= MAX_BACKLOG_MS && load.tokens <= u64::from(u32::MAX)
     };
     report.servers.iter().all(possible)
-        && report.kept.len() <= MAX_PREFIXES
-        && report.kept.iter().all(|prefix| prefix.parts.len() <= MAX_PROMPT_CHUNKS)
-        && report.changes.len() <= MAX_STORE_REPORTS
-        && report.changes.iter().all(|changes| changes.parts.len() <= MAX_CHANGED_CHUNKS)
+        && report.cached_prefixes.len() <= MAX_PREFIXES
+        && report.cached_prefixes.iter().all(|prefix| prefix.chunks.len() <= MAX_PROMPT_CHUNKS)
+        && report.cache_store_reports.len() <= MAX_STORE_REPORTS
+        && report.cache_store_reports.iter().all(|changes| changes.chunks.len() <= MAX_CHANGED_CHUNKS)
 }
--- a/dataplane/src/load_reports/receiver.rs
+++ b/dataplane/src/load_reports/receiver.rs
@@ -3,7 +3,7 @@
 use std::net::{SocketAddr, SocketAddrV4};
 use std::rc::Rc;
 
-use gradepaddle_proto::{Decode, Encode, LoadShare};
+use gradepaddle_proto::{Decode, Encode, PeerLoadReport};
 use tokio::net::UdpSocket;
 
 use super::content::{is_plausible, local_load, prefill_report, store_changes};
@@ -40,7 +40,7 @@
     #[must_use = "the other nodes of the zone get the report through this one"]
     pub fn receive_load_report(&self, from: SocketAddrV4, bytes: &[u8]) -> Option<ForwardedReport> {
         let counters = &self.load_reports.counters;
-        let Ok(report) = LoadShare::from_bytes(bytes) else {
+        let Ok(report) = PeerLoadReport::from_bytes(bytes) else {
             increment(&counters.unreadable);
             return None;
         };
@@ -64,23 +64,23 @@
             return None;
         }
         let recipients = known.zone_peers().filter(|peer| *peer != from && *peer != origin).collect();
-        let bytes = LoadShare { relay: false, origin: Some(origin), ..report }.to_bytes();
+        let bytes = PeerLoadReport { relay: false, origin: Some(origin), ..report }.to_bytes();
         Some(ForwardedReport { bytes, recipients })
     }
 }
 
 /// Has the placer apply a report. False if a later one of the same node came first.
-fn apply(plane: &DataPlane, origin: SocketAddrV4, report: &LoadShare) -> bool {
+fn apply(plane: &DataPlane, origin: SocketAddrV4, report: &PeerLoadReport) -> bool {
     let peer = u64::from(u32::from(*origin.ip())) << 16 | u64::from(origin.port());
     let now = plane.now();
     let loads = report.servers.iter().map(local_load).collect();
     let mut placer = plane.placer.borrow_mut();
     let is_latest = placer.apply_peer_loads(now, peer, report.sequence, loads);
     if is_latest {
-        let prefill_reports: Vec<_> = report.kept.iter().map(prefill_report).collect();
+        let prefill_reports: Vec<_> = report.cached_prefixes.iter().map(prefill_report).collect();
         placer.apply_peer_prefill_reports(now, &prefill_reports);
         report
-            .changes
+            .cache_store_reports
             .iter()
             .for_each(|changes| placer.apply_peer_store_update(now, &store_changes(changes)));
     }
--- a/dataplane/src/load_reports/sender.rs
+++ b/dataplane/src/load_reports/sender.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use gradepaddle_proto::{Encode, KeptPrompt, LoadShare, ServerShare, StoreReport};
+use gradepaddle_proto::{CacheStoreReport, CachedPrefix, Encode, PeerLoadReport, ServerLoad};
 use tokio::net::UdpSocket;
 use tokio::time::{Instant, sleep, timeout};
 
@@ -23,9 +23,9 @@
 
 /// What was reported last.
 struct LastReport {
-    servers: Vec<ServerShare>,
-    prefixes: ResendWindow<KeptPrompt>,
-    store_changes: ResendWindow<StoreReport>,
+    servers: Vec<ServerLoad>,
+    prefixes: ResendWindow<CachedPrefix>,
+    store_changes: ResendWindow<CacheStoreReport>,
     /// Intervals since then.
     unchanged_intervals: u32,
 }
@@ -51,7 +51,7 @@
 
 fn send_report(plane: &DataPlane, socket: &UdpSocket, own: SocketAddrV4, last: &mut LastReport) {
     let now = plane.now();
-    let servers: Vec<ServerShare> =
+    let servers: Vec<ServerLoad> =
         plane.placer.borrow().local_loads(now).into_iter().map(server_load).collect();
     let new_prefixes = plane.placer.borrow_mut().take_prefill_reports();
     let new_changes = plane.placer.borrow_mut().take_store_updates();
@@ -68,16 +68,16 @@
     last.prefixes.push_round(new_prefixes.iter().map(cached_prefix), rounds);
     last.store_changes.push_round(new_changes.iter().map(store_report), rounds);
     last.servers = servers;
-    let report = LoadShare {
+    let report = PeerLoadReport {
         sequence: reports.next_sequence(),
         origin: Some(own),
         relay: false,
         servers: last.servers.clone(),
-        kept: last.prefixes.items(),
-        changes: last.store_changes.items(),
+        cached_prefixes: last.prefixes.items(),
+        cache_store_reports: last.store_changes.items(),
     };
     let direct = report.to_bytes();
-    let to_forward = LoadShare { relay: true, ..report }.to_bytes();
+    let to_forward = PeerLoadReport { relay: true, ..report }.to_bytes();
     for recipient in recipients.select(now, direct.len()) {
         let bytes = if recipient.forwards { &to_forward } else { &direct };
         reports.send(socket, bytes, recipient.address);
--- /dev/null
+++ b/gossip/src/acknowledgment.rs
@@ -0,0 +1,214 @@
+//! Publishing an item with acknowledgment: the publisher waits until enough other nodes have it.
+//!
+//! The item is pushed to as many peers as acknowledgments are missing, and every `acknowledgment_retry_interval` to further
+//! ones, until enough have acknowledged it or `acknowledgment_timeout` has passed.
+
+use std::collections::BTreeSet;
+use std::net::SocketAddrV4;
+
+use crate::config::micros;
+use crate::peers::Peers;
+use crate::replication_factor::{Missing, ReplicationFactor};
+use crate::{Entry, Gossip, Message, Output};
+
+/// An item that waits for acknowledgments.
+#[derive(Debug)]
+pub(crate) struct PendingAcknowledgment {
+    publish_id: u64,
+    entry: Entry,
+    /// As in [`ReplicationFactor`].
+    count: usize,
+    inside: usize,
+    outside: usize,
+    group: Vec<SocketAddrV4>,
+    /// Peers that it was pushed to.
+    asked: BTreeSet<SocketAddrV4>,
+    acknowledged_by: BTreeSet<SocketAddrV4>,
+    /// When to push it to further peers, in microseconds.
+    retry_at: u64,
+    /// When to give up, in microseconds.
+    deadline: u64,
+}
+
+/// How many of some nodes are in the group, and how many outside.
+struct Sides {
+    inside: usize,
+    outside: usize,
+}
+
+/// Nodes of the group that stay and have not acknowledged.
+struct GroupTargets {
+    not_asked: Vec<SocketAddrV4>,
+    asked_in_vain: Vec<SocketAddrV4>,
+}
+
+impl PendingAcknowledgment {
+    /// How many acknowledgments are missing. Those of nodes that have left the peers don't count: their copy may be gone
+    /// with them.
+    fn missing(&self, peers: &Peers, shutting_down: &BTreeSet<SocketAddrV4>) -> Missing {
+        let staying = self.sides(peers.iter().filter(|peer| !shutting_down.contains(peer)));
+        let acknowledged_by = self.acknowledged_by.iter().copied().filter(|holder| peers.contains(*holder));
+        let durable = self.sides(acknowledged_by.clone().filter(|holder| !shutting_down.contains(holder)));
+        let inside = self.inside.min(staying.inside).saturating_sub(durable.inside);
+        let outside = self.outside.min(staying.outside).saturating_sub(durable.outside);
+        let missing = self.count.min(peers.len()).saturating_sub(acknowledged_by.count());
+        Missing { inside, outside, anywhere: missing.saturating_sub(inside + outside) }
+    }
+
+    fn sides(&self, nodes: impl Iterator<Item = SocketAddrV4>) -> Sides {
+        let (inside, outside): (Vec<_>, Vec<_>) = nodes.partition(|node| self.group.contains(node));
+        Sides { inside: inside.len(), outside: outside.len() }
+    }
+
+    fn targets_in_group(&self, peers: &Peers, shutting_down: &BTreeSet<SocketAddrV4>) -> GroupTargets {
+        let staying =
+            self.group.iter().filter(|peer| peers.contains(**peer) && !shutting_down.contains(peer));
+        let open = staying.filter(|peer| !self.acknowledged_by.contains(peer)).copied();
+        let (not_asked, asked_in_vain) = open.partition(|peer| !self.asked.contains(peer));
+        GroupTargets { not_asked, asked_in_vain }
+    }
+}
+
+impl Gossip {
+    /// Pushes an item to peers for acknowledgment; returns to which. An [`Output`] reports the result.
+    pub(crate) fn request_acknowledgments(
+        &mut self,
+        now: u64,
+        entry: Entry,
+        publish_id: u64,
+        wanted: ReplicationFactor<'_>,
+        out: &mut Vec<Output>,
+    ) -> Vec<SocketAddrV4> {
+        let mut pending = PendingAcknowledgment {
+            publish_id,
+            entry,
+            count: wanted.count,
+            inside: wanted.inside,
+            outside: wanted.outside,
+            group: wanted.group.to_vec(),
+            asked: BTreeSet::new(),
+            acknowledged_by: BTreeSet::new(),
+            retry_at: now,
+            deadline: now + micros(self.config.acknowledgment_timeout),
+        };
+        if pending.missing(&self.peers, &self.shutting_down_peers).total() == 0 {
+            out.push(Output::Acknowledged { publish_id });
+            return Vec::new();
+        }
+        self.push_for_acknowledgment(now, &mut pending, out);
+        let asked = pending.asked.iter().copied().collect();
+        self.pending_acknowledgments.push(pending);
+        asked
+    }
+
+    /// A peer has items, for as long as it runs.
+    pub(crate) fn handle_acknowledgment(
+        &mut self,
+        now: u64,
+        from: SocketAddrV4,
+        entries: &[Entry],
+        shutting_down: bool,
+        out: &mut Vec<Output>,
+    ) {
+        self.note_shutting_down(now, from, shutting_down);
+        for pending in &mut self.pending_acknowledgments {
+            let Entry { kind, key, stamp } = &pending.entry;
+            let covers = |entry: &Entry| entry.kind == *kind && entry.key == *key && entry.stamp >= *stamp;
+            if entries.iter().any(covers) {
+                pending.acknowledged_by.insert(from);
+            }
+        }
+        self.complete_acknowledged(out);
+    }
+
+    /// Reports items that have enough acknowledgments.
+    pub(crate) fn complete_acknowledged(&mut self, out: &mut Vec<Output>) {
+        let (peers, shutting_down) = (&self.peers, &self.shutting_down_peers);
+        let acknowledged = self
+            .pending_acknowledgments
+            .extract_if(.., |pending| pending.missing(peers, shutting_down).total() == 0);
+        out.extend(acknowledged.map(|pending| Output::Acknowledged { publish_id: pending.publish_id }));
+    }
+
+    /// Pushes to further peers, or gives up, as is due.
+    pub(crate) fn tick_acknowledgments(&mut self, now: u64, out: &mut Vec<Output>) {
+        self.complete_acknowledged(out);
+        let failed = self.pending_acknowledgments.extract_if(.., |pending| pending.deadline <= now);
+        out.extend(failed.map(|pending| Output::AcknowledgmentFailed { publish_id: pending.publish_id }));
+        let mut all = std::mem::take(&mut self.pending_acknowledgments);
+        for pending in all.iter_mut().filter(|pending| pending.retry_at <= now) {
+            self.push_for_acknowledgment(now, pending, out);
+        }
+        self.pending_acknowledgments = all;
+    }
+
+    /// When [`Gossip::tick_acknowledgments`] is due next; `u64::MAX` for never.
+    pub(crate) fn next_acknowledgment_due(&self) -> u64 {
+        self.pending_acknowledgments
+            .iter()
+            .map(|pending| pending.retry_at.min(pending.deadline))
+            .min()
+            .unwrap_or(u64::MAX)
+    }
+
+    fn push_for_acknowledgment(
+        &mut self,
+        now: u64,
+        pending: &mut PendingAcknowledgment,
+        out: &mut Vec<Output>,
+    ) {
+        pending.retry_at = now + micros(self.config.acknowledgment_retry_interval);
+        let Some(aged) = self.items.aged(now, pending.entry.kind, &pending.entry.key) else { return };
+        for to in self.acknowledgment_targets(pending) {
+            pending.asked.insert(to);
+            self.send(to, Message::Push { items: vec![aged.clone()], acknowledge: true, repair: false }, out);
+        }
+    }
+
+    /// A peer that shuts down takes its copies with it, so others are asked at once.
+    fn note_shutting_down(&mut self, now: u64, peer: SocketAddrV4, shutting_down: bool) {
+        if !shutting_down {
+            self.shutting_down_peers.remove(&peer);
+        } else if self.shutting_down_peers.insert(peer) {
+            self.pending_acknowledgments.iter_mut().for_each(|pending| pending.retry_at = now);
+        }
+    }
+
+    /// The next peers to push to: nodes of the group and outside it as far as acknowledgments are missing there, then any
+    /// that were not asked; once all were, those that did not acknowledge.
+    fn acknowledgment_targets(&mut self, pending: &mut PendingAcknowledgment) -> Vec<SocketAddrV4> {
+        let missing = pending.missing(&self.peers, &self.shutting_down_peers);
+        let GroupTargets { not_asked: mut chosen, asked_in_vain } =
+            pending.targets_in_group(&self.peers, &self.shutting_down_peers);
+        chosen.truncate(missing.inside + missing.anywhere);
+        let again = missing.inside.saturating_sub(chosen.len());
+        chosen.extend(asked_in_vain.into_iter().take(again));
+        chosen.extend(self.targets_outside(pending, missing.outside));
+        let excluded: Vec<SocketAddrV4> = pending.asked.iter().chain(&chosen).copied().collect();
+        let still_missing = missing.total().saturating_sub(chosen.len());
+        chosen.extend(self.peers.random(&mut self.rng, still_missing, &excluded));
+        if chosen.is_empty() {
+            let acknowledged_by: Vec<SocketAddrV4> = pending.acknowledged_by.iter().copied().collect();
+            chosen = self.peers.random(&mut self.rng, missing.total(), &acknowledged_by);
+        }
+        chosen
+    }
+
+    /// Nodes outside the group that stay: first those that were not asked, then those that did not acknowledge.
+    fn targets_outside(&mut self, pending: &PendingAcknowledgment, count: usize) -> Vec<SocketAddrV4> {
+        if count == 0 {
+            return Vec::new();
+        }
+        let mut excluded: Vec<SocketAddrV4> =
+            pending.group.iter().chain(&self.shutting_down_peers).copied().collect();
+        let without = excluded.len();
+        excluded.extend(pending.asked.iter().chain(&pending.acknowledged_by));
+        let not_asked = self.peers.random(&mut self.rng, count, &excluded);
+        if !not_asked.is_empty() {
+            return not_asked;
+        }
+        excluded.truncate(without);
+        excluded.extend(&pending.acknowledged_by);
+        self.peers.random(&mut self.rng, count, &excluded)
+    }
+}
--- /dev/null
+++ b/gossip/src/push.rs
@@ -0,0 +1,201 @@
+//! Rumor mongering: new items are pushed to a few peers, several in one message (Demers et al., PODC 1987, section 1.4).
+//!
+//! A new item goes to the next node on the ring of addresses and to random others. The ring alone would reach everyone
+//! slowly, the random ones reach nearly everyone fast; together they reach everyone fast as long as nothing is lost.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddrV4;
+
+use crate::config::micros;
+use crate::item::Name;
+use crate::message::{batches, entry_size, item_size};
+use crate::{Aged, Entry, Gossip, Message, Output};
+
+/// A repair of at most this many items is pushed on. More fill an empty node or end a network partition, where the other
+/// nodes compare for themselves.
+const MAX_PUSHED_REPAIRS: usize = 8;
+
+/// New items that wait to be pushed, batched for `batch_interval`.
+#[derive(Debug, Default)]
+pub(crate) struct PushQueue {
+    /// The items, each with the nodes that are known to have it.
+    known_by: BTreeMap<Name, Vec<SocketAddrV4>>,
+    flush_at: Option<u64>,
+    flushed_at: Option<u64>,
+}
+
+impl PushQueue {
+    /// A node has an item that may be queued here, so it needn't be pushed there.
+    pub(crate) fn mark_known_by(&mut self, name: Name, node: SocketAddrV4) {
+        if !self.known_by.is_empty()
+            && let Some(known_by) = self.known_by.get_mut(&name)
+        {
+            known_by.push(node);
+        }
+    }
+
+    /// When the queue is to be flushed next; `u64::MAX` for never.
+    pub(crate) fn next_due(&self) -> u64 {
+        self.flush_at.unwrap_or(u64::MAX)
+    }
+
+    /// The nodes that are known to have all queued items.
+    fn known_by_all(&self) -> Vec<SocketAddrV4> {
+        let mut all = self.known_by.values();
+        let mut common = all.next().cloned().unwrap_or_default();
+        for known_by in all {
+            common.retain(|node| known_by.contains(node));
+        }
+        common
+    }
+}
+
+/// An item of a push that was newer than what was known.
+struct Accepted {
+    name: Name,
+    /// If the item had been fetched: whether it is to be pushed on.
+    push_when_fetched: Option<bool>,
+}
+
+impl Gossip {
+    /// Queues a new item. Without peers there is nobody to push to; the comparisons of a later peer find the item.
+    pub(crate) fn enqueue_push(&mut self, name: Name, known_by: Vec<SocketAddrV4>) {
+        if !self.peers.is_empty() {
+            self.push_queue.known_by.insert(name, known_by);
+        }
+    }
+
+    /// Pushes queued items, now or once `batch_interval` has passed since the last push.
+    pub(crate) fn flush(&mut self, now: u64, out: &mut Vec<Output>) {
+        if self.push_queue.known_by.is_empty() {
+            self.push_queue.flush_at = None;
+            return;
+        }
+        let batch_interval = micros(self.config.batch_interval);
+        let due = self.push_queue.flushed_at.map_or(now, |flushed_at| flushed_at + batch_interval);
+        if now < due {
+            self.push_queue.flush_at = Some(due);
+            return;
+        }
+        self.push_queue.flush_at = None;
+        self.push_queue.flushed_at = Some(now);
+        self.push_all(now, out);
+    }
+
+    fn push_all(&mut self, now: u64, out: &mut Vec<Output>) {
+        let targets = self.peers.targets(&mut self.rng, self.config.fanout, &self.push_queue.known_by_all());
+        let known_by = std::mem::take(&mut self.push_queue.known_by);
+        for target in targets {
+            let unknown = known_by.iter().filter(|(_, nodes)| !nodes.contains(&target));
+            let items = unknown.filter_map(|((kind, key), _)| self.items.aged(now, *kind, key)).collect();
+            self.send_items(target, items, false, out);
+        }
+    }
+
+    /// Sends items: small ones with their payload, large ones as an offer.
+    pub(crate) fn send_items(
+        &mut self,
+        to: SocketAddrV4,
+        items: Vec<Aged>,
+        repair: bool,
+        out: &mut Vec<Output>,
+    ) {
+        let (large, small): (Vec<Aged>, Vec<Aged>) =
+            items.into_iter().partition(|aged| aged.item.payload.len() > self.config.offer_threshold_bytes);
+        self.send_push(to, small, repair, out);
+        let offers = large.iter().map(|aged| aged.item.entry()).collect();
+        self.send_entries(to, offers, |entries| Message::Offer { entries }, out);
+    }
+
+    /// Sends items with their payload, in messages of bounded size.
+    pub(crate) fn send_push(
+        &mut self,
+        to: SocketAddrV4,
+        items: Vec<Aged>,
+        repair: bool,
+        out: &mut Vec<Output>,
+    ) {
+        for items in batches(items, self.config.max_bytes_per_message, |aged| item_size(&aged.item)) {
+            self.send(to, Message::Push { items, acknowledge: false, repair }, out);
+        }
+    }
+
+    /// Sends entries in messages of bounded size.
+    pub(crate) fn send_entries(
+        &mut self,
+        to: SocketAddrV4,
+        entries: Vec<Entry>,
+        message: fn(Vec<Entry>) -> Message,
+        out: &mut Vec<Output>,
+    ) {
+        for entries in batches(entries, self.config.max_bytes_per_message, entry_size) {
+            self.send(to, message(entries), out);
+        }
+    }
+
+    /// Merges items, acknowledges them if asked to, and queues new ones to be pushed on.
+    pub(crate) fn handle_push(
+        &mut self,
+        now: u64,
+        from: SocketAddrV4,
+        items: &[Aged],
+        acknowledge: bool,
+        repair: bool,
+        out: &mut Vec<Output>,
+    ) {
+        let accepted: Vec<Accepted> =
+            items.iter().filter_map(|aged| self.merge_from(now, from, aged, out)).collect();
+        if acknowledge {
+            let entries = items.iter().map(|aged| aged.item.entry());
+            let entries =
+                entries.filter(|entry| self.items.holds(entry.kind, &entry.key, entry.stamp)).collect();
+            self.send(from, Message::Acknowledge { entries, shutting_down: self.shutting_down }, out);
+        }
+        if repair {
+            self.send_newer_tombstones(now, from, items.iter().map(|aged| aged.item.entry()), out);
+        }
+        let small = accepted.len() <= MAX_PUSHED_REPAIRS;
+        for Accepted { name, push_when_fetched } in accepted {
+            if push_when_fetched.unwrap_or(small || !repair) {
+                self.enqueue_push(name, vec![from]);
+            }
+        }
+        self.flush(now, out);
+    }
+
+    /// Merges an item from another node. `None` if it was not new.
+    fn merge_from(
+        &mut self,
+        now: u64,
+        from: SocketAddrV4,
+        aged: &Aged,
+        out: &mut Vec<Output>,
+    ) -> Option<Accepted> {
+        let entry = aged.item.entry();
+        let push_when_fetched = self.fetches.complete(&entry);
+        if self.items.merge(now, aged) {
+            self.counters.items_accepted += 1;
+            out.push(Output::Changed(aged.item.clone()));
+            return Some(Accepted { name: entry.name(), push_when_fetched });
+        }
+        self.counters.items_duplicate += 1;
+        if self.items.get(entry.kind, &entry.key).is_some_and(|item| item.stamp == entry.stamp) {
+            self.push_queue.mark_known_by(entry.name(), from);
+        }
+        None
+    }
+
+    /// A node has items of which some were removed since: sends it those tombstones, quiet ones too.
+    pub(crate) fn send_newer_tombstones(
+        &mut self,
+        now: u64,
+        to: SocketAddrV4,
+        entries: impl Iterator<Item = Entry>,
+        out: &mut Vec<Output>,
+    ) {
+        let held = entries.filter_map(|entry| Some((entry.stamp, self.items.get(entry.kind, &entry.key)?)));
+        let newer = held.filter(|(stamp, own)| own.removed && own.stamp > *stamp);
+        let items = newer.filter_map(|(_, own)| self.items.aged(now, own.kind, &own.key)).collect();
+        self.send_push(to, items, true, out);
+    }
+}
