--- a/dataplane/src/attempt.rs
+++ b/dataplane/src/attempt.rs
@@ -1,6 +1,6 @@
 //! One attempt: a server is selected, the request is written to it, the head of its response is read.
 //!
-//! The placer counts an attempt as in flight from its selection until it is told of the end; [`AttemptGuard`] sees to that
+//! The placer counts an attempt as in flight from its selection until it is notified of the end; [`AttemptGuard`] sees to that
 //! wherever the attempt is dropped.
 
 use std::rc::Rc;
@@ -24,7 +24,7 @@
 
 /// How an attempt ended.
 pub(crate) enum AttemptResult {
-    /// The head of a response came. The placer has still to be told of the attempt's end.
+    /// The head of a response came. The placer has still to be notified of the attempt's end.
     Response(Box<UpstreamResponse>, Placement),
     /// The request was not written.
     NotSent,
@@ -53,7 +53,7 @@
 
 /// Makes one attempt. `last_event` is the last event that the client has.
 ///
-/// If the future is dropped, the placer is told that the client has gone, and the connection is reset.
+/// If the future is dropped, the placer is notified that the client has disconnected, and the connection is reset.
 ///
 /// # Errors
 ///
@@ -123,7 +123,7 @@
     }
 }
 
-/// Tells the placer how the attempt ended, unless a response is yet to be forwarded, and notes whether the request may
+/// Notifies the placer how the attempt ended, unless a response is yet to be forwarded, and notes whether the request may
 /// have been processed. `sent`: it was written to the server, at least in part.
 fn conclude(
     mut guard: AttemptGuard<'_>,
@@ -196,7 +196,7 @@
     }
 }
 
-/// Tells the placer of an attempt's end, at the latest when it is dropped: the attempt's future may be dropped at any
+/// Notifies the placer of an attempt's end, at the latest when it is dropped: the attempt's future may be dropped at any
 /// `await`, and a server's count of requests in flight would never fall again.
 struct AttemptGuard<'a> {
     plane: &'a Rc<DataPlane>,
--- a/dataplane/src/client_connection.rs
+++ b/dataplane/src/client_connection.rs
@@ -54,7 +54,7 @@
 enum NextRequest {
     /// A request, with the guard that counts it as open.
     Complete(Head, Chain, OpenRequestGuard),
-    /// The client has gone or has sent nothing: no response is due.
+    /// The client has disconnected or has sent nothing: no response is due.
     None,
     /// A response is due, behind which the connection ends.
     Invalid(LocalResponse),
--- a/dataplane/src/event_splitter.rs
+++ b/dataplane/src/event_splitter.rs
@@ -8,7 +8,7 @@
 /// The field with the model versions from this event on.
 const VERSIONS: &[u8] = b"versions:";
 
-/// Cuts a stream into complete events.
+/// Splits a stream into complete events.
 ///
 /// Only complete events are forwarded, so that a stream that breaks can be resumed at the end of one.
 #[derive(Debug, Default)]
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Bytes behind the last complete event, to be forwarded at the end of a stream that was not cut.
+    /// Bytes behind the last complete event, to be forwarded at the end of a stream that was not truncated.
     pub fn take_remainder(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.pending)
     }
--- a/dataplane/src/lib.rs
+++ b/dataplane/src/lib.rs
@@ -12,7 +12,7 @@
 //! | 2 | `admission` | may a request begin now: draining, configuration, key validity |
 //! | 3 | `routing` | route, tenant, service, priority, deadline, prompt |
 //! | 4 | `proxy`, `proxied_request` | attempts until one brings a response; the node's own response if none does |
-//! | 5 | `attempt` | a server from the placer, a connection from `upstream_pool`, the end told to the placer |
+//! | 5 | `attempt` | a server from the placer, a connection from `upstream_pool`, the end reported to the placer |
 //! | 6 | `upstream_request`, `upstream_response` | the bytes to the server; the head of its response, if it is this request's |
 //! | 7 | `retry` | whether one more attempt is allowed |
 //! | 8 | `response_forwarding`, `event_splitter` | head, body and events to the client; where a stream may be resumed |
--- a/dataplane/src/load_reports/receiver.rs
+++ b/dataplane/src/load_reports/receiver.rs
@@ -1,4 +1,4 @@
-//! Receives the load reports of peers, and forwards those that are meant for the whole zone.
+//! Receives the load reports of peers, and forwards those that are meant for all nodes of the zone.
 
 use std::net::{SocketAddr, SocketAddrV4};
 use std::rc::Rc;
--- a/dataplane/src/proxied_request.rs
+++ b/dataplane/src/proxied_request.rs
@@ -28,7 +28,7 @@
     }
 
     /// Has the placer select a server that is none of `tried_servers`. `last_event` is the last event that the client
-    /// has. The attempt counts as in flight until the placer is told of its end.
+    /// has. The attempt counts as in flight until the placer is notified of its end.
     ///
     /// # Errors
     ///
--- a/dataplane/src/proxy.rs
+++ b/dataplane/src/proxy.rs
@@ -1,8 +1,8 @@
 //! Carries an admitted request out: attempts until one brings a response, then the response to its client.
 //!
-//! What holds whichever servers are selected: a request is processed at most once unless its route allows more; 429 and
+//! Invariants, whichever servers are selected: a request is processed at most once unless its route allows more; 429 and
 //! 503 are given only if no attempt can have been processed; a server that drains gets nothing; the client gets one
-//! response, complete or visibly cut.
+//! response, complete or visibly truncated.
 
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
 pub(crate) enum RequestOutcome {
     /// A response has been written to its end.
     Responded,
-    /// The connection is of no more use: the client has gone, or its response was cut.
+    /// The connection is of no more use: the client has gone, or its response was truncated.
     Aborted,
 }
 
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Tells the placer of a failed attempt whose response is not forwarded.
+    /// Notifies the placer of a failed attempt whose response is not forwarded.
     fn discard_response(&self, response: &UpstreamResponse, placement: &Placement) {
         let plane = self.request.plane;
         let (now, load) = (plane.now(), response.load());
--- a/dataplane/src/response_forwarding.rs
+++ b/dataplane/src/response_forwarding.rs
@@ -35,7 +35,7 @@
 
 /// A response that is being forwarded.
 ///
-/// If it is dropped, the placer is told that the client has gone.
+/// If it is dropped, the placer is notified that the client has disconnected.
 pub(crate) struct ResponseForwarding<'a> {
     plane: &'a Rc<DataPlane>,
     routed: &'a RoutedRequest,
@@ -47,13 +47,13 @@
     close: bool,
     /// The client speaks HTTP/1.0, which has no chunked coding.
     http_1_0: bool,
-    /// Cuts a stream into events; none for any other response.
+    /// Splits a stream into events; none for any other response.
     events: Option<EventSplitter>,
     /// How the client's body is framed, once its head has been written.
     framing: Option<Framing>,
     /// The first bytes of the body have come from this server.
     started: bool,
-    /// The placer has been told of the attempt's end.
+    /// The placer has been notified of the attempt's end.
     attempt_ended: bool,
     gaps: EventGaps,
 }
@@ -219,7 +219,7 @@
         out
     }
 
-    /// Tells the placer that the server has begun, and on which model version.
+    /// Notifies the placer that the server has begun, and on which model version.
     fn report_first_bytes(&self) {
         let (now, attempt) = (self.plane.now(), self.placement.attempt);
         let version = self.upstream.as_ref().and_then(UpstreamResponse::version);
@@ -274,7 +274,7 @@
         }
     }
 
-    /// Tells the placer, and resets the server's connection, so that it does not work on.
+    /// Notifies the placer, and resets the server's connection, so that it does not work on.
     fn abort(&mut self, forwarding: ForwardingOutcome, attempt: AttemptOutcome) -> ForwardingOutcome {
         self.end_attempt(attempt);
         if let Some(upstream) = self.upstream.take() {
@@ -283,7 +283,7 @@
         forwarding
     }
 
-    /// Tells the placer of the attempt's end, once.
+    /// Notifies the placer of the attempt's end, once.
     fn end_attempt(&mut self, outcome: AttemptOutcome) {
         if std::mem::replace(&mut self.attempt_ended, true) {
             return;
--- a/dataplane/src/upstream_response.rs
+++ b/dataplane/src/upstream_response.rs
@@ -1,6 +1,6 @@
 //! Writes a request to a server and reads the head of its response.
 //!
-//! What is accepted: the response bears this request's id and no other, and its body has an end that can be told from a
+//! What is accepted: the response bears this request's id and no other, and its body has an end that can be distinguished from a
 //! broken connection. Interim (1xx) and surplus responses before it are skipped, within bounds.
 
 use gradepaddle_http::buffers::{Chain, Pool};
@@ -130,7 +130,7 @@
 }
 
 /// How the body of a response is framed. A body that only the end of the connection ends is accepted only with
-/// `Connection: close`: otherwise a broken connection could not be told from its end.
+/// `Connection: close`: otherwise a broken connection could not be distinguished from its end.
 fn body_framing(head: &Head, method: &str) -> Result<Framing, ExchangeError> {
     if method == "HEAD" || head.has_no_body() {
         return Ok(Framing::Length(0));
@@ -142,7 +142,7 @@
     }
 }
 
-/// True if a response bears this request's id and no other. One without an id can't be told from a surplus one, unless the
+/// True if a response bears this request's id and no other. One without an id can't be distinguished from a surplus one, unless the
 /// request has none either.
 fn is_for(head: &Head, id: &[u8]) -> bool {
     let mut ids = head.get_all("x-request-id");
--- a/http/src/body/tests.rs
+++ b/http/src/body/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::buffers::Pool;
 
-/// Guards against a body that depends on how the network cut it or on how it is taken, and against bytes of
+/// A body must not depend on how the network cut it or on how it is taken, and against bytes of
 /// the next message that go with it.
 #[test]
 fn a_body_does_not_depend_on_how_it_is_cut_and_taken() {
