--- a/dataplane/tests/adversary/client.rs
+++ b/dataplane/tests/adversary/client.rs
@@ -1,4 +1,4 @@
-//! Clients that read, leave, pipeline, end their connections and come back.
+//! Clients that read, disconnect, pipeline, close their connections and come back.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -10,7 +10,7 @@
 use crate::random::{Random, bytes_of};
 use crate::server::response_body;
 
-/// What a client does about one request.
+/// What a client does with one request.
 #[derive(Clone, Copy, Debug)]
 enum Behavior {
     Reads,
@@ -33,14 +33,14 @@
     pub history: Rc<History>,
 }
 
-/// A request and what it is.
+/// A request and its kind of route.
 struct TrackedRequest {
     sent: ClientRequest,
     kind: RouteKind,
 }
 
 impl AdversarialClient {
-    /// Makes so many exchanges, on one connection after the other.
+    /// Makes so many requests, on one connection after the other.
     pub async fn run(self, exchanges: u64) {
         let mut random = Random::of(self.seed, &["client", &self.number.to_string()]);
         let mut client = None;
--- a/dataplane/tests/adversary/history.rs
+++ b/dataplane/tests/adversary/history.rs
@@ -1,4 +1,4 @@
-//! What clients sent and got, what servers got and ran, and which rule that breaks.
+//! The history of a run: what clients sent and got, what servers got and processed; and a checker of the rules.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -6,7 +6,7 @@
 
 use tokio::time::Instant;
 
-/// Nothing begins, and repeatable work ends, within this after a client has left.
+/// After a client has disconnected, nothing begins and idempotent work ends within this.
 const DISCONNECT_GRACE: Duration = Duration::from_millis(500);
 
 /// A kind of route of the configuration that the tests share.
@@ -14,7 +14,7 @@
 pub struct RouteKind {
     pub target: &'static str,
     pub max_attempts: usize,
-    /// It may run more than once.
+    /// It may be processed more than once.
     pub idempotent: bool,
     /// Its answer is a stream of events.
     pub streams: bool,
@@ -30,7 +30,7 @@
     RouteKind { target: "/resume-often/x", max_attempts: 3, idempotent: true, streams: true },
 ];
 
-/// One arrival of a request at a server.
+/// One delivery of a request to a server.
 #[derive(Debug)]
 pub struct Delivery {
     pub server: String,
@@ -47,7 +47,7 @@
 #[derive(Debug)]
 struct Record {
     kind: RouteKind,
-    /// What its client asked for, and then what the latest server was given.
+    /// The deadline that its client sent, and then the one that the latest server got.
     time_left_ms: u64,
     /// When its client closed its connection without the whole answer.
     client_left: Option<Instant>,
@@ -55,7 +55,7 @@
     deliveries: Vec<Delivery>,
 }
 
-/// How often what has happened.
+/// Counts of what happened.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
     pub exchanges: u64,
@@ -163,7 +163,7 @@
             .any(|delivery| delivery.server == server && delivery.ran && delivery.status == Some(status))
     }
 
-    /// Which rules were broken, once all has ended.
+    /// The violations, once the run has ended.
     pub fn check_all(&self) -> Vec<String> {
         for (id, record) in &*self.records.borrow() {
             self.check(id, record);
--- a/dataplane/tests/adversary/main.rs
+++ b/dataplane/tests/adversary/main.rs
@@ -1,7 +1,7 @@
-//! Both ends of a connection on bad days: servers and clients that do anything but what they should, on sockets.
+//! Adversarial clients and servers on sockets, drawn by seed.
 //!
-//! Whatever they do, each client gets its own answer or none that looks like one, nothing runs oftener than it may, and
-//! what was promised holds. `GRADEPADDLE_ADVERSARY_SEEDS=100..300` plays those seeds instead of those of CI.
+//! Whatever they do, each client gets its own response or none that looks like one, no request is processed more often
+//! than allowed, and what a status says holds. `GRADEPADDLE_ADVERSARY_SEEDS=100..300` runs those seeds instead of CI's.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/dataplane/tests/adversary/server.rs
+++ b/dataplane/tests/adversary/server.rs
@@ -1,4 +1,4 @@
-//! Servers that do what a bad day may bring, told by the seed, the request and the server.
+//! Servers with faults, drawn by the seed, the request and the server.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -15,10 +15,10 @@
 use crate::history::{Delivery, History, RouteKind};
 use crate::random::{Random, bytes_of, hash};
 
-/// Some servers' sockets hold this little, so that a long body is written only as far as they read it.
+/// Some servers' socket buffers are this small, so that a long body is written only as far as they read it.
 const SMALL_BUFFER: u32 = 4096;
 
-/// How a response's body is framed, or ends instead.
+/// How the body of a response is framed, or truncated.
 #[derive(Clone, Copy, Debug)]
 enum Shape {
     Length,
@@ -49,13 +49,13 @@
     RespondsEarly(Shape),
     /// The same, but it ends the connection instead of reading on.
     RespondsEarlyAndCloses(Shape),
-    /// Says that it has not run the request.
+    /// Responds that it did not process the request.
     Rejects {
         status: u16,
         early: bool,
         closes: bool,
     },
-    /// Has run it, and says so by a failure of its own.
+    /// Processes it, and responds with an error.
     RespondsWithError(u16),
     /// Another answer comes first: one of another request, or one without an id.
     SendsSurplusFirst {
--- a/dataplane/tests/attempts.rs
+++ b/dataplane/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! Which attempts are made at which servers, and what is promised of a request that got no answer.
+//! Which attempts are made at which servers, and which status a request gets that no server answered.
 
 mod common;
 
--- a/dataplane/tests/cache_events.rs
+++ b/dataplane/tests/cache_events.rs
@@ -1,4 +1,4 @@
-//! What a store keeps, as the node that listens to it tells the others.
+//! What a cache store holds, as the node that subscribes to it reports to the others.
 
 mod common;
 
--- a/dataplane/tests/common/client.rs
+++ b/dataplane/tests/common/client.rs
@@ -1,4 +1,4 @@
-//! A client on a raw socket, with a reader of answers of its own.
+//! A client on a raw socket, with a parser of responses of its own.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -117,7 +117,7 @@
     out
 }
 
-/// How what was read came to its end.
+/// How the body of a response ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyEnd {
     /// By its length or by its last chunk.
@@ -128,7 +128,7 @@
     Reset,
 }
 
-/// A response as far as it came.
+/// A response, as far as it was received.
 #[derive(Clone, Debug)]
 pub struct Response {
     pub status: u16,
@@ -149,12 +149,12 @@
         String::from_utf8_lossy(&self.body).into_owned()
     }
 
-    /// True if it was cut and lets its client see that.
+    /// True if it was truncated, which its client can see.
     pub fn is_truncated(&self) -> bool {
         self.body_end != BodyEnd::Whole
     }
 
-    /// True if it promises that the request has not run and never will.
+    /// True if its status says that the request was not processed and never will be.
     pub fn says_not_processed(&self) -> bool {
         matches!(self.status, 408 | 421 | 429 | 503)
     }
--- a/dataplane/tests/common/harness.rs
+++ b/dataplane/tests/common/harness.rs
@@ -1,4 +1,4 @@
-//! A data plane with servers and clients.
+//! A data plane with scripted servers, and clients for it.
 
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::rc::Rc;
--- a/dataplane/tests/common/servers.rs
+++ b/dataplane/tests/common/servers.rs
@@ -1,4 +1,4 @@
-//! Servers that do what a script says, request by request, and remember what came.
+//! Servers that follow a script, request by request, and record what they received.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -28,7 +28,7 @@
     }
 }
 
-/// What a server does about a request, in order.
+/// What a server does on a request, in order.
 #[derive(Clone)]
 pub enum Step {
     Bytes(Vec<u8>),
@@ -44,7 +44,7 @@
     Hang,
 }
 
-/// What a server does about a request.
+/// What a server does on a request.
 pub type Script = Box<dyn Fn(&ServerRequest) -> Vec<Step>>;
 
 /// A request as it came to a server.
@@ -83,7 +83,7 @@
     }
 }
 
-/// What all servers of a test share: one script, whichever of them a request comes to.
+/// What all servers of a test share: one queue of scripts, whichever of them gets a request.
 #[derive(Default)]
 pub struct ScriptedFleet {
     pub scripts: RefCell<VecDeque<Script>>,
--- a/dataplane/tests/connection_faults.rs
+++ b/dataplane/tests/connection_faults.rs
@@ -1,5 +1,5 @@
-//! Both ends of a connection that part ways: answers that come early, clients that leave or don't read, and answers that
-//! only look like those of a request.
+//! Connections whose two ends disagree: early responses, clients that disconnect or don't read, and responses that only
+//! look like those to a request.
 
 mod common;
 
--- a/dataplane/tests/draining.rs
+++ b/dataplane/tests/draining.rs
@@ -1,4 +1,4 @@
-//! Readiness, and the way to the end of a process.
+//! Readiness, and what each phase of shutdown means for connections.
 
 mod common;
 
--- a/dataplane/tests/event_splitter.rs
+++ b/dataplane/tests/event_splitter.rs
@@ -1,4 +1,4 @@
-//! However a stream is cut into pieces, the same events, ids and versions come of it.
+//! However a stream is cut into reads, the same events, ids and versions come of it.
 
 use gradepaddle_dataplane::EventSplitter;
 use proptest::collection::vec;
--- a/dataplane/tests/key_validity.rs
+++ b/dataplane/tests/key_validity.rs
@@ -1,4 +1,4 @@
-//! A node that can't be sure of its keys: what it still serves.
+//! A node that can't be sure of its keys: which requests it still serves.
 
 mod common;
 
--- a/dataplane/tests/load_reports.rs
+++ b/dataplane/tests/load_reports.rs
@@ -1,4 +1,4 @@
-//! Who is told of loads, at what cost, and which datagrams count.
+//! Load reports: their recipients, their cost, and which datagrams are accepted.
 
 mod common;
 
--- a/dataplane/tests/model_versions.rs
+++ b/dataplane/tests/model_versions.rs
@@ -1,4 +1,4 @@
-//! Newer weights are named while requests wait at servers: none begins on older ones once the newer bind.
+//! A newer model version is announced while requests wait at servers: none begins on an older one past the deadline.
 
 mod common;
 
--- a/dataplane/tests/regressions.rs
+++ b/dataplane/tests/regressions.rs
@@ -1,4 +1,4 @@
-//! Faults that were found on the bench or by tests, each mended since.
+//! Faults that were found on the bench or by tests, each fixed since.
 
 mod common;
 
--- a/dataplane/tests/responses.rs
+++ b/dataplane/tests/responses.rs
@@ -1,4 +1,4 @@
-//! What a client gets: its own server's answer, whole and unchanged, or one that is visibly cut.
+//! Responses: a client gets its own server's response, complete and unchanged, or one that is visibly truncated.
 
 mod common;
 
--- a/dataplane/tests/routing.rs
+++ b/dataplane/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Which requests are let in, and what of them a server sees.
+//! Which requests are admitted, and what of them a server gets.
 
 mod common;
 
--- a/dataplane/tests/shutdown.rs
+++ b/dataplane/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of a process: who is served, who is refused, and that nobody's request is read and left without a response.
+//! Graceful shutdown: who is served, who is rejected, and that no request is read and left without a response.
 
 mod common;
 
--- a/dataplane/tests/streams.rs
+++ b/dataplane/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Streams: no event is lost, repeated or joined, whatever breaks, and a stream that breaks for good is visibly cut.
+//! Streams: no event is lost, repeated or joined, whatever breaks, and a stream that can't be resumed is visibly truncated.
 
 mod common;
 
