--- a/dataplane/src/load_reports/content.rs
+++ b/dataplane/src/load_reports/content.rs
@@ -33,8 +33,8 @@
 pub(super) fn store_report(changes: &StoreUpdate) -> CacheStoreReport {
     let chunks = changes.chunks.iter().take(MAX_CHANGED_CHUNKS);
     let StoreUpdate { store, reset, .. } = *changes;
-    let parts = chunks.map(|chunk| ReportedChunk { id: chunk.key, tokens: chunk.tokens }).collect();
-    CacheStoreReport { store, reset, chunks: parts }
+    let chunks = chunks.map(|chunk| ReportedChunk { id: chunk.key, tokens: chunk.tokens }).collect();
+    CacheStoreReport { store, reset, chunks }
 }
 
 pub(super) fn store_changes(report: &CacheStoreReport) -> StoreUpdate {
@@ -52,7 +52,7 @@
     }
 }
 
-pub(super) fn own_load(load: &ServerLoad) -> LocalLoad {
+pub(super) fn local_load(load: &ServerLoad) -> LocalLoad {
     LocalLoad {
         server: load.server,
         backlog_ms: f64::from(load.backlog_ms),
@@ -61,13 +61,14 @@
     }
 }
 
-pub(super) fn cached_prefix(sighting: &PrefillReport) -> CachedPrefix {
-    let chunks = sighting.chunks.iter().map(|chunk| ReportedChunk { id: chunk.id, tokens: chunk.tokens });
-    let PrefillReport { server, key, version, salt, .. } = *sighting;
+pub(super) fn cached_prefix(prefill_report: &PrefillReport) -> CachedPrefix {
+    let chunks =
+        prefill_report.chunks.iter().map(|chunk| ReportedChunk { id: chunk.id, tokens: chunk.tokens });
+    let PrefillReport { server, key, version, salt, .. } = *prefill_report;
     CachedPrefix { server, key, version, salt, chunks: chunks.collect() }
 }
 
-pub(super) fn sighting(prefix: &CachedPrefix) -> PrefillReport {
+pub(super) fn prefill_report(prefix: &CachedPrefix) -> PrefillReport {
     let chunks = prefix.chunks.iter().map(|chunk| PromptChunk { id: chunk.id, tokens: chunk.tokens });
     let CachedPrefix { server, key, version, salt, .. } = *prefix;
     PrefillReport { server, key, version, salt, chunks: chunks.collect() }
