--- /dev/null
+++ b/tests/golden.rs
@@ -0,0 +1,312 @@
+//! Decisions, pinned: balancers with several settings are driven by events drawn by seed, and the actions that they return
+//! go into one number. The numbers were taken from commit 4552024: a change of names or of structure leaves them as they
+//! are, a change of a decision does not.
+
+use std::sync::Arc;
+
+use gradepaddle::cost::{hash, mix};
+use gradepaddle::{
+    Action, Arrival, Balancer, Class, Effect, Ended, Event, Group, ListKind, LoadReport, Micros, Outcome,
+    Server, Settings, State, Tenant,
+};
+
+const STEPS: usize = 6_000;
+const SERVERS: u64 = 26;
+
+/// What seeds 1 to 8 give.
+const DIGESTS: [&str; 8] = [
+    "8df3d010b0075e65",
+    "dd0b85fbc7c5df87",
+    "fccbe8bbab177e76",
+    "b7e360c9e5f03fe9",
+    "c4dc2b125e33f257",
+    "148e0aa425fce823",
+    "2879904670e33ad5",
+    "841ca3f02a7f61d1",
+];
+
+/// Numbers drawn by seed.
+struct Random(u64);
+
+impl Random {
+    fn next(&mut self) -> u64 {
+        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        mix(self.0)
+    }
+
+    fn below(&mut self, limit: u64) -> u64 {
+        self.next() % limit
+    }
+
+    fn chance(&mut self, percent: u64) -> bool {
+        self.below(100) < percent
+    }
+}
+
+/// An attempt that was sent and has not ended.
+struct Running {
+    request: Arc<str>,
+    attempt: u32,
+    server: Arc<str>,
+    sent: Micros,
+}
+
+fn class(aim: Micros, deadline: Micros, worth: f64, effect: Effect) -> Class {
+    Class { aim, aim_stretch: 0.0, deadline, worth, late_worth: 0.2, effect, zones: None, kinds: None }
+}
+
+fn settings(seed: u64) -> Settings {
+    let keyed =
+        Effect::Keyed { group: [Group::All, Group::Zone, Group::Cell][seed as usize % 3], window: 900_000 };
+    let unsafe_class =
+        Class { aim_stretch: 2.0, zones: Some(vec![0, 1]), ..class(400_000, 2_000_000, 3.0, Effect::Unsafe) };
+    Settings {
+        classes: vec![
+            class(200_000, 1_500_000, 1.0, Effect::Safe),
+            class(600_000, 3_000_000, 2.0, keyed),
+            unsafe_class,
+        ],
+        tenants: vec![Tenant { quota: 40.0 }, Tenant { quota: 400.0 }],
+        over_share_worth: 0.3,
+        worth_by_work: seed.is_multiple_of(2),
+        zone: (!seed.is_multiple_of(4)).then_some(0),
+        me: (seed % 5) as u32,
+        gateways: 1 + [4, 19, 99][seed as usize % 3],
+        ask_discovery: true,
+        probes: !seed.is_multiple_of(2),
+        only_draining_binds: seed.is_multiple_of(3),
+        second_copies: seed % 4 != 3,
+        cancel: seed % 5 != 4,
+        warm_within: 6_000_000,
+        cross_zone_price: 0.02,
+        handshake_price: if seed.is_multiple_of(2) { 0.01 } else { 0.0 },
+        connection_price: 0.01,
+        ..Settings::default()
+    }
+}
+
+fn server(random: &mut Random, number: u64, now: Micros) -> Server {
+    let states = [State::Ready, State::Ready, State::Ready, State::Ready, State::Draining, State::Gone];
+    Server {
+        id: Arc::from(format!("s-{number}")),
+        zone: (number % 3) as u32,
+        kind: (number % 2) as u32,
+        cell: (number % 4) as u32,
+        state: states[random.below(6) as usize],
+        weight: if number.is_multiple_of(7) { 2.0 } else { 1.0 },
+        started: random.chance(15).then(|| now.saturating_sub(random.below(2_000_000))),
+    }
+}
+
+fn list(random: &mut Random, now: Micros, kind: ListKind) -> Vec<Server> {
+    if kind == ListKind::Delta {
+        return (0..1 + random.below(2))
+            .map(|_| {
+                let number = random.below(SERVERS);
+                server(random, number, now)
+            })
+            .collect();
+    }
+    let listed = (0..SERVERS).map(|number| {
+        let drawn = server(random, number, now);
+        // Most servers of a complete list are ready.
+        if random.chance(85) { Server { state: State::Ready, ..drawn } } else { drawn }
+    });
+    listed.collect()
+}
+
+/// The zone of a server by its id, as [`server`] gives it.
+fn zone(server: &str) -> u64 {
+    server[2..].parse::<u64>().expect("a number") % 3
+}
+
+fn outcome(random: &mut Random, server: &str, dark: bool) -> Outcome {
+    if dark && zone(server) == 2 {
+        return if random.chance(50) { Outcome::TimedOut } else { Outcome::ConnectFailed };
+    }
+    let failures = [
+        Outcome::Error,
+        Outcome::Denied,
+        Outcome::Full,
+        Outcome::TimedOut,
+        Outcome::ConnectFailed,
+        Outcome::Reset,
+        Outcome::Cancelled,
+        Outcome::Moot,
+    ];
+    // Some servers fail more often than others.
+    let sick = hash(server).is_multiple_of(9);
+    if random.chance(if sick { 30 } else { 90 }) { Outcome::Ok } else { failures[random.below(8) as usize] }
+}
+
+fn report(random: &mut Random) -> Option<LoadReport> {
+    let report = LoadReport {
+        in_flight: Some(random.below(20) as f64),
+        queue: random.chance(50).then(|| random.below(10) as f64),
+        service: random.chance(50).then(|| 500.0 + random.below(40_000) as f64),
+        errors: None,
+    };
+    random.chance(20).then_some(report)
+}
+
+struct Play {
+    random: Random,
+    balancer: Balancer,
+    running: Vec<Running>,
+    /// Requests of attempts that ended, once for each.
+    ended: Vec<Arc<str>>,
+    probed: Vec<Arc<str>>,
+    digest: u64,
+    requests: u64,
+    /// Nothing in zone 2 answers.
+    dark: bool,
+}
+
+impl Play {
+    fn number(&mut self, number: u64) {
+        self.digest = mix(self.digest.rotate_left(7) ^ number);
+    }
+
+    fn text(&mut self, kind: u64, text: &str, number: u64) {
+        self.number(kind);
+        self.number(hash(text));
+        self.number(number);
+    }
+
+    fn handle(&mut self, now: Micros, event: Event<'_>) {
+        let mut actions = Vec::new();
+        self.balancer.handle(now, event, &mut actions);
+        for action in actions {
+            match action {
+                Action::Send { request, server, until } => {
+                    self.text(1, &request, until);
+                    self.text(2, &server, 0);
+                    let attempt = self.sent_before(&request);
+                    self.running.push(Running { request, attempt, server, sent: now });
+                }
+                Action::Refuse { request, pause } => self.text(3, &request, pause),
+                Action::Fail { request } => self.text(4, &request, 0),
+                Action::Cancel { request, attempt } => self.text(5, &request, u64::from(attempt)),
+                Action::Wake { at } => self.text(6, "", at),
+                Action::Probe { server } => {
+                    self.text(7, &server, 0);
+                    self.probed.push(server);
+                }
+                Action::DropIdle { server } => self.text(8, &server, 0),
+                Action::Subscribe => self.text(9, "", 0),
+                Action::Log { text } => self.text(10, &text, 0),
+            }
+        }
+    }
+
+    /// Attempts of a request so far.
+    fn sent_before(&self, request: &str) -> u32 {
+        let running = self.running.iter().filter(|one| &*one.request == request).count();
+        (running + self.ended.iter().filter(|one| &***one == request).count()) as u32
+    }
+
+    fn arrive(&mut self, now: Micros) {
+        self.requests += 1;
+        let key = format!("k-{}", self.random.below(60) * self.random.below(3));
+        let arrival = Arrival {
+            id: Arc::from(format!("r-{}", self.requests)),
+            class: self.random.below(3) as usize,
+            tenant: self.random.chance(60).then(|| self.random.below(2) as usize),
+            ttl: 300_000 + self.random.below(2_500_000),
+            hint: self.random.chance(40).then(|| 1_000.0 + self.random.below(90_000) as f64),
+            key: self.random.chance(80).then_some(&key),
+            once: self.random.chance(10),
+        };
+        self.handle(now, Event::Request(arrival));
+    }
+
+    fn end(&mut self, now: Micros) {
+        if self.running.is_empty() {
+            return;
+        }
+        let at = self.random.below(self.running.len() as u64) as usize;
+        let one = self.running.swap_remove(at);
+        let outcome = outcome(&mut self.random, &one.server, self.dark);
+        let report = report(&mut self.random);
+        self.ended.push(one.request.clone());
+        let ended = Ended {
+            request: &one.request,
+            attempt: one.attempt,
+            outcome,
+            took: now - one.sent,
+            closed: outcome == Outcome::Ok,
+            report,
+        };
+        self.handle(now, Event::Ended(ended));
+    }
+
+    fn other(&mut self, now: Micros) {
+        match self.random.below(12) {
+            0 => {
+                let kind =
+                    [ListKind::Full, ListKind::Cached, ListKind::Failed][self.random.below(3) as usize];
+                let servers =
+                    if kind == ListKind::Failed { vec![] } else { list(&mut self.random, now, kind) };
+                self.handle(now, Event::List { kind, servers });
+            }
+            1..=3 => {
+                let servers = list(&mut self.random, now, ListKind::Delta);
+                self.handle(now, Event::List { kind: ListKind::Delta, servers });
+            }
+            4..=5 if !self.running.is_empty() => {
+                let at = self.random.below(self.running.len() as u64) as usize;
+                let (request, attempt) = (self.running[at].request.clone(), self.running[at].attempt);
+                if self.random.chance(50) {
+                    self.handle(now, Event::Streaming { request: &request, attempt });
+                } else {
+                    self.handle(now, Event::Left { request: &request });
+                }
+            }
+            6..=8 if !self.probed.is_empty() => {
+                let server = self.probed.remove(0);
+                let outcome = outcome(&mut self.random, &server, self.dark);
+                let report = report(&mut self.random);
+                self.handle(now, Event::Probed { server: &server, outcome, took: 3_000, report });
+            }
+            _ => self.handle(now, Event::Wake),
+        }
+    }
+}
+
+fn play(seed: u64) -> u64 {
+    let balancer = Balancer::new(settings(seed), seed).expect("the settings make sense");
+    let mut play = Play {
+        random: Random(seed),
+        balancer,
+        running: Vec::new(),
+        ended: Vec::new(),
+        probed: Vec::new(),
+        digest: seed,
+        requests: 0,
+        dark: false,
+    };
+    let mut now = 5_000_000;
+    let servers = list(&mut play.random, now, ListKind::Full);
+    play.handle(now, Event::List { kind: ListKind::Full, servers });
+    for step in 0..STEPS {
+        now += play.random.below(8_000);
+        play.dark = (step / 700) % 3 == 1;
+        if step == STEPS * 2 / 3 {
+            // Long enough for servers that were dropped to be forgotten.
+            now += 70_000_000;
+        }
+        match play.random.below(100) {
+            0..=43 => play.arrive(now),
+            44..=87 => play.end(now),
+            88..=95 => play.handle(now, Event::Wake),
+            _ => play.other(now),
+        }
+    }
+    play.digest ^ play.balancer.known_servers() as u64
+}
+
+#[test]
+fn decisions_match_the_recorded_digests() {
+    let digests: Vec<String> = (1..=8).map(|seed| format!("{:016x}", play(seed))).collect();
+    assert_eq!(digests, DIGESTS);
+}
