--- /dev/null
+++ b/src/balancer.rs
@@ -0,0 +1,94 @@
+//! The decisions of the balancer, in one module per concern. The interface (settings, events, actions) is in `api.rs`, the
+//! records that decisions are taken on in `state.rs`.
+//!
+//! The ordinary path is locality-aware request distribution (P-HTTP paper, section 4.1): look the key up, sum the balancing,
+//! locality and replacement costs of each ready server, take the lowest, break ties by a hash of key and server id, and note
+//! that the server will have the key cached. Everything else is a term of Load or an exception that `docs/design.md` lists
+//! with its condition.
+
+mod admission;
+mod attempts;
+mod health;
+mod key_table;
+mod learning;
+mod load;
+mod retries;
+mod selection;
+mod server_list;
+mod slow_start;
+
+pub(crate) use health::TRIAL_INTERVAL;
+
+use std::cmp::Reverse;
+
+use crate::api::{Action, Event, Micros, Settings, SettingsError};
+use crate::state::{Balancer, Seen, Tally, mix};
+use retries::MAX_SAVED_RETRIES;
+
+/// The share of a miss that a hit costs, before any has been measured.
+const INITIAL_WARM_SHARE: f64 = 0.5;
+
+impl Balancer {
+    /// A balancer with no state but these settings. Equal seeds and events give equal actions.
+    ///
+    /// # Errors
+    ///
+    /// [`SettingsError`] if the settings contradict themselves.
+    pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
+        settings.check()?;
+        // A rate learned from the first few answers alone may be off a hundredfold, and then all is rejected.
+        let primer =
+            settings.classes.iter().map(|c| c.aim as f64).sum::<f64>() / settings.classes.len() as f64;
+        Ok(Balancer {
+            tally: Tally { primer, ..Tally::default() },
+            random: mix(seed) | 1,
+            open: vec![Vec::new(); settings.classes.len()],
+            armed: Micros::MAX,
+            ask_at: Micros::MAX,
+            classes: settings.classes.iter().map(|c| Seen { aim: c.aim as f64, ..Seen::default() }).collect(),
+            tokens: settings.tenants.iter().map(|_| (1.0, 0)).collect(),
+            top_worth: settings.classes.iter().map(|c| c.worth).fold(0.0, f64::max),
+            warm_share: INITIAL_WARM_SHARE,
+            retries: MAX_SAVED_RETRIES,
+            drain: 1.0,
+            mean_wait: vec![0.0; settings.classes.len()],
+            settings,
+            ..Balancer::default()
+        })
+    }
+
+    /// How many servers are remembered: those listed, and those gone that requests may still name.
+    pub fn known_servers(&self) -> usize {
+        self.names.len()
+    }
+
+    /// Takes in one event and appends what is to be done, in order.
+    pub fn handle(&mut self, now: Micros, event: Event<'_>, out: &mut Vec<Action>) {
+        match event {
+            Event::List { kind, servers } => self.handle_list(now, kind, servers),
+            Event::Request(arrival) => self.handle_request(now, arrival, out),
+            Event::Streaming { request, attempt } => self.handle_streaming(request, attempt, out),
+            Event::Ended(ended) => self.handle_attempt_end(now, ended, out),
+            Event::Left { request } => self.handle_client_left(request, out),
+            Event::Wake => self.handle_wake(now, out),
+            Event::Probed { server, outcome, .. } => self.probed(now, server, outcome),
+        }
+        if self.ask_at <= now {
+            out.push(Action::Subscribe);
+            self.ask_at = Micros::MAX;
+        }
+        let next = self.reviews.peek().map_or(Micros::MAX, |Reverse((at, ..))| *at).min(self.ask_at);
+        if next < self.armed {
+            self.armed = next;
+            out.push(Action::Wake { at: next.max(now) });
+        }
+    }
+
+    /// The next number of a xorshift generator.
+    fn next_random(&mut self) -> u64 {
+        self.random ^= self.random << 13;
+        self.random ^= self.random >> 7;
+        self.random ^= self.random << 17;
+        self.random
+    }
+}
--- /dev/null
+++ b/src/balancer/admission.rs
@@ -0,0 +1,165 @@
+//! Admission: whether a request is sent at all, or rejected at once so that it queues nowhere in vain.
+
+use crate::api::{Action, Arrival, Micros};
+use crate::balancer::learning::{LEARNING_RATE, fade_class};
+use crate::balancer::retries::{MAX_SAVED_RETRIES, RETRIES_PER_REQUEST};
+use crate::balancer::selection::SelectionMode;
+use crate::state::{Balancer, Pick, Repeat, Request, hash};
+
+/// The share of the tightest slack that a request may wait: at least, and more by its worth.
+const MIN_PATIENCE: f64 = 0.2;
+const PATIENCE_BY_WORTH: f64 = 0.6;
+/// Requests that any class may have out; before the first answer of a class, so many times that.
+const SPARE_REQUESTS: f64 = 4.0;
+const SPARE_FACTOR_AT_START: f64 = 4.0;
+/// The work of a request without a hint, as a share of its latency target.
+const UNHINTED_WORK_SHARE: f64 = 1.0 / 8.0;
+/// The shortest pause that a rejected client is asked for.
+const MIN_PAUSE: Micros = 50_000;
+
+impl Balancer {
+    /// Sends a new request to a server, or rejects it.
+    pub(super) fn handle_request(&mut self, now: Micros, arrival: Arrival<'_>, out: &mut Vec<Action>) {
+        let Arrival { id, class, ttl, .. } = arrival.clone();
+        if self.requests.contains_key(&id) {
+            return;
+        }
+        if class >= self.settings.classes.len() {
+            return self.reject(id, 0, out);
+        }
+        let (r, aim) = self.new_request(now, &arrival, out);
+        self.touch_key(now, r.key);
+        let picked = self.select_server(now, &r, self.may_repeat(&r, now), SelectionMode::default());
+        let Some(pick) = picked else { return self.reject(id, ttl / 4, out) };
+        // Early rejection: an answer that would come too late is not begun, and none queues for so long that a class of more
+        // worth, with a shorter target, finds no slot: the less worth, the shorter the queue.
+        let span = (r.useful.min(now + aim) - now) as f64;
+        let (pick, limit) = self.prefer_idle(now, &r, pick);
+        // What an answer takes varies by itself: half its low is no queue, unless there is pressure.
+        let low = self.classes[class].floor / 2.0;
+        let free = 1.0 - (2.0 * (self.mean_wait[class] - low) / self.slack(class)).clamp(0.0, 1.0);
+        let over = (pick.wait - limit - low * free).max(pick.expected - span);
+        let crowd = self.is_crowded(now, class);
+        if crowd || over > 0.0 {
+            let pause = (over as Micros).max(if crowd { aim } else { 0 });
+            return self.reject(id, pause, out);
+        }
+        self.requests.insert(id.clone(), r);
+        self.send_attempt(now, &id, &pick, out);
+    }
+
+    /// The record of a request, and its latency target. Takes the request into the running estimates.
+    fn new_request(
+        &mut self,
+        now: Micros,
+        arrival: &Arrival<'_>,
+        out: &mut Vec<Action>,
+    ) -> (Request, Micros) {
+        let class = arrival.class;
+        let c = &self.settings.classes[class];
+        let hint = arrival.hint.filter(|h| h.is_finite() && *h > 0.0);
+        let work = hint.unwrap_or(c.aim as f64 * UNHINTED_WORK_SHARE);
+        let aim = (c.aim as f64 + c.aim_stretch * work).min(c.deadline as f64) as Micros;
+        let ends = now.saturating_add(arrival.ttl);
+        let useful = if c.late_worth > 0.0 { ends } else { ends.min(now.saturating_add(aim)) };
+        let mut value = c.worth / self.top_worth.max(1e-9);
+        let mean = self.learn_offered_work(now, class, work);
+        if !self.settings.worth_by_work {
+            value *= (mean / work).min(1.0);
+        }
+        if arrival.tenant.is_some_and(|tenant| self.is_over_share(tenant, now)) {
+            value *= self.settings.over_share_worth;
+        }
+        self.retries = (self.retries + RETRIES_PER_REQUEST).min(MAX_SAVED_RETRIES);
+        self.refresh_estimates(now, out);
+        let request = Request {
+            class,
+            key: hash(arrival.key.unwrap_or(&arrival.id)),
+            keyed: arrival.key.is_some() && self.settings.warm_keys,
+            work,
+            hinted: hint.is_some(),
+            once: arrival.once,
+            value,
+            ends,
+            useful,
+            attempts: Vec::new(),
+            streaming: false,
+            closed: false,
+        };
+        (request, aim)
+    }
+
+    /// Takes the work of a request into the means; the mean work before it.
+    fn learn_offered_work(&mut self, now: Micros, class: usize, work: f64) -> f64 {
+        let mean = if self.tally.mean_work > 0.0 { self.tally.mean_work } else { work };
+        self.tally.mean_work = mean + (work - mean) * LEARNING_RATE / 4.0;
+        let seen = &mut self.classes[class].work;
+        *seen += if *seen > 0.0 { (work - *seen) * LEARNING_RATE / 4.0 } else { work };
+        let window = self.settings.fall_after.max(1) as f64;
+        self.tally.offered *= (-(now.saturating_sub(self.tally.came) as f64) / window).exp();
+        self.tally.offered += work / window;
+        self.tally.came = now;
+        mean
+    }
+
+    /// Where a request would wait too long at its server while another one idles, the idle one; with how long it may wait.
+    fn prefer_idle(&self, now: Micros, r: &Request, pick: Pick) -> (Pick, f64) {
+        let limit = self.patience(r, pick.warm);
+        let waits_too_long = pick.wait > limit;
+        if !waits_too_long {
+            return (pick, limit);
+        }
+        // Its holders are jammed while a server idles: only below the lower threshold, or misses feed the jam.
+        let idle_only = SelectionMode { retry_tried: false, idle_only: true };
+        match self.select_server(now, r, Repeat::Any, idle_only) {
+            Some(idle) => {
+                let limit = self.patience(r, idle.warm);
+                (idle, limit)
+            }
+            None => (pick, limit),
+        }
+    }
+
+    /// By Little's law a class with more out than is answered in twice its target is answered later than that. Guards against
+    /// one that waits everywhere and takes the slots of the others. Harm: a class whose traffic leaps loses some until its
+    /// first answers; before any has come, none tells of a crowd.
+    fn is_crowded(&mut self, now: Micros, class: usize) -> bool {
+        let seen = &mut self.classes[class];
+        fade_class(seen, now);
+        let spare = if seen.typical > 0.0 { SPARE_REQUESTS } else { SPARE_FACTOR_AT_START * SPARE_REQUESTS };
+        f64::from(seen.out) > spare + 2.0 * seen.ended
+    }
+
+    fn is_over_share(&mut self, tenant: usize, now: Micros) -> bool {
+        let Some(t) = self.settings.tenants.get(tenant) else { return false };
+        let rate = t.quota / f64::from(self.settings.gateways);
+        let (tokens, at) = &mut self.tokens[tenant];
+        *tokens = (*tokens + rate * now.saturating_sub(*at) as f64 / 1e6).min(rate.max(1.0));
+        *at = now;
+        let over = *tokens < 1.0;
+        *tokens -= if over { 0.0 } else { 1.0 };
+        over
+    }
+
+    /// How long a request may wait: by its worth (for its work: a miss is worth less than a hit), a share of the least slack
+    /// among classes worth as much or more, as far as there is pressure.
+    fn patience(&self, r: &Request, warm: f64) -> f64 {
+        let classes = &self.settings.classes;
+        let worthier = (0..classes.len()).filter(|c| classes[*c].worth >= classes[r.class].worth);
+        let tightest = worthier.map(|c| self.slack(c)).fold(f64::INFINITY, f64::min);
+        let value = r.value * (self.warm_share + warm * (1.0 - self.warm_share));
+        let waits = self.mean_wait[r.class] - self.classes[r.class].floor / 2.0;
+        let pressure = (2.0 * waits / tightest).clamp(0.0, 1.0);
+        (1.0 - pressure * (1.0 - MIN_PATIENCE - PATIENCE_BY_WORTH * value.sqrt())) * tightest
+    }
+
+    fn reject(&self, request: crate::api::Id, pause: Micros, out: &mut Vec<Action>) {
+        let pause = self.bounded_pause(pause);
+        out.push(Action::Refuse { request, pause });
+    }
+
+    /// What a rejected client is asked for: never no pause at all, or it is back while nothing has changed.
+    pub(super) fn bounded_pause(&self, wanted: Micros) -> Micros {
+        wanted.max(MIN_PAUSE).min(self.settings.max_pause)
+    }
+}
--- /dev/null
+++ b/src/balancer/learning.rs
@@ -0,0 +1,231 @@
+//! What is learned from the end of each attempt: health, failure shares, paces and rates.
+
+use crate::api::{Action, Micros, Outcome};
+use crate::balancer::load::KEY_HALF_LIFE;
+use crate::state::{Attempt, Balancer, Request, Seen};
+
+/// Weight of a new observation in the running estimates.
+pub(super) const LEARNING_RATE: f64 = 1.0 / 16.0;
+/// A failure moves a server's failure share this far towards 1, a success towards 0.
+const FAILURE_WEIGHT: f64 = 0.3;
+/// A refused connection moves it further.
+const CONNECT_FAILURE_WEIGHT: f64 = 0.5;
+/// Errors in a row make them be remembered longer, up to this many times.
+const MAX_ERRORS: u32 = 4;
+/// How much an outcome of one class tells of another.
+const OTHER_CLASS_WEIGHT: f64 = 0.25;
+/// One answer counts up to this many times the typical one.
+const MAX_TYPICAL_TIMES: f64 = 3.0;
+/// The share of the least time to an answer that is not service.
+const FLOOR_SHARE: f64 = 0.8;
+
+impl Balancer {
+    /// Takes in how an attempt ended, and after how many microseconds.
+    pub(super) fn learn(
+        &mut self,
+        now: Micros,
+        r: &Request,
+        a: Attempt,
+        ended: (Outcome, f64),
+        out: &mut Vec<Action>,
+    ) {
+        let (outcome, took) = ended;
+        let server = a.server;
+        let seen = &mut self.classes[r.class];
+        seen.out -= 1;
+        fade_class(seen, now);
+        seen.ended += f64::from(!matches!(outcome, Outcome::TimedOut | Outcome::Cancelled) as u8);
+        self.decay_server(server, now);
+        let peer = &mut self.servers[server];
+        peer.in_flight = peer.in_flight.saturating_sub(1);
+        peer.work = if peer.in_flight == 0 { 0.0 } else { (peer.work - a.work).max(0.0) };
+        if peer.life != a.life {
+            return;
+        }
+        let silent = peer.sign <= a.sent;
+        self.learn_health(now, r, server, (outcome, took), silent, out);
+        let usual = 2.0 * self.classes[r.class].typical;
+        self.tally.note_gap(a.gap, outcome, took > usual);
+        let Some(blame) = self.learn_failures(r, server, outcome, silent) else { return };
+        if outcome == Outcome::Ok {
+            self.learn_pace(r, &a, took);
+        }
+        let counts = match outcome {
+            Outcome::Ok | Outcome::TimedOut => true,
+            Outcome::Cancelled => took > self.classes[r.class].typical,
+            _ => false,
+        };
+        if counts {
+            self.learn_rate(r, &a, (outcome, took), blame);
+        }
+    }
+
+    /// Whether the server and its zone answer, and what that says of idle connections there.
+    fn learn_health(
+        &mut self,
+        now: Micros,
+        r: &Request,
+        server: usize,
+        (outcome, took): (Outcome, f64),
+        silent: bool,
+        out: &mut Vec<Action>,
+    ) {
+        let zone = self.servers[server].zone;
+        let lost = match outcome {
+            Outcome::Ok | Outcome::Full | Outcome::Error | Outcome::Denied => {
+                self.record_zone_answer(zone, true)
+            }
+            // One that refuses a connection at once speaks for its zone.
+            Outcome::ConnectFailed if took > self.classes[r.class].typical => {
+                self.record_zone_answer(zone, false)
+            }
+            Outcome::TimedOut if silent => self.record_zone_answer(zone, false),
+            _ => false,
+        };
+        // What is sent on a connection that has gone quiet may have run; a dial that fails has not.
+        for p in self.servers.iter_mut().filter(|p| lost && p.zone == zone && p.idle.is_some()) {
+            p.idle = None;
+            out.push(Action::DropIdle { server: p.id.clone() });
+        }
+        match outcome {
+            // A request at fault says nothing against the server that turns it down.
+            Outcome::Ok | Outcome::Full | Outcome::Denied => self.record_health(now, server, true),
+            Outcome::Error | Outcome::ConnectFailed | Outcome::Reset => {
+                self.record_health(now, server, false);
+            }
+            Outcome::TimedOut if silent => self.record_health(now, server, false),
+            _ => {}
+        }
+        let peer = &mut self.servers[server];
+        match outcome {
+            Outcome::Ok | Outcome::Error | Outcome::Full | Outcome::Denied => {
+                (peer.idle, peer.sign) = (Some(now), now);
+            }
+            Outcome::Reset | Outcome::ConnectFailed => peer.idle = None,
+            _ => {}
+        }
+    }
+
+    /// The failure shares of the server and of the class. The share of a failure that is not the class's own fault; `None`
+    /// for an attempt that was never sent.
+    fn learn_failures(&mut self, r: &Request, server: usize, outcome: Outcome, silent: bool) -> Option<f64> {
+        let seen = &mut self.classes[r.class];
+        let peer = &mut self.servers[server];
+        peer.faults.resize(self.settings.classes.len(), 0.0);
+        peer.errors.resize(self.settings.classes.len(), 0);
+        let errors = &mut peer.errors[r.class];
+        match outcome {
+            Outcome::Ok => *errors = 0,
+            Outcome::Error => *errors = (*errors + 1).min(MAX_ERRORS),
+            _ => {}
+        }
+        // What fails everywhere is the class's fault and costs no server its good name.
+        let blame = 1.0 - seen.failing;
+        // An error tells more, and of all classes, where little else was seen. Harm: a stray one costs traffic.
+        let fresh =
+            if matches!(outcome, Outcome::Ok | Outcome::TimedOut) { 0.0 } else { 1.0 / (1.0 + peer.heard) };
+        peer.heard += 1.0;
+        let mut move_shares = |to: f64, share: f64| {
+            let share = if to > 0.0 { share.max(fresh) * blame } else { share };
+            for (class, fault) in peer.faults.iter_mut().enumerate() {
+                let weight = if class == r.class { 1.0 } else { OTHER_CLASS_WEIGHT.max(fresh) };
+                *fault += (to - *fault) * share * weight;
+            }
+            seen.failing += (to - seen.failing) * LEARNING_RATE;
+        };
+        let unanswered = match outcome {
+            Outcome::Moot => return None,
+            Outcome::Ok => {
+                move_shares(0.0, FAILURE_WEIGHT);
+                None
+            }
+            Outcome::Error => {
+                move_shares(1.0, FAILURE_WEIGHT);
+                None
+            }
+            Outcome::ConnectFailed => Some(CONNECT_FAILURE_WEIGHT),
+            Outcome::Full | Outcome::Reset => Some(FAILURE_WEIGHT),
+            Outcome::TimedOut => Some(if silent { FAILURE_WEIGHT } else { FAILURE_WEIGHT / 2.0 }),
+            Outcome::Cancelled | Outcome::Denied => None,
+        };
+        if let Some(share) = unanswered {
+            move_shares(1.0, share);
+            peer.ghost += r.work;
+        }
+        Some(blame)
+    }
+
+    /// The time to an answer: of the class, of the server's kind, and of hits and misses.
+    fn learn_pace(&mut self, r: &Request, a: &Attempt, took: f64) {
+        let seen = &mut self.classes[r.class];
+        let peer = &mut self.servers[a.server];
+        peer.carried += a.work;
+        if seen.typical <= 0.0 {
+            (seen.floor, seen.typical) = (took, took);
+        }
+        let bounded = took.min(MAX_TYPICAL_TIMES * seen.typical);
+        seen.typical += (bounded - seen.typical) * LEARNING_RATE / 2.0;
+        seen.floor += if took < seen.floor {
+            (took - seen.floor) * 0.3
+        } else {
+            (took - seen.floor).min(seen.floor) * 0.005
+        };
+        let bounded = took.min(MAX_TYPICAL_TIMES * seen.typical);
+        let x = (bounded - FLOOR_SHARE * seen.floor).max(0.0) / a.work;
+        let pace = self.tally.paces.entry(peer.kind).or_default();
+        *pace = [pace[0] + x, pace[1] + 1.0].map(|sum| sum * (1.0 - LEARNING_RATE / 16.0));
+        let is_unhindered = a.met <= self.tally.mean_met.max(a.work * 1.5);
+        let Some(hit) = a.hit.filter(|_| is_unhindered) else { return };
+        let pace = &mut self.tally.pace[hit];
+        let x = (took - FLOOR_SHARE * seen.floor - own_wait(seen)).max(0.0) / r.work;
+        let step = if x < *pace { 10.0 } else { 1.0 } * LEARNING_RATE / 8.0;
+        *pace = if *pace > 0.0 { *pace + (x - *pace) * step } else { x };
+        if self.tally.pace[0] > 0.0 && self.tally.pace[1] > 0.0 {
+            self.warm_share = (self.tally.pace[1] / self.tally.pace[0]).clamp(0.2, 0.9);
+        }
+    }
+
+    /// How fast the server works. A time-out tells of slowness as far as answers stay out everywhere, else of a lost answer
+    /// or a failing server (`faults`). Guards against rejecting a healthy fleet's work for answers lost on the way. Harm:
+    /// the first seconds of a total jam look shorter than they are.
+    fn learn_rate(&mut self, r: &Request, a: &Attempt, (outcome, took): (Outcome, f64), blame: f64) {
+        let Attempt { server, work, met, all, .. } = *a;
+        let lost = outcome == Outcome::TimedOut;
+        self.tally.lost += (f64::from(u8::from(lost)) - self.tally.lost) * LEARNING_RATE;
+        let done = if lost { 0.0 } else { met };
+        // What a class's answers take beyond what the servers' rates explain, above the class with the least of it, is its
+        // own. Guards against one that waits everywhere. No help with one class.
+        let excess = took - FLOOR_SHARE * self.classes[r.class].floor;
+        if !lost && r.hinted {
+            self.tally.sharing.learn(all.0, all.1, work, excess);
+        }
+        let expected = met / self.rate(&self.servers[server]);
+        let seen = &mut self.classes[r.class];
+        let beyond = excess - expected - seen.own;
+        seen.own += if lost { beyond.max(0.0) } else { beyond } * LEARNING_RATE;
+        let least = self.classes.iter().map(|c| c.own).fold(f64::INFINITY, f64::min);
+        self.classes.iter_mut().for_each(|c| c.own -= least);
+        let time = (excess - self.classes[r.class].own).max(0.25 * work / self.drain);
+        let time = if lost { time * self.tally.lost * blame } else { time };
+        let peer = &mut self.servers[server];
+        peer.met += done;
+        peer.took += time;
+        self.tally.mean_met += (met - self.tally.mean_met) * LEARNING_RATE / 4.0;
+        self.tally.all[0] += done;
+        self.tally.primer *= 1.0 - LEARNING_RATE;
+        self.tally.all[1] += time;
+    }
+}
+
+/// What lies back counts less: ends by the latency target, a class's own wait so that its recovery is found.
+pub(super) fn fade_class(seen: &mut Seen, now: Micros) {
+    let age = now.saturating_sub(seen.faded) as f64;
+    seen.ended *= (-age / seen.aim).exp();
+    seen.own *= (-age / KEY_HALF_LIFE).exp2();
+    seen.faded = now;
+}
+
+/// A class's own wait counts from half its target on: less is noise among queues.
+pub(super) fn own_wait(seen: &Seen) -> f64 {
+    if seen.own > seen.aim / 2.0 { seen.own } else { 0.0 }
+}
--- /dev/null
+++ b/src/balancer/load.rs
@@ -0,0 +1,204 @@
+//! Load estimates: the work at each server, how fast it is done, and how long a request would wait.
+
+use std::collections::BTreeMap;
+
+use crate::api::{Action, Micros};
+use crate::state::{Balancer, Brief, Peer};
+
+/// How many mean observations a server's own stand beside, and how long they count (half-life).
+const PRIOR_OBSERVATIONS: f64 = 2.0;
+const RECENT_HALF_LIFE: f64 = 2e6;
+/// Attempts that a mean reading of others' work counts for, beside a server's own.
+const MEAN_WEIGHT: f64 = 8.0;
+/// Answers of a kind that count for as much as the mean of all kinds.
+const KIND_PRIOR: f64 = 8.0;
+/// Half-life of the most that servers have borne.
+const BORNE_HALF_LIFE: f64 = 3e7;
+/// Half-life of what is known of a key, and of a class's own wait.
+pub(super) const KEY_HALF_LIFE: f64 = 8e6;
+/// How often the estimates of all servers are renewed; the longest span that one renewal stands for.
+const REFRESH_INTERVAL: Micros = 50_000;
+const MAX_REFRESH_SPAN: Micros = 1_000_000;
+
+impl Balancer {
+    /// Each server's size beside the mean one's: as listed, or where the list tells none apart, by how fast its kind
+    /// answers, in coarse steps, so that gateways agree in spite of noise.
+    pub(super) fn update_relative_sizes(&mut self) {
+        let first = self.ready.first().map_or(1.0, |s| self.servers[*s].size);
+        let told_apart = self.ready.iter().any(|s| self.servers[*s].size != first);
+        let sum = |i: usize| self.tally.paces.values().map(|pace| pace[i]).sum::<f64>();
+        let mean = sum(0) / sum(1).max(1.0);
+        let speed = |[x, n]: &[f64; 2]| {
+            let speed = mean * (n + KIND_PRIOR) / (x + mean * KIND_PRIOR);
+            ((speed.log2() * 2.0).round() / 2.0).exp2()
+        };
+        let speeds: BTreeMap<u32, f64> = match !told_apart && mean > 0.0 {
+            true => self.tally.paces.iter().map(|(kind, pace)| (*kind, speed(pace))).collect(),
+            false => BTreeMap::new(),
+        };
+        for s in &self.ready {
+            let peer = &mut self.servers[*s];
+            peer.relative = speeds.get(&peer.kind).copied().unwrap_or(peer.size);
+        }
+        let sizes: f64 = self.ready.iter().map(|s| self.servers[*s].relative).sum();
+        for s in &self.ready {
+            self.servers[*s].relative *= self.ready.len() as f64 / sizes;
+        }
+        self.even = self.ready.iter().all(|s| self.servers[*s].relative == 1.0);
+    }
+
+    /// Work done by a server in a microsecond. Beside its own observations stand two mean ones, so that one that looked slow
+    /// is seen anew.
+    pub(super) fn rate(&self, peer: &Peer) -> f64 {
+        let prior = PRIOR_OBSERVATIONS * self.tally.mean_met.max(1.0);
+        (peer.met + prior) / (peer.took + prior / (self.drain * peer.relative))
+    }
+
+    /// All the work at a server, and how many requests that is.
+    pub(super) fn work_at(&self, peer: &Peer) -> (f64, f64) {
+        let count = f64::from(peer.in_flight) + peer.others / self.tally.mean_work.max(1.0);
+        (peer.work + peer.others, count)
+    }
+
+    /// What of that a request with this work waits for.
+    fn work_ahead(&self, peer: &Peer, work: f64) -> f64 {
+        let (all, count) = self.work_at(peer);
+        self.tally.sharing.ahead(all, count, work)
+    }
+
+    /// The expected wait of a request with this work.
+    pub(super) fn wait(&self, peer: &Peer, work: f64, now: Micros) -> f64 {
+        let ahead = (self.work_ahead(peer, work) + peer.ghost) / self.rate(peer);
+        // Attempts are out and no answer has come for longer than usual: the wait is at least as long. Guards against hangs,
+        // pauses and lost links alike.
+        let overdue = (now.saturating_sub(peer.sign) as f64 - self.longest_usual_response()).max(0.0);
+        ahead + if peer.in_flight > 0 { overdue } else { 0.0 }
+    }
+
+    fn longest_usual_response(&self) -> f64 {
+        2.0 * self.classes.iter().map(|c| c.typical).fold(0.0, f64::max)
+    }
+
+    /// Lets what is known of a server fade to this time.
+    pub(super) fn decay_server(&mut self, server: usize, now: Micros) {
+        let span = now.saturating_sub(self.servers[server].faded);
+        if self.kept.0 != span {
+            let window = self.settings.fall_after.max(1) as f64;
+            let half = self.classes.iter().map(|c| c.aim).fold(0.0, f64::max);
+            let again = self.ready.len() as f64 * self.tally.mean_work / self.tally.offered.max(1e-9);
+            let memory = (PRIOR_OBSERVATIONS * self.classes.len() as f64 * again)
+                .clamp(half, half.max(2.0 * KEY_HALF_LIFE));
+            let halves = [window * std::f64::consts::LN_2, half, memory, RECENT_HALF_LIFE];
+            self.kept = (span, halves.map(|half| (-(span as f64) / half).exp2()));
+        }
+        let [carried, ghost, fault, recent] = self.kept.1;
+        let peer = &mut self.servers[server];
+        peer.carried *= carried;
+        peer.ghost *= ghost;
+        peer.heard *= fault;
+        peer.faults.resize(self.classes.len(), 0.0);
+        peer.errors.resize(self.classes.len(), 0);
+        for ((share, class), errors) in peer.faults.iter_mut().zip(&self.classes).zip(&peer.errors) {
+            // One that meets each trial with an error is tried at growing intervals.
+            let keep = if *errors > 1 { fault.powf(1.0 / f64::from(*errors)) } else { fault };
+            *share = class.failing + (*share - class.failing) * keep;
+        }
+        (peer.met, peer.took, peer.faded) = (peer.met * recent, peer.took * recent, now);
+    }
+
+    /// Renews what a selection reads of a server, kept apart from the rest since it reads them all.
+    pub(crate) fn refresh_brief(&mut self, server: usize, now: Micros) {
+        let peer = &self.servers[server];
+        let wait = self.wait(peer, self.tally.mean_work, now);
+        let plain = peer.proven && self.warmth(peer, now) >= 1.0;
+        let Peer { hash, zone, cell, relative: size, .. } = *peer;
+        let rate = self.rate(peer);
+        self.briefs[server] = Brief { hash, wait, rate, size, zone, cell, plain };
+        let classes = self.classes.len();
+        for (class, seen) in self.classes.iter().enumerate() {
+            self.odds[server * classes + class] =
+                odds(peer.faults.get(class).copied().unwrap_or(seen.failing));
+        }
+    }
+
+    /// Renews the estimates of all servers, if that is due.
+    pub(super) fn refresh_estimates(&mut self, now: Micros, out: &mut Vec<Action>) {
+        if now < self.refreshed + REFRESH_INTERVAL {
+            return;
+        }
+        let span = now - self.refreshed.max(now.saturating_sub(MAX_REFRESH_SPAN));
+        self.refreshed = now;
+        let overdue = (f64::from(self.settings.gateways - 1) * self.longest_usual_response() / 2.0).max(1.0);
+        let carried_by_kind = self.update_own_work(now, span, overdue);
+        self.estimate_others_work();
+        for server in 0..self.servers.len() {
+            self.refresh_brief(server, now);
+        }
+        for (mean, open) in self.mean_wait.iter_mut().zip(&self.open) {
+            *mean = open.iter().map(|s| self.briefs[*s].wait).sum::<f64>() / open.len().max(1) as f64;
+        }
+        self.update_relative_sizes();
+        self.probe(now, out);
+        self.drop_idle(now, span as f64, out);
+        self.update_rates(span, &carried_by_kind);
+    }
+
+    /// Moves the means of my own work on; what servers of each kind have answered lately, and how many they are.
+    fn update_own_work(&mut self, now: Micros, span: Micros, overdue: f64) -> BTreeMap<u32, (f64, f64)> {
+        let mut kinds: BTreeMap<u32, (f64, f64)> = BTreeMap::new();
+        let (mut all, fleet) = (0.0, self.ready.len().max(1) as f64);
+        for i in 0..self.ready.len() {
+            let server = self.ready[i];
+            self.decay_server(server, now);
+            let peer = &mut self.servers[server];
+            let keep = (-(span as f64) / overdue).exp2();
+            peer.usual += (peer.work - peer.usual) * (1.0 - keep);
+            peer.weight *= keep;
+            all += peer.work;
+            let peer = &self.servers[server];
+            if self.warmth(peer, now) >= 1.0 {
+                let (carried, n) = kinds.entry(peer.kind).or_default();
+                *carried += peer.carried;
+                *n += 1.0;
+            }
+        }
+        // A reading of one server counts by the attempts behind it, beside the mean of all: with few requests a second it is
+        // noise, times the gateways. Guards against keys spilled and requests rejected on noise. Harm: a server that others
+        // alone overload shows in its answer times only. The mean of all is known as much sooner as there are servers: a
+        // jam must be seen while it builds.
+        let half = (MEAN_WEIGHT * overdue / fleet).max(self.longest_usual_response().max(1.0));
+        let keep = (-(span as f64) / half).exp2();
+        self.tally.usual += (all / fleet - self.tally.usual) * (1.0 - keep);
+        kinds
+    }
+
+    fn estimate_others_work(&mut self) {
+        for i in 0..self.ready.len() {
+            let peer = &mut self.servers[self.ready[i]];
+            let expected = self.tally.usual * peer.relative;
+            let mean = (peer.usual * peer.weight + expected * MEAN_WEIGHT) / (peer.weight + MEAN_WEIGHT);
+            peer.others = f64::from(self.settings.gateways - 1) * mean;
+        }
+    }
+
+    fn update_rates(&mut self, span: Micros, carried_by_kind: &BTreeMap<u32, (f64, f64)>) {
+        let recent = (-(span as f64) / RECENT_HALF_LIFE).exp2();
+        if self.tally.all[1] > 0.0 {
+            let [met, took] = self.tally.all;
+            self.drain = (met.max(took * 1e-6) + self.tally.primer) / (took + self.tally.primer);
+        }
+        self.tally.all = self.tally.all.map(|x| x * recent);
+        let window = self.settings.fall_after.max(1) as f64;
+        // What was borne is borne again, also by starting servers in a jam that answers little. Harm: speeds that fell.
+        let kept = (-(span as f64) / BORNE_HALF_LIFE).exp2();
+        for (kind, (carried, n)) in carried_by_kind {
+            let rate = self.tally.kind_rate.entry(*kind).or_default();
+            *rate = (*rate * kept).max(carried / n / window);
+        }
+    }
+}
+
+/// A share as odds; those of a share near 1 are bounded.
+pub(super) fn odds(share: f64) -> f64 {
+    share / (1.0 - share).max(0.01)
+}
--- /dev/null
+++ b/src/balancer/retries.rs
@@ -0,0 +1,99 @@
+//! Retries and hedged requests: whether another attempt may be made, where, and when one is.
+
+use crate::api::{Action, Effect, Group, Id, Micros, Outcome};
+use crate::balancer::selection::SelectionMode;
+use crate::state::{Attempt, Balancer, Repeat, Request};
+
+/// Retries that each request adds to the budget, and how many may be saved up.
+pub(super) const RETRIES_PER_REQUEST: f64 = 0.2;
+pub(super) const MAX_SAVED_RETRIES: f64 = 10.0;
+/// An answer is overdue after so many usual times: at a silent server, at one that answers others, of a lone request.
+pub(super) const OVERDUE_TIMES: [f64; 3] = [2.0, 4.0, 6.0];
+
+impl Balancer {
+    /// Whether a request may run more than once.
+    pub(super) fn effect(&self, r: &Request) -> Effect {
+        let effect = self.settings.classes[r.class].effect;
+        if r.once && effect != Effect::Safe { Effect::Unsafe } else { effect }
+    }
+
+    /// Whether, and where, another attempt may go.
+    pub(super) fn may_repeat(&self, r: &Request, now: Micros) -> Repeat {
+        let out = r.attempts.iter().any(|a| a.outcome.is_none());
+        let spent = r.attempts.len() >= self.settings.max_attempts as usize;
+        let denied = r.attempts.iter().any(|a| a.outcome == Some(Outcome::Denied));
+        let barred = denied || r.closed || r.streaming || spent || now >= r.ends;
+        if barred || (out && !self.settings.second_copies) {
+            return Repeat::No;
+        }
+        let Some(first) = r.attempts.iter().find(|a| may_have_run(a)) else { return Repeat::Any };
+        match self.effect(r) {
+            Effect::Safe => Repeat::Any,
+            Effect::Unsafe => Repeat::No,
+            Effect::Keyed { window, .. } if now >= first.sent + window => Repeat::No,
+            Effect::Keyed { group: Group::All, .. } => Repeat::Any,
+            Effect::Keyed { group: Group::Zone, .. } => Repeat::Zone(self.servers[first.server].zone),
+            Effect::Keyed { group: Group::Cell, .. } => Repeat::Cell(self.servers[first.server].cell),
+        }
+    }
+
+    /// Whether a rejection may say that the request can be sent again without harm.
+    pub(super) fn may_refuse(&self, r: &Request) -> bool {
+        if r.attempts.iter().any(|a| a.outcome == Some(Outcome::Denied)) {
+            return false;
+        }
+        match self.effect(r) {
+            Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
+            Effect::Keyed { .. } | Effect::Unsafe => !r.attempts.iter().any(may_have_run),
+        }
+    }
+
+    /// A hedged request, where the class allows one, for an overdue answer: another server would still be in time and below
+    /// its overload point. Paid from the retry budget.
+    pub(super) fn maybe_hedge(&mut self, now: Micros, id: &Id, out: &mut Vec<Action>) {
+        let Some(r) = self.requests.get(id) else { return };
+        let repeat = self.may_repeat(r, now);
+        if repeat == Repeat::No || self.retries < 1.0 {
+            return;
+        }
+        // A server that has answered others meanwhile is not silent: the request is just heavy, or lost.
+        let Some(a) = r.attempts.last() else { return };
+        // Nor is one that has nothing else of mine; and the attempt that loses costs a connection.
+        let peer = &self.servers[a.server];
+        let alone = self.settings.handshake_price > 0.0 && peer.in_flight < 2;
+        let usual = if alone { OVERDUE_TIMES[2] } else { OVERDUE_TIMES[usize::from(peer.sign > a.sent)] };
+        if ((now - a.sent) as f64) < usual * self.classes[r.class].typical.floor() {
+            return;
+        }
+        let left = r.useful.saturating_sub(now) as f64;
+        let Some(pick) = self.select_server(now, r, repeat, SelectionMode::default()) else { return };
+        if pick.finite && pick.expected < left {
+            self.retries -= 1.0;
+            self.send_attempt(now, id, &pick, out);
+        }
+    }
+
+    /// No attempt is out for a request that is owed its answer: retry elsewhere or end it at once.
+    pub(super) fn retry_or_finish(&mut self, now: Micros, id: &Id, out: &mut Vec<Action>) {
+        let Some(r) = self.requests.get(id) else { return };
+        let repeat = self.may_repeat(r, now);
+        let left = r.useful.saturating_sub(now) as f64;
+        if repeat != Repeat::No && left > 0.0 && self.retries >= 1.0 {
+            let last_resort = SelectionMode { retry_tried: true, idle_only: false };
+            let pick = self
+                .select_server(now, r, repeat, SelectionMode::default())
+                .or_else(|| self.select_server(now, r, repeat, last_resort));
+            if let Some(pick) = pick.filter(|p| p.expected < left) {
+                self.retries -= 1.0;
+                self.send_attempt(now, id, &pick, out);
+                return;
+            }
+        }
+        let soon = self.classes[r.class].typical as Micros;
+        self.finish_request(id, if left <= 0.0 { Micros::MAX } else { soon }, out);
+    }
+}
+
+fn may_have_run(a: &Attempt) -> bool {
+    !a.outcome.is_some_and(Outcome::never_ran)
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -24,7 +24,7 @@
 //! ```
 
 mod api;
-mod choice;
+mod balancer;
 pub mod cost;
 mod keeping;
 mod probing;
--- a/src/probing.rs
+++ b/src/probing.rs
@@ -1,8 +1,8 @@
 //! When servers are probed, and what an answer changes.
 
-use crate::api::*;
-use crate::choice::TRIAL;
-use crate::state::*;
+use crate::api::{Action, Micros, Outcome};
+use crate::balancer::TRIAL_INTERVAL;
+use crate::state::Balancer;
 
 /// After so many probes without an answer a server on trial is tried by requests: what answers those is up,
 /// though nobody can probe it.
@@ -20,13 +20,13 @@
             if peer.trial > now || peer.doubt >= UNPROBED {
                 continue;
             }
-            peer.trial = now + (TRIAL << peer.doubt);
+            peer.trial = now + (TRIAL_INTERVAL << peer.doubt);
             peer.doubt += 1;
             passed_on |= peer.doubt >= UNPROBED;
             out.push(Action::Probe { server: peer.id.clone() });
         }
         if passed_on {
-            self.sort();
+            self.classify_servers();
         }
     }
 
@@ -35,7 +35,7 @@
     pub(crate) fn probed(&mut self, now: Micros, server: &str, outcome: Outcome) {
         let answered = matches!(outcome, Outcome::Ok | Outcome::Full | Outcome::Denied);
         if let Some(server) = self.names.get(server).copied().filter(|_| answered) {
-            self.heed(now, server, true);
+            self.record_health(now, server, true);
         }
     }
 }
