--- a/controlplane/examples/rollout_cost.rs
+++ b/controlplane/examples/rollout_cost.rs
@@ -44,7 +44,7 @@
         let servers: Servers = (0..count).map(server).collect();
         let named: BTreeMap<String, u64> = (0..MODELS).map(|number| (model(number), 2)).collect();
         let mut rollout = Rollout::new(3_000_000);
-        rollout.lead(0, 1);
+        rollout.become_primary(0, 1);
         let began = Instant::now();
         let mut steps = 0;
         for tick in 1..=TICKS {
--- /dev/null
+++ b/controlplane/src/api.rs
@@ -0,0 +1,193 @@
+//! The control API: which calls there are, by method and path, and the responses to them. No I/O.
+
+use std::sync::Arc;
+
+use gradepaddle_config::{Configuration, Findings, Patch, fingerprint};
+use serde::{Deserialize, Serialize};
+
+use crate::Micros;
+use crate::registry::Heartbeat;
+
+/// Precedes the bytes of a patch in its fingerprint, so that no configuration has the same.
+const PATCH_PREFIX: &[u8] = b"PATCH ";
+/// The status of a response from which nothing follows about the call.
+const UNAVAILABLE: u16 = 503;
+
+/// A well-formed call.
+#[derive(Clone, Debug)]
+pub enum Call {
+    /// A server's heartbeat.
+    Heartbeat {
+        /// The server's id.
+        id: String,
+        /// The body.
+        heartbeat: Heartbeat,
+    },
+    /// A server leaves.
+    Leave {
+        /// The server's id.
+        id: String,
+    },
+    /// Puts a complete, valid configuration.
+    PutConfiguration {
+        /// The version that it replaces.
+        if_match: u64,
+        /// Its own version.
+        version: u64,
+        /// Its body as it was sent.
+        body: Arc<[u8]>,
+    },
+    /// Patches the configuration; the patch is well-formed.
+    PatchConfiguration {
+        /// The version that it applies to.
+        if_match: u64,
+        /// The version of the result.
+        version: u64,
+        /// The patch as it was sent.
+        patch: Arc<[u8]>,
+    },
+    /// Reads the newest configuration.
+    GetConfiguration,
+    /// Announces a model version.
+    NameVersion {
+        /// The model.
+        model: String,
+        /// The version.
+        version: u64,
+    },
+    /// Reads the state of this node, and of the fleet as it knows it.
+    Status,
+}
+
+/// The response to a call.
+#[derive(Clone, Debug, PartialEq, Eq)]
+#[must_use = "a call without a response looks like a lost node"]
+pub struct Response {
+    /// The HTTP status.
+    pub status: u16,
+    /// The body, JSON; empty where there is none.
+    pub body: Arc<[u8]>,
+    /// From this time of the driver's clock on, it must not be sent: the lease under which it was decided may have
+    /// passed to another primary. `None` where no lease is needed.
+    pub valid_until: Option<Micros>,
+}
+
+/// The body of a response that rejects a call.
+#[derive(Debug, Serialize)]
+struct Message<'a> {
+    message: &'a str,
+}
+
+/// The body of a call that announces a model version.
+#[derive(Debug, Deserialize)]
+struct AnnounceVersionBody {
+    model: String,
+    version: u64,
+}
+
+impl Response {
+    /// A response without a body.
+    pub fn bare(status: u16) -> Self {
+        Response { status, body: Arc::from([]), valid_until: None }
+    }
+
+    /// A response with a message for people.
+    pub fn message(status: u16, text: &str) -> Self {
+        // Serializing a struct of one string can't fail.
+        let body = serde_json::to_vec(&Message { message: text }).unwrap_or_default();
+        Response { status, body: Arc::from(body), valid_until: None }
+    }
+
+    /// This response, to be sent before that time only. One from which nothing follows may be sent at any time.
+    pub fn before(self, time: Micros) -> Self {
+        let valid_until = (self.status != UNAVAILABLE).then_some(time);
+        Response { valid_until, ..self }
+    }
+
+    /// What may be sent at this time: this response, or 503 once its lease has run out. Call it at the last moment: the
+    /// process may be stopped between deciding and sending.
+    pub fn at(self, now: Micros) -> Self {
+        match self.valid_until {
+            Some(until) if now >= until => Response::unavailable("the lease ran out before the answer left"),
+            _ => self,
+        }
+    }
+
+    /// Nothing follows about the call: the caller goes on to another node.
+    pub fn unavailable(text: &str) -> Self {
+        Response::message(UNAVAILABLE, text)
+    }
+}
+
+/// Parses a call. `if_match` is the field of that name.
+///
+/// # Errors
+///
+/// The response to a call that is malformed, or that there is none of.
+pub fn parse(method: &str, path: &str, if_match: Option<&str>, body: &[u8]) -> Result<Call, Response> {
+    let mut segments = path.split('/').skip(1);
+    let segments = [segments.next(), segments.next(), segments.next(), segments.next()];
+    match (method, segments) {
+        ("PUT", [Some("v1"), Some("servers"), Some(id), None]) if !id.is_empty() => {
+            let heartbeat = parse_json(body)?;
+            Ok(Call::Heartbeat { id: id.to_owned(), heartbeat })
+        }
+        ("DELETE", [Some("v1"), Some("servers"), Some(id), None]) if !id.is_empty() => {
+            Ok(Call::Leave { id: id.to_owned() })
+        }
+        ("PUT", [Some("v1"), Some("config"), None, None]) => put_configuration(if_match, body),
+        ("PATCH", [Some("v1"), Some("config"), None, None]) => patch_configuration(if_match, body),
+        ("GET", [Some("v1"), Some("config"), None, None]) => Ok(Call::GetConfiguration),
+        ("POST", [Some("v1"), Some("version-put"), None, None]) => {
+            let AnnounceVersionBody { model, version } = parse_json(body)?;
+            Ok(Call::NameVersion { model, version })
+        }
+        ("GET", [Some("v1"), Some("status"), None, None]) => Ok(Call::Status),
+        (_, [Some("v1"), Some("servers" | "config" | "version-put" | "status"), ..]) => {
+            Err(Response::message(405, "this path does not take that method"))
+        }
+        _ => Err(Response::message(404, "there is no such call")),
+    }
+}
+
+fn parse_json<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, Response> {
+    serde_json::from_slice(body).map_err(|error| Response::message(400, &error.to_string()))
+}
+
+/// The version that a change builds on, from the `If-Match` field (RFC 9110, section 13.1.1), quoted or not.
+fn base_version(if_match: Option<&str>) -> Result<u64, Response> {
+    match if_match.map(|text| text.trim().trim_matches('"').parse::<u64>()) {
+        Some(Ok(version)) => Ok(version),
+        Some(Err(_)) => Err(Response::message(400, "If-Match is no version")),
+        None => Err(Response::message(400, "If-Match is missing")),
+    }
+}
+
+fn patch_configuration(if_match: Option<&str>, body: &[u8]) -> Result<Call, Response> {
+    let if_match = base_version(if_match)?;
+    let patch = Patch::parse(body).map_err(invalid)?;
+    Ok(Call::PatchConfiguration { if_match, version: patch.version, patch: Arc::from(body) })
+}
+
+fn put_configuration(if_match: Option<&str>, body: &[u8]) -> Result<Call, Response> {
+    let if_match = base_version(if_match)?;
+    let configuration = Configuration::parse(body).map_err(invalid)?;
+    Ok(Call::PutConfiguration { if_match, version: configuration.version, body: Arc::from(body) })
+}
+
+/// The response to an invalid configuration or patch.
+pub fn invalid(findings: Findings) -> Response {
+    Response::message(400, &findings.to_string())
+}
+
+/// The fingerprint by which a configuration that is sent again is recognized.
+pub fn fingerprint_number(body: &[u8]) -> u128 {
+    u128::from_le_bytes(fingerprint(body))
+}
+
+/// The fingerprint by which a patch that is sent again is recognized. It covers the version that the patch applies to:
+/// the same bytes on another version are another change.
+pub fn patch_fingerprint_number(if_match: u64, patch: &[u8]) -> u128 {
+    let prefixed = [PATCH_PREFIX, &if_match.to_le_bytes(), patch].concat();
+    u128::from_le_bytes(fingerprint(&prefixed))
+}
--- /dev/null
+++ b/controlplane/src/api_server.rs
@@ -0,0 +1,112 @@
+//! The control API on sockets: HTTP/1.1 calls of servers and operators at the control address.
+
+use std::time::Duration;
+
+use gradepaddle_http::buffers::{Chain, Pool};
+use gradepaddle_http::{Body, Connection, Fault, Framing, Head};
+use tokio::net::TcpListener;
+use tokio::sync::{mpsc, oneshot};
+use tokio::time::{sleep, timeout};
+
+use crate::api::{self, Response};
+use crate::clock::Clock;
+use crate::driver::DriverEvent;
+
+/// The longest body of a call, in bytes: a configuration.
+const MAX_BODY_BYTES: u64 = 5 * 1024 * 1024;
+/// A connection without a request for this long is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// A body has to be read within this.
+const READ_TIMEOUT: Duration = Duration::from_secs(8);
+/// A call that the node has not decided within this is answered by 503.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Pause after a failed `accept`, for instance without file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+
+/// Accepts connections for as long as the process runs. `clock` has to be that of the driver: a response is not sent
+/// after the lease under which it was decided.
+pub async fn serve_api(listener: TcpListener, driver: mpsc::UnboundedSender<DriverEvent>, clock: Clock) {
+    let pool = Pool::default();
+    loop {
+        match listener.accept().await {
+            Ok((stream, _)) => {
+                let connection = Connection::new(stream, &pool, ());
+                tokio::task::spawn_local(serve_connection(connection, pool.clone(), driver.clone(), clock));
+            }
+            Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
+        }
+    }
+}
+
+async fn serve_connection(
+    mut connection: Connection,
+    pool: Pool,
+    driver: mpsc::UnboundedSender<DriverEvent>,
+    clock: Clock,
+) {
+    while let Ok(Ok(head)) = timeout(IDLE_TIMEOUT, connection.read_head()).await {
+        let body = timeout(READ_TIMEOUT, read_body(&mut connection, &head, &pool)).await;
+        let (response, keep_alive) = match body {
+            Ok(Ok(body)) => (respond(&head, &body, &driver).await, head.keeps_alive()),
+            Ok(Err(Fault::LongBody)) => (Response::message(413, "the body is too long"), false),
+            Ok(Err(Fault::Malformed(what))) => (Response::message(400, what), false),
+            Ok(Err(_)) | Err(_) => return,
+        };
+        // The lease is checked last of all: the process may have been stopped since the driver decided.
+        let bytes = encode(&response.at(clock.now()), keep_alive, &pool);
+        if connection.write(&[&bytes]).await.is_err() {
+            return;
+        }
+        if !keep_alive {
+            return connection.linger().await;
+        }
+    }
+}
+
+async fn read_body(connection: &mut Connection, head: &Head, pool: &Pool) -> Result<Vec<u8>, Fault> {
+    let framing = head.framing(Framing::Length(0)).map_err(Fault::Malformed)?;
+    let mut body = Body::new_within(framing, MAX_BODY_BYTES)?;
+    let mut bytes = pool.chain();
+    while !connection.read_piece(&mut body, &mut bytes, usize::MAX).await? {}
+    Ok(bytes.copy(bytes.len()))
+}
+
+/// Has the driver decide a call.
+async fn respond(head: &Head, body: &[u8], driver: &mpsc::UnboundedSender<DriverEvent>) -> Response {
+    let call = match api::parse(head.method(), head.path(), head.get("if-match"), body) {
+        Ok(call) => call,
+        Err(response) => return response,
+    };
+    let (reply, decided) = oneshot::channel();
+    if driver.send(DriverEvent::Call(call, reply)).is_err() {
+        return Response::unavailable("the node ends");
+    }
+    match timeout(RESPONSE_TIMEOUT, decided).await {
+        Ok(Ok(response)) => response,
+        _ => Response::unavailable("no answer in time"),
+    }
+}
+
+fn encode(response: &Response, keep_alive: bool, pool: &Pool) -> Chain {
+    let mut out = pool.chain();
+    let reason = match response.status {
+        200 => "OK",
+        400 => "Bad Request",
+        404 => "Not Found",
+        405 => "Method Not Allowed",
+        412 => "Precondition Failed",
+        413 => "Content Too Large",
+        _ => "Service Unavailable",
+    };
+    let (status, length) = (response.status, response.body.len());
+    out.push(format!("HTTP/1.1 {status} {reason}\r\nContent-Length: {length}\r\n").as_bytes());
+    if length > 0 {
+        out.push(b"Content-Type: application/json\r\n");
+    }
+    if !keep_alive {
+        out.push(b"Connection: close\r\n");
+    }
+    out.push(b"\r\n");
+    out.push(&response.body);
+    out
+}
--- a/controlplane/src/driver.rs
+++ b/controlplane/src/driver.rs
@@ -1,4 +1,4 @@
-//! Runs a [`Node`] on sockets and time: events in, outputs carried out.
+//! Runs a [`Node`] on sockets and time: feeds it events, and carries out its outputs.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -13,56 +13,56 @@
 use tokio::time::sleep_until;
 
 use crate::Micros;
-use crate::calls::{Answer, Call};
+use crate::api::{Call, Response};
 use crate::clock::Clock;
-use crate::links::Links;
-use crate::node::{Event, Input, KeysShown, MemberNode, Node, Output};
-use crate::orders::{self, OrderPermit};
+use crate::node::{ConfigurationValidity, Event, Input, MemberNode, Node, Output};
 use crate::rollout::Order;
+use crate::server_client::{self, OrderPermit};
+use crate::transport::Transport;
 
-/// Events taken before outputs are carried out.
-const EVENTS_AT_ONCE: usize = 64;
+/// Events handled before outputs are carried out, so that outputs of several leave together.
+const MAX_EVENT_BATCH: usize = 64;
 
-/// What the driver is told by tasks and threads round it.
+/// An event from a task or thread.
 pub enum DriverEvent {
-    /// A call, with where its answer goes.
-    Call(Call, oneshot::Sender<Answer>),
+    /// A call, with where its response goes.
+    Call(Call, oneshot::Sender<Response>),
     /// Anything else.
     Input(Input),
 }
 
-/// What a node does outside the control plane.
+/// What a node does outside the control plane. See [`Output`] for when each is called.
 pub trait Effects {
     /// Puts a configuration in force.
-    fn configure(&self, body: Arc<[u8]>);
-    /// A server is there, or has changed.
-    fn server(&self, entry: ServerEntry);
-    /// A server is gone.
-    fn server_gone(&self, id: &str);
+    fn apply_configuration(&self, body: Arc<[u8]>);
+    /// A server has been registered, or has changed.
+    fn server_changed(&self, entry: ServerEntry);
+    /// A server has been removed.
+    fn server_removed(&self, id: &str);
     /// The other balancers.
-    fn peers(&self, peers: Vec<MemberNode>);
-    /// This node's place in an order of all nodes that all agree on.
-    fn rank(&self, rank: usize);
-    /// Another node has told whether a store answers.
-    fn store(&self, name: &str, alive: bool);
-    /// Newer weights were named: nothing older may begin from `binds_in` after now.
-    fn weights_named(&self, model: &str, version: u64, binds_in: Micros);
-    /// The time within which a version has to be in use begins anew: it ends `binds_in` after now.
-    fn weights_postponed(&self, model: &str, version: u64, binds_in: Micros);
-    /// Nothing new goes to a server for this long.
-    fn hold(&self, server: &str, span: Micros);
-    /// A server holds this version of a model.
-    fn holds(&self, server: &str, model: &str, version: u64);
-    /// The node has, or lacks, a session with control.
-    fn in_touch(&self, in_touch: bool);
-    /// Until when, by the driver's clock, the keys of a configuration may be acted on.
-    fn keys(&self, shown: KeysShown);
-    /// Something is worth a line in the log.
+    fn peers_changed(&self, peers: Vec<MemberNode>);
+    /// The listener rank of this node.
+    fn rank_changed(&self, rank: usize);
+    /// A node reports whether a cache store responds.
+    fn cache_store_changed(&self, name: &str, alive: bool);
+    /// A newer model version was announced: in `deadline_in` microseconds no request may start on an older one.
+    fn version_announced(&self, model: &str, version: u64, deadline_in: Micros);
+    /// The deadline of an announced version was extended to `deadline_in` microseconds from now.
+    fn version_deadline_extended(&self, model: &str, version: u64, deadline_in: Micros);
+    /// Sends no new requests to a server for `span` microseconds; 0 ends the pause.
+    fn pause_server(&self, server: &str, span: Micros);
+    /// A server has loaded a model version.
+    fn server_has_version(&self, server: &str, model: &str, version: u64);
+    /// The node has, or lacks, a session with a control balancer.
+    fn connected(&self, connected: bool);
+    /// Until when, by the driver's clock, the keys of a configuration may be accepted.
+    fn configuration_validity(&self, validity: ConfigurationValidity);
+    /// An event for the log.
     fn event(&self, event: Event);
-    /// Writes records to disk; the end of the write comes back as an event.
+    /// Writes records to disk. The end of the write comes back as [`Input::Persisted`] or [`Input::PersistFailed`].
     fn persist(&self, token: Token, records: Vec<Record>);
     /// The control state is in other hands.
-    fn may_end(&self);
+    fn ready_to_exit(&self);
 }
 
 /// A node with what it runs on.
@@ -70,79 +70,80 @@
     node: Node,
     events: mpsc::UnboundedReceiver<DriverEvent>,
     envelopes: mpsc::UnboundedReceiver<Envelope>,
-    back: mpsc::UnboundedSender<DriverEvent>,
-    links: Rc<Links>,
+    loopback: mpsc::UnboundedSender<DriverEvent>,
+    transport: Rc<Transport>,
     effects: Rc<dyn Effects>,
     owner: Arc<str>,
     pool: Pool,
     clock: Clock,
-    /// The epoch in which this node leads, if it does, for orders under way.
-    leading: watch::Sender<Option<u64>>,
-    replies: HashMap<u64, oneshot::Sender<Answer>>,
-    next_ticket: u64,
+    /// The epoch in which this node is the primary, if it is: orders on their way watch it.
+    primary_epoch: watch::Sender<Option<u64>>,
+    pending_calls: HashMap<u64, oneshot::Sender<Response>>,
+    last_call_id: u64,
 }
 
-/// The ends of the channels on which a driver hears.
-pub struct Ears {
+/// The channels on which a driver gets its events.
+pub struct DriverChannels {
     /// Events of tasks and threads.
     pub events: mpsc::UnboundedReceiver<DriverEvent>,
     /// Messages of other nodes.
     pub envelopes: mpsc::UnboundedReceiver<Envelope>,
-    /// Where tasks of the driver's own tell what came of them.
-    pub back: mpsc::UnboundedSender<DriverEvent>,
+    /// The sending end of `events`, for tasks that the driver spawns.
+    pub loopback: mpsc::UnboundedSender<DriverEvent>,
 }
 
 impl Driver {
-    /// Times given to the node are those of `clock`; orders are given in the name of `owner`.
+    /// A driver of `node`. The node's times are those of `clock`; orders are sent in the name of `owner`.
     pub fn new(
         node: Node,
-        ears: Ears,
-        links: Rc<Links>,
+        channels: DriverChannels,
+        transport: Rc<Transport>,
         effects: Rc<dyn Effects>,
         owner: Arc<str>,
         clock: Clock,
     ) -> Self {
         Driver {
             node,
-            events: ears.events,
-            envelopes: ears.envelopes,
-            back: ears.back,
-            links,
+            events: channels.events,
+            envelopes: channels.envelopes,
+            loopback: channels.loopback,
+            transport,
             effects,
             owner,
             pool: Pool::default(),
             clock,
-            leading: watch::Sender::new(None),
-            replies: HashMap::new(),
-            next_ticket: 0,
+            primary_epoch: watch::Sender::new(None),
+            pending_calls: HashMap::new(),
+            last_call_id: 0,
         }
     }
 
-    /// Runs for as long as anything can be told to the node.
+    /// Runs until both channels are closed.
     pub async fn run(mut self) {
         let mut out = Vec::new();
         loop {
             let wake = self.clock.instant(self.node.next_wake());
+            // Cancellation: `recv` loses nothing, and the sleep is set anew in each round.
             tokio::select! {
                 Some(envelope) = self.envelopes.recv() => self.handle(Input::Envelope(envelope), &mut out),
-                Some(event) = self.events.recv() => self.take(event, &mut out),
+                Some(event) = self.events.recv() => self.handle_event(event, &mut out),
                 () = sleep_until(wake) => self.handle(Input::Tick, &mut out),
                 else => return,
             }
-            self.take_waiting(&mut out);
+            self.handle_waiting(&mut out);
             for output in std::mem::take(&mut out) {
                 self.carry_out(output);
             }
         }
     }
 
-    /// Takes what has come meanwhile, so that answers to several go out together.
-    fn take_waiting(&mut self, out: &mut Vec<Output>) {
-        for _ in 0..EVENTS_AT_ONCE {
+    /// Handles what has come meanwhile.
+    fn handle_waiting(&mut self, out: &mut Vec<Output>) {
+        for _ in 0..MAX_EVENT_BATCH {
             if let Ok(envelope) = self.envelopes.try_recv() {
                 self.handle(Input::Envelope(envelope), out);
             } else if let Ok(event) = self.events.try_recv() {
-                self.take(event, out);
+                self.handle_event(event, out);
             } else {
                 return;
             }
@@ -154,84 +155,88 @@
         self.node.handle(now, input, out);
     }
 
-    fn take(&mut self, event: DriverEvent, out: &mut Vec<Output>) {
+    fn handle_event(&mut self, event: DriverEvent, out: &mut Vec<Output>) {
         match event {
             DriverEvent::Input(input) => self.handle(input, out),
             DriverEvent::Call(call, reply) => {
-                self.next_ticket += 1;
-                let ticket = self.next_ticket;
-                self.replies.insert(ticket, reply);
-                self.handle(Input::Call { ticket, call }, out);
+                self.last_call_id += 1;
+                let call_id = self.last_call_id;
+                self.pending_calls.insert(call_id, reply);
+                self.handle(Input::Call { call_id, call }, out);
             }
         }
     }
 
     fn carry_out(&mut self, output: Output) {
         match output {
-            Output::Send { to, content } => self.links.send(to, content),
+            Output::Send { to, content } => self.transport.send(to, content),
             Output::Persist { token, records } => self.effects.persist(token, records),
-            Output::Answer { ticket, answer } => {
-                if let Some(reply) = self.replies.remove(&ticket) {
-                    // The caller may have gone.
-                    let _ = reply.send(answer);
+            Output::Respond { call_id, response } => {
+                if let Some(reply) = self.pending_calls.remove(&call_id) {
+                    // The caller may have closed its connection.
+                    let _ = reply.send(response);
                 }
             }
-            Output::Configure(body) => self.effects.configure(body),
-            Output::Server(entry) => self.effects.server(entry),
-            Output::ServerGone(id) => self.effects.server_gone(&id),
-            Output::Peers(peers) => self.effects.peers(peers),
-            Output::Rank(rank) => self.effects.rank(rank),
-            Output::Store { name, alive } => self.effects.store(&name, alive),
-            Output::WeightsNamed { model, version, binds_in } => {
-                self.effects.weights_named(&model, version, binds_in);
+            Output::ApplyConfiguration(body) => self.effects.apply_configuration(body),
+            Output::ServerChanged(entry) => self.effects.server_changed(entry),
+            Output::ServerRemoved(id) => self.effects.server_removed(&id),
+            Output::PeersChanged(peers) => self.effects.peers_changed(peers),
+            Output::RankChanged(rank) => self.effects.rank_changed(rank),
+            Output::CacheStoreChanged { name, alive } => self.effects.cache_store_changed(&name, alive),
+            Output::VersionAnnounced { model, version, deadline_in } => {
+                self.effects.version_announced(&model, version, deadline_in);
             }
-            Output::WeightsPostponed { model, version, binds_in } => {
-                self.effects.weights_postponed(&model, version, binds_in);
+            Output::VersionDeadlineExtended { model, version, deadline_in } => {
+                self.effects.version_deadline_extended(&model, version, deadline_in);
             }
-            Output::Hold { server, span } => self.effects.hold(&server, span),
-            Output::Holds { server, model, version } => self.effects.holds(&server, &model, version),
-            Output::Order(order) => self.order(order),
-            Output::Ask { server, address } => self.ask(server, address),
-            Output::InTouch(in_touch) => self.effects.in_touch(in_touch),
-            Output::Keys(shown) => self.effects.keys(shown),
-            Output::Event(event) => self.event(event),
-            Output::MayEnd => self.effects.may_end(),
+            Output::PauseServer { server, span } => self.effects.pause_server(&server, span),
+            Output::ServerHasVersion { server, model, version } => {
+                self.effects.server_has_version(&server, &model, version);
+            }
+            Output::SendOrder(order) => self.send_order(order),
+            Output::QueryServer { server, address } => self.query_server(server, address),
+            Output::Connected(connected) => self.effects.connected(connected),
+            Output::ConfigurationValidity(validity) => self.effects.configuration_validity(validity),
+            Output::Event(event) => self.handle_node_event(event),
+            Output::ReadyToExit => self.effects.ready_to_exit(),
         }
     }
 
-    fn event(&self, event: Event) {
+    fn handle_node_event(&self, event: Event) {
         match event {
-            Event::Leading { epoch } => {
-                self.leading.send_replace(Some(epoch));
+            Event::BecamePrimary { epoch } => {
+                self.primary_epoch.send_replace(Some(epoch));
             }
-            Event::NotLeading => {
-                self.leading.send_replace(None);
+            Event::SteppedDown => {
+                self.primary_epoch.send_replace(None);
             }
             _ => {}
         }
         self.effects.event(event);
     }
 
-    fn order(&self, order: Order) {
-        let Some(deadline) = self.node.order_deadline(self.clock.now(), order.fence) else { return };
-        let permit = OrderPermit::new(order.fence, self.clock.instant(deadline), self.leading.subscribe());
-        let (owner, pool, back) = (self.owner.clone(), self.pool.clone(), self.back.clone());
+    /// Sends an order, if its fencing token is still good at this moment.
+    fn send_order(&self, order: Order) {
+        let Some(deadline) = self.node.order_deadline(self.clock.now(), order.fencing_token) else { return };
+        let deadline = self.clock.instant(deadline);
+        let permit = OrderPermit::new(order.fencing_token, deadline, self.primary_epoch.subscribe());
+        let (owner, pool, loopback) = (self.owner.clone(), self.pool.clone(), self.loopback.clone());
         tokio::task::spawn_local(async move {
-            let answer = orders::give(&order, &owner, &pool, permit).await;
-            let input = Input::OrderAnswered { order, answer };
+            let outcome = server_client::send_order(&order, &owner, &pool, permit).await;
             // Without a driver nobody waits for it.
-            let _ = back.send(DriverEvent::Input(input));
+            let _ = loopback.send(DriverEvent::Input(Input::OrderCompleted { order, outcome }));
         });
     }
 
-    fn ask(&self, server: Arc<str>, address: SocketAddrV4) {
-        let (pool, back) = (self.pool.clone(), self.back.clone());
+    fn query_server(&self, server: Arc<str>, address: SocketAddrV4) {
+        let (pool, loopback) = (self.pool.clone(), self.loopback.clone());
         tokio::task::spawn_local(async move {
-            let Some(report) = orders::report(&server, address, &pool).await else { return };
+            let Some(report) = server_client::fetch_report(&server, address, &pool).await else { return };
             for model in report.models {
                 let (model, version) = (Arc::from(model.name), model.version);
-                let input = Input::Reported { server: server.clone(), model, version };
-                let _ = back.send(DriverEvent::Input(input));
+                let input = Input::VersionReported { server: server.clone(), model, version };
+                // Without a driver nobody waits for it.
+                let _ = loopback.send(DriverEvent::Input(input));
             }
         });
     }
--- a/controlplane/src/lib.rs
+++ b/controlplane/src/lib.rs
@@ -1,34 +1,41 @@
-//! The control plane of a node: calls of servers and of the operator, links between nodes, membership, the replicated
-//! control state and the duties of its primary.
+//! The control plane of a node: API calls of servers and operators, sessions and membership, messages between nodes, the
+//! replicated control state, and the singleton roles of its primary.
 //!
-//! [`node::Node`] joins the state machines and does no I/O; [`driver`] runs it on sockets, disk and time.
+//! [`node::Node`] joins the state machines and does no I/O; [`driver`] runs it on sockets, disk and time. It is apart from
+//! the data plane, which goes on with what it last knew when no control balancer can be reached.
+//!
+//! - API: [`api`] (calls and responses), [`api_server`] (HTTP)
+//! - membership: [`session_client`], [`session_table`], [`absence_tracker`], [`bootstrap`]
+//! - messages: [`transport`], [`send_queue`], [`item_kinds`]
+//! - servers: [`registry`], [`rollout`], [`server_client`], [`version_announcement`]
+//! - configuration: [`staleness`]
 
-pub mod absence;
-pub mod calls;
+pub mod absence_tracker;
+pub mod api;
+pub mod api_server;
+pub mod bootstrap;
 pub mod clock;
-pub mod door;
 pub mod driver;
-pub mod founding;
-pub mod freshness;
-pub mod kinds;
-pub mod links;
-pub mod naming;
+pub mod item_kinds;
 pub mod node;
-pub mod orders;
-pub mod outbox;
 pub mod registry;
 pub mod rollout;
-pub mod session;
-pub mod sessions;
+pub mod send_queue;
+pub mod server_client;
+pub mod session_client;
+pub mod session_table;
+pub mod staleness;
+pub mod transport;
+pub mod version_announcement;
 
-/// A time or a span in microseconds of a steady clock.
+/// A time or a span in microseconds of the monotonic clock of one process.
 pub type Micros = u64;
 
-/// What the clock shows when a process starts. State machines reckon back from the present (a lease ago, a heartbeat
-/// ago), which must not end at zero.
+/// What the clock shows when a process starts: a minute, since state machines subtract leases and timeouts from the
+/// present, which must not saturate at zero.
 pub const CLOCK_START: Micros = 60_000_000;
 
-/// Mixes the bits of a number, so that numbers close to each other have nothing in common.
+/// A hash of a number (see [`gradepaddle::cost::mix`]): numbers close to each other get unrelated hashes.
 pub(crate) fn mix(number: u64) -> u64 {
     gradepaddle::cost::mix(number)
 }
--- a/controlplane/src/node.rs
+++ b/controlplane/src/node.rs
@@ -1,13 +1,13 @@
-//! The control plane of one node as one state machine: inputs with a time in, what to send, write and answer out.
+//! The control plane of one node as one state machine: inputs and the time in, [`Output`]s out. No I/O.
 
-mod control;
-mod freshness;
-mod members;
+mod api_calls;
+mod membership;
 mod messages;
-mod serving;
+mod servers;
+mod staleness;
 mod status;
 
-pub use messages::{Event, Input, KeysShown, MemberNode, Output};
+pub use messages::{ConfigurationValidity, Event, Input, MemberNode, Output};
 pub use status::Status;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -18,308 +18,282 @@
 use gradepaddle_proto::{Content, Envelope, Identity, Registration};
 use gradepaddle_spread::{Output as SpreadOutput, Spread};
 
+use self::api_calls::{PendingCall, PendingPublication};
 use crate::Micros;
-use crate::absence::Absence;
-use crate::founding::Founding;
-use crate::freshness::Freshness;
-use crate::naming::VersionTimes;
+use crate::absence_tracker::AbsenceTracker;
+use crate::bootstrap::Bootstrap;
 use crate::registry::Registry;
 use crate::rollout::Rollout;
-use crate::session::OwnSession;
-use crate::sessions::HeldSessions;
+use crate::session_client::SessionClient;
+use crate::session_table::SessionTable;
+use crate::staleness::StalenessBound;
+use crate::version_announcement::VersionDeadlines;
 
-/// Housekeeping of sessions, servers and duties.
-const TICK_EVERY: Micros = 100_000;
-/// Housekeeping that nobody waits for.
-const SLOW_TICK_EVERY: Micros = 500_000;
-/// A call that the primary has not answered within this is answered by "nothing can be said". Callers go on to another
-/// node after a second of silence, and sooner after such an answer.
-const CALL_WITHIN: Micros = 750_000;
-/// So much longer for each byte of its body, which has to reach the primary and its backups first.
-const CALL_WITHIN_PER_BYTE: Micros = 1;
+/// Interval of the housekeeping of sessions, servers, the singleton roles and calls.
+const TICK_INTERVAL: Micros = 100_000;
+/// Interval of the housekeeping that nobody waits for.
+const SLOW_TICK_INTERVAL: Micros = 500_000;
 
-/// What a node is told at its start.
+/// What a node starts with.
 pub struct NodeSetup {
-    /// The part of the session.
-    pub session: OwnSession,
-    /// Dissemination.
+    /// The client of this node's own session.
+    pub session: SessionClient,
+    /// The gossip.
     pub spread: Spread,
-    /// The founder's part, if this node has it.
-    pub founding: Option<Founding>,
-    /// Between heartbeats of a server.
-    pub beat_every: Micros,
-    /// For how long two holders must not take turns.
+    /// At the node that makes the first view.
+    pub bootstrap: Option<Bootstrap>,
+    /// Interval between heartbeats of a server, in microseconds.
+    pub heartbeat_interval: Micros,
+    /// The span within which orders of two primaries must not alternate, in microseconds.
     pub order_lease: Micros,
-    /// Within which named weights have to be in use.
-    pub version_times: VersionTimes,
-    /// Within which keys that are taken away have to stop working at every node, if they have to.
+    /// By when servers have to have loaded an announced version.
+    pub version_deadlines: VersionDeadlines,
+    /// Within which revoked keys have to stop working at every node, in microseconds; `None` without such a bound.
     pub revoke_within: Option<Micros>,
-    /// How many machines may be lost at once.
+    /// The fault tolerance: machines that may be lost at once.
     pub machine_losses: usize,
-    /// The time.
+    /// The time of the driver's clock.
     pub now: Micros,
 }
 
-/// Who waits for the answer to a call that the primary decides.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Asker {
-    /// A caller at this node.
-    Own(u64),
-    /// Another node, with its own name for the call.
-    Node(SocketAddrV4, u64),
-}
-
-struct Waiting {
-    asker: Asker,
-    /// Who decides it: this node or the primary that it was passed on to.
-    decider: SocketAddrV4,
-    since: Micros,
-    until: Micros,
-}
-
-/// What a confirmed publication stands for.
-enum Confirming {
-    Drain(Arc<str>),
-    Leave(Arc<str>),
-}
-
 /// The control plane of one node.
 pub struct Node {
     own: SocketAddrV4,
-    session: OwnSession,
-    held: HeldSessions,
+    session: SessionClient,
+    session_table: SessionTable,
     replica: Option<Replica>,
     spread: Spread,
-    founding: Option<Founding>,
+    bootstrap: Option<Bootstrap>,
     registry: Registry,
     rollout: Rollout,
-    owners: Absence,
-    /// Servers that this node calls lost since their owner is missing.
-    ownerless: BTreeSet<Arc<str>>,
-    /// Calls that wait for the primary, by this node's names for them.
-    waiting: BTreeMap<u64, Waiting>,
-    confirming: HashMap<u64, Confirming>,
-    next_ticket: u64,
+    absent_owners: AbsenceTracker,
+    /// Servers that this node treats as lost since their owner is absent.
+    without_owner: BTreeSet<Arc<str>>,
+    /// Calls that wait for a decision, by this node's own call ids.
+    pending_calls: BTreeMap<u64, PendingCall>,
+    /// Publications that other nodes have to acknowledge, by call id.
+    pending_publications: HashMap<u64, PendingPublication>,
+    last_call_id: u64,
     /// The other members, sorted.
     peers: Vec<SocketAddrV4>,
     rank: usize,
-    in_touch: bool,
-    leading: bool,
-    version_times: VersionTimes,
+    connected: bool,
+    primary: bool,
+    version_deadlines: VersionDeadlines,
     machine_losses: usize,
-    /// The process is about to end.
-    leaving: bool,
-    freshness: Freshness,
-    /// What the data plane was told of its keys.
-    keys_shown: Option<KeysShown>,
-    /// The next node that is asked for evidence besides the usual one.
+    shutting_down: bool,
+    staleness: StalenessBound,
+    /// The validity that the data plane knows.
+    reported_validity: Option<ConfigurationValidity>,
+    /// Selects the next node that is queried for evidence besides the usual one.
     next_witness: usize,
-    named: BTreeMap<String, u64>,
-    /// The servers that are there, as registered.
+    /// The newest announced version of each model.
+    announced: BTreeMap<String, u64>,
+    /// The registered servers.
     servers: BTreeMap<Arc<str>, Registration>,
     /// Since when servers have been lost.
-    lost: HashMap<Arc<str>, Micros>,
-    due: Micros,
-    slow_due: Micros,
-    /// The next seed that is told of the view.
+    lost_since: HashMap<Arc<str>, Micros>,
+    next_tick: Micros,
+    next_slow_tick: Micros,
+    /// Selects the next seed that is sent the view.
     next_seed: usize,
-    seed_due: Micros,
-    /// The next node without a session that items are compared with.
+    next_seed_at: Micros,
+    /// Selects the next node without a session with which items are compared.
     next_absent: usize,
-    absent_due: Micros,
+    next_absent_at: Micros,
 }
 
 impl Node {
-    /// A node that knows nobody yet.
+    /// A node that knows no other yet.
     pub fn new(setup: NodeSetup) -> Self {
         let own = setup.session.identity().address;
-        let first_ticket = first_ticket(setup.session.identity());
+        let first_call_id = first_call_id(setup.session.identity());
         Node {
             own,
-            held: HeldSessions::new(own),
-            registry: Registry::new(own, setup.beat_every),
+            session_table: SessionTable::new(own),
+            registry: Registry::new(own, setup.heartbeat_interval),
             rollout: Rollout::new(setup.order_lease),
-            owners: Absence::default(),
-            ownerless: BTreeSet::new(),
-            waiting: BTreeMap::new(),
-            confirming: HashMap::new(),
-            next_ticket: first_ticket,
+            absent_owners: AbsenceTracker::default(),
+            without_owner: BTreeSet::new(),
+            pending_calls: BTreeMap::new(),
+            pending_publications: HashMap::new(),
+            last_call_id: first_call_id,
             peers: Vec::new(),
             rank: usize::MAX,
-            in_touch: false,
-            leading: false,
-            version_times: setup.version_times,
+            connected: false,
+            primary: false,
+            version_deadlines: setup.version_deadlines,
             machine_losses: setup.machine_losses,
-            leaving: false,
-            freshness: Freshness::new(setup.revoke_within, setup.now),
-            keys_shown: None,
+            shutting_down: false,
+            staleness: StalenessBound::new(setup.revoke_within, setup.now),
+            reported_validity: None,
             next_witness: 0,
-            named: BTreeMap::new(),
+            announced: BTreeMap::new(),
             servers: BTreeMap::new(),
-            lost: HashMap::new(),
-            due: setup.now,
-            slow_due: setup.now,
+            lost_since: HashMap::new(),
+            next_tick: setup.now,
+            next_slow_tick: setup.now,
             next_seed: 0,
-            seed_due: setup.now,
+            next_seed_at: setup.now,
             next_absent: 0,
-            absent_due: setup.now,
+            next_absent_at: setup.now,
             session: setup.session,
             replica: None,
             spread: setup.spread,
-            founding: setup.founding,
+            bootstrap: setup.bootstrap,
         }
     }
 
-    /// Takes in what has happened.
+    /// Handles an input at the time `now` of the driver's clock, then does what is due. Appends what is to be carried out.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Tick => {}
-            Input::Envelope(Envelope { from, content }) => self.receive(now, from, content, out),
-            Input::Call { ticket, call } => self.call(now, ticket, call, out),
-            Input::Persisted(token) => self.tell_replica(now, ReplicaInput::Persisted { token }, out),
-            Input::PersistFailed(token) => self.tell_replica(now, ReplicaInput::PersistFailed { token }, out),
-            Input::OrderAnswered { order, answer } => {
-                let steps = self.rollout.answered(now, &order, answer);
-                out.push(Output::Event(Event::OrderAnswered { order, answer }));
-                self.take_steps(now, steps, out);
+            Input::Envelope(Envelope { from, content }) => self.handle_message(now, from, content, out),
+            Input::Call { call_id, call } => self.handle_call(now, call_id, call, out),
+            Input::Persisted(token) => self.step_replica(now, ReplicaInput::Persisted { token }, out),
+            Input::PersistFailed(token) => self.step_replica(now, ReplicaInput::PersistFailed { token }, out),
+            Input::OrderCompleted { order, outcome } => {
+                let steps = self.rollout.handle_order_outcome(now, &order, outcome);
+                out.push(Output::Event(Event::OrderCompleted { order, outcome }));
+                self.carry_out_steps(now, steps, out);
             }
-            Input::Reported { server, model, version } => {
-                let steps = self.rollout.reported(&server, &model, version);
-                self.take_steps(now, steps, out);
+            Input::VersionReported { server, model, version } => {
+                let steps = self.rollout.handle_report(&server, &model, version);
+                self.carry_out_steps(now, steps, out);
             }
-            Input::Replica(replica) => {
+            Input::ReplicaOpened(replica) => {
                 self.session.set_replica(Some(replica.id().0));
                 self.replica = Some(*replica);
             }
-            Input::Store { name, alive } => self.store_changed(now, &name, alive, out),
-            Input::Seeds(seeds) => self.session.set_seeds(seeds),
-            Input::Leaving => self.leave(now, out),
+            Input::CacheStoreChanged { name, alive } => self.cache_store_changed(now, &name, alive, out),
+            Input::SeedsChanged(seeds) => self.session.set_seeds(seeds),
+            Input::ShutDown => self.shut_down(now, out),
         }
         self.tick(now, out);
     }
 
-    fn leave(&mut self, now: Micros, out: &mut Vec<Output>) {
-        self.leaving = true;
+    fn shut_down(&mut self, now: Micros, out: &mut Vec<Output>) {
+        self.shutting_down = true;
         self.spread.leave();
         match self.replica {
-            Some(_) => self.tell_replica(now, ReplicaInput::Leaving, out),
-            None => out.push(Output::MayEnd),
+            Some(_) => self.step_replica(now, ReplicaInput::Leaving, out),
+            None => out.push(Output::ReadyToExit),
         }
     }
 
-    fn receive(&mut self, now: Micros, from: SocketAddrV4, content: Content, out: &mut Vec<Output>) {
+    fn handle_message(&mut self, now: Micros, from: SocketAddrV4, content: Content, out: &mut Vec<Output>) {
         match content {
             Content::Control(message) => {
-                self.tell_replica(now, ReplicaInput::Message { from, message }, out);
+                self.step_replica(now, ReplicaInput::Message { from, message }, out);
             }
             Content::Spread(message) => {
                 let mut results = Vec::new();
                 self.spread.receive(now, from, message, &mut results);
-                self.on_spread_outputs(now, results, out);
+                self.handle_spread_outputs(now, results, out);
             }
-            Content::SessionBeat(beat) => self.session_beat(now, from, &beat, out),
-            Content::SessionGrant(grant) => {
-                self.session.receive(now, from, &grant);
+            Content::SessionBeat(heartbeat) => self.handle_session_heartbeat(now, from, &heartbeat, out),
+            Content::SessionGrant(reply) => {
+                self.session.handle_reply(now, from, &reply);
             }
-            Content::Found(view) => self.tell_replica(now, ReplicaInput::Found { view }, out),
-            Content::Forward(forward) => self.forwarded_call(now, from, forward, out),
-            Content::Forwarded(answer) => self.forwarded_answer(now, from, &answer, out),
-            Content::NewestAsk(ask) => self.newest_asked(now, from, ask, out),
-            Content::NewestTold(told) => self.newest_told(told),
+            Content::Found(view) => self.step_replica(now, ReplicaInput::Found { view }, out),
+            Content::Forward(forwarded) => self.handle_forwarded_call(now, from, forwarded, out),
+            Content::Forwarded(reply) => self.handle_forwarded_reply(now, from, &reply, out),
+            Content::NewestAsk(query) => self.handle_version_query(now, from, query, out),
+            Content::NewestTold(reply) => self.handle_version_reply(reply),
         }
     }
 
     /// Does what is due.
     fn tick(&mut self, now: Micros, out: &mut Vec<Output>) {
         if self.replica.as_ref().is_some_and(|replica| replica.next_wake() <= now) {
-            self.tell_replica(now, ReplicaInput::Tick, out);
+            self.step_replica(now, ReplicaInput::Tick, out);
         }
         if self.spread.next_wake() <= now {
             let mut results = Vec::new();
             self.spread.tick(now, &mut results);
-            self.on_spread_outputs(now, results, out);
+            self.handle_spread_outputs(now, results, out);
         }
         self.tick_session(now, out);
-        self.tick_founding(now, out);
-        self.tick_freshness(now, out);
-        if now >= self.due {
-            self.due = now + TICK_EVERY;
-            self.tick_members(now, out);
+        self.tick_bootstrap(now, out);
+        self.tick_staleness(now, out);
+        if now >= self.next_tick {
+            self.next_tick = now + TICK_INTERVAL;
+            self.tick_membership(now, out);
             self.tick_servers(now, out);
-            self.tick_duties(now, out);
-            self.tick_calls(now, out);
+            self.tick_singleton_roles(now, out);
+            self.tick_pending_calls(now, out);
         }
-        if now >= self.slow_due {
-            self.slow_due = now + SLOW_TICK_EVERY;
-            self.ownerless(now, out);
-            self.remove_lost(now, out);
+        if now >= self.next_slow_tick {
+            self.next_slow_tick = now + SLOW_TICK_INTERVAL;
+            self.tick_absent_owners(now, out);
+            self.remove_lost_servers(now, out);
         }
     }
 
-    /// When [`Node::handle`] has something to do by itself.
+    /// When [`Node::handle`] has something to do without an event.
     pub fn next_wake(&self) -> Micros {
-        let founding = self.founding.as_ref().map_or(Micros::MAX, Founding::next_wake);
+        let bootstrap = self.bootstrap.as_ref().map_or(Micros::MAX, Bootstrap::next_wake);
         let replica = self.replica.as_ref().map_or(Micros::MAX, Replica::next_wake);
-        let session = self.session.next_wake();
-        let due = [founding, replica, session, self.spread.next_wake(), self.freshness.next_wake(), self.due];
-        due.into_iter().min().unwrap_or(self.due)
+        let (session, spread) = (self.session.next_wake(), self.spread.next_wake());
+        let wakes = [bootstrap, replica, session, spread, self.staleness.next_wake(), self.next_tick];
+        wakes.into_iter().min().unwrap_or(self.next_tick)
     }
 
-    /// Hands something to the replica and carries out what comes of it.
-    fn tell_replica(&mut self, now: Micros, input: ReplicaInput, out: &mut Vec<Output>) {
+    /// Hands an input to the replica and handles its outputs.
+    fn step_replica(&mut self, now: Micros, input: ReplicaInput, out: &mut Vec<Output>) {
         let Some(replica) = &mut self.replica else { return };
         let mut results = Vec::new();
         replica.handle(now, input, &mut results);
         for result in results {
-            self.on_replica_output(now, result, out);
+            self.handle_replica_output(now, result, out);
         }
     }
 
-    fn on_replica_output(&mut self, now: Micros, result: ReplicaOutput, out: &mut Vec<Output>) {
+    fn handle_replica_output(&mut self, now: Micros, result: ReplicaOutput, out: &mut Vec<Output>) {
         match result {
             ReplicaOutput::Send { to, message } => {
                 out.push(Output::Send { to, content: Content::Control(message) });
             }
             ReplicaOutput::Persist { token, records } => out.push(Output::Persist { token, records }),
-            ReplicaOutput::Answer { ticket, outcome } => self.decided(now, ticket.0, outcome, out),
-            ReplicaOutput::Committed { state } => self.committed(now, &state, out),
+            ReplicaOutput::Answer { ticket, outcome } => self.handle_decision(now, ticket.0, outcome, out),
+            ReplicaOutput::Committed { state } => self.publish_committed(now, &state, out),
             ReplicaOutput::Leading { epoch } => {
-                self.leading = true;
-                self.rollout.lead(now, epoch);
-                self.postpone_weights(now, epoch, out);
-                self.release_marks(now, epoch, out);
-                out.push(Output::Event(Event::Leading { epoch }));
+                self.primary = true;
+                self.rollout.become_primary(now, epoch);
+                self.extend_version_deadlines(now, epoch, out);
+                self.release_earlier_reservations(now, epoch, out);
+                out.push(Output::Event(Event::BecamePrimary { epoch }));
             }
             ReplicaOutput::NotLeading => {
-                self.leading = false;
-                self.rollout.stop();
-                out.push(Output::Event(Event::NotLeading));
+                self.primary = false;
+                self.rollout.step_down();
+                out.push(Output::Event(Event::SteppedDown));
             }
-            ReplicaOutput::MayEnd => out.push(Output::MayEnd),
+            ReplicaOutput::MayEnd => out.push(Output::ReadyToExit),
         }
     }
 
-    fn on_spread_outputs(&mut self, now: Micros, results: Vec<SpreadOutput>, out: &mut Vec<Output>) {
+    fn handle_spread_outputs(&mut self, now: Micros, results: Vec<SpreadOutput>, out: &mut Vec<Output>) {
         for result in results {
             match result {
                 SpreadOutput::Send { to, message } => {
                     out.push(Output::Send { to, content: Content::Spread(message) });
                 }
-                SpreadOutput::Changed(item) => self.changed(now, &item, out),
-                SpreadOutput::Confirmed { ticket } => self.confirmed(ticket, true, out),
-                SpreadOutput::Unconfirmed { ticket } => self.confirmed(ticket, false, out),
+                SpreadOutput::Changed(item) => self.handle_item(now, &item, out),
+                SpreadOutput::Confirmed { ticket } => self.handle_acknowledgment(ticket, true, out),
+                SpreadOutput::Unconfirmed { ticket } => self.handle_acknowledgment(ticket, false, out),
             }
         }
     }
 
-    fn ticket(&mut self) -> u64 {
-        self.next_ticket = self.next_ticket.wrapping_add(1);
-        self.next_ticket
+    fn next_call_id(&mut self) -> u64 {
+        self.last_call_id = self.last_call_id.wrapping_add(1);
+        self.last_call_id
     }
 }
 
-/// Where the tickets of a process begin: far from those of any other process at this address, so that an answer to a
-/// call of an earlier one names no call of this one.
-fn first_ticket(identity: &Identity) -> u64 {
+/// Where the call ids of a process begin: far from those of any other process at this address, so that the reply to a
+/// forwarded call of an earlier one matches no call of this one.
+fn first_call_id(identity: &Identity) -> u64 {
     crate::mix(crate::mix(identity.incarnation) ^ u64::from(u32::from(*identity.address.ip())))
 }
--- /dev/null
+++ b/controlplane/src/node/api_calls.rs
@@ -0,0 +1,375 @@
+//! API calls: those of servers, and those that the primary decides: taken here, forwarded, answered.
+
+use std::net::SocketAddrV4;
+use std::sync::Arc;
+
+use gradepaddle_config::{Configuration, Findings, Patch};
+use gradepaddle_control::{Change, ControlState, Input as ReplicaInput, Outcome, Ticket};
+use gradepaddle_proto::{Content, ControlCall, Forward, Forwarded};
+use gradepaddle_spread::{Copies, Stamp};
+
+use super::{Node, Output};
+use crate::Micros;
+use crate::api::{Call, Response, fingerprint_number, invalid, patch_fingerprint_number};
+use crate::item_kinds::{self, CONFIGURATION, CONFIGURATION_KEY, MODEL_VERSION};
+use crate::registry::Decision;
+
+/// The body to which a patch of no configuration applies.
+const EMPTY: &[u8] = b"{}";
+/// A call that the primary has not decided within this is answered by 503. Callers go on to another node after a second
+/// without a response, and sooner after such a one.
+const CALL_TIMEOUT: Micros = 750_000;
+/// So much longer for each byte of its body, which has to reach the primary and its backups first.
+const CALL_TIMEOUT_PER_BYTE: Micros = 1;
+
+/// Where the response to a call goes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Caller {
+    /// A caller at this node, by the driver's call id.
+    Local(u64),
+    /// The node that forwarded the call, with its own call id.
+    Peer(SocketAddrV4, u64),
+}
+
+/// A call that waits for a decision.
+pub(super) struct PendingCall {
+    caller: Caller,
+    /// Who decides it: this node, or the primary to which it was forwarded.
+    decider: SocketAddrV4,
+    since: Micros,
+    until: Micros,
+}
+
+/// A server's call that waits until other nodes have acknowledged what it published.
+pub(super) enum PendingPublication {
+    Drain(Arc<str>),
+    Leave(Arc<str>),
+}
+
+impl Node {
+    pub(super) fn handle_call(&mut self, now: Micros, call_id: u64, call: Call, out: &mut Vec<Output>) {
+        match call {
+            Call::Heartbeat { id, heartbeat } => {
+                let decision = self.registry.heartbeat(now, &id, &heartbeat, &self.spread);
+                self.publish_registration(
+                    now,
+                    call_id,
+                    decision,
+                    PendingPublication::Drain(Arc::from(id)),
+                    out,
+                );
+            }
+            Call::Leave { id } => {
+                let decision = self.registry.leave(&id, &self.spread);
+                self.publish_registration(
+                    now,
+                    call_id,
+                    decision,
+                    PendingPublication::Leave(Arc::from(id)),
+                    out,
+                );
+            }
+            Call::PutConfiguration { if_match, version, body } => {
+                let call = ControlCall::PutConfiguration { if_match, version, body };
+                self.decide(now, Caller::Local(call_id), call, true, out);
+            }
+            Call::PatchConfiguration { if_match, version, patch } => {
+                let call = ControlCall::PatchConfiguration { if_match, version, patch };
+                self.decide(now, Caller::Local(call_id), call, true, out);
+            }
+            Call::GetConfiguration => {
+                self.decide(now, Caller::Local(call_id), ControlCall::GetConfiguration, true, out);
+            }
+            Call::NameVersion { model, version } => {
+                let call = ControlCall::NameVersion { model: Arc::from(model), version };
+                self.decide(now, Caller::Local(call_id), call, true, out);
+            }
+            Call::Status => out.push(Output::Respond { call_id, response: self.status(now) }),
+        }
+    }
+
+    /// Publishes what a server's call says, and responds at once or when other nodes have acknowledged it.
+    fn publish_registration(
+        &mut self,
+        now: Micros,
+        call_id: u64,
+        decision: Decision,
+        pending: PendingPublication,
+        out: &mut Vec<Output>,
+    ) {
+        let mut results = Vec::new();
+        match decision {
+            Decision::Acknowledge => out.push(success(call_id)),
+            Decision::Publish(item) => {
+                self.spread.publish(now, item, &mut results);
+                out.push(success(call_id));
+            }
+            Decision::PublishAcknowledged(item) => {
+                self.pending_publications.insert(call_id, pending);
+                let core = self.other_control_balancers();
+                let copies = self.required_copies(&core);
+                self.spread.publish_confirmed(now, item, call_id, copies, &mut results);
+            }
+        }
+        self.handle_spread_outputs(now, results, out);
+    }
+
+    fn other_control_balancers(&self) -> Vec<SocketAddrV4> {
+        self.session.view().members.iter().copied().filter(|member| *member != self.own).collect()
+    }
+
+    /// How many nodes have to have what a server said of its end before it is acknowledged.
+    ///
+    /// Of the control balancers, `machine_losses` may be lost at once, so one more has to have it; this node counts if it
+    /// is one and stays. All of them may lose power at once, and any number of the other nodes may go: so one of the
+    /// others needs it, too.
+    fn required_copies<'a>(&self, core: &'a [SocketAddrV4]) -> Copies<'a> {
+        let is_member = self.session.view().members.contains(&self.own);
+        let counts_itself = !self.shutting_down && is_member;
+        let inside = self.machine_losses + usize::from(!counts_itself);
+        let outside = usize::from(self.shutting_down || is_member);
+        Copies { count: self.machine_losses + 1, group: core, inside, outside }
+    }
+
+    pub(super) fn handle_acknowledgment(&mut self, call_id: u64, acknowledged: bool, out: &mut Vec<Output>) {
+        let pending = self.pending_publications.remove(&call_id);
+        if !acknowledged {
+            let response = Response::unavailable("no other node holds it yet");
+            out.push(Output::Respond { call_id, response });
+            return;
+        }
+        match pending {
+            Some(PendingPublication::Drain(id)) => self.registry.drain_acknowledged(&id),
+            Some(PendingPublication::Leave(id)) => self.registry.leave_acknowledged(&id),
+            None => {}
+        }
+        out.push(success(call_id));
+    }
+
+    /// Has a call decided: here, if this node is the primary, else by the primary, to which it is forwarded once.
+    fn decide(
+        &mut self,
+        now: Micros,
+        caller: Caller,
+        call: ControlCall,
+        may_forward: bool,
+        out: &mut Vec<Output>,
+    ) {
+        if self.may_decide(now, &call) {
+            return self.decide_here(now, caller, call, out);
+        }
+        let primary = self.session.view().primary.filter(|primary| *primary != self.own);
+        match primary {
+            Some(primary) if may_forward => {
+                let ticket = self.add_pending(PendingCall::new(now, caller, primary, &call));
+                let content = Content::Forward(Forward { ticket, call });
+                out.push(Output::Send { to: primary, content });
+            }
+            _ => respond(now, caller, Response::unavailable("no primary is known"), out),
+        }
+    }
+
+    fn may_decide(&self, now: Micros, call: &ControlCall) -> bool {
+        let Some(replica) = &self.replica else { return false };
+        match call {
+            ControlCall::GetConfiguration => replica.read(now).is_some(),
+            _ => replica.leading(now).is_some(),
+        }
+    }
+
+    fn decide_here(&mut self, now: Micros, caller: Caller, call: ControlCall, out: &mut Vec<Output>) {
+        let pending = PendingCall::new(now, caller, self.own, &call);
+        let change = match call {
+            ControlCall::GetConfiguration => return respond(now, caller, self.read_configuration(now), out),
+            ControlCall::PutConfiguration { if_match, version, body } => {
+                let fingerprint = fingerprint_number(&body);
+                Change::PutConfiguration { if_match, version, body, fingerprint }
+            }
+            ControlCall::PatchConfiguration { if_match, version, patch } => {
+                match self.change_of_patch(now, if_match, version, &patch) {
+                    Ok(change) => change,
+                    Err(response) => return respond(now, caller, response, out),
+                }
+            }
+            ControlCall::NameVersion { model, version } => {
+                Change::NameVersion { model: model.to_string(), version }
+            }
+        };
+        let ticket = Ticket(self.add_pending(pending));
+        self.step_replica(now, ReplicaInput::Propose { ticket, change }, out);
+    }
+
+    /// The change that a patch makes of the configuration in force, if that is the one it applies to.
+    ///
+    /// A patch of a version is the same change at all times: versions only rise, so no other configuration of that version
+    /// is ever in force. If another one is committed before the change is proposed, it is rejected like any change of an
+    /// older version.
+    ///
+    /// # Errors
+    ///
+    /// The response to a patch that needs no decision of the replica, or whose result is invalid.
+    fn change_of_patch(
+        &self,
+        now: Micros,
+        if_match: u64,
+        version: u64,
+        patch: &[u8],
+    ) -> Result<Change, Response> {
+        let Some(read) = self.replica.as_ref().and_then(|replica| replica.read(now)) else {
+            return Err(Response::unavailable("this node does not lead"));
+        };
+        let until = read.lease.until;
+        let fingerprint = patch_fingerprint_number(if_match, patch);
+        if let Some(outcome) = read.state.judge_configuration(if_match, version, fingerprint).outcome() {
+            return Err(response_to(outcome).before(until));
+        }
+        let base = read.state.configuration.as_ref().map_or(EMPTY, |known| &known.body);
+        match apply_patch(patch, base) {
+            Ok(body) => Ok(Change::PutConfiguration { if_match, version, body, fingerprint }),
+            Err(findings) => Err(invalid(findings).before(until)),
+        }
+    }
+
+    /// The newest configuration, valid as long as the lease lasts.
+    fn read_configuration(&self, now: Micros) -> Response {
+        let Some(read) = self.replica.as_ref().and_then(|replica| replica.read(now)) else {
+            return Response::unavailable("this node does not lead");
+        };
+        let response = match &read.state.configuration {
+            Some(configuration) => Response { body: Arc::clone(&configuration.body), ..Response::bare(200) },
+            None => Response::message(404, "there is no configuration yet"),
+        };
+        response.before(read.lease.until)
+    }
+
+    fn add_pending(&mut self, pending: PendingCall) -> u64 {
+        let call_id = self.next_call_id();
+        self.pending_calls.insert(call_id, pending);
+        call_id
+    }
+
+    /// Handles the replica's decision. What is conclusive may be sent within the lease only.
+    pub(super) fn handle_decision(
+        &mut self,
+        now: Micros,
+        call_id: u64,
+        outcome: Outcome,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(pending) = self.pending_calls.remove(&call_id) else { return };
+        let lease = self.replica.as_ref().and_then(|replica| replica.held_lease(now));
+        let lease_end = lease.map_or(now, |lease| lease.until);
+        respond(now, pending.caller, response_to(outcome).before(lease_end.min(pending.until)), out);
+    }
+
+    pub(super) fn handle_forwarded_call(
+        &mut self,
+        now: Micros,
+        from: SocketAddrV4,
+        forwarded: Forward,
+        out: &mut Vec<Output>,
+    ) {
+        self.decide(now, Caller::Peer(from, forwarded.ticket), forwarded.call, false, out);
+    }
+
+    /// Handles the reply to a forwarded call, if it comes from the node to which that was forwarded. The primary's lease
+    /// lasted for `lease_left` when it replied, which was after the call was forwarded: counted from then, the lease
+    /// ends no later by this node's clock.
+    pub(super) fn handle_forwarded_reply(
+        &mut self,
+        now: Micros,
+        from: SocketAddrV4,
+        reply: &Forwarded,
+        out: &mut Vec<Output>,
+    ) {
+        let expected = self.pending_calls.get(&reply.ticket).is_some_and(|pending| pending.decider == from);
+        if !expected {
+            return;
+        }
+        let Some(pending) = self.pending_calls.remove(&reply.ticket) else { return };
+        let lease_end = pending.since.saturating_add(reply.lease_left);
+        let response = Response { status: reply.status, body: reply.body.clone(), valid_until: None };
+        respond(now, pending.caller, response.before(lease_end.min(pending.until)), out);
+    }
+
+    /// Responds to calls that have waited for too long.
+    pub(super) fn tick_pending_calls(&mut self, now: Micros, out: &mut Vec<Output>) {
+        let timed_out = self.pending_calls.iter().filter(|(_, pending)| pending.until <= now);
+        let timed_out: Vec<u64> = timed_out.map(|(call_id, _)| *call_id).collect();
+        for call_id in timed_out {
+            if let Some(pending) = self.pending_calls.remove(&call_id) {
+                let response = Response::unavailable("the primary did not answer in time");
+                respond(now, pending.caller, response, out);
+            }
+        }
+    }
+
+    /// Gossips a committed state to all nodes.
+    pub(super) fn publish_committed(&mut self, now: Micros, state: &ControlState, out: &mut Vec<Output>) {
+        let mut results = Vec::new();
+        if let Some(configuration) = &state.configuration {
+            let stamp = Stamp { major: configuration.version, minor: 0 };
+            let payload = configuration.body.to_vec();
+            let item = item_kinds::item(CONFIGURATION, CONFIGURATION_KEY, stamp, payload);
+            self.spread.publish(now, item, &mut results);
+        }
+        for (model, version) in &state.models {
+            let stamp = Stamp { major: *version, minor: 0 };
+            let item = item_kinds::item(MODEL_VERSION, model, stamp, Vec::new());
+            self.spread.publish(now, item, &mut results);
+        }
+        self.handle_spread_outputs(now, results, out);
+    }
+}
+
+impl PendingCall {
+    fn new(now: Micros, caller: Caller, decider: SocketAddrV4, call: &ControlCall) -> Self {
+        let bytes = match call {
+            ControlCall::PutConfiguration { body, .. } => body.len() as Micros,
+            ControlCall::PatchConfiguration { patch, .. } => patch.len() as Micros,
+            _ => 0,
+        };
+        PendingCall { caller, decider, since: now, until: now + CALL_TIMEOUT + bytes * CALL_TIMEOUT_PER_BYTE }
+    }
+}
+
+fn success(call_id: u64) -> Output {
+    Output::Respond { call_id, response: Response::bare(200) }
+}
+
+/// The response to a call with this outcome.
+fn response_to(outcome: Outcome) -> Response {
+    match outcome {
+        Outcome::Taken => Response::bare(200),
+        Outcome::Conflict { current } => Response::message(412, &format!("version {current} is in place")),
+        Outcome::NotAbove { current } => {
+            Response::message(400, &format!("the version is not above {current}, which is in place"))
+        }
+        Outcome::NotPrimary { .. } => Response::unavailable("this node does not lead"),
+        Outcome::Unknown => Response::unavailable("the change may be in force or not"),
+    }
+}
+
+/// The body of the configuration that a patch makes.
+///
+/// # Errors
+///
+/// [`Findings`] if the patch does not apply, or its result is invalid.
+fn apply_patch(patch: &[u8], base: &[u8]) -> Result<Arc<[u8]>, Findings> {
+    let body = Patch::parse(patch)?.apply(base)?;
+    Configuration::parse(&body)?;
+    Ok(Arc::from(body))
+}
+
+fn respond(now: Micros, caller: Caller, response: Response, out: &mut Vec<Output>) {
+    let response = response.at(now);
+    match caller {
+        Caller::Local(call_id) => out.push(Output::Respond { call_id, response }),
+        Caller::Peer(to, ticket) => {
+            let Response { status, body, valid_until } = response;
+            let lease_left = valid_until.map_or(0, |until| until - now);
+            let reply = Forwarded { ticket, status, body, lease_left };
+            out.push(Output::Send { to, content: Content::Forwarded(reply) });
+        }
+    }
+}
--- a/controlplane/src/node/messages.rs
+++ b/controlplane/src/node/messages.rs
@@ -1,4 +1,4 @@
-//! What happens to a node, what it is to do, and what is worth a line in its log.
+//! The inputs and outputs of a node, and its events for the log.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -8,35 +8,35 @@
 use gradepaddle_proto::{Content, Envelope};
 
 use crate::Micros;
-use crate::calls::{Answer, Call};
-use crate::rollout::{Order, OrderAnswer, Ordered};
+use crate::api::{Call, Response};
+use crate::rollout::{Order, OrderOutcome, Reservation};
 
-/// What happens to a node.
+/// An input of a node.
 pub enum Input {
     /// Time has passed.
     Tick,
     /// A message of another node.
     Envelope(Envelope),
-    /// A server or the operator calls.
+    /// A server or an operator calls.
     Call {
-        /// Names the answer.
-        ticket: u64,
+        /// Names the call in [`Output::Respond`].
+        call_id: u64,
         /// The call.
         call: Call,
     },
-    /// A write is on disk.
+    /// A write is durable.
     Persisted(Token),
-    /// A write failed.
+    /// A write has failed.
     PersistFailed(Token),
-    /// A server answered an order.
-    OrderAnswered {
+    /// An order has ended.
+    OrderCompleted {
         /// The order.
         order: Order,
-        /// Its answer.
-        answer: OrderAnswer,
+        /// Its outcome.
+        outcome: OrderOutcome,
     },
-    /// A server reported the version of a model that it holds.
-    Reported {
+    /// A server has reported a loaded model version.
+    VersionReported {
         /// The server.
         server: Arc<str>,
         /// The model.
@@ -44,27 +44,27 @@
         /// The version.
         version: u64,
     },
-    /// The disk is open: this node keeps a replica from now on.
-    Replica(Box<Replica>),
-    /// A store of kept parts answers, or does so no longer.
-    Store {
-        /// The store.
+    /// The disk is open: this node has a replica from now on.
+    ReplicaOpened(Box<Replica>),
+    /// A cache store has begun or ceased to respond to this node.
+    CacheStoreChanged {
+        /// The cache store.
         name: Arc<str>,
-        /// It answers.
+        /// It responds.
         alive: bool,
     },
-    /// The settings name other seeds.
-    Seeds(Vec<SocketAddrV4>),
-    /// The process is about to end.
-    Leaving,
+    /// The settings have new seeds.
+    SeedsChanged(Vec<SocketAddrV4>),
+    /// The process is about to exit.
+    ShutDown,
 }
 
-/// That none of a configuration's keys has been taken away, as far as is known.
+/// Until when the keys of a configuration may be accepted: as far as is known, none of them has been revoked.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct KeysShown {
-    /// The version of the configuration; older ones are not meant.
+pub struct ConfigurationValidity {
+    /// The version of the configuration; it says nothing of older ones.
     pub version: u64,
-    /// Until when, by the node's clock, that is good; 0 if nothing shows it.
+    /// The end by the driver's clock; 0 without any evidence.
     pub until: Micros,
 }
 
@@ -77,74 +77,75 @@
     pub zone: Arc<str>,
 }
 
-/// What a node is to do.
+/// An output of a node, to be carried out in order.
 #[derive(Debug)]
+#[must_use = "an output has to be carried out"]
 pub enum Output {
-    /// Send to another node.
+    /// Send a message to another node.
     Send {
-        /// To whom.
+        /// The receiver.
         to: SocketAddrV4,
-        /// What.
+        /// The message.
         content: Content,
     },
-    /// Write to disk.
+    /// Write records to disk.
     Persist {
-        /// Names the end of the write.
+        /// Names the write in [`Input::Persisted`].
         token: Token,
-        /// What.
+        /// The records.
         records: Vec<Record>,
     },
-    /// Answer a call.
-    Answer {
+    /// Respond to a call.
+    Respond {
         /// The call.
-        ticket: u64,
-        /// The answer.
-        answer: Answer,
+        call_id: u64,
+        /// The response.
+        response: Response,
     },
     /// Put this configuration in force.
-    Configure(Arc<[u8]>),
-    /// A server is there, or has changed.
-    Server(ServerEntry),
-    /// A server is gone.
-    ServerGone(Arc<str>),
+    ApplyConfiguration(Arc<[u8]>),
+    /// A server has been registered, or has changed.
+    ServerChanged(ServerEntry),
+    /// A server has been removed.
+    ServerRemoved(Arc<str>),
     /// The other balancers.
-    Peers(Vec<MemberNode>),
-    /// This node's place in an order of all nodes that all agree on, from 0.
-    Rank(usize),
-    /// Another node has told whether a store answers.
-    Store {
-        /// The store.
+    PeersChanged(Vec<MemberNode>),
+    /// This node's listener rank: its place, from 0, in an order on which all nodes agree.
+    RankChanged(usize),
+    /// A node reports whether a cache store responds.
+    CacheStoreChanged {
+        /// The cache store.
         name: Arc<str>,
-        /// It answers.
+        /// It responds.
         alive: bool,
     },
-    /// Newer weights were named.
-    WeightsNamed {
+    /// A newer model version was announced.
+    VersionAnnounced {
         /// The model.
         model: Arc<str>,
         /// The version.
         version: u64,
-        /// From when on nothing older may begin, counted from now.
-        binds_in: Micros,
+        /// Microseconds from now until no request may start on an older version.
+        deadline_in: Micros,
     },
-    /// The time within which a version has to be in use begins anew.
-    WeightsPostponed {
+    /// The deadline of an announced version was extended.
+    VersionDeadlineExtended {
         /// The model.
         model: Arc<str>,
         /// The version.
         version: u64,
-        /// From when on nothing older may begin, counted from now.
-        binds_in: Micros,
+        /// Microseconds from now until no request may start on an older version.
+        deadline_in: Micros,
     },
-    /// A server is about to load weights: nothing new goes there for this long.
-    Hold {
+    /// Send no new requests to a server: it is about to load a model version.
+    PauseServer {
         /// The server.
         server: Arc<str>,
-        /// For how long; 0: no longer.
+        /// For how long, in microseconds; 0 ends the pause.
         span: Micros,
     },
-    /// A server holds this version of a model.
-    Holds {
+    /// A server has loaded a model version.
+    ServerHasVersion {
         /// The server.
         server: Arc<str>,
         /// The model.
@@ -152,73 +153,73 @@
         /// The version.
         version: u64,
     },
-    /// Give an order to a server.
-    Order(Order),
-    /// Ask a server for its report.
-    Ask {
+    /// Send an order to a server.
+    SendOrder(Order),
+    /// Query which model versions a server has loaded.
+    QueryServer {
         /// The server.
         server: Arc<str>,
         /// Where it is reached.
         address: SocketAddrV4,
     },
-    /// The node has, or lacks, a session with control.
-    InTouch(bool),
-    /// Until when the keys of a configuration may be acted on. Never given where that depends on nothing.
-    Keys(KeysShown),
-    /// What is worth a line in the log.
+    /// The node is connected: it has a session with a control balancer, or is the primary. Or it is not any longer.
+    Connected(bool),
+    /// Until when the keys of a configuration may be accepted. Never given where that has no bound.
+    ConfigurationValidity(ConfigurationValidity),
+    /// An event for the log.
     Event(Event),
-    /// The control state is in other hands: the process may end.
-    MayEnd,
+    /// The control state is in other hands: the process may exit.
+    ReadyToExit,
 }
 
-/// What is worth a line in the log.
+/// An event for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// This node leads the control state.
-    Leading {
+    /// This node has become the primary of the control state.
+    BecamePrimary {
         /// The epoch.
         epoch: u64,
     },
-    /// It does not any longer.
-    NotLeading,
-    /// It told others of the first view.
-    Founded {
-        /// How many members it has.
+    /// It is the primary no longer.
+    SteppedDown,
+    /// It has made the first view and sends it to the members.
+    Bootstrapped {
+        /// The number of members.
         members: usize,
     },
-    /// A model server has fallen silent.
-    ServerLost {
+    /// The heartbeats of a model server have timed out.
+    ServerTimedOut {
         /// The server.
         id: Arc<str>,
     },
-    /// This node has heard that newer weights were named.
-    VersionNamed {
+    /// This node has learned of a newer model version.
+    VersionAnnounced {
         /// The model.
         model: Arc<str>,
         /// The version.
         version: u64,
-        /// From when on nothing older may begin, counted from now.
-        binds_in: Micros,
+        /// Microseconds from now until no request may start on an older version.
+        deadline_in: Micros,
     },
-    /// This node, which leads, holds a server back from new requests: it is to load a version.
-    LoadingBegun {
+    /// This primary has reserved a server for loading a model version.
+    ServerReserved {
         /// The server.
         server: Arc<str>,
         /// What it is to load.
-        target: Ordered,
+        reservation: Reservation,
     },
-    /// It is open again: it holds the version, or was given up.
-    LoadingEnded {
+    /// This primary has released a server.
+    ServerReleased {
         /// The server.
         server: Arc<str>,
-        /// What it was to load, and whether it holds that.
-        target: Ordered,
+        /// What it was to load, and whether it has.
+        reservation: Reservation,
     },
-    /// A server answered an order, or did not in time.
-    OrderAnswered {
+    /// An order has ended.
+    OrderCompleted {
         /// The order.
         order: Order,
-        /// The answer.
-        answer: OrderAnswer,
+        /// Its outcome.
+        outcome: OrderOutcome,
     },
 }
--- /dev/null
+++ b/controlplane/src/node/staleness.rs
@@ -0,0 +1,82 @@
+//! Evidence of which configuration is the newest: queried, given to other nodes, and the validity that follows.
+
+use std::net::SocketAddrV4;
+
+use gradepaddle_proto::{Content, NewestAsk, NewestTold};
+
+use super::{ConfigurationValidity, Node, Output};
+use crate::Micros;
+use crate::item_kinds::{CONFIGURATION, CONFIGURATION_KEY};
+use crate::staleness::NewestVersion;
+
+impl Node {
+    /// Sends the queries that are due, and reports the validity of the configuration to the data plane where it changed.
+    pub(super) fn tick_staleness(&mut self, now: Micros, out: &mut Vec<Output>) {
+        if !self.staleness.is_required() {
+            return;
+        }
+        self.observe_own_state(now);
+        if self.staleness.poll_query_due(now) {
+            for witness in self.witnesses(now) {
+                let name = self.next_call_id();
+                self.staleness.query_sent(now, name);
+                out.push(Output::Send { to: witness, content: Content::NewestAsk(NewestAsk { name }) });
+            }
+        }
+        let version = self.spread.stamp(CONFIGURATION, CONFIGURATION_KEY).map_or(0, |stamp| stamp.major);
+        let until = self.staleness.valid_until(version);
+        let validity = until.map(|until| ConfigurationValidity { version, until });
+        if let Some(changed) = validity.filter(|_| validity != self.reported_validity) {
+            self.reported_validity = validity;
+            out.push(Output::ConfigurationValidity(changed));
+        }
+    }
+
+    /// A primary has evidence of its own, as long as its lease lasts.
+    fn observe_own_state(&mut self, now: Micros) {
+        if let Some(read) = self.replica.as_ref().and_then(|replica| replica.read(now)) {
+            self.staleness.observe(now, read.state.current_version());
+        }
+    }
+
+    /// The nodes to query: for a control balancer the primary, for all others the control balancer of their session. While
+    /// the evidence is stale, a control balancer and any other node besides, in turn: any node may have evidence, also
+    /// where the core can't be reached.
+    fn witnesses(&mut self, now: Micros) -> Vec<SocketAddrV4> {
+        let view = self.session.view();
+        let is_member = view.members.contains(&self.own);
+        let first = if is_member { view.primary } else { self.session.control() };
+        let mut witnesses: Vec<SocketAddrV4> = first.into_iter().collect();
+        if self.staleness.is_stale(now) {
+            let turn = self.next_witness;
+            self.next_witness += 1;
+            let in_turn = |nodes: &[SocketAddrV4]| nodes.get(turn % nodes.len().max(1)).copied();
+            witnesses.extend(in_turn(&view.members));
+            witnesses.extend(in_turn(&self.peers));
+        }
+        witnesses.retain(|witness| *witness != self.own);
+        witnesses.sort();
+        witnesses.dedup();
+        witnesses
+    }
+
+    /// Replies to another node's query, if there is evidence.
+    pub(super) fn handle_version_query(
+        &mut self,
+        now: Micros,
+        from: SocketAddrV4,
+        query: NewestAsk,
+        out: &mut Vec<Output>,
+    ) {
+        self.observe_own_state(now);
+        if let Some(newest) = self.staleness.newest(now) {
+            let reply = NewestTold { name: query.name, version: newest.version, age: newest.age };
+            out.push(Output::Send { to: from, content: Content::NewestTold(reply) });
+        }
+    }
+
+    /// Handles the reply to a query.
+    pub(super) fn handle_version_reply(&mut self, reply: NewestTold) {
+        self.staleness.handle_reply(reply.name, NewestVersion { version: reply.version, age: reply.age });
+    }
+}
--- a/controlplane/src/node/status.rs
+++ b/controlplane/src/node/status.rs
@@ -1,18 +1,19 @@
-//! The state of a node for operators.
+//! The state of a node for operators: `GET /v1/status`.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
+use gradepaddle_control::Role;
 use gradepaddle_proto::Registration;
 use serde::Serialize;
 
 use super::Node;
 use crate::Micros;
-use crate::calls::Answer;
-use crate::kinds::{CONFIGURATION, CONFIGURATION_KEY};
-use crate::sessions;
+use crate::api::Response;
+use crate::item_kinds::{CONFIGURATION, CONFIGURATION_KEY};
+use crate::session_table;
 
-/// The state of a node for operators.
+/// The state of a node, as `GET /v1/status` shows it to operators. Field names are part of the API.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Status {
@@ -22,18 +23,20 @@
     epoch: u64,
     primary: Option<SocketAddrV4>,
     members: Vec<SocketAddrV4>,
-    role: Option<String>,
+    role: Option<&'static str>,
     leading: Option<u64>,
     sequence: Option<u64>,
-    disk_well: Option<bool>,
+    #[serde(rename = "diskWell")]
+    disk_healthy: Option<bool>,
     configuration_version: u64,
-    weights: BTreeMap<String, u64>,
+    #[serde(rename = "weights")]
+    announced_versions: BTreeMap<String, u64>,
     balancers: Vec<BalancerStatus>,
     servers: Vec<ServerStatus>,
     items: usize,
 }
 
-/// A node of the fleet for operators.
+/// Another member of the fleet in [`Status`].
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "camelCase")]
 struct BalancerStatus {
@@ -41,10 +44,11 @@
     address: SocketAddrV4,
     zone: String,
     control: bool,
-    session_with: SocketAddrV4,
+    #[serde(rename = "sessionWith")]
+    granted_by: SocketAddrV4,
 }
 
-/// A model server for operators.
+/// A model server in [`Status`].
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "camelCase")]
 struct ServerStatus {
@@ -53,11 +57,12 @@
     address: SocketAddrV4,
     zone: String,
     state: &'static str,
-    heartbeats_at: SocketAddrV4,
+    #[serde(rename = "heartbeatsAt")]
+    owner: SocketAddrV4,
 }
 
 impl Node {
-    pub(super) fn status(&self, now: Micros) -> Answer {
+    pub(super) fn status(&self, now: Micros) -> Response {
         let identity = self.session.identity();
         let view = self.view_summary();
         let replica = self.replica.as_ref().map(|replica| replica.status());
@@ -69,30 +74,30 @@
             epoch: view.epoch,
             primary: view.primary,
             members: view.members.clone(),
-            role: replica.as_ref().map(|replica| format!("{:?}", replica.role).to_lowercase()),
+            role: replica.as_ref().map(|replica| role_name(replica.role)),
             leading: self.replica.as_ref().and_then(|replica| replica.leading(now)),
             sequence: replica.as_ref().and_then(|replica| replica.sequence),
-            disk_well: replica.as_ref().map(|replica| replica.disk_well),
+            disk_healthy: replica.as_ref().map(|replica| replica.disk_well),
             configuration_version: configuration.map_or(0, |item| item.stamp.major),
-            weights: self.named.clone(),
+            announced_versions: self.announced.clone(),
             balancers: self.balancer_status(&view.members),
             servers: self.servers.values().map(server_status).collect(),
             items: self.spread.len(),
         };
-        // These types always become JSON.
+        // Serializing these types can't fail.
         let body = serde_json::to_vec(&status).unwrap_or_default();
-        Answer { status: 200, body: body.into(), valid_until: None }
+        Response { status: 200, body: body.into(), valid_until: None }
     }
 
-    fn balancer_status(&self, members: &[std::net::SocketAddrV4]) -> Vec<BalancerStatus> {
-        let sessions = sessions::live(&self.spread);
+    fn balancer_status(&self, members: &[SocketAddrV4]) -> Vec<BalancerStatus> {
+        let sessions = session_table::live_sessions(&self.spread);
         let mut all: Vec<BalancerStatus> = sessions
             .map(|(_, session)| BalancerStatus {
                 name: session.identity.name.to_string(),
                 address: session.identity.address,
                 zone: session.identity.zone.to_string(),
                 control: members.contains(&session.identity.address),
-                session_with: session.holder,
+                granted_by: session.granted_by,
             })
             .collect();
         all.sort_by(|a, b| a.name.cmp(&b.name));
@@ -100,6 +105,17 @@
     }
 }
 
+/// The name of a role in the API.
+fn role_name(role: Role) -> &'static str {
+    match role {
+        Role::Outside => "outside",
+        Role::Witness => "witness",
+        Role::Backup => "backup",
+        Role::Candidate => "candidate",
+        Role::Primary => "primary",
+    }
+}
+
 fn server_status(server: &Registration) -> ServerStatus {
     ServerStatus {
         id: server.id.to_string(),
@@ -111,6 +127,6 @@
             (_, true) => "draining",
             _ => "ready",
         },
-        heartbeats_at: server.owner,
+        owner: server.owner,
     }
 }
--- a/controlplane/src/registry.rs
+++ b/controlplane/src/registry.rs
@@ -1,4 +1,4 @@
-//! Model servers: what they say, who watches whom, when silence means that one is lost. No I/O.
+//! The model servers whose heartbeats come to this node: registration, draining, leaving, loss. No I/O.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
@@ -9,34 +9,34 @@
 use serde::Deserialize;
 
 use crate::Micros;
-use crate::kinds::{self, Conclusion, SERVER, SERVER_GONE};
+use crate::item_kinds::{self, Evidence, SERVER, SERVER_REMOVED};
 
 /// Heartbeats that may be missing before a server counts as lost.
-const MISSED_MOST: u64 = 3;
+const MAX_MISSED_HEARTBEATS: u64 = 3;
 
-/// Servers that have left and are remembered for a call that comes twice.
-const LEAVES_MOST: usize = 4096;
+/// Servers that have left and are remembered, for a call that is made twice.
+const MAX_REMEMBERED_LEAVES: usize = 4096;
 
-/// The body of a server's call.
+/// The body of a server's heartbeat (`PUT /v1/servers/{id}`).
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Heartbeat {
-    /// Its service.
+    /// The service that it belongs to.
     pub backend: String,
     /// Where it takes requests.
     pub address: SocketAddrV4,
     /// Its zone.
     #[serde(default)]
     pub zone: String,
-    /// Requests that it works on at once.
+    /// Requests that it processes at once.
     #[serde(default)]
     pub slots: u32,
     /// `ready` or `draining`.
     pub state: String,
-    /// Milliseconds for which it is still slow.
+    /// Milliseconds of slow start that are left.
     #[serde(default)]
     pub warmup_left_ms: f64,
-    /// Its weights.
+    /// Its loaded models.
     #[serde(default)]
     pub models: Vec<HeartbeatModel>,
     /// Rises with each call.
@@ -44,82 +44,83 @@
     pub call_count: u64,
 }
 
-/// Weights as a server tells them.
+/// A loaded model in a [`Heartbeat`].
 #[derive(Clone, Debug, Deserialize)]
 pub struct HeartbeatModel {
-    /// The model.
+    /// The model's name.
     pub name: String,
-    /// The version of its weights.
+    /// The loaded version.
     #[serde(default)]
     pub version: u64,
 }
 
-/// What a server's call leads to.
+/// What has to happen before a server's call is acknowledged.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// Nothing new: it is acknowledged.
+    /// Nothing: it changes nothing.
     Acknowledge,
-    /// Something new that the others learn in passing.
+    /// The item is published; the acknowledgment doesn't wait for others.
     Publish(Item),
-    /// It leaves: others have to hold that before it is acknowledged.
-    PublishConfirmed(Item),
+    /// The item is published, and other nodes have to acknowledge it first: the server relies on it when it ends.
+    PublishAcknowledged(Item),
 }
 
-struct Watched {
-    heard: Micros,
+struct WatchedServer {
+    last_heartbeat: Micros,
     call_count: u64,
 }
 
 /// The servers whose heartbeats come to this node.
 pub struct Registry {
     own: SocketAddrV4,
-    beat_every: Micros,
-    watched: BTreeMap<Arc<str>, Watched>,
-    /// Servers whose draining others are known to hold.
-    drains_held: BTreeSet<Arc<str>>,
-    /// Servers whose leaving others are known to hold.
-    leaves_held: BTreeSet<Arc<str>>,
+    heartbeat_interval: Micros,
+    watched: BTreeMap<Arc<str>, WatchedServer>,
+    /// Servers whose draining other nodes have acknowledged.
+    acknowledged_drains: BTreeSet<Arc<str>>,
+    /// Servers whose leaving other nodes have acknowledged.
+    acknowledged_leaves: BTreeSet<Arc<str>>,
 }
 
 impl Registry {
-    /// No server has called yet.
-    pub fn new(own: SocketAddrV4, beat_every: Micros) -> Self {
+    /// An empty registry. `heartbeat_interval` is that of the servers, in microseconds.
+    pub fn new(own: SocketAddrV4, heartbeat_interval: Micros) -> Self {
         Registry {
             own,
-            beat_every,
+            heartbeat_interval,
             watched: BTreeMap::new(),
-            drains_held: BTreeSet::new(),
-            leaves_held: BTreeSet::new(),
+            acknowledged_drains: BTreeSet::new(),
+            acknowledged_leaves: BTreeSet::new(),
         }
     }
 
-    /// Takes in a heartbeat.
-    pub fn beat(&mut self, now: Micros, id: &str, heartbeat: &Heartbeat, spread: &Spread) -> Decision {
+    /// Handles a heartbeat.
+    pub fn heartbeat(&mut self, now: Micros, id: &str, heartbeat: &Heartbeat, spread: &Spread) -> Decision {
         if spread.stamp(SERVER, id).is_some_and(|stamp| stamp.major > heartbeat.call_count) {
-            // A late call, or one of a server that has left.
+            // A call that was overtaken by a later one, or of a server that has left.
             return Decision::Acknowledge;
         }
-        let told = self.registration(id, heartbeat);
-        self.watched.insert(told.id.clone(), Watched { heard: now, call_count: heartbeat.call_count });
-        let stamp = kinds::server_stamp(heartbeat.call_count, Conclusion::Told);
-        let item = kinds::item(SERVER, id, stamp, told.to_bytes());
-        if told.draining && !self.drains_held.contains(id) {
-            return Decision::PublishConfirmed(item);
+        let registration = self.registration(id, heartbeat);
+        let watched = WatchedServer { last_heartbeat: now, call_count: heartbeat.call_count };
+        self.watched.insert(registration.id.clone(), watched);
+        let stamp = item_kinds::server_stamp(heartbeat.call_count, Evidence::Reported);
+        let item = item_kinds::item(SERVER, id, stamp, registration.to_bytes());
+        if registration.draining && !self.acknowledged_drains.contains(id) {
+            return Decision::PublishAcknowledged(item);
         }
-        let before = spread.get(SERVER, id).and_then(|item| Registration::from_bytes(&item.payload).ok());
-        if before.as_ref().is_some_and(|before| same(before, &told)) {
+        let known = spread.get(SERVER, id).and_then(|item| Registration::from_bytes(&item.payload).ok());
+        if known.as_ref().is_some_and(|known| is_unchanged(known, &registration)) {
             return Decision::Acknowledge;
         }
         Decision::Publish(item)
     }
 
-    /// Others hold that this server drains.
-    pub fn drain_held(&mut self, id: &str) {
-        self.drains_held.insert(Arc::from(id));
+    /// Records that other nodes have acknowledged the draining of a server.
+    pub fn drain_acknowledged(&mut self, id: &str) {
+        self.acknowledged_drains.insert(Arc::from(id));
     }
 
     fn registration(&self, id: &str, heartbeat: &Heartbeat) -> Registration {
-        let weights = heartbeat.models.iter();
+        let models = heartbeat.models.iter();
         Registration {
             id: Arc::from(id),
             service: Arc::from(&*heartbeat.backend),
@@ -129,66 +130,67 @@
             draining: heartbeat.state != "ready",
             lost: false,
             warmup_left_ms: heartbeat.warmup_left_ms.max(0.0) as u64,
-            weights: weights
-                .map(|one| Weights { model: Arc::from(&*one.name), version: one.version })
+            weights: models
+                .map(|model| Weights { model: Arc::from(&*model.name), version: model.version })
                 .collect(),
             owner: self.own,
         }
     }
 
-    /// Takes in that a server leaves.
+    /// Handles the last call of a server, which leaves.
     pub fn leave(&mut self, id: &str, spread: &Spread) -> Decision {
         self.watched.remove(id);
-        self.drains_held.remove(id);
-        let told = spread.stamp(SERVER, id) == Some(SERVER_GONE);
-        if told && self.leaves_held.contains(id) {
+        self.acknowledged_drains.remove(id);
+        let published = spread.stamp(SERVER, id) == Some(SERVER_REMOVED);
+        if published && self.acknowledged_leaves.contains(id) {
             return Decision::Acknowledge;
         }
-        Decision::PublishConfirmed(kinds::removal(SERVER, id, SERVER_GONE))
+        Decision::PublishAcknowledged(item_kinds::tombstone(SERVER, id, SERVER_REMOVED))
     }
 
-    /// Others hold that this server has left.
-    pub fn leave_held(&mut self, id: &str) {
-        if self.leaves_held.len() >= LEAVES_MOST {
-            self.leaves_held.clear();
+    /// Records that other nodes have acknowledged that a server has left.
+    pub fn leave_acknowledged(&mut self, id: &str) {
+        if self.acknowledged_leaves.len() >= MAX_REMEMBERED_LEAVES {
+            self.acknowledged_leaves.clear();
         }
-        self.leaves_held.insert(Arc::from(id));
+        self.acknowledged_leaves.insert(Arc::from(id));
     }
 
-    /// Watches a server that, by what all know, calls this node: it did so before this process started.
+    /// Watches a server that called this node before this process started.
     pub fn adopt(&mut self, now: Micros, id: &Arc<str>, call_count: u64) {
-        self.watched.entry(id.clone()).or_insert(Watched { heard: now, call_count });
+        let adopted = WatchedServer { last_heartbeat: now, call_count };
+        self.watched.entry(id.clone()).or_insert(adopted);
     }
 
-    /// Servers that have fallen silent, as items to publish.
+    /// Servers whose heartbeats have timed out, as items to publish.
     pub fn tick(&mut self, now: Micros, spread: &Spread) -> Vec<Item> {
-        let limit = MISSED_MOST * self.beat_every;
-        let silent: Vec<(Arc<str>, u64)> = self
+        let timeout = MAX_MISSED_HEARTBEATS * self.heartbeat_interval;
+        let timed_out: Vec<(Arc<str>, u64)> = self
             .watched
             .iter()
-            .filter(|(_, watched)| now.saturating_sub(watched.heard) > limit)
-            .map(|(id, watched)| (id.clone(), watched.call_count))
+            .filter(|(_, server)| now.saturating_sub(server.last_heartbeat) > timeout)
+            .map(|(id, server)| (id.clone(), server.call_count))
             .collect();
         let mut lost = Vec::new();
-        for (id, call_count) in silent {
+        for (id, call_count) in timed_out {
             self.watched.remove(&id);
             let Some(item) = spread.get(SERVER, &id) else { continue };
             let Ok(registration) = Registration::from_bytes(&item.payload) else { continue };
-            // Another node has heard of it since.
+            // The server has called another node since.
             if registration.owner != self.own || item.stamp.major > call_count {
                 continue;
             }
-            let stamp = kinds::server_stamp(call_count, Conclusion::Lost);
+            let stamp = item_kinds::server_stamp(call_count, Evidence::Lost);
             let registration = Registration { lost: true, ..registration };
-            lost.push(kinds::item(SERVER, &id, stamp, registration.to_bytes()));
+            lost.push(item_kinds::item(SERVER, &id, stamp, registration.to_bytes()));
         }
         lost
     }
 }
 
-/// True if two registrations say the same but for time that has passed.
-fn same(before: &Registration, told: &Registration) -> bool {
-    let warm = (before.warmup_left_ms == 0) == (told.warmup_left_ms == 0);
-    let timeless = Registration { warmup_left_ms: before.warmup_left_ms, ..told.clone() };
-    warm && *before == timeless
+/// True if two registrations differ at most in how much of the slow start is left.
+fn is_unchanged(known: &Registration, reported: &Registration) -> bool {
+    let same_warmth = (known.warmup_left_ms == 0) == (reported.warmup_left_ms == 0);
+    let timeless = Registration { warmup_left_ms: known.warmup_left_ms, ..reported.clone() };
+    same_warmth && *known == timeless
 }
--- a/controlplane/src/rollout.rs
+++ b/controlplane/src/rollout.rs
@@ -1,8 +1,8 @@
-//! The duty of bringing servers to named versions of weights. No I/O.
+//! The roll-out: brings servers to announced model versions. A singleton role of the primary. No I/O.
 //!
-//! Only the primary does it, under its epoch as the fence, and only once no other can have given an order within a
-//! lease. A few servers of a model at once: each is first held back from new requests, then ordered, then watched until
-//! it holds the version.
+//! Orders carry the epoch as their fencing token, and none is sent before the lease of another primary, and its last
+//! order, must be over. A few servers of a model at once: each is reserved, so that it gets no new requests, then
+//! ordered, then queried until it has loaded the version.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -12,59 +12,59 @@
 use gradepaddle_spread::{Item, Stamp};
 
 use crate::Micros;
-use crate::kinds::{self, ORDERED};
-use crate::orders::ORDER_UNDER_WAY;
-
-/// A server is held back for this long before it is ordered, so that all nodes know.
-const HOLD_BEFORE: Micros = 120_000;
-/// An order that was taken is asked after, at first and then again, after this long.
-const ASK_AFTER: Micros = 350_000;
-/// An order that was neither taken nor refused clearly is given again after this.
-const AGAIN_AFTER: Micros = 500_000;
-/// A server that does not come to hold the version within this is given up for now.
-const GIVE_UP_AFTER: Micros = 7_000_000;
-/// What a batch of servers takes, from the first one being held back to the last one being open again.
-const BATCH_TAKES: Micros = 1_500_000;
-/// A server that was given up is left alone for this long.
-const LEFT_ALONE_FOR: Micros = 3_000_000;
-/// One in so many servers of a model is being loaded at once, as many as [`AT_ONCE_LEAST`] in any case.
-const AT_ONCE_SHARE: usize = 6;
-const AT_ONCE_LEAST: usize = 1;
-/// One in so many at the most, as long as others are still of use without the version.
-const AT_ONCE_MOST: usize = 2;
-/// After a change of the primary, the lease of the one before has to run out, and its last order has to be over, with
-/// a little to spare.
-const LEASE_MARGIN: Micros = ORDER_UNDER_WAY.as_micros() as Micros + 50_000;
-
-/// The servers that are there, by id.
+use crate::item_kinds::{self, RESERVATION};
+use crate::server_client::MAX_ORDER_DURATION;
+
+/// From the reservation of a server to its order, so that all nodes know of the reservation.
+const RESERVATION_DELAY: Micros = 120_000;
+/// A server that is loading is queried at this interval.
+const QUERY_INTERVAL: Micros = 350_000;
+/// An order that failed, or whose outcome is unknown, is sent again after this.
+const ORDER_RETRY_DELAY: Micros = 500_000;
+/// A server that has not loaded the version within this is released for now.
+const LOAD_TIMEOUT: Micros = 7_000_000;
+/// What a batch of servers takes, from the first reservation to the last release.
+const BATCH_DURATION: Micros = 1_500_000;
+/// A server that was released without the version is not reserved again for this long.
+const RETRY_DELAY: Micros = 3_000_000;
+/// One in this many servers of a model loads at once, and [`MIN_CONCURRENT`] in any case.
+const CONCURRENT_SHARE: usize = 6;
+const MIN_CONCURRENT: usize = 1;
+/// At most one in this many, as long as others may still serve without the version.
+const MAX_CONCURRENT_SHARE: usize = 2;
+/// After a change of the primary, the lease of the previous one has to run out and its last order has to be over. To
+/// spare: 50 ms.
+const LEASE_MARGIN: Micros = MAX_ORDER_DURATION.as_micros() as Micros + 50_000;
+
+/// The registered servers by id.
 pub type Servers = BTreeMap<Arc<str>, Registration>;
 
-/// What a server that is being loaded is marked with.
+/// The payload of a server's reservation.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ordered {
+pub struct Reservation {
     /// The model.
     pub model: Arc<str>,
-    /// The version that it is brought to.
+    /// The version that it is to load.
     pub version: u64,
-    /// It holds it. A server that was given up bears a tombstone that is not done.
-    pub done: bool,
+    /// It has loaded it. A server that was given up has a tombstone that says false.
+    pub loaded: bool,
 }
 
-impl Encode for Ordered {
+impl Encode for Reservation {
     fn encode(&self, to: &mut FieldWriter) {
         to.text(1, &self.model);
         to.number(2, self.version);
-        to.truth(3, self.done);
+        to.truth(3, self.loaded);
     }
 }
 
-impl Decode for Ordered {
+impl Decode for Reservation {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
-        Ok(Ordered { model: fields.text(1), version: fields.number(2), done: fields.truth(3) })
+        Ok(Reservation { model: fields.text(1), version: fields.number(2), loaded: fields.truth(3) })
     }
 }
 
-/// An order to one server.
+/// An order to one server: load this model version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
     /// The server.
@@ -73,32 +73,32 @@
     pub address: SocketAddrV4,
     /// The model.
     pub model: Arc<str>,
-    /// The version to bring it to.
+    /// The version to load.
     pub version: u64,
-    /// The fence.
-    pub fence: u64,
+    /// The epoch of the primary that sends it.
+    pub fencing_token: u64,
 }
 
-/// How a server answered an order.
+/// What came of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OrderAnswer {
-    /// 202: it is in progress.
+pub enum OrderOutcome {
+    /// 202: the server is loading.
     InProgress,
-    /// 200: it holds already.
-    Holds,
-    /// It was not taken, or nobody knows.
-    NotTaken,
+    /// 200: the server has loaded the version.
+    Loaded,
+    /// Rejected, or the outcome is unknown.
+    Failed,
 }
 
-/// What is to be done.
+/// What the roll-out asks of the node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// Publish the mark of a server.
-    Mark(Item),
-    /// Give an order.
-    Order(Order),
-    /// Ask a server which versions it holds.
-    Ask {
+    /// Publish the reservation of a server, or its end.
+    PublishReservation(Item),
+    /// Send an order.
+    SendOrder(Order),
+    /// Query which versions a server has loaded.
+    QueryServer {
         /// The server.
         server: Arc<str>,
         /// Where it is reached.
@@ -108,286 +108,303 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    Held,
-    Sent,
-    Taken,
+    Reserved,
+    Ordered,
+    Loading,
 }
 
-struct Running {
+/// A server that is being brought to a version.
+struct ServerLoad {
     address: SocketAddrV4,
     model: Arc<str>,
     version: u64,
-    /// It took requests until then: its work is missing meanwhile.
-    was_of_use: bool,
+    /// It took requests until it was reserved: its capacity is missing meanwhile.
+    was_serving: bool,
     stage: Stage,
-    since: Micros,
-    due: Micros,
+    started: Micros,
+    next_due: Micros,
 }
 
-impl Running {
-    /// True if this order was given for this work, under the fence in force.
-    fn was_given(&self, order: &Order, fence: Option<u64>) -> bool {
-        self.stage != Stage::Held
-            && fence == Some(order.fence)
+impl ServerLoad {
+    /// True if this order was sent for this load, under the fencing token in force.
+    fn matches(&self, order: &Order, fencing_token: Option<u64>) -> bool {
+        self.stage != Stage::Reserved
+            && fencing_token == Some(order.fencing_token)
             && self.model == order.model
             && self.version == order.version
     }
 }
 
-/// A server that holds an older version of a model than the newest.
+/// A server with an older version of a model than the newest.
 struct Outdated<'a> {
     server: &'a Registration,
-    /// From when on it gets nothing new.
-    due: Option<Micros>,
+    /// From when on it may start no requests, if it is known.
+    deadline: Option<Micros>,
 }
 
-/// The duty, while this node is the primary.
+/// The roll-out of all models, at the primary.
 pub struct Rollout {
     lease: Micros,
-    fence: Option<u64>,
-    /// The last epoch in which this node led.
-    last_fence: u64,
-    allowed: Micros,
-    running: BTreeMap<Arc<str>, Running>,
-    /// Versions of each model that servers hold by their own word, which their heartbeats will tell later.
-    known: BTreeMap<Arc<str>, BTreeMap<Arc<str>, u64>>,
-    /// Servers that were given up, and until when they are left alone.
-    given_up: BTreeMap<Arc<str>, Micros>,
-    /// For each version of a model, from when on nothing goes to servers with older ones.
-    due: BTreeMap<String, BTreeMap<u64, Micros>>,
-    marks: u64,
+    /// The epoch while this node is the primary.
+    fencing_token: Option<u64>,
+    /// The last epoch in which this node was the primary.
+    last_epoch: u64,
+    orders_allowed_at: Micros,
+    loads: BTreeMap<Arc<str>, ServerLoad>,
+    /// By server and model, the versions that servers have reported to this node; their heartbeats follow later.
+    reported: BTreeMap<Arc<str>, BTreeMap<Arc<str>, u64>>,
+    /// Servers that were released without the version, and until when they are left alone.
+    backoff_until: BTreeMap<Arc<str>, Micros>,
+    /// For each version of each model, from when on servers with older ones may start no requests.
+    deadlines: BTreeMap<String, BTreeMap<u64, Micros>>,
+    last_reservation: u64,
 }
 
 impl Rollout {
-    /// Not leading.
+    /// The roll-out at a node that is not the primary. `lease` is the span within which orders of two primaries must not
+    /// alternate, in microseconds.
     pub fn new(lease: Micros) -> Self {
         Rollout {
             lease,
-            fence: None,
-            last_fence: 0,
-            allowed: 0,
-            running: BTreeMap::new(),
-            known: BTreeMap::new(),
-            given_up: BTreeMap::new(),
-            due: BTreeMap::new(),
-            marks: 0,
+            fencing_token: None,
+            last_epoch: 0,
+            orders_allowed_at: 0,
+            loads: BTreeMap::new(),
+            reported: BTreeMap::new(),
+            backoff_until: BTreeMap::new(),
+            deadlines: BTreeMap::new(),
+            last_reservation: 0,
         }
     }
 
-    /// This node leads in this epoch. Orders wait until any other's lease has run out: not after the founding, nor where
-    /// this node led in the epoch just before.
-    pub fn lead(&mut self, now: Micros, epoch: u64) {
-        let follows_itself = self.last_fence > 0 && epoch <= self.last_fence + 1;
-        // A wait that still runs goes on through an own change of the view.
-        let from = if epoch <= 1 || follows_itself { now } else { now + self.lease + LEASE_MARGIN };
-        self.allowed = self.allowed.max(from);
-        self.fence = Some(epoch);
-        self.last_fence = epoch;
-        self.running.clear();
-        self.known.clear();
+    /// This node becomes the primary in `epoch`. Orders wait until the lease of any other must have run out; not in the
+    /// first epoch, nor where this node was the primary in the epoch just before.
+    pub fn become_primary(&mut self, now: Micros, epoch: u64) {
+        let follows_itself = self.last_epoch > 0 && epoch <= self.last_epoch + 1;
+        let allowed_at = if epoch <= 1 || follows_itself { now } else { now + self.lease + LEASE_MARGIN };
+        // A wait for another primary goes on through a view change of this node's own.
+        self.orders_allowed_at = self.orders_allowed_at.max(allowed_at);
+        self.fencing_token = Some(epoch);
+        self.last_epoch = epoch;
+        self.loads.clear();
+        self.reported.clear();
     }
 
-    /// This node does not lead any longer.
-    pub fn stop(&mut self) {
-        self.fence = None;
-        self.running.clear();
+    /// This node is the primary no longer.
+    pub fn step_down(&mut self) {
+        self.fencing_token = None;
+        self.loads.clear();
     }
 
-    /// From this time on nothing new goes to servers that hold an older version of the model.
-    pub fn set_due(&mut self, model: &str, version: u64, due: Micros) {
-        self.due.entry(model.to_owned()).or_default().insert(version, due);
+    /// Sets from when on servers with a version older than this may start no requests.
+    pub fn set_deadline(&mut self, model: &str, version: u64, deadline: Micros) {
+        self.deadlines.entry(model.to_owned()).or_default().insert(version, deadline);
     }
 
-    /// Of the versions whose time is over, the newest says all.
-    fn forget_past_dues(&mut self, now: Micros, model: &str) {
-        let Some(dues) = self.due.get_mut(model) else { return };
-        let past = dues.iter().filter(|(_, due)| **due <= now).map(|(version, _)| *version).max();
-        dues.retain(|version, due| *due > now || Some(*version) >= past);
+    /// Of the versions whose deadline has passed, the newest is enough.
+    fn discard_passed_deadlines(&mut self, now: Micros, model: &str) {
+        let Some(deadlines) = self.deadlines.get_mut(model) else { return };
+        let passed = deadlines.iter().filter(|(_, deadline)| **deadline <= now).map(|(version, _)| *version);
+        let newest_passed = passed.max();
+        deadlines.retain(|version, deadline| *deadline > now || Some(*version) >= newest_passed);
     }
 
-    /// When a server that holds this version of a model gets nothing new any more; none if nothing newer is known.
-    fn due_at(&self, model: &str, held: u64) -> Option<Micros> {
-        let newer = self.due.get(model)?.range(held + 1..);
-        newer.map(|(_, due)| *due).min()
+    /// From when on a server with this version may start no requests; `None` if no newer version is known.
+    fn deadline_of(&self, model: &str, loaded: u64) -> Option<Micros> {
+        let newer = self.deadlines.get(model)?.range(loaded + 1..);
+        newer.map(|(_, deadline)| *deadline).min()
     }
 
-    /// What is due. `servers` are all that are known, `named` the newest versions.
-    pub fn tick(&mut self, now: Micros, servers: &Servers, named: &BTreeMap<String, u64>) -> Vec<Step> {
+    /// The steps that are due. `announced` are the newest versions by model.
+    pub fn tick(&mut self, now: Micros, servers: &Servers, announced: &BTreeMap<String, u64>) -> Vec<Step> {
         let mut steps = Vec::new();
-        let Some(fence) = self.fence.filter(|_| now >= self.allowed) else { return steps };
-        for (model, version) in named {
-            self.begin(now, fence, servers, model, *version, &mut steps);
+        let Some(token) = self.fencing_token.filter(|_| now >= self.orders_allowed_at) else { return steps };
+        for (model, version) in announced {
+            self.start_loads(now, token, servers, model, *version, &mut steps);
         }
-        self.go_on(now, fence, servers, &mut steps);
+        self.advance_loads(now, token, servers, &mut steps);
         steps
     }
 
-    /// Starts servers that are to load: all that get nothing new any more, and as many of the others as may be missing
-    /// at once, those first whose time is over first.
-    fn begin(
+    /// Reserves servers that are to load: all that may start no requests any more, and as many of the others as may be
+    /// missing at once, in the order of their deadlines.
+    fn start_loads(
         &mut self,
         now: Micros,
-        fence: u64,
+        fencing_token: u64,
         servers: &Servers,
         model: &str,
         version: u64,
         steps: &mut Vec<Step>,
     ) {
-        self.given_up.retain(|_, until| *until > now);
-        self.forget_past_dues(now, model);
-        let holders = servers.values().filter(|one| holds(one, model).is_some()).count();
+        self.backoff_until.retain(|_, until| *until > now);
+        self.discard_passed_deadlines(now, model);
+        let total = servers.values().filter(|server| registered_version(server, model).is_some()).count();
         let mut outdated = self.outdated(servers, model, version);
-        outdated.sort_by_key(|one| one.due.unwrap_or(Micros::MAX));
-        let most = self.at_once(now, holders, &outdated);
-        let mut missing = self.running.values().filter(|one| one.was_of_use && &*one.model == model).count();
-        for Outdated { server, due } in outdated {
-            let of_use = due.is_none_or(|due| now < due);
-            let free = !self.running.contains_key(&server.id) && !self.given_up.contains_key(&server.id);
-            if !free || server.draining || server.lost || (of_use && missing >= most) {
+        outdated.sort_by_key(|one| one.deadline.unwrap_or(Micros::MAX));
+        let max_missing = self.max_concurrent(now, total, &outdated);
+        let loads = self.loads.values();
+        let mut missing = loads.filter(|load| load.was_serving && &*load.model == model).count();
+        for Outdated { server, deadline } in outdated {
+            let serving = deadline.is_none_or(|deadline| now < deadline);
+            let free = !self.loads.contains_key(&server.id) && !self.backoff_until.contains_key(&server.id);
+            if !free || server.draining || server.lost || (serving && missing >= max_missing) {
                 continue;
             }
-            missing += usize::from(of_use);
-            self.hold(now, fence, server, (model, version), of_use, steps);
+            missing += usize::from(serving);
+            let load = ServerLoad {
+                address: server.address,
+                model: Arc::from(model),
+                version,
+                was_serving: serving,
+                stage: Stage::Reserved,
+                started: now,
+                next_due: now + RESERVATION_DELAY,
+            };
+            self.reserve(fencing_token, server, load, steps);
         }
     }
 
-    /// The servers that hold an older version of a model.
+    /// The servers with an older version of a model.
     fn outdated<'a>(&self, servers: &'a Servers, model: &str, version: u64) -> Vec<Outdated<'a>> {
-        let held = servers.values().filter_map(|server| Some((server, self.held(server, model)?)));
-        let older = held.filter(|(_, held)| *held < version);
-        older.map(|(server, held)| Outdated { server, due: self.due_at(model, held) }).collect()
+        let loaded =
+            servers.values().filter_map(|server| Some((server, self.loaded_version(server, model)?)));
+        let older = loaded.filter(|(_, loaded)| *loaded < version);
+        older.map(|(server, loaded)| Outdated { server, deadline: self.deadline_of(model, loaded) }).collect()
     }
 
-    /// Has all nodes know that a server is about to load.
-    fn hold(
+    /// Announces to all nodes that a server is about to load.
+    fn reserve(
         &mut self,
-        now: Micros,
-        fence: u64,
+        fencing_token: u64,
         server: &Registration,
-        (model, version): (&str, u64),
-        was_of_use: bool,
+        load: ServerLoad,
         steps: &mut Vec<Step>,
     ) {
-        let model: Arc<str> = Arc::from(model);
-        let mark = Ordered { model: model.clone(), version, done: false };
-        steps.push(Step::Mark(self.mark(fence, &server.id, &mark, false)));
-        let (address, stage) = (server.address, Stage::Held);
-        let due = now + HOLD_BEFORE;
-        let running = Running { address, model, version, was_of_use, stage, since: now, due };
-        self.running.insert(server.id.clone(), running);
+        let reservation = Reservation { model: load.model.clone(), version: load.version, loaded: false };
+        let item = self.reservation_item(fencing_token, &server.id, &reservation, false);
+        steps.push(Step::PublishReservation(item));
+        self.loads.insert(server.id.clone(), load);
     }
 
-    /// How many servers that are of use may be missing at once: few, but as many as it takes for each to be done in its
-    /// time. `outdated` are in the order of their times.
-    fn at_once(&self, now: Micros, holders: usize, outdated: &[Outdated<'_>]) -> usize {
-        let few = (holders / AT_ONCE_SHARE).max(AT_ONCE_LEAST);
-        let dues = outdated.iter().filter_map(|one| one.due).filter(|due| now < *due);
-        let in_time = dues.enumerate().map(|(before, due)| {
-            let batches = (due - now) / BATCH_TAKES;
-            (before + 1).div_ceil(batches.max(1) as usize)
+    /// How many serving servers may be missing at once: few, but as many as it takes for each to be done by its deadline.
+    /// `outdated` is in the order of deadlines.
+    fn max_concurrent(&self, now: Micros, total: usize, outdated: &[Outdated<'_>]) -> usize {
+        let few = (total / CONCURRENT_SHARE).max(MIN_CONCURRENT);
+        let deadlines = outdated.iter().filter_map(|one| one.deadline).filter(|deadline| now < *deadline);
+        let needed = deadlines.enumerate().map(|(earlier, deadline)| {
+            let batches = (deadline - now) / BATCH_DURATION;
+            (earlier + 1).div_ceil(batches.max(1) as usize)
         });
-        few.max(in_time.max().unwrap_or(0).min(holders / AT_ONCE_MOST))
+        few.max(needed.max().unwrap_or(0).min(total / MAX_CONCURRENT_SHARE))
     }
 
-    fn mark(&mut self, fence: u64, server: &str, ordered: &Ordered, ended: bool) -> Item {
-        self.marks += 1;
-        let item =
-            kinds::item(ORDERED, server, Stamp { major: fence, minor: self.marks }, ordered.to_bytes());
-        // A mark of work that has ended is a tombstone: told to all, then forgotten.
-        Item { removed: ended, ..item }
+    fn reservation_item(
+        &mut self,
+        fencing_token: u64,
+        server: &str,
+        reservation: &Reservation,
+        released: bool,
+    ) -> Item {
+        self.last_reservation += 1;
+        let stamp = Stamp { major: fencing_token, minor: self.last_reservation };
+        let item = item_kinds::item(RESERVATION, server, stamp, reservation.to_bytes());
+        // The end of a reservation is a tombstone: it reaches all nodes, which forget it after a while.
+        Item { removed: released, ..item }
     }
 
-    fn go_on(&mut self, now: Micros, fence: u64, servers: &Servers, steps: &mut Vec<Step>) {
-        let mut over = Vec::new();
-        for (id, running) in &mut self.running {
+    fn advance_loads(&mut self, now: Micros, fencing_token: u64, servers: &Servers, steps: &mut Vec<Step>) {
+        let mut ended = Vec::new();
+        for (id, load) in &mut self.loads {
             let server = servers.get(id).filter(|server| !server.lost);
-            let held = server.and_then(|server| holds(server, &running.model));
-            let late = now.saturating_sub(running.since) > GIVE_UP_AFTER;
-            let reached = held.is_some_and(|held| held >= running.version);
-            if held.is_none() || reached || late {
-                over.push((id.clone(), reached));
-            } else if now >= running.due {
-                match running.stage {
-                    Stage::Held | Stage::Sent => {
-                        running.stage = Stage::Sent;
-                        running.due = now + AGAIN_AFTER;
-                        steps.push(Step::Order(Order {
+            let registered = server.and_then(|server| registered_version(server, &load.model));
+            let timed_out = now.saturating_sub(load.started) > LOAD_TIMEOUT;
+            let loaded = registered.is_some_and(|registered| registered >= load.version);
+            if registered.is_none() || loaded || timed_out {
+                ended.push((id.clone(), loaded));
+            } else if now >= load.next_due {
+                match load.stage {
+                    Stage::Reserved | Stage::Ordered => {
+                        load.stage = Stage::Ordered;
+                        load.next_due = now + ORDER_RETRY_DELAY;
+                        steps.push(Step::SendOrder(Order {
                             server: id.clone(),
-                            address: running.address,
-                            model: running.model.clone(),
-                            version: running.version,
-                            fence,
+                            address: load.address,
+                            model: load.model.clone(),
+                            version: load.version,
+                            fencing_token,
                         }));
                     }
-                    Stage::Taken => {
-                        running.due = now + ASK_AFTER;
-                        steps.push(Step::Ask { server: id.clone(), address: running.address });
+                    Stage::Loading => {
+                        load.next_due = now + QUERY_INTERVAL;
+                        steps.push(Step::QueryServer { server: id.clone(), address: load.address });
                     }
                 }
             }
         }
-        for (id, reached) in over {
-            if !reached {
-                self.given_up.insert(id.clone(), now + LEFT_ALONE_FOR);
+        for (id, loaded) in ended {
+            if !loaded {
+                self.backoff_until.insert(id.clone(), now + RETRY_DELAY);
             }
-            self.finish(&id, reached, steps);
+            self.release(&id, loaded, steps);
         }
     }
 
-    /// The version that a server holds, by its heartbeat or by its later word.
-    fn held(&self, server: &Registration, model: &str) -> Option<u64> {
-        let told = self.known.get(&server.id).and_then(|models| models.get(model)).copied().unwrap_or(0);
-        holds(server, model).map(|held| held.max(told))
+    /// The loaded version of a server, by its registration or its later report.
+    fn loaded_version(&self, server: &Registration, model: &str) -> Option<u64> {
+        let reported =
+            self.reported.get(&server.id).and_then(|models| models.get(model)).copied().unwrap_or(0);
+        registered_version(server, model).map(|registered| registered.max(reported))
     }
 
-    /// Ends the work on a server and says so to all.
-    fn finish(&mut self, id: &str, reached: bool, steps: &mut Vec<Step>) {
-        let (Some(running), Some(fence)) = (self.running.remove(id), self.fence) else { return };
-        if reached {
-            let models = self.known.entry(Arc::from(id)).or_default();
-            models.insert(running.model.clone(), running.version);
+    /// Ends the reservation of a server and announces it to all nodes.
+    fn release(&mut self, id: &str, loaded: bool, steps: &mut Vec<Step>) {
+        let (Some(load), Some(token)) = (self.loads.remove(id), self.fencing_token) else { return };
+        if loaded {
+            let models = self.reported.entry(Arc::from(id)).or_default();
+            models.insert(load.model.clone(), load.version);
         }
-        let mark = Ordered { model: running.model, version: running.version, done: reached };
-        steps.push(Step::Mark(self.mark(fence, id, &mark, true)));
+        let reservation = Reservation { model: load.model, version: load.version, loaded };
+        steps.push(Step::PublishReservation(self.reservation_item(token, id, &reservation, true)));
     }
 
-    /// Takes in the answer to an order. One that comes after its work has ended says nothing of what is under way at
-    /// its server by then.
-    pub fn answered(&mut self, now: Micros, order: &Order, answer: OrderAnswer) -> Vec<Step> {
+    /// Handles the outcome of an order. One that comes after its load has ended says nothing of what its server is loading
+    /// by then.
+    pub fn handle_order_outcome(&mut self, now: Micros, order: &Order, outcome: OrderOutcome) -> Vec<Step> {
         let mut steps = Vec::new();
-        let fence = self.fence;
-        let Some(running) = self.running.get_mut(&order.server) else { return steps };
-        if !running.was_given(order, fence) {
+        let token = self.fencing_token;
+        let Some(load) = self.loads.get_mut(&order.server) else { return steps };
+        if !load.matches(order, token) {
             return steps;
         }
-        match answer {
-            OrderAnswer::Holds => self.finish(&order.server, true, &mut steps),
-            OrderAnswer::InProgress => {
-                running.stage = Stage::Taken;
-                running.due = now + ASK_AFTER;
+        match outcome {
+            OrderOutcome::Loaded => self.release(&order.server, true, &mut steps),
+            OrderOutcome::InProgress => {
+                load.stage = Stage::Loading;
+                load.next_due = now + QUERY_INTERVAL;
             }
-            OrderAnswer::NotTaken => {}
+            OrderOutcome::Failed => {}
         }
         steps
     }
 
-    /// Takes in which version of a model a server holds by its own report.
-    pub fn reported(&mut self, server: &str, model: &str, version: u64) -> Vec<Step> {
+    /// Handles a server's own report of the version that it has loaded.
+    pub fn handle_report(&mut self, server: &str, model: &str, version: u64) -> Vec<Step> {
         let mut steps = Vec::new();
-        let done = self.running.get(server).is_some_and(|one| &*one.model == model && version >= one.version);
-        if done {
-            self.finish(server, true, &mut steps);
+        let load = self.loads.get(server);
+        if load.is_some_and(|load| &*load.model == model && version >= load.version) {
+            self.release(server, true, &mut steps);
         }
         steps
     }
 
-    /// True if an order may be sent at this moment under this fence.
-    pub fn may_order(&self, fence: u64) -> bool {
-        self.fence == Some(fence)
+    /// True if an order with this fencing token may be sent now.
+    pub fn may_send_order(&self, fencing_token: u64) -> bool {
+        self.fencing_token == Some(fencing_token)
     }
 }
 
-/// The version of a model that a server holds; none if it does not serve the model.
-fn holds(server: &Registration, model: &str) -> Option<u64> {
-    server.weights.iter().find(|one| &*one.model == model).map(|one| one.version)
+/// The version of a model by the server's registration; `None` if it does not serve the model.
+fn registered_version(server: &Registration, model: &str) -> Option<u64> {
+    server.weights.iter().find(|weights| &*weights.model == model).map(|weights| weights.version)
 }
--- /dev/null
+++ b/controlplane/src/session_client.rs
@@ -0,0 +1,191 @@
+//! The client side of a node's session with a control balancer: a node is a member while its session stands. No I/O.
+
+use std::net::SocketAddrV4;
+
+use gradepaddle_proto::{Identity, SessionBeat, SessionGrant, ViewSummary};
+
+use crate::Micros;
+
+/// Interval between heartbeats of a session.
+pub const HEARTBEAT_INTERVAL: Micros = 400_000;
+/// Without a control balancer, seeds and members are asked for a session at this interval.
+const DISCOVERY_INTERVAL: Micros = 200_000;
+/// A control balancer that has not replied for this long is given up for the next one.
+const CONTROL_TIMEOUT: Micros = 1_000_000;
+
+/// The session of this node.
+pub struct SessionClient {
+    identity: Identity,
+    seeds: Vec<SocketAddrV4>,
+    view: ViewSummary,
+    control: Option<SocketAddrV4>,
+    /// When the control balancer last replied, or was chosen.
+    last_reply: Micros,
+    /// When any control balancer last granted the session.
+    last_granted: Option<Micros>,
+    /// How many control balancers were given up: selects the next one.
+    failovers: usize,
+    next_due: Micros,
+}
+
+/// A heartbeat to send.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct OutgoingHeartbeat {
+    /// The receiver.
+    pub to: SocketAddrV4,
+    /// The heartbeat.
+    pub heartbeat: SessionBeat,
+}
+
+impl SessionClient {
+    /// The session of a node that knows only its seeds.
+    pub fn new(identity: Identity, seeds: Vec<SocketAddrV4>, now: Micros) -> Self {
+        SessionClient {
+            identity,
+            seeds,
+            view: ViewSummary::default(),
+            control: None,
+            last_reply: now,
+            last_granted: None,
+            failovers: 0,
+            next_due: now,
+        }
+    }
+
+    /// The identity of this node.
+    pub fn identity(&self) -> &Identity {
+        &self.identity
+    }
+
+    /// Sets the id of this node's replica.
+    pub fn set_replica(&mut self, replica: Option<u64>) {
+        self.identity.replica = replica;
+    }
+
+    /// The latest known view.
+    pub fn view(&self) -> &ViewSummary {
+        &self.view
+    }
+
+    /// The control balancer with which the session stands, or which is asked for it.
+    pub fn control(&self) -> Option<SocketAddrV4> {
+        self.control
+    }
+
+    /// When a control balancer last granted the session.
+    pub fn last_granted(&self) -> Option<Micros> {
+        self.last_granted
+    }
+
+    /// Replaces the seeds.
+    pub fn set_seeds(&mut self, seeds: Vec<SocketAddrV4>) {
+        self.seeds = seeds;
+    }
+
+    /// The seeds.
+    pub fn seeds(&self) -> &[SocketAddrV4] {
+        &self.seeds
+    }
+
+    /// Learns a view; an older one changes nothing.
+    pub fn learn_view(&mut self, view: &ViewSummary) {
+        let newer = view.epoch > self.view.epoch;
+        let names_primary = view.epoch == self.view.epoch && self.view.primary.is_none();
+        if newer || names_primary {
+            self.view = view.clone();
+        }
+    }
+
+    /// Appends the heartbeats that are due.
+    pub fn tick(&mut self, now: Micros, out: &mut Vec<OutgoingHeartbeat>) {
+        if now < self.next_due {
+            return;
+        }
+        self.choose_control(now);
+        match self.control {
+            Some(control) => {
+                out.push(self.heartbeat(control));
+                self.next_due = now + HEARTBEAT_INTERVAL;
+            }
+            None => {
+                let own = self.identity.address;
+                let known = self.seeds.iter().chain(&self.view.members).filter(|node| **node != own);
+                let mut contacts: Vec<SocketAddrV4> = known.copied().collect();
+                contacts.sort();
+                contacts.dedup();
+                out.extend(contacts.into_iter().map(|node| self.heartbeat(node)));
+                self.next_due = now + DISCOVERY_INTERVAL;
+            }
+        }
+    }
+
+    /// When [`SessionClient::tick`] has something to do.
+    pub fn next_wake(&self) -> Micros {
+        self.next_due
+    }
+
+    fn heartbeat(&self, to: SocketAddrV4) -> OutgoingHeartbeat {
+        let heartbeat = SessionBeat { identity: self.identity.clone(), view_epoch: self.view.epoch };
+        OutgoingHeartbeat { to, heartbeat }
+    }
+
+    /// Stays with a control balancer that replies, and moves to the next one after a timeout.
+    fn choose_control(&mut self, now: Micros) {
+        let timed_out = now.saturating_sub(self.last_reply) > CONTROL_TIMEOUT;
+        let is_member = self.control.is_some_and(|control| self.view.members.contains(&control));
+        if is_member && !timed_out {
+            return;
+        }
+        if timed_out && self.control.is_some() {
+            self.failovers += 1;
+        }
+        let candidates = self.candidates();
+        // After each round without a reply, seeds are asked as well: the view may be long out of date.
+        let round = candidates.len() + 1;
+        let asks_seeds = candidates.is_empty() || self.failovers % round == candidates.len();
+        self.control = (!asks_seeds).then(|| candidates[self.failovers % round]);
+        self.last_reply = now;
+        if self.control.is_none() {
+            self.failovers += 1;
+        }
+    }
+
+    /// The other members of the view, in an order of this node's own, so that sessions spread over them.
+    fn candidates(&self) -> Vec<SocketAddrV4> {
+        let own = self.identity.address;
+        let mut members: Vec<SocketAddrV4> = self.view.members.clone();
+        members.retain(|member| *member != own);
+        members.sort_by_key(|member| preference(own, *member));
+        members
+    }
+
+    /// Handles the reply to a heartbeat. True if it grants the session.
+    pub fn handle_reply(&mut self, now: Micros, from: SocketAddrV4, reply: &SessionGrant) -> bool {
+        if let Some(view) = &reply.view {
+            self.learn_view(view);
+        }
+        // Another process at this address was ahead, perhaps since the time of day was set back: go beyond it.
+        if reply.seen_incarnation > self.identity.incarnation {
+            self.identity.incarnation = reply.seen_incarnation + 1;
+            self.next_due = now;
+        }
+        if self.control.is_none() && !self.view.members.is_empty() {
+            self.next_due = now;
+        }
+        if reply.incarnation != self.identity.incarnation || !reply.stands {
+            return false;
+        }
+        if self.control == Some(from) {
+            self.last_reply = now;
+        }
+        self.last_granted = Some(now);
+        true
+    }
+}
+
+/// Orders control balancers differently from node to node (rendezvous hashing).
+fn preference(own: SocketAddrV4, member: SocketAddrV4) -> u64 {
+    let number =
+        |address: SocketAddrV4| u64::from(u32::from(*address.ip())) << 16 | u64::from(address.port());
+    crate::mix(number(own) ^ crate::mix(number(member)))
+}
--- /dev/null
+++ b/controlplane/src/transport.rs
@@ -0,0 +1,141 @@
+//! Connections between nodes: one in each direction, opened when there is something to send.
+//!
+//! A message may be lost without notice: whoever needs a reply sends again. A connection that makes no progress is
+//! closed, so that a network partition delays nothing for longer than [`STALL_TIMEOUT`] after it has healed.
+
+use std::cell::RefCell;
+use std::collections::HashMap;
+use std::net::SocketAddrV4;
+use std::rc::Rc;
+use std::time::Duration;
+
+use gradepaddle_proto::frame::{self, FrameReader};
+use gradepaddle_proto::{Content, Decode, Encode, Envelope};
+use tokio::io::AsyncReadExt;
+use tokio::net::{TcpListener, TcpSocket, TcpStream};
+use tokio::sync::mpsc;
+use tokio::time::{sleep, timeout};
+
+use crate::send_queue::{SendError, SendQueue, SendQueueReceiver, send_queue, write_with_progress};
+
+/// A connection has to be established within this.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
+/// After a failed connect, messages are dropped for this long.
+const RECONNECT_DELAY: Duration = Duration::from_millis(150);
+/// Bytes that stay unacknowledged by TCP for this long end a connection.
+pub const STALL_TIMEOUT: Duration = Duration::from_millis(1200);
+/// A connection that has carried nothing for this long is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Bytes read at once.
+const READ_SIZE: usize = 16 * 1024;
+/// Pause after a failed `accept`, for instance without file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+
+/// Where received messages go.
+pub type Inbox = mpsc::UnboundedSender<Envelope>;
+
+/// The outgoing connections of one node.
+pub struct Transport {
+    own: SocketAddrV4,
+    queues: RefCell<HashMap<SocketAddrV4, SendQueue>>,
+}
+
+impl Transport {
+    /// The transport of the node that others reach at `own`.
+    pub fn new(own: SocketAddrV4) -> Rc<Self> {
+        Rc::new(Transport { own, queues: RefCell::default() })
+    }
+
+    /// Sends a message, if a connection can be established and lasts.
+    pub fn send(self: &Rc<Self>, to: SocketAddrV4, content: Content) {
+        let body = Envelope { from: self.own, content }.to_bytes();
+        let mut bytes = Vec::with_capacity(body.len() + frame::HEAD);
+        frame::write(&body, &mut bytes);
+        let mut queues = self.queues.borrow_mut();
+        let queue = queues.entry(to).or_insert_with(|| open_connection(to));
+        if let Err(SendError::Closed { message }) = queue.push(bytes) {
+            let reopened = open_connection(to);
+            // An empty queue takes any message.
+            let _ = reopened.push(message);
+            queues.insert(to, reopened);
+        }
+    }
+}
+
+fn open_connection(to: SocketAddrV4) -> SendQueue {
+    let (queue, receiver) = send_queue();
+    tokio::task::spawn_local(run_connection(to, receiver));
+    queue
+}
+
+/// Writes the messages for one node until its connection ends.
+async fn run_connection(to: SocketAddrV4, mut receiver: SendQueueReceiver) {
+    let Some(stream) = connect(to).await else {
+        sleep(RECONNECT_DELAY).await;
+        return;
+    };
+    let (mut reader, mut writer) = stream.into_split();
+    let mut unexpected = [0];
+    loop {
+        // Cancellation: `next_batch` loses nothing, and whatever is read ends the connection.
+        let batch = tokio::select! {
+            batch = timeout(IDLE_TIMEOUT, receiver.next_batch()) => batch,
+            // The other side never writes: a read completes only when the connection ends.
+            _ = reader.read(&mut unexpected) => return,
+        };
+        let Ok(Some(batch)) = batch else { return };
+        if !write_with_progress(&mut writer, &batch, 2 * STALL_TIMEOUT).await {
+            return;
+        }
+        receiver.mark_written(batch.len());
+    }
+}
+
+async fn connect(to: SocketAddrV4) -> Option<TcpStream> {
+    let socket = TcpSocket::new_v4().ok()?;
+    let stream = timeout(CONNECT_TIMEOUT, socket.connect(to.into())).await.ok()?.ok()?;
+    // Without TCP_NODELAY messages are only later.
+    let _ = stream.set_nodelay(true);
+    // Without TCP_USER_TIMEOUT a partitioned connection would hold back messages for minutes, and no worse.
+    let _ = socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(STALL_TIMEOUT));
+    Some(stream)
+}
+
+/// Accepts connections of other nodes for as long as the process runs.
+pub async fn serve_peers(listener: TcpListener, inbox: Inbox) {
+    loop {
+        match listener.accept().await {
+            Ok((stream, _)) => {
+                tokio::task::spawn_local(receive(stream, inbox.clone()));
+            }
+            Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
+        }
+    }
+}
+
+/// Reads messages until the connection ends or sends something that is no frame.
+async fn receive(mut stream: TcpStream, inbox: Inbox) {
+    let mut frames = FrameReader::default();
+    let mut bytes = vec![0; READ_SIZE];
+    loop {
+        let count = match timeout(2 * IDLE_TIMEOUT, stream.read(&mut bytes)).await {
+            Ok(Ok(count)) if count > 0 => count,
+            _ => return,
+        };
+        frames.push(&bytes[..count]);
+        loop {
+            match frames.next_body() {
+                Ok(Some(body)) => {
+                    // A message of a newer build that this one can't decode is skipped.
+                    if let Ok(envelope) = Envelope::from_bytes(body)
+                        && inbox.send(envelope).is_err()
+                    {
+                        return;
+                    }
+                }
+                Ok(None) => break,
+                Err(_) => return,
+            }
+        }
+    }
+}
--- /dev/null
+++ b/controlplane/src/version_announcement.rs
@@ -0,0 +1,45 @@
+//! What is gossiped with an announced model version, and when the version becomes binding. No I/O.
+
+use gradepaddle_proto::{Decode, DecodeError, Encode, FieldWriter, Fields};
+
+use crate::Micros;
+
+/// The payload of an announced version; empty in its first publication and in those of older builds.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct VersionAnnouncement {
+    /// How long before this publication the version was first announced, in microseconds.
+    pub announced_before: Micros,
+}
+
+impl Encode for VersionAnnouncement {
+    fn encode(&self, to: &mut FieldWriter) {
+        to.number(1, self.announced_before);
+    }
+}
+
+impl Decode for VersionAnnouncement {
+    fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
+        Ok(VersionAnnouncement { announced_before: fields.number(1) })
+    }
+}
+
+/// From when on no request may start on a version older than an announced one. The operators' rule VERSION.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct VersionDeadlines {
+    /// Microseconds from the latest publication: the time starts again where the core was unstable (`versionMs`).
+    pub from_publication: Micros,
+    /// Microseconds from the first announcement, however often the time started again (`versionAllMs`); `None` without
+    /// such a bound. The operators count calm stretches only, and all of the time is never less than those.
+    pub from_announcement: Option<Micros>,
+}
+
+impl VersionDeadlines {
+    /// For how much longer requests may start on older versions, given the time since the latest publication and since
+    /// the first announcement.
+    pub fn remaining(&self, since_publication: Micros, since_announcement: Micros) -> Micros {
+        let from_publication = self.from_publication.saturating_sub(since_publication);
+        let bound = self.from_announcement;
+        let from_announcement = bound.map_or(Micros::MAX, |bound| bound.saturating_sub(since_announcement));
+        from_publication.min(from_announcement)
+    }
+}
--- a/controlplane/tests/acknowledged_ends.rs
+++ b/controlplane/tests/acknowledged_ends.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddrV4;
 
 use googletest::prelude::*;
-use gradepaddle_controlplane::calls::Call;
+use gradepaddle_controlplane::api::Call;
 use gradepaddle_controlplane::node::{Input, Output};
 use gradepaddle_proto::{Content, Envelope};
 use gradepaddle_spread::{Entry, Message};
@@ -45,13 +45,14 @@
             };
             self.asked_for = items.first().map(|aged| aged.item.entry());
         }
-        out.iter()
-            .any(|output| matches!(output, Output::Answer { ticket: TICKET, answer } if answer.status == 200))
+        out.iter().any(
+            |output| matches!(output, Output::Respond { call_id: TICKET, response } if response.status == 200),
+        )
     }
 
     fn leave(&mut self, node: usize) -> bool {
         let call = Call::Leave { id: "a-server".to_owned() };
-        self.hand(node, Input::Call { ticket: TICKET, call })
+        self.hand(node, Input::Call { call_id: TICKET, call })
     }
 
     fn confirm(&mut self, node: usize, from: usize, leaving: bool) -> bool {
@@ -97,7 +98,7 @@
 #[gtest]
 fn a_node_that_is_about_to_end_does_not_count_itself() {
     let mut fleet = Fleet::new(NODES);
-    fleet.hand(0, Input::Leaving);
+    fleet.hand(0, Input::ShutDown);
     expect_that!(fleet.leave(0), eq(false));
     expect_that!(fleet.confirm(0, 1, false), eq(false));
     expect_that!(fleet.confirm(0, 5, false), eq(false));
--- a/controlplane/tests/callers.rs
+++ b/controlplane/tests/callers.rs
@@ -11,12 +11,12 @@
 use common::{MS, SECOND, address, addresses, grant, identity, lone_spread, registration, view};
 use googletest::prelude::*;
 use gradepaddle_controlplane::Micros;
-use gradepaddle_controlplane::calls::Call;
-use gradepaddle_controlplane::naming::VersionTimes;
+use gradepaddle_controlplane::api::Call;
 use gradepaddle_controlplane::node::{Input, Node, NodeSetup, Output};
-use gradepaddle_controlplane::orders::{self, OrderPermit};
-use gradepaddle_controlplane::rollout::{Order, OrderAnswer, Ordered, Rollout, Servers, Step};
-use gradepaddle_controlplane::session::OwnSession;
+use gradepaddle_controlplane::rollout::{Order, OrderOutcome, Reservation, Rollout, Servers, Step};
+use gradepaddle_controlplane::server_client::{self, OrderPermit};
+use gradepaddle_controlplane::session_client::SessionClient;
+use gradepaddle_controlplane::version_announcement::VersionDeadlines;
 use gradepaddle_http::buffers::Pool;
 use gradepaddle_proto::{Content, ControlCall, Decode, Envelope, Forward, Forwarded, Weights};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -30,12 +30,12 @@
 impl Caller {
     fn new(incarnation: u64) -> Caller {
         let node = Node::new(NodeSetup {
-            session: OwnSession::new(identity(1, incarnation), addresses([3, 4]), 0),
+            session: SessionClient::new(identity(1, incarnation), addresses([3, 4]), 0),
             spread: lone_spread(1),
-            founding: None,
-            beat_every: 1_200 * MS,
+            bootstrap: None,
+            heartbeat_interval: 1_200 * MS,
             order_lease: 3 * SECOND,
-            version_times: VersionTimes { within: 8 * SECOND, in_all: None },
+            version_deadlines: VersionDeadlines { from_publication: 8 * SECOND, from_announcement: None },
             revoke_within: None,
             machine_losses: 1,
             now: 0,
@@ -57,7 +57,7 @@
 
     /// Reads the configuration; gives the name under which the call was passed on.
     fn read(&mut self, ticket: u64) -> Result<u64> {
-        let out = self.hand(Input::Call { ticket, call: Call::GetConfiguration });
+        let out = self.hand(Input::Call { call_id: ticket, call: Call::GetConfiguration });
         let forwarded = out.iter().find_map(|output| match output {
             Output::Send { to, content: Content::Forward(forward) } if *to == address(3) => {
                 Some(forward.ticket)
@@ -72,7 +72,7 @@
         let told = Forwarded { ticket, status: 200, body: Arc::from(*b"{}"), lease_left: SECOND };
         let out = self.receive(from, Content::Forwarded(told));
         let ended = out.iter().filter_map(|output| match output {
-            Output::Answer { ticket, .. } => Some(*ticket),
+            Output::Respond { call_id, .. } => Some(*call_id),
             _ => None,
         });
         ended.collect()
@@ -188,7 +188,7 @@
         }
         self.open.insert(ticket, version);
         let call = Call::NameVersion { model: "advisor".to_owned(), version };
-        self.hand(Input::Call { ticket, call })
+        self.hand(Input::Call { call_id: ticket, call })
     }
 
     fn deliver(&mut self) -> Result<()> {
@@ -217,11 +217,11 @@
         for output in out {
             match output {
                 Output::Send { to, content: Content::Forward(forward) } => self.decide(to, &forward),
-                Output::Answer { ticket, answer } => {
-                    let version = self.open.remove(&ticket).or_fail()?;
-                    if answer.status == 200 {
+                Output::Respond { call_id, response } => {
+                    let version = self.open.remove(&call_id).or_fail()?;
+                    if response.status == 200 {
                         self.answered += 1;
-                        verify_that!(&*answer.body, eq(version.to_string().as_bytes()))?;
+                        verify_that!(&*response.body, eq(version.to_string().as_bytes()))?;
                     }
                 }
                 _ => {}
@@ -266,7 +266,7 @@
         let mut server = registration("s0", 1, 1);
         server.weights.push(Weights { model: Arc::from("second"), version: 1 });
         let mut rollout = Rollout::new(3 * SECOND);
-        rollout.lead(0, 1);
+        rollout.become_primary(0, 1);
         let named = named.iter().map(|(model, version)| ((*model).to_owned(), *version)).collect();
         Duty { rollout, servers: BTreeMap::from([(server.id.clone(), server)]), named, now: 0 }
     }
@@ -275,7 +275,7 @@
         self.now += 100 * MS;
         let steps = self.rollout.tick(self.now, &self.servers, &self.named);
         steps.into_iter().find_map(|step| match step {
-            Step::Order(order) => Some(order),
+            Step::SendOrder(order) => Some(order),
             _ => None,
         })
     }
@@ -285,13 +285,13 @@
         (0..100).find_map(|_| self.tick()).or_fail()
     }
 
-    fn told_done(&mut self, order: &Order, answer: OrderAnswer) -> Vec<(Arc<str>, u64)> {
-        let steps = self.rollout.answered(self.now, order, answer);
+    fn told_done(&mut self, order: &Order, answer: OrderOutcome) -> Vec<(Arc<str>, u64)> {
+        let steps = self.rollout.handle_order_outcome(self.now, order, answer);
         let marks = steps.iter().filter_map(|step| match step {
-            Step::Mark(item) => Ordered::from_bytes(&item.payload).ok(),
+            Step::PublishReservation(item) => Reservation::from_bytes(&item.payload).ok(),
             _ => None,
         });
-        marks.filter(|mark| mark.done).map(|mark| (mark.model, mark.version)).collect()
+        marks.filter(|mark| mark.loaded).map(|mark| (mark.model, mark.version)).collect()
     }
 }
 
@@ -301,7 +301,7 @@
     let mut duty = Duty::new(&[("advisor", 9), ("second", 2)]);
     let first = duty.next_order()?;
     expect_that!((&*first.model, first.version), eq(("advisor", 9)));
-    expect_that!(duty.told_done(&first, OrderAnswer::Holds), eq(&[(Arc::from("advisor"), 9)]));
+    expect_that!(duty.told_done(&first, OrderOutcome::Loaded), eq(&[(Arc::from("advisor"), 9)]));
     let second = duty.next_order()?;
     expect_that!((&*second.model, second.version), eq(("second", 2)));
     Ok(())
@@ -311,17 +311,17 @@
 /// is being brought to another model.
 #[gtest]
 fn a_late_answer_to_an_order_ends_no_other_order() -> Result<()> {
-    for late in [OrderAnswer::Holds, OrderAnswer::InProgress] {
+    for late in [OrderOutcome::Loaded, OrderOutcome::InProgress] {
         let mut duty = Duty::new(&[("advisor", 2)]);
         let first = duty.next_order()?;
-        duty.rollout.reported("s0", "advisor", 2);
+        duty.rollout.handle_report("s0", "advisor", 2);
         duty.named.insert("second".to_owned(), 5);
         let second = duty.next_order()?;
         expect_that!((&*second.model, second.version), eq(("second", 5)));
         expect_that!(duty.told_done(&first, late), is_empty());
         // It is still given again, as one without an answer is.
         expect_that!(duty.next_order()?, eq(&second));
-        expect_that!(duty.told_done(&second, OrderAnswer::Holds), eq(&[(Arc::from("second"), 5)]));
+        expect_that!(duty.told_done(&second, OrderOutcome::Loaded), eq(&[(Arc::from("second"), 5)]));
     }
     Ok(())
 }
@@ -331,15 +331,15 @@
 fn an_answer_to_an_order_of_an_older_version_is_none_to_the_newer() -> Result<()> {
     let mut duty = Duty::new(&[("advisor", 2)]);
     let first = duty.next_order()?;
-    duty.rollout.reported("s0", "advisor", 2);
+    duty.rollout.handle_report("s0", "advisor", 2);
     duty.named.insert("advisor".to_owned(), 3);
     let second = duty.next_order()?;
     expect_that!(second.version, eq(3));
-    expect_that!(duty.told_done(&first, OrderAnswer::Holds), is_empty());
-    duty.rollout.lead(duty.now, 2);
+    expect_that!(duty.told_done(&first, OrderOutcome::Loaded), is_empty());
+    duty.rollout.become_primary(duty.now, 2);
     let third = duty.next_order()?;
-    expect_that!((third.version, third.fence), eq((3, 2)));
-    expect_that!(duty.told_done(&second, OrderAnswer::Holds), is_empty(), "given under an older fence");
+    expect_that!((third.version, third.fencing_token), eq((3, 2)));
+    expect_that!(duty.told_done(&second, OrderOutcome::Loaded), is_empty(), "given under an older fence");
     Ok(())
 }
 
@@ -355,14 +355,14 @@
 }
 
 fn order_at(address: SocketAddrV4) -> Order {
-    Order { server: Arc::from("i-7"), address, model: Arc::from("advisor"), version: 2, fence: 41 }
+    Order { server: Arc::from("i-7"), address, model: Arc::from("advisor"), version: 2, fencing_token: 41 }
 }
 
-/// A permit for an order under this fence, good for as long as the sender is kept.
-fn permit(fence: u64) -> (watch::Sender<Option<u64>>, OrderPermit) {
-    let leading = watch::Sender::new(Some(fence));
+/// A permit for an order under this fencing_token, good for as long as the sender is kept.
+fn permit(fencing_token: u64) -> (watch::Sender<Option<u64>>, OrderPermit) {
+    let leading = watch::Sender::new(Some(fencing_token));
     let deadline = Instant::now() + Duration::from_secs(10);
-    let permit = OrderPermit::new(fence, deadline, leading.subscribe());
+    let permit = OrderPermit::new(fencing_token, deadline, leading.subscribe());
     (leading, permit)
 }
 
@@ -372,15 +372,15 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async {
         for (answer, wanted) in [
-            ("HTTP/1.1 202 Taken\r\nContent-Length: 0\r\n\r\n", OrderAnswer::InProgress),
-            ("HTTP/1.1 421 Other\r\nContent-Length: 0\r\n\r\n", OrderAnswer::NotTaken),
+            ("HTTP/1.1 202 Taken\r\nContent-Length: 0\r\n\r\n", OrderOutcome::InProgress),
+            ("HTTP/1.1 421 Other\r\nContent-Length: 0\r\n\r\n", OrderOutcome::Failed),
         ] {
             let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
             let SocketAddr::V4(address) = listener.local_addr()? else { return fail!("no IPv4") };
             let pool = Pool::default();
             let order = order_at(address);
-            let (_leading, permit) = permit(order.fence);
-            let given = orders::give(&order, "node-1", &pool, permit);
+            let (_leading, permit) = permit(order.fencing_token);
+            let given = server_client::send_order(&order, "node-1", &pool, permit);
             let (given, seen) = tokio::join!(given, served_once(listener, answer));
             expect_that!(given, eq(wanted));
             expect_that!(seen, contains_substring("\r\nX-Target-Server: i-7\r\n"));
@@ -390,7 +390,7 @@
         let pool = Pool::default();
         let other = "HTTP/1.1 421 Other\r\nContent-Length: 2\r\n\r\n{}";
         let (report, seen) =
-            tokio::join!(orders::report("i-7", address, &pool), served_once(listener, other));
+            tokio::join!(server_client::fetch_report("i-7", address, &pool), served_once(listener, other));
         expect_that!(report.is_none(), eq(true));
         expect_that!(seen, contains_substring("\r\nX-Target-Server: i-7\r\n"));
         Ok(())
@@ -402,15 +402,15 @@
 #[gtest]
 fn an_order_without_an_answer_is_over_before_another_primary_orders() -> Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    let most = orders::ORDER_UNDER_WAY;
+    let most = server_client::MAX_ORDER_DURATION;
     runtime.block_on(async {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let SocketAddr::V4(address) = listener.local_addr()? else { return fail!("no IPv4") };
         let (pool, order, begun) = (Pool::default(), order_at(address), Instant::now());
-        let (_leading, permit) = permit(order.fence);
-        let given = orders::give(&order, "node-1", &pool, permit);
+        let (_leading, permit) = permit(order.fencing_token);
+        let given = server_client::send_order(&order, "node-1", &pool, permit);
         let (given, accepted) = tokio::join!(given, listener.accept());
-        expect_that!(given, eq(OrderAnswer::NotTaken));
+        expect_that!(given, eq(OrderOutcome::Failed));
         expect_that!(begun.elapsed(), lt(most + Duration::from_millis(400)));
         // What was not delivered by then never is: its connection is reset, not ended.
         let mut seen = Vec::new();
@@ -419,7 +419,7 @@
         Ok(())
     })?;
     let mut duty = Duty::new(&[("advisor", 2)]);
-    duty.rollout.lead(duty.now, 7);
+    duty.rollout.become_primary(duty.now, 7);
     duty.next_order()?;
     expect_that!(duty.now, gt(3 * SECOND + most.as_micros() as Micros));
     Ok(())
--- a/controlplane/tests/calls.rs
+++ b/controlplane/tests/calls.rs
@@ -1,7 +1,7 @@
 //! Which calls make sense, and how the others are turned down.
 
 use googletest::prelude::*;
-use gradepaddle_controlplane::calls::{Answer, Call, fingerprint_number, patch_fingerprint_number, read};
+use gradepaddle_controlplane::api::{Call, Response, fingerprint_number, parse, patch_fingerprint_number};
 use serde_json::{Value, json};
 
 /// One call and what is to come of it.
@@ -38,7 +38,7 @@
     Case { if_match, ..case(what, ("PATCH", "/v1/config"), body, want) }
 }
 
-fn agrees(got: &std::result::Result<Call, Answer>, want: &Want) -> bool {
+fn agrees(got: &std::result::Result<Call, Response>, want: &Want) -> bool {
     match (got, want) {
         (Ok(Call::Heartbeat { id, heartbeat }), Want::Heartbeat(name, count)) => {
             id == name && heartbeat.call_count == *count
@@ -59,7 +59,7 @@
 
 fn check(cases: Vec<Case>) -> Result<()> {
     for case in cases {
-        let got = read(case.method, case.path, case.if_match, case.body.as_bytes());
+        let got = parse(case.method, case.path, case.if_match, case.body.as_bytes());
         expect_that!(agrees(&got, &case.want), eq(true), "{}: {got:?} instead of {:?}", case.what, case.want);
     }
     Ok(())
@@ -245,7 +245,7 @@
 #[gtest]
 fn the_body_is_kept_as_it_was_sent() -> Result<()> {
     let sent = serde_json::to_vec_pretty(&configuration())?;
-    let Ok(Call::PutConfiguration { body, .. }) = read("PUT", "/v1/config", Some("0"), &sent) else {
+    let Ok(Call::PutConfiguration { body, .. }) = parse("PUT", "/v1/config", Some("0"), &sent) else {
         return fail!("it was not taken");
     };
     expect_that!(body.to_vec(), eq(&sent));
@@ -257,12 +257,12 @@
 
 #[gtest]
 fn refusals_say_why() -> Result<()> {
-    let Err(answer) = read("PUT", "/v1/config", Some("0"), b"{}") else {
+    let Err(answer) = parse("PUT", "/v1/config", Some("0"), b"{}") else {
         return fail!("an empty configuration was taken");
     };
     let told: Value = serde_json::from_slice(&answer.body)?;
     expect_that!(told["message"].as_str().unwrap_or_default(), not(eq("")));
-    expect_that!(Answer::unavailable("x").status, eq(503));
-    expect_that!(Answer::bare(200).body.len(), eq(0));
+    expect_that!(Response::unavailable("x").status, eq(503));
+    expect_that!(Response::bare(200).body.len(), eq(0));
     Ok(())
 }
--- a/controlplane/tests/fleet/calls.rs
+++ b/controlplane/tests/fleet/calls.rs
@@ -1,6 +1,6 @@
 //! Calls from outside, and who makes them.
 
-use gradepaddle_controlplane::calls::Answer;
+use gradepaddle_controlplane::api::Response;
 
 /// Who made a call; the attempt tells answers of earlier attempts apart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -30,7 +30,7 @@
 }
 
 /// What came of a call: an answer, or a connection that failed.
-pub type Outcome = Option<Answer>;
+pub type Outcome = Option<Response>;
 
 /// Whether the answer is a success.
 pub fn success(outcome: &Outcome) -> bool {
--- a/controlplane/tests/fleet/checks.rs
+++ b/controlplane/tests/fleet/checks.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-use gradepaddle_controlplane::calls::Call;
+use gradepaddle_controlplane::api::Call;
 use gradepaddle_controlplane::node::{Input, Output};
 use gradepaddle_engine::ServerState;
 
@@ -273,9 +273,9 @@
         let now = self.now;
         let Some(process) = &mut self.machines[number].process else { return String::new() };
         let (clock, mut out) = (process.clock(now), Vec::new());
-        process.node.handle(clock, Input::Call { ticket: u64::MAX, call: Call::Status }, &mut out);
+        process.node.handle(clock, Input::Call { call_id: u64::MAX, call: Call::Status }, &mut out);
         let answer = out.into_iter().find_map(|output| match output {
-            Output::Answer { ticket: u64::MAX, answer } => Some(answer.body),
+            Output::Respond { call_id: u64::MAX, response } => Some(response.body),
             _ => None,
         });
         String::from_utf8_lossy(&answer.unwrap_or_default()).into_owned()
--- a/controlplane/tests/fleet/faults.rs
+++ b/controlplane/tests/fleet/faults.rs
@@ -203,7 +203,7 @@
         let now = self.now;
         let (ends_in, back_in) = (2_700 * MS, 500 * MS);
         self.machines[number].note_trouble(now, now + ends_in + back_in);
-        self.step(number, Input::Leaving);
+        self.step(number, Input::ShutDown);
         self.schedule_in(ends_in, Event::Repair(Repair::Ended { machine: number, back_in }));
         Some(ends_in + back_in)
     }
@@ -211,7 +211,7 @@
     fn other_seeds(&mut self) -> Option<Micros> {
         for number in self.up() {
             let seeds = self.some_addresses();
-            self.step(number, Input::Seeds(seeds));
+            self.step(number, Input::SeedsChanged(seeds));
         }
         Some(0)
     }
--- a/controlplane/tests/fleet/histories.rs
+++ b/controlplane/tests/fleet/histories.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use gradepaddle_controlplane::calls::{Call, fingerprint_number};
+use gradepaddle_controlplane::api::{Call, fingerprint_number};
 
 use super::calls::{Caller, Outcome};
 use super::operator::identity;
--- a/controlplane/tests/fleet/machine.rs
+++ b/controlplane/tests/fleet/machine.rs
@@ -6,10 +6,10 @@
 
 use gradepaddle_control::{Flaw, Replica, ReplicaConfig};
 use gradepaddle_controlplane::CLOCK_START;
-use gradepaddle_controlplane::founding::Founding;
-use gradepaddle_controlplane::naming::VersionTimes;
+use gradepaddle_controlplane::bootstrap::Bootstrap;
 use gradepaddle_controlplane::node::{Node, NodeSetup};
-use gradepaddle_controlplane::session::OwnSession;
+use gradepaddle_controlplane::session_client::SessionClient;
+use gradepaddle_controlplane::version_announcement::VersionDeadlines;
 use gradepaddle_engine::ServerState;
 use gradepaddle_proto::Identity;
 use gradepaddle_spread::{Spread, SpreadConfig};
@@ -22,7 +22,7 @@
 /// The zones.
 pub const ZONES: [&str; 3] = ["west", "middle", "east"];
 /// Servers say something this often.
-pub const BEAT_EVERY: Micros = 1_200 * MS;
+pub const HEARTBEAT_INTERVAL: Micros = 1_200 * MS;
 /// Two holders of the duty must not take turns within this.
 pub const LEASE: Micros = 3 * SECOND;
 /// Named weights have to be in use within this.
@@ -148,15 +148,19 @@
     pub fn start(&mut self, now: Micros, boot: &Boot, random: &mut Random) {
         self.life += 1;
         let node = Node::new(NodeSetup {
-            session: OwnSession::new(self.identity(now, boot.first, random), boot.seeds.clone(), CLOCK_START),
+            session: SessionClient::new(
+                self.identity(now, boot.first, random),
+                boot.seeds.clone(),
+                CLOCK_START,
+            ),
             spread: Spread::new(
                 SpreadConfig::builder().address(self.address).seed(random.next()).build(),
                 CLOCK_START,
             ),
-            founding: Founding::new(self.address, &boot.seeds, boot.losses, boot.first, CLOCK_START),
-            beat_every: BEAT_EVERY,
+            bootstrap: Bootstrap::new(self.address, &boot.seeds, boot.losses, boot.first, CLOCK_START),
+            heartbeat_interval: HEARTBEAT_INTERVAL,
             order_lease: LEASE,
-            version_times: VersionTimes { within: VERSION_WITHIN, in_all: None },
+            version_deadlines: VersionDeadlines { from_publication: VERSION_WITHIN, from_announcement: None },
             revoke_within: boot.revoke_within,
             machine_losses: boot.losses,
             now: CLOCK_START,
--- a/controlplane/tests/fleet/operator.rs
+++ b/controlplane/tests/fleet/operator.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use gradepaddle_controlplane::calls::Call;
+use gradepaddle_controlplane::api::Call;
 
 use super::calls::Outcome;
 use super::{MODEL, MS, Micros};
--- a/controlplane/tests/fleet/outage.rs
+++ b/controlplane/tests/fleet/outage.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use gradepaddle_controlplane::calls::Call;
+use gradepaddle_controlplane::api::Call;
 use gradepaddle_controlplane::node::Output;
 
 use super::calls::{Caller, Outcome};
@@ -220,12 +220,12 @@
         }
         let passed_on = self.leader_by_epoch() != leader;
         for output in outputs {
-            if let (Output::Answer { ticket, answer }, true) = (&output, passed_on) {
+            if let (Output::Respond { call_id, response }, true) = (&output, passed_on) {
                 let process = self.machines[number].process.as_ref();
-                let to_server = process.and_then(|process| process.callers.get(ticket));
+                let to_server = process.and_then(|process| process.callers.get(call_id));
                 let to_server = matches!(to_server, Some(Caller::Server { .. }));
                 let clock = process.map_or(0, |process| process.clock(self.now));
-                let status = answer.clone().at(clock).status;
+                let status = response.clone().at(clock).status;
                 if status != 503 && !to_server {
                     self.broken(format!("node {number} answers {status}, but {leader:?} leads no longer"));
                 }
--- a/controlplane/tests/fleet/outside.rs
+++ b/controlplane/tests/fleet/outside.rs
@@ -2,9 +2,9 @@
 
 use std::sync::Arc;
 
-use gradepaddle_controlplane::calls::{Answer, Call};
+use gradepaddle_controlplane::api::{Call, Response};
 use gradepaddle_controlplane::node::Input;
-use gradepaddle_controlplane::rollout::{Order, OrderAnswer};
+use gradepaddle_controlplane::rollout::{Order, OrderOutcome};
 
 use super::calls::{Caller, Outcome, success};
 use super::checks::Check;
@@ -77,10 +77,10 @@
         process.next_ticket += 1;
         let ticket = process.next_ticket;
         process.callers.insert(ticket, caller);
-        self.step(number, Input::Call { ticket, call });
+        self.step(number, Input::Call { call_id: ticket, call });
     }
 
-    pub fn answer(&mut self, number: usize, ticket: u64, answer: Answer) {
+    pub fn answer(&mut self, number: usize, ticket: u64, answer: Response) {
         let Some(process) = &mut self.machines[number].process else { return };
         let Some(caller) = process.callers.remove(&ticket) else {
             return self.broken(format!(
@@ -137,17 +137,17 @@
         let owner: Arc<str> = Arc::from(format!("node-{machine}"));
         let server = order.server.clone();
         let Some(one) = self.servers.iter_mut().find(|one| one.id == server && one.alive()) else {
-            return self.schedule_in(250 * MS, order_answered(machine, life, order, OrderAnswer::NotTaken));
+            return self.schedule_in(250 * MS, order_answered(machine, life, order, OrderOutcome::Failed));
         };
         let answer = match one.order(now, &order, &owner, &mut self.random) {
             Ok(answer) => answer,
             Err(wrong) => return self.broken(format!("orders to {server}: {wrong}")),
         };
         self.trace(|| format!("node {machine} orders {server}: {answer:?}"));
-        self.report.loads += u64::from(answer == OrderAnswer::InProgress);
+        self.report.loads += u64::from(answer == OrderOutcome::InProgress);
         // Some answers never come.
         let (way, answer) = match self.random.percent(4) {
-            true => (1_500 * MS, OrderAnswer::NotTaken),
+            true => (1_500 * MS, OrderOutcome::Failed),
             false => (self.random.between(300, 3 * MS), answer),
         };
         self.schedule_in(way, order_answered(machine, life, order, answer));
@@ -264,6 +264,6 @@
     }
 }
 
-fn order_answered(machine: usize, life: u64, order: Order, answer: OrderAnswer) -> Event {
+fn order_answered(machine: usize, life: u64, order: Order, answer: OrderOutcome) -> Event {
     Event::OrderAnswered { machine, life, order, answer }
 }
--- a/controlplane/tests/fleet/server.rs
+++ b/controlplane/tests/fleet/server.rs
@@ -3,11 +3,11 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::sync::Arc;
 
-use gradepaddle_controlplane::calls::Call;
+use gradepaddle_controlplane::api::Call;
 use gradepaddle_controlplane::registry::Heartbeat;
-use gradepaddle_controlplane::rollout::{Order, OrderAnswer};
+use gradepaddle_controlplane::rollout::{Order, OrderOutcome};
 
-use super::machine::{BEAT_EVERY, LEASE, ZONES};
+use super::machine::{HEARTBEAT_INTERVAL, LEASE, ZONES};
 use super::random::Random;
 use super::{MODEL, MS, Micros, SECOND};
 
@@ -127,8 +127,8 @@
             _ => {}
         }
         let wait = match self.stage {
-            Stage::Drained(since) => BEAT_EVERY.min((since + DRAIN + 201 * MS).saturating_sub(now)),
-            _ => BEAT_EVERY,
+            Stage::Drained(since) => HEARTBEAT_INTERVAL.min((since + DRAIN + 201 * MS).saturating_sub(now)),
+            _ => HEARTBEAT_INTERVAL,
         };
         now + wait + random.between(0, 50 * MS)
     }
@@ -153,31 +153,31 @@
         order: &Order,
         owner: &Arc<str>,
         random: &mut Random,
-    ) -> Result<OrderAnswer, String> {
+    ) -> Result<OrderOutcome, String> {
         self.judge(now, order, owner)?;
-        self.orders.push((now, owner.clone(), order.fence));
+        self.orders.push((now, owner.clone(), order.fencing_token));
         self.load(now);
         if self.version >= order.version {
-            return Ok(OrderAnswer::Holds);
+            return Ok(OrderOutcome::Loaded);
         }
         if self.loading.is_some() {
-            return Ok(OrderAnswer::NotTaken);
+            return Ok(OrderOutcome::Failed);
         }
         self.loading = Some((now + random.between(200 * MS, 900 * MS), order.version));
-        Ok(OrderAnswer::InProgress)
+        Ok(OrderOutcome::InProgress)
     }
 
     fn judge(&self, now: Micros, order: &Order, owner: &Arc<str>) -> Result<(), String> {
         for (at, before, fence) in &self.orders {
             let wrong = match () {
-                () if fence == &order.fence && before != owner => "two holders with one fence",
-                () if *fence > order.fence => "a lower fence after a higher one",
+                () if fence == &order.fencing_token && before != owner => "two holders with one fence",
+                () if *fence > order.fencing_token => "a lower fence after a higher one",
                 () if before != owner && now - at < LEASE => "turns within the lease",
                 () => continue,
             };
             return Err(format!(
                 "{wrong}: {before} with {fence} at {at}, then {owner} with {} at {now}",
-                order.fence
+                order.fencing_token
             ));
         }
         Ok(())
--- a/controlplane/tests/fleet/world.rs
+++ b/controlplane/tests/fleet/world.rs
@@ -6,9 +6,9 @@
 use std::sync::Arc;
 
 use gradepaddle_control::Token;
-use gradepaddle_controlplane::calls::Call;
+use gradepaddle_controlplane::api::Call;
 use gradepaddle_controlplane::node::{Event as NodeEvent, Input, Output};
-use gradepaddle_controlplane::rollout::{Order, OrderAnswer};
+use gradepaddle_controlplane::rollout::{Order, OrderOutcome};
 use gradepaddle_engine::{ServerEntry, ServerState};
 use gradepaddle_proto::{Content, Envelope};
 
@@ -44,7 +44,7 @@
     Call { machine: usize, caller: Caller, call: Call },
     CallOver { caller: Caller, outcome: Outcome },
     Order { machine: usize, life: u64, order: Order },
-    OrderAnswered { machine: usize, life: u64, order: Order, answer: OrderAnswer },
+    OrderAnswered { machine: usize, life: u64, order: Order, answer: OrderOutcome },
     Asked { machine: usize, life: u64, server: Arc<str> },
     Server(usize),
     Churn,
@@ -280,7 +280,7 @@
             Event::CallOver { caller, outcome } => self.call_over(caller, outcome),
             Event::Order { machine, life, order } => self.order_arrives(machine, life, order),
             Event::OrderAnswered { machine, life, order, answer } => {
-                self.hand(machine, life, Input::OrderAnswered { order, answer });
+                self.hand(machine, life, Input::OrderCompleted { order, outcome: answer });
             }
             Event::Asked { machine, life, server } => self.asked(machine, life, server),
             Event::Server(index) => self.server_calls(index),
@@ -384,7 +384,7 @@
         let Some(process) = machine.process.as_ref().filter(|_| machine.life == life) else { return };
         let boot = ReplicaBoot { first, losses: self.plan.losses, flaw: self.plan.flaw };
         let replica = machine.replica(process.clock(self.now), &boot, &mut self.random);
-        self.step(number, Input::Replica(Box::new(replica)));
+        self.step(number, Input::ReplicaOpened(Box::new(replica)));
     }
 
     fn written(&mut self, number: usize, life: u64) {
@@ -407,7 +407,7 @@
         let now = self.now;
         let Some(one) = self.servers.iter_mut().find(|one| one.id == server && one.alive()) else { return };
         let version = one.holds(now);
-        self.hand(number, life, Input::Reported { server, model: Arc::from(MODEL), version });
+        self.hand(number, life, Input::VersionReported { server, model: Arc::from(MODEL), version });
     }
 
     /// Hands an input to a node and carries out what comes of it.
@@ -424,7 +424,7 @@
             let life = self.machines[number].life;
             self.schedule(wake, Event::Wake { machine: number, life, at: wake });
         }
-        let decides = |output: &Output| matches!(output, Output::Answer { .. } | Output::Order(_));
+        let decides = |output: &Output| matches!(output, Output::Respond { .. } | Output::SendOrder(_));
         if self.machines[number].stalls_for > 0 && outputs.iter().any(decides) {
             return self.stand_still(number, outputs);
         }
@@ -446,26 +446,26 @@
         match output {
             Output::Send { to, content } => self.send(number, to, content),
             Output::Persist { token, records } => self.persist(number, token, records),
-            Output::Answer { ticket, answer } => self.answer(number, ticket, answer),
-            Output::Configure(body) => self.configure(number, body),
-            Output::Server(entry) => self.tell_server(number, entry),
-            Output::ServerGone(id) => self.tell_server_state(number, id, ServerState::Gone),
-            Output::Peers(peers) => {
+            Output::Respond { call_id, response } => self.answer(number, call_id, response),
+            Output::ApplyConfiguration(body) => self.configure(number, body),
+            Output::ServerChanged(entry) => self.tell_server(number, entry),
+            Output::ServerRemoved(id) => self.tell_server_state(number, id, ServerState::Gone),
+            Output::PeersChanged(peers) => {
                 self.told(number, |told| told.peers = peers.into_iter().map(|peer| peer.address).collect())
             }
-            Output::Keys(shown) => self.told(number, |told| told.keys_until = shown.until),
-            Output::InTouch(in_touch) => self.told(number, |told| told.in_touch = in_touch),
-            Output::Order(order) => self.give_order(number, order),
-            Output::Ask { server, .. } => {
+            Output::ConfigurationValidity(shown) => self.told(number, |told| told.keys_until = shown.until),
+            Output::Connected(in_touch) => self.told(number, |told| told.in_touch = in_touch),
+            Output::SendOrder(order) => self.give_order(number, order),
+            Output::QueryServer { server, .. } => {
                 let life = self.machines[number].life;
                 self.schedule_in(2 * MS, Event::Asked { machine: number, life, server });
             }
-            Output::Event(NodeEvent::Leading { epoch }) => {
+            Output::Event(NodeEvent::BecamePrimary { epoch }) => {
                 self.trace(|| format!("node {number} leads {epoch}"));
                 self.report.highest_epoch = self.report.highest_epoch.max(epoch);
                 self.told(number, |told| told.leading = Some(epoch));
             }
-            Output::Event(NodeEvent::NotLeading) => {
+            Output::Event(NodeEvent::SteppedDown) => {
                 self.trace(|| format!("node {number} does not lead"));
                 self.told(number, |told| told.leading = None);
             }
@@ -520,13 +520,16 @@
     fn give_order(&mut self, number: usize, order: Order) {
         let machine = &self.machines[number];
         let Some(process) = &machine.process else { return };
-        if process.node.may_order(process.clock(self.now), order.fence) {
+        if process.node.may_send_order(process.clock(self.now), order.fencing_token) {
             let led_since = |one: &&Machine| {
                 let leading = one.process.as_ref().and_then(|process| process.told.leading);
-                leading.is_some_and(|epoch| epoch > order.fence)
+                leading.is_some_and(|epoch| epoch > order.fencing_token)
             };
             if let Some(other) = self.machines.iter().find(led_since).map(|one| one.number) {
-                return self.broken(format!("node {number} orders under {}, but {other} leads", order.fence));
+                return self.broken(format!(
+                    "node {number} orders under {}, but {other} leads",
+                    order.fencing_token
+                ));
             }
             let life = machine.life;
             let way = self.random.between(300, 3 * MS);
--- a/controlplane/tests/founding.rs
+++ b/controlplane/tests/founding.rs
@@ -9,43 +9,43 @@
 use googletest::prelude::*;
 use gradepaddle_control::View;
 use gradepaddle_controlplane::Micros;
-use gradepaddle_controlplane::founding::{Found, Founding};
+use gradepaddle_controlplane::bootstrap::{Bootstrap, BootstrapMessage};
 
 const SEEDS: [u8; 3] = [1, 2, 3];
 
 /// The founder's part, to which no other seed has said hello yet.
-fn alone(losses: usize) -> Option<Founding> {
-    Founding::new(address(1), &addresses(SEEDS), losses, true, 0)
+fn alone(losses: usize) -> Option<Bootstrap> {
+    Bootstrap::new(address(1), &addresses(SEEDS), losses, true, 0)
 }
 
 /// The founder's part once all seeds have said hello; none of them has a disk so far.
-fn founding(losses: usize) -> Option<Founding> {
-    let mut founding = alone(losses)?;
+fn with_all_seeds(losses: usize) -> Option<Bootstrap> {
+    let mut bootstrap = alone(losses)?;
     for seed in SEEDS {
-        founding.hello(0, &identity(seed, 1));
+        bootstrap.handle_heartbeat(0, &identity(seed, 1));
     }
-    Some(founding)
+    Some(bootstrap)
 }
 
-/// Goes on to the time at which the first view is told.
-fn first_told(founding: &mut Founding, until: Micros) -> Option<(Micros, Vec<Found>)> {
-    while founding.next_wake() <= until {
-        let now = founding.next_wake();
-        let told = founding.tick(now);
-        if !told.is_empty() {
-            return Some((now, told));
+/// Goes on to the time at which the first view is sent.
+fn first_sent(bootstrap: &mut Bootstrap, until: Micros) -> Option<(Micros, Vec<BootstrapMessage>)> {
+    while bootstrap.next_wake() <= until {
+        let now = bootstrap.next_wake();
+        let sent = bootstrap.tick(now);
+        if !sent.is_empty() {
+            return Some((now, sent));
         }
     }
     None
 }
 
 /// The view that is founded with these core machines in their zones.
-fn founded(losses: usize, cores: &[(u8, &str)]) -> Option<View> {
-    let mut founding = founding(losses)?;
+fn first_view(losses: usize, cores: &[(u8, &str)]) -> Option<View> {
+    let mut bootstrap = with_all_seeds(losses)?;
     for (number, zone) in cores {
-        founding.hello(100 * MS, &founder(*number, zone));
+        bootstrap.handle_heartbeat(100 * MS, &founder(*number, zone));
     }
-    Some(first_told(&mut founding, 3 * SECOND)?.1.first()?.view.clone())
+    Some(first_sent(&mut bootstrap, 3 * SECOND)?.1.first()?.view.clone())
 }
 
 #[gtest]
@@ -54,32 +54,32 @@
     for (own, first_boot, founds) in
         [(1, true, true), (2, true, false), (3, true, false), (4, true, false), (1, false, false)]
     {
-        let founding = Founding::new(address(own), &seeds, 1, first_boot, 0);
-        expect_that!(founding.is_some(), eq(founds), "node {own}, first start: {first_boot}");
+        let bootstrap = Bootstrap::new(address(own), &seeds, 1, first_boot, 0);
+        expect_that!(bootstrap.is_some(), eq(founds), "node {own}, first start: {first_boot}");
     }
-    expect_that!(Founding::new(address(1), &[], 1, true, 0).is_none(), eq(true));
+    expect_that!(Bootstrap::new(address(1), &[], 1, true, 0).is_none(), eq(true));
     Ok(())
 }
 
 #[gtest]
 fn it_waits_a_second_and_until_nobody_new_has_come() -> Result<()> {
-    let mut early = founding(1).or_fail()?;
-    early.hello(0, &founder(1, "a"));
-    let (at, _) = first_told(&mut early, 9 * SECOND).or_fail()?;
+    let mut early = with_all_seeds(1).or_fail()?;
+    early.handle_heartbeat(0, &founder(1, "a"));
+    let (at, _) = first_sent(&mut early, 9 * SECOND).or_fail()?;
     expect_that!(at, all![ge(SECOND), le(1_500 * MS)]);
 
-    let mut late = founding(1).or_fail()?;
-    late.hello(0, &founder(1, "a"));
-    late.hello(950 * MS, &founder(2, "b"));
-    let (at, told) = first_told(&mut late, 9 * SECOND).or_fail()?;
+    let mut late = with_all_seeds(1).or_fail()?;
+    late.handle_heartbeat(0, &founder(1, "a"));
+    late.handle_heartbeat(950 * MS, &founder(2, "b"));
+    let (at, sent) = first_sent(&mut late, 9 * SECOND).or_fail()?;
     expect_that!(at, all![ge(1_550 * MS), le(2 * SECOND)]);
-    expect_that!(told.len(), eq(2));
+    expect_that!(sent.len(), eq(2));
     Ok(())
 }
 
 #[gtest]
 fn it_waits_for_the_other_seeds() -> Result<()> {
-    // Those of the others that say hello, and when the first view is told.
+    // Those of the others that say hello, and when the first view is sent.
     let span = |from: Micros, until: Micros| Some((from, until));
     for (greeting, wanted) in [
         (&[2, 3][..], span(SECOND, 1_500 * MS)),
@@ -88,48 +88,48 @@
         (&[], None),
         (&[8, 9], None),
     ] {
-        let mut founding = alone(1).or_fail()?;
-        founding.hello(0, &founder(1, "a"));
-        greeting.iter().for_each(|seed| founding.hello(0, &founder(*seed, "b")));
-        let told = first_told(&mut founding, 60 * SECOND).map(|(at, _)| at);
-        let fits = match (told, wanted) {
+        let mut bootstrap = alone(1).or_fail()?;
+        bootstrap.handle_heartbeat(0, &founder(1, "a"));
+        greeting.iter().for_each(|seed| bootstrap.handle_heartbeat(0, &founder(*seed, "b")));
+        let sent = first_sent(&mut bootstrap, 60 * SECOND).map(|(at, _)| at);
+        let fits = match (sent, wanted) {
             (Some(at), Some((from, until))) => (from..=until).contains(&at),
-            (told, wanted) => told.is_none() && wanted.is_none(),
+            (sent, wanted) => sent.is_none() && wanted.is_none(),
         };
-        expect_that!(fits, eq(true), "{greeting:?} said hello: {told:?} instead of {wanted:?}");
+        expect_that!(fits, eq(true), "{greeting:?} said hello: {sent:?} instead of {wanted:?}");
     }
     Ok(())
 }
 
 #[gtest]
 fn a_seed_that_comes_late_is_waited_for() -> Result<()> {
-    let mut founding = alone(1).or_fail()?;
-    founding.hello(0, &founder(1, "a"));
-    founding.hello(0, &founder(2, "b"));
-    founding.hello(2 * SECOND, &founder(3, "c"));
-    let (at, told) = first_told(&mut founding, 9 * SECOND).or_fail()?;
+    let mut bootstrap = alone(1).or_fail()?;
+    bootstrap.handle_heartbeat(0, &founder(1, "a"));
+    bootstrap.handle_heartbeat(0, &founder(2, "b"));
+    bootstrap.handle_heartbeat(2 * SECOND, &founder(3, "c"));
+    let (at, sent) = first_sent(&mut bootstrap, 9 * SECOND).or_fail()?;
     expect_that!(at, all![ge(2_600 * MS), le(3 * SECOND)]);
-    expect_that!(told.len(), eq(3));
+    expect_that!(sent.len(), eq(3));
     Ok(())
 }
 
 #[gtest]
 fn the_only_seed_founds_alone() -> Result<()> {
-    let mut founding = Founding::new(address(1), &addresses([1]), 1, true, 0).or_fail()?;
-    founding.hello(0, &founder(1, "a"));
-    let (at, told) = first_told(&mut founding, 9 * SECOND).or_fail()?;
+    let mut bootstrap = Bootstrap::new(address(1), &addresses([1]), 1, true, 0).or_fail()?;
+    bootstrap.handle_heartbeat(0, &founder(1, "a"));
+    let (at, sent) = first_sent(&mut bootstrap, 9 * SECOND).or_fail()?;
     expect_that!(at, le(1_500 * MS));
-    expect_that!((told.len(), told[0].view.backups.len()), eq((1, 0)));
+    expect_that!((sent.len(), sent[0].view.backups.len()), eq((1, 0)));
     Ok(())
 }
 
 #[gtest]
 fn hearing_the_same_again_holds_nothing_up() -> Result<()> {
-    let mut founding = founding(1).or_fail()?;
+    let mut bootstrap = with_all_seeds(1).or_fail()?;
     for now in (0..3 * SECOND).step_by(100_000) {
-        founding.hello(now, &founder(1, "a"));
-        founding.hello(now, &founder(2, "b"));
-        if !founding.tick(now).is_empty() {
+        bootstrap.handle_heartbeat(now, &founder(1, "a"));
+        bootstrap.handle_heartbeat(now, &founder(2, "b"));
+        if !bootstrap.tick(now).is_empty() {
             return verify_that!(now, le(1_500 * MS));
         }
     }
@@ -138,28 +138,28 @@
 
 #[gtest]
 fn all_core_machines_become_members_and_no_others() -> Result<()> {
-    let mut founding = founding(1).or_fail()?;
+    let mut bootstrap = with_all_seeds(1).or_fail()?;
     for number in [1, 2, 3, 6, 7] {
-        founding.hello(0, &founder(number, "a"));
+        bootstrap.handle_heartbeat(0, &founder(number, "a"));
     }
-    founding.hello(0, &identity(4, 1));
+    bootstrap.handle_heartbeat(0, &identity(4, 1));
     let stranger = gradepaddle_proto::Identity { first_boot: false, ..founder(5, "a") };
-    founding.hello(0, &stranger);
-    let (_, told) = first_told(&mut founding, 9 * SECOND).or_fail()?;
-    let to: BTreeSet<SocketAddrV4> = told.iter().map(|found| found.to).collect();
+    bootstrap.handle_heartbeat(0, &stranger);
+    let (_, sent) = first_sent(&mut bootstrap, 9 * SECOND).or_fail()?;
+    let to: BTreeSet<SocketAddrV4> = sent.iter().map(|found| found.to).collect();
     expect_that!(to, eq(&addresses([1, 2, 3, 6, 7]).into_iter().collect::<BTreeSet<_>>()));
-    expect_that!(told.iter().all(|found| found.view == told[0].view), eq(true));
-    expect_that!(told[0].view.members.len(), eq(5));
-    expect_that!((told[0].view.epoch, told[0].view.target_size), eq((1, 5)));
-    expect_that!(told[0].view.prior, is_empty());
+    expect_that!(sent.iter().all(|found| found.view == sent[0].view), eq(true));
+    expect_that!(sent[0].view.members.len(), eq(5));
+    expect_that!((sent[0].view.epoch, sent[0].view.target_size), eq((1, 5)));
+    expect_that!(sent[0].view.prior, is_empty());
     Ok(())
 }
 
 #[gtest]
 fn the_founder_leads_if_it_is_a_core_machine() -> Result<()> {
-    let view = founded(1, &[(2, "b"), (1, "a"), (3, "c")]).or_fail()?;
+    let view = first_view(1, &[(2, "b"), (1, "a"), (3, "c")]).or_fail()?;
     expect_that!(view.member(view.primary).or_fail()?.address, eq(address(1)));
-    let view = founded(1, &[(2, "b"), (3, "c")]).or_fail()?;
+    let view = first_view(1, &[(2, "b"), (3, "c")]).or_fail()?;
     expect_that!(view.member(view.primary).or_fail()?.address, any![eq(address(2)), eq(address(3))]);
     Ok(())
 }
@@ -169,7 +169,7 @@
     let nine: Vec<(u8, &str)> =
         (1..=9).map(|number| (number, ["a", "b", "c"][usize::from(number) % 3])).collect();
     for (losses, wanted) in [(0, 1), (1, 1), (2, 2), (3, 3)] {
-        let view = founded(losses, &nine).or_fail()?;
+        let view = first_view(losses, &nine).or_fail()?;
         expect_that!(view.backups.len(), eq(wanted), "{losses} losses");
         let own = &view.member(view.primary).or_fail()?.zone;
         let near =
@@ -182,37 +182,37 @@
 
 #[gtest]
 fn backups_come_from_the_own_zone_where_there_is_no_other() -> Result<()> {
-    expect_that!(founded(2, &[(1, "a"), (2, "a"), (3, "a")]).or_fail()?.backups.len(), eq(2));
-    expect_that!(founded(2, &[(1, "a"), (2, "b")]).or_fail()?.backups.len(), eq(1));
-    expect_that!(founded(1, &[(1, "a")]).or_fail()?.backups.len(), eq(0));
+    expect_that!(first_view(2, &[(1, "a"), (2, "a"), (3, "a")]).or_fail()?.backups.len(), eq(2));
+    expect_that!(first_view(2, &[(1, "a"), (2, "b")]).or_fail()?.backups.len(), eq(1));
+    expect_that!(first_view(1, &[(1, "a")]).or_fail()?.backups.len(), eq(0));
     Ok(())
 }
 
 #[gtest]
 fn without_core_machines_nothing_is_founded_until_one_comes() -> Result<()> {
-    let mut founding = founding(1).or_fail()?;
-    expect_that!(first_told(&mut founding, 5 * SECOND).is_none(), eq(true));
-    founding.hello(5 * SECOND, &founder(2, "b"));
-    expect_that!(first_told(&mut founding, 7 * SECOND).is_some(), eq(true));
+    let mut bootstrap = with_all_seeds(1).or_fail()?;
+    expect_that!(first_sent(&mut bootstrap, 5 * SECOND).is_none(), eq(true));
+    bootstrap.handle_heartbeat(5 * SECOND, &founder(2, "b"));
+    expect_that!(first_sent(&mut bootstrap, 7 * SECOND).is_some(), eq(true));
     Ok(())
 }
 
 #[gtest]
 fn the_view_is_told_again_for_a_while_and_never_changes() -> Result<()> {
-    let mut founding = founding(1).or_fail()?;
-    founding.hello(0, &founder(1, "a"));
-    founding.hello(0, &founder(2, "b"));
-    let (at, first) = first_told(&mut founding, 9 * SECOND).or_fail()?;
-    founding.hello(at + 1, &founder(3, "c"));
+    let mut bootstrap = with_all_seeds(1).or_fail()?;
+    bootstrap.handle_heartbeat(0, &founder(1, "a"));
+    bootstrap.handle_heartbeat(0, &founder(2, "b"));
+    let (at, first) = first_sent(&mut bootstrap, 9 * SECOND).or_fail()?;
+    bootstrap.handle_heartbeat(at + 1, &founder(3, "c"));
     let mut again = 0;
-    while founding.next_wake() < Micros::MAX {
-        let now = founding.next_wake();
-        let told = founding.tick(now);
-        expect_that!(told.is_empty() || told == first, eq(true));
-        again += usize::from(!told.is_empty());
+    while bootstrap.next_wake() < Micros::MAX {
+        let now = bootstrap.next_wake();
+        let sent = bootstrap.tick(now);
+        expect_that!(sent.is_empty() || sent == first, eq(true));
+        again += usize::from(!sent.is_empty());
         verify_that!(now, le(20 * SECOND))?;
     }
     expect_that!(again, ge(5));
-    expect_that!(founding.has_founded(), eq(true));
+    expect_that!(bootstrap.has_view(), eq(true));
     Ok(())
 }
