--- a/controlplane/tests/freshness.rs
+++ b/controlplane/tests/freshness.rs
@@ -5,78 +5,78 @@
 
 use googletest::prelude::*;
 use gradepaddle_controlplane::Micros;
-use gradepaddle_controlplane::freshness::{Freshness, Newest};
+use gradepaddle_controlplane::staleness::{NewestVersion, StalenessBound};
 use simulation::{MS, Outage, Plan, Report, SECOND, Trouble, Victim, World};
 
 const BOUND: Micros = 4_750 * MS;
 
-fn told(version: u64, age: Micros) -> Newest {
-    Newest { version, age }
+fn told(version: u64, age: Micros) -> NewestVersion {
+    NewestVersion { version, age }
 }
 
 #[gtest]
 fn keys_may_be_acted_on_for_the_bound_after_the_question() {
-    let mut freshness = Freshness::new(Some(BOUND), 0);
-    expect_that!(freshness.keys_until(7), some(eq(0)));
-    freshness.asks(10 * SECOND, 1);
-    freshness.answered(1, told(7, 300 * MS));
+    let mut staleness = StalenessBound::new(Some(BOUND), 0);
+    expect_that!(staleness.valid_until(7), some(eq(0)));
+    staleness.query_sent(10 * SECOND, 1);
+    staleness.handle_reply(1, told(7, 300 * MS));
     let until = 10 * SECOND - 300 * MS + BOUND;
     // A configuration that is newer than what was in force then is as good.
     for (version, wanted) in [(6, 0), (7, until), (8, until)] {
-        expect_that!(freshness.keys_until(version), some(eq(wanted)), "{version}");
+        expect_that!(staleness.valid_until(version), some(eq(wanted)), "{version}");
     }
     // Newer evidence of a newer version says nothing more of the older one.
-    freshness.asks(11 * SECOND, 2);
-    freshness.answered(2, told(9, 0));
-    expect_that!(freshness.keys_until(7), some(eq(until)));
-    expect_that!(freshness.keys_until(9), some(eq(11 * SECOND + BOUND)));
+    staleness.query_sent(11 * SECOND, 2);
+    staleness.handle_reply(2, told(9, 0));
+    expect_that!(staleness.valid_until(7), some(eq(until)));
+    expect_that!(staleness.valid_until(9), some(eq(11 * SECOND + BOUND)));
 }
 
 #[gtest]
 fn answers_to_no_question_of_this_process_or_a_second_time_change_nothing() {
-    let mut freshness = Freshness::new(Some(BOUND), 0);
-    freshness.answered(1, told(7, 0));
-    expect_that!(freshness.keys_until(7), some(eq(0)));
-    freshness.asks(SECOND, 1);
-    freshness.answered(1, told(7, 0));
-    freshness.answered(1, told(9, 0));
-    expect_that!(freshness.keys_until(7), some(eq(SECOND + BOUND)));
-    expect_that!(freshness.newest(3 * SECOND), some(eq(told(7, 2 * SECOND))));
+    let mut staleness = StalenessBound::new(Some(BOUND), 0);
+    staleness.handle_reply(1, told(7, 0));
+    expect_that!(staleness.valid_until(7), some(eq(0)));
+    staleness.query_sent(SECOND, 1);
+    staleness.handle_reply(1, told(7, 0));
+    staleness.handle_reply(1, told(9, 0));
+    expect_that!(staleness.valid_until(7), some(eq(SECOND + BOUND)));
+    expect_that!(staleness.newest(3 * SECOND), some(eq(told(7, 2 * SECOND))));
 }
 
 #[gtest]
 fn older_evidence_never_takes_the_place_of_later_one() {
-    let mut freshness = Freshness::new(Some(BOUND), 0);
-    freshness.learn(5 * SECOND, 7);
-    freshness.learn(3 * SECOND, 7);
-    expect_that!(freshness.keys_until(7), some(eq(5 * SECOND + BOUND)));
+    let mut staleness = StalenessBound::new(Some(BOUND), 0);
+    staleness.observe(5 * SECOND, 7);
+    staleness.observe(3 * SECOND, 7);
+    expect_that!(staleness.valid_until(7), some(eq(5 * SECOND + BOUND)));
     for version in 8..40 {
-        freshness.learn(5 * SECOND + version * MS, version);
+        staleness.observe(5 * SECOND + version * MS, version);
     }
-    expect_that!(freshness.newest(6 * SECOND).map(|newest| newest.version), some(eq(39)));
+    expect_that!(staleness.newest(6 * SECOND).map(|newest| newest.version), some(eq(39)));
 }
 
 #[gtest]
 fn without_a_bound_nothing_is_asked_and_keys_depend_on_nothing() {
-    let mut freshness = Freshness::new(None, 0);
-    expect_that!(freshness.is_due(9 * SECOND), eq(false));
-    expect_that!(freshness.next_wake(), eq(Micros::MAX));
-    expect_that!(freshness.keys_until(1), none());
+    let mut staleness = StalenessBound::new(None, 0);
+    expect_that!(staleness.poll_query_due(9 * SECOND), eq(false));
+    expect_that!(staleness.next_wake(), eq(Micros::MAX));
+    expect_that!(staleness.valid_until(1), none());
 }
 
 #[gtest]
 fn others_are_asked_once_what_is_known_is_old() {
-    let mut freshness = Freshness::new(Some(BOUND), 0);
-    expect_that!(freshness.is_old(0), eq(true));
-    freshness.learn(SECOND, 1);
-    expect_that!(freshness.is_old(2 * SECOND), eq(false));
-    expect_that!(freshness.is_old(3 * SECOND), eq(true));
-    let due = |freshness: &mut Freshness, from: Micros| -> Vec<bool> {
-        (0..5).map(|at| freshness.is_due(from + at * 250 * MS)).collect()
+    let mut staleness = StalenessBound::new(Some(BOUND), 0);
+    expect_that!(staleness.is_stale(0), eq(true));
+    staleness.observe(SECOND, 1);
+    expect_that!(staleness.is_stale(2 * SECOND), eq(false));
+    expect_that!(staleness.is_stale(3 * SECOND), eq(true));
+    let due = |staleness: &mut StalenessBound, from: Micros| -> Vec<bool> {
+        (0..5).map(|at| staleness.poll_query_due(from + at * 250 * MS)).collect()
     };
-    expect_that!(due(&mut freshness, SECOND), eq(&[true, false, true, false, true]));
+    expect_that!(due(&mut staleness, SECOND), eq(&[true, false, true, false, true]));
     // More often then.
-    expect_that!(due(&mut freshness, 4 * SECOND), eq(&[true; 5]));
+    expect_that!(due(&mut staleness, 4 * SECOND), eq(&[true; 5]));
 }
 
 /// Plays days in which keys have to stop working everywhere within five seconds of an acknowledgement.
--- a/controlplane/tests/golden.rs
+++ b/controlplane/tests/golden.rs
@@ -13,19 +13,19 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use gradepaddle_controlplane::calls::{self, Answer, Call, fingerprint_number, patch_fingerprint_number};
+use gradepaddle_controlplane::api::{self, Call, Response, fingerprint_number, patch_fingerprint_number};
+use gradepaddle_controlplane::api_server::serve_api;
 use gradepaddle_controlplane::clock::Clock;
-use gradepaddle_controlplane::door::serve_calls;
 use gradepaddle_controlplane::driver::DriverEvent;
-use gradepaddle_controlplane::kinds::{
-    CONFIGURATION, CONFIGURATION_KEY, Conclusion, ORDERED, SERVER, SERVER_GONE, SESSION, STORE, WEIGHTS,
-    next_minor, server_stamp,
+use gradepaddle_controlplane::item_kinds::{
+    CACHE_STORE, CONFIGURATION, CONFIGURATION_KEY, Evidence, MODEL_VERSION, RESERVATION, SERVER,
+    SERVER_REMOVED, SESSION, next_minor, server_stamp,
 };
-use gradepaddle_controlplane::naming::Naming;
 use gradepaddle_controlplane::node::{Input, Output};
-use gradepaddle_controlplane::orders::{self, OrderPermit};
-use gradepaddle_controlplane::rollout::{Order, Ordered, Rollout, Step};
-use gradepaddle_controlplane::sessions::Session;
+use gradepaddle_controlplane::rollout::{Order, Reservation, Rollout, Step};
+use gradepaddle_controlplane::server_client::{self, OrderPermit};
+use gradepaddle_controlplane::session_table::Session;
+use gradepaddle_controlplane::version_announcement::VersionAnnouncement;
 use gradepaddle_http::buffers::Pool;
 use gradepaddle_proto::{Content, Encode, Envelope, Registration, SessionGrant, ViewSummary, Weights};
 use gradepaddle_spread::Item;
@@ -42,7 +42,7 @@
 const TICKET: u64 = 1 << 40;
 
 /// Answers calls that come over HTTP.
-type Decide = Box<dyn FnMut(Call) -> Option<Answer>>;
+type Decide = Box<dyn FnMut(Call) -> Option<Response>>;
 
 /// Serves the control address, sends each of these requests on a connection of its own, and notes what comes back.
 async fn exchange(
@@ -53,7 +53,7 @@
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
     let address = listener.local_addr()?;
     let (driver, mut events) = mpsc::unbounded_channel();
-    tokio::task::spawn_local(serve_calls(listener, driver, Clock::new(Instant::now())));
+    tokio::task::spawn_local(serve_api(listener, driver, Clock::new(Instant::now())));
     tokio::task::spawn_local(async move {
         while let Some(event) = events.recv().await {
             let DriverEvent::Call(call, reply) = event else { continue };
@@ -96,7 +96,9 @@
 
 /// The decisions of a real node that leads.
 fn node_decides(mut node: LoneNode) -> Decide {
-    Box::new(move |call| Some(node.call(call).unwrap_or_else(|| Answer::unavailable("nothing came at once"))))
+    Box::new(move |call| {
+        Some(node.call(call).unwrap_or_else(|| Response::unavailable("nothing came at once")))
+    })
 }
 
 fn local<F: Future<Output = Result<()>>>(future: F) -> Result<()> {
@@ -199,7 +201,7 @@
         let read = || request("GET", "/v1/config", None, "");
         let alone = vec![titled("no primary", put()), titled("no primary", read())];
         exchange(&mut transcript, node_decides(LoneNode::new()), alone).await?;
-        let late: Decide = Box::new(|_| Some(Answer { valid_until: Some(1), ..Answer::bare(200) }));
+        let late: Decide = Box::new(|_| Some(Response { valid_until: Some(1), ..Response::bare(200) }));
         exchange(&mut transcript, late, vec![titled("its lease has run out", read())]).await?;
         exchange(&mut transcript, Box::new(|_| None), vec![titled("dropped by the driver", read())]).await?;
         transcript.verify("unavailable.txt")
@@ -245,7 +247,7 @@
     node.call(Call::PutConfiguration { if_match: 0, version: 12, body });
     node.call(Call::NameVersion { model: "advisor".to_owned(), version: 7 });
     let call = |path: &str, body: String| {
-        calls::read("PUT", path, None, body.as_bytes()).expect("a call that makes sense")
+        api::parse("PUT", path, None, body.as_bytes()).expect("a call that makes sense")
     };
     node.call(call("/v1/servers/i-1", heartbeat("ready", 1)));
     node.call(call("/v1/servers/i-2", heartbeat("draining", 1)));
@@ -264,9 +266,9 @@
     for machine in &mut world.machines {
         let process = machine.process.as_mut().expect("it runs");
         let (clock, mut out) = (process.clock(now), Vec::new());
-        process.node.handle(clock, Input::Call { ticket: TICKET, call: Call::Status }, &mut out);
+        process.node.handle(clock, Input::Call { call_id: TICKET, call: Call::Status }, &mut out);
         let body = out.into_iter().find_map(|output| match output {
-            Output::Answer { ticket: TICKET, answer } => Some(answer.body),
+            Output::Respond { call_id: TICKET, response } => Some(response.body),
             _ => None,
         });
         let state: serde_json::Value = serde_json::from_slice(&body.or_fail()?)?;
@@ -302,11 +304,13 @@
         let pool = Pool::default();
         let (listener, address) = listen().await?;
         let model = Arc::from("advisor \"é\"");
-        let order = Order { server: Arc::from("i-7"), address, model, version: 2, fence: 41 };
+        let order = Order { server: Arc::from("i-7"), address, model, version: 2, fencing_token: 41 };
         let leading = watch::Sender::new(Some(41));
         let permit = OrderPermit::new(41, Instant::now() + Duration::from_secs(10), leading.subscribe());
-        let (_, seen) =
-            tokio::join!(orders::give(&order, "node-1", &pool, permit), seen_once(listener, TAKEN));
+        let (_, seen) = tokio::join!(
+            server_client::send_order(&order, "node-1", &pool, permit),
+            seen_once(listener, TAKEN)
+        );
         let wanted = format!(
             "POST /v1/order HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\nX-Target-Server: i-7\r\n\
              Content-Type: application/json\r\nContent-Length: 100\r\n\r\n\
@@ -315,14 +319,17 @@
         );
         expect_that!(seen, eq(&wanted));
         let (listener, address) = listen().await?;
-        let (_, seen) = tokio::join!(orders::report("i-7", address, &pool), seen_once(listener, EMPTY));
+        let (_, seen) =
+            tokio::join!(server_client::fetch_report("i-7", address, &pool), seen_once(listener, EMPTY));
         let wanted = format!(
             "GET /v1/report HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\nX-Target-Server: i-7\r\n\r\n"
         );
         expect_that!(seen, eq(&wanted));
         let (listener, address) = listen().await?;
-        let (_, seen) =
-            tokio::join!(orders::call(address, "GET", "/v1/status", &[], &pool), seen_once(listener, EMPTY));
+        let (_, seen) = tokio::join!(
+            server_client::call(address, "GET", "/v1/status", &[], &pool),
+            seen_once(listener, EMPTY)
+        );
         expect_that!(
             seen,
             eq(&format!("GET /v1/status HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n\r\n"))
@@ -341,7 +348,7 @@
 fn items_of_a_node() -> Result<()> {
     let mut node = LoneNode::leading();
     let call = |path: &str, body: String| {
-        calls::read("PUT", path, None, body.as_bytes()).expect("a call that makes sense")
+        api::parse("PUT", path, None, body.as_bytes()).expect("a call that makes sense")
     };
     node.call(call("/v1/servers/i-1", heartbeat("ready", 1)));
     node.call(call("/v1/servers/i-2", heartbeat("draining", 4)));
@@ -349,8 +356,8 @@
     let body = Arc::from(*b"{\"version\":12,\"routes\":[],\"backends\":[]}");
     node.call(Call::PutConfiguration { if_match: 0, version: 12, body });
     node.call(Call::NameVersion { model: "advisor".to_owned(), version: 7 });
-    node.hand(Input::Store { name: Arc::from("store-1"), alive: true });
-    node.hand(Input::Store { name: Arc::from("store-1"), alive: false });
+    node.hand(Input::CacheStoreChanged { name: Arc::from("store-1"), alive: true });
+    node.hand(Input::CacheStoreChanged { name: Arc::from("store-1"), alive: false });
     node.run_for(8 * SECOND, true);
     let lines: BTreeSet<String> = node.pushed.iter().map(item_line).collect();
     let mut transcript = Transcript::default();
@@ -360,13 +367,13 @@
 
 #[gtest]
 fn kinds_keys_and_stamps() {
-    let kinds = [CONFIGURATION, WEIGHTS, SERVER, SESSION, ORDERED, STORE].map(|kind| kind.0);
+    let kinds = [CONFIGURATION, MODEL_VERSION, SERVER, SESSION, RESERVATION, CACHE_STORE].map(|kind| kind.0);
     expect_that!(kinds, eq([1, 2, 3, 4, 5, 6]));
     expect_that!(CONFIGURATION_KEY, eq("current"));
     let stamp = |stamp: gradepaddle_spread::Stamp| (stamp.major, stamp.minor);
-    expect_that!(stamp(server_stamp(9, Conclusion::Told)), eq((9, 0)));
-    expect_that!(stamp(server_stamp(9, Conclusion::Lost)), eq((9, 1)));
-    expect_that!(stamp(SERVER_GONE), eq((u64::MAX, 0)));
+    expect_that!(stamp(server_stamp(9, Evidence::Reported)), eq((9, 0)));
+    expect_that!(stamp(server_stamp(9, Evidence::Lost)), eq((9, 1)));
+    expect_that!(stamp(SERVER_REMOVED), eq((u64::MAX, 0)));
     expect_that!(next_minor(0, address(1)), eq(NEXT_MINOR_OF_NODE_1));
     expect_that!(next_minor(NEXT_MINOR_OF_NODE_1, address(2)), eq(NEXT_MINOR_OF_NODE_2));
 }
@@ -378,12 +385,12 @@
 fn payloads() -> Result<()> {
     let mut transcript = Transcript::default();
     let mut note = |title: &str, bytes: Vec<u8>| transcript.line(&format!("{title}: {}", hex(&bytes)));
-    note("session", Session { identity: identity(3, Some(77)), holder: address(1) }.to_bytes());
-    note("version named first", Naming::default().to_bytes());
-    note("version named before", Naming { named_before: 1_234_567 }.to_bytes());
+    note("session", Session { identity: identity(3, Some(77)), granted_by: address(1) }.to_bytes());
+    note("version named first", VersionAnnouncement::default().to_bytes());
+    note("version named before", VersionAnnouncement { announced_before: 1_234_567 }.to_bytes());
     let model: Arc<str> = Arc::from("advisor");
-    note("server to load", Ordered { model: model.clone(), version: 300, done: false }.to_bytes());
-    note("server that holds it", Ordered { model: model.clone(), version: 300, done: true }.to_bytes());
+    note("server to load", Reservation { model: model.clone(), version: 300, loaded: false }.to_bytes());
+    note("server that holds it", Reservation { model: model.clone(), version: 300, loaded: true }.to_bytes());
     let registration = Registration {
         id: Arc::from("i-1"),
         service: Arc::from("advice"),
@@ -418,14 +425,16 @@
     let servers = BTreeMap::from([(server.id.clone(), server)]);
     let named = BTreeMap::from([("advisor".to_owned(), 2)]);
     let mut rollout = Rollout::new(3 * SECOND);
-    rollout.lead(0, 1);
+    rollout.become_primary(0, 1);
     let mut transcript = Transcript::default();
     for tick in 0..120 {
         for step in rollout.tick(tick * 100 * MS, &servers, &named) {
             match step {
-                Step::Mark(item) => transcript.line(&format!("{tick} mark {}", item_line(&item))),
-                Step::Order(order) => transcript.line(&format!("{tick} order of {}", order.version)),
-                Step::Ask { server, .. } => transcript.line(&format!("{tick} ask {server}")),
+                Step::PublishReservation(item) => {
+                    transcript.line(&format!("{tick} mark {}", item_line(&item)))
+                }
+                Step::SendOrder(order) => transcript.line(&format!("{tick} order of {}", order.version)),
+                Step::QueryServer { server, .. } => transcript.line(&format!("{tick} ask {server}")),
             }
         }
     }
--- a/controlplane/tests/golden/lone_node.rs
+++ b/controlplane/tests/golden/lone_node.rs
@@ -4,11 +4,11 @@
 use std::sync::Arc;
 
 use gradepaddle_control::{Recovered, Replica, ReplicaConfig, ReplicaId};
-use gradepaddle_controlplane::calls::{Answer, Call};
-use gradepaddle_controlplane::founding::Founding;
-use gradepaddle_controlplane::naming::VersionTimes;
+use gradepaddle_controlplane::api::{Call, Response};
+use gradepaddle_controlplane::bootstrap::Bootstrap;
 use gradepaddle_controlplane::node::{Input, Node, NodeSetup, Output};
-use gradepaddle_controlplane::session::OwnSession;
+use gradepaddle_controlplane::session_client::SessionClient;
+use gradepaddle_controlplane::version_announcement::VersionDeadlines;
 use gradepaddle_controlplane::{CLOCK_START, Micros};
 use gradepaddle_proto::{Content, Envelope, Identity, SessionBeat};
 use gradepaddle_spread::{Item, Message, Spread, SpreadConfig};
@@ -39,7 +39,7 @@
     now: Micros,
     pub pushed: Vec<Item>,
     /// Answers to calls of these tests, early and late.
-    pub answers: Vec<Answer>,
+    pub answers: Vec<Response>,
 }
 
 impl LoneNode {
@@ -47,12 +47,12 @@
     pub fn new() -> LoneNode {
         let own = address(1);
         let node = Node::new(NodeSetup {
-            session: OwnSession::new(identity(1, Some(501)), vec![own], CLOCK_START),
+            session: SessionClient::new(identity(1, Some(501)), vec![own], CLOCK_START),
             spread: Spread::new(SpreadConfig::builder().address(own).seed(1).build(), CLOCK_START),
-            founding: Founding::new(own, &[own], 1, true, CLOCK_START),
-            beat_every: 1_200_000,
+            bootstrap: Bootstrap::new(own, &[own], 1, true, CLOCK_START),
+            heartbeat_interval: 1_200_000,
             order_lease: 3 * SECOND,
-            version_times: VersionTimes { within: 8 * SECOND, in_all: None },
+            version_deadlines: VersionDeadlines { from_publication: 8 * SECOND, from_announcement: None },
             revoke_within: None,
             machine_losses: 0,
             now: CLOCK_START,
@@ -70,7 +70,7 @@
             .seed(1)
             .build();
         let replica = Replica::new(config, Recovered::empty(ReplicaId(501)), self.now);
-        self.hand(Input::Replica(Box::new(replica)));
+        self.hand(Input::ReplicaOpened(Box::new(replica)));
     }
 
     /// Hands it an input; what it writes is on its disk at once.
@@ -85,9 +85,9 @@
                     Output::Send { content: Content::Spread(Message::Push { items, .. }), .. } => {
                         self.pushed.extend(items.into_iter().map(|aged| aged.item));
                     }
-                    Output::Answer { ticket: TICKET, answer } => {
-                        self.answers.push(answer.clone());
-                        answers.push(Output::Answer { ticket: TICKET, answer });
+                    Output::Respond { call_id: TICKET, response } => {
+                        self.answers.push(response.clone());
+                        answers.push(Output::Respond { call_id: TICKET, response });
                     }
                     other => answers.push(other),
                 }
@@ -115,10 +115,10 @@
     }
 
     /// Makes a call and gives its answer, if that comes at once.
-    pub fn call(&mut self, call: Call) -> Option<Answer> {
-        let out = self.hand(Input::Call { ticket: TICKET, call });
+    pub fn call(&mut self, call: Call) -> Option<Response> {
+        let out = self.hand(Input::Call { call_id: TICKET, call });
         out.into_iter().find_map(|output| match output {
-            Output::Answer { ticket: TICKET, answer } => Some(answer),
+            Output::Respond { call_id: TICKET, response } => Some(response),
             _ => None,
         })
     }
--- a/controlplane/tests/leases.rs
+++ b/controlplane/tests/leases.rs
@@ -9,13 +9,13 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use gradepaddle_controlplane::calls::{Answer, Call};
+use gradepaddle_controlplane::api::{Call, Response};
+use gradepaddle_controlplane::api_server::serve_api;
 use gradepaddle_controlplane::clock::Clock;
-use gradepaddle_controlplane::door::serve_calls;
 use gradepaddle_controlplane::driver::DriverEvent;
 use gradepaddle_controlplane::node::{Input, Node, Output};
-use gradepaddle_controlplane::orders::{self, OrderPermit};
-use gradepaddle_controlplane::rollout::{Order, OrderAnswer};
+use gradepaddle_controlplane::rollout::{Order, OrderOutcome};
+use gradepaddle_controlplane::server_client::{self, OrderPermit};
 use gradepaddle_controlplane::{CLOCK_START, Micros};
 use gradepaddle_http::buffers::Pool;
 use gradepaddle_proto::{Content, Envelope, Forwarded};
@@ -66,7 +66,7 @@
     }
 
     fn call(&mut self, node: usize, call: Call) -> Vec<Output> {
-        self.hand(node, 0, Input::Call { ticket: TICKET, call })
+        self.hand(node, 0, Input::Call { call_id: TICKET, call })
     }
 
     fn address(&self, node: usize) -> SocketAddrV4 {
@@ -78,9 +78,9 @@
     }
 }
 
-fn answer(out: &[Output]) -> Option<Answer> {
+fn answer(out: &[Output]) -> Option<Response> {
     out.iter().find_map(|output| match output {
-        Output::Answer { ticket: TICKET, answer } => Some(answer.clone()),
+        Output::Respond { call_id: TICKET, response } => Some(response.clone()),
         _ => None,
     })
 }
@@ -90,7 +90,7 @@
 }
 
 fn some_order(address: SocketAddrV4) -> Order {
-    Order { server: Arc::from("s"), address, model: Arc::from("advisor"), version: 2, fence: 1 }
+    Order { server: Arc::from("s"), address, model: Arc::from("advisor"), version: 2, fencing_token: 1 }
 }
 
 /// The process may stand still between deciding and answering.
@@ -264,13 +264,13 @@
         for (valid_until, status) in rows {
             let (listener, address) = listen().await?;
             let (driver, mut calls) = mpsc::unbounded_channel();
-            let served = serve_calls(listener, driver, Clock::new(Instant::now()));
+            let served = serve_api(listener, driver, Clock::new(Instant::now()));
             let served = tokio::task::spawn_local(served);
             let mut caller = TcpStream::connect(address).await.or_fail()?;
             let request = b"GET /v1/config HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
             caller.write_all(request).await.or_fail()?;
             let Some(DriverEvent::Call(_, reply)) = calls.recv().await else { return fail!("no call came") };
-            let answer = Answer { valid_until, ..Answer::bare(200) };
+            let answer = Response { valid_until, ..Response::bare(200) };
             verify_that!(reply.send(answer).is_ok(), eq(true))?;
             let mut text = String::new();
             caller.read_to_string(&mut text).await.or_fail()?;
@@ -286,14 +286,14 @@
     bytes: Vec<u8>,
     /// How the connection ended for the server; `None` in good order.
     fault: Option<ErrorKind>,
-    answer: OrderAnswer,
+    answer: OrderOutcome,
 }
 
 /// Gives an order under fence 1, and does something once the first of its bytes have come.
 async fn give_in_vain(permit: OrderPermit, then: impl FnOnce()) -> Result<Withheld> {
     let (listener, address) = listen().await?;
     let given = tokio::task::spawn_local(async move {
-        orders::give(&some_order(address), "node-1", &Pool::default(), permit).await
+        server_client::send_order(&some_order(address), "node-1", &Pool::default(), permit).await
     });
     let (mut server, _) = listener.accept().await.or_fail()?;
     let mut bytes = vec![0; 16];
@@ -324,7 +324,7 @@
             let (_sender, leading) = watch::channel(leads);
             let withheld = give_in_vain(OrderPermit::new(1, deadline, leading), || {}).await?;
             expect_that!(withheld.bytes, is_empty(), "{what}");
-            expect_that!(withheld.answer, eq(OrderAnswer::NotTaken), "{what}");
+            expect_that!(withheld.answer, eq(OrderOutcome::Failed), "{what}");
         }
         Ok(())
     })
@@ -339,7 +339,7 @@
         let withheld = give_in_vain(OrderPermit::new(1, deadline, leading), || {}).await?;
         expect_that!(withheld.bytes.starts_with(b"POST /v1/order "), eq(true));
         expect_that!(withheld.fault, some(eq(ErrorKind::ConnectionReset)));
-        verify_that!(withheld.answer, eq(OrderAnswer::NotTaken))
+        verify_that!(withheld.answer, eq(OrderOutcome::Failed))
     })
 }
 
@@ -360,7 +360,7 @@
                 fastest = fastest.min(begun.elapsed());
                 expect_that!(withheld.bytes.starts_with(b"POST /v1/order "), eq(true));
                 expect_that!(withheld.fault, some(eq(ErrorKind::ConnectionReset)), "{next:?}");
-                expect_that!(withheld.answer, eq(OrderAnswer::NotTaken), "{next:?}");
+                expect_that!(withheld.answer, eq(OrderOutcome::Failed), "{next:?}");
             }
             // Not for want of an answer only, half a second later.
             expect_that!(fastest, lt(Duration::from_millis(450)), "{next:?}");
@@ -435,7 +435,7 @@
 }
 
 /// The answer to a call at the primary, with all that has to be written and replicated for it.
-fn settled_call(fleet: &mut Fleet, call: Call) -> Option<Answer> {
+fn settled_call(fleet: &mut Fleet, call: Call) -> Option<Response> {
     let primary = fleet.primary;
     let mut outputs = fleet.call(primary, call);
     for _ in 0..4 {
--- a/controlplane/tests/outbox.rs
+++ b/controlplane/tests/outbox.rs
@@ -3,7 +3,9 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use gradepaddle_controlplane::outbox::{QUEUED_BYTES, QUEUED_MESSAGES, Refusal, outbox, write_while_taken};
+use gradepaddle_controlplane::send_queue::{
+    MAX_QUEUED_BYTES, MAX_QUEUED_MESSAGES, SendError, send_queue, write_with_progress,
+};
 use tokio::io::{AsyncReadExt, duplex};
 use tokio::time::{Instant, sleep};
 
@@ -29,7 +31,7 @@
         count
     });
     let begun = Instant::now();
-    let written = write_while_taken(&mut near, &vec![1; STATE], WITHIN).await;
+    let written = write_with_progress(&mut near, &vec![1; STATE], WITHIN).await;
     drop(near);
     expect_that!(written, eq(true));
     expect_that!(begun.elapsed(), gt(WITHIN), "it takes as long as the link needs");
@@ -41,54 +43,54 @@
 async fn a_link_that_takes_nothing_is_given_up_after_the_span() {
     let (mut near, _far) = duplex(WINDOW);
     let begun = Instant::now();
-    expect_that!(write_while_taken(&mut near, &vec![1; STATE], WITHIN).await, eq(false));
+    expect_that!(write_with_progress(&mut near, &vec![1; STATE], WITHIN).await, eq(false));
     expect_that!(begun.elapsed(), eq(WITHIN));
 }
 
 #[gtest]
 fn what_waits_is_bounded_in_bytes() {
-    let (queue, _outgoing) = outbox();
+    let (queue, _outgoing) = send_queue();
     let mut taken = 0;
     for _ in 0..100 {
-        match queue.put(vec![0; 400_000]) {
+        match queue.push(vec![0; 400_000]) {
             Ok(()) => taken += 1,
-            Err(refusal) => expect_that!(refusal, eq(&Refusal::Full)),
+            Err(refusal) => expect_that!(refusal, eq(&SendError::Full)),
         }
     }
-    expect_that!(taken, eq(QUEUED_BYTES / 400_000));
-    expect_that!(queue.waiting(), le(QUEUED_BYTES));
+    expect_that!(taken, eq(MAX_QUEUED_BYTES / 400_000));
+    expect_that!(queue.queued_bytes(), le(MAX_QUEUED_BYTES));
 }
 
 #[gtest]
 fn what_waits_is_bounded_in_messages() {
-    let (queue, _outgoing) = outbox();
-    let taken = (0..2 * QUEUED_MESSAGES).filter(|_| queue.put(vec![0; 10]).is_ok()).count();
-    expect_that!(taken, eq(QUEUED_MESSAGES));
-    expect_that!(queue.waiting(), eq(10 * QUEUED_MESSAGES));
+    let (queue, _outgoing) = send_queue();
+    let taken = (0..2 * MAX_QUEUED_MESSAGES).filter(|_| queue.push(vec![0; 10]).is_ok()).count();
+    expect_that!(taken, eq(MAX_QUEUED_MESSAGES));
+    expect_that!(queue.queued_bytes(), eq(10 * MAX_QUEUED_MESSAGES));
 }
 
 #[gtest]
 fn the_largest_message_is_taken_where_nothing_waits() {
-    let (queue, _outgoing) = outbox();
-    expect_that!(queue.put(vec![0; 2 * QUEUED_BYTES]), ok(anything()));
-    expect_that!(queue.put(vec![0; 1]), err(eq(&Refusal::Full)));
+    let (queue, _outgoing) = send_queue();
+    expect_that!(queue.push(vec![0; 2 * MAX_QUEUED_BYTES]), ok(anything()));
+    expect_that!(queue.push(vec![0; 1]), err(eq(&SendError::Full)));
 }
 
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn what_is_written_makes_room_and_stays_in_order() {
-    let (queue, mut outgoing) = outbox();
+    let (queue, mut outgoing) = send_queue();
     for number in 0..10 {
-        expect_that!(queue.put(vec![number; 1_000]), ok(anything()));
+        expect_that!(queue.push(vec![number; 1_000]), ok(anything()));
     }
     let batch = outgoing.next_batch().await.unwrap_or_default();
     expect_that!(
         batch.chunks(1_000).map(|one| one[0]).collect::<Vec<_>>(),
         eq(&(0..10).collect::<Vec<u8>>())
     );
-    expect_that!(queue.waiting(), eq(10_000));
-    outgoing.written(batch.len());
-    expect_that!(queue.waiting(), eq(0));
+    expect_that!(queue.queued_bytes(), eq(10_000));
+    outgoing.mark_written(batch.len());
+    expect_that!(queue.queued_bytes(), eq(0));
     drop(outgoing);
-    expect_that!(queue.put(vec![7]), err(eq(&Refusal::Closed(vec![7]))));
+    expect_that!(queue.push(vec![7]), err(eq(&SendError::Closed { message: vec![7] })));
 }
--- a/controlplane/tests/registry.rs
+++ b/controlplane/tests/registry.rs
@@ -5,27 +5,27 @@
 use common::{MS, SECOND, address, heartbeat, lone_spread, publish, registration};
 use googletest::prelude::*;
 use gradepaddle_controlplane::Micros;
-use gradepaddle_controlplane::kinds::{self, Conclusion, SERVER, SERVER_GONE};
+use gradepaddle_controlplane::item_kinds::{self, Evidence, SERVER, SERVER_REMOVED};
 use gradepaddle_controlplane::registry::{Decision, Registry};
 use gradepaddle_proto::{Decode, Encode, Registration};
 use gradepaddle_spread::{Item, Spread, Stamp};
 
-const BEAT_EVERY: Micros = 1_200 * MS;
+const HEARTBEAT_INTERVAL: Micros = 1_200 * MS;
 
-/// A node with the servers that it hears.
-struct Heard {
+/// A node to which servers send their heartbeats.
+struct OwningNode {
     registry: Registry,
     spread: Spread,
 }
 
-impl Heard {
-    fn at(node: u8) -> Heard {
-        Heard { registry: Registry::new(address(node), BEAT_EVERY), spread: lone_spread(node) }
+impl OwningNode {
+    fn at(node: u8) -> OwningNode {
+        OwningNode { registry: Registry::new(address(node), HEARTBEAT_INTERVAL), spread: lone_spread(node) }
     }
 
     /// A heartbeat; what it leads to is published, as the node does it.
-    fn beat(&mut self, now: Micros, state: &str, call_count: u64) -> Decision {
-        let decision = self.registry.beat(now, "s", &heartbeat(state, call_count), &self.spread);
+    fn heartbeat(&mut self, now: Micros, state: &str, call_count: u64) -> Decision {
+        let decision = self.registry.heartbeat(now, "s", &heartbeat(state, call_count), &self.spread);
         self.publish(decision.clone());
         decision
     }
@@ -37,7 +37,7 @@
     }
 
     fn publish(&mut self, decision: Decision) {
-        if let Decision::Publish(item) | Decision::PublishConfirmed(item) = decision {
+        if let Decision::Publish(item) | Decision::PublishAcknowledged(item) = decision {
             publish(&mut self.spread, item);
         }
     }
@@ -49,13 +49,13 @@
 
 /// The item of server `s` as another node would publish it.
 fn of_other(owner: u8, call_count: u64) -> Item {
-    let stamp = kinds::server_stamp(call_count, Conclusion::Told);
-    kinds::item(SERVER, "s", stamp, registration("s", owner, 1).to_bytes())
+    let stamp = item_kinds::server_stamp(call_count, Evidence::Reported);
+    item_kinds::item(SERVER, "s", stamp, registration("s", owner, 1).to_bytes())
 }
 
-fn told(decision: &Decision) -> Option<(Registration, Stamp)> {
+fn published(decision: &Decision) -> Option<(Registration, Stamp)> {
     match decision {
-        Decision::Publish(item) | Decision::PublishConfirmed(item) => {
+        Decision::Publish(item) | Decision::PublishAcknowledged(item) => {
             Some((Registration::from_bytes(&item.payload).ok()?, item.stamp))
         }
         Decision::Acknowledge => None,
@@ -64,43 +64,52 @@
 
 #[gtest]
 fn a_new_server_is_published_and_a_known_one_is_not() -> Result<()> {
-    let mut heard = Heard::at(1);
-    let first = heard.beat(0, "ready", 4);
-    let (server, stamp) = told(&first).or_fail()?;
+    let mut node = OwningNode::at(1);
+    let first = node.heartbeat(0, "ready", 4);
+    let (server, stamp) = published(&first).or_fail()?;
     expect_that!(first, matches_pattern!(Decision::Publish(_)));
     expect_that!(server, eq(&registration("s", 1, 1)));
     expect_that!(stamp, eq(Stamp { major: 4, minor: 0 }));
     for count in 5..20 {
-        expect_that!(heard.beat(count * BEAT_EVERY, "ready", count), eq(&Decision::Acknowledge));
+        expect_that!(node.heartbeat(count * HEARTBEAT_INTERVAL, "ready", count), eq(&Decision::Acknowledge));
     }
     Ok(())
 }
 
 #[gtest]
 fn what_changes_is_published() -> Result<()> {
-    let mut heard = Heard::at(1);
-    heard.beat(0, "ready", 1);
+    let mut node = OwningNode::at(1);
+    node.heartbeat(0, "ready", 1);
     let mut told = heartbeat("ready", 2);
     told.models[0].version = 2;
-    expect_that!(heard.registry.beat(MS, "s", &told, &heard.spread), matches_pattern!(Decision::Publish(_)));
+    expect_that!(
+        node.registry.heartbeat(MS, "s", &told, &node.spread),
+        matches_pattern!(Decision::Publish(_))
+    );
     let mut told = heartbeat("ready", 3);
     told.slots = 17;
-    expect_that!(heard.registry.beat(MS, "s", &told, &heard.spread), matches_pattern!(Decision::Publish(_)));
+    expect_that!(
+        node.registry.heartbeat(MS, "s", &told, &node.spread),
+        matches_pattern!(Decision::Publish(_))
+    );
     let mut told = heartbeat("ready", 4);
     told.warmup_left_ms = 900.0;
-    expect_that!(heard.registry.beat(MS, "s", &told, &heard.spread), matches_pattern!(Decision::Publish(_)));
+    expect_that!(
+        node.registry.heartbeat(MS, "s", &told, &node.spread),
+        matches_pattern!(Decision::Publish(_))
+    );
     Ok(())
 }
 
 #[gtest]
 fn the_end_of_a_warm_up_is_published_and_its_course_is_not() -> Result<()> {
-    let mut heard = Heard::at(1);
+    let mut node = OwningNode::at(1);
     let mut decisions = Vec::new();
     for (count, left) in [(1, 3000.0), (2, 1800.0), (3, 600.0), (4, 0.0), (5, 0.0)] {
         let mut told = heartbeat("ready", count);
         told.warmup_left_ms = left;
-        let decision = heard.registry.beat(count * BEAT_EVERY, "s", &told, &heard.spread);
-        heard.publish(decision.clone());
+        let decision = node.registry.heartbeat(count * HEARTBEAT_INTERVAL, "s", &told, &node.spread);
+        node.publish(decision.clone());
         decisions.push(matches!(decision, Decision::Publish(_)));
     }
     verify_that!(decisions, elements_are![&true, &false, &false, &true, &false])
@@ -108,10 +117,10 @@
 
 #[gtest]
 fn a_late_call_changes_nothing() -> Result<()> {
-    let mut heard = Heard::at(1);
-    heard.beat(0, "draining", 9);
-    expect_that!(heard.beat(MS, "ready", 8), eq(&Decision::Acknowledge));
-    let item = heard.spread.get(SERVER, "s").or_fail()?;
+    let mut node = OwningNode::at(1);
+    node.heartbeat(0, "draining", 9);
+    expect_that!(node.heartbeat(MS, "ready", 8), eq(&Decision::Acknowledge));
+    let item = node.spread.get(SERVER, "s").or_fail()?;
     expect_that!(Registration::from_bytes(&item.payload).or_fail()?.draining, eq(true));
     expect_that!(item.stamp.major, eq(9));
     Ok(())
@@ -119,61 +128,61 @@
 
 #[gtest]
 fn a_call_that_another_node_overtook_changes_nothing() -> Result<()> {
-    let mut heard = Heard::at(1);
-    publish(&mut heard.spread, of_other(2, 9));
-    expect_that!(heard.beat(MS, "ready", 8), eq(&Decision::Acknowledge));
-    expect_that!(heard.beat(2 * MS, "ready", 10), matches_pattern!(Decision::Publish(_)));
+    let mut node = OwningNode::at(1);
+    publish(&mut node.spread, of_other(2, 9));
+    expect_that!(node.heartbeat(MS, "ready", 8), eq(&Decision::Acknowledge));
+    expect_that!(node.heartbeat(2 * MS, "ready", 10), matches_pattern!(Decision::Publish(_)));
     Ok(())
 }
 
 #[gtest]
 fn draining_is_confirmed_until_it_is_held() -> Result<()> {
-    let mut heard = Heard::at(1);
-    heard.beat(0, "ready", 1);
+    let mut node = OwningNode::at(1);
+    node.heartbeat(0, "ready", 1);
     for count in 2..5 {
         expect_that!(
-            heard.beat(count * MS, "draining", count),
-            matches_pattern!(Decision::PublishConfirmed(_))
+            node.heartbeat(count * MS, "draining", count),
+            matches_pattern!(Decision::PublishAcknowledged(_))
         );
     }
-    heard.registry.drain_held("s");
-    expect_that!(heard.beat(9 * MS, "draining", 9), eq(&Decision::Acknowledge));
-    let mut other = Heard::at(2);
-    publish(&mut other.spread, heard.spread.get(SERVER, "s").or_fail()?.clone());
-    expect_that!(other.beat(9 * MS, "draining", 10), matches_pattern!(Decision::PublishConfirmed(_)));
+    node.registry.drain_acknowledged("s");
+    expect_that!(node.heartbeat(9 * MS, "draining", 9), eq(&Decision::Acknowledge));
+    let mut other = OwningNode::at(2);
+    publish(&mut other.spread, node.spread.get(SERVER, "s").or_fail()?.clone());
+    expect_that!(other.heartbeat(9 * MS, "draining", 10), matches_pattern!(Decision::PublishAcknowledged(_)));
     Ok(())
 }
 
 #[gtest]
 fn a_silent_server_is_lost_after_three_heartbeats() -> Result<()> {
-    let mut heard = Heard::at(1);
-    heard.beat(0, "ready", 1);
-    heard.beat(BEAT_EVERY, "ready", 2);
-    expect_that!(heard.tick(4 * BEAT_EVERY), is_empty());
-    let lost = heard.tick(4 * BEAT_EVERY + 1);
+    let mut node = OwningNode::at(1);
+    node.heartbeat(0, "ready", 1);
+    node.heartbeat(HEARTBEAT_INTERVAL, "ready", 2);
+    expect_that!(node.tick(4 * HEARTBEAT_INTERVAL), is_empty());
+    let lost = node.tick(4 * HEARTBEAT_INTERVAL + 1);
     expect_that!(lost.len(), eq(1));
     expect_that!(Registration::from_bytes(&lost[0].payload).or_fail()?.lost, eq(true));
-    expect_that!(lost[0].stamp, eq(kinds::server_stamp(2, Conclusion::Lost)));
-    expect_that!(publish(&mut heard.spread, lost[0].clone()), eq(true));
-    expect_that!(heard.tick(9 * BEAT_EVERY), is_empty());
-    let back = heard.beat(10 * BEAT_EVERY, "ready", 3);
-    expect_that!(told(&back).or_fail()?.0.lost, eq(false));
+    expect_that!(lost[0].stamp, eq(item_kinds::server_stamp(2, Evidence::Lost)));
+    expect_that!(publish(&mut node.spread, lost[0].clone()), eq(true));
+    expect_that!(node.tick(9 * HEARTBEAT_INTERVAL), is_empty());
+    let back = node.heartbeat(10 * HEARTBEAT_INTERVAL, "ready", 3);
+    expect_that!(published(&back).or_fail()?.0.lost, eq(false));
     Ok(())
 }
 
 #[gtest]
 fn only_the_node_that_heard_it_last_calls_a_server_lost() -> Result<()> {
-    let late = 10 * BEAT_EVERY;
-    let mut heard = Heard::at(1);
-    heard.beat(0, "ready", 1);
-    publish(&mut heard.spread, of_other(2, 2));
-    expect_that!(heard.tick(late), is_empty());
-    let mut came_back = Heard::at(1);
-    came_back.beat(0, "ready", 1);
+    let late = 10 * HEARTBEAT_INTERVAL;
+    let mut node = OwningNode::at(1);
+    node.heartbeat(0, "ready", 1);
+    publish(&mut node.spread, of_other(2, 2));
+    expect_that!(node.tick(late), is_empty());
+    let mut came_back = OwningNode::at(1);
+    came_back.heartbeat(0, "ready", 1);
     publish(&mut came_back.spread, of_other(2, 2));
-    came_back.beat(BEAT_EVERY, "ready", 3);
+    came_back.heartbeat(HEARTBEAT_INTERVAL, "ready", 3);
     expect_that!(came_back.tick(late).len(), eq(1));
-    let mut bystander = Heard::at(3);
+    let mut bystander = OwningNode::at(3);
     publish(&mut bystander.spread, of_other(2, 2));
     expect_that!(bystander.tick(late), is_empty());
     Ok(())
@@ -181,31 +190,31 @@
 
 #[gtest]
 fn what_was_heard_elsewhere_meanwhile_stands_above_lost() -> Result<()> {
-    let lost = kinds::server_stamp(7, Conclusion::Lost);
-    expect_that!(lost, gt(kinds::server_stamp(7, Conclusion::Told)));
-    expect_that!(lost, lt(kinds::server_stamp(8, Conclusion::Told)));
-    expect_that!(SERVER_GONE, gt(kinds::server_stamp(u64::MAX - 1, Conclusion::Lost)));
+    let lost = item_kinds::server_stamp(7, Evidence::Lost);
+    expect_that!(lost, gt(item_kinds::server_stamp(7, Evidence::Reported)));
+    expect_that!(lost, lt(item_kinds::server_stamp(8, Evidence::Reported)));
+    expect_that!(SERVER_REMOVED, gt(item_kinds::server_stamp(u64::MAX - 1, Evidence::Lost)));
     Ok(())
 }
 
 #[gtest]
 fn leaving_is_confirmed_and_final() -> Result<()> {
-    let mut heard = Heard::at(1);
-    heard.beat(0, "draining", 5);
-    let Decision::PublishConfirmed(item) = heard.leave() else {
+    let mut node = OwningNode::at(1);
+    node.heartbeat(0, "draining", 5);
+    let Decision::PublishAcknowledged(item) = node.leave() else {
         return fail!("leaving was not to be confirmed");
     };
     expect_that!(item.removed, eq(true));
-    expect_that!(item.stamp, eq(SERVER_GONE));
-    expect_that!(heard.beat(MS, "ready", 6), eq(&Decision::Acknowledge));
-    expect_that!(heard.spread.get(SERVER, "s"), none());
-    expect_that!(heard.tick(100 * SECOND), is_empty());
+    expect_that!(item.stamp, eq(SERVER_REMOVED));
+    expect_that!(node.heartbeat(MS, "ready", 6), eq(&Decision::Acknowledge));
+    expect_that!(node.spread.get(SERVER, "s"), none());
+    expect_that!(node.tick(100 * SECOND), is_empty());
     Ok(())
 }
 
 #[gtest]
 fn a_server_that_nobody_heard_of_may_leave() -> Result<()> {
-    let mut heard = Heard::at(1);
-    expect_that!(heard.leave(), matches_pattern!(Decision::PublishConfirmed(_)));
+    let mut node = OwningNode::at(1);
+    expect_that!(node.leave(), matches_pattern!(Decision::PublishAcknowledged(_)));
     Ok(())
 }
--- a/controlplane/tests/regressions.rs
+++ b/controlplane/tests/regressions.rs
@@ -10,13 +10,13 @@
 use common::{MS, SECOND, address, addresses, identity, lone_spread, registration};
 use googletest::prelude::*;
 use gradepaddle_controlplane::Micros;
-use gradepaddle_controlplane::calls::Call;
-use gradepaddle_controlplane::kinds::{self, Conclusion, SERVER, SESSION};
-use gradepaddle_controlplane::naming::VersionTimes;
+use gradepaddle_controlplane::api::Call;
+use gradepaddle_controlplane::item_kinds::{self, Evidence, SERVER, SESSION};
 use gradepaddle_controlplane::node::{Input, Node, NodeSetup, Output};
-use gradepaddle_controlplane::rollout::{OrderAnswer, Ordered, Rollout, Servers, Step};
-use gradepaddle_controlplane::session::OwnSession;
-use gradepaddle_controlplane::sessions::{HeldSessions, Session};
+use gradepaddle_controlplane::rollout::{OrderOutcome, Reservation, Rollout, Servers, Step};
+use gradepaddle_controlplane::session_client::SessionClient;
+use gradepaddle_controlplane::session_table::{Session, SessionTable};
+use gradepaddle_controlplane::version_announcement::VersionDeadlines;
 use gradepaddle_engine::ServerState;
 use gradepaddle_proto::{Content, Decode, Encode, Envelope};
 use gradepaddle_spread::{Aged, Item, Message, Stamp};
@@ -31,12 +31,12 @@
 impl Driven {
     fn new(number: u8) -> Driven {
         let node = Node::new(NodeSetup {
-            session: OwnSession::new(identity(number, 1), addresses([3, 4]), 0),
+            session: SessionClient::new(identity(number, 1), addresses([3, 4]), 0),
             spread: lone_spread(number),
-            founding: None,
-            beat_every: 1_200 * MS,
+            bootstrap: None,
+            heartbeat_interval: 1_200 * MS,
             order_lease: 3 * SECOND,
-            version_times: VersionTimes { within: 8 * SECOND, in_all: None },
+            version_deadlines: VersionDeadlines { from_publication: 8 * SECOND, from_announcement: None },
             revoke_within: None,
             machine_losses: 1,
             now: 0,
@@ -70,7 +70,7 @@
 
     fn answers(out: &[Output], wanted: u64) -> Vec<u16> {
         let status = |output: &Output| match output {
-            Output::Answer { ticket, answer } if *ticket == wanted => Some(answer.status),
+            Output::Respond { call_id, response } if *call_id == wanted => Some(response.status),
             _ => None,
         };
         out.iter().filter_map(status).collect()
@@ -79,21 +79,21 @@
 
 fn states(out: &[Output]) -> Vec<ServerState> {
     let state = |output: &Output| match output {
-        Output::Server(entry) => Some(entry.state),
-        Output::ServerGone(_) => Some(ServerState::Gone),
+        Output::ServerChanged(entry) => Some(entry.state),
+        Output::ServerRemoved(_) => Some(ServerState::Gone),
         _ => None,
     };
     out.iter().filter_map(state).collect()
 }
 
-fn session(of: u8, holder: u8, minor: u64) -> Item {
-    let session = Session { identity: identity(of, 1), holder: address(holder) };
-    kinds::item(SESSION, &address(of).to_string(), Stamp { major: 1, minor }, session.to_bytes())
+fn session(of: u8, granted_by: u8, minor: u64) -> Item {
+    let session = Session { identity: identity(of, 1), granted_by: address(granted_by) };
+    item_kinds::item(SESSION, &address(of).to_string(), Stamp { major: 1, minor }, session.to_bytes())
 }
 
 fn server_of(owner: u8) -> Item {
-    let stamp = kinds::server_stamp(1, Conclusion::Told);
-    kinds::item(SERVER, "s", stamp, registration("s", owner, 1).to_bytes())
+    let stamp = item_kinds::server_stamp(1, Evidence::Reported);
+    item_kinds::item(SERVER, "s", stamp, registration("s", owner, 1).to_bytes())
 }
 
 /// A control plane in which nodes 2, 3 and 4 have their sessions.
@@ -122,7 +122,7 @@
     for item in among_others() {
         common::publish(&mut spread, item);
     }
-    let mut held = HeldSessions::new(address(3));
+    let mut held = SessionTable::new(address(3));
     let mut removed = Vec::new();
     for beat in 0..150 {
         let now = beat * 400 * MS;
@@ -139,7 +139,7 @@
     let mut node = Driven::new(9);
     node.learn(among_others());
     node.learn(vec![server_of(2)]);
-    node.learn(vec![kinds::removal(SESSION, &address(2).to_string(), Stamp { major: 1, minor: 2 })]);
+    node.learn(vec![item_kinds::tombstone(SESSION, &address(2).to_string(), Stamp { major: 1, minor: 2 })]);
     let out = node.wait(8 * SECOND);
     verify_that!(states(&out), contains(eq(&ServerState::Lost)))?;
     node.learn(vec![session(2, 4, 3)]);
@@ -155,7 +155,7 @@
     node.learn(among_others());
     node.wait(SECOND);
     node.learn(vec![server_of(2)]);
-    let leave = |ticket| Input::Call { ticket, call: Call::Leave { id: "s".to_owned() } };
+    let leave = |ticket| Input::Call { call_id: ticket, call: Call::Leave { id: "s".to_owned() } };
     let mut out = node.hand(leave(1));
     out.extend(node.wait(3 * SECOND));
     verify_that!(Driven::answers(&out, 1), elements_are![eq(&503)])?;
@@ -176,11 +176,11 @@
         let ids = (0..servers).map(|number| Arc::from(format!("s{number}")));
         let servers = ids.map(|id: Arc<str>| (id.clone(), registration(&id, 1, 1))).collect();
         let mut rollout = Rollout::new(3 * SECOND);
-        rollout.lead(0, 1);
+        rollout.become_primary(0, 1);
         Duty { rollout, servers, now: 0 }
     }
 
-    fn run(&mut self, span: Micros, answer: impl Fn(&str) -> OrderAnswer) -> Vec<Step> {
+    fn run(&mut self, span: Micros, answer: impl Fn(&str) -> OrderOutcome) -> Vec<Step> {
         let until = self.now + span;
         let named = BTreeMap::from([("advisor".to_owned(), 2)]);
         let mut all = Vec::new();
@@ -188,8 +188,8 @@
             self.now += 100 * MS;
             let steps = self.rollout.tick(self.now, &self.servers, &named);
             for step in &steps {
-                if let Step::Order(order) = step {
-                    let more = self.rollout.answered(self.now, order, answer(&order.server));
+                if let Step::SendOrder(order) = step {
+                    let more = self.rollout.handle_order_outcome(self.now, order, answer(&order.server));
                     all.extend(more);
                 }
             }
@@ -201,7 +201,7 @@
 
 fn ordered(steps: &[Step]) -> Vec<Arc<str>> {
     let server = |step: &Step| match step {
-        Step::Order(order) => Some(order.server.clone()),
+        Step::SendOrder(order) => Some(order.server.clone()),
         _ => None,
     };
     steps.iter().filter_map(server).collect()
@@ -209,7 +209,9 @@
 
 fn told_done(steps: &[Step]) -> bool {
     let done = |step: &Step| match step {
-        Step::Mark(item) => Ordered::from_bytes(&item.payload).is_ok_and(|mark| mark.done),
+        Step::PublishReservation(item) => {
+            Reservation::from_bytes(&item.payload).is_ok_and(|mark| mark.loaded)
+        }
         _ => false,
     };
     steps.iter().any(done)
@@ -220,10 +222,10 @@
 #[gtest]
 fn the_lease_of_another_is_waited_for_across_an_own_change_of_the_view() -> Result<()> {
     let mut duty = Duty::new(1);
-    duty.rollout.lead(duty.now, 4);
-    let after_the_change = duty.run(400 * MS, |_| OrderAnswer::NotTaken);
-    duty.rollout.lead(duty.now, 5);
-    let within_the_lease = duty.run(2_500 * MS, |_| OrderAnswer::NotTaken);
+    duty.rollout.become_primary(duty.now, 4);
+    let after_the_change = duty.run(400 * MS, |_| OrderOutcome::Failed);
+    duty.rollout.become_primary(duty.now, 5);
+    let within_the_lease = duty.run(2_500 * MS, |_| OrderOutcome::Failed);
     verify_that!(ordered(&after_the_change).len() + ordered(&within_the_lease).len(), eq(0))
 }
 
@@ -232,9 +234,9 @@
 #[gtest]
 fn a_server_that_is_lost_while_it_loads_makes_room_for_another() -> Result<()> {
     let mut duty = Duty::new(3);
-    duty.run(SECOND, |_| OrderAnswer::InProgress);
+    duty.run(SECOND, |_| OrderOutcome::InProgress);
     duty.servers.get_mut("s0").or_fail()?.lost = true;
-    let steps = duty.run(SECOND, |_| OrderAnswer::InProgress);
+    let steps = duty.run(SECOND, |_| OrderOutcome::InProgress);
     verify_that!(ordered(&steps).iter().any(|server| &**server == "s1"), eq(true))
 }
 
@@ -243,11 +245,11 @@
 #[gtest]
 fn a_server_that_reported_the_version_is_not_ordered_again() -> Result<()> {
     let mut duty = Duty::new(1);
-    let steps = duty.run(SECOND, |_| OrderAnswer::InProgress);
+    let steps = duty.run(SECOND, |_| OrderOutcome::InProgress);
     verify_that!(ordered(&steps).len(), eq(1))?;
-    duty.rollout.reported("s0", "advisor", 2);
+    duty.rollout.handle_report("s0", "advisor", 2);
     // Its heartbeat with the new version is still to come.
-    let steps = duty.run(1_200 * MS, |_| OrderAnswer::Holds);
+    let steps = duty.run(1_200 * MS, |_| OrderOutcome::Loaded);
     verify_that!(ordered(&steps).len(), eq(0))
 }
 
@@ -257,18 +259,18 @@
 fn one_server_that_takes_no_order_holds_up_no_other() -> Result<()> {
     let mut duty = Duty::new(3);
     let steps = duty.run(30 * SECOND, |server| match server {
-        "s0" => OrderAnswer::NotTaken,
-        _ => OrderAnswer::InProgress,
+        "s0" => OrderOutcome::Failed,
+        _ => OrderOutcome::InProgress,
     });
     verify_that!(ordered(&steps).iter().any(|server| &**server == "s1"), eq(true))
 }
 
 /// Seen: a server that was given up is marked done, upon which every node tells its data plane that the server holds
-/// the version (`Output::Holds`), though it does not.
+/// the version (`Output::ServerHasVersion`), though it does not.
 #[gtest]
 fn a_server_that_was_given_up_is_not_told_to_hold_the_version() -> Result<()> {
     let mut duty = Duty::new(1);
-    let steps = duty.run(10 * SECOND, |_| OrderAnswer::NotTaken);
+    let steps = duty.run(10 * SECOND, |_| OrderOutcome::Failed);
     verify_that!(told_done(&steps), eq(false))
 }
 
--- a/controlplane/tests/rollout.rs
+++ b/controlplane/tests/rollout.rs
@@ -8,7 +8,7 @@
 use common::{MS, SECOND, registration};
 use googletest::prelude::*;
 use gradepaddle_controlplane::Micros;
-use gradepaddle_controlplane::rollout::{Order, OrderAnswer, Ordered, Rollout, Servers, Step};
+use gradepaddle_controlplane::rollout::{Order, OrderOutcome, Reservation, Rollout, Servers, Step};
 use gradepaddle_proto::{Decode, Registration};
 
 const LEASE: Micros = 3 * SECOND;
@@ -39,7 +39,7 @@
 
     fn leading(servers: usize) -> Duty {
         let mut duty = Duty::new(servers);
-        duty.rollout.lead(duty.now, 1);
+        duty.rollout.become_primary(duty.now, 1);
         duty
     }
 
@@ -47,7 +47,7 @@
         self.now += TICK;
         let steps = self.rollout.tick(self.now, &self.servers, &self.named);
         for step in &steps {
-            if let Step::Order(order) = step {
+            if let Step::SendOrder(order) = step {
                 self.given.insert(order.server.clone(), order.clone());
             }
         }
@@ -66,8 +66,8 @@
     }
 
     /// Answers the latest order to a server.
-    fn answer(&mut self, server: &str, answer: OrderAnswer) -> Vec<Step> {
-        self.rollout.answered(self.now, &self.given[server], answer)
+    fn answer(&mut self, server: &str, answer: OrderOutcome) -> Vec<Step> {
+        self.rollout.handle_order_outcome(self.now, &self.given[server], answer)
     }
 
     fn at(&mut self, server: &str) -> &mut Registration {
@@ -87,17 +87,19 @@
     steps
         .iter()
         .filter_map(|(at, step)| match step {
-            Step::Order(order) => Some((*at, order)),
+            Step::SendOrder(order) => Some((*at, order)),
             _ => None,
         })
         .collect()
 }
 
-fn marks(steps: &[(Micros, Step)]) -> Vec<(Micros, Arc<str>, Ordered)> {
+fn marks(steps: &[(Micros, Step)]) -> Vec<(Micros, Arc<str>, Reservation)> {
     steps
         .iter()
         .filter_map(|(at, step)| match step {
-            Step::Mark(item) => Some((*at, item.key.clone(), Ordered::from_bytes(&item.payload).ok()?)),
+            Step::PublishReservation(item) => {
+                Some((*at, item.key.clone(), Reservation::from_bytes(&item.payload).ok()?))
+            }
             _ => None,
         })
         .collect()
@@ -105,14 +107,14 @@
 
 fn done(steps: &[Step], server: &str) -> bool {
     let timed: Vec<(Micros, Step)> = steps.iter().map(|step| (0, step.clone())).collect();
-    marks(&timed).iter().any(|(_, key, ordered)| &**key == server && ordered.done)
+    marks(&timed).iter().any(|(_, key, ordered)| &**key == server && ordered.loaded)
 }
 
 #[gtest]
 fn nothing_is_done_without_leading() -> Result<()> {
     let mut duty = Duty::new(3);
     expect_that!(duty.run(10 * SECOND), is_empty());
-    expect_that!(duty.rollout.may_order(1), eq(false));
+    expect_that!(duty.rollout.may_send_order(1), eq(false));
     Ok(())
 }
 
@@ -131,12 +133,12 @@
 #[gtest]
 fn orders_bear_the_fence_and_what_is_named() -> Result<()> {
     let mut duty = Duty::new(1);
-    duty.rollout.lead(duty.now, 6);
+    duty.rollout.become_primary(duty.now, 6);
     let steps = duty.run(5 * SECOND);
     let (_, order) = orders(&steps).first().copied().or_fail()?;
     expect_that!((&*order.server, &*order.model), eq(("s00", "advisor")));
-    expect_that!((order.version, order.fence, order.address), eq((2, 6, duty.at("s00").address)));
-    expect_that!((duty.rollout.may_order(6), duty.rollout.may_order(5)), eq((true, false)));
+    expect_that!((order.version, order.fencing_token, order.address), eq((2, 6, duty.at("s00").address)));
+    expect_that!((duty.rollout.may_send_order(6), duty.rollout.may_send_order(5)), eq((true, false)));
     Ok(())
 }
 
@@ -146,7 +148,7 @@
     let steps = duty.run(SECOND);
     let (marked, _, mark) = marks(&steps).first().cloned().or_fail()?;
     let (ordered, _) = orders(&steps)[0];
-    expect_that!(mark, eq(&Ordered { model: Arc::from("advisor"), version: 2, done: false }));
+    expect_that!(mark, eq(&Reservation { model: Arc::from("advisor"), version: 2, loaded: false }));
     expect_that!(ordered - marked, all![ge(100 * MS), le(400 * MS)]);
     Ok(())
 }
@@ -165,8 +167,8 @@
     ] {
         let mut duty = Duty::new(1);
         for epoch in epochs {
-            duty.rollout.stop();
-            duty.rollout.lead(duty.now, *epoch);
+            duty.rollout.step_down();
+            duty.rollout.become_primary(duty.now, *epoch);
         }
         let since = duty.now;
         let steps = duty.run(6 * SECOND);
@@ -196,7 +198,7 @@
     for _ in 0..40 {
         let steps = duty.run(200 * MS);
         for (_, order) in orders(&steps) {
-            duty.rollout.answered(duty.now, order, OrderAnswer::Holds);
+            duty.rollout.handle_order_outcome(duty.now, order, OrderOutcome::Loaded);
             brought.push(order.server.clone());
         }
         for server in &brought {
@@ -214,7 +216,7 @@
     let mut duty = Duty::leading(1);
     let steps = duty.run(400 * MS);
     expect_that!(orders(&steps).len(), eq(1));
-    expect_that!(duty.answer("s00", OrderAnswer::NotTaken), is_empty());
+    expect_that!(duty.answer("s00", OrderOutcome::Failed), is_empty());
     expect_that!(orders(&duty.run(700 * MS)).len(), eq(1));
     Ok(())
 }
@@ -223,10 +225,10 @@
 fn one_that_was_taken_is_asked_after_and_not_given_again() -> Result<()> {
     let mut duty = Duty::leading(1);
     duty.run(400 * MS);
-    expect_that!(duty.answer("s00", OrderAnswer::InProgress), is_empty());
+    expect_that!(duty.answer("s00", OrderOutcome::InProgress), is_empty());
     let steps = duty.run(2 * SECOND);
     expect_that!(orders(&steps), is_empty());
-    let asks = steps.iter().filter(|(_, step)| matches!(step, Step::Ask { .. })).count();
+    let asks = steps.iter().filter(|(_, step)| matches!(step, Step::QueryServer { .. })).count();
     expect_that!(asks, all![ge(3), le(7)]);
     Ok(())
 }
@@ -235,15 +237,15 @@
 fn it_is_done_by_the_answer_the_report_or_the_registration() -> Result<()> {
     let mut duty = Duty::leading(1);
     duty.run(400 * MS);
-    expect_that!(done(&duty.answer("s00", OrderAnswer::Holds), "s00"), eq(true));
+    expect_that!(done(&duty.answer("s00", OrderOutcome::Loaded), "s00"), eq(true));
 
     let mut duty = Duty::leading(1);
     duty.run(400 * MS);
-    duty.answer("s00", OrderAnswer::InProgress);
-    expect_that!(duty.rollout.reported("s00", "advisor", 1), is_empty());
-    expect_that!(duty.rollout.reported("s00", "other", 2), is_empty());
-    expect_that!(duty.rollout.reported("s01", "advisor", 2), is_empty());
-    expect_that!(done(&duty.rollout.reported("s00", "advisor", 2), "s00"), eq(true));
+    duty.answer("s00", OrderOutcome::InProgress);
+    expect_that!(duty.rollout.handle_report("s00", "advisor", 1), is_empty());
+    expect_that!(duty.rollout.handle_report("s00", "other", 2), is_empty());
+    expect_that!(duty.rollout.handle_report("s01", "advisor", 2), is_empty());
+    expect_that!(done(&duty.rollout.handle_report("s00", "advisor", 2), "s00"), eq(true));
 
     let mut duty = Duty::leading(1);
     duty.run(400 * MS);
@@ -276,15 +278,15 @@
 fn one_that_does_not_come_to_hold_it_is_given_up() -> Result<()> {
     let mut duty = Duty::leading(1);
     duty.run(400 * MS);
-    duty.answer("s00", OrderAnswer::InProgress);
+    duty.answer("s00", OrderOutcome::InProgress);
     let steps = duty.run(9 * SECOND);
     // The mark is taken back by a tombstone that does not claim that the server holds the version.
     let given_up = steps.iter().find_map(|(at, step)| match step {
-        Step::Mark(item) if item.removed => Some(*at),
+        Step::PublishReservation(item) if item.removed => Some(*at),
         _ => None,
     });
     expect_that!(given_up.or_fail()?, le(10 * SECOND + 8 * SECOND));
-    expect_that!(marks(&steps).iter().any(|(_, _, mark)| mark.done), eq(false));
+    expect_that!(marks(&steps).iter().any(|(_, _, mark)| mark.loaded), eq(false));
     Ok(())
 }
 
@@ -292,11 +294,11 @@
 fn it_stops_with_the_lead() -> Result<()> {
     let mut duty = Duty::leading(3);
     duty.run(400 * MS);
-    duty.rollout.stop();
+    duty.rollout.step_down();
     expect_that!(duty.run(10 * SECOND), is_empty());
-    expect_that!(duty.rollout.may_order(1), eq(false));
-    expect_that!(duty.answer("s00", OrderAnswer::Holds), is_empty());
-    expect_that!(duty.rollout.reported("s00", "advisor", 2), is_empty());
+    expect_that!(duty.rollout.may_send_order(1), eq(false));
+    expect_that!(duty.answer("s00", OrderOutcome::Loaded), is_empty());
+    expect_that!(duty.rollout.handle_report("s00", "advisor", 2), is_empty());
     Ok(())
 }
 
@@ -304,10 +306,10 @@
 fn a_new_lead_begins_anew_under_its_fence() -> Result<()> {
     let mut duty = Duty::leading(1);
     duty.run(400 * MS);
-    duty.answer("s00", OrderAnswer::InProgress);
-    duty.rollout.lead(duty.now, 2);
+    duty.answer("s00", OrderOutcome::InProgress);
+    duty.rollout.become_primary(duty.now, 2);
     let steps = duty.run(SECOND);
-    let fences: Vec<u64> = orders(&steps).iter().map(|(_, order)| order.fence).collect();
+    let fences: Vec<u64> = orders(&steps).iter().map(|(_, order)| order.fencing_token).collect();
     expect_that!(fences, each(eq(&2)));
     expect_that!(fences, not(is_empty()));
     Ok(())
@@ -318,7 +320,7 @@
     let mut duty = Duty::leading(1);
     duty.run(400 * MS);
     duty.named.insert("advisor".to_owned(), 3);
-    duty.answer("s00", OrderAnswer::Holds);
+    duty.answer("s00", OrderOutcome::Loaded);
     duty.holds("s00", 2);
     let steps = duty.run(SECOND);
     expect_that!(orders(&steps).iter().map(|(_, order)| order.version).collect::<Vec<_>>(), contains(eq(&3)));
@@ -328,10 +330,10 @@
 #[gtest]
 fn what_is_of_no_use_any_longer_is_loaded_at_once_whatever_was_named_since() -> Result<()> {
     let mut duty = Duty::leading(12);
-    duty.rollout.set_due("advisor", 2, duty.now + 6 * SECOND);
+    duty.rollout.set_deadline("advisor", 2, duty.now + 6 * SECOND);
     let mut steps = duty.run(3 * SECOND);
     duty.named.insert("advisor".to_owned(), 3);
-    duty.rollout.set_due("advisor", 3, duty.now + 6 * SECOND);
+    duty.rollout.set_deadline("advisor", 3, duty.now + 6 * SECOND);
     // The first ones take their time. From 6 s on nothing goes to any server at version 1.
     steps.extend(duty.run(3 * SECOND + 200 * MS));
     let mut begun: Vec<Arc<str>> = marks(&steps).into_iter().map(|(_, server, _)| server).collect();
@@ -345,8 +347,8 @@
 fn those_whose_time_is_over_first_are_loaded_first() -> Result<()> {
     let mut duty = Duty::leading(18);
     duty.named.insert("advisor".to_owned(), 3);
-    duty.rollout.set_due("advisor", 2, duty.now + 5 * SECOND);
-    duty.rollout.set_due("advisor", 3, duty.now + 10 * SECOND);
+    duty.rollout.set_deadline("advisor", 2, duty.now + 5 * SECOND);
+    duty.rollout.set_deadline("advisor", 3, duty.now + 10 * SECOND);
     for number in 0..15 {
         duty.holds(&format!("s{number:02}"), 2);
     }
@@ -358,8 +360,8 @@
 #[gtest]
 fn a_time_that_begins_anew_is_waited_for() -> Result<()> {
     let mut duty = Duty::leading(18);
-    duty.rollout.set_due("advisor", 2, duty.now + 2 * SECOND);
-    duty.rollout.set_due("advisor", 2, duty.now + 20 * SECOND);
+    duty.rollout.set_deadline("advisor", 2, duty.now + 2 * SECOND);
+    duty.rollout.set_deadline("advisor", 2, duty.now + 20 * SECOND);
     expect_that!(marks(&duty.run(5 * SECOND)).len(), eq(3));
     Ok(())
 }
@@ -376,7 +378,7 @@
             step_orders(&mut duty, named_after, unlucky, &mut answered);
             version += 1;
             duty.named.insert("advisor".to_owned(), version);
-            duty.rollout.set_due("advisor", version, duty.now + WITHIN * 3 / 4);
+            duty.rollout.set_deadline("advisor", version, duty.now + WITHIN * 3 / 4);
         }
         step_orders(&mut duty, WITHIN * 3 / 2, unlucky, &mut answered);
         let held: Vec<u64> = duty.servers.values().map(|server| server.weights[0].version).collect();
@@ -390,11 +392,11 @@
     let until = duty.now + span;
     while duty.now < until {
         for step in duty.tick() {
-            let Step::Order(order) = step else { continue };
+            let Step::SendOrder(order) = step else { continue };
             *answered += 1;
             let lost = unlucky > 1 && answered.is_multiple_of(unlucky);
-            let answer = if lost { OrderAnswer::NotTaken } else { OrderAnswer::Holds };
-            duty.rollout.answered(duty.now, &order, answer);
+            let answer = if lost { OrderOutcome::Failed } else { OrderOutcome::Loaded };
+            duty.rollout.handle_order_outcome(duty.now, &order, answer);
             if !lost {
                 duty.holds(&order.server, order.version);
             }
@@ -409,7 +411,7 @@
     let stamps: Vec<_> = steps
         .iter()
         .filter_map(|(_, step)| match step {
-            Step::Mark(item) => Some(item.stamp),
+            Step::PublishReservation(item) => Some(item.stamp),
             _ => None,
         })
         .collect();
--- a/controlplane/tests/session.rs
+++ b/controlplane/tests/session.rs
@@ -8,46 +8,46 @@
 use common::{MS, SECOND, address, addresses, grant, identity, view};
 use googletest::prelude::*;
 use gradepaddle_controlplane::Micros;
-use gradepaddle_controlplane::session::{Beat, OwnSession};
+use gradepaddle_controlplane::session_client::{OutgoingHeartbeat, SessionClient};
 use gradepaddle_proto::SessionGrant;
 
 /// A session with the clock that drives it.
 struct Driven {
-    session: OwnSession,
+    session: SessionClient,
     now: Micros,
 }
 
 impl Driven {
     fn new(own: u8, seeds: &[u8]) -> Driven {
         let seeds = addresses(seeds.iter().copied());
-        Driven { session: OwnSession::new(identity(own, 100), seeds, 0), now: 0 }
+        Driven { session: SessionClient::new(identity(own, 100), seeds, 0), now: 0 }
     }
 
     /// Goes to the next time at which something is due.
-    fn next(&mut self) -> Vec<Beat> {
+    fn next(&mut self) -> Vec<OutgoingHeartbeat> {
         self.now = self.now.max(self.session.next_wake());
-        let mut beats = Vec::new();
-        self.session.tick(self.now, &mut beats);
-        beats
+        let mut heartbeats = Vec::new();
+        self.session.tick(self.now, &mut heartbeats);
+        heartbeats
     }
 
     /// Goes on until this time; nobody answers.
-    fn silence(&mut self, until: Micros) -> Vec<(Micros, SocketAddrV4)> {
+    fn run_without_replies(&mut self, until: Micros) -> Vec<(Micros, SocketAddrV4)> {
         let mut sent = Vec::new();
         while self.session.next_wake() <= until {
-            let beats = self.next();
-            sent.extend(beats.into_iter().map(|beat| (self.now, beat.to)));
+            let heartbeats = self.next();
+            sent.extend(heartbeats.into_iter().map(|heartbeat| (self.now, heartbeat.to)));
         }
         sent
     }
 
     fn granted_by(&mut self, from: SocketAddrV4, answer: &SessionGrant) -> bool {
-        self.session.receive(self.now, from, answer)
+        self.session.handle_reply(self.now, from, answer)
     }
 }
 
-fn asked(beats: &[Beat]) -> Vec<SocketAddrV4> {
-    beats.iter().map(|beat| beat.to).collect()
+fn asked(heartbeats: &[OutgoingHeartbeat]) -> Vec<SocketAddrV4> {
+    heartbeats.iter().map(|heartbeat| heartbeat.to).collect()
 }
 
 /// A node that knows a view and has a session with the control balancer that is returned.
@@ -59,9 +59,9 @@
         &SessionGrant { stands: false, ..grant(100, Some(view(3, members.to_vec()))) },
     );
     loop {
-        let beats = driven.next();
-        if let [beat] = &beats[..] {
-            let to = beat.to;
+        let heartbeats = driven.next();
+        if let [heartbeat] = &heartbeats[..] {
+            let to = heartbeat.to;
             driven.granted_by(to, &grant(100, None));
             return (driven, to);
         }
@@ -75,7 +75,7 @@
         expect_that!(asked(&driven.next()), unordered_elements_are![&address(1), &address(3)]);
     }
     expect_that!(driven.now, le(3 * SECOND));
-    expect_that!(driven.session.granted(), none());
+    expect_that!(driven.session.last_granted(), none());
     Ok(())
 }
 
@@ -83,7 +83,7 @@
 fn a_view_leads_to_one_of_its_members() -> Result<()> {
     let (mut driven, control) = settled(9, &[1, 2, 3]);
     expect_that!(addresses([1, 2, 3]), contains(eq(&control)));
-    expect_that!(driven.session.granted(), some(eq(driven.now)));
+    expect_that!(driven.session.last_granted(), some(eq(driven.now)));
     for _ in 0..20 {
         expect_that!(asked(&driven.next()), elements_are![&control]);
         driven.granted_by(control, &grant(100, None));
@@ -95,7 +95,7 @@
 fn a_control_balancer_never_holds_its_own_session() -> Result<()> {
     let (mut driven, control) = settled(1, &[1, 2, 3]);
     expect_that!(control, not(eq(address(1))));
-    let sent = driven.silence(20 * SECOND);
+    let sent = driven.run_without_replies(20 * SECOND);
     expect_that!(sent.iter().any(|(_, to)| *to == address(1)), eq(false));
     Ok(())
 }
@@ -104,7 +104,7 @@
 fn silence_turns_to_the_next_control_balancer() -> Result<()> {
     let (mut driven, control) = settled(9, &[1, 2, 3]);
     let since = driven.now;
-    let sent = driven.silence(since + 8 * SECOND);
+    let sent = driven.run_without_replies(since + 8 * SECOND);
     let moved = sent.iter().find(|(_, to)| *to != control).or_fail()?;
     expect_that!(moved.0, le(since + 1_500 * MS));
     expect_that!(moved.0, gt(since + SECOND));
@@ -118,7 +118,7 @@
     let (mut driven, _) = settled(9, &[1, 2, 3]);
     driven.session.set_seeds(addresses([7, 8]));
     let since = driven.now;
-    let sent = driven.silence(since + 10 * SECOND);
+    let sent = driven.run_without_replies(since + 10 * SECOND);
     let to_seeds: Vec<&(Micros, SocketAddrV4)> = sent.iter().filter(|(_, to)| *to == address(7)).collect();
     expect_that!(to_seeds.len(), ge(1));
     expect_that!(to_seeds[0].0, le(since + 5 * SECOND));
@@ -142,9 +142,9 @@
 #[gtest]
 fn an_older_view_is_not_learned() -> Result<()> {
     let (mut driven, _) = settled(9, &[1, 2, 3]);
-    driven.session.learn(&view(2, [4, 5]));
+    driven.session.learn_view(&view(2, [4, 5]));
     expect_that!(driven.session.view(), eq(&view(3, [1, 2, 3])));
-    driven.session.learn(&view(3, [4, 5]));
+    driven.session.learn_view(&view(3, [4, 5]));
     expect_that!(driven.session.view(), eq(&view(3, [1, 2, 3])));
     Ok(())
 }
@@ -154,8 +154,8 @@
     let (mut driven, control) = settled(9, &[1, 2, 3]);
     let refused = SessionGrant { stands: false, seen_incarnation: 4_000, ..grant(100, None) };
     expect_that!(driven.granted_by(control, &refused), eq(false));
-    let beats = driven.next();
-    expect_that!(beats[0].beat.identity.incarnation, eq(4_001));
+    let heartbeats = driven.next();
+    expect_that!(heartbeats[0].heartbeat.identity.incarnation, eq(4_001));
     expect_that!(driven.now, le(SECOND));
     expect_that!(driven.granted_by(control, &grant(4_001, None)), eq(true));
     Ok(())
@@ -164,10 +164,10 @@
 #[gtest]
 fn a_grant_of_an_earlier_incarnation_grants_nothing() -> Result<()> {
     let (mut driven, control) = settled(9, &[1, 2, 3]);
-    let before = driven.session.granted();
+    let before = driven.session.last_granted();
     driven.now += SECOND;
     expect_that!(driven.granted_by(control, &grant(99, None)), eq(false));
-    expect_that!(driven.session.granted(), eq(before));
+    expect_that!(driven.session.last_granted(), eq(before));
     Ok(())
 }
 
@@ -177,11 +177,11 @@
     let since = driven.now;
     let refused = SessionGrant { stands: false, ..grant(100, None) };
     while driven.now < since + 2 * SECOND {
-        let beats = driven.next();
-        for beat in beats.iter().filter(|beat| beat.to == control) {
-            driven.granted_by(beat.to, &refused);
+        let heartbeats = driven.next();
+        for heartbeat in heartbeats.iter().filter(|heartbeat| heartbeat.to == control) {
+            driven.granted_by(heartbeat.to, &refused);
         }
-        if beats.iter().any(|beat| beat.to != control) {
+        if heartbeats.iter().any(|heartbeat| heartbeat.to != control) {
             return Ok(());
         }
     }
@@ -192,7 +192,7 @@
 fn one_that_leaves_the_view_is_left_at_once() -> Result<()> {
     let (mut driven, control) = settled(9, &[1, 2, 3]);
     let others: Vec<u8> = [1, 2, 3].into_iter().filter(|one| address(*one) != control).collect();
-    driven.session.learn(&view(4, others));
+    driven.session.learn_view(&view(4, others));
     expect_that!(asked(&driven.next()), not(contains(eq(&control))));
     Ok(())
 }
@@ -210,8 +210,8 @@
 #[gtest]
 fn the_replica_is_told_once_it_is_there() -> Result<()> {
     let mut driven = Driven::new(2, &[1]);
-    expect_that!(driven.next()[0].beat.identity.replica, none());
+    expect_that!(driven.next()[0].heartbeat.identity.replica, none());
     driven.session.set_replica(Some(77));
-    expect_that!(driven.next()[0].beat.identity.replica, some(eq(77)));
+    expect_that!(driven.next()[0].heartbeat.identity.replica, some(eq(77)));
     Ok(())
 }
--- a/controlplane/tests/sessions.rs
+++ b/controlplane/tests/sessions.rs
@@ -8,49 +8,56 @@
 use common::{MS, SECOND, address, lone_spread, publish, session_beat};
 use googletest::prelude::*;
 use gradepaddle_controlplane::Micros;
-use gradepaddle_controlplane::kinds::{self, SESSION};
-use gradepaddle_controlplane::sessions::{HeldSessions, LAPSES_AFTER, Session, live, zone_of};
+use gradepaddle_controlplane::item_kinds::{self, SESSION};
+use gradepaddle_controlplane::session_table::{
+    SESSION_TIMEOUT, Session, SessionTable, StaleIncarnation, live_sessions,
+};
 use gradepaddle_proto::Decode;
 use gradepaddle_spread::{Item, Spread};
 
-/// A control balancer that publishes what it is to publish.
-struct Holder {
-    held: HeldSessions,
+/// A control balancer that publishes its items.
+struct ControlBalancer {
+    table: SessionTable,
     spread: Spread,
 }
 
-impl Holder {
-    fn new(number: u8) -> Holder {
-        Holder { held: HeldSessions::new(address(number)), spread: lone_spread(number) }
+impl ControlBalancer {
+    fn new(number: u8) -> ControlBalancer {
+        ControlBalancer { table: SessionTable::new(address(number)), spread: lone_spread(number) }
     }
 
     /// A heartbeat; gives what was published for it.
-    fn beat(&mut self, now: Micros, node: u8, incarnation: u64) -> std::result::Result<Option<Item>, u64> {
-        let item = self.held.beat(now, &session_beat(node, incarnation), &self.spread)?;
+    fn heartbeat(
+        &mut self,
+        now: Micros,
+        node: u8,
+        incarnation: u64,
+    ) -> std::result::Result<Option<Item>, StaleIncarnation> {
+        let item = self.table.heartbeat(now, &session_beat(node, incarnation), &self.spread)?;
         item.iter().for_each(|item| {
             publish(&mut self.spread, item.clone());
         });
         Ok(item)
     }
 
-    /// Goes on, publishing and giving what lapsed.
+    /// Goes on, publishing and giving what expired.
     fn tick(&mut self, now: Micros) -> Vec<Item> {
-        let removed = self.held.tick(now, &self.spread);
+        let removed = self.table.tick(now, &self.spread);
         removed.iter().for_each(|item| {
             publish(&mut self.spread, item.clone());
         });
         removed
     }
 
-    /// Takes in what another holder published.
-    fn learn(&mut self, items: &[Item]) {
+    /// Takes in what another balancer published.
+    fn receive(&mut self, items: &[Item]) {
         items.iter().for_each(|item| {
             publish(&mut self.spread, item.clone());
         });
     }
 
     fn knows(&self, node: u8) -> bool {
-        live(&self.spread).any(|(_, session)| session.identity.address == address(node))
+        live_sessions(&self.spread).any(|(_, session)| session.identity.address == address(node))
     }
 
     fn item(&self, node: u8) -> Vec<Item> {
@@ -60,41 +67,42 @@
 
 #[gtest]
 fn a_session_is_published_once() -> Result<()> {
-    let mut holder = Holder::new(1);
-    let item = holder.beat(0, 9, 100).or_fail()?.or_fail()?;
+    let mut balancer = ControlBalancer::new(1);
+    let item = balancer.heartbeat(0, 9, 100).or_fail()?.or_fail()?;
     expect_that!(item.stamp.major, eq(100));
     let session = Session::from_bytes(&item.payload).or_fail()?;
-    expect_that!((session.identity.address, session.holder), eq((address(9), address(1))));
-    for beat in 1..10 {
-        expect_that!(holder.beat(beat * 400 * MS, 9, 100).or_fail()?, none());
-        expect_that!(holder.tick(beat * 400 * MS), is_empty());
+    expect_that!((session.identity.address, session.granted_by), eq((address(9), address(1))));
+    for heartbeat in 1..10 {
+        expect_that!(balancer.heartbeat(heartbeat * 400 * MS, 9, 100).or_fail()?, none());
+        expect_that!(balancer.tick(heartbeat * 400 * MS), is_empty());
     }
-    expect_that!(holder.held.len(), eq(1));
-    expect_that!(zone_of(&holder.spread, address(9)).as_deref(), some(eq("west")));
+    expect_that!(balancer.table.len(), eq(1));
+    let zones = live_sessions(&balancer.spread).map(|(_, session)| session.identity.zone.to_string());
+    expect_that!(zones.collect::<Vec<_>>(), eq(&["west"]));
     Ok(())
 }
 
 #[gtest]
 fn silence_lapses_and_a_tombstone_is_published() -> Result<()> {
-    let mut holder = Holder::new(1);
-    let item = holder.beat(0, 9, 100).or_fail()?.or_fail()?;
-    expect_that!(holder.tick(LAPSES_AFTER), is_empty());
-    let removed = holder.tick(LAPSES_AFTER + 1);
+    let mut balancer = ControlBalancer::new(1);
+    let item = balancer.heartbeat(0, 9, 100).or_fail()?.or_fail()?;
+    expect_that!(balancer.tick(SESSION_TIMEOUT), is_empty());
+    let removed = balancer.tick(SESSION_TIMEOUT + 1);
     expect_that!(removed.len(), eq(1));
     expect_that!(removed[0].removed, eq(true));
     expect_that!(removed[0].stamp, gt(item.stamp));
-    expect_that!((holder.knows(9), holder.held.is_empty()), eq((false, true)));
+    expect_that!((balancer.knows(9), balancer.table.is_empty()), eq((false, true)));
     Ok(())
 }
 
 #[gtest]
 fn a_session_that_moved_is_left_alone_by_its_old_holder() -> Result<()> {
-    let (mut old, mut new) = (Holder::new(1), Holder::new(2));
-    old.beat(0, 9, 100).or_fail()?;
-    new.learn(&old.item(9));
-    let moved = new.beat(SECOND, 9, 100).or_fail()?.or_fail()?;
+    let (mut old, mut new) = (ControlBalancer::new(1), ControlBalancer::new(2));
+    old.heartbeat(0, 9, 100).or_fail()?;
+    new.receive(&old.item(9));
+    let moved = new.heartbeat(SECOND, 9, 100).or_fail()?.or_fail()?;
     expect_that!(moved.stamp, gt(old.item(9)[0].stamp));
-    old.learn(&[moved]);
+    old.receive(&[moved]);
     expect_that!(old.tick(10 * SECOND), is_empty());
     expect_that!(old.knows(9), eq(true));
     Ok(())
@@ -103,14 +111,14 @@
 #[gtest]
 fn a_session_that_moved_is_published_above_the_old_holders_tombstone() -> Result<()> {
     for (first, second) in [(1, 2), (2, 1), (3, 4), (4, 3), (7, 200)] {
-        let (mut old, mut new) = (Holder::new(first), Holder::new(second));
-        old.beat(0, 9, 100).or_fail()?;
-        // The new holder learns of the tombstone alone, before it is turned to.
+        let (mut old, mut new) = (ControlBalancer::new(first), ControlBalancer::new(second));
+        old.heartbeat(0, 9, 100).or_fail()?;
+        // The new balancer learns of the tombstone alone, before it is turned to.
         let removed = old.tick(2 * SECOND);
-        new.learn(&removed);
-        let moved = new.beat(3 * SECOND, 9, 100).or_fail()?;
+        new.receive(&removed);
+        let moved = new.heartbeat(3 * SECOND, 9, 100).or_fail()?;
         expect_that!(moved.as_ref().is_some_and(|item| item.stamp > removed[0].stamp), eq(true));
-        old.learn(&moved.into_iter().collect::<Vec<_>>());
+        old.receive(&moved.into_iter().collect::<Vec<_>>());
         expect_that!((old.knows(9), new.knows(9)), eq((true, true)), "from {first} to {second}");
     }
     Ok(())
@@ -119,42 +127,46 @@
 #[gtest]
 fn a_tombstone_that_comes_after_the_move_is_overcome_by_the_next_heartbeat() -> Result<()> {
     for (first, second) in [(1, 2), (2, 1), (3, 4), (4, 3), (7, 200)] {
-        let (mut old, mut new) = (Holder::new(first), Holder::new(second));
-        old.beat(0, 9, 100).or_fail()?;
-        new.learn(&old.item(9));
-        new.beat(SECOND, 9, 100).or_fail()?;
-        // The old holder has not heard of the move yet.
+        let (mut old, mut new) = (ControlBalancer::new(first), ControlBalancer::new(second));
+        old.heartbeat(0, 9, 100).or_fail()?;
+        new.receive(&old.item(9));
+        new.heartbeat(SECOND, 9, 100).or_fail()?;
+        // The old balancer has not heard of the move yet.
         let removed = old.tick(2 * SECOND);
-        new.learn(&removed);
-        new.beat(2 * SECOND + 400 * MS, 9, 100).or_fail()?;
-        old.learn(&new.item(9));
+        new.receive(&removed);
+        new.heartbeat(2 * SECOND + 400 * MS, 9, 100).or_fail()?;
+        old.receive(&new.item(9));
         expect_that!((old.knows(9), new.knows(9)), eq((true, true)), "from {first} to {second}");
     }
     Ok(())
 }
 
 /// Both control balancers hold each other's session, so that neither is missing.
-fn hold_each_other(now: Micros, one: (u8, &mut Holder), two: (u8, &mut Holder)) -> Result<()> {
-    one.1.beat(now, two.0, 100).or_fail()?;
-    two.1.beat(now, one.0, 100).or_fail()?;
-    two.1.learn(&one.1.item(two.0));
-    one.1.learn(&two.1.item(one.0));
+fn hold_each_other(
+    now: Micros,
+    one: (u8, &mut ControlBalancer),
+    two: (u8, &mut ControlBalancer),
+) -> Result<()> {
+    one.1.heartbeat(now, two.0, 100).or_fail()?;
+    two.1.heartbeat(now, one.0, 100).or_fail()?;
+    two.1.receive(&one.1.item(two.0));
+    one.1.receive(&two.1.item(one.0));
     Ok(())
 }
 
 #[gtest]
 fn a_move_back_stands_above_all_before() -> Result<()> {
-    let (mut one, mut two) = (Holder::new(1), Holder::new(2));
+    let (mut one, mut two) = (ControlBalancer::new(1), ControlBalancer::new(2));
     let mut now = 0;
-    let mut stamps = vec![one.beat(now, 9, 100).or_fail()?.or_fail()?.stamp];
+    let mut stamps = vec![one.heartbeat(now, 9, 100).or_fail()?.or_fail()?.stamp];
     for turn in 0..6 {
         now += 1_400 * MS;
         hold_each_other(now, (1, &mut one), (2, &mut two))?;
         let (from, to) = if turn % 2 == 0 { (&mut one, &mut two) } else { (&mut two, &mut one) };
         let item = from.item(9);
-        to.learn(&item);
-        stamps.push(to.beat(now, 9, 100).or_fail()?.or_fail()?.stamp);
-        from.learn(&to.item(9));
+        to.receive(&item);
+        stamps.push(to.heartbeat(now, 9, 100).or_fail()?.or_fail()?.stamp);
+        from.receive(&to.item(9));
         expect_that!(from.tick(now + SECOND), is_empty());
     }
     expect_that!(stamps.windows(2).all(|pair| pair[0] < pair[1]), eq(true), "{stamps:?}");
@@ -163,29 +175,29 @@
 
 #[gtest]
 fn an_older_process_is_told_what_to_go_beyond() -> Result<()> {
-    let mut holder = Holder::new(1);
-    holder.beat(0, 9, 100).or_fail()?;
-    expect_that!(holder.beat(MS, 9, 99), err(eq(&100)));
-    expect_that!(holder.beat(2 * MS, 9, 101).or_fail()?.or_fail()?.stamp.major, eq(101));
+    let mut balancer = ControlBalancer::new(1);
+    balancer.heartbeat(0, 9, 100).or_fail()?;
+    expect_that!(balancer.heartbeat(MS, 9, 99), err(eq(&StaleIncarnation { newest: 100 })));
+    expect_that!(balancer.heartbeat(2 * MS, 9, 101).or_fail()?.or_fail()?.stamp.major, eq(101));
     Ok(())
 }
 
 #[gtest]
 fn the_incarnation_of_a_tombstone_counts() -> Result<()> {
-    let mut holder = Holder::new(1);
-    holder.beat(0, 9, 100).or_fail()?;
-    holder.tick(5 * SECOND);
-    expect_that!(holder.beat(6 * SECOND, 9, 50), err(eq(&100)));
-    expect_that!(holder.beat(6 * SECOND, 9, 100).or_fail()?, some(anything()));
-    expect_that!(holder.knows(9), eq(true));
+    let mut balancer = ControlBalancer::new(1);
+    balancer.heartbeat(0, 9, 100).or_fail()?;
+    balancer.tick(5 * SECOND);
+    expect_that!(balancer.heartbeat(6 * SECOND, 9, 50), err(eq(&StaleIncarnation { newest: 100 })));
+    expect_that!(balancer.heartbeat(6 * SECOND, 9, 100).or_fail()?, some(anything()));
+    expect_that!(balancer.knows(9), eq(true));
     Ok(())
 }
 
 #[gtest]
 fn the_items_of_a_holder_that_is_gone_are_removed_in_time() -> Result<()> {
-    let (mut gone, mut other) = (Holder::new(1), Holder::new(2));
-    gone.beat(0, 9, 100).or_fail()?;
-    other.learn(&gone.item(9));
+    let (mut gone, mut other) = (ControlBalancer::new(1), ControlBalancer::new(2));
+    gone.heartbeat(0, 9, 100).or_fail()?;
+    other.receive(&gone.item(9));
     expect_that!(other.tick(0), is_empty());
     expect_that!(other.tick(4 * SECOND), is_empty());
     let removed = other.tick(4 * SECOND + 1);
@@ -196,12 +208,12 @@
 
 #[gtest]
 fn a_holder_that_has_a_session_itself_keeps_its_items() -> Result<()> {
-    let (mut holder, mut other) = (Holder::new(1), Holder::new(2));
-    holder.beat(0, 9, 100).or_fail()?;
-    other.learn(&holder.item(9));
-    for beat in 0..30 {
-        let now = beat * 400 * MS;
-        other.beat(now, 1, 100).or_fail()?;
+    let (mut balancer, mut other) = (ControlBalancer::new(1), ControlBalancer::new(2));
+    balancer.heartbeat(0, 9, 100).or_fail()?;
+    other.receive(&balancer.item(9));
+    for heartbeat in 0..30 {
+        let now = heartbeat * 400 * MS;
+        other.heartbeat(now, 1, 100).or_fail()?;
         expect_that!(other.tick(now), is_empty());
     }
     expect_that!(other.knows(9), eq(true));
@@ -210,11 +222,11 @@
 
 #[gtest]
 fn a_holder_that_was_missing_for_a_moment_starts_anew() -> Result<()> {
-    let (mut holder, mut other) = (Holder::new(1), Holder::new(2));
-    holder.beat(0, 9, 100).or_fail()?;
-    other.learn(&holder.item(9));
+    let (mut balancer, mut other) = (ControlBalancer::new(1), ControlBalancer::new(2));
+    balancer.heartbeat(0, 9, 100).or_fail()?;
+    other.receive(&balancer.item(9));
     other.tick(0);
-    other.beat(3 * SECOND, 1, 100).or_fail()?;
+    other.heartbeat(3 * SECOND, 1, 100).or_fail()?;
     other.tick(3 * SECOND);
     let removed = other.tick(5 * SECOND);
     expect_that!(removed.len(), eq(1), "its own session lapses");
@@ -225,11 +237,11 @@
 
 #[gtest]
 fn one_that_is_no_control_balancer_any_longer_takes_nothing_back() -> Result<()> {
-    let mut holder = Holder::new(1);
-    holder.beat(0, 9, 100).or_fail()?;
-    holder.held.clear();
-    expect_that!(holder.held.is_empty(), eq(true));
-    expect_that!(holder.tick(10 * SECOND), is_empty());
+    let mut balancer = ControlBalancer::new(1);
+    balancer.heartbeat(0, 9, 100).or_fail()?;
+    balancer.table.clear();
+    expect_that!(balancer.table.is_empty(), eq(true));
+    expect_that!(balancer.tick(10 * SECOND), is_empty());
     Ok(())
 }
 
@@ -237,8 +249,8 @@
 #[gtest]
 fn counters_of_different_nodes_differ() {
     let node = |number: u8| SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, number), 7640);
-    let counters: BTreeSet<u64> = (1..=200).map(|one| kinds::next_minor(5, node(one))).collect();
+    let counters: BTreeSet<u64> = (1..=200).map(|one| item_kinds::next_minor(5, node(one))).collect();
     expect_that!(counters.len(), ge(199));
-    let later = kinds::next_minor(kinds::next_minor(5, node(1)), node(2));
+    let later = item_kinds::next_minor(item_kinds::next_minor(5, node(1)), node(2));
     expect_that!(counters.iter().all(|counter| *counter < later), eq(true));
 }
--- a/controlplane/tests/weights.rs
+++ b/controlplane/tests/weights.rs
@@ -7,10 +7,10 @@
 use common::{MS, SECOND, address, addresses, identity, lone_spread};
 use googletest::prelude::*;
 use gradepaddle_controlplane::Micros;
-use gradepaddle_controlplane::kinds::{self, WEIGHTS};
-use gradepaddle_controlplane::naming::{Naming, VersionTimes};
+use gradepaddle_controlplane::item_kinds::{self, MODEL_VERSION};
 use gradepaddle_controlplane::node::{Input, Node, NodeSetup, Output};
-use gradepaddle_controlplane::session::OwnSession;
+use gradepaddle_controlplane::session_client::SessionClient;
+use gradepaddle_controlplane::version_announcement::{VersionAnnouncement, VersionDeadlines};
 use gradepaddle_proto::{Content, Encode, Envelope};
 use gradepaddle_spread::{Aged, Message, Stamp};
 
@@ -21,12 +21,12 @@
 /// A node without a disk.
 fn node() -> Node {
     Node::new(NodeSetup {
-        session: OwnSession::new(identity(1, 1), addresses([3, 4]), 0),
+        session: SessionClient::new(identity(1, 1), addresses([3, 4]), 0),
         spread: lone_spread(1),
-        founding: None,
-        beat_every: 1_200 * MS,
+        bootstrap: None,
+        heartbeat_interval: 1_200 * MS,
         order_lease: 3 * SECOND,
-        version_times: VersionTimes { within: WITHIN, in_all: Some(IN_ALL) },
+        version_deadlines: VersionDeadlines { from_publication: WITHIN, from_announcement: Some(IN_ALL) },
         revoke_within: None,
         machine_losses: 1,
         now: 0,
@@ -52,10 +52,11 @@
     now: Micros,
     (version, publication): (u64, u64),
     age_ms: u32,
-    named_before: Micros,
+    announced_before: Micros,
 ) -> Vec<Told> {
-    let payload = if named_before > 0 { Naming { named_before }.to_bytes() } else { Vec::new() };
-    let item = kinds::item(WEIGHTS, MODEL, Stamp { major: version, minor: publication }, payload);
+    let payload =
+        if announced_before > 0 { VersionAnnouncement { announced_before }.to_bytes() } else { Vec::new() };
+    let item = item_kinds::item(MODEL_VERSION, MODEL, Stamp { major: version, minor: publication }, payload);
     let items = vec![Aged { item, age_ms }];
     let content = Content::Spread(Message::Push { items, confirm: false, repair: false });
     let mut out = Vec::new();
@@ -64,13 +65,15 @@
 }
 
 fn told(now: Micros, output: Output) -> Option<Told> {
-    let (model, version, binds_in, postponed) = match output {
-        Output::WeightsNamed { model, version, binds_in } => (model, version, binds_in, false),
-        Output::WeightsPostponed { model, version, binds_in } => (model, version, binds_in, true),
+    let (model, version, deadline_in, postponed) = match output {
+        Output::VersionAnnounced { model, version, deadline_in } => (model, version, deadline_in, false),
+        Output::VersionDeadlineExtended { model, version, deadline_in } => {
+            (model, version, deadline_in, true)
+        }
         _ => return None,
     };
     assert_eq!(model, Arc::from(MODEL));
-    Some(Told { version, binds_at: now + binds_in, postponed })
+    Some(Told { version, binds_at: now + deadline_in, postponed })
 }
 
 #[gtest]
@@ -116,8 +119,10 @@
     let mut node = node();
     learn(&mut node, 0, (2, 0), 0);
     // Published anew 5 s and 11 s after the naming; heard of half a second later.
-    for (publication, named_before, binds_at) in [(7, 5 * SECOND, 13 * SECOND), (8, 11 * SECOND, IN_ALL)] {
-        let told = learn_again(&mut node, named_before + 500 * MS, (2, publication), 500, named_before);
+    for (publication, announced_before, binds_at) in [(7, 5 * SECOND, 13 * SECOND), (8, 11 * SECOND, IN_ALL)]
+    {
+        let told =
+            learn_again(&mut node, announced_before + 500 * MS, (2, publication), 500, announced_before);
         expect_that!(told, elements_are![eq(&Told { version: 2, binds_at, postponed: true })]);
     }
     // One that is heard of only after that binds at once.
@@ -127,7 +132,7 @@
 
 #[gtest]
 fn without_a_bound_on_all_of_it_the_time_begins_anew_as_often_as_needed() {
-    let times = VersionTimes { within: WITHIN, in_all: None };
-    expect_that!(times.binds_in(0, 600 * SECOND), eq(WITHIN));
-    expect_that!(times.binds_in(9 * SECOND, 9 * SECOND), eq(0));
+    let times = VersionDeadlines { from_publication: WITHIN, from_announcement: None };
+    expect_that!(times.remaining(0, 600 * SECOND), eq(WITHIN));
+    expect_that!(times.remaining(9 * SECOND, 9 * SECOND), eq(0));
 }
--- a/system/src/effects.rs
+++ b/system/src/effects.rs
@@ -8,8 +8,8 @@
 use gradepaddle_control::{Record, Token};
 use gradepaddle_controlplane::clock::Clock;
 use gradepaddle_controlplane::driver::Effects;
-use gradepaddle_controlplane::node::{Event, KeysShown, MemberNode};
-use gradepaddle_controlplane::rollout::OrderAnswer;
+use gradepaddle_controlplane::node::{ConfigurationValidity, Event, MemberNode};
+use gradepaddle_controlplane::rollout::OrderOutcome;
 use gradepaddle_dataplane::load_sharing::audience::Peer;
 use gradepaddle_dataplane::{DataPlane, KeyEvidence};
 use gradepaddle_engine::{Micros, ServerEntry, ServerState};
@@ -24,11 +24,11 @@
     span / MILLISECOND
 }
 
-fn answer_name(answer: OrderAnswer) -> &'static str {
-    match answer {
-        OrderAnswer::InProgress => "in_progress",
-        OrderAnswer::Holds => "holds",
-        OrderAnswer::NotTaken => "not_taken",
+fn outcome_name(outcome: OrderOutcome) -> &'static str {
+    match outcome {
+        OrderOutcome::InProgress => "in_progress",
+        OrderOutcome::Loaded => "holds",
+        OrderOutcome::Failed => "not_taken",
     }
 }
 
@@ -40,14 +40,14 @@
     pub writer: RefCell<Option<Writer>>,
     /// The clock of the control plane.
     pub clock: Clock,
-    /// Told when the control state is in other hands.
-    pub may_end: Rc<Notify>,
+    /// Notified when the control state is in other hands.
+    pub ready_to_exit: Rc<Notify>,
     /// Where to log.
     pub log: Logger,
 }
 
 impl Effects for NodeEffects {
-    fn configure(&self, body: Arc<[u8]>) {
+    fn apply_configuration(&self, body: Arc<[u8]>) {
         match Configuration::parse(&body) {
             Ok(configuration) => self.plane.set_configuration(configuration),
             // It was checked before it was taken: another build may know more than this one.
@@ -57,7 +57,7 @@
         }
     }
 
-    fn server(&self, entry: ServerEntry) {
+    fn server_changed(&self, entry: ServerEntry) {
         if !matches!(entry.state, ServerState::Ready) {
             self.plane.forget_server(&entry.id);
         }
@@ -65,13 +65,13 @@
         self.plane.engine.borrow_mut().set_server(now, entry);
     }
 
-    fn server_gone(&self, id: &str) {
+    fn server_removed(&self, id: &str) {
         self.plane.forget_server(id);
         let now = self.plane.now();
         self.plane.engine.borrow_mut().remove_server(now, id);
     }
 
-    fn peers(&self, peers: Vec<MemberNode>) {
+    fn peers_changed(&self, peers: Vec<MemberNode>) {
         let balancers = peers.len() + 1;
         self.plane.engine.borrow_mut().set_balancers(balancers);
         let peers = peers.into_iter().map(|node| Peer { address: node.address, zone: node.zone });
@@ -79,69 +79,69 @@
         info!(self.log, "members"; "count" => balancers);
     }
 
-    fn rank(&self, rank: usize) {
+    fn rank_changed(&self, rank: usize) {
         self.plane.set_rank(rank);
     }
 
-    fn store(&self, name: &str, alive: bool) {
+    fn cache_store_changed(&self, name: &str, alive: bool) {
         self.plane.store_told(name, alive);
     }
 
-    fn weights_named(&self, model: &str, version: u64, binds_in: Micros) {
-        self.plane.name_version(model, version, binds_in);
+    fn version_announced(&self, model: &str, version: u64, deadline_in: Micros) {
+        self.plane.name_version(model, version, deadline_in);
     }
 
-    fn weights_postponed(&self, model: &str, version: u64, binds_in: Micros) {
-        self.plane.postpone_version(model, version, binds_in);
+    fn version_deadline_extended(&self, model: &str, version: u64, deadline_in: Micros) {
+        self.plane.postpone_version(model, version, deadline_in);
     }
 
-    fn hold(&self, server: &str, span: Micros) {
+    fn pause_server(&self, server: &str, span: Micros) {
         let now = self.plane.now();
         self.plane.engine.borrow_mut().hold_server(now, server, span);
     }
 
-    fn holds(&self, server: &str, model: &str, version: u64) {
+    fn server_has_version(&self, server: &str, model: &str, version: u64) {
         let now = self.plane.now();
         self.plane.engine.borrow_mut().observe_version(now, server, model, version);
     }
 
-    fn in_touch(&self, in_touch: bool) {
-        if in_touch {
+    fn connected(&self, connected: bool) {
+        if connected {
             self.plane.set_has_control(true);
         }
-        info!(self.log, "control"; "in_touch" => in_touch);
+        info!(self.log, "control"; "in_touch" => connected);
     }
 
-    fn keys(&self, shown: KeysShown) {
+    fn configuration_validity(&self, validity: ConfigurationValidity) {
         // In this order, so that a pause between the two shortens the span.
         let now = self.plane.now();
-        let span = shown.until.saturating_sub(self.clock.now());
+        let span = validity.until.saturating_sub(self.clock.now());
         // 0 stands for no evidence at all, for which requests wait; what is over already is over.
-        let until = if shown.until == 0 { 0 } else { now + span };
-        self.plane.set_keys(KeyEvidence { version: shown.version, until });
+        let until = if validity.until == 0 { 0 } else { now + span };
+        self.plane.set_keys(KeyEvidence { version: validity.version, until });
     }
 
     fn event(&self, event: Event) {
         match event {
-            Event::Leading { epoch } => info!(self.log, "leading"; "epoch" => epoch),
-            Event::NotLeading => info!(self.log, "not leading"),
-            Event::Founded { members } => info!(self.log, "first view told"; "members" => members),
-            Event::ServerLost { id } => info!(self.log, "server lost"; "server" => &*id),
-            Event::VersionNamed { model, version, binds_in } => {
+            Event::BecamePrimary { epoch } => info!(self.log, "leading"; "epoch" => epoch),
+            Event::SteppedDown => info!(self.log, "not leading"),
+            Event::Bootstrapped { members } => info!(self.log, "first view told"; "members" => members),
+            Event::ServerTimedOut { id } => info!(self.log, "server lost"; "server" => &*id),
+            Event::VersionAnnounced { model, version, deadline_in } => {
                 info!(self.log, "version named";
-                    "model" => &*model, "version" => version, "binds_in_ms" => millis(binds_in));
+                    "model" => &*model, "version" => version, "binds_in_ms" => millis(deadline_in));
             }
-            Event::LoadingBegun { server, target } => {
+            Event::ServerReserved { server, reservation } => {
                 info!(self.log, "server held back";
-                    "server" => &*server, "model" => &*target.model, "version" => target.version);
+                    "server" => &*server, "model" => &*reservation.model, "version" => reservation.version);
             }
-            Event::LoadingEnded { server, target } => {
+            Event::ServerReleased { server, reservation } => {
                 info!(self.log, "server open again"; "server" => &*server,
-                    "model" => &*target.model, "version" => target.version, "loaded" => target.done);
+                    "model" => &*reservation.model, "version" => reservation.version, "loaded" => reservation.loaded);
             }
-            Event::OrderAnswered { order, answer } => {
+            Event::OrderCompleted { order, outcome } => {
                 info!(self.log, "order answered"; "server" => &*order.server, "model" => &*order.model,
-                    "version" => order.version, "fence" => order.fence, "answer" => answer_name(answer));
+                    "version" => order.version, "fence" => order.fencing_token, "answer" => outcome_name(outcome));
             }
         }
     }
@@ -152,7 +152,7 @@
         }
     }
 
-    fn may_end(&self) {
-        self.may_end.notify_one();
+    fn ready_to_exit(&self) {
+        self.ready_to_exit.notify_one();
     }
 }
--- a/system/src/run.rs
+++ b/system/src/run.rs
@@ -12,14 +12,14 @@
 use gradepaddle_config::Settings;
 use gradepaddle_control::{Recovered, Replica, ReplicaConfig, ReplicaId};
 use gradepaddle_controlplane::CLOCK_START;
+use gradepaddle_controlplane::api_server::serve_api;
+use gradepaddle_controlplane::bootstrap::Bootstrap;
 use gradepaddle_controlplane::clock::Clock;
-use gradepaddle_controlplane::door::serve_calls;
-use gradepaddle_controlplane::driver::{Driver, DriverEvent, Ears};
-use gradepaddle_controlplane::founding::Founding;
-use gradepaddle_controlplane::links::{Links, serve_links};
-use gradepaddle_controlplane::naming::VersionTimes;
+use gradepaddle_controlplane::driver::{Driver, DriverChannels, DriverEvent};
 use gradepaddle_controlplane::node::{Input, Node, NodeSetup};
-use gradepaddle_controlplane::session::OwnSession;
+use gradepaddle_controlplane::session_client::SessionClient;
+use gradepaddle_controlplane::transport::{Transport, serve_peers};
+use gradepaddle_controlplane::version_announcement::VersionDeadlines;
 use gradepaddle_dataplane::{
     DataPlane, Setup, ShutdownTimes, hear_loads, serve_clients, serve_readiness, shut_down, tell_loads,
 };
@@ -126,33 +126,33 @@
     let mut signals = Signals::new()?;
     let listeners = Listeners::open(&settings)?;
     let started = Instant::now();
-    let (back, events) = mpsc::unbounded_channel();
+    let (events, event_receiver) = mpsc::unbounded_channel();
     let plane = data_plane(&settings, &log);
     let clock = Clock::new(started);
     let effects = Rc::new(NodeEffects {
         plane: plane.clone(),
         clock,
         writer: RefCell::new(None),
-        may_end: Rc::new(Notify::new()),
+        ready_to_exit: Rc::new(Notify::new()),
         log: log.clone(),
     });
     let settings = Rc::new(settings);
-    let told = back.clone();
+    let driver_events = events.clone();
     plane.watch_stores(Box::new(move |name, alive| {
-        let input = Input::Store { name: Arc::from(name), alive };
+        let input = Input::CacheStoreChanged { name: Arc::from(name), alive };
         // Without a driver nobody has to know.
-        let _ = told.send(DriverEvent::Input(input));
+        let _ = driver_events.send(DriverEvent::Input(input));
     }));
     let node = node(&settings);
     let (inbox, envelopes) = mpsc::unbounded_channel();
-    let links = Links::new(link_address(&settings));
-    let ears = Ears { events, envelopes, back: back.clone() };
+    let transport = Transport::new(link_address(&settings));
+    let channels = DriverChannels { events: event_receiver, envelopes, loopback: events.clone() };
     let owner: Arc<str> = Arc::from(&*settings.node_name);
-    let driver = Driver::new(node, ears, links, effects.clone(), owner, clock);
+    let driver = Driver::new(node, channels, transport, effects.clone(), owner, clock);
     tokio::task::spawn_local(driver.run());
-    tokio::task::spawn_local(keep_control_state(settings.clone(), effects.clone(), back.clone(), clock));
-    tokio::task::spawn_local(serve_links(listeners.links, inbox));
-    tokio::task::spawn_local(serve_calls(listeners.control, back.clone(), clock));
+    tokio::task::spawn_local(keep_control_state(settings.clone(), effects.clone(), events.clone(), clock));
+    tokio::task::spawn_local(serve_peers(listeners.links, inbox));
+    tokio::task::spawn_local(serve_api(listeners.control, events.clone(), clock));
     tokio::task::spawn_local(serve_readiness(plane.clone(), listeners.readiness));
     tokio::task::spawn_local(serve_clients(plane.clone(), listeners.front));
     tokio::task::spawn_local(sweep(plane.clone()));
@@ -162,11 +162,11 @@
     loop {
         tokio::select! {
             _ = signals.terminate.recv() => break,
-            _ = signals.hangup.recv() => reload(&file, &back, &log),
+            _ = signals.hangup.recv() => reload(&file, &events, &log),
         }
     }
     info!(log, "ending");
-    end(&settings, &plane, &back, &effects.may_end).await;
+    end(&settings, &plane, &events, &effects.ready_to_exit).await;
     info!(log, "ended"; "requests" => plane.counters.requests.get(), "served" => plane.counters.served.get());
     Ok(())
 }
@@ -208,12 +208,12 @@
 async fn keep_control_state(
     settings: Rc<Settings>,
     effects: Rc<NodeEffects>,
-    back: mpsc::UnboundedSender<DriverEvent>,
+    events: mpsc::UnboundedSender<DriverEvent>,
     clock: Clock,
 ) {
     let Some(path) = settings.data_path.as_ref().filter(|_| settings.loss_counts) else { return };
     loop {
-        match open_disk(path, &back) {
+        match open_disk(path, &events) {
             Ok((writer, recovered)) => {
                 *effects.writer.borrow_mut() = Some(writer);
                 let config = ReplicaConfig::builder()
@@ -226,7 +226,7 @@
                     .build();
                 let replica = Box::new(Replica::new(config, recovered, clock.now()));
                 // Without a driver nobody needs it.
-                let _ = back.send(DriverEvent::Input(Input::Replica(replica)));
+                let _ = events.send(DriverEvent::Input(Input::ReplicaOpened(replica)));
                 return;
             }
             Err(error) => warn!(effects.log, "control state not opened"; "error" => error.to_string()),
@@ -237,17 +237,17 @@
 
 fn open_disk(
     path: &Path,
-    back: &mpsc::UnboundedSender<DriverEvent>,
+    events: &mpsc::UnboundedSender<DriverEvent>,
 ) -> Result<(Writer, Recovered), StoreError> {
     let opened = Storage::open(path, ReplicaId(random()))?;
-    let back = back.clone();
+    let events = events.clone();
     let done = move |done: Done| {
         let input = match done.result {
             Ok(()) => Input::Persisted(done.token),
             Err(_) => Input::PersistFailed(done.token),
         };
         // Without a driver nobody waits for it.
-        let _ = back.send(DriverEvent::Input(input));
+        let _ = events.send(DriverEvent::Input(input));
     };
     let writer = Writer::start(opened.storage, Box::new(done))?;
     Ok((writer, opened.recovered))
@@ -268,14 +268,14 @@
     let micros = |span: Duration| span.as_micros() as u64;
     let losses = settings.survive.machine_losses as usize;
     Node::new(NodeSetup {
-        session: OwnSession::new(identity, seeds.clone(), CLOCK_START),
+        session: SessionClient::new(identity, seeds.clone(), CLOCK_START),
         spread: Spread::new(SpreadConfig::builder().address(own).seed(random()).build(), CLOCK_START),
-        founding: Founding::new(own, &seeds, losses, settings.first_boot, CLOCK_START),
-        beat_every: micros(settings.beat_every),
+        bootstrap: Bootstrap::new(own, &seeds, losses, settings.first_boot, CLOCK_START),
+        heartbeat_interval: micros(settings.beat_every),
         order_lease: micros(settings.bounds.lease),
-        version_times: VersionTimes {
-            within: micros(settings.bounds.version),
-            in_all: Some(micros(settings.bounds.version_all)).filter(|bound| *bound > 0),
+        version_deadlines: VersionDeadlines {
+            from_publication: micros(settings.bounds.version),
+            from_announcement: Some(micros(settings.bounds.version_all)).filter(|bound| *bound > 0),
         },
         revoke_within: settings
             .bounds
@@ -287,11 +287,11 @@
 }
 
 /// Takes over what may change while the process runs: the seeds.
-fn reload(file: &PathBuf, back: &mpsc::UnboundedSender<DriverEvent>, log: &Logger) {
+fn reload(file: &PathBuf, events: &mpsc::UnboundedSender<DriverEvent>, log: &Logger) {
     match Settings::load(file) {
         Ok(settings) => {
             // Without a driver the process is about to end.
-            let _ = back.send(DriverEvent::Input(Input::Seeds(seed_links(&settings))));
+            let _ = events.send(DriverEvent::Input(Input::SeedsChanged(seed_links(&settings))));
             info!(log, "settings read again");
         }
         Err(findings) => warn!(log, "settings not taken"; "findings" => findings.to_string()),
@@ -309,17 +309,17 @@
 async fn end(
     settings: &Settings,
     plane: &Rc<DataPlane>,
-    back: &mpsc::UnboundedSender<DriverEvent>,
-    may_end: &Notify,
+    events: &mpsc::UnboundedSender<DriverEvent>,
+    ready_to_exit: &Notify,
 ) {
     // Without a driver there is nothing to hand over.
-    let _ = back.send(DriverEvent::Input(Input::Leaving));
+    let _ = events.send(DriverEvent::Input(Input::ShutDown));
     let times = ShutdownTimes {
         begins_requests_for: BEGINS_REQUESTS_FOR,
         ends_after: settings.bounds.grace.saturating_sub(GRACE_MARGIN),
     };
     // What this machine holds may be needed for longer than its clients need it. A control state that nobody has taken
     // over in time stays on the disk.
-    let hand_over = timeout(times.ends_after, may_end.notified());
+    let hand_over = timeout(times.ends_after, ready_to_exit.notified());
     let (_, _) = tokio::join!(shut_down(plane, times, ready(())), hand_over);
 }
--- a/system/src/status.rs
+++ b/system/src/status.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddrV4;
 
-use gradepaddle_controlplane::orders;
+use gradepaddle_controlplane::server_client;
 use gradepaddle_http::buffers::Pool;
 use snafu::{OptionExt, ResultExt};
 
@@ -16,8 +16,8 @@
 pub fn print(address: SocketAddrV4) -> Result<(), CommandError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().context(RuntimeSnafu)?;
     let pool = Pool::default();
-    let answer = runtime.block_on(orders::call(address, "GET", "/v1/status", &[], &pool));
-    let (_, body) = answer.context(NoAnswerSnafu { address })?;
-    println!("{}", String::from_utf8_lossy(&body));
+    let answer = runtime.block_on(server_client::call(address, "GET", "/v1/status", &[], &pool));
+    let response = answer.context(NoAnswerSnafu { address })?;
+    println!("{}", String::from_utf8_lossy(&response.body));
     Ok(())
 }
