--- a/controlplane/src/bootstrap.rs
+++ b/controlplane/src/bootstrap.rs
@@ -144,7 +144,7 @@
         Some(View {
             epoch: FIRST_EPOCH,
             members,
-            prior: Vec::new(),
+            previous_members: Vec::new(),
             primary: primary.id,
             backups,
             target_size,
--- a/controlplane/src/driver.rs
+++ b/controlplane/src/driver.rs
@@ -5,9 +5,9 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use gradepaddle_control::{Record, Token};
-use gradepaddle_engine::ServerEntry;
+use gradepaddle_control::{Record, WriteId};
 use gradepaddle_http::buffers::Pool;
+use gradepaddle_placement::ServerEntry;
 use gradepaddle_proto::Envelope;
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::sleep_until;
@@ -60,7 +60,7 @@
     /// An event for the log.
     fn event(&self, event: Event);
     /// Writes records to disk. The end of the write comes back as [`Input::Persisted`] or [`Input::PersistFailed`].
-    fn persist(&self, token: Token, records: Vec<Record>);
+    fn persist(&self, write_id: WriteId, records: Vec<Record>);
     /// The control state is in other hands.
     fn ready_to_exit(&self);
 }
@@ -170,7 +170,7 @@
     fn carry_out(&mut self, output: Output) {
         match output {
             Output::Send { to, content } => self.transport.send(to, content),
-            Output::Persist { token, records } => self.effects.persist(token, records),
+            Output::Persist { write_id, records } => self.effects.persist(write_id, records),
             Output::Respond { call_id, response } => {
                 if let Some(reply) = self.pending_calls.remove(&call_id) {
                     // The caller may have closed its connection.
--- a/controlplane/src/node.rs
+++ b/controlplane/src/node.rs
@@ -150,8 +150,12 @@
             Input::Tick => {}
             Input::Envelope(Envelope { from, content }) => self.handle_message(now, from, content, out),
             Input::Call { call_id, call } => self.handle_call(now, call_id, call, out),
-            Input::Persisted(token) => self.step_replica(now, ReplicaInput::Persisted { token }, out),
-            Input::PersistFailed(token) => self.step_replica(now, ReplicaInput::PersistFailed { token }, out),
+            Input::Persisted(write_id) => {
+                self.step_replica(now, ReplicaInput::WriteCompleted { write_id }, out)
+            }
+            Input::PersistFailed(write_id) => {
+                self.step_replica(now, ReplicaInput::WriteFailed { write_id }, out)
+            }
             Input::OrderCompleted { order, outcome } => {
                 let steps = self.rollout.handle_order_outcome(now, &order, outcome);
                 out.push(Output::Event(Event::OrderCompleted { order, outcome }));
@@ -176,7 +180,7 @@
         self.shutting_down = true;
         self.spread.leave();
         match self.replica {
-            Some(_) => self.step_replica(now, ReplicaInput::Leaving, out),
+            Some(_) => self.step_replica(now, ReplicaInput::ShutDown, out),
             None => out.push(Output::ReadyToExit),
         }
     }
@@ -195,7 +199,7 @@
             Content::SessionGrant(reply) => {
                 self.session.handle_reply(now, from, &reply);
             }
-            Content::Found(view) => self.step_replica(now, ReplicaInput::Found { view }, out),
+            Content::Found(view) => self.step_replica(now, ReplicaInput::Bootstrap { view }, out),
             Content::Forward(forwarded) => self.handle_forwarded_call(now, from, forwarded, out),
             Content::Forwarded(reply) => self.handle_forwarded_reply(now, from, &reply, out),
             Content::NewestAsk(query) => self.handle_version_query(now, from, query, out),
@@ -254,22 +258,24 @@
             ReplicaOutput::Send { to, message } => {
                 out.push(Output::Send { to, content: Content::Control(message) });
             }
-            ReplicaOutput::Persist { token, records } => out.push(Output::Persist { token, records }),
-            ReplicaOutput::Answer { ticket, outcome } => self.handle_decision(now, ticket.0, outcome, out),
+            ReplicaOutput::Persist { write_id, records } => out.push(Output::Persist { write_id, records }),
+            ReplicaOutput::Answer { proposal_id, outcome } => {
+                self.handle_decision(now, proposal_id.0, outcome, out)
+            }
             ReplicaOutput::Committed { state } => self.publish_committed(now, &state, out),
-            ReplicaOutput::Leading { epoch } => {
+            ReplicaOutput::BecamePrimary { epoch } => {
                 self.primary = true;
                 self.rollout.become_primary(now, epoch);
                 self.extend_version_deadlines(now, epoch, out);
                 self.release_earlier_reservations(now, epoch, out);
                 out.push(Output::Event(Event::BecamePrimary { epoch }));
             }
-            ReplicaOutput::NotLeading => {
+            ReplicaOutput::SteppedDown => {
                 self.primary = false;
                 self.rollout.step_down();
                 out.push(Output::Event(Event::SteppedDown));
             }
-            ReplicaOutput::MayEnd => out.push(Output::ReadyToExit),
+            ReplicaOutput::ReadyToExit => out.push(Output::ReadyToExit),
         }
     }
 
--- a/controlplane/src/node/api_calls.rs
+++ b/controlplane/src/node/api_calls.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use gradepaddle_config::{Configuration, Findings, Patch};
-use gradepaddle_control::{Change, ControlState, Input as ReplicaInput, Outcome, Ticket};
+use gradepaddle_control::{Change, ControlState, Input as ReplicaInput, Outcome, ProposalId};
 use gradepaddle_proto::{Content, ControlCall, Forward, Forwarded};
 use gradepaddle_spread::{Copies, Stamp};
 
@@ -195,8 +195,8 @@
                 Change::NameVersion { model: model.to_string(), version }
             }
         };
-        let ticket = Ticket(self.add_pending(pending));
-        self.step_replica(now, ReplicaInput::Propose { ticket, change }, out);
+        let proposal_id = ProposalId(self.add_pending(pending));
+        self.step_replica(now, ReplicaInput::Propose { proposal_id, change }, out);
     }
 
     /// The change that a patch makes of the configuration in force, if that is the one it applies to.
@@ -220,7 +220,7 @@
         };
         let until = read.lease.until;
         let fingerprint = patch_fingerprint_number(if_match, patch);
-        if let Some(outcome) = read.state.judge_configuration(if_match, version, fingerprint).outcome() {
+        if let Some(outcome) = read.state.check_configuration(if_match, version, fingerprint).outcome() {
             return Err(response_to(outcome).before(until));
         }
         let base = read.state.configuration.as_ref().map_or(EMPTY, |known| &known.body);
@@ -257,7 +257,7 @@
         out: &mut Vec<Output>,
     ) {
         let Some(pending) = self.pending_calls.remove(&call_id) else { return };
-        let lease = self.replica.as_ref().and_then(|replica| replica.held_lease(now));
+        let lease = self.replica.as_ref().and_then(|replica| replica.lease(now));
         let lease_end = lease.map_or(now, |lease| lease.until);
         respond(now, pending.caller, response_to(outcome).before(lease_end.min(pending.until)), out);
     }
@@ -340,9 +340,9 @@
 /// The response to a call with this outcome.
 fn response_to(outcome: Outcome) -> Response {
     match outcome {
-        Outcome::Taken => Response::bare(200),
+        Outcome::Committed => Response::bare(200),
         Outcome::Conflict { current } => Response::message(412, &format!("version {current} is in place")),
-        Outcome::NotAbove { current } => {
+        Outcome::VersionNotHigher { current } => {
             Response::message(400, &format!("the version is not above {current}, which is in place"))
         }
         Outcome::NotPrimary { .. } => Response::unavailable("this node does not lead"),
--- a/controlplane/src/node/membership.rs
+++ b/controlplane/src/node/membership.rs
@@ -147,7 +147,7 @@
         }
         for message in messages {
             if message.to == self.own {
-                self.step_replica(now, ReplicaInput::Found { view: message.view }, out);
+                self.step_replica(now, ReplicaInput::Bootstrap { view: message.view }, out);
             } else {
                 out.push(Output::Send { to: message.to, content: Content::Found(message.view) });
             }
--- a/controlplane/src/node/messages.rs
+++ b/controlplane/src/node/messages.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-use gradepaddle_control::{Record, Replica, Token};
-use gradepaddle_engine::ServerEntry;
+use gradepaddle_control::{Record, Replica, WriteId};
+use gradepaddle_placement::ServerEntry;
 use gradepaddle_proto::{Content, Envelope};
 
 use crate::Micros;
@@ -25,9 +25,9 @@
         call: Call,
     },
     /// A write is durable.
-    Persisted(Token),
+    Persisted(WriteId),
     /// A write has failed.
-    PersistFailed(Token),
+    PersistFailed(WriteId),
     /// An order has ended.
     OrderCompleted {
         /// The order.
@@ -91,7 +91,7 @@
     /// Write records to disk.
     Persist {
         /// Names the write in [`Input::Persisted`].
-        token: Token,
+        write_id: WriteId,
         /// The records.
         records: Vec<Record>,
     },
--- a/controlplane/src/node/servers.rs
+++ b/controlplane/src/node/servers.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use gradepaddle_engine::{ModelVersion, ServerEntry, ServerState};
+use gradepaddle_placement::{ModelVersion, ServerEntry, ServerState};
 use gradepaddle_proto::{Decode, Encode, Registration};
 use gradepaddle_spread::{Item, Stamp};
 
@@ -78,7 +78,7 @@
     /// Starts the time of all announced versions again, where this primary follows one that was lost: the core was
     /// unstable, and servers could not be ordered.
     pub(super) fn extend_version_deadlines(&mut self, now: Micros, epoch: u64, out: &mut Vec<Output>) {
-        if !self.replica.as_ref().is_some_and(|replica| replica.followed_silence()) {
+        if !self.replica.as_ref().is_some_and(|replica| replica.took_over_after_timeout()) {
             return;
         }
         let mut results = Vec::new();
@@ -209,7 +209,7 @@
 
     /// The end of the lease within which an order with this fencing token may leave; `None` if it may not.
     pub fn order_deadline(&self, now: Micros, fencing_token: u64) -> Option<Micros> {
-        let lease = self.replica.as_ref()?.held_lease(now)?;
+        let lease = self.replica.as_ref()?.lease(now)?;
         let may_send = lease.epoch == fencing_token && self.rollout.may_send_order(fencing_token);
         may_send.then_some(lease.until)
     }
--- a/controlplane/src/node/status.rs
+++ b/controlplane/src/node/status.rs
@@ -77,7 +77,7 @@
             role: replica.as_ref().map(|replica| role_name(replica.role)),
             leading: self.replica.as_ref().and_then(|replica| replica.leading(now)),
             sequence: replica.as_ref().and_then(|replica| replica.sequence),
-            disk_healthy: replica.as_ref().map(|replica| replica.disk_well),
+            disk_healthy: replica.as_ref().map(|replica| replica.disk_healthy),
             configuration_version: configuration.map_or(0, |item| item.stamp.major),
             announced_versions: self.announced.clone(),
             balancers: self.balancer_status(&view.members),
@@ -108,7 +108,7 @@
 /// The name of a role in the API.
 fn role_name(role: Role) -> &'static str {
     match role {
-        Role::Outside => "outside",
+        Role::NonMember => "outside",
         Role::Witness => "witness",
         Role::Backup => "backup",
         Role::Candidate => "candidate",
--- a/controlplane/tests/fleet/world.rs
+++ b/controlplane/tests/fleet/world.rs
@@ -5,11 +5,11 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-use gradepaddle_control::Token;
+use gradepaddle_control::WriteId;
 use gradepaddle_controlplane::api::Call;
 use gradepaddle_controlplane::node::{Event as NodeEvent, Input, Output};
 use gradepaddle_controlplane::rollout::{Order, OrderOutcome};
-use gradepaddle_engine::{ServerEntry, ServerState};
+use gradepaddle_placement::{ServerEntry, ServerState};
 use gradepaddle_proto::{Content, Envelope};
 
 use super::calls::{Caller, Outcome};
@@ -382,7 +382,7 @@
     fn disk_open(&mut self, number: usize, life: u64, first: bool) {
         let machine = &self.machines[number];
         let Some(process) = machine.process.as_ref().filter(|_| machine.life == life) else { return };
-        let boot = ReplicaBoot { first, losses: self.plan.losses, flaw: self.plan.flaw };
+        let boot = ReplicaBoot { first, losses: self.plan.losses, injected_fault: self.plan.injected_fault };
         let replica = machine.replica(process.clock(self.now), &boot, &mut self.random);
         self.step(number, Input::ReplicaOpened(Box::new(replica)));
     }
@@ -392,8 +392,8 @@
         if machine.life != life {
             return;
         }
-        let Some((token, durable)) = machine.disk.finish() else { return };
-        let input = if durable { Input::Persisted(token) } else { Input::PersistFailed(token) };
+        let Some((write_id, durable)) = machine.disk.finish() else { return };
+        let input = if durable { Input::Persisted(write_id) } else { Input::PersistFailed(write_id) };
         self.step(number, input);
     }
 
@@ -445,7 +445,7 @@
     pub fn carry_out(&mut self, number: usize, output: Output) {
         match output {
             Output::Send { to, content } => self.send(number, to, content),
-            Output::Persist { token, records } => self.persist(number, token, records),
+            Output::Persist { write_id, records } => self.persist(number, write_id, records),
             Output::Respond { call_id, response } => self.answer(number, call_id, response),
             Output::ApplyConfiguration(body) => self.configure(number, body),
             Output::ServerChanged(entry) => self.tell_server(number, entry),
@@ -487,11 +487,11 @@
         }
     }
 
-    fn persist(&mut self, number: usize, token: Token, records: Vec<gradepaddle_control::Record>) {
+    fn persist(&mut self, number: usize, write_id: WriteId, records: Vec<gradepaddle_control::Record>) {
         let takes = self.random.between(MS, 12 * MS);
         let now = self.now;
         let machine = &mut self.machines[number];
-        let at = machine.disk.begin(now, takes, token, records);
+        let at = machine.disk.begin(now, takes, write_id, records);
         let life = machine.life;
         self.schedule(at, Event::Written { machine: number, life });
     }
--- a/controlplane/tests/golden/lone_node.rs
+++ b/controlplane/tests/golden/lone_node.rs
@@ -3,7 +3,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::sync::Arc;
 
-use gradepaddle_control::{Recovered, Replica, ReplicaConfig, ReplicaId};
+use gradepaddle_control::{RecoveredState, Replica, ReplicaConfig, ReplicaId};
 use gradepaddle_controlplane::api::{Call, Response};
 use gradepaddle_controlplane::bootstrap::Bootstrap;
 use gradepaddle_controlplane::node::{Input, Node, NodeSetup, Output};
@@ -69,7 +69,7 @@
             .machine_losses(0)
             .seed(1)
             .build();
-        let replica = Replica::new(config, Recovered::empty(ReplicaId(501)), self.now);
+        let replica = Replica::new(config, RecoveredState::empty(ReplicaId(501)), self.now);
         self.hand(Input::ReplicaOpened(Box::new(replica)));
     }
 
@@ -81,7 +81,7 @@
             self.node.handle(self.now, input, &mut out);
             for output in out {
                 match output {
-                    Output::Persist { token, .. } => inputs.push(Input::Persisted(token)),
+                    Output::Persist { write_id, .. } => inputs.push(Input::Persisted(write_id)),
                     Output::Send { content: Content::Spread(Message::Push { items, .. }), .. } => {
                         self.pushed.extend(items.into_iter().map(|aged| aged.item));
                     }
--- a/controlplane/tests/leases.rs
+++ b/controlplane/tests/leases.rs
@@ -123,7 +123,7 @@
         let mut written = Vec::new();
         for output in out {
             match output {
-                Output::Persist { token, .. } => written.push(Input::Persisted(token)),
+                Output::Persist { write_id, .. } => written.push(Input::Persisted(write_id)),
                 Output::Send { to, content: content @ Content::Control(_) } => {
                     let backup = (0..3).find(|node| fleet.address(*node) == to).or_fail()?;
                     let input = fleet.envelope(primary, content);
@@ -152,7 +152,7 @@
     while let Some(input) = inputs.pop() {
         for output in fleet.hand(backup, MS, input) {
             match output {
-                Output::Persist { token, .. } => inputs.push(Input::Persisted(token)),
+                Output::Persist { write_id, .. } => inputs.push(Input::Persisted(write_id)),
                 Output::Send { content: content @ Content::Control(_), .. } => replies.push(content),
                 _ => {}
             }
@@ -445,8 +445,8 @@
         let mut next = Vec::new();
         for output in outputs {
             match output {
-                Output::Persist { token, .. } => {
-                    next.extend(fleet.hand(primary, MS, Input::Persisted(token)))
+                Output::Persist { write_id, .. } => {
+                    next.extend(fleet.hand(primary, MS, Input::Persisted(write_id)))
                 }
                 Output::Send { to, content: content @ Content::Control(_) } => {
                     let backup = (0..3).find(|node| fleet.address(*node) == to)?;
--- a/controlplane/tests/regressions.rs
+++ b/controlplane/tests/regressions.rs
@@ -17,7 +17,7 @@
 use gradepaddle_controlplane::session_client::SessionClient;
 use gradepaddle_controlplane::session_table::{Session, SessionTable};
 use gradepaddle_controlplane::version_announcement::VersionDeadlines;
-use gradepaddle_engine::ServerState;
+use gradepaddle_placement::ServerState;
 use gradepaddle_proto::{Content, Decode, Encode, Envelope};
 use gradepaddle_spread::{Aged, Item, Message, Stamp};
 use simulation::{Ending, Plan, World};
