--- a/dataplane/src/data_plane.rs
+++ b/dataplane/src/data_plane.rs
@@ -161,7 +161,7 @@
         self.shared_isolation.set(hasher.finish());
         let now = self.now();
         self.placer.borrow_mut().set_services(now, services(&configuration));
-        info!(self.log, "configuration in force"; "version" => configuration.version);
+        info!(self.log, "configuration applied"; "version" => configuration.version);
         *self.configuration.borrow_mut() = Some(Rc::new(configuration));
         self.configured.send_replace(true);
         self.update_subscriptions();
@@ -205,7 +205,7 @@
     /// An attempt was taken back, since it had not begun as its server's weights got too old.
     pub(crate) fn attempt_withdrawn(&self, server: &str) {
         count(&self.counters.withdrawn);
-        info!(self.log, "request taken back"; "server" => server);
+        info!(self.log, "request withdrawn"; "server" => server);
     }
 
     /// Says whether the node has been in touch with control.
@@ -225,7 +225,7 @@
     fn log_key_validity(&self) {
         let lapsed = self.key_validity_expired();
         if self.keys_lapsed.replace(lapsed) != lapsed {
-            info!(self.log, "keys"; "lapsed" => lapsed);
+            info!(self.log, "configuration validity changed"; "expired" => lapsed);
         }
     }
 
--- a/dataplane/src/response_forwarding.rs
+++ b/dataplane/src/response_forwarding.rs
@@ -225,8 +225,8 @@
     }
 
     fn warn_outdated(&self, begin: OutdatedStart) {
-        warn!(self.plane.log, "request begun on outdated weights"; "server" => &*self.choice.server,
-            "version" => begin.version, "binding" => begin.binding, "waited_ms" => begin.waited / MILLISECOND);
+        warn!(self.plane.log, "request started on outdated version"; "server" => &*self.choice.server,
+            "version" => begin.version, "required_version" => begin.binding, "waited_ms" => begin.waited / MILLISECOND);
     }
 
     async fn pass_on(&self, client: &Connection, bytes: &Chain, last: bool) -> Result<(), ForwardingOutcome> {
--- a/system/src/effects.rs
+++ b/system/src/effects.rs
@@ -27,8 +27,8 @@
 fn outcome_name(outcome: OrderOutcome) -> &'static str {
     match outcome {
         OrderOutcome::InProgress => "in_progress",
-        OrderOutcome::Loaded => "holds",
-        OrderOutcome::Failed => "not_taken",
+        OrderOutcome::Loaded => "loaded",
+        OrderOutcome::Failed => "failed",
     }
 }
 
@@ -52,7 +52,7 @@
             Ok(configuration) => self.plane.set_configuration(configuration),
             // It was checked before it was taken: another build may know more than this one.
             Err(findings) => {
-                warn!(self.log, "configuration not understood"; "findings" => findings.to_string())
+                warn!(self.log, "configuration rejected"; "findings" => findings.to_string())
             }
         }
     }
@@ -76,7 +76,7 @@
         self.plane.placer.borrow_mut().set_balancer_count(balancers);
         let peers = peers.into_iter().map(|node| Peer { address: node.address, zone: node.zone });
         self.plane.set_peers(&peers.collect::<Vec<_>>());
-        info!(self.log, "members"; "count" => balancers);
+        info!(self.log, "membership changed"; "members" => balancers);
     }
 
     fn rank_changed(&self, rank: usize) {
@@ -109,7 +109,7 @@
         if connected {
             self.plane.set_control_connected(true);
         }
-        info!(self.log, "control"; "in_touch" => connected);
+        info!(self.log, "control session changed"; "connected" => connected);
     }
 
     fn configuration_validity(&self, validity: ConfigurationValidity) {
@@ -123,25 +123,25 @@
 
     fn event(&self, event: Event) {
         match event {
-            Event::BecamePrimary { epoch } => info!(self.log, "leading"; "epoch" => epoch),
-            Event::SteppedDown => info!(self.log, "not leading"),
-            Event::Bootstrapped { members } => info!(self.log, "first view told"; "members" => members),
-            Event::ServerTimedOut { id } => info!(self.log, "server lost"; "server" => &*id),
+            Event::BecamePrimary { epoch } => info!(self.log, "became primary"; "epoch" => epoch),
+            Event::SteppedDown => info!(self.log, "stepped down"),
+            Event::Bootstrapped { members } => info!(self.log, "bootstrap view sent"; "members" => members),
+            Event::ServerTimedOut { id } => info!(self.log, "server heartbeat timed out"; "server" => &*id),
             Event::VersionAnnounced { model, version, deadline_in } => {
-                info!(self.log, "version named";
-                    "model" => &*model, "version" => version, "binds_in_ms" => millis(deadline_in));
+                info!(self.log, "model version announced";
+                    "model" => &*model, "version" => version, "deadline_ms" => millis(deadline_in));
             }
             Event::ServerReserved { server, reservation } => {
-                info!(self.log, "server held back";
+                info!(self.log, "server reserved for rollout";
                     "server" => &*server, "model" => &*reservation.model, "version" => reservation.version);
             }
             Event::ServerReleased { server, reservation } => {
-                info!(self.log, "server open again"; "server" => &*server,
+                info!(self.log, "server released after rollout"; "server" => &*server,
                     "model" => &*reservation.model, "version" => reservation.version, "loaded" => reservation.loaded);
             }
             Event::OrderCompleted { order, outcome } => {
-                info!(self.log, "order answered"; "server" => &*order.server, "model" => &*order.model,
-                    "version" => order.version, "fence" => order.fencing_token, "answer" => outcome_name(outcome));
+                info!(self.log, "server order answered"; "server" => &*order.server, "model" => &*order.model,
+                    "version" => order.version, "fencing_token" => order.fencing_token, "result" => outcome_name(outcome));
             }
         }
     }
--- a/system/src/run.rs
+++ b/system/src/run.rs
@@ -159,16 +159,16 @@
     tokio::task::spawn_local(sweep(plane.clone()));
     tokio::task::spawn_local(receive_load_reports(plane.clone(), listeners.loads.clone()));
     tokio::task::spawn_local(send_load_reports(plane.clone(), listeners.loads));
-    info!(log, "started"; "zone" => &settings.zone, "first_boot" => settings.first_boot);
+    info!(log, "node started"; "zone" => &settings.zone, "first_boot" => settings.first_boot);
     loop {
         tokio::select! {
             _ = signals.terminate.recv() => break,
             _ = signals.hangup.recv() => reload(&file, &events, &log),
         }
     }
-    info!(log, "ending");
+    info!(log, "shutdown started");
     end(&settings, &plane, &events, &effects.ready_to_exit).await;
-    info!(log, "ended"; "requests" => plane.counters.requests.get(), "served" => plane.counters.responses.get());
+    info!(log, "shutdown complete"; "requests" => plane.counters.requests.get(), "responses" => plane.counters.responses.get());
     Ok(())
 }
 
@@ -230,7 +230,7 @@
                 let _ = events.send(DriverEvent::Input(Input::ReplicaOpened(replica)));
                 return;
             }
-            Err(error) => warn!(effects.log, "control state not opened"; "error" => error.to_string()),
+            Err(error) => warn!(effects.log, "control store open failed"; "error" => error.to_string()),
         }
         sleep(DISK_AGAIN_AFTER).await;
     }
@@ -293,9 +293,9 @@
         Ok(settings) => {
             // Without a driver the process is about to end.
             let _ = events.send(DriverEvent::Input(Input::SeedsChanged(seed_links(&settings))));
-            info!(log, "settings read again");
+            info!(log, "settings reloaded");
         }
-        Err(findings) => warn!(log, "settings not taken"; "findings" => findings.to_string()),
+        Err(findings) => warn!(log, "settings reload rejected"; "findings" => findings.to_string()),
     }
 }
 
