--- a/controlplane/src/driver.rs
+++ b/controlplane/src/driver.rs
@@ -16,7 +16,7 @@
 use crate::api::{Call, Response};
 use crate::clock::Clock;
 use crate::node::{ConfigurationValidity, Event, Input, MemberNode, Node, Output};
-use crate::rollout::Order;
+use crate::order::Order;
 use crate::server_client::{self, OrderPermit};
 use crate::transport::Transport;
 
--- a/controlplane/src/lib.rs
+++ b/controlplane/src/lib.rs
@@ -7,7 +7,7 @@
 //! - API: [`api`] (calls and responses), [`api_server`] (HTTP)
 //! - membership: [`session_client`], [`session_table`], [`absence_tracker`], [`bootstrap`]
 //! - messages: [`transport`], [`send_queue`], [`item_kinds`]
-//! - servers: [`registry`], [`rollout`], [`server_client`], [`version_announcement`]
+//! - servers: [`registry`], [`rollout`], [`order`], [`server_client`], [`version_announcement`]
 //! - configuration: [`staleness`]
 
 pub mod absence_tracker;
@@ -18,6 +18,7 @@
 pub mod driver;
 pub mod item_kinds;
 pub mod node;
+pub mod order;
 pub mod registry;
 pub mod rollout;
 pub mod send_queue;
--- a/controlplane/src/node/messages.rs
+++ b/controlplane/src/node/messages.rs
@@ -9,7 +9,8 @@
 
 use crate::Micros;
 use crate::api::{Call, Response};
-use crate::rollout::{Order, OrderOutcome, Reservation};
+use crate::order::{Order, OrderOutcome};
+use crate::rollout::Reservation;
 
 /// An input of a node.
 pub enum Input {
--- a/controlplane/src/rollout.rs
+++ b/controlplane/src/rollout.rs
@@ -13,7 +13,7 @@
 
 use crate::Micros;
 use crate::item_kinds::{self, RESERVATION};
-use crate::server_client::MAX_ORDER_DURATION;
+use crate::order::{MAX_ORDER_DURATION, Order, OrderOutcome};
 
 /// From the reservation of a server to its order, so that all nodes know of the reservation.
 const RESERVATION_DELAY: Micros = 120_000;
@@ -64,32 +64,6 @@
     }
 }
 
-/// An order to one server: load this model version.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Order {
-    /// The server.
-    pub server: Arc<str>,
-    /// Where it is reached.
-    pub address: SocketAddrV4,
-    /// The model.
-    pub model: Arc<str>,
-    /// The version to load.
-    pub version: u64,
-    /// The epoch of the primary that sends it.
-    pub fencing_token: u64,
-}
-
-/// What came of an order.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OrderOutcome {
-    /// 202: the server is loading.
-    InProgress,
-    /// 200: the server has loaded the version.
-    Loaded,
-    /// Rejected, or the outcome is unknown.
-    Failed,
-}
-
 /// What the roll-out asks of the node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
--- a/controlplane/src/server_client.rs
+++ b/controlplane/src/server_client.rs
@@ -14,18 +14,12 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout};
 
-use crate::rollout::{Order, OrderOutcome};
+use crate::order::{CONNECT_TIMEOUT, ORDER_RESPONSE_TIMEOUT, Order, OrderOutcome};
 
-/// An order has to be on its way within this: its fencing token is good for little longer.
-const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// What a server has not acknowledged by TCP within this is discarded by the kernel, also if this process is stopped.
 const DELIVERY_TIMEOUT: Duration = Duration::from_millis(300);
 /// No order is started with less than this left of its permit.
 const MIN_PERMIT_LEFT: Duration = Duration::from_millis(50);
-/// An order without a response for this long is cancelled, as far as it is still on this machine.
-const ORDER_RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
-/// The longest time from the check of its fencing token to the end of an order.
-pub const MAX_ORDER_DURATION: Duration = CONNECT_TIMEOUT.saturating_add(ORDER_RESPONSE_TIMEOUT);
 /// Any other call without a response for this long has failed.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
 /// The longest response body that is read, in bytes.
--- a/controlplane/tests/callers.rs
+++ b/controlplane/tests/callers.rs
@@ -13,7 +13,8 @@
 use gradepaddle_controlplane::Micros;
 use gradepaddle_controlplane::api::Call;
 use gradepaddle_controlplane::node::{Input, Node, NodeSetup, Output};
-use gradepaddle_controlplane::rollout::{Order, OrderOutcome, Reservation, Rollout, Servers, Step};
+use gradepaddle_controlplane::order::{MAX_ORDER_DURATION, Order, OrderOutcome};
+use gradepaddle_controlplane::rollout::{Reservation, Rollout, Servers, Step};
 use gradepaddle_controlplane::server_client::{self, OrderPermit};
 use gradepaddle_controlplane::session_client::SessionClient;
 use gradepaddle_controlplane::version_announcement::VersionDeadlines;
@@ -402,7 +403,7 @@
 #[gtest]
 fn an_order_without_an_answer_is_over_before_another_primary_orders() -> Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    let most = server_client::MAX_ORDER_DURATION;
+    let most = MAX_ORDER_DURATION;
     runtime.block_on(async {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let SocketAddr::V4(address) = listener.local_addr()? else { return fail!("no IPv4") };
--- a/controlplane/tests/fleet/outside.rs
+++ b/controlplane/tests/fleet/outside.rs
@@ -4,7 +4,7 @@
 
 use gradepaddle_controlplane::api::{Call, Response};
 use gradepaddle_controlplane::node::Input;
-use gradepaddle_controlplane::rollout::{Order, OrderOutcome};
+use gradepaddle_controlplane::order::{Order, OrderOutcome};
 
 use super::calls::{Caller, Outcome, success};
 use super::checks::Check;
--- a/controlplane/tests/fleet/server.rs
+++ b/controlplane/tests/fleet/server.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use gradepaddle_controlplane::api::Call;
+use gradepaddle_controlplane::order::{Order, OrderOutcome};
 use gradepaddle_controlplane::registry::Heartbeat;
-use gradepaddle_controlplane::rollout::{Order, OrderOutcome};
 
 use super::machine::{HEARTBEAT_INTERVAL, LEASE, ZONES};
 use super::random::Random;
--- a/controlplane/tests/fleet/world.rs
+++ b/controlplane/tests/fleet/world.rs
@@ -8,7 +8,7 @@
 use gradepaddle_control::WriteId;
 use gradepaddle_controlplane::api::Call;
 use gradepaddle_controlplane::node::{Event as NodeEvent, Input, Output};
-use gradepaddle_controlplane::rollout::{Order, OrderOutcome};
+use gradepaddle_controlplane::order::{Order, OrderOutcome};
 use gradepaddle_placement::{ServerEntry, ServerState};
 use gradepaddle_proto::{Content, Envelope};
 
--- a/controlplane/tests/golden.rs
+++ b/controlplane/tests/golden.rs
@@ -22,7 +22,8 @@
     SERVER_REMOVED, SESSION, next_minor, server_stamp,
 };
 use gradepaddle_controlplane::node::{Input, Output};
-use gradepaddle_controlplane::rollout::{Order, Reservation, Rollout, Step};
+use gradepaddle_controlplane::order::Order;
+use gradepaddle_controlplane::rollout::{Reservation, Rollout, Step};
 use gradepaddle_controlplane::server_client::{self, OrderPermit};
 use gradepaddle_controlplane::session_table::Session;
 use gradepaddle_controlplane::version_announcement::VersionAnnouncement;
--- a/controlplane/tests/leases.rs
+++ b/controlplane/tests/leases.rs
@@ -14,7 +14,7 @@
 use gradepaddle_controlplane::clock::Clock;
 use gradepaddle_controlplane::driver::DriverEvent;
 use gradepaddle_controlplane::node::{Input, Node, Output};
-use gradepaddle_controlplane::rollout::{Order, OrderOutcome};
+use gradepaddle_controlplane::order::{Order, OrderOutcome};
 use gradepaddle_controlplane::server_client::{self, OrderPermit};
 use gradepaddle_controlplane::{CLOCK_START, Micros};
 use gradepaddle_http::buffers::Pool;
--- a/controlplane/tests/rollout.rs
+++ b/controlplane/tests/rollout.rs
@@ -8,7 +8,8 @@
 use common::{MS, SECOND, registration};
 use googletest::prelude::*;
 use gradepaddle_controlplane::Micros;
-use gradepaddle_controlplane::rollout::{Order, OrderOutcome, Reservation, Rollout, Servers, Step};
+use gradepaddle_controlplane::order::{Order, OrderOutcome};
+use gradepaddle_controlplane::rollout::{Reservation, Rollout, Servers, Step};
 use gradepaddle_proto::{Decode, Registration};
 
 const LEASE: Micros = 3 * SECOND;
--- a/system/src/effects.rs
+++ b/system/src/effects.rs
@@ -9,7 +9,7 @@
 use gradepaddle_controlplane::clock::Clock;
 use gradepaddle_controlplane::driver::Effects;
 use gradepaddle_controlplane::node::{ConfigurationValidity, Event, MemberNode};
-use gradepaddle_controlplane::rollout::OrderOutcome;
+use gradepaddle_controlplane::order::OrderOutcome;
 use gradepaddle_dataplane::load_reports::recipients::Peer;
 use gradepaddle_dataplane::{DataPlane, KeyValidity};
 use gradepaddle_placement::{Micros, ServerEntry, ServerState};
--- a/system/src/main.rs
+++ b/system/src/main.rs
@@ -1,11 +1,18 @@
-//! A node of the router fleet, and the tools of its operators.
+//! The program `gradepaddle-node`: a node of the router fleet, and the tools of its operators.
+//!
+//! It joins the planes, which are libraries without a process: settings, sockets, the disk, signals and the log are here.
 
 mod check;
 mod command;
+mod control_store;
 mod effects;
 mod error;
+mod listeners;
 mod logging;
+mod planes;
+mod random;
 mod run;
+mod shutdown;
 mod status;
 
 use std::process::ExitCode;
--- /dev/null
+++ b/system/src/planes.rs
@@ -0,0 +1,74 @@
+//! The data plane and the control plane of a node, as its settings ask for them.
+
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+
+use gradepaddle_config::Settings;
+use gradepaddle_controlplane::bootstrap::Bootstrap;
+use gradepaddle_controlplane::node::{Node, NodeSetup};
+use gradepaddle_controlplane::session_client::SessionClient;
+use gradepaddle_controlplane::version_announcement::VersionDeadlines;
+use gradepaddle_controlplane::{CLOCK_START, Micros};
+use gradepaddle_dataplane::{DataPlane, Setup};
+use gradepaddle_placement::{PlacementConfig, Placer};
+use gradepaddle_proto::Identity;
+use gradepaddle_spread::{Spread, SpreadConfig};
+use slog::Logger;
+
+use crate::listeners::{peer_address, seed_addresses};
+use crate::random::random;
+
+/// Keys that may have been revoked stop working this long before they have to (`revokeMs`).
+const REVOKE_MARGIN: Duration = Duration::from_millis(250);
+
+fn micros(span: Duration) -> Micros {
+    span.as_micros() as Micros
+}
+
+/// The data plane.
+pub fn data_plane(settings: &Settings, log: &Logger) -> Rc<DataPlane> {
+    let bounds = &settings.bounds;
+    let engine = PlacementConfig::builder()
+        .own_zone(&*settings.zone)
+        .seed(random())
+        .retry_ratio(bounds.retry_ratio)
+        .retry_slack(bounds.retry_slack)
+        .retry_window(micros(bounds.retry_window))
+        .build();
+    DataPlane::new(Setup { placer: Placer::new(engine), zone: Arc::from(&*settings.zone), log: log.clone() })
+}
+
+/// The control plane. Its incarnation is the time of day; where an earlier process at this address was ahead, the session
+/// raises it.
+pub fn control_plane(settings: &Settings) -> Node {
+    let own = peer_address(settings);
+    let seeds = seed_addresses(settings);
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let identity = Identity {
+        address: own,
+        incarnation: since_epoch.as_micros() as u64,
+        name: Arc::from(&*settings.node_name),
+        zone: Arc::from(&*settings.zone),
+        replica: None,
+        first_boot: settings.first_boot,
+    };
+    let losses = settings.survive.machine_losses as usize;
+    Node::new(NodeSetup {
+        session: SessionClient::new(identity, seeds.clone(), CLOCK_START),
+        spread: Spread::new(SpreadConfig::builder().address(own).seed(random()).build(), CLOCK_START),
+        bootstrap: Bootstrap::new(own, &seeds, losses, settings.first_boot, CLOCK_START),
+        heartbeat_interval: micros(settings.beat_every),
+        order_lease: micros(settings.bounds.lease),
+        version_deadlines: VersionDeadlines {
+            from_publication: micros(settings.bounds.version),
+            from_announcement: Some(micros(settings.bounds.version_all)).filter(|bound| *bound > 0),
+        },
+        revoke_within: settings
+            .bounds
+            .revoke_everywhere
+            .then(|| micros(settings.bounds.revoke.saturating_sub(REVOKE_MARGIN))),
+        machine_losses: losses,
+        now: CLOCK_START,
+    })
+}
--- a/system/src/run.rs
+++ b/system/src/run.rs
@@ -1,62 +1,37 @@
-//! A node as a process: settings, listeners, planes, signals, the end.
+//! A node as a process: start, signals, shutdown.
 
 use std::cell::RefCell;
-use std::future::ready;
-use std::hash::{BuildHasher, Hasher, RandomState};
-use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::sync::Arc;
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use std::time::Duration;
 
 use gradepaddle_config::Settings;
-use gradepaddle_control::{RecoveredState, Replica, ReplicaConfig, ReplicaId};
-use gradepaddle_controlplane::CLOCK_START;
 use gradepaddle_controlplane::api_server::serve_api;
-use gradepaddle_controlplane::bootstrap::Bootstrap;
 use gradepaddle_controlplane::clock::Clock;
 use gradepaddle_controlplane::driver::{Driver, DriverChannels, DriverEvent};
-use gradepaddle_controlplane::node::{Input, Node, NodeSetup};
-use gradepaddle_controlplane::session_client::SessionClient;
+use gradepaddle_controlplane::node::Input;
 use gradepaddle_controlplane::transport::{Transport, serve_peers};
-use gradepaddle_controlplane::version_announcement::VersionDeadlines;
 use gradepaddle_dataplane::{
-    DataPlane, Setup, ShutdownTimes, receive_load_reports, send_load_reports, serve_clients, serve_readiness,
-    shut_down,
+    DataPlane, receive_load_reports, send_load_reports, serve_clients, serve_readiness,
 };
-use gradepaddle_placement::{PlacementConfig, Placer};
-use gradepaddle_proto::Identity;
-use gradepaddle_spread::{Spread, SpreadConfig};
-use gradepaddle_store::{Done, Storage, StoreError, Writer};
 use slog::{Logger, info, warn};
 use snafu::{OptionExt, ResultExt};
-use tokio::net::{TcpListener, TcpSocket, UdpSocket};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::{Notify, mpsc};
-use tokio::time::{Instant, sleep, timeout};
+use tokio::time::{Instant, sleep};
 
 use crate::effects::NodeEffects;
-use crate::error::{CommandError, ListenSnafu, NoAddressSnafu, NoSettingsSnafu, RuntimeSnafu};
-use crate::logging;
+use crate::error::{CommandError, NoSettingsSnafu, RuntimeSnafu};
+use crate::listeners::{Listeners, peer_address, seed_addresses};
+use crate::{control_store, logging, planes, shutdown};
 
 /// The variable that names the settings file.
 const SETTINGS_VARIABLE: &str = "GRADEPADDLE_BOOT";
-/// Connections that wait to be taken.
-const BACKLOG: u32 = 1024;
-/// Between sweeps of idle connections.
-const SWEEP_EVERY: Duration = Duration::from_secs(1);
-/// After SIGTERM requests are begun for this long: the platform asks each second and wants two misses. What comes later
-/// than three seconds must not be cut by the end, so it is refused before.
-const BEGINS_REQUESTS_FOR: Duration = Duration::from_millis(2600);
-/// The process ends this long before it would be killed.
-const GRACE_MARGIN: Duration = Duration::from_millis(600);
-/// A disk that refused is tried again after this.
-const DISK_AGAIN_AFTER: Duration = Duration::from_millis(500);
+/// Interval of the closing of idle connections.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Keys that may have been taken away stop working so long before they have to.
-const REVOKE_MARGIN: Duration = Duration::from_millis(250);
-
-/// Runs a node until it is told to end.
+/// Runs a node until SIGTERM.
 ///
 /// # Errors
 ///
@@ -70,65 +45,13 @@
     local.block_on(&runtime, serve(file, settings, log))
 }
 
-/// The sockets that a node listens on.
-struct Listeners {
-    front: TcpListener,
-    readiness: TcpListener,
-    control: TcpListener,
-    links: TcpListener,
-    loads: Rc<UdpSocket>,
-}
-
-impl Listeners {
-    fn open(settings: &Settings) -> Result<Self, CommandError> {
-        let listen = &settings.listen;
-        Ok(Listeners {
-            front: open(listen.front, "front")?,
-            readiness: open(listen.readiness, "readiness")?,
-            control: open(listen.control, "controlPlane")?,
-            links: open(Some(link_address(settings)), "internalPorts")?,
-            loads: Rc::new(datagrams(link_address(settings))?),
-        })
-    }
-}
-
-fn open(address: Option<SocketAddrV4>, name: &'static str) -> Result<TcpListener, CommandError> {
-    let address = address.context(NoAddressSnafu { name })?;
-    let listen = || {
-        let socket = TcpSocket::new_v4()?;
-        socket.set_reuseaddr(true)?;
-        socket.bind(address.into())?;
-        socket.listen(BACKLOG)
-    };
-    listen().context(ListenSnafu { address })
-}
-
-fn datagrams(address: SocketAddrV4) -> Result<UdpSocket, CommandError> {
-    let bind = || {
-        let socket = std::net::UdpSocket::bind(address)?;
-        socket.set_nonblocking(true)?;
-        UdpSocket::from_std(socket)
-    };
-    bind().context(ListenSnafu { address })
-}
-
-/// Where other nodes reach this one: the first of the ports between nodes.
-fn link_address(settings: &Settings) -> SocketAddrV4 {
-    SocketAddrV4::new(settings.ip, settings.internal_ports.0)
-}
-
-/// Where the seeds are reached by other nodes: ports are alike on all machines.
-fn seed_links(settings: &Settings) -> Vec<SocketAddrV4> {
-    let port = settings.internal_ports.0;
-    settings.seed_nodes.iter().map(|seed| SocketAddrV4::new(*seed.ip(), port)).collect()
-}
-
+/// Starts all tasks of the node, and serves until SIGTERM.
 async fn serve(file: PathBuf, settings: Settings, log: Logger) -> Result<(), CommandError> {
     let mut signals = Signals::new()?;
     let listeners = Listeners::open(&settings)?;
     let started = Instant::now();
     let (events, event_receiver) = mpsc::unbounded_channel();
-    let plane = data_plane(&settings, &log);
+    let plane = planes::data_plane(&settings, &log);
     let clock = Clock::new(started);
     let effects = Rc::new(NodeEffects {
         plane: plane.clone(),
@@ -141,33 +64,39 @@
     let driver_events = events.clone();
     plane.set_store_health_listener(Box::new(move |name, alive| {
         let input = Input::CacheStoreChanged { name: Arc::from(name), alive };
-        // Without a driver nobody has to know.
+        // Without a driver the process is about to exit.
         let _ = driver_events.send(DriverEvent::Input(input));
     }));
-    let node = node(&settings);
+    let node = planes::control_plane(&settings);
     let (inbox, envelopes) = mpsc::unbounded_channel();
-    let transport = Transport::new(link_address(&settings));
+    let transport = Transport::new(peer_address(&settings));
     let channels = DriverChannels { events: event_receiver, envelopes, loopback: events.clone() };
     let owner: Arc<str> = Arc::from(&*settings.node_name);
     let driver = Driver::new(node, channels, transport, effects.clone(), owner, clock);
     tokio::task::spawn_local(driver.run());
-    tokio::task::spawn_local(keep_control_state(settings.clone(), effects.clone(), events.clone(), clock));
-    tokio::task::spawn_local(serve_peers(listeners.links, inbox));
+    tokio::task::spawn_local(control_store::open_until_healthy(
+        settings.clone(),
+        effects.clone(),
+        events.clone(),
+        clock,
+    ));
+    tokio::task::spawn_local(serve_peers(listeners.peers, inbox));
     tokio::task::spawn_local(serve_api(listeners.control, events.clone(), clock));
     tokio::task::spawn_local(serve_readiness(plane.clone(), listeners.readiness));
     tokio::task::spawn_local(serve_clients(plane.clone(), listeners.front));
     tokio::task::spawn_local(sweep(plane.clone()));
-    tokio::task::spawn_local(receive_load_reports(plane.clone(), listeners.loads.clone()));
-    tokio::task::spawn_local(send_load_reports(plane.clone(), listeners.loads));
+    tokio::task::spawn_local(receive_load_reports(plane.clone(), listeners.load_reports.clone()));
+    tokio::task::spawn_local(send_load_reports(plane.clone(), listeners.load_reports));
     info!(log, "node started"; "zone" => &settings.zone, "first_boot" => settings.first_boot);
     loop {
+        // Cancellation: a signal that comes meanwhile is kept by tokio.
         tokio::select! {
             _ = signals.terminate.recv() => break,
             _ = signals.hangup.recv() => reload(&file, &events, &log),
         }
     }
     info!(log, "shutdown started");
-    end(&settings, &plane, &events, &effects.ready_to_exit).await;
+    shutdown::shut_down(&settings, &plane, &events, &effects.ready_to_exit).await;
     info!(log, "shutdown complete"; "requests" => plane.counters.requests.get(), "responses" => plane.counters.responses.get());
     Ok(())
 }
@@ -186,113 +115,12 @@
     }
 }
 
-/// A number that no other process has.
-fn random() -> u64 {
-    RandomState::new().build_hasher().finish()
-}
-
-fn data_plane(settings: &Settings, log: &Logger) -> Rc<DataPlane> {
-    let bounds = &settings.bounds;
-    let micros = |span: Duration| span.as_micros() as u64;
-    let engine = PlacementConfig::builder()
-        .own_zone(&*settings.zone)
-        .seed(random())
-        .retry_ratio(bounds.retry_ratio)
-        .retry_slack(bounds.retry_slack)
-        .retry_window(micros(bounds.retry_window))
-        .build();
-    DataPlane::new(Setup { placer: Placer::new(engine), zone: Arc::from(&*settings.zone), log: log.clone() })
-}
-
-/// Opens the disk, where there is one whose loss counts, and starts the replica on it. A disk that refuses is tried again
-/// until it is well: without its replica the node serves clients all the same.
-async fn keep_control_state(
-    settings: Rc<Settings>,
-    effects: Rc<NodeEffects>,
-    events: mpsc::UnboundedSender<DriverEvent>,
-    clock: Clock,
-) {
-    let Some(path) = settings.data_path.as_ref().filter(|_| settings.loss_counts) else { return };
-    loop {
-        match open_disk(path, &events) {
-            Ok((writer, recovered)) => {
-                *effects.writer.borrow_mut() = Some(writer);
-                let config = ReplicaConfig::builder()
-                    .address(link_address(&settings))
-                    .zone(&*settings.zone)
-                    .first_boot(settings.first_boot)
-                    .machine_losses(settings.survive.machine_losses as usize)
-                    .shutdown_timeout(settings.bounds.grace.saturating_sub(GRACE_MARGIN).as_micros() as u64)
-                    .seed(random())
-                    .build();
-                let replica = Box::new(Replica::new(config, recovered, clock.now()));
-                // Without a driver nobody needs it.
-                let _ = events.send(DriverEvent::Input(Input::ReplicaOpened(replica)));
-                return;
-            }
-            Err(error) => warn!(effects.log, "control store open failed"; "error" => error.to_string()),
-        }
-        sleep(DISK_AGAIN_AFTER).await;
-    }
-}
-
-fn open_disk(
-    path: &Path,
-    events: &mpsc::UnboundedSender<DriverEvent>,
-) -> Result<(Writer, RecoveredState), StoreError> {
-    let opened = Storage::open(path, ReplicaId(random()))?;
-    let events = events.clone();
-    let done = move |done: Done| {
-        let input = match done.result {
-            Ok(()) => Input::Persisted(done.write_id),
-            Err(_) => Input::PersistFailed(done.write_id),
-        };
-        // Without a driver nobody waits for it.
-        let _ = events.send(DriverEvent::Input(input));
-    };
-    let writer = Writer::start(opened.storage, Box::new(done))?;
-    Ok((writer, opened.recovered))
-}
-
-fn node(settings: &Settings) -> Node {
-    let own = link_address(settings);
-    let seeds = seed_links(settings);
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    let identity = Identity {
-        address: own,
-        incarnation: since.as_micros() as u64,
-        name: Arc::from(&*settings.node_name),
-        zone: Arc::from(&*settings.zone),
-        replica: None,
-        first_boot: settings.first_boot,
-    };
-    let micros = |span: Duration| span.as_micros() as u64;
-    let losses = settings.survive.machine_losses as usize;
-    Node::new(NodeSetup {
-        session: SessionClient::new(identity, seeds.clone(), CLOCK_START),
-        spread: Spread::new(SpreadConfig::builder().address(own).seed(random()).build(), CLOCK_START),
-        bootstrap: Bootstrap::new(own, &seeds, losses, settings.first_boot, CLOCK_START),
-        heartbeat_interval: micros(settings.beat_every),
-        order_lease: micros(settings.bounds.lease),
-        version_deadlines: VersionDeadlines {
-            from_publication: micros(settings.bounds.version),
-            from_announcement: Some(micros(settings.bounds.version_all)).filter(|bound| *bound > 0),
-        },
-        revoke_within: settings
-            .bounds
-            .revoke_everywhere
-            .then(|| micros(settings.bounds.revoke.saturating_sub(REVOKE_MARGIN))),
-        machine_losses: losses,
-        now: CLOCK_START,
-    })
-}
-
-/// Takes over what may change while the process runs: the seeds.
-fn reload(file: &PathBuf, events: &mpsc::UnboundedSender<DriverEvent>, log: &Logger) {
+/// SIGHUP: takes over the seeds, the only setting that may change while the process runs.
+fn reload(file: &Path, events: &mpsc::UnboundedSender<DriverEvent>, log: &Logger) {
     match Settings::load(file) {
         Ok(settings) => {
-            // Without a driver the process is about to end.
-            let _ = events.send(DriverEvent::Input(Input::SeedsChanged(seed_links(&settings))));
+            // Without a driver the process is about to exit.
+            let _ = events.send(DriverEvent::Input(Input::SeedsChanged(seed_addresses(&settings))));
             info!(log, "settings reloaded");
         }
         Err(findings) => warn!(log, "settings reload rejected"; "findings" => findings.to_string()),
@@ -301,26 +129,7 @@
 
 async fn sweep(plane: Rc<DataPlane>) {
     loop {
-        sleep(SWEEP_EVERY).await;
+        sleep(SWEEP_INTERVAL).await;
         plane.sweep();
     }
 }
-
-/// Serves what still comes, then what is open; hands over what others have to go on with; then ends.
-async fn end(
-    settings: &Settings,
-    plane: &Rc<DataPlane>,
-    events: &mpsc::UnboundedSender<DriverEvent>,
-    ready_to_exit: &Notify,
-) {
-    // Without a driver there is nothing to hand over.
-    let _ = events.send(DriverEvent::Input(Input::ShutDown));
-    let times = ShutdownTimes {
-        accepts_requests_for: BEGINS_REQUESTS_FOR,
-        grace_period: settings.bounds.grace.saturating_sub(GRACE_MARGIN),
-    };
-    // What this machine holds may be needed for longer than its clients need it. A control state that nobody has taken
-    // over in time stays on the disk.
-    let hand_over = timeout(times.grace_period, ready_to_exit.notified());
-    let (_, _) = tokio::join!(shut_down(plane, times, ready(())), hand_over);
-}
