--- a/controlplane/src/api.rs
+++ b/controlplane/src/api.rs
@@ -3,6 +3,7 @@
 use std::sync::Arc;
 
 use gradepaddle_config::{Configuration, Findings, Patch, fingerprint};
+use gradepaddle_proto::ControlCall;
 use serde::{Deserialize, Serialize};
 
 use crate::Micros;
@@ -28,33 +29,8 @@
         /// The server's id.
         id: String,
     },
-    /// Puts a complete, valid configuration.
-    PutConfiguration {
-        /// The version that it replaces.
-        if_match: u64,
-        /// Its own version.
-        version: u64,
-        /// Its body as it was sent.
-        body: Arc<[u8]>,
-    },
-    /// Patches the configuration; the patch is well-formed.
-    PatchConfiguration {
-        /// The version that it applies to.
-        if_match: u64,
-        /// The version of the result.
-        version: u64,
-        /// The patch as it was sent.
-        patch: Arc<[u8]>,
-    },
-    /// Reads the newest configuration.
-    GetConfiguration,
-    /// Announces a model version.
-    NameVersion {
-        /// The model.
-        model: String,
-        /// The version.
-        version: u64,
-    },
+    /// A call that the primary decides. Configurations are valid, patches well-formed.
+    Control(ControlCall),
     /// Reads the state of this node, and of the fleet as it knows it.
     Status,
 }
@@ -137,10 +113,10 @@
         }
         ("PUT", [Some("v1"), Some("config"), None, None]) => put_configuration(if_match, body),
         ("PATCH", [Some("v1"), Some("config"), None, None]) => patch_configuration(if_match, body),
-        ("GET", [Some("v1"), Some("config"), None, None]) => Ok(Call::GetConfiguration),
+        ("GET", [Some("v1"), Some("config"), None, None]) => Ok(Call::Control(ControlCall::GetConfiguration)),
         ("POST", [Some("v1"), Some("version-put"), None, None]) => {
             let AnnounceVersionBody { model, version } = parse_json(body)?;
-            Ok(Call::NameVersion { model, version })
+            Ok(Call::Control(ControlCall::NameVersion { model: Arc::from(model), version }))
         }
         ("GET", [Some("v1"), Some("status"), None, None]) => Ok(Call::Status),
         (_, [Some("v1"), Some("servers" | "config" | "version-put" | "status"), ..]) => {
@@ -166,13 +142,15 @@
 fn patch_configuration(if_match: Option<&str>, body: &[u8]) -> Result<Call, Response> {
     let if_match = base_version(if_match)?;
     let patch = Patch::parse(body).map_err(invalid)?;
-    Ok(Call::PatchConfiguration { if_match, version: patch.version, patch: Arc::from(body) })
+    let call = ControlCall::PatchConfiguration { if_match, version: patch.version, patch: Arc::from(body) };
+    Ok(Call::Control(call))
 }
 
 fn put_configuration(if_match: Option<&str>, body: &[u8]) -> Result<Call, Response> {
     let if_match = base_version(if_match)?;
     let configuration = Configuration::parse(body).map_err(invalid)?;
-    Ok(Call::PutConfiguration { if_match, version: configuration.version, body: Arc::from(body) })
+    let version = configuration.version;
+    Ok(Call::Control(ControlCall::PutConfiguration { if_match, version, body: Arc::from(body) }))
 }
 
 /// The response to an invalid configuration or patch.
--- a/controlplane/src/node/api_calls.rs
+++ b/controlplane/src/node/api_calls.rs
@@ -69,21 +69,7 @@
                     out,
                 );
             }
-            Call::PutConfiguration { if_match, version, body } => {
-                let call = ControlCall::PutConfiguration { if_match, version, body };
-                self.decide(now, Caller::Local(call_id), call, true, out);
-            }
-            Call::PatchConfiguration { if_match, version, patch } => {
-                let call = ControlCall::PatchConfiguration { if_match, version, patch };
-                self.decide(now, Caller::Local(call_id), call, true, out);
-            }
-            Call::GetConfiguration => {
-                self.decide(now, Caller::Local(call_id), ControlCall::GetConfiguration, true, out);
-            }
-            Call::NameVersion { model, version } => {
-                let call = ControlCall::NameVersion { model: Arc::from(model), version };
-                self.decide(now, Caller::Local(call_id), call, true, out);
-            }
+            Call::Control(call) => self.decide(now, Caller::Local(call_id), call, true, out),
             Call::Status => out.push(Output::Respond { call_id, response: self.status(now) }),
         }
     }
--- a/controlplane/tests/callers.rs
+++ b/controlplane/tests/callers.rs
@@ -58,7 +58,8 @@
 
     /// Reads the configuration; gives the name under which the call was passed on.
     fn read(&mut self, ticket: u64) -> Result<u64> {
-        let out = self.hand(Input::Call { call_id: ticket, call: Call::GetConfiguration });
+        let out =
+            self.hand(Input::Call { call_id: ticket, call: Call::Control(ControlCall::GetConfiguration) });
         let forwarded = out.iter().find_map(|output| match output {
             Output::Send { to, content: Content::Forward(forward) } if *to == address(3) => {
                 Some(forward.ticket)
@@ -188,7 +189,7 @@
             return Ok(());
         }
         self.open.insert(ticket, version);
-        let call = Call::NameVersion { model: "advisor".to_owned(), version };
+        let call = Call::Control(ControlCall::NameVersion { model: Arc::from("advisor"), version });
         self.hand(Input::Call { call_id: ticket, call })
     }
 
--- a/controlplane/tests/calls.rs
+++ b/controlplane/tests/calls.rs
@@ -2,6 +2,7 @@
 
 use googletest::prelude::*;
 use gradepaddle_controlplane::api::{Call, Response, fingerprint_number, parse, patch_fingerprint_number};
+use gradepaddle_proto::ControlCall;
 use serde_json::{Value, json};
 
 /// One call and what is to come of it.
@@ -44,14 +45,20 @@
             id == name && heartbeat.call_count == *count
         }
         (Ok(Call::Leave { id }), Want::Leave(name)) => id == name,
-        (Ok(Call::PutConfiguration { if_match, version, .. }), Want::Put(base, own)) => {
-            if_match == base && version == own
+        (
+            Ok(Call::Control(ControlCall::PutConfiguration { if_match, version, .. })),
+            Want::Put(base, own),
+        ) => if_match == base && version == own,
+        (
+            Ok(Call::Control(ControlCall::PatchConfiguration { if_match, version, .. })),
+            Want::Patch(base, own),
+        ) => if_match == base && version == own,
+        (Ok(Call::Control(ControlCall::GetConfiguration)), Want::Get) | (Ok(Call::Status), Want::Status) => {
+            true
         }
-        (Ok(Call::PatchConfiguration { if_match, version, .. }), Want::Patch(base, own)) => {
-            if_match == base && version == own
+        (Ok(Call::Control(ControlCall::NameVersion { model, version })), Want::Name(name, own)) => {
+            &**model == *name && version == own
         }
-        (Ok(Call::GetConfiguration), Want::Get) | (Ok(Call::Status), Want::Status) => true,
-        (Ok(Call::NameVersion { model, version }), Want::Name(name, own)) => model == name && version == own,
         (Err(answer), Want::Refused(statuses)) => statuses.contains(&answer.status),
         _ => false,
     }
@@ -245,7 +252,9 @@
 #[gtest]
 fn the_body_is_kept_as_it_was_sent() -> Result<()> {
     let sent = serde_json::to_vec_pretty(&configuration())?;
-    let Ok(Call::PutConfiguration { body, .. }) = parse("PUT", "/v1/config", Some("0"), &sent) else {
+    let Ok(Call::Control(ControlCall::PutConfiguration { body, .. })) =
+        parse("PUT", "/v1/config", Some("0"), &sent)
+    else {
         return fail!("it was not taken");
     };
     expect_that!(body.to_vec(), eq(&sent));
--- a/controlplane/tests/fleet/checks.rs
+++ b/controlplane/tests/fleet/checks.rs
@@ -7,6 +7,7 @@
 use gradepaddle_controlplane::api::Call;
 use gradepaddle_controlplane::node::{Input, Output};
 use gradepaddle_placement::ServerState;
+use gradepaddle_proto::ControlCall;
 
 use super::calls::{Caller, Outcome};
 use super::machine::Machine;
@@ -355,7 +356,7 @@
     /// Reads the configuration through a node, until there is an answer.
     pub fn read(&mut self, machine: usize) {
         let attempt = self.now;
-        self.call(machine, Caller::Reader { machine, attempt }, Call::GetConfiguration);
+        self.call(machine, Caller::Reader { machine, attempt }, Call::Control(ControlCall::GetConfiguration));
     }
 
     pub fn read_over(&mut self, machine: usize, outcome: Outcome) {
--- a/controlplane/tests/fleet/histories.rs
+++ b/controlplane/tests/fleet/histories.rs
@@ -3,6 +3,7 @@
 use std::collections::HashMap;
 
 use gradepaddle_controlplane::api::{Call, fingerprint_number};
+use gradepaddle_proto::ControlCall;
 
 use super::calls::{Caller, Outcome};
 use super::operator::identity;
@@ -42,15 +43,15 @@
 
     pub fn asked(&mut self, caller: Caller, call: &Call) {
         let operation = match call {
-            Call::PutConfiguration { if_match, version, body } => {
+            Call::Control(ControlCall::PutConfiguration { if_match, version, body }) => {
                 let fingerprint = fingerprint_number(&identity(body));
                 Operation::Put { if_match: *if_match, version: *version, fingerprint }
             }
-            Call::PatchConfiguration { if_match, version, patch } => {
+            Call::Control(ControlCall::PatchConfiguration { if_match, version, patch }) => {
                 let fingerprint = fingerprint_number(&identity(patch));
                 Operation::Put { if_match: *if_match, version: *version, fingerprint }
             }
-            Call::GetConfiguration => Operation::Read,
+            Call::Control(ControlCall::GetConfiguration) => Operation::Read,
             _ => return,
         };
         if matches!(caller, Caller::Operator { .. }) && operation != Operation::Read {
@@ -78,7 +79,7 @@
 
     fn next_call(&mut self) -> Option<Call> {
         if self.random.percent(READS) || self.sent.is_empty() {
-            return Some(Call::GetConfiguration);
+            return Some(Call::Control(ControlCall::GetConfiguration));
         }
         let index = self.random.below(self.sent.len());
         self.sent.get(index).cloned()
--- a/controlplane/tests/fleet/operator.rs
+++ b/controlplane/tests/fleet/operator.rs
@@ -3,6 +3,7 @@
 use std::sync::Arc;
 
 use gradepaddle_controlplane::api::Call;
+use gradepaddle_proto::ControlCall;
 
 use super::calls::Outcome;
 use super::{MODEL, MS, Micros};
@@ -100,10 +101,16 @@
     pub fn call(&mut self) -> Option<Call> {
         self.attempt += 1;
         Some(match self.task.clone()? {
-            Task::Put { if_match, version, body } => Call::PutConfiguration { if_match, version, body },
-            Task::Patch { if_match, version, patch } => Call::PatchConfiguration { if_match, version, patch },
-            Task::Name { version } => Call::NameVersion { model: MODEL.to_owned(), version },
-            Task::Read => Call::GetConfiguration,
+            Task::Put { if_match, version, body } => {
+                Call::Control(ControlCall::PutConfiguration { if_match, version, body })
+            }
+            Task::Patch { if_match, version, patch } => {
+                Call::Control(ControlCall::PatchConfiguration { if_match, version, patch })
+            }
+            Task::Name { version } => {
+                Call::Control(ControlCall::NameVersion { model: Arc::from(MODEL), version })
+            }
+            Task::Read => Call::Control(ControlCall::GetConfiguration),
         })
     }
 
--- a/controlplane/tests/fleet/outage.rs
+++ b/controlplane/tests/fleet/outage.rs
@@ -4,6 +4,7 @@
 
 use gradepaddle_controlplane::api::Call;
 use gradepaddle_controlplane::node::Output;
+use gradepaddle_proto::ControlCall;
 
 use super::calls::{Caller, Outcome};
 use super::operator::version_of;
@@ -276,7 +277,7 @@
             self.outage.attempts += 1;
             let caller = Caller::Prober { machine, attempt: self.outage.attempts };
             self.outage.floors.insert(caller, newest);
-            self.call(machine, caller, Call::GetConfiguration);
+            self.call(machine, caller, Call::Control(ControlCall::GetConfiguration));
         }
         self.note_applied();
         let goes_on = self.outage.ended.is_none_or(|ended| self.now < ended + PROBE_FOR);
--- a/controlplane/tests/golden.rs
+++ b/controlplane/tests/golden.rs
@@ -28,7 +28,9 @@
 use gradepaddle_controlplane::session_table::Session;
 use gradepaddle_controlplane::version_announcement::VersionAnnouncement;
 use gradepaddle_http::buffers::Pool;
-use gradepaddle_proto::{Content, Encode, Envelope, Registration, SessionGrant, ViewSummary, Weights};
+use gradepaddle_proto::{
+    Content, ControlCall, Encode, Envelope, Registration, SessionGrant, ViewSummary, Weights,
+};
 use gradepaddle_spread::Item;
 use lone_node::{LoneNode, address, identity};
 use simulation::{MS, Plan, SECOND, World};
@@ -220,7 +222,7 @@
     let view = ViewSummary { epoch: 5, primary: Some(address(3)), members: vec![address(3)] };
     let reply = SessionGrant { incarnation: 0, stands: false, seen_incarnation: 0, view: Some(view) };
     follower.hand(Input::Envelope(Envelope { from: address(3), content: Content::SessionGrant(reply) }));
-    follower.call(Call::GetConfiguration);
+    follower.call(Call::Control(ControlCall::GetConfiguration));
     follower.run_for(2 * SECOND, false);
     for (title, node) in [("held by nobody else", leading), ("the primary is silent", follower)] {
         for answer in node.answers {
@@ -245,8 +247,8 @@
     let mut node = LoneNode::leading();
     note("it leads", &mut node);
     let body = Arc::from(CONFIGURATION_BODY.as_bytes());
-    node.call(Call::PutConfiguration { if_match: 0, version: 12, body });
-    node.call(Call::NameVersion { model: "advisor".to_owned(), version: 7 });
+    node.call(Call::Control(ControlCall::PutConfiguration { if_match: 0, version: 12, body }));
+    node.call(Call::Control(ControlCall::NameVersion { model: Arc::from("advisor"), version: 7 }));
     let call = |path: &str, body: String| {
         api::parse("PUT", path, None, body.as_bytes()).expect("a call that makes sense")
     };
@@ -355,8 +357,8 @@
     node.call(call("/v1/servers/i-2", heartbeat("draining", 4)));
     node.call(Call::Leave { id: "i-3".to_owned() });
     let body = Arc::from(*b"{\"version\":12,\"routes\":[],\"backends\":[]}");
-    node.call(Call::PutConfiguration { if_match: 0, version: 12, body });
-    node.call(Call::NameVersion { model: "advisor".to_owned(), version: 7 });
+    node.call(Call::Control(ControlCall::PutConfiguration { if_match: 0, version: 12, body }));
+    node.call(Call::Control(ControlCall::NameVersion { model: Arc::from("advisor"), version: 7 }));
     node.hand(Input::CacheStoreChanged { name: Arc::from("store-1"), alive: true });
     node.hand(Input::CacheStoreChanged { name: Arc::from("store-1"), alive: false });
     node.run_for(8 * SECOND, true);
--- a/controlplane/tests/leases.rs
+++ b/controlplane/tests/leases.rs
@@ -18,7 +18,7 @@
 use gradepaddle_controlplane::server_client::{self, OrderPermit};
 use gradepaddle_controlplane::{CLOCK_START, Micros};
 use gradepaddle_http::buffers::Pool;
-use gradepaddle_proto::{Content, Envelope, Forwarded};
+use gradepaddle_proto::{Content, ControlCall, Envelope, Forwarded};
 use simulation::operator::body;
 use simulation::{MS, Plan, SECOND, World};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -86,7 +86,7 @@
 }
 
 fn put(if_match: u64, version: u64) -> Call {
-    Call::PutConfiguration { if_match, version, body: body(version, "test", 0) }
+    Call::Control(ControlCall::PutConfiguration { if_match, version, body: body(version, "test", 0) })
 }
 
 fn some_order(address: SocketAddrV4) -> Order {
@@ -97,9 +97,13 @@
 #[gtest]
 fn what_the_primary_decides_at_once_is_said_within_its_lease_only() {
     let rows = [
-        ("the newest configuration", Call::GetConfiguration, 200),
+        ("the newest configuration", Call::Control(ControlCall::GetConfiguration), 200),
         ("a version that was overtaken", put(0, 1_000), 412),
-        ("weights that were named", Call::NameVersion { model: "advisor".to_owned(), version: 1 }, 200),
+        (
+            "weights that were named",
+            Call::Control(ControlCall::NameVersion { model: Arc::from("advisor"), version: 1 }),
+            200,
+        ),
     ];
     for (what, call, status) in rows {
         let mut fleet = Fleet::new();
@@ -178,7 +182,7 @@
     for (what, told, lease_left, later, status) in rows {
         let mut fleet = Fleet::new();
         let asked = (fleet.primary + 1) % 3;
-        let out = fleet.call(asked, Call::GetConfiguration);
+        let out = fleet.call(asked, Call::Control(ControlCall::GetConfiguration));
         let ticket = out.iter().find_map(|output| match output {
             Output::Send { content: Content::Forward(forward), .. } => Some(forward.ticket),
             _ => None,
@@ -200,7 +204,7 @@
 fn the_primary_tells_others_how_long_its_answer_holds() -> Result<()> {
     let mut fleet = Fleet::new();
     let (primary, asked) = (fleet.primary, (fleet.primary + 1) % 3);
-    let out = fleet.call(asked, Call::GetConfiguration);
+    let out = fleet.call(asked, Call::Control(ControlCall::GetConfiguration));
     let forward = out.into_iter().find_map(|output| match output {
         Output::Send { content: content @ Content::Forward(_), .. } => Some(content),
         _ => None,
@@ -217,7 +221,11 @@
 /// Nobody waits in silence: callers go on after a second.
 #[gtest]
 fn a_call_that_the_primary_does_not_answer_gets_an_unclear_answer_within_a_second() -> Result<()> {
-    for call in [Call::GetConfiguration, put(0, 1), Call::NameVersion { model: "m".to_owned(), version: 1 }] {
+    for call in [
+        Call::Control(ControlCall::GetConfiguration),
+        put(0, 1),
+        Call::Control(ControlCall::NameVersion { model: Arc::from("m"), version: 1 }),
+    ] {
         let mut fleet = Fleet::new();
         let asked = (fleet.primary + 1) % 3;
         let mut out = fleet.call(asked, call);
@@ -372,10 +380,12 @@
 /// A patch is judged on the configuration that is in force, and what is said of it within the lease only.
 #[gtest]
 fn what_the_primary_says_of_a_patch() {
-    let patch = |if_match, version, text: &str| Call::PatchConfiguration {
-        if_match,
-        version,
-        patch: Arc::from(text.as_bytes()),
+    let patch = |if_match, version, text: &str| {
+        Call::Control(ControlCall::PatchConfiguration {
+            if_match,
+            version,
+            patch: Arc::from(text.as_bytes()),
+        })
     };
     let mut fleet = Fleet::new();
     let current = fleet.world.operators[0].current;
@@ -406,17 +416,17 @@
     let mut fleet = Fleet::new();
     let current = fleet.world.operators[0].current;
     let text = format!(r#"{{"version":{},"upsert":{{"customers":[{{"name":"new"}}]}}}}"#, current + 1);
-    let first = Call::PatchConfiguration {
+    let first = Call::Control(ControlCall::PatchConfiguration {
         if_match: current,
         version: current + 1,
         patch: Arc::from(text.as_bytes()),
-    };
+    });
     let rival = put(current, current + 1);
-    let later = Call::PatchConfiguration {
+    let later = Call::Control(ControlCall::PatchConfiguration {
         if_match: current + 1,
         version: current + 2,
         patch: Arc::from(format!(r#"{{"version":{}}}"#, current + 2).as_bytes()),
-    };
+    });
     let rows = [
         ("first", &first, 200),
         ("again", &first, 200),
@@ -428,7 +438,7 @@
         let answer = settled_call(&mut fleet, call.clone()).or_fail()?;
         expect_that!(answer.status, eq(status), "{what}");
     }
-    let read = settled_call(&mut fleet, Call::GetConfiguration).or_fail()?;
+    let read = settled_call(&mut fleet, Call::Control(ControlCall::GetConfiguration)).or_fail()?;
     let read = String::from_utf8_lossy(&read.body).into_owned();
     expect_that!(read, contains_substring(format!("\"version\":{}", current + 2)));
     verify_that!(read, contains_substring(r#""customers":[{"name":"new"}]"#))
