--- a/controlplane/src/node.rs
+++ b/controlplane/src/node.rs
@@ -10,23 +10,22 @@
 pub use messages::{ConfigurationValidity, Event, Input, MemberNode, Output};
 pub use status::Status;
 
-use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddrV4;
-use std::sync::Arc;
 
 use gradepaddle_control::{Input as ReplicaInput, Output as ReplicaOutput, Replica};
-use gradepaddle_proto::{Content, Envelope, Identity, Registration};
+use gradepaddle_proto::{Content, Envelope, Identity};
 use gradepaddle_spread::{Output as SpreadOutput, Spread};
 
-use self::api_calls::{PendingCall, PendingPublication};
+use self::api_calls::PendingCalls;
+use self::membership::Membership;
+use self::servers::KnownServers;
+use self::staleness::Evidence;
 use crate::Micros;
-use crate::absence_tracker::AbsenceTracker;
 use crate::bootstrap::Bootstrap;
 use crate::registry::Registry;
 use crate::rollout::Rollout;
 use crate::session_client::SessionClient;
 use crate::session_table::SessionTable;
-use crate::staleness::StalenessBound;
 use crate::version_announcement::VersionDeadlines;
 
 /// Interval of the housekeeping of sessions, servers, the singleton roles and calls.
@@ -66,41 +65,17 @@
     bootstrap: Option<Bootstrap>,
     registry: Registry,
     rollout: Rollout,
-    absent_owners: AbsenceTracker,
-    /// Servers that this node treats as lost since their owner is absent.
-    without_owner: BTreeSet<Arc<str>>,
-    /// Calls that wait for a decision, by this node's own call ids.
-    pending_calls: BTreeMap<u64, PendingCall>,
-    /// Publications that other nodes have to acknowledge, by call id.
-    pending_publications: HashMap<u64, PendingPublication>,
-    last_call_id: u64,
-    /// The other members, sorted.
-    peers: Vec<SocketAddrV4>,
-    rank: usize,
-    connected: bool,
+    calls: PendingCalls,
+    membership: Membership,
+    servers: KnownServers,
+    evidence: Evidence,
+    /// The replica is the primary, perhaps without a lease at the moment.
     primary: bool,
     version_deadlines: VersionDeadlines,
     machine_losses: usize,
     shutting_down: bool,
-    staleness: StalenessBound,
-    /// The validity that the data plane knows.
-    reported_validity: Option<ConfigurationValidity>,
-    /// Selects the next node that is queried for evidence besides the usual one.
-    next_witness: usize,
-    /// The newest announced version of each model.
-    announced: BTreeMap<String, u64>,
-    /// The registered servers.
-    servers: BTreeMap<Arc<str>, Registration>,
-    /// Since when servers have been lost.
-    lost_since: HashMap<Arc<str>, Micros>,
     next_tick: Micros,
     next_slow_tick: Micros,
-    /// Selects the next seed that is sent the view.
-    next_seed: usize,
-    next_seed_at: Micros,
-    /// Selects the next node without a session with which items are compared.
-    next_absent: usize,
-    next_absent_at: Micros,
 }
 
 impl Node {
@@ -113,30 +88,16 @@
             session_table: SessionTable::new(own),
             registry: Registry::new(own, setup.heartbeat_interval),
             rollout: Rollout::new(setup.order_lease),
-            absent_owners: AbsenceTracker::default(),
-            without_owner: BTreeSet::new(),
-            pending_calls: BTreeMap::new(),
-            pending_publications: HashMap::new(),
-            last_call_id: first_call_id,
-            peers: Vec::new(),
-            rank: usize::MAX,
-            connected: false,
+            calls: PendingCalls::new(first_call_id),
+            membership: Membership::new(setup.now),
+            servers: KnownServers::default(),
+            evidence: Evidence::new(setup.revoke_within, setup.now),
             primary: false,
             version_deadlines: setup.version_deadlines,
             machine_losses: setup.machine_losses,
             shutting_down: false,
-            staleness: StalenessBound::new(setup.revoke_within, setup.now),
-            reported_validity: None,
-            next_witness: 0,
-            announced: BTreeMap::new(),
-            servers: BTreeMap::new(),
-            lost_since: HashMap::new(),
             next_tick: setup.now,
             next_slow_tick: setup.now,
-            next_seed: 0,
-            next_seed_at: setup.now,
-            next_absent: 0,
-            next_absent_at: setup.now,
             session: setup.session,
             replica: None,
             spread: setup.spread,
@@ -239,7 +200,7 @@
         let bootstrap = self.bootstrap.as_ref().map_or(Micros::MAX, Bootstrap::next_wake);
         let replica = self.replica.as_ref().map_or(Micros::MAX, Replica::next_wake);
         let (session, spread) = (self.session.next_wake(), self.spread.next_wake());
-        let wakes = [bootstrap, replica, session, spread, self.staleness.next_wake(), self.next_tick];
+        let wakes = [bootstrap, replica, session, spread, self.evidence.next_wake(), self.next_tick];
         wakes.into_iter().min().unwrap_or(self.next_tick)
     }
 
@@ -291,11 +252,6 @@
             }
         }
     }
-
-    fn next_call_id(&mut self) -> u64 {
-        self.last_call_id = self.last_call_id.wrapping_add(1);
-        self.last_call_id
-    }
 }
 
 /// Where the call ids of a process begin: far from those of any other process at this address, so that the reply to a
--- a/controlplane/src/node/api_calls.rs
+++ b/controlplane/src/node/api_calls.rs
@@ -1,5 +1,6 @@
 //! API calls: those of servers, and those that the primary decides: taken here, forwarded, answered.
 
+use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
@@ -24,15 +25,43 @@
 
 /// Where the response to a call goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Caller {
+enum Caller {
     /// A caller at this node, by the driver's call id.
     Local(u64),
     /// The node that forwarded the call, with its own call id.
     Peer(SocketAddrV4, u64),
 }
 
+/// The calls at a node that have no response yet.
+pub(super) struct PendingCalls {
+    /// Calls that wait for a decision, by this node's own call ids.
+    pending: BTreeMap<u64, PendingCall>,
+    /// Publications that other nodes have to acknowledge, by the driver's call ids.
+    publications: HashMap<u64, PendingPublication>,
+    last_id: u64,
+}
+
+impl PendingCalls {
+    /// No calls. Ids begin after `last_id`.
+    pub(super) fn new(last_id: u64) -> Self {
+        PendingCalls { pending: BTreeMap::new(), publications: HashMap::new(), last_id }
+    }
+
+    /// A new id, also for queries between nodes.
+    pub(super) fn next_id(&mut self) -> u64 {
+        self.last_id = self.last_id.wrapping_add(1);
+        self.last_id
+    }
+
+    fn add(&mut self, pending: PendingCall) -> u64 {
+        let id = self.next_id();
+        self.pending.insert(id, pending);
+        id
+    }
+}
+
 /// A call that waits for a decision.
-pub(super) struct PendingCall {
+struct PendingCall {
     caller: Caller,
     /// Who decides it: this node, or the primary to which it was forwarded.
     decider: SocketAddrV4,
@@ -41,7 +70,7 @@
 }
 
 /// A server's call that waits until other nodes have acknowledged what it published.
-pub(super) enum PendingPublication {
+enum PendingPublication {
     Drain(Arc<str>),
     Leave(Arc<str>),
 }
@@ -91,7 +120,7 @@
                 out.push(success(call_id));
             }
             Decision::PublishAcknowledged(item) => {
-                self.pending_publications.insert(call_id, pending);
+                self.calls.publications.insert(call_id, pending);
                 let core = self.other_control_balancers();
                 let copies = self.required_copies(&core);
                 self.spread.publish_confirmed(now, item, call_id, copies, &mut results);
@@ -118,7 +147,7 @@
     }
 
     pub(super) fn handle_acknowledgment(&mut self, call_id: u64, acknowledged: bool, out: &mut Vec<Output>) {
-        let pending = self.pending_publications.remove(&call_id);
+        let pending = self.calls.publications.remove(&call_id);
         if !acknowledged {
             let response = Response::unavailable("no other node holds it yet");
             out.push(Output::Respond { call_id, response });
@@ -147,7 +176,7 @@
         let primary = self.session.view().primary.filter(|primary| *primary != self.own);
         match primary {
             Some(primary) if may_forward => {
-                let ticket = self.add_pending(PendingCall::new(now, caller, primary, &call));
+                let ticket = self.calls.add(PendingCall::new(now, caller, primary, &call));
                 let content = Content::Forward(Forward { ticket, call });
                 out.push(Output::Send { to: primary, content });
             }
@@ -181,7 +210,7 @@
                 Change::NameVersion { model: model.to_string(), version }
             }
         };
-        let proposal_id = ProposalId(self.add_pending(pending));
+        let proposal_id = ProposalId(self.calls.add(pending));
         self.step_replica(now, ReplicaInput::Propose { proposal_id, change }, out);
     }
 
@@ -228,12 +257,6 @@
         response.before(read.lease.until)
     }
 
-    fn add_pending(&mut self, pending: PendingCall) -> u64 {
-        let call_id = self.next_call_id();
-        self.pending_calls.insert(call_id, pending);
-        call_id
-    }
-
     /// Handles the replica's decision. What is conclusive may be sent within the lease only.
     pub(super) fn handle_decision(
         &mut self,
@@ -242,7 +265,7 @@
         outcome: Outcome,
         out: &mut Vec<Output>,
     ) {
-        let Some(pending) = self.pending_calls.remove(&call_id) else { return };
+        let Some(pending) = self.calls.pending.remove(&call_id) else { return };
         let lease = self.replica.as_ref().and_then(|replica| replica.lease(now));
         let lease_end = lease.map_or(now, |lease| lease.until);
         respond(now, pending.caller, response_to(outcome).before(lease_end.min(pending.until)), out);
@@ -268,11 +291,11 @@
         reply: &Forwarded,
         out: &mut Vec<Output>,
     ) {
-        let expected = self.pending_calls.get(&reply.ticket).is_some_and(|pending| pending.decider == from);
+        let expected = self.calls.pending.get(&reply.ticket).is_some_and(|pending| pending.decider == from);
         if !expected {
             return;
         }
-        let Some(pending) = self.pending_calls.remove(&reply.ticket) else { return };
+        let Some(pending) = self.calls.pending.remove(&reply.ticket) else { return };
         let lease_end = pending.since.saturating_add(reply.lease_left);
         let response = Response { status: reply.status, body: reply.body.clone(), valid_until: None };
         respond(now, pending.caller, response.before(lease_end.min(pending.until)), out);
@@ -280,10 +303,10 @@
 
     /// Responds to calls that have waited for too long.
     pub(super) fn tick_pending_calls(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let timed_out = self.pending_calls.iter().filter(|(_, pending)| pending.until <= now);
+        let timed_out = self.calls.pending.iter().filter(|(_, pending)| pending.until <= now);
         let timed_out: Vec<u64> = timed_out.map(|(call_id, _)| *call_id).collect();
         for call_id in timed_out {
-            if let Some(pending) = self.pending_calls.remove(&call_id) {
+            if let Some(pending) = self.calls.pending.remove(&call_id) {
                 let response = Response::unavailable("the primary did not answer in time");
                 respond(now, pending.caller, response, out);
             }
--- a/controlplane/src/node/membership.rs
+++ b/controlplane/src/node/membership.rs
@@ -19,6 +19,35 @@
 /// Items are compared with a control balancer or seed without a session at this interval, one after the other.
 const ABSENT_INTERVAL: Micros = 1_000_000;
 
+/// What a node knows of the other members.
+pub(super) struct Membership {
+    /// The other members, sorted.
+    pub(super) peers: Vec<SocketAddrV4>,
+    rank: usize,
+    connected: bool,
+    /// Selects the next seed that is sent the view.
+    next_seed: usize,
+    next_seed_at: Micros,
+    /// Selects the next node without a session with which items are compared.
+    next_absent: usize,
+    next_absent_at: Micros,
+}
+
+impl Membership {
+    /// No other member is known.
+    pub(super) fn new(now: Micros) -> Self {
+        Membership {
+            peers: Vec::new(),
+            rank: usize::MAX,
+            connected: false,
+            next_seed: 0,
+            next_seed_at: now,
+            next_absent: 0,
+            next_absent_at: now,
+        }
+    }
+}
+
 impl Node {
     /// Handles another node's heartbeat: grants its session, if this is a control balancer.
     pub(super) fn handle_session_heartbeat(
@@ -93,17 +122,17 @@
     /// restarted themselves.
     fn send_view_to_seed(&mut self, now: Micros, out: &mut Vec<Output>) {
         let view = self.view_summary();
-        if now < self.next_seed_at || view.epoch == 0 {
+        if now < self.membership.next_seed_at || view.epoch == 0 {
             return;
         }
-        self.next_seed_at = now + SEED_INTERVAL;
+        self.membership.next_seed_at = now + SEED_INTERVAL;
         let seeds = self.session.seeds().iter().filter(|seed| **seed != self.own);
         let seeds: Vec<SocketAddrV4> = seeds.copied().collect();
         if seeds.is_empty() {
             return;
         }
-        let to = seeds[self.next_seed % seeds.len()];
-        self.next_seed += 1;
+        let to = seeds[self.membership.next_seed % seeds.len()];
+        self.membership.next_seed += 1;
         let reply = SessionGrant { incarnation: 0, stands: false, seen_incarnation: 0, view: Some(view) };
         out.push(Output::Send { to, content: Content::SessionGrant(reply) });
     }
@@ -111,20 +140,21 @@
     /// Compares items with a control balancer or seed that has no session. After a long network partition either side
     /// has sessions of its own nodes only and gossips with these only: some node has to ask across.
     fn compare_with_absent_node(&mut self, now: Micros, out: &mut Vec<Output>) {
-        if now < self.next_absent_at {
+        if now < self.membership.next_absent_at {
             return;
         }
-        self.next_absent_at = now + ABSENT_INTERVAL;
+        self.membership.next_absent_at = now + ABSENT_INTERVAL;
         let known = self.session.view().members.iter().chain(self.session.seeds());
-        let is_absent = |node: &&SocketAddrV4| **node != self.own && self.peers.binary_search(node).is_err();
+        let is_absent =
+            |node: &&SocketAddrV4| **node != self.own && self.membership.peers.binary_search(node).is_err();
         let mut absent: Vec<SocketAddrV4> = known.filter(is_absent).copied().collect();
         absent.sort();
         absent.dedup();
         if absent.is_empty() {
             return;
         }
-        let node = absent[self.next_absent % absent.len()];
-        self.next_absent += 1;
+        let node = absent[self.membership.next_absent % absent.len()];
+        self.membership.next_absent += 1;
         let mut results: Vec<SpreadOutput> = Vec::new();
         self.spread.compare_with(node, &mut results);
         self.handle_spread_outputs(now, results, out);
@@ -173,8 +203,8 @@
         // A primary may have no other control balancer that could grant it a session.
         let connected = granted.is_some_and(|at| now.saturating_sub(at) < CONNECTED_FOR)
             || self.is_primary_within_lease(now);
-        if connected != self.connected {
-            self.connected = connected;
+        if connected != self.membership.connected {
+            self.membership.connected = connected;
             out.push(Output::Connected(connected));
         }
     }
@@ -204,13 +234,13 @@
         peers.sort_by_key(|peer| peer.address);
         peers.dedup_by_key(|peer| peer.address);
         self.spread.set_peers(now, &peers);
-        if members != self.peers {
-            self.peers.clone_from(&members);
+        if members != self.membership.peers {
+            self.membership.peers.clone_from(&members);
             out.push(Output::PeersChanged(nodes));
         }
         let rank = self.rank_among(&peers);
-        if rank != self.rank {
-            self.rank = rank;
+        if rank != self.membership.rank {
+            self.membership.rank = rank;
             out.push(Output::RankChanged(rank));
         }
         let mut addresses: Vec<SocketAddrV4> = self.session.view().members.clone();
--- a/controlplane/src/node/servers.rs
+++ b/controlplane/src/node/servers.rs
@@ -1,6 +1,6 @@
 //! Model servers: items that change what the data plane knows of them, their loss, and the singleton roles.
 
-use std::collections::BTreeSet;
+use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
 use gradepaddle_placement::{ModelVersion, ServerEntry, ServerState};
@@ -9,8 +9,9 @@
 
 use super::{Event, Node, Output};
 use crate::Micros;
+use crate::absence_tracker::AbsenceTracker;
 use crate::item_kinds::{self, CACHE_STORE, CONFIGURATION, MODEL_VERSION, RESERVATION, SERVER};
-use crate::rollout::{Reservation, Step};
+use crate::rollout::{Reservation, Servers, Step};
 use crate::version_announcement::VersionAnnouncement;
 
 /// A server whose owner has been absent for this long, and that has called no other node since, counts as lost.
@@ -22,6 +23,19 @@
 /// Servers with an older version count as not serving from this long before their deadline.
 const VERSION_MARGIN: Micros = 1_500_000;
 
+/// What a node knows of model servers and model versions.
+#[derive(Default)]
+pub(super) struct KnownServers {
+    pub(super) registered: Servers,
+    /// Since when servers have been lost.
+    lost_since: HashMap<Arc<str>, Micros>,
+    absent_owners: AbsenceTracker,
+    /// Servers that this node treats as lost since their owner is absent.
+    without_owner: BTreeSet<Arc<str>>,
+    /// The newest announced version of each model.
+    pub(super) announced_versions: BTreeMap<String, u64>,
+}
+
 impl Node {
     /// Handles an item that is newer than the known one.
     pub(super) fn handle_item(&mut self, now: Micros, item: &Item, out: &mut Vec<Output>) {
@@ -29,7 +43,7 @@
             CONFIGURATION => out.push(Output::ApplyConfiguration(item.payload.clone())),
             MODEL_VERSION => self.handle_announced_version(now, item, out),
             SERVER if item.removed => {
-                self.servers.remove(&item.key);
+                self.servers.registered.remove(&item.key);
                 out.push(Output::ServerRemoved(item.key.clone()));
             }
             SERVER => {
@@ -38,7 +52,7 @@
                     if registration.owner == self.own && !registration.lost {
                         self.registry.adopt(now, &item.key, item.stamp.major);
                     }
-                    self.servers.insert(item.key.clone(), registration);
+                    self.servers.registered.insert(item.key.clone(), registration);
                 }
             }
             RESERVATION => {
@@ -63,7 +77,7 @@
     /// however late this node learns of it.
     fn handle_announced_version(&mut self, now: Micros, item: &Item, out: &mut Vec<Output>) {
         let (model, version) = (item.key.clone(), item.stamp.major);
-        let known = self.announced.insert(item.key.to_string(), version);
+        let known = self.servers.announced_versions.insert(item.key.to_string(), version);
         let age = self.spread.age(now, MODEL_VERSION, &model).unwrap_or(0);
         let since_announcement = age.saturating_add(announced_before(item));
         let deadline_in = self.version_deadlines.remaining(age, since_announcement);
@@ -82,7 +96,7 @@
             return;
         }
         let mut results = Vec::new();
-        for (model, version) in &self.announced {
+        for (model, version) in &self.servers.announced_versions {
             let stamp = Stamp { major: *version, minor: epoch };
             let age = self.spread.age(now, MODEL_VERSION, model).unwrap_or(0);
             let before = self.spread.get(MODEL_VERSION, model).map_or(0, announced_before);
@@ -134,40 +148,43 @@
 
     /// Treats servers as lost whose owner is absent, and that have called no other node since.
     pub(super) fn tick_absent_owners(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let is_alive = |owner| owner == self.own || self.peers.binary_search(&owner).is_ok();
-        let absent = self.servers.values().map(|server| server.owner).filter(|owner| !is_alive(*owner));
-        self.absent_owners.update(now, absent);
-        let owner_is_gone = |owner| self.absent_owners.absent_for_longer_than(owner, now, OWNER_TIMEOUT);
+        let is_alive = |owner| owner == self.own || self.membership.peers.binary_search(&owner).is_ok();
+        let absent =
+            self.servers.registered.values().map(|server| server.owner).filter(|owner| !is_alive(*owner));
+        self.servers.absent_owners.update(now, absent);
+        let owner_is_gone =
+            |owner| self.servers.absent_owners.absent_for_longer_than(owner, now, OWNER_TIMEOUT);
         let without_owner: BTreeSet<Arc<str>> = self
             .servers
+            .registered
             .values()
             .filter(|server| !server.lost && !server.draining)
             .filter(|server| owner_is_gone(server.owner))
             .map(|server| server.id.clone())
             .collect();
-        for id in without_owner.symmetric_difference(&self.without_owner) {
-            if let Some(server) = self.servers.get(id) {
+        for id in without_owner.symmetric_difference(&self.servers.without_owner) {
+            if let Some(server) = self.servers.registered.get(id) {
                 let lost = server.lost || without_owner.contains(id);
                 out.push(Output::ServerChanged(server_entry(server, lost)));
             }
         }
-        self.without_owner = without_owner;
+        self.servers.without_owner = without_owner;
     }
 
     /// At the primary, removes servers that have been lost for long. One that comes back does so as a new incarnation, or
     /// with its next heartbeat.
     pub(super) fn remove_lost_servers(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let lost = self.servers.iter().filter(|(_, server)| server.lost).map(|(id, _)| id.clone());
+        let lost = self.servers.registered.iter().filter(|(_, server)| server.lost).map(|(id, _)| id.clone());
         let lost: Vec<Arc<str>> = lost.collect();
-        self.lost_since.retain(|id, _| lost.contains(id));
+        self.servers.lost_since.retain(|id, _| lost.contains(id));
         for id in &lost {
-            self.lost_since.entry(id.clone()).or_insert(now);
+            self.servers.lost_since.entry(id.clone()).or_insert(now);
         }
         if !self.primary {
             return;
         }
         let is_due = |id: &&Arc<str>| {
-            self.lost_since.get(*id).is_some_and(|since| now.saturating_sub(*since) > REMOVE_AFTER)
+            self.servers.lost_since.get(*id).is_some_and(|since| now.saturating_sub(*since) > REMOVE_AFTER)
         };
         let mut results = Vec::new();
         for id in lost.iter().filter(is_due) {
@@ -180,10 +197,10 @@
 
     /// The singleton roles of the primary: the roll-out of model versions.
     pub(super) fn tick_singleton_roles(&mut self, now: Micros, out: &mut Vec<Output>) {
-        if !self.is_primary_within_lease(now) || self.announced.is_empty() {
+        if !self.is_primary_within_lease(now) || self.servers.announced_versions.is_empty() {
             return;
         }
-        let steps = self.rollout.tick(now, &self.servers, &self.announced);
+        let steps = self.rollout.tick(now, &self.servers.registered, &self.servers.announced_versions);
         self.carry_out_steps(now, steps, out);
     }
 
--- a/controlplane/src/node/staleness.rs
+++ b/controlplane/src/node/staleness.rs
@@ -7,27 +7,48 @@
 use super::{ConfigurationValidity, Node, Output};
 use crate::Micros;
 use crate::item_kinds::{CONFIGURATION, CONFIGURATION_KEY};
-use crate::staleness::NewestVersion;
+use crate::staleness::{NewestVersion, StalenessBound};
+
+/// The evidence of a node, and what the data plane knows of it.
+pub(super) struct Evidence {
+    bound: StalenessBound,
+    /// The validity that the data plane knows.
+    reported_validity: Option<ConfigurationValidity>,
+    /// Selects the next node that is queried besides the usual one.
+    next_witness: usize,
+}
+
+impl Evidence {
+    /// No evidence yet; `bound` as for [`StalenessBound::new`].
+    pub(super) fn new(bound: Option<Micros>, now: Micros) -> Self {
+        Evidence { bound: StalenessBound::new(bound, now), reported_validity: None, next_witness: 0 }
+    }
+
+    /// When a query is due.
+    pub(super) fn next_wake(&self) -> Micros {
+        self.bound.next_wake()
+    }
+}
 
 impl Node {
     /// Sends the queries that are due, and reports the validity of the configuration to the data plane where it changed.
     pub(super) fn tick_staleness(&mut self, now: Micros, out: &mut Vec<Output>) {
-        if !self.staleness.is_required() {
+        if !self.evidence.bound.is_required() {
             return;
         }
         self.observe_own_state(now);
-        if self.staleness.poll_query_due(now) {
+        if self.evidence.bound.poll_query_due(now) {
             for witness in self.witnesses(now) {
-                let name = self.next_call_id();
-                self.staleness.query_sent(now, name);
+                let name = self.calls.next_id();
+                self.evidence.bound.query_sent(now, name);
                 out.push(Output::Send { to: witness, content: Content::NewestAsk(NewestAsk { name }) });
             }
         }
         let version = self.spread.stamp(CONFIGURATION, CONFIGURATION_KEY).map_or(0, |stamp| stamp.major);
-        let until = self.staleness.valid_until(version);
+        let until = self.evidence.bound.valid_until(version);
         let validity = until.map(|until| ConfigurationValidity { version, until });
-        if let Some(changed) = validity.filter(|_| validity != self.reported_validity) {
-            self.reported_validity = validity;
+        if let Some(changed) = validity.filter(|_| validity != self.evidence.reported_validity) {
+            self.evidence.reported_validity = validity;
             out.push(Output::ConfigurationValidity(changed));
         }
     }
@@ -35,7 +56,7 @@
     /// A primary has evidence of its own, as long as its lease lasts.
     fn observe_own_state(&mut self, now: Micros) {
         if let Some(read) = self.replica.as_ref().and_then(|replica| replica.read(now)) {
-            self.staleness.observe(now, read.state.current_version());
+            self.evidence.bound.observe(now, read.state.current_version());
         }
     }
 
@@ -47,12 +68,12 @@
         let is_member = view.members.contains(&self.own);
         let first = if is_member { view.primary } else { self.session.control() };
         let mut witnesses: Vec<SocketAddrV4> = first.into_iter().collect();
-        if self.staleness.is_stale(now) {
-            let turn = self.next_witness;
-            self.next_witness += 1;
+        if self.evidence.bound.is_stale(now) {
+            let turn = self.evidence.next_witness;
+            self.evidence.next_witness += 1;
             let in_turn = |nodes: &[SocketAddrV4]| nodes.get(turn % nodes.len().max(1)).copied();
             witnesses.extend(in_turn(&view.members));
-            witnesses.extend(in_turn(&self.peers));
+            witnesses.extend(in_turn(&self.membership.peers));
         }
         witnesses.retain(|witness| *witness != self.own);
         witnesses.sort();
@@ -69,7 +90,7 @@
         out: &mut Vec<Output>,
     ) {
         self.observe_own_state(now);
-        if let Some(newest) = self.staleness.newest(now) {
+        if let Some(newest) = self.evidence.bound.newest(now) {
             let reply = NewestTold { name: query.name, version: newest.version, age: newest.age };
             out.push(Output::Send { to: from, content: Content::NewestTold(reply) });
         }
@@ -77,6 +98,8 @@
 
     /// Handles the reply to a query.
     pub(super) fn handle_version_reply(&mut self, reply: NewestTold) {
-        self.staleness.handle_reply(reply.name, NewestVersion { version: reply.version, age: reply.age });
+        self.evidence
+            .bound
+            .handle_reply(reply.name, NewestVersion { version: reply.version, age: reply.age });
     }
 }
--- a/controlplane/src/node/status.rs
+++ b/controlplane/src/node/status.rs
@@ -79,9 +79,9 @@
             sequence: replica.as_ref().and_then(|replica| replica.sequence),
             disk_healthy: replica.as_ref().map(|replica| replica.disk_healthy),
             configuration_version: configuration.map_or(0, |item| item.stamp.major),
-            announced_versions: self.announced.clone(),
+            announced_versions: self.servers.announced_versions.clone(),
             balancers: self.balancer_status(&view.members),
-            servers: self.servers.values().map(server_status).collect(),
+            servers: self.servers.registered.values().map(server_status).collect(),
             items: self.spread.len(),
         };
         // Serializing these types can't fail.
