--- a/control/src/lib.rs
+++ b/control/src/lib.rs
@@ -8,12 +8,13 @@
 mod config;
 mod disk;
 mod election;
-mod handover;
+mod fault_injection;
 mod heartbeat;
 mod history;
 mod input;
 mod installation;
 mod leadership;
+mod leadership_transfer;
 mod lease;
 mod member;
 mod membership;
@@ -27,7 +28,10 @@
 mod view;
 mod view_change;
 
-pub use config::{InjectedFault, ReplicaConfig};
+pub use config::ReplicaConfig;
+pub use fault_injection::FaultInjection;
+#[cfg(feature = "fault-injection")]
+pub use fault_injection::InjectedFault;
 pub use history::{
     ACCEPTED_HISTORY_BYTES, ACCEPTED_HISTORY_ENTRIES, AcceptedConfiguration, AcceptedHistory, HistoryLookup,
 };
--- a/controlplane/src/api_server.rs
+++ b/controlplane/src/api_server.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use gradepaddle_http::buffers::{Chain, Pool};
-use gradepaddle_http::{Body, Connection, Fault, Framing, Head};
+use gradepaddle_http::{Body, Connection, Framing, Head, ReadError};
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep, timeout};
@@ -48,8 +48,8 @@
         let body = timeout(READ_TIMEOUT, read_body(&mut connection, &head, &pool)).await;
         let (response, keep_alive) = match body {
             Ok(Ok(body)) => (respond(&head, &body, &driver).await, head.keeps_alive()),
-            Ok(Err(Fault::LongBody)) => (Response::message(413, "the body is too long"), false),
-            Ok(Err(Fault::Malformed(what))) => (Response::message(400, what), false),
+            Ok(Err(ReadError::BodyTooLong)) => (Response::message(413, "the body is too long"), false),
+            Ok(Err(ReadError::Malformed(what))) => (Response::message(400, what), false),
             Ok(Err(_)) | Err(_) => return,
         };
         // The lease is checked last of all: the process may have been stopped since the driver decided.
@@ -58,17 +58,17 @@
             return;
         }
         if !keep_alive {
-            return connection.linger().await;
+            return connection.close_lingering().await;
         }
     }
 }
 
-async fn read_body(connection: &mut Connection, head: &Head, pool: &Pool) -> Result<Vec<u8>, Fault> {
-    let framing = head.framing(Framing::Length(0)).map_err(Fault::Malformed)?;
-    let mut body = Body::new_within(framing, MAX_BODY_BYTES)?;
+async fn read_body(connection: &mut Connection, head: &Head, pool: &Pool) -> Result<Vec<u8>, ReadError> {
+    let framing = head.framing(Framing::Length(0)).map_err(ReadError::Malformed)?;
+    let mut body = Body::with_limit(framing, MAX_BODY_BYTES)?;
     let mut bytes = pool.chain();
-    while !connection.read_piece(&mut body, &mut bytes, usize::MAX).await? {}
-    Ok(bytes.copy(bytes.len()))
+    while !connection.read_body(&mut body, &mut bytes, usize::MAX).await? {}
+    Ok(bytes.copy_front(bytes.len()))
 }
 
 /// Has the driver decide a call.
--- a/controlplane/src/item_kinds.rs
+++ b/controlplane/src/item_kinds.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-use gradepaddle_spread::{Item, Kind, Stamp};
+use gradepaddle_gossip::{Item, Kind, Stamp};
 
 /// The configuration in force; stamp: its version. One key.
 pub const CONFIGURATION: Kind = Kind(1);
--- a/controlplane/src/node.rs
+++ b/controlplane/src/node.rs
@@ -13,8 +13,8 @@
 use std::net::SocketAddrV4;
 
 use gradepaddle_control::{Input as ReplicaInput, Output as ReplicaOutput, Replica};
+use gradepaddle_gossip::{Gossip, Output as GossipOutput};
 use gradepaddle_proto::{Content, Envelope, Identity};
-use gradepaddle_spread::{Output as SpreadOutput, Spread};
 
 use self::api_calls::PendingCalls;
 use self::membership::Membership;
@@ -38,7 +38,7 @@
     /// The client of this node's own session.
     pub session: SessionClient,
     /// The gossip.
-    pub spread: Spread,
+    pub gossip: Gossip,
     /// At the node that makes the first view.
     pub bootstrap: Option<Bootstrap>,
     /// Interval between heartbeats of a server, in microseconds.
@@ -61,7 +61,7 @@
     session: SessionClient,
     session_table: SessionTable,
     replica: Option<Replica>,
-    spread: Spread,
+    gossip: Gossip,
     bootstrap: Option<Bootstrap>,
     registry: Registry,
     rollout: Rollout,
@@ -100,7 +100,7 @@
             next_slow_tick: setup.now,
             session: setup.session,
             replica: None,
-            spread: setup.spread,
+            gossip: setup.gossip,
             bootstrap: setup.bootstrap,
         }
     }
@@ -139,7 +139,7 @@
 
     fn shut_down(&mut self, now: Micros, out: &mut Vec<Output>) {
         self.shutting_down = true;
-        self.spread.leave();
+        self.gossip.shut_down();
         match self.replica {
             Some(_) => self.step_replica(now, ReplicaInput::ShutDown, out),
             None => out.push(Output::ReadyToExit),
@@ -151,20 +151,20 @@
             Content::Control(message) => {
                 self.step_replica(now, ReplicaInput::Message { from, message }, out);
             }
-            Content::Spread(message) => {
+            Content::Gossip(message) => {
                 let mut results = Vec::new();
-                self.spread.receive(now, from, message, &mut results);
-                self.handle_spread_outputs(now, results, out);
+                self.gossip.receive(now, from, message, &mut results);
+                self.handle_gossip_outputs(now, results, out);
             }
-            Content::SessionBeat(heartbeat) => self.handle_session_heartbeat(now, from, &heartbeat, out),
-            Content::SessionGrant(reply) => {
+            Content::SessionHeartbeat(heartbeat) => self.handle_session_heartbeat(now, from, &heartbeat, out),
+            Content::SessionHeartbeatReply(reply) => {
                 self.session.handle_reply(now, from, &reply);
             }
-            Content::Found(view) => self.step_replica(now, ReplicaInput::Bootstrap { view }, out),
-            Content::Forward(forwarded) => self.handle_forwarded_call(now, from, forwarded, out),
-            Content::Forwarded(reply) => self.handle_forwarded_reply(now, from, &reply, out),
-            Content::NewestAsk(query) => self.handle_version_query(now, from, query, out),
-            Content::NewestTold(reply) => self.handle_version_reply(reply),
+            Content::Bootstrap(view) => self.step_replica(now, ReplicaInput::Bootstrap { view }, out),
+            Content::ForwardedCall(forwarded) => self.handle_forwarded_call(now, from, forwarded, out),
+            Content::ForwardedReply(reply) => self.handle_forwarded_reply(now, from, &reply, out),
+            Content::VersionQuery(query) => self.handle_version_query(now, from, query, out),
+            Content::VersionReply(reply) => self.handle_version_reply(reply),
         }
     }
 
@@ -173,10 +173,10 @@
         if self.replica.as_ref().is_some_and(|replica| replica.next_wake() <= now) {
             self.step_replica(now, ReplicaInput::Tick, out);
         }
-        if self.spread.next_wake() <= now {
+        if self.gossip.next_wake() <= now {
             let mut results = Vec::new();
-            self.spread.tick(now, &mut results);
-            self.handle_spread_outputs(now, results, out);
+            self.gossip.tick(now, &mut results);
+            self.handle_gossip_outputs(now, results, out);
         }
         self.tick_session(now, out);
         self.tick_bootstrap(now, out);
@@ -199,8 +199,8 @@
     pub fn next_wake(&self) -> Micros {
         let bootstrap = self.bootstrap.as_ref().map_or(Micros::MAX, Bootstrap::next_wake);
         let replica = self.replica.as_ref().map_or(Micros::MAX, Replica::next_wake);
-        let (session, spread) = (self.session.next_wake(), self.spread.next_wake());
-        let wakes = [bootstrap, replica, session, spread, self.evidence.next_wake(), self.next_tick];
+        let (session, gossip) = (self.session.next_wake(), self.gossip.next_wake());
+        let wakes = [bootstrap, replica, session, gossip, self.evidence.next_wake(), self.next_tick];
         wakes.into_iter().min().unwrap_or(self.next_tick)
     }
 
@@ -240,15 +240,19 @@
         }
     }
 
-    fn handle_spread_outputs(&mut self, now: Micros, results: Vec<SpreadOutput>, out: &mut Vec<Output>) {
+    fn handle_gossip_outputs(&mut self, now: Micros, results: Vec<GossipOutput>, out: &mut Vec<Output>) {
         for result in results {
             match result {
-                SpreadOutput::Send { to, message } => {
-                    out.push(Output::Send { to, content: Content::Spread(message) });
+                GossipOutput::Send { to, message } => {
+                    out.push(Output::Send { to, content: Content::Gossip(message) });
+                }
+                GossipOutput::Changed(item) => self.handle_item(now, &item, out),
+                GossipOutput::Acknowledged { publish_id } => {
+                    self.handle_acknowledgment(publish_id, true, out)
+                }
+                GossipOutput::AcknowledgmentFailed { publish_id } => {
+                    self.handle_acknowledgment(publish_id, false, out)
                 }
-                SpreadOutput::Changed(item) => self.handle_item(now, &item, out),
-                SpreadOutput::Confirmed { ticket } => self.handle_acknowledgment(ticket, true, out),
-                SpreadOutput::Unconfirmed { ticket } => self.handle_acknowledgment(ticket, false, out),
             }
         }
     }
--- a/controlplane/src/node/api_calls.rs
+++ b/controlplane/src/node/api_calls.rs
@@ -6,8 +6,8 @@
 
 use gradepaddle_config::{Configuration, Findings, Patch};
 use gradepaddle_control::{Change, ControlState, Input as ReplicaInput, Outcome, ProposalId};
-use gradepaddle_proto::{Content, ControlCall, Forward, Forwarded};
-use gradepaddle_spread::{Copies, Stamp};
+use gradepaddle_gossip::{ReplicationFactor, Stamp};
+use gradepaddle_proto::{Content, ControlCall, ForwardedCall, ForwardedReply};
 
 use super::{Node, Output};
 use crate::Micros;
@@ -79,7 +79,7 @@
     pub(super) fn handle_call(&mut self, now: Micros, call_id: u64, call: Call, out: &mut Vec<Output>) {
         match call {
             Call::Heartbeat { id, heartbeat } => {
-                let decision = self.registry.heartbeat(now, &id, &heartbeat, &self.spread);
+                let decision = self.registry.heartbeat(now, &id, &heartbeat, &self.gossip);
                 self.publish_registration(
                     now,
                     call_id,
@@ -89,7 +89,7 @@
                 );
             }
             Call::Leave { id } => {
-                let decision = self.registry.leave(&id, &self.spread);
+                let decision = self.registry.leave(&id, &self.gossip);
                 self.publish_registration(
                     now,
                     call_id,
@@ -116,17 +116,17 @@
         match decision {
             Decision::Acknowledge => out.push(success(call_id)),
             Decision::Publish(item) => {
-                self.spread.publish(now, item, &mut results);
+                self.gossip.publish(now, item, &mut results);
                 out.push(success(call_id));
             }
             Decision::PublishAcknowledged(item) => {
                 self.calls.publications.insert(call_id, pending);
                 let core = self.other_control_balancers();
                 let copies = self.required_copies(&core);
-                self.spread.publish_confirmed(now, item, call_id, copies, &mut results);
+                self.gossip.publish_acknowledged(now, item, call_id, copies, &mut results);
             }
         }
-        self.handle_spread_outputs(now, results, out);
+        self.handle_gossip_outputs(now, results, out);
     }
 
     fn other_control_balancers(&self) -> Vec<SocketAddrV4> {
@@ -138,12 +138,12 @@
     /// Of the control balancers, `machine_losses` may be lost at once, so one more has to have it; this node counts if it
     /// is one and stays. All of them may lose power at once, and any number of the other nodes may go: so one of the
     /// others needs it, too.
-    fn required_copies<'a>(&self, core: &'a [SocketAddrV4]) -> Copies<'a> {
+    fn required_copies<'a>(&self, core: &'a [SocketAddrV4]) -> ReplicationFactor<'a> {
         let is_member = self.session.view().members.contains(&self.own);
         let counts_itself = !self.shutting_down && is_member;
         let inside = self.machine_losses + usize::from(!counts_itself);
         let outside = usize::from(self.shutting_down || is_member);
-        Copies { count: self.machine_losses + 1, group: core, inside, outside }
+        ReplicationFactor { count: self.machine_losses + 1, group: core, inside, outside }
     }
 
     pub(super) fn handle_acknowledgment(&mut self, call_id: u64, acknowledged: bool, out: &mut Vec<Output>) {
@@ -177,7 +177,7 @@
         match primary {
             Some(primary) if may_forward => {
                 let ticket = self.calls.add(PendingCall::new(now, caller, primary, &call));
-                let content = Content::Forward(Forward { ticket, call });
+                let content = Content::ForwardedCall(ForwardedCall { call_id: ticket, call });
                 out.push(Output::Send { to: primary, content });
             }
             _ => respond(now, caller, Response::unavailable("no primary is known"), out),
@@ -275,28 +275,28 @@
         &mut self,
         now: Micros,
         from: SocketAddrV4,
-        forwarded: Forward,
+        forwarded: ForwardedCall,
         out: &mut Vec<Output>,
     ) {
-        self.decide(now, Caller::Peer(from, forwarded.ticket), forwarded.call, false, out);
+        self.decide(now, Caller::Peer(from, forwarded.call_id), forwarded.call, false, out);
     }
 
     /// Handles the reply to a forwarded call, if it comes from the node to which that was forwarded. The primary's lease
-    /// lasted for `lease_left` when it replied, which was after the call was forwarded: counted from then, the lease
+    /// lasted for `lease_remaining` when it replied, which was after the call was forwarded: counted from then, the lease
     /// ends no later by this node's clock.
     pub(super) fn handle_forwarded_reply(
         &mut self,
         now: Micros,
         from: SocketAddrV4,
-        reply: &Forwarded,
+        reply: &ForwardedReply,
         out: &mut Vec<Output>,
     ) {
-        let expected = self.calls.pending.get(&reply.ticket).is_some_and(|pending| pending.decider == from);
+        let expected = self.calls.pending.get(&reply.call_id).is_some_and(|pending| pending.decider == from);
         if !expected {
             return;
         }
-        let Some(pending) = self.calls.pending.remove(&reply.ticket) else { return };
-        let lease_end = pending.since.saturating_add(reply.lease_left);
+        let Some(pending) = self.calls.pending.remove(&reply.call_id) else { return };
+        let lease_end = pending.since.saturating_add(reply.lease_remaining);
         let response = Response { status: reply.status, body: reply.body.clone(), valid_until: None };
         respond(now, pending.caller, response.before(lease_end.min(pending.until)), out);
     }
@@ -320,14 +320,14 @@
             let stamp = Stamp { major: configuration.version, minor: 0 };
             let payload = configuration.body.to_vec();
             let item = item_kinds::item(CONFIGURATION, CONFIGURATION_KEY, stamp, payload);
-            self.spread.publish(now, item, &mut results);
+            self.gossip.publish(now, item, &mut results);
         }
         for (model, version) in &state.models {
             let stamp = Stamp { major: *version, minor: 0 };
             let item = item_kinds::item(MODEL_VERSION, model, stamp, Vec::new());
-            self.spread.publish(now, item, &mut results);
+            self.gossip.publish(now, item, &mut results);
         }
-        self.handle_spread_outputs(now, results, out);
+        self.handle_gossip_outputs(now, results, out);
     }
 }
 
@@ -376,9 +376,9 @@
         Caller::Local(call_id) => out.push(Output::Respond { call_id, response }),
         Caller::Peer(to, ticket) => {
             let Response { status, body, valid_until } = response;
-            let lease_left = valid_until.map_or(0, |until| until - now);
-            let reply = Forwarded { ticket, status, body, lease_left };
-            out.push(Output::Send { to, content: Content::Forwarded(reply) });
+            let lease_remaining = valid_until.map_or(0, |until| until - now);
+            let reply = ForwardedReply { call_id: ticket, status, body, lease_remaining };
+            out.push(Output::Send { to, content: Content::ForwardedReply(reply) });
         }
     }
 }
--- a/controlplane/src/node/membership.rs
+++ b/controlplane/src/node/membership.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddrV4;
 
 use gradepaddle_control::{Input as ReplicaInput, KnownView, View};
-use gradepaddle_proto::{Content, SessionBeat, SessionGrant, ViewSummary};
-use gradepaddle_spread::{Output as SpreadOutput, Peer};
+use gradepaddle_gossip::{Output as GossipOutput, Peer};
+use gradepaddle_proto::{Content, SessionHeartbeat, SessionHeartbeatReply, ViewSummary};
 
 use super::{Event, MemberNode, Node, Output};
 use crate::Micros;
@@ -54,33 +54,33 @@
         &mut self,
         now: Micros,
         from: SocketAddrV4,
-        heartbeat: &SessionBeat,
+        heartbeat: &SessionHeartbeat,
         out: &mut Vec<Output>,
     ) {
         if let Some(bootstrap) = &mut self.bootstrap {
             bootstrap.handle_heartbeat(now, &heartbeat.identity);
         }
         let view = self.view_summary();
-        let mut reply = SessionGrant {
+        let mut reply = SessionHeartbeatReply {
             incarnation: heartbeat.identity.incarnation,
-            stands: false,
+            granted: false,
             seen_incarnation: 0,
             view: (view.epoch > 0).then_some(view),
         };
         if self.is_control_balancer() {
-            match self.session_table.heartbeat(now, heartbeat, &self.spread) {
+            match self.session_table.heartbeat(now, heartbeat, &self.gossip) {
                 Ok(item) => {
-                    reply.stands = true;
-                    let mut results: Vec<SpreadOutput> = Vec::new();
+                    reply.granted = true;
+                    let mut results: Vec<GossipOutput> = Vec::new();
                     if let Some(item) = item {
-                        self.spread.publish(now, item, &mut results);
+                        self.gossip.publish(now, item, &mut results);
                     }
-                    self.handle_spread_outputs(now, results, out);
+                    self.handle_gossip_outputs(now, results, out);
                 }
                 Err(stale) => reply.seen_incarnation = stale.newest,
             }
         }
-        out.push(Output::Send { to: from, content: Content::SessionGrant(reply) });
+        out.push(Output::Send { to: from, content: Content::SessionHeartbeatReply(reply) });
     }
 
     /// True if this node's replica is a member of the view.
@@ -111,7 +111,7 @@
         let mut heartbeats = Vec::new();
         self.session.tick(now, &mut heartbeats);
         for sent in heartbeats {
-            out.push(Output::Send { to: sent.to, content: Content::SessionBeat(sent.heartbeat) });
+            out.push(Output::Send { to: sent.to, content: Content::SessionHeartbeat(sent.heartbeat) });
         }
         if let Some(bootstrap) = &mut self.bootstrap {
             bootstrap.handle_heartbeat(now, self.session.identity());
@@ -133,8 +133,9 @@
         }
         let to = seeds[self.membership.next_seed % seeds.len()];
         self.membership.next_seed += 1;
-        let reply = SessionGrant { incarnation: 0, stands: false, seen_incarnation: 0, view: Some(view) };
-        out.push(Output::Send { to, content: Content::SessionGrant(reply) });
+        let reply =
+            SessionHeartbeatReply { incarnation: 0, granted: false, seen_incarnation: 0, view: Some(view) };
+        out.push(Output::Send { to, content: Content::SessionHeartbeatReply(reply) });
     }
 
     /// Compares items with a control balancer or seed that has no session. After a long network partition either side
@@ -155,9 +156,9 @@
         }
         let node = absent[self.membership.next_absent % absent.len()];
         self.membership.next_absent += 1;
-        let mut results: Vec<SpreadOutput> = Vec::new();
-        self.spread.compare_with(node, &mut results);
-        self.handle_spread_outputs(now, results, out);
+        let mut results: Vec<GossipOutput> = Vec::new();
+        self.gossip.compare_with(node, &mut results);
+        self.handle_gossip_outputs(now, results, out);
     }
 
     pub(super) fn tick_bootstrap(&mut self, now: Micros, out: &mut Vec<Output>) {
@@ -179,7 +180,7 @@
             if message.to == self.own {
                 self.step_replica(now, ReplicaInput::Bootstrap { view: message.view }, out);
             } else {
-                out.push(Output::Send { to: message.to, content: Content::Found(message.view) });
+                out.push(Output::Send { to: message.to, content: Content::Bootstrap(message.view) });
             }
         }
     }
@@ -187,12 +188,12 @@
     /// Expires sessions, updates the peers, and reports whether this node is connected.
     pub(super) fn tick_membership(&mut self, now: Micros, out: &mut Vec<Output>) {
         if self.is_control_balancer() {
-            let tombstones = self.session_table.tick(now, &self.spread);
+            let tombstones = self.session_table.tick(now, &self.gossip);
             let mut results = Vec::new();
             for tombstone in tombstones {
-                self.spread.publish(now, tombstone, &mut results);
+                self.gossip.publish(now, tombstone, &mut results);
             }
-            self.handle_spread_outputs(now, results, out);
+            self.handle_gossip_outputs(now, results, out);
         } else {
             self.session_table.clear();
         }
@@ -215,7 +216,7 @@
 
     fn update_peers(&mut self, now: Micros, out: &mut Vec<Output>) {
         let own_zone = self.session.identity().zone.clone();
-        let mut nodes: Vec<MemberNode> = session_table::live_sessions(&self.spread)
+        let mut nodes: Vec<MemberNode> = session_table::live_sessions(&self.gossip)
             .map(|(_, session)| session.identity)
             .filter(|identity| identity.address != self.own)
             .map(|identity| MemberNode { address: identity.address, zone: identity.zone })
@@ -233,7 +234,7 @@
         }
         peers.sort_by_key(|peer| peer.address);
         peers.dedup_by_key(|peer| peer.address);
-        self.spread.set_peers(now, &peers);
+        self.gossip.set_peers(now, &peers);
         if members != self.membership.peers {
             self.membership.peers.clone_from(&members);
             out.push(Output::PeersChanged(nodes));
--- a/controlplane/src/node/servers.rs
+++ b/controlplane/src/node/servers.rs
@@ -3,9 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
+use gradepaddle_gossip::{Item, Stamp};
 use gradepaddle_placement::{ModelVersion, ServerEntry, ServerState};
 use gradepaddle_proto::{Decode, Encode, Registration};
-use gradepaddle_spread::{Item, Stamp};
 
 use super::{Event, Node, Output};
 use crate::Micros;
@@ -78,7 +78,7 @@
     fn handle_announced_version(&mut self, now: Micros, item: &Item, out: &mut Vec<Output>) {
         let (model, version) = (item.key.clone(), item.stamp.major);
         let known = self.servers.announced_versions.insert(item.key.to_string(), version);
-        let age = self.spread.age(now, MODEL_VERSION, &model).unwrap_or(0);
+        let age = self.gossip.age(now, MODEL_VERSION, &model).unwrap_or(0);
         let since_announcement = age.saturating_add(announced_before(item));
         let deadline_in = self.version_deadlines.remaining(age, since_announcement);
         out.push(Output::Event(Event::VersionAnnounced { model: model.clone(), version, deadline_in }));
@@ -98,25 +98,25 @@
         let mut results = Vec::new();
         for (model, version) in &self.servers.announced_versions {
             let stamp = Stamp { major: *version, minor: epoch };
-            let age = self.spread.age(now, MODEL_VERSION, model).unwrap_or(0);
-            let before = self.spread.get(MODEL_VERSION, model).map_or(0, announced_before);
+            let age = self.gossip.age(now, MODEL_VERSION, model).unwrap_or(0);
+            let before = self.gossip.get(MODEL_VERSION, model).map_or(0, announced_before);
             let announcement = VersionAnnouncement { announced_before: age.saturating_add(before) };
             let item = item_kinds::item(MODEL_VERSION, model, stamp, announcement.to_bytes());
-            self.spread.publish(now, item, &mut results);
+            self.gossip.publish(now, item, &mut results);
         }
-        self.handle_spread_outputs(now, results, out);
+        self.handle_gossip_outputs(now, results, out);
     }
 
     /// Releases servers that an earlier primary reserved: it may never have sent their orders.
     pub(super) fn release_earlier_reservations(&mut self, now: Micros, epoch: u64, out: &mut Vec<Output>) {
-        let earlier = self.spread.items(RESERVATION).filter(|item| item.stamp.major < epoch);
+        let earlier = self.gossip.items(RESERVATION).filter(|item| item.stamp.major < epoch);
         let earlier: Vec<Item> = earlier.cloned().collect();
         let mut results = Vec::new();
         for item in earlier {
             let stamp = Stamp { major: epoch, minor: 0 };
-            self.spread.publish(now, Item { stamp, removed: true, ..item }, &mut results);
+            self.gossip.publish(now, Item { stamp, removed: true, ..item }, &mut results);
         }
-        self.handle_spread_outputs(now, results, out);
+        self.handle_gossip_outputs(now, results, out);
     }
 
     /// Publishes to all nodes whether a cache store responds.
@@ -127,23 +127,23 @@
         alive: bool,
         out: &mut Vec<Output>,
     ) {
-        let known = self.spread.stamp(CACHE_STORE, name).map_or(0, |stamp| stamp.minor);
+        let known = self.gossip.stamp(CACHE_STORE, name).map_or(0, |stamp| stamp.minor);
         let stamp = Stamp { major: 0, minor: item_kinds::next_minor(known, self.own) };
         let payload = if alive { vec![1] } else { Vec::new() };
         let mut results = Vec::new();
-        self.spread.publish(now, item_kinds::item(CACHE_STORE, name, stamp, payload), &mut results);
-        self.handle_spread_outputs(now, results, out);
+        self.gossip.publish(now, item_kinds::item(CACHE_STORE, name, stamp, payload), &mut results);
+        self.handle_gossip_outputs(now, results, out);
     }
 
     /// Publishes the loss of servers whose heartbeats to this node have timed out.
     pub(super) fn tick_servers(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let lost = self.registry.tick(now, &self.spread);
+        let lost = self.registry.tick(now, &self.gossip);
         let mut results = Vec::new();
         for item in lost {
             out.push(Output::Event(Event::ServerTimedOut { id: item.key.clone() }));
-            self.spread.publish(now, item, &mut results);
+            self.gossip.publish(now, item, &mut results);
         }
-        self.handle_spread_outputs(now, results, out);
+        self.handle_gossip_outputs(now, results, out);
     }
 
     /// Treats servers as lost whose owner is absent, and that have called no other node since.
@@ -188,11 +188,11 @@
         };
         let mut results = Vec::new();
         for id in lost.iter().filter(is_due) {
-            let Some(stamp) = self.spread.stamp(SERVER, id) else { continue };
+            let Some(stamp) = self.gossip.stamp(SERVER, id) else { continue };
             let stamp = Stamp { minor: stamp.minor + 1, ..stamp };
-            self.spread.publish(now, item_kinds::tombstone(SERVER, id, stamp), &mut results);
+            self.gossip.publish(now, item_kinds::tombstone(SERVER, id, stamp), &mut results);
         }
-        self.handle_spread_outputs(now, results, out);
+        self.handle_gossip_outputs(now, results, out);
     }
 
     /// The singleton roles of the primary: the roll-out of model versions.
@@ -210,13 +210,13 @@
             match step {
                 Step::PublishReservation(item) => {
                     out.extend(reservation_event(&item).map(Output::Event));
-                    self.spread.publish(now, item, &mut results);
+                    self.gossip.publish(now, item, &mut results);
                 }
                 Step::SendOrder(order) => out.push(Output::SendOrder(order)),
                 Step::QueryServer { server, address } => out.push(Output::QueryServer { server, address }),
             }
         }
-        self.handle_spread_outputs(now, results, out);
+        self.handle_gossip_outputs(now, results, out);
     }
 
     /// True if an order with this fencing token may leave now: this node is the primary in that epoch, within its lease.
@@ -254,7 +254,7 @@
         (_, true) => ServerState::Lost,
         _ => ServerState::Ready,
     };
-    let models = registration.weights.iter();
+    let models = registration.models.iter();
     ServerEntry {
         id: registration.id.clone(),
         service: registration.service.clone(),
--- a/controlplane/src/node/staleness.rs
+++ b/controlplane/src/node/staleness.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddrV4;
 
-use gradepaddle_proto::{Content, NewestAsk, NewestTold};
+use gradepaddle_proto::{Content, VersionQuery, VersionReply};
 
 use super::{ConfigurationValidity, Node, Output};
 use crate::Micros;
@@ -41,10 +41,13 @@
             for witness in self.witnesses(now) {
                 let name = self.calls.next_id();
                 self.evidence.bound.query_sent(now, name);
-                out.push(Output::Send { to: witness, content: Content::NewestAsk(NewestAsk { name }) });
+                out.push(Output::Send {
+                    to: witness,
+                    content: Content::VersionQuery(VersionQuery { query_id: name }),
+                });
             }
         }
-        let version = self.spread.stamp(CONFIGURATION, CONFIGURATION_KEY).map_or(0, |stamp| stamp.major);
+        let version = self.gossip.stamp(CONFIGURATION, CONFIGURATION_KEY).map_or(0, |stamp| stamp.major);
         let until = self.evidence.bound.valid_until(version);
         let validity = until.map(|until| ConfigurationValidity { version, until });
         if let Some(changed) = validity.filter(|_| validity != self.evidence.reported_validity) {
@@ -86,20 +89,20 @@
         &mut self,
         now: Micros,
         from: SocketAddrV4,
-        query: NewestAsk,
+        query: VersionQuery,
         out: &mut Vec<Output>,
     ) {
         self.observe_own_state(now);
         if let Some(newest) = self.evidence.bound.newest(now) {
-            let reply = NewestTold { name: query.name, version: newest.version, age: newest.age };
-            out.push(Output::Send { to: from, content: Content::NewestTold(reply) });
+            let reply = VersionReply { query_id: query.query_id, version: newest.version, age: newest.age };
+            out.push(Output::Send { to: from, content: Content::VersionReply(reply) });
         }
     }
 
     /// Handles the reply to a query.
-    pub(super) fn handle_version_reply(&mut self, reply: NewestTold) {
+    pub(super) fn handle_version_reply(&mut self, reply: VersionReply) {
         self.evidence
             .bound
-            .handle_reply(reply.name, NewestVersion { version: reply.version, age: reply.age });
+            .handle_reply(reply.query_id, NewestVersion { version: reply.version, age: reply.age });
     }
 }
--- a/controlplane/src/node/status.rs
+++ b/controlplane/src/node/status.rs
@@ -61,12 +61,23 @@
     owner: SocketAddrV4,
 }
 
+/// The name of a role as operators see it.
+fn role_name(role: Role) -> &'static str {
+    match role {
+        Role::NonMember => "outside",
+        Role::Witness => "witness",
+        Role::Backup => "backup",
+        Role::Candidate => "candidate",
+        Role::Primary => "primary",
+    }
+}
+
 impl Node {
     pub(super) fn status(&self, now: Micros) -> Response {
         let identity = self.session.identity();
         let view = self.view_summary();
         let replica = self.replica.as_ref().map(|replica| replica.status());
-        let configuration = self.spread.get(CONFIGURATION, CONFIGURATION_KEY);
+        let configuration = self.gossip.get(CONFIGURATION, CONFIGURATION_KEY);
         let status = Status {
             node: identity.name.to_string(),
             zone: identity.zone.to_string(),
@@ -82,7 +93,7 @@
             announced_versions: self.servers.announced_versions.clone(),
             balancers: self.balancer_status(&view.members),
             servers: self.servers.registered.values().map(server_status).collect(),
-            items: self.spread.len(),
+            items: self.gossip.len(),
         };
         // Serializing these types can't fail.
         let body = serde_json::to_vec(&status).unwrap_or_default();
@@ -90,7 +101,7 @@
     }
 
     fn balancer_status(&self, members: &[SocketAddrV4]) -> Vec<BalancerStatus> {
-        let sessions = session_table::live_sessions(&self.spread);
+        let sessions = session_table::live_sessions(&self.gossip);
         let mut all: Vec<BalancerStatus> = sessions
             .map(|(_, session)| BalancerStatus {
                 name: session.identity.name.to_string(),
@@ -105,17 +116,6 @@
     }
 }
 
-/// The name of a role in the API.
-fn role_name(role: Role) -> &'static str {
-    match role {
-        Role::NonMember => "outside",
-        Role::Witness => "witness",
-        Role::Backup => "backup",
-        Role::Candidate => "candidate",
-        Role::Primary => "primary",
-    }
-}
-
 fn server_status(server: &Registration) -> ServerStatus {
     ServerStatus {
         id: server.id.to_string(),
--- a/controlplane/src/registry.rs
+++ b/controlplane/src/registry.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-use gradepaddle_proto::{Decode, Encode, Registration, Weights};
-use gradepaddle_spread::{Item, Spread};
+use gradepaddle_gossip::{Gossip, Item};
+use gradepaddle_proto::{Decode, Encode, ModelVersion, Registration};
 use serde::Deserialize;
 
 use crate::Micros;
@@ -94,8 +94,8 @@
     }
 
     /// Handles a heartbeat.
-    pub fn heartbeat(&mut self, now: Micros, id: &str, heartbeat: &Heartbeat, spread: &Spread) -> Decision {
-        if spread.stamp(SERVER, id).is_some_and(|stamp| stamp.major > heartbeat.call_count) {
+    pub fn heartbeat(&mut self, now: Micros, id: &str, heartbeat: &Heartbeat, gossip: &Gossip) -> Decision {
+        if gossip.stamp(SERVER, id).is_some_and(|stamp| stamp.major > heartbeat.call_count) {
             // A call that was overtaken by a later one, or of a server that has left.
             return Decision::Acknowledge;
         }
@@ -107,7 +107,7 @@
         if registration.draining && !self.acknowledged_drains.contains(id) {
             return Decision::PublishAcknowledged(item);
         }
-        let known = spread.get(SERVER, id).and_then(|item| Registration::from_bytes(&item.payload).ok());
+        let known = gossip.get(SERVER, id).and_then(|item| Registration::from_bytes(&item.payload).ok());
         if known.as_ref().is_some_and(|known| is_unchanged(known, &registration)) {
             return Decision::Acknowledge;
         }
@@ -130,18 +130,18 @@
             draining: heartbeat.state != "ready",
             lost: false,
             warmup_left_ms: heartbeat.warmup_left_ms.max(0.0) as u64,
-            weights: models
-                .map(|model| Weights { model: Arc::from(&*model.name), version: model.version })
+            models: models
+                .map(|model| ModelVersion { model: Arc::from(&*model.name), version: model.version })
                 .collect(),
             owner: self.own,
         }
     }
 
     /// Handles the last call of a server, which leaves.
-    pub fn leave(&mut self, id: &str, spread: &Spread) -> Decision {
+    pub fn leave(&mut self, id: &str, gossip: &Gossip) -> Decision {
         self.watched.remove(id);
         self.acknowledged_drains.remove(id);
-        let published = spread.stamp(SERVER, id) == Some(SERVER_REMOVED);
+        let published = gossip.stamp(SERVER, id) == Some(SERVER_REMOVED);
         if published && self.acknowledged_leaves.contains(id) {
             return Decision::Acknowledge;
         }
@@ -163,7 +163,7 @@
     }
 
     /// Servers whose heartbeats have timed out, as items to publish.
-    pub fn tick(&mut self, now: Micros, spread: &Spread) -> Vec<Item> {
+    pub fn tick(&mut self, now: Micros, gossip: &Gossip) -> Vec<Item> {
         let timeout = MAX_MISSED_HEARTBEATS * self.heartbeat_interval;
         let timed_out: Vec<(Arc<str>, u64)> = self
             .watched
@@ -174,7 +174,7 @@
         let mut lost = Vec::new();
         for (id, call_count) in timed_out {
             self.watched.remove(&id);
-            let Some(item) = spread.get(SERVER, &id) else { continue };
+            let Some(item) = gossip.get(SERVER, &id) else { continue };
             let Ok(registration) = Registration::from_bytes(&item.payload) else { continue };
             // The server has called another node since.
             if registration.owner != self.own || item.stamp.major > call_count {
--- a/controlplane/src/rollout.rs
+++ b/controlplane/src/rollout.rs
@@ -8,8 +8,8 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
+use gradepaddle_gossip::{Item, Stamp};
 use gradepaddle_proto::{Decode, DecodeError, Encode, FieldWriter, Fields, Registration};
-use gradepaddle_spread::{Item, Stamp};
 
 use crate::Micros;
 use crate::item_kinds::{self, RESERVATION};
@@ -52,15 +52,15 @@
 
 impl Encode for Reservation {
     fn encode(&self, to: &mut FieldWriter) {
-        to.text(1, &self.model);
-        to.number(2, self.version);
-        to.truth(3, self.loaded);
+        to.string(1, &self.model);
+        to.uint64(2, self.version);
+        to.bool(3, self.loaded);
     }
 }
 
 impl Decode for Reservation {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
-        Ok(Reservation { model: fields.text(1), version: fields.number(2), loaded: fields.truth(3) })
+        Ok(Reservation { model: fields.string(1), version: fields.uint64(2), loaded: fields.bool(3) })
     }
 }
 
@@ -380,5 +380,5 @@
 
 /// The version of a model by the server's registration; `None` if it does not serve the model.
 fn registered_version(server: &Registration, model: &str) -> Option<u64> {
-    server.weights.iter().find(|weights| &*weights.model == model).map(|weights| weights.version)
+    server.models.iter().find(|weights| &*weights.model == model).map(|weights| weights.version)
 }
--- a/controlplane/src/server_client.rs
+++ b/controlplane/src/server_client.rs
@@ -164,7 +164,7 @@
         response = timeout(remaining, exchange(&mut connection, request, pool)) => response.ok().flatten(),
     };
     if response.is_none() {
-        connection.break_off();
+        connection.reset_on_drop();
     }
     response
 }
@@ -200,9 +200,10 @@
     connection.write(&[request]).await.ok()?;
     let head: Head = connection.read_head().await.ok()?;
     let status = head.status().ok()?;
-    let framing = if head.is_bare() { Framing::Length(0) } else { head.framing(Framing::UntilClose).ok()? };
-    let mut body = Body::new_within(framing, MAX_RESPONSE_BYTES).ok()?;
+    let framing =
+        if head.has_no_body() { Framing::Length(0) } else { head.framing(Framing::UntilClose).ok()? };
+    let mut body = Body::with_limit(framing, MAX_RESPONSE_BYTES).ok()?;
     let mut bytes = pool.chain();
-    while !connection.read_piece(&mut body, &mut bytes, usize::MAX).await.ok()? {}
-    Some(HttpResponse { status, body: bytes.copy(bytes.len()) })
+    while !connection.read_body(&mut body, &mut bytes, usize::MAX).await.ok()? {}
+    Some(HttpResponse { status, body: bytes.copy_front(bytes.len()) })
 }
--- a/controlplane/src/session_client.rs
+++ b/controlplane/src/session_client.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddrV4;
 
-use gradepaddle_proto::{Identity, SessionBeat, SessionGrant, ViewSummary};
+use gradepaddle_proto::{Identity, SessionHeartbeat, SessionHeartbeatReply, ViewSummary};
 
 use crate::Micros;
 
@@ -34,7 +34,7 @@
     /// The receiver.
     pub to: SocketAddrV4,
     /// The heartbeat.
-    pub heartbeat: SessionBeat,
+    pub heartbeat: SessionHeartbeat,
 }
 
 impl SessionClient {
@@ -125,7 +125,7 @@
     }
 
     fn heartbeat(&self, to: SocketAddrV4) -> OutgoingHeartbeat {
-        let heartbeat = SessionBeat { identity: self.identity.clone(), view_epoch: self.view.epoch };
+        let heartbeat = SessionHeartbeat { identity: self.identity.clone(), view_epoch: self.view.epoch };
         OutgoingHeartbeat { to, heartbeat }
     }
 
@@ -160,7 +160,7 @@
     }
 
     /// Handles the reply to a heartbeat. True if it grants the session.
-    pub fn handle_reply(&mut self, now: Micros, from: SocketAddrV4, reply: &SessionGrant) -> bool {
+    pub fn handle_reply(&mut self, now: Micros, from: SocketAddrV4, reply: &SessionHeartbeatReply) -> bool {
         if let Some(view) = &reply.view {
             self.learn_view(view);
         }
@@ -172,7 +172,7 @@
         if self.control.is_none() && !self.view.members.is_empty() {
             self.next_due = now;
         }
-        if reply.incarnation != self.identity.incarnation || !reply.stands {
+        if reply.incarnation != self.identity.incarnation || !reply.granted {
             return false;
         }
         if self.control == Some(from) {
--- a/controlplane/src/session_table.rs
+++ b/controlplane/src/session_table.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-use gradepaddle_proto::{Decode, DecodeError, Encode, FieldWriter, Fields, Identity, SessionBeat};
-use gradepaddle_spread::{Item, Spread, Stamp};
+use gradepaddle_gossip::{Gossip, Item, Stamp};
+use gradepaddle_proto::{Decode, DecodeError, Encode, FieldWriter, Fields, Identity, SessionHeartbeat};
 use snafu::Snafu;
 
 use crate::Micros;
@@ -77,13 +77,13 @@
     pub fn heartbeat(
         &mut self,
         now: Micros,
-        heartbeat: &SessionBeat,
-        spread: &Spread,
+        heartbeat: &SessionHeartbeat,
+        gossip: &Gossip,
     ) -> Result<Option<Item>, StaleIncarnation> {
         let identity = &heartbeat.identity;
         let key = identity.address.to_string();
         // The stamp of a tombstone counts as well: what is published has to supersede it.
-        let stamp = spread.stamp(SESSION, &key).unwrap_or_default();
+        let stamp = gossip.stamp(SESSION, &key).unwrap_or_default();
         if stamp.major > identity.incarnation {
             return StaleIncarnationSnafu { newest: stamp.major }.fail();
         }
@@ -91,7 +91,7 @@
         let renewed = known.is_some_and(|session| session.identity == *identity);
         let granted = GrantedSession { identity: identity.clone(), last_heartbeat: now };
         self.sessions.insert(identity.address, granted);
-        let published = spread.get(SESSION, &key).is_some() && stamp.major == identity.incarnation;
+        let published = gossip.get(SESSION, &key).is_some() && stamp.major == identity.incarnation;
         if renewed && published {
             return Ok(None);
         }
@@ -103,8 +103,8 @@
     }
 
     /// Tombstones to publish: for sessions that have expired here, and for orphaned ones.
-    pub fn tick(&mut self, now: Micros, spread: &Spread) -> Vec<Item> {
-        self.adopt_own(now, spread);
+    pub fn tick(&mut self, now: Micros, gossip: &Gossip) -> Vec<Item> {
+        self.adopt_own(now, gossip);
         let expired: Vec<SocketAddrV4> = self
             .sessions
             .iter()
@@ -114,15 +114,15 @@
         let mut tombstones = Vec::new();
         for address in expired {
             self.sessions.remove(&address);
-            tombstones.extend(self.expire(address, spread));
+            tombstones.extend(self.expire(address, gossip));
         }
-        tombstones.extend(self.expire_orphans(now, spread));
+        tombstones.extend(self.expire_orphans(now, gossip));
         tombstones
     }
 
     /// Sessions that a process at this address granted before this one started stand until they expire here.
-    fn adopt_own(&mut self, now: Micros, spread: &Spread) {
-        for (_, session) in live_sessions(spread).filter(|(_, session)| session.granted_by == self.own) {
+    fn adopt_own(&mut self, now: Micros, gossip: &Gossip) {
+        for (_, session) in live_sessions(gossip).filter(|(_, session)| session.granted_by == self.own) {
             let address = session.identity.address;
             let adopted = GrantedSession { identity: session.identity, last_heartbeat: now };
             self.sessions.entry(address).or_insert(adopted);
@@ -130,9 +130,9 @@
     }
 
     /// A tombstone for a session, unless another control balancer has granted it since.
-    fn expire(&self, address: SocketAddrV4, spread: &Spread) -> Option<Item> {
+    fn expire(&self, address: SocketAddrV4, gossip: &Gossip) -> Option<Item> {
         let key = address.to_string();
-        let item = spread.get(SESSION, &key)?;
+        let item = gossip.get(SESSION, &key)?;
         let session = Session::from_bytes(&item.payload).ok()?;
         (session.granted_by == self.own).then(|| self.tombstone(item))
     }
@@ -142,8 +142,8 @@
         item_kinds::tombstone(SESSION, &item.key, Stamp { major: item.stamp.major, minor })
     }
 
-    fn expire_orphans(&mut self, now: Micros, spread: &Spread) -> Vec<Item> {
-        let sessions: Vec<(&Item, Session)> = live_sessions(spread).collect();
+    fn expire_orphans(&mut self, now: Micros, gossip: &Gossip) -> Vec<Item> {
+        let sessions: Vec<(&Item, Session)> = live_sessions(gossip).collect();
         let is_alive = |node: SocketAddrV4| {
             node == self.own || sessions.iter().any(|(_, session)| session.identity.address == node)
         };
@@ -172,6 +172,6 @@
 }
 
 /// All sessions that stand, with their items.
-pub fn live_sessions(spread: &Spread) -> impl Iterator<Item = (&Item, Session)> {
-    spread.items(SESSION).filter_map(|item| Some((item, Session::from_bytes(&item.payload).ok()?)))
+pub fn live_sessions(gossip: &Gossip) -> impl Iterator<Item = (&Item, Session)> {
+    gossip.items(SESSION).filter_map(|item| Some((item, Session::from_bytes(&item.payload).ok()?)))
 }
--- a/controlplane/src/version_announcement.rs
+++ b/controlplane/src/version_announcement.rs
@@ -13,13 +13,13 @@
 
 impl Encode for VersionAnnouncement {
     fn encode(&self, to: &mut FieldWriter) {
-        to.number(1, self.announced_before);
+        to.uint64(1, self.announced_before);
     }
 }
 
 impl Decode for VersionAnnouncement {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
-        Ok(VersionAnnouncement { announced_before: fields.number(1) })
+        Ok(VersionAnnouncement { announced_before: fields.uint64(1) })
     }
 }
 
--- a/controlplane/tests/acknowledged_ends.rs
+++ b/controlplane/tests/acknowledged_ends.rs
@@ -8,8 +8,8 @@
 use googletest::prelude::*;
 use gradepaddle_controlplane::api::Call;
 use gradepaddle_controlplane::node::{Input, Output};
+use gradepaddle_gossip::{Entry, Message};
 use gradepaddle_proto::{Content, Envelope};
-use gradepaddle_spread::{Entry, Message};
 use simulation::{MS, Plan, World};
 
 /// Names the call of these tests; nodes know no other so high.
@@ -38,8 +38,9 @@
         let (clock, mut out) = (process.clock(now), Vec::new());
         process.node.handle(clock, input, &mut out);
         for output in &out {
-            let Output::Send { content: Content::Spread(Message::Push { items, confirm: true, .. }), .. } =
-                output
+            let Output::Send {
+                content: Content::Gossip(Message::Push { items, acknowledge: true, .. }), ..
+            } = output
             else {
                 continue;
             };
@@ -55,18 +56,18 @@
         self.hand(node, Input::Call { call_id: TICKET, call })
     }
 
-    fn confirm(&mut self, node: usize, from: usize, leaving: bool) -> bool {
+    fn acknowledge(&mut self, node: usize, from: usize, leaving: bool) -> bool {
         let from: SocketAddrV4 = self.world.machines[from].address;
         let entries = self.asked_for.clone().into_iter().collect();
-        let content = Content::Spread(Message::Confirm { entries, leaving });
+        let content = Content::Gossip(Message::Acknowledge { entries, shutting_down: leaving });
         self.hand(node, Input::Envelope(Envelope { from, content }))
     }
 }
 
-/// A node that takes a call, others that confirm, those of them that are about to end, and whether that will do.
+/// A node that takes a call, others that acknowledge, those of them that are about to end, and whether that will do.
 struct Row {
     node: usize,
-    confirm: &'static [usize],
+    acknowledge: &'static [usize],
     leaving: &'static [usize],
     enough: bool,
 }
@@ -74,24 +75,24 @@
 #[gtest]
 fn copies_stand_in_the_core_and_outside_it() {
     let rows = [
-        Row { node: 0, confirm: &[1, 2], leaving: &[], enough: false },
-        Row { node: 0, confirm: &[4, 5, 6], leaving: &[], enough: false },
-        Row { node: 0, confirm: &[1, 5], leaving: &[], enough: true },
-        Row { node: 0, confirm: &[1, 5], leaving: &[1], enough: false },
-        Row { node: 0, confirm: &[1, 5], leaving: &[5], enough: false },
-        Row { node: 0, confirm: &[1, 2, 5], leaving: &[1], enough: true },
-        Row { node: 0, confirm: &[1, 5, 6], leaving: &[5], enough: true },
-        Row { node: 4, confirm: &[5, 6, 7], leaving: &[], enough: false },
-        Row { node: 4, confirm: &[0, 6], leaving: &[], enough: false },
-        Row { node: 4, confirm: &[0, 2], leaving: &[], enough: true },
+        Row { node: 0, acknowledge: &[1, 2], leaving: &[], enough: false },
+        Row { node: 0, acknowledge: &[4, 5, 6], leaving: &[], enough: false },
+        Row { node: 0, acknowledge: &[1, 5], leaving: &[], enough: true },
+        Row { node: 0, acknowledge: &[1, 5], leaving: &[1], enough: false },
+        Row { node: 0, acknowledge: &[1, 5], leaving: &[5], enough: false },
+        Row { node: 0, acknowledge: &[1, 2, 5], leaving: &[1], enough: true },
+        Row { node: 0, acknowledge: &[1, 5, 6], leaving: &[5], enough: true },
+        Row { node: 4, acknowledge: &[5, 6, 7], leaving: &[], enough: false },
+        Row { node: 4, acknowledge: &[0, 6], leaving: &[], enough: false },
+        Row { node: 4, acknowledge: &[0, 2], leaving: &[], enough: true },
     ];
-    for Row { node, confirm, leaving, enough } in rows {
+    for Row { node, acknowledge, leaving, enough } in rows {
         let mut fleet = Fleet::new(NODES);
         let mut acknowledged = fleet.leave(node);
-        for from in confirm {
-            acknowledged |= fleet.confirm(node, *from, leaving.contains(from));
+        for from in acknowledge {
+            acknowledged |= fleet.acknowledge(node, *from, leaving.contains(from));
         }
-        expect_that!(acknowledged, eq(enough), "{confirm:?} at {node}, {leaving:?} leaving");
+        expect_that!(acknowledged, eq(enough), "{acknowledge:?} at {node}, {leaving:?} leaving");
     }
 }
 
@@ -100,15 +101,15 @@
     let mut fleet = Fleet::new(NODES);
     fleet.hand(0, Input::ShutDown);
     expect_that!(fleet.leave(0), eq(false));
-    expect_that!(fleet.confirm(0, 1, false), eq(false));
-    expect_that!(fleet.confirm(0, 5, false), eq(false));
-    expect_that!(fleet.confirm(0, 2, false), eq(true));
+    expect_that!(fleet.acknowledge(0, 1, false), eq(false));
+    expect_that!(fleet.acknowledge(0, 5, false), eq(false));
+    expect_that!(fleet.acknowledge(0, 2, false), eq(true));
 }
 
 #[gtest]
 fn where_all_nodes_are_the_core_its_copies_are_enough() {
     let mut fleet = Fleet::new(CORE);
     expect_that!(fleet.leave(0), eq(false));
-    expect_that!(fleet.confirm(0, 1, false), eq(false));
-    expect_that!(fleet.confirm(0, 2, false), eq(true));
+    expect_that!(fleet.acknowledge(0, 1, false), eq(false));
+    expect_that!(fleet.acknowledge(0, 2, false), eq(true));
 }
--- a/controlplane/tests/fleet/checks.rs
+++ b/controlplane/tests/fleet/checks.rs
@@ -32,7 +32,7 @@
     Answered { operator: usize, begun: Micros },
     /// All machines in touch know that a server takes nothing new.
     Drained { server: usize, by: usize, at: Micros },
-    /// Weights named then are in use.
+    /// ModelVersion named then are in use.
     Loaded { version: u64, at: Micros },
     /// No node acts on keys of an older version, in touch or not.
     Revoked { version: u64 },
--- a/controlplane/tests/fleet/machine.rs
+++ b/controlplane/tests/fleet/machine.rs
@@ -10,9 +10,9 @@
 use gradepaddle_controlplane::node::{Node, NodeSetup};
 use gradepaddle_controlplane::session_client::SessionClient;
 use gradepaddle_controlplane::version_announcement::VersionDeadlines;
+use gradepaddle_gossip::{Gossip, GossipConfig};
 use gradepaddle_placement::ServerState;
 use gradepaddle_proto::Identity;
-use gradepaddle_spread::{Spread, SpreadConfig};
 
 use super::calls::Caller;
 use super::disk::Disk;
@@ -153,8 +153,8 @@
                 boot.seeds.clone(),
                 CLOCK_START,
             ),
-            spread: Spread::new(
-                SpreadConfig::builder().address(self.address).seed(random.next()).build(),
+            gossip: Gossip::new(
+                GossipConfig::builder().address(self.address).seed(random.next()).build(),
                 CLOCK_START,
             ),
             bootstrap: Bootstrap::new(self.address, &boot.seeds, boot.losses, boot.first, CLOCK_START),
--- a/controlplane/tests/golden.rs
+++ b/controlplane/tests/golden.rs
@@ -27,11 +27,11 @@
 use gradepaddle_controlplane::server_client::{self, OrderPermit};
 use gradepaddle_controlplane::session_table::Session;
 use gradepaddle_controlplane::version_announcement::VersionAnnouncement;
+use gradepaddle_gossip::Item;
 use gradepaddle_http::buffers::Pool;
 use gradepaddle_proto::{
-    Content, ControlCall, Encode, Envelope, Registration, SessionGrant, ViewSummary, Weights,
+    Content, ControlCall, Encode, Envelope, ModelVersion, Registration, SessionHeartbeatReply, ViewSummary,
 };
-use gradepaddle_spread::Item;
 use lone_node::{LoneNode, address, identity};
 use simulation::{MS, Plan, SECOND, World};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -220,8 +220,10 @@
     leading.run_for(10 * SECOND, true);
     let mut follower = LoneNode::new();
     let view = ViewSummary { epoch: 5, primary: Some(address(3)), members: vec![address(3)] };
-    let reply = SessionGrant { incarnation: 0, stands: false, seen_incarnation: 0, view: Some(view) };
-    follower.hand(Input::Envelope(Envelope { from: address(3), content: Content::SessionGrant(reply) }));
+    let reply =
+        SessionHeartbeatReply { incarnation: 0, granted: false, seen_incarnation: 0, view: Some(view) };
+    follower
+        .hand(Input::Envelope(Envelope { from: address(3), content: Content::SessionHeartbeatReply(reply) }));
     follower.call(Call::Control(ControlCall::GetConfiguration));
     follower.run_for(2 * SECOND, false);
     for (title, node) in [("held by nobody else", leading), ("the primary is silent", follower)] {
@@ -373,7 +375,7 @@
     let kinds = [CONFIGURATION, MODEL_VERSION, SERVER, SESSION, RESERVATION, CACHE_STORE].map(|kind| kind.0);
     expect_that!(kinds, eq([1, 2, 3, 4, 5, 6]));
     expect_that!(CONFIGURATION_KEY, eq("current"));
-    let stamp = |stamp: gradepaddle_spread::Stamp| (stamp.major, stamp.minor);
+    let stamp = |stamp: gradepaddle_gossip::Stamp| (stamp.major, stamp.minor);
     expect_that!(stamp(server_stamp(9, Evidence::Reported)), eq((9, 0)));
     expect_that!(stamp(server_stamp(9, Evidence::Lost)), eq((9, 1)));
     expect_that!(stamp(SERVER_REMOVED), eq((u64::MAX, 0)));
@@ -403,7 +405,7 @@
         draining: true,
         lost: true,
         warmup_left_ms: 250,
-        weights: vec![Weights { model, version: 3 }],
+        models: vec![ModelVersion { model, version: 3 }],
         owner: address(1),
     };
     note("server", registration.to_bytes());
@@ -422,7 +424,7 @@
         draining: false,
         lost: false,
         warmup_left_ms: 0,
-        weights: vec![Weights { model: Arc::from("advisor"), version: 1 }],
+        models: vec![ModelVersion { model: Arc::from("advisor"), version: 1 }],
         owner: address(1),
     };
     let servers = BTreeMap::from([(server.id.clone(), server)]);
--- a/controlplane/tests/leases.rs
+++ b/controlplane/tests/leases.rs
@@ -18,7 +18,7 @@
 use gradepaddle_controlplane::server_client::{self, OrderPermit};
 use gradepaddle_controlplane::{CLOCK_START, Micros};
 use gradepaddle_http::buffers::Pool;
-use gradepaddle_proto::{Content, ControlCall, Envelope, Forwarded};
+use gradepaddle_proto::{Content, ControlCall, Envelope, ForwardedReply};
 use simulation::operator::body;
 use simulation::{MS, Plan, SECOND, World};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -179,22 +179,22 @@
         ("without a lease", 412, 0, 2 * MS, 503),
         ("nothing clear", 503, 0, 2 * MS, 503),
     ];
-    for (what, told, lease_left, later, status) in rows {
+    for (what, told, lease_remaining, later, status) in rows {
         let mut fleet = Fleet::new();
         let asked = (fleet.primary + 1) % 3;
         let out = fleet.call(asked, Call::Control(ControlCall::GetConfiguration));
         let ticket = out.iter().find_map(|output| match output {
-            Output::Send { content: Content::Forward(forward), .. } => Some(forward.ticket),
+            Output::Send { content: Content::ForwardedCall(forward), .. } => Some(forward.call_id),
             _ => None,
         });
         let forwarded =
-            Forwarded { ticket: ticket.or_fail()?, status: told, body: Arc::from([]), lease_left };
-        let input = fleet.envelope(fleet.primary, Content::Forwarded(forwarded));
+            ForwardedReply { call_id: ticket.or_fail()?, status: told, body: Arc::from([]), lease_remaining };
+        let input = fleet.envelope(fleet.primary, Content::ForwardedReply(forwarded));
         let sent = fleet.clock(asked);
         let answer = answer(&fleet.hand(asked, later, input)).or_fail()?;
         expect_that!(answer.status, eq(status), "{what}");
         // What is held up on its way out is not given either.
-        expect_that!(answer.at(sent + lease_left.max(MS)).status, eq(503), "{what}");
+        expect_that!(answer.at(sent + lease_remaining.max(MS)).status, eq(503), "{what}");
     }
     Ok(())
 }
@@ -206,16 +206,16 @@
     let (primary, asked) = (fleet.primary, (fleet.primary + 1) % 3);
     let out = fleet.call(asked, Call::Control(ControlCall::GetConfiguration));
     let forward = out.into_iter().find_map(|output| match output {
-        Output::Send { content: content @ Content::Forward(_), .. } => Some(content),
+        Output::Send { content: content @ Content::ForwardedCall(_), .. } => Some(content),
         _ => None,
     });
     let input = fleet.envelope(asked, forward.or_fail()?);
     let told = fleet.hand(primary, 0, input).into_iter().find_map(|output| match output {
-        Output::Send { content: Content::Forwarded(told), .. } => Some(told),
+        Output::Send { content: Content::ForwardedReply(told), .. } => Some(told),
         _ => None,
     });
     let told = told.or_fail()?;
-    verify_that!((told.status, told.lease_left), (eq(200), all![gt(0), le(LEASE)]))
+    verify_that!((told.status, told.lease_remaining), (eq(200), all![gt(0), le(LEASE)]))
 }
 
 /// Nobody waits in silence: callers go on after a second.
--- a/controlplane/tests/registry.rs
+++ b/controlplane/tests/registry.rs
@@ -2,48 +2,48 @@
 
 mod common;
 
-use common::{MS, SECOND, address, heartbeat, lone_spread, publish, registration};
+use common::{MS, SECOND, address, heartbeat, lone_gossip, publish, registration};
 use googletest::prelude::*;
 use gradepaddle_controlplane::Micros;
 use gradepaddle_controlplane::item_kinds::{self, Evidence, SERVER, SERVER_REMOVED};
 use gradepaddle_controlplane::registry::{Decision, Registry};
+use gradepaddle_gossip::{Gossip, Item, Stamp};
 use gradepaddle_proto::{Decode, Encode, Registration};
-use gradepaddle_spread::{Item, Spread, Stamp};
 
 const HEARTBEAT_INTERVAL: Micros = 1_200 * MS;
 
 /// A node to which servers send their heartbeats.
 struct OwningNode {
     registry: Registry,
-    spread: Spread,
+    gossip: Gossip,
 }
 
 impl OwningNode {
     fn at(node: u8) -> OwningNode {
-        OwningNode { registry: Registry::new(address(node), HEARTBEAT_INTERVAL), spread: lone_spread(node) }
+        OwningNode { registry: Registry::new(address(node), HEARTBEAT_INTERVAL), gossip: lone_gossip(node) }
     }
 
     /// A heartbeat; what it leads to is published, as the node does it.
     fn heartbeat(&mut self, now: Micros, state: &str, call_count: u64) -> Decision {
-        let decision = self.registry.heartbeat(now, "s", &heartbeat(state, call_count), &self.spread);
+        let decision = self.registry.heartbeat(now, "s", &heartbeat(state, call_count), &self.gossip);
         self.publish(decision.clone());
         decision
     }
 
     fn leave(&mut self) -> Decision {
-        let decision = self.registry.leave("s", &self.spread);
+        let decision = self.registry.leave("s", &self.gossip);
         self.publish(decision.clone());
         decision
     }
 
     fn publish(&mut self, decision: Decision) {
         if let Decision::Publish(item) | Decision::PublishAcknowledged(item) = decision {
-            publish(&mut self.spread, item);
+            publish(&mut self.gossip, item);
         }
     }
 
     fn tick(&mut self, now: Micros) -> Vec<Item> {
-        self.registry.tick(now, &self.spread)
+        self.registry.tick(now, &self.gossip)
     }
 }
 
@@ -83,19 +83,19 @@
     let mut told = heartbeat("ready", 2);
     told.models[0].version = 2;
     expect_that!(
-        node.registry.heartbeat(MS, "s", &told, &node.spread),
+        node.registry.heartbeat(MS, "s", &told, &node.gossip),
         matches_pattern!(Decision::Publish(_))
     );
     let mut told = heartbeat("ready", 3);
     told.slots = 17;
     expect_that!(
-        node.registry.heartbeat(MS, "s", &told, &node.spread),
+        node.registry.heartbeat(MS, "s", &told, &node.gossip),
         matches_pattern!(Decision::Publish(_))
     );
     let mut told = heartbeat("ready", 4);
     told.warmup_left_ms = 900.0;
     expect_that!(
-        node.registry.heartbeat(MS, "s", &told, &node.spread),
+        node.registry.heartbeat(MS, "s", &told, &node.gossip),
         matches_pattern!(Decision::Publish(_))
     );
     Ok(())
@@ -108,7 +108,7 @@
     for (count, left) in [(1, 3000.0), (2, 1800.0), (3, 600.0), (4, 0.0), (5, 0.0)] {
         let mut told = heartbeat("ready", count);
         told.warmup_left_ms = left;
-        let decision = node.registry.heartbeat(count * HEARTBEAT_INTERVAL, "s", &told, &node.spread);
+        let decision = node.registry.heartbeat(count * HEARTBEAT_INTERVAL, "s", &told, &node.gossip);
         node.publish(decision.clone());
         decisions.push(matches!(decision, Decision::Publish(_)));
     }
@@ -120,7 +120,7 @@
     let mut node = OwningNode::at(1);
     node.heartbeat(0, "draining", 9);
     expect_that!(node.heartbeat(MS, "ready", 8), eq(&Decision::Acknowledge));
-    let item = node.spread.get(SERVER, "s").or_fail()?;
+    let item = node.gossip.get(SERVER, "s").or_fail()?;
     expect_that!(Registration::from_bytes(&item.payload).or_fail()?.draining, eq(true));
     expect_that!(item.stamp.major, eq(9));
     Ok(())
@@ -129,7 +129,7 @@
 #[gtest]
 fn a_call_that_another_node_overtook_changes_nothing() -> Result<()> {
     let mut node = OwningNode::at(1);
-    publish(&mut node.spread, of_other(2, 9));
+    publish(&mut node.gossip, of_other(2, 9));
     expect_that!(node.heartbeat(MS, "ready", 8), eq(&Decision::Acknowledge));
     expect_that!(node.heartbeat(2 * MS, "ready", 10), matches_pattern!(Decision::Publish(_)));
     Ok(())
@@ -148,7 +148,7 @@
     node.registry.drain_acknowledged("s");
     expect_that!(node.heartbeat(9 * MS, "draining", 9), eq(&Decision::Acknowledge));
     let mut other = OwningNode::at(2);
-    publish(&mut other.spread, node.spread.get(SERVER, "s").or_fail()?.clone());
+    publish(&mut other.gossip, node.gossip.get(SERVER, "s").or_fail()?.clone());
     expect_that!(other.heartbeat(9 * MS, "draining", 10), matches_pattern!(Decision::PublishAcknowledged(_)));
     Ok(())
 }
@@ -163,7 +163,7 @@
     expect_that!(lost.len(), eq(1));
     expect_that!(Registration::from_bytes(&lost[0].payload).or_fail()?.lost, eq(true));
     expect_that!(lost[0].stamp, eq(item_kinds::server_stamp(2, Evidence::Lost)));
-    expect_that!(publish(&mut node.spread, lost[0].clone()), eq(true));
+    expect_that!(publish(&mut node.gossip, lost[0].clone()), eq(true));
     expect_that!(node.tick(9 * HEARTBEAT_INTERVAL), is_empty());
     let back = node.heartbeat(10 * HEARTBEAT_INTERVAL, "ready", 3);
     expect_that!(published(&back).or_fail()?.0.lost, eq(false));
@@ -175,15 +175,15 @@
     let late = 10 * HEARTBEAT_INTERVAL;
     let mut node = OwningNode::at(1);
     node.heartbeat(0, "ready", 1);
-    publish(&mut node.spread, of_other(2, 2));
+    publish(&mut node.gossip, of_other(2, 2));
     expect_that!(node.tick(late), is_empty());
     let mut came_back = OwningNode::at(1);
     came_back.heartbeat(0, "ready", 1);
-    publish(&mut came_back.spread, of_other(2, 2));
+    publish(&mut came_back.gossip, of_other(2, 2));
     came_back.heartbeat(HEARTBEAT_INTERVAL, "ready", 3);
     expect_that!(came_back.tick(late).len(), eq(1));
     let mut bystander = OwningNode::at(3);
-    publish(&mut bystander.spread, of_other(2, 2));
+    publish(&mut bystander.gossip, of_other(2, 2));
     expect_that!(bystander.tick(late), is_empty());
     Ok(())
 }
@@ -207,7 +207,7 @@
     expect_that!(item.removed, eq(true));
     expect_that!(item.stamp, eq(SERVER_REMOVED));
     expect_that!(node.heartbeat(MS, "ready", 6), eq(&Decision::Acknowledge));
-    expect_that!(node.spread.get(SERVER, "s"), none());
+    expect_that!(node.gossip.get(SERVER, "s"), none());
     expect_that!(node.tick(100 * SECOND), is_empty());
     Ok(())
 }
--- a/controlplane/tests/regressions.rs
+++ b/controlplane/tests/regressions.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use common::{MS, SECOND, address, addresses, identity, lone_spread, registration};
+use common::{MS, SECOND, address, addresses, identity, lone_gossip, registration};
 use googletest::prelude::*;
 use gradepaddle_controlplane::Micros;
 use gradepaddle_controlplane::api::Call;
@@ -18,9 +18,9 @@
 use gradepaddle_controlplane::session_client::SessionClient;
 use gradepaddle_controlplane::session_table::{Session, SessionTable};
 use gradepaddle_controlplane::version_announcement::VersionDeadlines;
+use gradepaddle_gossip::{Aged, Item, Message, Stamp};
 use gradepaddle_placement::ServerState;
 use gradepaddle_proto::{Content, Decode, Encode, Envelope};
-use gradepaddle_spread::{Aged, Item, Message, Stamp};
 use simulation::{Ending, Plan, World};
 
 /// A node without a disk, and what it has put out.
@@ -33,7 +33,7 @@
     fn new(number: u8) -> Driven {
         let node = Node::new(NodeSetup {
             session: SessionClient::new(identity(number, 1), addresses([3, 4]), 0),
-            spread: lone_spread(number),
+            gossip: lone_gossip(number),
             bootstrap: None,
             heartbeat_interval: 1_200 * MS,
             order_lease: 3 * SECOND,
@@ -65,7 +65,7 @@
     /// Another node passes items on.
     fn learn(&mut self, items: Vec<Item>) -> Vec<Output> {
         let items = items.into_iter().map(|item| Aged { item, age_ms: 0 }).collect();
-        let content = Content::Spread(Message::Push { items, confirm: false, repair: false });
+        let content = Content::Gossip(Message::Push { items, acknowledge: false, repair: false });
         self.hand(Input::Envelope(Envelope { from: address(3), content }))
     }
 
@@ -119,15 +119,15 @@
 /// being orphans. A node that ended meanwhile and does not come back stays a member for good.
 #[gtest]
 fn a_control_balancer_that_restarted_lets_sessions_lapse_that_it_held_before() -> Result<()> {
-    let mut spread = lone_spread(3);
+    let mut gossip = lone_gossip(3);
     for item in among_others() {
-        common::publish(&mut spread, item);
+        common::publish(&mut gossip, item);
     }
     let mut held = SessionTable::new(address(3));
     let mut removed = Vec::new();
     for beat in 0..150 {
         let now = beat * 400 * MS;
-        removed.extend(held.tick(now, &spread));
+        removed.extend(held.tick(now, &gossip));
     }
     let keys: Vec<&str> = removed.iter().map(|item| &*item.key).collect();
     verify_that!(keys, contains(eq(&&*address(2).to_string())))
--- a/controlplane/tests/sessions.rs
+++ b/controlplane/tests/sessions.rs
@@ -5,25 +5,25 @@
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use common::{MS, SECOND, address, lone_spread, publish, session_beat};
+use common::{MS, SECOND, address, lone_gossip, publish, session_beat};
 use googletest::prelude::*;
 use gradepaddle_controlplane::Micros;
 use gradepaddle_controlplane::item_kinds::{self, SESSION};
 use gradepaddle_controlplane::session_table::{
     SESSION_TIMEOUT, Session, SessionTable, StaleIncarnation, live_sessions,
 };
+use gradepaddle_gossip::{Gossip, Item};
 use gradepaddle_proto::Decode;
-use gradepaddle_spread::{Item, Spread};
 
 /// A control balancer that publishes its items.
 struct ControlBalancer {
     table: SessionTable,
-    spread: Spread,
+    gossip: Gossip,
 }
 
 impl ControlBalancer {
     fn new(number: u8) -> ControlBalancer {
-        ControlBalancer { table: SessionTable::new(address(number)), spread: lone_spread(number) }
+        ControlBalancer { table: SessionTable::new(address(number)), gossip: lone_gossip(number) }
     }
 
     /// A heartbeat; gives what was published for it.
@@ -33,18 +33,18 @@
         node: u8,
         incarnation: u64,
     ) -> std::result::Result<Option<Item>, StaleIncarnation> {
-        let item = self.table.heartbeat(now, &session_beat(node, incarnation), &self.spread)?;
+        let item = self.table.heartbeat(now, &session_beat(node, incarnation), &self.gossip)?;
         item.iter().for_each(|item| {
-            publish(&mut self.spread, item.clone());
+            publish(&mut self.gossip, item.clone());
         });
         Ok(item)
     }
 
     /// Goes on, publishing and giving what expired.
     fn tick(&mut self, now: Micros) -> Vec<Item> {
-        let removed = self.table.tick(now, &self.spread);
+        let removed = self.table.tick(now, &self.gossip);
         removed.iter().for_each(|item| {
-            publish(&mut self.spread, item.clone());
+            publish(&mut self.gossip, item.clone());
         });
         removed
     }
@@ -52,16 +52,16 @@
     /// Takes in what another balancer published.
     fn receive(&mut self, items: &[Item]) {
         items.iter().for_each(|item| {
-            publish(&mut self.spread, item.clone());
+            publish(&mut self.gossip, item.clone());
         });
     }
 
     fn knows(&self, node: u8) -> bool {
-        live_sessions(&self.spread).any(|(_, session)| session.identity.address == address(node))
+        live_sessions(&self.gossip).any(|(_, session)| session.identity.address == address(node))
     }
 
     fn item(&self, node: u8) -> Vec<Item> {
-        self.spread.get(SESSION, &address(node).to_string()).cloned().into_iter().collect()
+        self.gossip.get(SESSION, &address(node).to_string()).cloned().into_iter().collect()
     }
 }
 
@@ -77,7 +77,7 @@
         expect_that!(balancer.tick(heartbeat * 400 * MS), is_empty());
     }
     expect_that!(balancer.table.len(), eq(1));
-    let zones = live_sessions(&balancer.spread).map(|(_, session)| session.identity.zone.to_string());
+    let zones = live_sessions(&balancer.gossip).map(|(_, session)| session.identity.zone.to_string());
     expect_that!(zones.collect::<Vec<_>>(), eq(&["west"]));
     Ok(())
 }
--- a/controlplane/tests/weights.rs
+++ b/controlplane/tests/weights.rs
@@ -4,15 +4,15 @@
 
 use std::sync::Arc;
 
-use common::{MS, SECOND, address, addresses, identity, lone_spread};
+use common::{MS, SECOND, address, addresses, identity, lone_gossip};
 use googletest::prelude::*;
 use gradepaddle_controlplane::Micros;
 use gradepaddle_controlplane::item_kinds::{self, MODEL_VERSION};
 use gradepaddle_controlplane::node::{Input, Node, NodeSetup, Output};
 use gradepaddle_controlplane::session_client::SessionClient;
 use gradepaddle_controlplane::version_announcement::{VersionAnnouncement, VersionDeadlines};
+use gradepaddle_gossip::{Aged, Message, Stamp};
 use gradepaddle_proto::{Content, Encode, Envelope};
-use gradepaddle_spread::{Aged, Message, Stamp};
 
 const MODEL: &str = "advisor";
 const WITHIN: Micros = 8 * SECOND;
@@ -22,7 +22,7 @@
 fn node() -> Node {
     Node::new(NodeSetup {
         session: SessionClient::new(identity(1, 1), addresses([3, 4]), 0),
-        spread: lone_spread(1),
+        gossip: lone_gossip(1),
         bootstrap: None,
         heartbeat_interval: 1_200 * MS,
         order_lease: 3 * SECOND,
@@ -58,7 +58,7 @@
         if announced_before > 0 { VersionAnnouncement { announced_before }.to_bytes() } else { Vec::new() };
     let item = item_kinds::item(MODEL_VERSION, MODEL, Stamp { major: version, minor: publication }, payload);
     let items = vec![Aged { item, age_ms }];
-    let content = Content::Spread(Message::Push { items, confirm: false, repair: false });
+    let content = Content::Gossip(Message::Push { items, acknowledge: false, repair: false });
     let mut out = Vec::new();
     node.handle(now, Input::Envelope(Envelope { from: address(3), content }), &mut out);
     out.into_iter().filter_map(|output| told(now, output)).collect()
--- /dev/null
+++ b/dataplane/src/proxy.rs
@@ -0,0 +1,167 @@
+//! Carries an admitted request out: attempts until one brings a response, then the response to its client.
+//!
+//! What holds whichever servers are selected: a request is processed at most once unless its route allows more; 429 and
+//! 503 are given only if no attempt can have been processed; a server that drains gets nothing; the client gets one
+//! response, complete or visibly cut.
+
+use std::time::Duration;
+
+use gradepaddle_http::Connection;
+use gradepaddle_placement::{AttemptOutcome, Placement, Rejection};
+use tokio::time::Instant;
+
+use crate::attempt::{AttemptResult, attempt};
+use crate::counters::increment;
+use crate::local_response::LocalResponse;
+use crate::proxied_request::ProxiedRequest;
+use crate::response_forwarding::{ForwardingOutcome, ResponseForwarding};
+use crate::retry::AttemptHistory;
+use crate::upstream_response::UpstreamResponse;
+
+/// `Retry-After` of a rejected request if nothing better is known.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(150);
+/// `Retry-After` of a request that its server rejected.
+const REJECTED_RETRY_AFTER: Duration = Duration::from_millis(60);
+
+/// How a request left its client's connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[must_use = "an aborted connection bears no other request"]
+pub(crate) enum RequestOutcome {
+    /// A response has been written to its end.
+    Responded,
+    /// The connection is of no more use: the client has gone, or its response was cut.
+    Aborted,
+}
+
+/// A request on its way through attempts.
+pub(crate) struct Proxy<'a> {
+    request: &'a ProxiedRequest<'a>,
+    history: AttemptHistory,
+    /// The client's connection ends behind the response.
+    close: bool,
+}
+
+impl<'a> Proxy<'a> {
+    /// Of a request that has not been sent to any server.
+    pub fn new(request: &'a ProxiedRequest<'a>, close: bool) -> Self {
+        Proxy { request, history: AttemptHistory::default(), close }
+    }
+
+    /// Carries the request out and responds to its client.
+    pub async fn run(mut self, client: &mut Connection) -> RequestOutcome {
+        let (plane, routed) = (self.request.plane, &self.request.routed);
+        let now = plane.now();
+        plane.placer.borrow_mut().record_request(now, &routed.service);
+        loop {
+            let result = attempt(self.request, client, &mut self.history, routed.last_event_id).await;
+            let (otherwise, retry_after) = match result {
+                Err(refusal) => (LocalResponse::BadGateway, retry_after(refusal)),
+                Ok(AttemptResult::Response(response, placement)) => {
+                    if self.history.should_retry(self.request, &response) {
+                        self.discard_response(&response, &placement);
+                        continue;
+                    }
+                    return self.forward_response(client, *response, placement).await;
+                }
+                Ok(AttemptResult::NotSent) if self.history.may_connect_again() => continue,
+                Ok(AttemptResult::NotSent) => (LocalResponse::BadGateway, DEFAULT_RETRY_AFTER),
+                Ok(AttemptResult::Rejected) if self.history.may_send(self.request) => continue,
+                Ok(AttemptResult::Rejected) => (LocalResponse::BadGateway, REJECTED_RETRY_AFTER),
+                Ok(AttemptResult::Failed) if self.history.may_retry(self.request) => continue,
+                Ok(AttemptResult::Failed) => {
+                    return self.respond_locally(client, LocalResponse::BadGateway).await;
+                }
+                Ok(AttemptResult::DeadlineExceeded) => (LocalResponse::GatewayTimeout, DEFAULT_RETRY_AFTER),
+                Ok(AttemptResult::ClientGone) => return RequestOutcome::Aborted,
+            };
+            // 503 says that the request was not processed.
+            let response = match self.history.may_have_run {
+                true => otherwise,
+                false => LocalResponse::Unavailable { retry_after },
+            };
+            return self.respond_locally(client, response).await;
+        }
+    }
+
+    /// Tells the placer of a failed attempt whose response is not forwarded.
+    fn discard_response(&self, response: &UpstreamResponse, placement: &Placement) {
+        let plane = self.request.plane;
+        let (now, load) = (plane.now(), response.load());
+        plane.placer.borrow_mut().record_end(now, placement.attempt, AttemptOutcome::ServerError, load, None);
+    }
+
+    /// Forwards a response, and resumes its stream at another server where that is allowed.
+    async fn forward_response(
+        mut self,
+        client: &mut Connection,
+        response: UpstreamResponse,
+        placement: Placement,
+    ) -> RequestOutcome {
+        let counters = &self.request.plane.counters;
+        let succeeded = (200..300).contains(&response.status);
+        let mut forwarding = ResponseForwarding::new(self.request, response, placement, self.close);
+        loop {
+            match forwarding.run(client).await {
+                ForwardingOutcome::Complete => {
+                    increment(if succeeded { &counters.responses } else { &counters.failed });
+                    return RequestOutcome::Responded;
+                }
+                ForwardingOutcome::ClientGone => return RequestOutcome::Aborted,
+                ForwardingOutcome::Interrupted => {
+                    let Some((response, placement)) = self.resume(client, forwarding.resume_from()).await
+                    else {
+                        increment(&counters.failed);
+                        // The client must see a reset: an end could pass for the end of the response.
+                        client.reset_on_drop();
+                        return RequestOutcome::Aborted;
+                    };
+                    increment(&counters.resumed);
+                    forwarding.resume_with(response, placement);
+                }
+            }
+        }
+    }
+
+    /// Has another server resume a stream behind the event `from`, which is `None` where the response can't be resumed.
+    async fn resume(
+        &mut self,
+        client: &Connection,
+        from: Option<Option<u64>>,
+    ) -> Option<(UpstreamResponse, Placement)> {
+        let from = from?;
+        loop {
+            if !self.history.may_send(self.request) || Instant::now() >= self.request.deadline() {
+                return None;
+            }
+            match attempt(self.request, client, &mut self.history, from).await {
+                Ok(AttemptResult::Response(response, placement)) if response.status == 200 => {
+                    return Some((*response, placement));
+                }
+                Ok(AttemptResult::Response(response, placement)) => {
+                    self.discard_response(&response, &placement)
+                }
+                Ok(AttemptResult::NotSent) if self.history.may_connect_again() => {}
+                Ok(AttemptResult::Rejected | AttemptResult::Failed) => {}
+                Ok(AttemptResult::NotSent | AttemptResult::DeadlineExceeded | AttemptResult::ClientGone)
+                | Err(_) => return None,
+            }
+        }
+    }
+
+    async fn respond_locally(&self, client: &Connection, response: LocalResponse) -> RequestOutcome {
+        let plane = self.request.plane;
+        let not_processed = matches!(response, LocalResponse::Unavailable { .. });
+        increment(if not_processed { &plane.counters.rejected } else { &plane.counters.failed });
+        let chain = response.to_chain(&plane.pool, Some(&self.request.routed.id), self.close);
+        match client.write(&[&chain]).await {
+            Ok(()) => RequestOutcome::Responded,
+            Err(_) => RequestOutcome::Aborted,
+        }
+    }
+}
+
+/// When a client may come back for which no server could be selected.
+fn retry_after(refusal: Rejection) -> Duration {
+    let (Rejection::NoServer { retry_after } | Rejection::Overloaded { retry_after }) = refusal;
+    Duration::from_micros(retry_after)
+}
--- a/spread/tests/simulation/mod.rs
+++ b/gossip/tests/simulation/mod.rs
@@ -8,7 +8,9 @@
 use std::sync::Arc;
 
 use fastrand::Rng;
-use gradepaddle_spread::{Copies, Counters, Item, Kind, Message, Output, Peer, Spread, SpreadConfig, Stamp};
+use gradepaddle_gossip::{
+    Counters, Gossip, GossipConfig, Item, Kind, Message, Output, Peer, ReplicationFactor, Stamp,
+};
 
 /// A millisecond of simulated time.
 pub const MS: u64 = 1_000;
@@ -64,7 +66,7 @@
 /// The fleet.
 pub struct Simulation {
     pub now: u64,
-    pub nodes: Vec<Option<Spread>>,
+    pub nodes: Vec<Option<Gossip>>,
     /// Share of messages that are lost.
     pub loss: f64,
     /// Nodes of different groups don't reach each other.
@@ -91,7 +93,7 @@
     /// A fleet whose nodes all know each other from the start.
     pub fn new(nodes: usize, seed: u64) -> Self {
         let mut simulation = Self::without_peers(nodes, seed);
-        (0..nodes).for_each(|node| simulation.meet(node));
+        (0..nodes).for_each(|node| simulation.set_all_peers(node));
         simulation
     }
 
@@ -119,13 +121,13 @@
         simulation
     }
 
-    fn fresh(&mut self, node: usize) -> Spread {
-        let config = SpreadConfig::builder().address(address(node)).seed(self.rng.u64(..)).build();
-        Spread::new(config, self.now)
+    fn fresh(&mut self, node: usize) -> Gossip {
+        let config = GossipConfig::builder().address(address(node)).seed(self.rng.u64(..)).build();
+        Gossip::new(config, self.now)
     }
 
     /// Tells a node of all others that are there.
-    pub fn meet(&mut self, node: usize) {
+    pub fn set_all_peers(&mut self, node: usize) {
         let others = (0..self.nodes.len()).filter(|other| *other != node && self.nodes[*other].is_some());
         let peers: Vec<Peer> = others
             .map(|other| Peer { address: address(other), near: other % ZONES == node % ZONES })
@@ -139,7 +141,7 @@
         self.schedule_wake(node);
     }
 
-    pub fn node(&mut self, node: usize) -> &mut Spread {
+    pub fn node(&mut self, node: usize) -> &mut Gossip {
         self.nodes[node].as_mut().expect("the node is there")
     }
 
@@ -153,7 +155,7 @@
         let fresh = self.fresh(node);
         self.nodes[node] = Some(fresh);
         self.wakes[node] = u64::MAX;
-        self.meet(node);
+        self.set_all_peers(node);
     }
 
     pub fn publish(&mut self, node: usize, item: Item) {
@@ -162,24 +164,30 @@
         self.carry_out(node, None, out);
     }
 
-    pub fn publish_confirmed(
+    pub fn publish_acknowledged(
         &mut self,
         node: usize,
         item: Item,
-        ticket: u64,
+        publish_id: u64,
         copies: usize,
         prefer: &[SocketAddrV4],
     ) {
         let (now, mut out) = (self.now, Vec::new());
-        let copies = Copies::anywhere(copies, prefer);
-        self.node(node).publish_confirmed(now, item, ticket, copies, &mut out);
+        let copies = ReplicationFactor::anywhere(copies, prefer);
+        self.node(node).publish_acknowledged(now, item, publish_id, copies, &mut out);
         self.carry_out(node, None, out);
     }
 
     /// Has copies on both sides of a group of nodes.
-    pub fn publish_on_both_sides(&mut self, node: usize, item: Item, ticket: u64, copies: Copies<'_>) {
+    pub fn publish_with_replication(
+        &mut self,
+        node: usize,
+        item: Item,
+        publish_id: u64,
+        copies: ReplicationFactor<'_>,
+    ) {
         let (now, mut out) = (self.now, Vec::new());
-        self.node(node).publish_confirmed(now, item, ticket, copies, &mut out);
+        self.node(node).publish_acknowledged(now, item, publish_id, copies, &mut out);
         self.carry_out(node, None, out);
     }
 
@@ -195,7 +203,7 @@
     }
 
     /// Runs until something holds, at most until a time. Returns whether it holds.
-    pub fn run_until_holds(&mut self, until: u64, mut holds: impl FnMut(&Self) -> bool) -> bool {
+    pub fn run_until_condition(&mut self, until: u64, mut holds: impl FnMut(&Self) -> bool) -> bool {
         loop {
             if holds(self) {
                 return true;
@@ -250,16 +258,16 @@
             match output {
                 Output::Send { to, message } => self.post(node, node_of(to), message),
                 Output::Changed(item) => self.arrive(node, from, &item),
-                Output::Confirmed { ticket } => self.settle(ticket, true),
-                Output::Unconfirmed { ticket } => self.settle(ticket, false),
+                Output::Acknowledged { publish_id } => self.acknowledge(publish_id, true),
+                Output::AcknowledgmentFailed { publish_id } => self.acknowledge(publish_id, false),
             }
         }
         self.schedule_wake(node);
     }
 
-    fn settle(&mut self, ticket: u64, confirmed: bool) {
-        let before = self.tickets.insert(ticket, (self.now, confirmed));
-        assert!(before.is_none(), "a ticket is settled once");
+    fn acknowledge(&mut self, publish_id: u64, confirmed: bool) {
+        let before = self.tickets.insert(publish_id, (self.now, confirmed));
+        assert!(before.is_none(), "a publish_id is node_at_rest once");
     }
 
     fn arrive(&mut self, node: usize, from: Option<usize>, item: &Item) {
@@ -303,7 +311,7 @@
     }
 
     /// Whether all nodes that are there hold an item in this stamp.
-    pub fn all_hold(&self, item: &Item) -> bool {
+    pub fn all_have_item(&self, item: &Item) -> bool {
         self.nodes.iter().flatten().all(|node| node.get(item.kind, &item.key) == Some(item))
     }
 
@@ -320,17 +328,17 @@
     /// The counters of all nodes that are there, added up.
     pub fn total(&self) -> Counters {
         let mut total = Counters::default();
-        for one in self.nodes.iter().flatten().map(Spread::counters) {
+        for one in self.nodes.iter().flatten().map(Gossip::counters) {
             total.messages_sent += one.messages_sent;
             total.bytes_sent += one.bytes_sent;
             total.messages_received += one.messages_received;
             total.bytes_received += one.bytes_received;
-            total.items_taken += one.items_taken;
-            total.items_known += one.items_known;
+            total.items_accepted += one.items_accepted;
+            total.items_duplicate += one.items_duplicate;
             total.comparisons += one.comparisons;
             total.repairs += one.repairs;
             total.fetches += one.fetches;
-            total.repairs_put_off += one.repairs_put_off;
+            total.repairs_deferred += one.repairs_deferred;
         }
         total
     }
--- /dev/null
+++ b/proto/src/gossip.rs
@@ -0,0 +1,130 @@
+//! The messages of `gradepaddle-gossip` as Protocol Buffers.
+
+use std::sync::Arc;
+
+use gradepaddle_gossip::{Aged, Entry, Item, Kind, Message, RangeDigest, RangeEntries, Stamp};
+
+use crate::fields::{Decode, DecodeError, Encode, FieldWriter, Fields, UnknownVariantSnafu};
+
+/// Variant numbers of [`Message`].
+const PUSH: u64 = 1;
+const OFFER: u64 = 2;
+const FETCH: u64 = 3;
+const DIGEST: u64 = 4;
+const ENTRIES: u64 = 5;
+const ACKNOWLEDGE: u64 = 6;
+
+impl Encode for Entry {
+    fn encode(&self, to: &mut FieldWriter) {
+        to.uint64(1, u64::from(self.kind.0));
+        to.string(2, &self.key);
+        to.uint64(3, self.stamp.major);
+        to.uint64(4, self.stamp.minor);
+    }
+}
+
+impl Decode for Entry {
+    fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
+        Ok(Entry {
+            kind: Kind(fields.uint64(1) as u8),
+            key: fields.string(2),
+            stamp: Stamp { major: fields.uint64(3), minor: fields.uint64(4) },
+        })
+    }
+}
+
+impl Encode for Aged {
+    fn encode(&self, to: &mut FieldWriter) {
+        self.item.entry().encode(to);
+        to.bytes(5, &self.item.payload);
+        to.bool(6, self.item.removed);
+        to.uint64(7, u64::from(self.age_ms));
+    }
+}
+
+impl Decode for Aged {
+    fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
+        let Entry { kind, key, stamp } = Entry::decode(fields)?;
+        let item = Item { kind, key, stamp, payload: Arc::from(fields.bytes(5)), removed: fields.bool(6) };
+        Ok(Aged { item, age_ms: u32::try_from(fields.uint64(7)).unwrap_or(u32::MAX) })
+    }
+}
+
+impl Encode for RangeDigest {
+    fn encode(&self, to: &mut FieldWriter) {
+        to.uint64(1, u64::from(self.index));
+        to.uint64(2, self.hash);
+    }
+}
+
+impl Decode for RangeDigest {
+    fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
+        Ok(RangeDigest { index: fields.uint64(1) as u16, hash: fields.uint64(2) })
+    }
+}
+
+impl Encode for RangeEntries {
+    fn encode(&self, to: &mut FieldWriter) {
+        to.uint64(1, u64::from(self.index));
+        to.repeated_messages(2, &self.entries);
+    }
+}
+
+impl Decode for RangeEntries {
+    fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
+        Ok(RangeEntries { index: fields.uint64(1) as u16, entries: fields.repeated_messages(2)? })
+    }
+}
+
+impl Encode for Message {
+    fn encode(&self, to: &mut FieldWriter) {
+        match self {
+            Message::Push { items, acknowledge, repair } => {
+                to.uint64(1, PUSH);
+                to.repeated_messages(2, items);
+                to.bool(3, *acknowledge);
+                to.bool(4, *repair);
+            }
+            Message::Offer { entries } => list(to, OFFER, entries),
+            Message::Fetch { entries } => list(to, FETCH, entries),
+            Message::Digest { ranges, reply } => {
+                to.uint64(1, DIGEST);
+                to.repeated_messages(2, ranges);
+                to.bool(3, *reply);
+            }
+            Message::Entries { ranges } => {
+                to.uint64(1, ENTRIES);
+                to.repeated_messages(2, ranges);
+            }
+            Message::Acknowledge { entries, shutting_down } => {
+                list(to, ACKNOWLEDGE, entries);
+                to.bool(3, *shutting_down);
+            }
+        }
+    }
+}
+
+fn list(to: &mut FieldWriter, variant: u64, entries: &[Entry]) {
+    to.uint64(1, variant);
+    to.repeated_messages(2, entries);
+}
+
+impl Decode for Message {
+    fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
+        Ok(match fields.uint64(1) {
+            PUSH => Message::Push {
+                items: fields.repeated_messages(2)?,
+                acknowledge: fields.bool(3),
+                repair: fields.bool(4),
+            },
+            OFFER => Message::Offer { entries: fields.repeated_messages(2)? },
+            FETCH => Message::Fetch { entries: fields.repeated_messages(2)? },
+            DIGEST => Message::Digest { ranges: fields.repeated_messages(2)?, reply: fields.bool(3) },
+            ENTRIES => Message::Entries { ranges: fields.repeated_messages(2)? },
+            ACKNOWLEDGE => {
+                Message::Acknowledge { entries: fields.repeated_messages(2)?, shutting_down: fields.bool(3) }
+            }
+            variant => return UnknownVariantSnafu { message: "spread message", variant }.fail(),
+        })
+    }
+}
--- a/proto/tests/common/mod.rs
+++ b/proto/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! Arbitrary messages of every type.
-#![allow(dead_code, reason = "each test file uses a part")]
+#![allow(dead_code, reason = "each test file uses a chunk")]
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -10,12 +10,12 @@
     InstallSnapshot, KnownView, LogPosition, Member, Message, PreVoteReply, Prepare, Promise, ProposalNumber,
     Record, Reject, ReplicaId, Replicate, SnapshotInstalled, StoredConfiguration, View,
 };
+use gradepaddle_gossip::{Aged, Entry, Item, Kind, RangeDigest, RangeEntries, Stamp};
 use gradepaddle_proto::{
-    Content, ControlCall, Encode, Envelope, FieldWriter, Forward, Forwarded, Identity, KeptPrompt, LoadShare,
-    NewestAsk, NewestTold, PromptPart, Registration, ServerShare, SessionBeat, SessionGrant, StoreReport,
-    ViewSummary, Weights,
+    CacheStoreReport, CachedPrefix, Content, ControlCall, Encode, Envelope, FieldWriter, ForwardedCall,
+    ForwardedReply, Identity, ModelVersion, PeerLoadReport, PromptChunk, Registration, ServerLoad,
+    SessionHeartbeat, SessionHeartbeatReply, VersionQuery, VersionReply, ViewSummary,
 };
-use gradepaddle_spread::{Aged, Entry, Item, Kind, RangeDigest, RangeEntries, Stamp};
 use proptest::collection::vec;
 use proptest::option;
 use proptest::prelude::{BoxedStrategy, Just, Strategy, any, prop_oneof};
@@ -36,7 +36,7 @@
     ]
 }
 
-/// Any address but the one that is none: a node listens on a port of its own.
+/// Any address with a port: 0.0.0.0:0 is encoded as no address.
 pub fn address() -> impl Strategy<Value = SocketAddrV4> + Clone {
     (any::<u32>(), 1..=u16::MAX).prop_map(|(ip, port)| SocketAddrV4::new(Ipv4Addr::from(ip), port))
 }
@@ -99,7 +99,7 @@
     prop_oneof![put, named].boxed()
 }
 
-fn stored() -> BoxedStrategy<StoredConfiguration> {
+fn stored_configuration() -> BoxedStrategy<StoredConfiguration> {
     (number(), bytes(), any::<u128>())
         .prop_map(|(version, body, fingerprint)| StoredConfiguration { version, body, fingerprint })
         .boxed()
@@ -111,7 +111,7 @@
     let accepted = (vec(accepted, 0..8), number())
         .prop_map(|(latest, forgotten)| AcceptedHistory::new(latest, forgotten));
     let models = vec((text(), number()), 0..5);
-    (option::of(stored()), accepted, models)
+    (option::of(stored_configuration()), accepted, models)
         .prop_map(|(configuration, accepted, models)| ControlState {
             configuration,
             accepted,
@@ -240,18 +240,18 @@
     (any::<u16>(), vec(entry(), 0..5)).prop_map(|(index, entries)| RangeEntries { index, entries })
 }
 
-pub fn spread_message() -> BoxedStrategy<gradepaddle_spread::Message> {
-    use gradepaddle_spread::Message;
+pub fn gossip_message() -> BoxedStrategy<gradepaddle_gossip::Message> {
+    use gradepaddle_gossip::Message;
     let push = (vec(aged(), 0..4), any::<bool>(), any::<bool>());
     prop_oneof![
-        push.prop_map(|(items, confirm, repair)| Message::Push { items, confirm, repair }),
+        push.prop_map(|(items, acknowledge, repair)| Message::Push { items, acknowledge, repair }),
         vec(entry(), 0..5).prop_map(|entries| Message::Offer { entries }),
         vec(entry(), 0..5).prop_map(|entries| Message::Fetch { entries }),
         (vec(range_digest(), 0..70), any::<bool>())
             .prop_map(|(ranges, reply)| Message::Digest { ranges, reply }),
         vec(range_entries(), 0..4).prop_map(|ranges| Message::Entries { ranges }),
         (vec(entry(), 0..5), any::<bool>())
-            .prop_map(|(entries, leaving)| Message::Confirm { entries, leaving }),
+            .prop_map(|(entries, shutting_down)| Message::Acknowledge { entries, shutting_down }),
     ]
     .boxed()
 }
@@ -269,8 +269,8 @@
         .boxed()
 }
 
-pub fn session_beat() -> impl Strategy<Value = SessionBeat> + Clone {
-    (identity(), number()).prop_map(|(identity, view_epoch)| SessionBeat { identity, view_epoch })
+pub fn session_heartbeat() -> impl Strategy<Value = SessionHeartbeat> + Clone {
+    (identity(), number()).prop_map(|(identity, view_epoch)| SessionHeartbeat { identity, view_epoch })
 }
 
 fn view_summary() -> impl Strategy<Value = ViewSummary> + Clone {
@@ -278,11 +278,11 @@
         .prop_map(|(epoch, primary, members)| ViewSummary { epoch, primary, members })
 }
 
-pub fn session_grant() -> BoxedStrategy<SessionGrant> {
+pub fn session_heartbeat_reply() -> BoxedStrategy<SessionHeartbeatReply> {
     (number(), any::<bool>(), number(), option::of(view_summary()))
-        .prop_map(|(incarnation, stands, seen_incarnation, view)| SessionGrant {
+        .prop_map(|(incarnation, granted, seen_incarnation, view)| SessionHeartbeatReply {
             incarnation,
-            stands,
+            granted,
             seen_incarnation,
             view,
         })
@@ -305,98 +305,80 @@
     .boxed()
 }
 
-pub fn forward() -> impl Strategy<Value = Forward> + Clone {
-    (number(), control_call()).prop_map(|(ticket, call)| Forward { ticket, call })
+pub fn forwarded_call() -> impl Strategy<Value = ForwardedCall> + Clone {
+    (number(), control_call()).prop_map(|(call_id, call)| ForwardedCall { call_id, call })
 }
 
-pub fn forwarded() -> impl Strategy<Value = Forwarded> + Clone {
-    (number(), any::<u16>(), bytes(), number()).prop_map(|(ticket, status, body, lease_left)| Forwarded {
-        ticket,
-        status,
-        body,
-        lease_left,
+pub fn forwarded_reply() -> impl Strategy<Value = ForwardedReply> + Clone {
+    (number(), any::<u16>(), bytes(), number()).prop_map(|(call_id, status, body, lease_remaining)| {
+        ForwardedReply { call_id, status, body, lease_remaining }
     })
 }
 
 pub fn registration() -> BoxedStrategy<Registration> {
-    let weights = (name(), number()).prop_map(|(model, version)| Weights { model, version });
+    let models = (name(), number()).prop_map(|(model, version)| ModelVersion { model, version });
     let names = (name(), name(), name());
     let flags = (any::<bool>(), any::<bool>());
-    (names, address(), any::<u32>(), flags, number(), vec(weights, 0..4), address())
-        .prop_map(
-            |((id, service, zone), address, slots, (draining, lost), warmup_left_ms, weights, owner)| {
-                Registration {
-                    id,
-                    service,
-                    address,
-                    zone,
-                    slots,
-                    draining,
-                    lost,
-                    warmup_left_ms,
-                    weights,
-                    owner,
-                }
-            },
-        )
+    (names, address(), any::<u32>(), flags, number(), vec(models, 0..4), address())
+        .prop_map(|((id, service, zone), address, slots, (draining, lost), warmup_left_ms, models, owner)| {
+            Registration { id, service, address, zone, slots, draining, lost, warmup_left_ms, models, owner }
+        })
         .boxed()
 }
 
-pub fn load_share() -> BoxedStrategy<LoadShare> {
+pub fn peer_load_report() -> BoxedStrategy<PeerLoadReport> {
     let share = (number(), any::<u32>(), any::<u32>(), number());
-    let share = share.prop_map(|(server, backlog_ms, running, tokens)| ServerShare {
+    let share = share.prop_map(|(server, backlog_ms, running, tokens)| ServerLoad {
         server,
         backlog_ms,
         running,
         tokens,
     });
-    let changes = vec(store_report(), 0..3);
-    (number(), option::of(address()), any::<bool>(), vec(share, 0..6), vec(kept_prompt(), 0..3), changes)
-        .prop_map(|(sequence, origin, relay, servers, kept, changes)| LoadShare {
+    let reports = vec(cache_store_report(), 0..3);
+    (number(), option::of(address()), any::<bool>(), vec(share, 0..6), vec(cached_prefix(), 0..3), reports)
+        .prop_map(|(sequence, origin, relay, servers, cached_prefixes, cache_store_reports)| PeerLoadReport {
             sequence,
             origin,
             relay,
             servers,
-            kept,
-            changes,
+            cached_prefixes,
+            cache_store_reports,
         })
         .boxed()
 }
 
-pub fn store_report() -> BoxedStrategy<StoreReport> {
-    let parts = vec((number(), any::<u32>()).prop_map(|(id, tokens)| PromptPart { id, tokens }), 0..5);
-    (number(), any::<bool>(), parts)
-        .prop_map(|(store, reset, parts)| StoreReport { store, reset, parts })
+pub fn cache_store_report() -> BoxedStrategy<CacheStoreReport> {
+    let chunks = vec((number(), any::<u32>()).prop_map(|(id, tokens)| PromptChunk { id, tokens }), 0..5);
+    (number(), any::<bool>(), chunks)
+        .prop_map(|(store, reset, chunks)| CacheStoreReport { store, reset, chunks })
         .boxed()
 }
 
-pub fn kept_prompt() -> BoxedStrategy<KeptPrompt> {
-    let part = (number(), any::<u32>()).prop_map(|(id, tokens)| PromptPart { id, tokens });
-    (number(), number(), number(), number(), vec(part, 0..5))
-        .prop_map(|(server, key, version, salt, parts)| KeptPrompt { server, key, version, salt, parts })
+pub fn cached_prefix() -> BoxedStrategy<CachedPrefix> {
+    let chunk = (number(), any::<u32>()).prop_map(|(id, tokens)| PromptChunk { id, tokens });
+    (number(), number(), number(), number(), vec(chunk, 0..5))
+        .prop_map(|(server, key, version, salt, chunks)| CachedPrefix { server, key, version, salt, chunks })
         .boxed()
 }
 
 pub fn envelope() -> BoxedStrategy<Envelope> {
     let content = prop_oneof![
         control_message().prop_map(Content::Control),
-        spread_message().prop_map(Content::Spread),
-        session_beat().prop_map(Content::SessionBeat),
-        session_grant().prop_map(Content::SessionGrant),
-        view().prop_map(Content::Found),
-        forward().prop_map(Content::Forward),
-        forwarded().prop_map(Content::Forwarded),
-        number().prop_map(|name| Content::NewestAsk(NewestAsk { name })),
-        (number(), number(), number()).prop_map(|(name, version, age)| Content::NewestTold(NewestTold {
-            name,
-            version,
-            age
-        })),
+        gossip_message().prop_map(Content::Gossip),
+        session_heartbeat().prop_map(Content::SessionHeartbeat),
+        session_heartbeat_reply().prop_map(Content::SessionHeartbeatReply),
+        view().prop_map(Content::Bootstrap),
+        forwarded_call().prop_map(Content::ForwardedCall),
+        forwarded_reply().prop_map(Content::ForwardedReply),
+        number().prop_map(|query_id| Content::VersionQuery(VersionQuery { query_id })),
+        (number(), number(), number()).prop_map(|(query_id, version, age)| Content::VersionReply(
+            VersionReply { query_id, version, age }
+        )),
     ];
     (address(), content).prop_map(|(from, content)| Envelope { from, content }).boxed()
 }
 
-/// A message as a later build writes it: with fields that this one doesn't know, before and behind its own.
+/// A message as a later build encodes it: with unknown fields before and behind its own.
 pub struct Later<M>(pub M);
 
 impl<M: Encode> Encode for Later<M> {
@@ -408,11 +390,11 @@
 }
 
 fn unknown_fields(to: &mut FieldWriter) {
-    to.number(900, 7);
-    to.some_number(901, Some(0));
+    to.uint64(900, 7);
+    to.optional_uint64(901, Some(0));
     to.bytes(902, b"\xff\x00 what a later build says");
     to.bytes(903, b"");
-    to.number(536_870_911, u64::MAX);
+    to.uint64(536_870_911, u64::MAX);
 }
 
 /// An unknown field of eight bytes and one of four, which this build never writes, but others may.
--- a/system/src/planes.rs
+++ b/system/src/planes.rs
@@ -11,9 +11,9 @@
 use gradepaddle_controlplane::version_announcement::VersionDeadlines;
 use gradepaddle_controlplane::{CLOCK_START, Micros};
 use gradepaddle_dataplane::{DataPlane, Setup};
+use gradepaddle_gossip::{Gossip, GossipConfig};
 use gradepaddle_placement::{PlacementConfig, Placer};
 use gradepaddle_proto::Identity;
-use gradepaddle_spread::{Spread, SpreadConfig};
 use slog::Logger;
 
 use crate::listeners::{peer_address, seed_addresses};
@@ -56,7 +56,7 @@
     let losses = settings.survive.machine_losses as usize;
     Node::new(NodeSetup {
         session: SessionClient::new(identity, seeds.clone(), CLOCK_START),
-        spread: Spread::new(SpreadConfig::builder().address(own).seed(random()).build(), CLOCK_START),
+        gossip: Gossip::new(GossipConfig::builder().address(own).seed(random()).build(), CLOCK_START),
         bootstrap: Bootstrap::new(own, &seeds, losses, settings.first_boot, CLOCK_START),
         heartbeat_interval: micros(settings.beat_every),
         order_lease: micros(settings.bounds.lease),
