--- a/controlplane/tests/calls.rs
+++ b/controlplane/tests/api.rs
@@ -184,7 +184,7 @@
 }
 
 #[gtest]
-fn configurations_that_make_no_sense() -> Result<()> {
+fn invalid_configurations_are_rejected() -> Result<()> {
     let whole = configuration().to_string();
     let same_prefix = with(configuration(), "/routes/1/pathPrefix", json!("/stock/"));
     let weightless = json!([{"backend": "stock-old", "weight": 0}, {"backend": "stock-new", "weight": 0}]);
@@ -242,7 +242,7 @@
 }
 
 #[gtest]
-fn a_patch_is_the_same_change_only_on_the_same_version() {
+fn a_patch_is_the_same_change_only_on_the_same_base_version() {
     let sent = br#"{"version":9}"#;
     expect_that!(patch_fingerprint_number(7, sent), eq(patch_fingerprint_number(7, sent)));
     expect_that!(patch_fingerprint_number(7, sent), not(eq(patch_fingerprint_number(8, sent))));
@@ -250,7 +250,7 @@
 }
 
 #[gtest]
-fn the_body_is_kept_as_it_was_sent() -> Result<()> {
+fn the_body_is_stored_as_it_was_sent() -> Result<()> {
     let sent = serde_json::to_vec_pretty(&configuration())?;
     let Ok(Call::Control(ControlCall::PutConfiguration { body, .. })) =
         parse("PUT", "/v1/config", Some("0"), &sent)
@@ -265,12 +265,12 @@
 }
 
 #[gtest]
-fn refusals_say_why() -> Result<()> {
+fn rejections_carry_a_message() -> Result<()> {
     let Err(answer) = parse("PUT", "/v1/config", Some("0"), b"{}") else {
         return fail!("an empty configuration was taken");
     };
-    let told: Value = serde_json::from_slice(&answer.body)?;
-    expect_that!(told["message"].as_str().unwrap_or_default(), not(eq("")));
+    let body: Value = serde_json::from_slice(&answer.body)?;
+    expect_that!(body["message"].as_str().unwrap_or_default(), not(eq("")));
     expect_that!(Response::unavailable("x").status, eq(503));
     expect_that!(Response::bare(200).body.len(), eq(0));
     Ok(())
--- a/controlplane/tests/founding.rs
+++ b/controlplane/tests/bootstrap.rs
@@ -49,7 +49,7 @@
 }
 
 #[gtest]
-fn only_the_lowest_seed_founds_and_only_at_the_first_start() -> Result<()> {
+fn only_the_lowest_seed_bootstraps_and_only_at_the_first_start() -> Result<()> {
     let seeds = addresses([3, 1, 2]);
     for (own, first_boot, founds) in
         [(1, true, true), (2, true, false), (3, true, false), (4, true, false), (1, false, false)]
@@ -62,7 +62,7 @@
 }
 
 #[gtest]
-fn it_waits_a_second_and_until_nobody_new_has_come() -> Result<()> {
+fn bootstrap_waits_a_second_and_until_no_new_core_machine_comes() -> Result<()> {
     let mut early = with_all_seeds(1).or_fail()?;
     early.handle_heartbeat(0, &founder(1, "a"));
     let (at, _) = first_sent(&mut early, 9 * SECOND).or_fail()?;
@@ -78,7 +78,7 @@
 }
 
 #[gtest]
-fn it_waits_for_the_other_seeds() -> Result<()> {
+fn bootstrap_waits_for_the_other_seeds() -> Result<()> {
     // Those of the others that say hello, and when the first view is sent.
     let span = |from: Micros, until: Micros| Some((from, until));
     for (greeting, wanted) in [
@@ -102,7 +102,7 @@
 }
 
 #[gtest]
-fn a_seed_that_comes_late_is_waited_for() -> Result<()> {
+fn bootstrap_waits_for_a_late_seed() -> Result<()> {
     let mut bootstrap = alone(1).or_fail()?;
     bootstrap.handle_heartbeat(0, &founder(1, "a"));
     bootstrap.handle_heartbeat(0, &founder(2, "b"));
@@ -114,7 +114,7 @@
 }
 
 #[gtest]
-fn the_only_seed_founds_alone() -> Result<()> {
+fn the_only_seed_bootstraps_alone() -> Result<()> {
     let mut bootstrap = Bootstrap::new(address(1), &addresses([1]), 1, true, 0).or_fail()?;
     bootstrap.handle_heartbeat(0, &founder(1, "a"));
     let (at, sent) = first_sent(&mut bootstrap, 9 * SECOND).or_fail()?;
@@ -124,7 +124,7 @@
 }
 
 #[gtest]
-fn hearing_the_same_again_holds_nothing_up() -> Result<()> {
+fn repeated_heartbeats_do_not_delay_the_first_view() -> Result<()> {
     let mut bootstrap = with_all_seeds(1).or_fail()?;
     for now in (0..3 * SECOND).step_by(100_000) {
         bootstrap.handle_heartbeat(now, &founder(1, "a"));
@@ -156,7 +156,7 @@
 }
 
 #[gtest]
-fn the_founder_leads_if_it_is_a_core_machine() -> Result<()> {
+fn the_bootstrapping_node_is_the_primary_if_it_is_a_core_machine() -> Result<()> {
     let view = first_view(1, &[(2, "b"), (1, "a"), (3, "c")]).or_fail()?;
     expect_that!(view.member(view.primary).or_fail()?.address, eq(address(1)));
     let view = first_view(1, &[(2, "b"), (3, "c")]).or_fail()?;
@@ -189,7 +189,7 @@
 }
 
 #[gtest]
-fn without_core_machines_nothing_is_founded_until_one_comes() -> Result<()> {
+fn without_core_machines_there_is_no_first_view_until_one_comes() -> Result<()> {
     let mut bootstrap = with_all_seeds(1).or_fail()?;
     expect_that!(first_sent(&mut bootstrap, 5 * SECOND).is_none(), eq(true));
     bootstrap.handle_heartbeat(5 * SECOND, &founder(2, "b"));
@@ -198,7 +198,7 @@
 }
 
 #[gtest]
-fn the_view_is_told_again_for_a_while_and_never_changes() -> Result<()> {
+fn the_first_view_is_resent_for_a_while_and_never_changes() -> Result<()> {
     let mut bootstrap = with_all_seeds(1).or_fail()?;
     bootstrap.handle_heartbeat(0, &founder(1, "a"));
     bootstrap.handle_heartbeat(0, &founder(2, "b"));
--- a/controlplane/tests/golden.rs
+++ b/controlplane/tests/golden.rs
@@ -2,7 +2,7 @@
 
 #[path = "golden/lone_node.rs"]
 mod lone_node;
-#[path = "fleet/mod.rs"]
+#[path = "simulation/mod.rs"]
 mod simulation;
 #[path = "golden/transcript.rs"]
 mod transcript;
@@ -197,7 +197,7 @@
 }
 
 #[gtest]
-fn answers_where_nothing_can_be_said() -> Result<()> {
+fn unavailable_responses() -> Result<()> {
     local(async {
         let mut transcript = Transcript::default();
         let put = || request("PUT", "/v1/config", Some("0"), CONFIGURATION_BODY);
@@ -414,7 +414,7 @@
 
 /// What the roll-out marks servers with, order after order.
 #[gtest]
-fn marks_of_a_roll_out() -> Result<()> {
+fn reservations_of_a_rollout() -> Result<()> {
     let server = Registration {
         id: Arc::from("s0"),
         service: Arc::from("advice"),
--- a/controlplane/tests/leases.rs
+++ b/controlplane/tests/leases.rs
@@ -1,6 +1,6 @@
 //! What leaves a node leaves it within the lease: answers that were held up, late answers of the primary, orders.
 
-#[path = "fleet/mod.rs"]
+#[path = "simulation/mod.rs"]
 mod simulation;
 
 use std::io::ErrorKind;
@@ -43,7 +43,7 @@
         world.run_until(6_800 * MS);
         let leads = |node: &usize| {
             let process = world.machines[*node].process.as_ref().expect("it runs");
-            process.told.leading.is_some()
+            process.observed.leading.is_some()
         };
         let primary = (0..3).find(leads).expect("somebody leads");
         Fleet { world, primary }
@@ -95,7 +95,7 @@
 
 /// The process may stand still between deciding and answering.
 #[gtest]
-fn what_the_primary_decides_at_once_is_said_within_its_lease_only() {
+fn immediate_decisions_are_sent_within_the_lease_only() {
     let rows = [
         ("the newest configuration", Call::Control(ControlCall::GetConfiguration), 200),
         ("a version that was overtaken", put(0, 1_000), 412),
@@ -118,7 +118,7 @@
 
 /// The backup's word comes when the lease has run out: the change is in force, and whoever leads now may say so.
 #[gtest]
-fn a_change_that_is_written_after_the_lease_gets_no_clear_answer() -> Result<()> {
+fn a_change_that_is_durable_after_the_lease_gets_503() -> Result<()> {
     for (later, status) in [(5 * MS, 200), (LEASE + 100 * MS, 503)] {
         let mut fleet = Fleet::new();
         let primary = fleet.primary;
@@ -167,7 +167,7 @@
 
 /// An answer of the primary comes late, or is read late by a process that stood still.
 #[gtest]
-fn an_answer_of_the_primary_is_passed_on_within_its_lease_only() -> Result<()> {
+fn a_reply_of_the_primary_is_relayed_within_its_lease_only() -> Result<()> {
     let rows = [
         ("at once", 412, 1_200 * MS, 2 * MS, 412),
         ("at once, a success", 200, 1_200 * MS, 2 * MS, 200),
@@ -179,7 +179,7 @@
         ("without a lease", 412, 0, 2 * MS, 503),
         ("nothing clear", 503, 0, 2 * MS, 503),
     ];
-    for (what, told, lease_remaining, later, status) in rows {
+    for (what, reply, lease_remaining, later, status) in rows {
         let mut fleet = Fleet::new();
         let asked = (fleet.primary + 1) % 3;
         let out = fleet.call(asked, Call::Control(ControlCall::GetConfiguration));
@@ -187,8 +187,12 @@
             Output::Send { content: Content::ForwardedCall(forward), .. } => Some(forward.call_id),
             _ => None,
         });
-        let forwarded =
-            ForwardedReply { call_id: ticket.or_fail()?, status: told, body: Arc::from([]), lease_remaining };
+        let forwarded = ForwardedReply {
+            call_id: ticket.or_fail()?,
+            status: reply,
+            body: Arc::from([]),
+            lease_remaining,
+        };
         let input = fleet.envelope(fleet.primary, Content::ForwardedReply(forwarded));
         let sent = fleet.clock(asked);
         let answer = answer(&fleet.hand(asked, later, input)).or_fail()?;
@@ -201,7 +205,7 @@
 
 /// The primary says for how long its lease was to last.
 #[gtest]
-fn the_primary_tells_others_how_long_its_answer_holds() -> Result<()> {
+fn the_primary_sends_the_remaining_lease_with_its_reply() -> Result<()> {
     let mut fleet = Fleet::new();
     let (primary, asked) = (fleet.primary, (fleet.primary + 1) % 3);
     let out = fleet.call(asked, Call::Control(ControlCall::GetConfiguration));
@@ -210,17 +214,17 @@
         _ => None,
     });
     let input = fleet.envelope(asked, forward.or_fail()?);
-    let told = fleet.hand(primary, 0, input).into_iter().find_map(|output| match output {
-        Output::Send { content: Content::ForwardedReply(told), .. } => Some(told),
+    let reply = fleet.hand(primary, 0, input).into_iter().find_map(|output| match output {
+        Output::Send { content: Content::ForwardedReply(reply), .. } => Some(reply),
         _ => None,
     });
-    let told = told.or_fail()?;
-    verify_that!((told.status, told.lease_remaining), (eq(200), all![gt(0), le(LEASE)]))
+    let reply = reply.or_fail()?;
+    verify_that!((reply.status, reply.lease_remaining), (eq(200), all![gt(0), le(LEASE)]))
 }
 
 /// Nobody waits in silence: callers go on after a second.
 #[gtest]
-fn a_call_that_the_primary_does_not_answer_gets_an_unclear_answer_within_a_second() -> Result<()> {
+fn a_call_without_a_decision_of_the_primary_gets_503_within_a_second() -> Result<()> {
     for call in [
         Call::Control(ControlCall::GetConfiguration),
         put(0, 1),
@@ -241,11 +245,12 @@
 }
 
 #[gtest]
-fn an_order_leaves_before_the_end_of_the_lease_only() -> Result<()> {
+fn an_order_is_sent_before_the_end_of_the_lease_only() -> Result<()> {
     let mut fleet = Fleet::new();
     let primary = fleet.primary;
     let now = fleet.clock(primary);
-    let epoch = fleet.world.machines[primary].process.as_ref().and_then(|one| one.told.leading).or_fail()?;
+    let epoch =
+        fleet.world.machines[primary].process.as_ref().and_then(|one| one.observed.leading).or_fail()?;
     let deadline = fleet.node(primary).order_deadline(now, epoch).or_fail()?;
     expect_that!(deadline, all![gt(now), le(now + LEASE)]);
     expect_that!(fleet.node(primary).order_deadline(deadline, epoch), none());
@@ -266,7 +271,7 @@
 
 /// The last look is taken where the answer is written.
 #[gtest]
-fn the_door_writes_nothing_clear_after_the_lease() -> Result<()> {
+fn the_api_server_sends_nothing_conclusive_after_the_lease() -> Result<()> {
     run(async {
         let rows = [(Some(CLOCK_START), "503"), (Some(CLOCK_START + 3_600 * SECOND), "200"), (None, "200")];
         for (valid_until, status) in rows {
@@ -340,7 +345,7 @@
 
 /// An order that has no answer by the end of the lease is withdrawn: what a cut holds up would come much later.
 #[gtest]
-fn an_order_without_an_answer_is_reset_at_the_end_of_the_lease() -> Result<()> {
+fn an_order_without_a_response_is_reset_at_the_end_of_the_lease() -> Result<()> {
     run(async {
         let (_sender, leading) = watch::channel(Some(1));
         let deadline = Instant::now() + Duration::from_millis(200);
@@ -353,7 +358,7 @@
 
 /// A primary that hands over, or leads under the next epoch, lets no order of before arrive after one of the next.
 #[gtest]
-fn an_order_under_way_is_reset_when_its_fence_is_over() -> Result<()> {
+fn an_order_in_flight_is_reset_when_its_fencing_token_expires() -> Result<()> {
     run(async {
         for next in [None, Some(2)] {
             let mut fastest = Duration::MAX;
@@ -379,7 +384,7 @@
 
 /// A patch is judged on the configuration that is in force, and what is said of it within the lease only.
 #[gtest]
-fn what_the_primary_says_of_a_patch() {
+fn responses_of_the_primary_to_a_patch() {
     let patch = |if_match, version, text: &str| {
         Call::Control(ControlCall::PatchConfiguration {
             if_match,
@@ -412,7 +417,7 @@
 
 /// The answer was lost, and other changes have come since: the patch that is sent again was taken.
 #[gtest]
-fn a_patch_that_is_sent_again_later_is_acknowledged_again() -> Result<()> {
+fn a_repeated_patch_is_acknowledged_again() -> Result<()> {
     let mut fleet = Fleet::new();
     let current = fleet.world.operators[0].current;
     let text = format!(r#"{{"version":{},"upsert":{{"customers":[{{"name":"new"}}]}}}}"#, current + 1);
--- a/controlplane/tests/histories.rs
+++ b/controlplane/tests/linearizability.rs
@@ -1,7 +1,7 @@
 //! Whole fleets with operators who race, lose answers and send orders of before again, to any machine: one register
 //! that compares and sets explains all that they are answered.
 
-#[path = "fleet/mod.rs"]
+#[path = "simulation/mod.rs"]
 mod simulation;
 
 use googletest::prelude::*;
@@ -32,17 +32,17 @@
 }
 
 #[gtest]
-fn three_nodes_are_one_register() {
+fn three_nodes_are_linearizable() {
     explained(&Plan { faults: 8, ..Plan::new(3, 3, 1) }, 40);
 }
 
 #[gtest]
-fn nine_nodes_are_one_register() {
+fn nine_nodes_are_linearizable() {
     explained(&Plan { faults: 8, ..Plan::new(9, 3, 1) }, 40);
 }
 
 #[gtest]
-fn nine_nodes_that_lose_power_and_a_disk_are_one_register() {
+fn nine_nodes_that_lose_power_and_a_disk_are_linearizable() {
     let ending = Ending::PowerLoss { wiped: 1 };
     explained(&Plan { faults: 4, ending, ..Plan::new(9, 3, 1) }, 40);
 }
--- a/controlplane/tests/outages.rs
+++ b/controlplane/tests/outages.rs
@@ -1,31 +1,31 @@
 //! Twenty seconds without contact, in each way and for each kind of machine, with callers on both sides.
 
-#[path = "fleet/mod.rs"]
+#[path = "simulation/mod.rs"]
 mod simulation;
 
 use googletest::prelude::*;
 use gradepaddle_control::InjectedFault;
-use simulation::{MS, Micros, Outage, Plan, Report, SECOND, Trouble, Victim, World};
+use simulation::{MS, Micros, Outage, OutageKind, Plan, Report, SECOND, Victim, World};
 
 /// How many seeds each outage is given, unless `FLEET_SEEDS` says otherwise.
 const SEEDS: u64 = 3;
 /// How long an outage lasts.
 const LASTS: Micros = 20 * SECOND;
 
-const TROUBLES: [Trouble; 8] = [
-    Trouble::Cut,
-    Trouble::CutFromCore,
-    Trouble::Deaf,
-    Trouble::Mute,
-    Trouble::CutAndFrozen,
-    Trouble::Frozen,
-    Trouble::Flapping,
-    Trouble::Stalling,
+const OUTAGE_KINDS: [OutageKind; 8] = [
+    OutageKind::Partition,
+    OutageKind::PartitionFromCore,
+    OutageKind::Deaf,
+    OutageKind::Mute,
+    OutageKind::PartitionAndFrozen,
+    OutageKind::Frozen,
+    OutageKind::Flapping,
+    OutageKind::Stalling,
 ];
 
 /// Nine machines, of which so many have a disk.
-fn plan(cores: usize, losses: usize, victim: Victim, trouble: Trouble) -> Plan {
-    let outage = Some(Outage { victim, trouble, lasts: LASTS });
+fn plan(cores: usize, losses: usize, victim: Victim, kind: OutageKind) -> Plan {
+    let outage = Some(Outage { victim, kind, lasts: LASTS });
     let calm_for = LASTS + 8 * SECOND;
     Plan { faults: 0, calm_for, servers_agree: false, outage, ..Plan::new(9, cores, losses) }
 }
@@ -38,18 +38,18 @@
 
 /// Plays each kind of outage of a victim once for each seed.
 fn play(cores: usize, losses: usize, victim: Victim) -> Result<()> {
-    for trouble in TROUBLES {
+    for kind in OUTAGE_KINDS {
         let mut total = Report::default();
         let mut failures = Vec::new();
         for seed in seeds() {
-            let report = World::new(plan(cores, losses, victim, trouble), seed).play();
+            let report = World::new(plan(cores, losses, victim, kind), seed).play();
             if let Some(violation) = &report.violation {
                 failures.push(format!("seed {seed}: {violation}"));
             }
             total.add(&report);
         }
         println!(
-            "{cores} cores, {victim:?} {trouble:?}: {} acknowledged, {} refused, {} orders, {} reads unclear; others answer after \
+            "{cores} cores, {victim:?} {kind:?}: {} acknowledged, {} refused, {} orders, {} reads unclear; others answer after \
              {} ms; after its end those without contact answer after {} ms and have the configuration after {} ms",
             total.acknowledged,
             total.refused,
@@ -59,53 +59,53 @@
             total.answers_after / MS,
             total.applied_after / MS,
         );
-        expect_that!(failures, is_empty(), "{victim:?} {trouble:?}");
-        expect_that!(total.others_after, lt(4 * SECOND), "{victim:?} {trouble:?}");
-        expect_that!(total.answers_after, lt(2 * SECOND), "{victim:?} {trouble:?}");
-        expect_that!(total.applied_after, lt(3 * SECOND), "{victim:?} {trouble:?}");
+        expect_that!(failures, is_empty(), "{victim:?} {kind:?}");
+        expect_that!(total.others_after, lt(4 * SECOND), "{victim:?} {kind:?}");
+        expect_that!(total.answers_after, lt(2 * SECOND), "{victim:?} {kind:?}");
+        expect_that!(total.applied_after, lt(3 * SECOND), "{victim:?} {kind:?}");
     }
     Ok(())
 }
 
 #[gtest]
-fn the_primary_without_contact() -> Result<()> {
+fn the_primary_is_partitioned_or_frozen() -> Result<()> {
     play(3, 1, Victim::Primary)
 }
 
 #[gtest]
-fn the_primary_of_nine_core_machines_without_contact() -> Result<()> {
+fn the_primary_of_nine_core_machines_is_partitioned_or_frozen() -> Result<()> {
     play(9, 2, Victim::Primary)
 }
 
 #[gtest]
-fn the_zone_of_the_primary_of_nine_core_machines_without_contact() -> Result<()> {
+fn the_zone_of_the_primary_of_nine_core_machines_is_partitioned_or_frozen() -> Result<()> {
     play(9, 2, Victim::ZoneOfPrimary)
 }
 
 #[gtest]
-fn the_zone_of_the_primary_without_contact() -> Result<()> {
+fn the_zone_of_the_primary_is_partitioned_or_frozen() -> Result<()> {
     play(3, 1, Victim::ZoneOfPrimary)
 }
 
 #[gtest]
-fn another_core_machine_without_contact() -> Result<()> {
+fn another_core_machine_is_partitioned_or_frozen() -> Result<()> {
     play(3, 1, Victim::OtherCore)
 }
 
 #[gtest]
-fn a_machine_without_disk_without_contact() -> Result<()> {
+fn a_machine_without_a_disk_is_partitioned_or_frozen() -> Result<()> {
     play(3, 1, Victim::WithoutDisk)
 }
 
 /// The core is cut into halves, whatever may be lost at once; all other machines, servers and callers reach both. An odd
 /// core goes on in its larger part, an even one rests; nobody says anything clear that is old.
 #[gtest]
-fn the_core_in_halves() -> Result<()> {
+fn the_core_is_split_in_halves() -> Result<()> {
     const LASTS: Micros = 8 * SECOND;
     for (cores, losses) in [(3, 1), (4, 1), (5, 2), (8, 2)] {
         for victim in [Victim::HalfWithPrimary, Victim::HalfWithoutPrimary] {
-            let whole = plan(cores, losses, victim, Trouble::CutFromCore);
-            let outage = Some(Outage { victim, trouble: Trouble::CutFromCore, lasts: LASTS });
+            let whole = plan(cores, losses, victim, OutageKind::PartitionFromCore);
+            let outage = Some(Outage { victim, kind: OutageKind::PartitionFromCore, lasts: LASTS });
             let halves = Plan { outage, calm_for: LASTS + 8 * SECOND, ..whole };
             let mut total = Report::default();
             for seed in seeds() {
@@ -125,8 +125,8 @@
 
 /// A large fleet: eight machines with a disk in three zones, so that several are cut off together.
 #[gtest]
-fn the_zone_of_the_primary_of_seventy_eight_nodes_cut_off() -> Result<()> {
-    let cut = plan(8, 2, Victim::ZoneOfPrimary, Trouble::Cut);
+fn the_zone_of_the_primary_of_seventy_eight_nodes_is_partitioned() -> Result<()> {
+    let cut = plan(8, 2, Victim::ZoneOfPrimary, OutageKind::Partition);
     let report = World::new(Plan { nodes: 78, servers: 20, ..cut }, 3).play();
     verify_that!(report.violation, none())?;
     expect_that!(report.others_after, lt(4 * SECOND));
@@ -140,7 +140,7 @@
 fn a_read_without_the_lease_is_caught() -> Result<()> {
     let flawed = Plan {
         injected_fault: Some(InjectedFault::ReadsWithoutLease),
-        ..plan(3, 1, Victim::Primary, Trouble::Cut)
+        ..plan(3, 1, Victim::Primary, OutageKind::Partition)
     };
     let found = (0..SEEDS).find_map(|seed| World::new(flawed.clone(), seed).play().violation);
     verify_that!(found, some(contains_substring("without contact")))
--- a/controlplane/tests/registry.rs
+++ b/controlplane/tests/registry.rs
@@ -77,38 +77,38 @@
 }
 
 #[gtest]
-fn what_changes_is_published() -> Result<()> {
+fn changes_are_published() -> Result<()> {
     let mut node = OwningNode::at(1);
     node.heartbeat(0, "ready", 1);
-    let mut told = heartbeat("ready", 2);
-    told.models[0].version = 2;
+    let mut reported = heartbeat("ready", 2);
+    reported.models[0].version = 2;
     expect_that!(
-        node.registry.heartbeat(MS, "s", &told, &node.gossip),
+        node.registry.heartbeat(MS, "s", &reported, &node.gossip),
         matches_pattern!(Decision::Publish(_))
     );
-    let mut told = heartbeat("ready", 3);
-    told.slots = 17;
+    let mut reported = heartbeat("ready", 3);
+    reported.slots = 17;
     expect_that!(
-        node.registry.heartbeat(MS, "s", &told, &node.gossip),
+        node.registry.heartbeat(MS, "s", &reported, &node.gossip),
         matches_pattern!(Decision::Publish(_))
     );
-    let mut told = heartbeat("ready", 4);
-    told.warmup_left_ms = 900.0;
+    let mut reported = heartbeat("ready", 4);
+    reported.warmup_left_ms = 900.0;
     expect_that!(
-        node.registry.heartbeat(MS, "s", &told, &node.gossip),
+        node.registry.heartbeat(MS, "s", &reported, &node.gossip),
         matches_pattern!(Decision::Publish(_))
     );
     Ok(())
 }
 
 #[gtest]
-fn the_end_of_a_warm_up_is_published_and_its_course_is_not() -> Result<()> {
+fn the_end_of_slow_start_is_published_and_its_progress_is_not() -> Result<()> {
     let mut node = OwningNode::at(1);
     let mut decisions = Vec::new();
     for (count, left) in [(1, 3000.0), (2, 1800.0), (3, 600.0), (4, 0.0), (5, 0.0)] {
-        let mut told = heartbeat("ready", count);
-        told.warmup_left_ms = left;
-        let decision = node.registry.heartbeat(count * HEARTBEAT_INTERVAL, "s", &told, &node.gossip);
+        let mut reported = heartbeat("ready", count);
+        reported.warmup_left_ms = left;
+        let decision = node.registry.heartbeat(count * HEARTBEAT_INTERVAL, "s", &reported, &node.gossip);
         node.publish(decision.clone());
         decisions.push(matches!(decision, Decision::Publish(_)));
     }
@@ -127,7 +127,7 @@
 }
 
 #[gtest]
-fn a_call_that_another_node_overtook_changes_nothing() -> Result<()> {
+fn a_call_that_was_overtaken_at_another_node_changes_nothing() -> Result<()> {
     let mut node = OwningNode::at(1);
     publish(&mut node.gossip, of_other(2, 9));
     expect_that!(node.heartbeat(MS, "ready", 8), eq(&Decision::Acknowledge));
@@ -136,7 +136,7 @@
 }
 
 #[gtest]
-fn draining_is_confirmed_until_it_is_held() -> Result<()> {
+fn draining_needs_acknowledgment_until_it_was_given() -> Result<()> {
     let mut node = OwningNode::at(1);
     node.heartbeat(0, "ready", 1);
     for count in 2..5 {
@@ -154,7 +154,7 @@
 }
 
 #[gtest]
-fn a_silent_server_is_lost_after_three_heartbeats() -> Result<()> {
+fn a_server_is_lost_after_three_missed_heartbeats() -> Result<()> {
     let mut node = OwningNode::at(1);
     node.heartbeat(0, "ready", 1);
     node.heartbeat(HEARTBEAT_INTERVAL, "ready", 2);
@@ -171,7 +171,7 @@
 }
 
 #[gtest]
-fn only_the_node_that_heard_it_last_calls_a_server_lost() -> Result<()> {
+fn only_the_last_owner_reports_a_server_lost() -> Result<()> {
     let late = 10 * HEARTBEAT_INTERVAL;
     let mut node = OwningNode::at(1);
     node.heartbeat(0, "ready", 1);
@@ -189,7 +189,7 @@
 }
 
 #[gtest]
-fn what_was_heard_elsewhere_meanwhile_stands_above_lost() -> Result<()> {
+fn a_later_call_at_another_node_supersedes_the_loss() -> Result<()> {
     let lost = item_kinds::server_stamp(7, Evidence::Lost);
     expect_that!(lost, gt(item_kinds::server_stamp(7, Evidence::Reported)));
     expect_that!(lost, lt(item_kinds::server_stamp(8, Evidence::Reported)));
@@ -198,7 +198,7 @@
 }
 
 #[gtest]
-fn leaving_is_confirmed_and_final() -> Result<()> {
+fn leaving_needs_acknowledgment_and_is_final() -> Result<()> {
     let mut node = OwningNode::at(1);
     node.heartbeat(0, "draining", 5);
     let Decision::PublishAcknowledged(item) = node.leave() else {
@@ -213,7 +213,7 @@
 }
 
 #[gtest]
-fn a_server_that_nobody_heard_of_may_leave() -> Result<()> {
+fn an_unknown_server_may_leave() -> Result<()> {
     let mut node = OwningNode::at(1);
     expect_that!(node.leave(), matches_pattern!(Decision::PublishAcknowledged(_)));
     Ok(())
--- a/controlplane/tests/regressions.rs
+++ b/controlplane/tests/regressions.rs
@@ -1,7 +1,7 @@
 //! Faults that tests have found, each with the smallest course of events that showed it; all mended since.
 
 mod common;
-#[path = "fleet/mod.rs"]
+#[path = "simulation/mod.rs"]
 mod simulation;
 
 use std::collections::BTreeMap;
@@ -103,7 +103,7 @@
 }
 
 /// Design note: servers are watched for silence by the node that takes their heartbeats.
-/// Seen: after a restart at the same address, the node owns its servers by their items and watches none of them, and
+/// OutageObservations: after a restart at the same address, the node owns its servers by their items and watches none of them, and
 /// the others see their owner alive. A server that crashed meanwhile stays ready at all nodes for good.
 #[gtest]
 fn a_node_that_restarted_watches_the_servers_that_called_it_before() -> Result<()> {
@@ -114,11 +114,11 @@
     verify_that!(states(&out), contains(eq(&ServerState::Lost)))
 }
 
-/// Design note: the set of members is the union of the sessions that control balancers hold. Seen: a control balancer
+/// Design note: the set of members is the union of the sessions that control balancers hold. OutageObservations: a control balancer
 /// that restarted at its address holds none of the sessions that bear its name, and its own session keeps them from
 /// being orphans. A node that ended meanwhile and does not come back stays a member for good.
 #[gtest]
-fn a_control_balancer_that_restarted_lets_sessions_lapse_that_it_held_before() -> Result<()> {
+fn a_restarted_control_balancer_expires_sessions_of_its_earlier_process() -> Result<()> {
     let mut gossip = lone_gossip(3);
     for item in among_others() {
         common::publish(&mut gossip, item);
@@ -133,7 +133,7 @@
     verify_that!(keys, contains(eq(&&*address(2).to_string())))
 }
 
-/// Seen: a node tells its data plane that a server whose node is missing is lost, and never takes that back when the
+/// OutageObservations: a node tells its data plane that a server whose node is missing is lost, and never takes that back when the
 /// node's session returns: heartbeats that change nothing are not spread, so no item comes.
 #[gtest]
 fn a_server_is_ready_again_when_its_node_is_back() -> Result<()> {
@@ -149,9 +149,9 @@
 }
 
 /// DRAIN, and the design note: leaving is acknowledged once two other nodes hold it.
-/// Seen: a second DELETE is answered 200 at once, though nobody else has confirmed the first.
+/// OutageObservations: a second DELETE is answered 200 at once, though nobody else has confirmed the first.
 #[gtest]
-fn leaving_that_nobody_holds_is_not_acknowledged_when_it_is_said_again() -> Result<()> {
+fn a_repeated_leave_is_not_acknowledged_before_other_nodes_have_it() -> Result<()> {
     let mut node = Driven::new(9);
     node.learn(among_others());
     node.wait(SECOND);
@@ -165,20 +165,20 @@
     verify_that!(Driven::answers(&out, 2), not(contains(eq(&200))))
 }
 
-/// A primary's duty over servers `s0`, `s1`, ... at version 1 while version 2 is named.
-struct Duty {
+/// A primary's driver over servers `s0`, `s1`, ... at version 1 while version 2 is named.
+struct RolloutDriver {
     rollout: Rollout,
     servers: Servers,
     now: Micros,
 }
 
-impl Duty {
-    fn new(servers: usize) -> Duty {
+impl RolloutDriver {
+    fn new(servers: usize) -> RolloutDriver {
         let ids = (0..servers).map(|number| Arc::from(format!("s{number}")));
         let servers = ids.map(|id: Arc<str>| (id.clone(), registration(&id, 1, 1))).collect();
         let mut rollout = Rollout::new(3 * SECOND);
         rollout.become_primary(0, 1);
-        Duty { rollout, servers, now: 0 }
+        RolloutDriver { rollout, servers, now: 0 }
     }
 
     fn run(&mut self, span: Micros, answer: impl Fn(&str) -> OrderOutcome) -> Vec<Step> {
@@ -208,7 +208,7 @@
     steps.iter().filter_map(server).collect()
 }
 
-fn told_done(steps: &[Step]) -> bool {
+fn reported_loaded(steps: &[Step]) -> bool {
     let done = |step: &Step| match step {
         Step::PublishReservation(item) => {
             Reservation::from_bytes(&item.payload).is_ok_and(|mark| mark.loaded)
@@ -218,61 +218,61 @@
     steps.iter().any(done)
 }
 
-/// ONE: holders must not take turns within `leaseMs`. Seen: a node that takes over after another waits, but forgets the
+/// ONE: holders must not take turns within `leaseMs`. OutageObservations: a node that takes over after another waits, but forgets the
 /// wait when it leads again under the next epoch, as it does when it changes the view, and orders at once.
 #[gtest]
-fn the_lease_of_another_is_waited_for_across_an_own_change_of_the_view() -> Result<()> {
-    let mut duty = Duty::new(1);
-    duty.rollout.become_primary(duty.now, 4);
-    let after_the_change = duty.run(400 * MS, |_| OrderOutcome::Failed);
-    duty.rollout.become_primary(duty.now, 5);
-    let within_the_lease = duty.run(2_500 * MS, |_| OrderOutcome::Failed);
+fn the_lease_of_another_primary_is_waited_for_across_a_view_change() -> Result<()> {
+    let mut driver = RolloutDriver::new(1);
+    driver.rollout.become_primary(driver.now, 4);
+    let after_the_change = driver.run(400 * MS, |_| OrderOutcome::Failed);
+    driver.rollout.become_primary(driver.now, 5);
+    let within_the_lease = driver.run(2_500 * MS, |_| OrderOutcome::Failed);
     verify_that!(ordered(&after_the_change).len() + ordered(&within_the_lease).len(), eq(0))
 }
 
-/// VERSION. Seen: a server that crashed while it loads keeps its place among those that load at once until it is given
+/// VERSION. OutageObservations: a server that crashed while it loads keeps its place among those that load at once until it is given
 /// up 7 s later, though it has been known as lost for long.
 #[gtest]
 fn a_server_that_is_lost_while_it_loads_makes_room_for_another() -> Result<()> {
-    let mut duty = Duty::new(3);
-    duty.run(SECOND, |_| OrderOutcome::InProgress);
-    duty.servers.get_mut("s0").or_fail()?.lost = true;
-    let steps = duty.run(SECOND, |_| OrderOutcome::InProgress);
+    let mut driver = RolloutDriver::new(3);
+    driver.run(SECOND, |_| OrderOutcome::InProgress);
+    driver.servers.get_mut("s0").or_fail()?.lost = true;
+    let steps = driver.run(SECOND, |_| OrderOutcome::InProgress);
     verify_that!(ordered(&steps).iter().any(|server| &**server == "s1"), eq(true))
 }
 
-/// Prices fall on orders. Seen: a server whose report says that it holds the version is held back and ordered again and
+/// Prices fall on orders. OutageObservations: a server whose report says that it holds the version is held back and ordered again and
 /// again until its next heartbeat, up to `beatEveryMs` later.
 #[gtest]
 fn a_server_that_reported_the_version_is_not_ordered_again() -> Result<()> {
-    let mut duty = Duty::new(1);
-    let steps = duty.run(SECOND, |_| OrderOutcome::InProgress);
+    let mut driver = RolloutDriver::new(1);
+    let steps = driver.run(SECOND, |_| OrderOutcome::InProgress);
     verify_that!(ordered(&steps).len(), eq(1))?;
-    duty.rollout.handle_report("s0", "advisor", 2);
+    driver.rollout.handle_report("s0", "advisor", 2);
     // Its heartbeat with the new version is still to come.
-    let steps = duty.run(1_200 * MS, |_| OrderOutcome::Loaded);
+    let steps = driver.run(1_200 * MS, |_| OrderOutcome::Loaded);
     verify_that!(ordered(&steps).len(), eq(0))
 }
 
-/// VERSION: named weights have to be in use within `versionMs`. Seen: the first server that never takes its order is
+/// VERSION: named weights have to be in use within `versionMs`. OutageObservations: the first server that never takes its order is
 /// begun again as soon as it was given up, and no other server is ever brought to the version.
 #[gtest]
-fn one_server_that_takes_no_order_holds_up_no_other() -> Result<()> {
-    let mut duty = Duty::new(3);
-    let steps = duty.run(30 * SECOND, |server| match server {
+fn a_server_that_rejects_orders_does_not_block_others() -> Result<()> {
+    let mut driver = RolloutDriver::new(3);
+    let steps = driver.run(30 * SECOND, |server| match server {
         "s0" => OrderOutcome::Failed,
         _ => OrderOutcome::InProgress,
     });
     verify_that!(ordered(&steps).iter().any(|server| &**server == "s1"), eq(true))
 }
 
-/// Seen: a server that was given up is marked done, upon which every node tells its data plane that the server holds
+/// OutageObservations: a server that was given up is marked done, upon which every node tells its data plane that the server holds
 /// the version (`Output::ServerHasVersion`), though it does not.
 #[gtest]
-fn a_server_that_was_given_up_is_not_told_to_hold_the_version() -> Result<()> {
-    let mut duty = Duty::new(1);
-    let steps = duty.run(10 * SECOND, |_| OrderOutcome::Failed);
-    verify_that!(told_done(&steps), eq(false))
+fn a_released_server_without_the_version_is_not_reported_as_loaded() -> Result<()> {
+    let mut driver = RolloutDriver::new(1);
+    let steps = driver.run(10 * SECOND, |_| OrderOutcome::Failed);
+    verify_that!(reported_loaded(&steps), eq(false))
 }
 
 fn first_violation(plan: &Plan, mut seeds: std::ops::Range<u64>) -> Option<String> {
@@ -282,7 +282,7 @@
     })
 }
 
-/// DEPLOY: seeds are any three machines that serve control. Seen: where none of them has a disk, no node without a disk
+/// DEPLOY: seeds are any three machines that serve control. OutageObservations: where none of them has a disk, no node without a disk
 /// ever learns of the view: core machines talk to members alone, and the founder does not remember what it founded.
 #[gtest]
 fn seeds_need_no_disk_at_the_first_start() -> Result<()> {
--- a/controlplane/tests/callers.rs
+++ b/controlplane/tests/response_matching.rs
@@ -73,9 +73,9 @@
 
     /// The calls that an answer to this name leads to the end of.
     fn answered(&mut self, from: u8, ticket: u64) -> Vec<u64> {
-        let told =
+        let reply =
             ForwardedReply { call_id: ticket, status: 200, body: Arc::from(*b"{}"), lease_remaining: SECOND };
-        let out = self.receive(from, Content::ForwardedReply(told));
+        let out = self.receive(from, Content::ForwardedReply(reply));
         let ended = out.iter().filter_map(|output| match output {
             Output::Respond { call_id, .. } => Some(*call_id),
             _ => None,
@@ -87,7 +87,7 @@
 /// The primary answers a call of a process that has ended meanwhile; the next process at that address has other calls
 /// on their way.
 #[gtest]
-fn an_answer_to_a_call_of_an_earlier_process_answers_none_of_this_one() -> Result<()> {
+fn a_reply_to_a_call_of_an_earlier_process_matches_none_of_this_one() -> Result<()> {
     let mut earlier = Caller::new(1_000);
     let lost: Vec<u64> = (0..50).map(|call| earlier.read(call)).collect::<Result<_>>()?;
     let mut later = Caller::new(1_001);
@@ -103,7 +103,7 @@
 
 /// 2,000 processes with 1,000 calls each, one microsecond after the other, at one address.
 #[gtest]
-fn no_two_processes_name_calls_alike() -> Result<()> {
+fn call_ids_of_two_processes_never_overlap() -> Result<()> {
     let mut names = BTreeSet::new();
     for incarnation in 0..2_000 {
         let first = Caller::new(1_700_000_000_000_000 + incarnation).read(1)?;
@@ -114,7 +114,7 @@
 }
 
 #[gtest]
-fn only_the_node_that_was_asked_answers_a_call() -> Result<()> {
+fn only_the_node_to_which_a_call_was_forwarded_may_reply() -> Result<()> {
     let mut caller = Caller::new(1);
     let ticket = caller.read(7)?;
     expect_that!(caller.answered(4, ticket), is_empty());
@@ -201,11 +201,11 @@
             return Ok(());
         }
         let at = self.random.below(self.on_the_way.len() as u64) as usize;
-        let (from, told) = match self.random.below(4) {
+        let (from, reply) = match self.random.below(4) {
             0 => self.on_the_way[at].clone(),
             _ => self.on_the_way.swap_remove(at),
         };
-        let content = Content::ForwardedReply(told);
+        let content = Content::ForwardedReply(reply);
         self.hand(Input::Envelope(Envelope { from: address(from), content }))
     }
 
@@ -242,14 +242,14 @@
     fn decide(&mut self, primary: SocketAddrV4, forward: &ForwardedCall) {
         let ControlCall::NameVersion { version, .. } = &forward.call else { return };
         let body = Arc::from(version.to_string().into_bytes());
-        let told = ForwardedReply { call_id: forward.call_id, status: 200, body, lease_remaining: SECOND };
-        self.on_the_way.push((primary.ip().octets()[3], told));
+        let reply = ForwardedReply { call_id: forward.call_id, status: 200, body, lease_remaining: SECOND };
+        self.on_the_way.push((primary.ip().octets()[3], reply));
     }
 }
 
 /// 2,200 plays of 400 steps. The incarnations are as close to each other as two starts of a process can be.
 #[gtest]
-fn each_call_gets_its_own_answer_or_none() -> Result<()> {
+fn each_call_gets_its_own_response_or_none() -> Result<()> {
     let mut answered = 0;
     for seed in 0..2_200 {
         let mut play = Play::new(seed);
@@ -261,22 +261,22 @@
     verify_that!(answered, gt(100_000))
 }
 
-/// The duty over one server with two models.
-struct Duty {
+/// The driver over one server with two models.
+struct RolloutDriver {
     rollout: Rollout,
     servers: Servers,
     named: BTreeMap<String, u64>,
     now: Micros,
 }
 
-impl Duty {
-    fn new(named: &[(&str, u64)]) -> Duty {
+impl RolloutDriver {
+    fn new(named: &[(&str, u64)]) -> RolloutDriver {
         let mut server = registration("s0", 1, 1);
         server.models.push(ModelVersion { model: Arc::from("second"), version: 1 });
         let mut rollout = Rollout::new(3 * SECOND);
         rollout.become_primary(0, 1);
         let named = named.iter().map(|(model, version)| ((*model).to_owned(), *version)).collect();
-        Duty { rollout, servers: BTreeMap::from([(server.id.clone(), server)]), named, now: 0 }
+        RolloutDriver { rollout, servers: BTreeMap::from([(server.id.clone(), server)]), named, now: 0 }
     }
 
     fn tick(&mut self) -> Option<Order> {
@@ -293,7 +293,7 @@
         (0..100).find_map(|_| self.tick()).or_fail()
     }
 
-    fn told_done(&mut self, order: &Order, answer: OrderOutcome) -> Vec<(Arc<str>, u64)> {
+    fn reported_loaded(&mut self, order: &Order, answer: OrderOutcome) -> Vec<(Arc<str>, u64)> {
         let steps = self.rollout.handle_order_outcome(self.now, order, answer);
         let marks = steps.iter().filter_map(|step| match step {
             Step::PublishReservation(item) => Reservation::from_bytes(&item.payload).ok(),
@@ -305,12 +305,12 @@
 
 /// Versions of different models have nothing to do with each other.
 #[gtest]
-fn a_server_is_brought_to_the_versions_of_all_its_models() -> Result<()> {
-    let mut duty = Duty::new(&[("advisor", 9), ("second", 2)]);
-    let first = duty.next_order()?;
+fn a_server_loads_the_versions_of_all_its_models() -> Result<()> {
+    let mut driver = RolloutDriver::new(&[("advisor", 9), ("second", 2)]);
+    let first = driver.next_order()?;
     expect_that!((&*first.model, first.version), eq(("advisor", 9)));
-    expect_that!(duty.told_done(&first, OrderOutcome::Loaded), eq(&[(Arc::from("advisor"), 9)]));
-    let second = duty.next_order()?;
+    expect_that!(driver.reported_loaded(&first, OrderOutcome::Loaded), eq(&[(Arc::from("advisor"), 9)]));
+    let second = driver.next_order()?;
     expect_that!((&*second.model, second.version), eq(("second", 2)));
     Ok(())
 }
@@ -318,36 +318,40 @@
 /// An order whose answer is slow is given again; the work ends by the report, and the slow answer comes when the server
 /// is being brought to another model.
 #[gtest]
-fn a_late_answer_to_an_order_ends_no_other_order() -> Result<()> {
+fn a_late_order_outcome_ends_no_other_load() -> Result<()> {
     for late in [OrderOutcome::Loaded, OrderOutcome::InProgress] {
-        let mut duty = Duty::new(&[("advisor", 2)]);
-        let first = duty.next_order()?;
-        duty.rollout.handle_report("s0", "advisor", 2);
-        duty.named.insert("second".to_owned(), 5);
-        let second = duty.next_order()?;
+        let mut driver = RolloutDriver::new(&[("advisor", 2)]);
+        let first = driver.next_order()?;
+        driver.rollout.handle_report("s0", "advisor", 2);
+        driver.named.insert("second".to_owned(), 5);
+        let second = driver.next_order()?;
         expect_that!((&*second.model, second.version), eq(("second", 5)));
-        expect_that!(duty.told_done(&first, late), is_empty());
+        expect_that!(driver.reported_loaded(&first, late), is_empty());
         // It is still given again, as one without an answer is.
-        expect_that!(duty.next_order()?, eq(&second));
-        expect_that!(duty.told_done(&second, OrderOutcome::Loaded), eq(&[(Arc::from("second"), 5)]));
+        expect_that!(driver.next_order()?, eq(&second));
+        expect_that!(driver.reported_loaded(&second, OrderOutcome::Loaded), eq(&[(Arc::from("second"), 5)]));
     }
     Ok(())
 }
 
 /// The same model: the newer version is not taken as held by the word on the older one.
 #[gtest]
-fn an_answer_to_an_order_of_an_older_version_is_none_to_the_newer() -> Result<()> {
-    let mut duty = Duty::new(&[("advisor", 2)]);
-    let first = duty.next_order()?;
-    duty.rollout.handle_report("s0", "advisor", 2);
-    duty.named.insert("advisor".to_owned(), 3);
-    let second = duty.next_order()?;
+fn an_outcome_of_an_order_of_an_older_version_does_not_match_a_newer_one() -> Result<()> {
+    let mut driver = RolloutDriver::new(&[("advisor", 2)]);
+    let first = driver.next_order()?;
+    driver.rollout.handle_report("s0", "advisor", 2);
+    driver.named.insert("advisor".to_owned(), 3);
+    let second = driver.next_order()?;
     expect_that!(second.version, eq(3));
-    expect_that!(duty.told_done(&first, OrderOutcome::Loaded), is_empty());
-    duty.rollout.become_primary(duty.now, 2);
-    let third = duty.next_order()?;
+    expect_that!(driver.reported_loaded(&first, OrderOutcome::Loaded), is_empty());
+    driver.rollout.become_primary(driver.now, 2);
+    let third = driver.next_order()?;
     expect_that!((third.version, third.fencing_token), eq((3, 2)));
-    expect_that!(duty.told_done(&second, OrderOutcome::Loaded), is_empty(), "given under an older fence");
+    expect_that!(
+        driver.reported_loaded(&second, OrderOutcome::Loaded),
+        is_empty(),
+        "given under an older fence"
+    );
     Ok(())
 }
 
@@ -376,7 +380,7 @@
 
 /// Its address may belong to another server by now, or to the next start of this one.
 #[gtest]
-fn calls_to_a_server_name_the_server() -> Result<()> {
+fn requests_to_a_server_name_the_target_server() -> Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async {
         for (answer, wanted) in [
@@ -408,7 +412,7 @@
 /// ONE: the last order of a primary must be over before the next one may order. Its server takes the connection and
 /// neither reads nor answers.
 #[gtest]
-fn an_order_without_an_answer_is_over_before_another_primary_orders() -> Result<()> {
+fn an_order_without_a_response_is_over_before_another_primary_sends_one() -> Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let most = MAX_ORDER_DURATION;
     runtime.block_on(async {
@@ -426,9 +430,9 @@
         expect_that!(end.map_err(|error| error.kind()), err(eq(ErrorKind::ConnectionReset)));
         Ok(())
     })?;
-    let mut duty = Duty::new(&[("advisor", 2)]);
-    duty.rollout.become_primary(duty.now, 7);
-    duty.next_order()?;
-    expect_that!(duty.now, gt(3 * SECOND + most.as_micros() as Micros));
+    let mut driver = RolloutDriver::new(&[("advisor", 2)]);
+    driver.rollout.become_primary(driver.now, 7);
+    driver.next_order()?;
+    expect_that!(driver.now, gt(3 * SECOND + most.as_micros() as Micros));
     Ok(())
 }
--- a/controlplane/tests/rollout.rs
+++ b/controlplane/tests/rollout.rs
@@ -15,8 +15,8 @@
 const LEASE: Micros = 3 * SECOND;
 const TICK: Micros = 100 * MS;
 
-/// A primary's duty with the servers that it knows.
-struct Duty {
+/// A primary's driver with the servers that it knows.
+struct RolloutDriver {
     rollout: Rollout,
     servers: Servers,
     named: BTreeMap<String, u64>,
@@ -25,11 +25,11 @@
     now: Micros,
 }
 
-impl Duty {
+impl RolloutDriver {
     /// Servers at version 1 while version 2 is named.
-    fn new(servers: usize) -> Duty {
+    fn new(servers: usize) -> RolloutDriver {
         let servers = (0..servers).map(|number| server(&format!("s{number:02}"))).collect();
-        Duty {
+        RolloutDriver {
             rollout: Rollout::new(LEASE),
             servers,
             named: BTreeMap::from([("advisor".to_owned(), 2)]),
@@ -38,10 +38,10 @@
         }
     }
 
-    fn leading(servers: usize) -> Duty {
-        let mut duty = Duty::new(servers);
-        duty.rollout.become_primary(duty.now, 1);
-        duty
+    fn leading(servers: usize) -> RolloutDriver {
+        let mut driver = RolloutDriver::new(servers);
+        driver.rollout.become_primary(driver.now, 1);
+        driver
     }
 
     fn tick(&mut self) -> Vec<Step> {
@@ -112,41 +112,41 @@
 }
 
 #[gtest]
-fn nothing_is_done_without_leading() -> Result<()> {
-    let mut duty = Duty::new(3);
-    expect_that!(duty.run(10 * SECOND), is_empty());
-    expect_that!(duty.rollout.may_send_order(1), eq(false));
+fn a_node_that_is_not_the_primary_does_nothing() -> Result<()> {
+    let mut driver = RolloutDriver::new(3);
+    expect_that!(driver.run(10 * SECOND), is_empty());
+    expect_that!(driver.rollout.may_send_order(1), eq(false));
     Ok(())
 }
 
 #[gtest]
-fn nothing_is_done_for_servers_that_hold_it_or_have_another_model() -> Result<()> {
-    let mut duty = Duty::leading(2);
-    duty.holds("s00", 2);
-    duty.holds("s01", 3);
+fn servers_that_have_loaded_it_or_serve_another_model_are_left_alone() -> Result<()> {
+    let mut driver = RolloutDriver::leading(2);
+    driver.holds("s00", 2);
+    driver.holds("s01", 3);
     let mut other = registration("s02", 1, 1);
     other.models[0].model = Arc::from("other");
-    duty.servers.insert(other.id.clone(), other);
-    expect_that!(duty.run(5 * SECOND), is_empty());
+    driver.servers.insert(other.id.clone(), other);
+    expect_that!(driver.run(5 * SECOND), is_empty());
     Ok(())
 }
 
 #[gtest]
-fn orders_bear_the_fence_and_what_is_named() -> Result<()> {
-    let mut duty = Duty::new(1);
-    duty.rollout.become_primary(duty.now, 6);
-    let steps = duty.run(5 * SECOND);
+fn orders_carry_the_fencing_token_and_the_announced_version() -> Result<()> {
+    let mut driver = RolloutDriver::new(1);
+    driver.rollout.become_primary(driver.now, 6);
+    let steps = driver.run(5 * SECOND);
     let (_, order) = orders(&steps).first().copied().or_fail()?;
     expect_that!((&*order.server, &*order.model), eq(("s00", "advisor")));
-    expect_that!((order.version, order.fencing_token, order.address), eq((2, 6, duty.at("s00").address)));
-    expect_that!((duty.rollout.may_send_order(6), duty.rollout.may_send_order(5)), eq((true, false)));
+    expect_that!((order.version, order.fencing_token, order.address), eq((2, 6, driver.at("s00").address)));
+    expect_that!((driver.rollout.may_send_order(6), driver.rollout.may_send_order(5)), eq((true, false)));
     Ok(())
 }
 
 #[gtest]
-fn a_server_is_held_back_before_it_is_ordered() -> Result<()> {
-    let mut duty = Duty::leading(1);
-    let steps = duty.run(SECOND);
+fn a_server_is_reserved_before_it_is_ordered() -> Result<()> {
+    let mut driver = RolloutDriver::leading(1);
+    let steps = driver.run(SECOND);
     let (marked, _, mark) = marks(&steps).first().cloned().or_fail()?;
     let (ordered, _) = orders(&steps)[0];
     expect_that!(mark, eq(&Reservation { model: Arc::from("advisor"), version: 2, loaded: false }));
@@ -155,7 +155,7 @@
 }
 
 #[gtest]
-fn after_another_led_the_lease_is_waited_for() -> Result<()> {
+fn after_another_primary_its_lease_is_waited_for() -> Result<()> {
     // The epochs that this node led one after another at one moment, and whether others led between or before.
     for (epochs, waits) in [
         (&[1][..], false),
@@ -166,13 +166,13 @@
         (&[4, 6], true),
         (&[1, 3], true),
     ] {
-        let mut duty = Duty::new(1);
+        let mut driver = RolloutDriver::new(1);
         for epoch in epochs {
-            duty.rollout.step_down();
-            duty.rollout.become_primary(duty.now, *epoch);
+            driver.rollout.step_down();
+            driver.rollout.become_primary(driver.now, *epoch);
         }
-        let since = duty.now;
-        let steps = duty.run(6 * SECOND);
+        let since = driver.now;
+        let steps = driver.run(6 * SECOND);
         let first = orders(&steps)[0].0 - since;
         expect_that!(first > LEASE, eq(waits), "epochs {epochs:?}: first order after {first}");
     }
@@ -182,8 +182,8 @@
 #[gtest]
 fn at_most_a_sixth_at_once_and_one_at_least() -> Result<()> {
     for (servers, most) in [(1, 1), (2, 1), (3, 1), (5, 1), (6, 1), (12, 2), (18, 3), (40, 6)] {
-        let mut duty = Duty::leading(servers);
-        let steps = duty.run(3 * SECOND);
+        let mut driver = RolloutDriver::leading(servers);
+        let steps = driver.run(3 * SECOND);
         let mut held: Vec<Arc<str>> = marks(&steps).into_iter().map(|(_, key, _)| key).collect();
         held.sort();
         held.dedup();
@@ -193,41 +193,41 @@
 }
 
 #[gtest]
-fn the_next_follows_as_one_is_done() -> Result<()> {
-    let mut duty = Duty::leading(6);
+fn the_next_server_follows_when_one_is_released() -> Result<()> {
+    let mut driver = RolloutDriver::leading(6);
     let mut brought = Vec::new();
     for _ in 0..40 {
-        let steps = duty.run(200 * MS);
+        let steps = driver.run(200 * MS);
         for (_, order) in orders(&steps) {
-            duty.rollout.handle_order_outcome(duty.now, order, OrderOutcome::Loaded);
+            driver.rollout.handle_order_outcome(driver.now, order, OrderOutcome::Loaded);
             brought.push(order.server.clone());
         }
         for server in &brought {
-            duty.holds(server, 2);
+            driver.holds(server, 2);
         }
     }
     brought.sort();
     expect_that!(brought.len(), eq(6), "each is ordered once: {brought:?}");
-    expect_that!(duty.run(SECOND), is_empty());
+    expect_that!(driver.run(SECOND), is_empty());
     Ok(())
 }
 
 #[gtest]
-fn an_order_that_was_not_taken_is_given_again() -> Result<()> {
-    let mut duty = Duty::leading(1);
-    let steps = duty.run(400 * MS);
+fn a_failed_order_is_sent_again() -> Result<()> {
+    let mut driver = RolloutDriver::leading(1);
+    let steps = driver.run(400 * MS);
     expect_that!(orders(&steps).len(), eq(1));
-    expect_that!(duty.answer("s00", OrderOutcome::Failed), is_empty());
-    expect_that!(orders(&duty.run(700 * MS)).len(), eq(1));
+    expect_that!(driver.answer("s00", OrderOutcome::Failed), is_empty());
+    expect_that!(orders(&driver.run(700 * MS)).len(), eq(1));
     Ok(())
 }
 
 #[gtest]
-fn one_that_was_taken_is_asked_after_and_not_given_again() -> Result<()> {
-    let mut duty = Duty::leading(1);
-    duty.run(400 * MS);
-    expect_that!(duty.answer("s00", OrderOutcome::InProgress), is_empty());
-    let steps = duty.run(2 * SECOND);
+fn a_loading_server_is_queried_and_not_ordered_again() -> Result<()> {
+    let mut driver = RolloutDriver::leading(1);
+    driver.run(400 * MS);
+    expect_that!(driver.answer("s00", OrderOutcome::InProgress), is_empty());
+    let steps = driver.run(2 * SECOND);
     expect_that!(orders(&steps), is_empty());
     let asks = steps.iter().filter(|(_, step)| matches!(step, Step::QueryServer { .. })).count();
     expect_that!(asks, all![ge(3), le(7)]);
@@ -235,52 +235,52 @@
 }
 
 #[gtest]
-fn it_is_done_by_the_answer_the_report_or_the_registration() -> Result<()> {
-    let mut duty = Duty::leading(1);
-    duty.run(400 * MS);
-    expect_that!(done(&duty.answer("s00", OrderOutcome::Loaded), "s00"), eq(true));
-
-    let mut duty = Duty::leading(1);
-    duty.run(400 * MS);
-    duty.answer("s00", OrderOutcome::InProgress);
-    expect_that!(duty.rollout.handle_report("s00", "advisor", 1), is_empty());
-    expect_that!(duty.rollout.handle_report("s00", "other", 2), is_empty());
-    expect_that!(duty.rollout.handle_report("s01", "advisor", 2), is_empty());
-    expect_that!(done(&duty.rollout.handle_report("s00", "advisor", 2), "s00"), eq(true));
-
-    let mut duty = Duty::leading(1);
-    duty.run(400 * MS);
-    duty.holds("s00", 2);
-    expect_that!(done(&duty.tick(), "s00"), eq(true));
-    expect_that!(duty.run(SECOND), is_empty());
+fn a_load_ends_by_the_outcome_the_report_or_the_registration() -> Result<()> {
+    let mut driver = RolloutDriver::leading(1);
+    driver.run(400 * MS);
+    expect_that!(done(&driver.answer("s00", OrderOutcome::Loaded), "s00"), eq(true));
+
+    let mut driver = RolloutDriver::leading(1);
+    driver.run(400 * MS);
+    driver.answer("s00", OrderOutcome::InProgress);
+    expect_that!(driver.rollout.handle_report("s00", "advisor", 1), is_empty());
+    expect_that!(driver.rollout.handle_report("s00", "other", 2), is_empty());
+    expect_that!(driver.rollout.handle_report("s01", "advisor", 2), is_empty());
+    expect_that!(done(&driver.rollout.handle_report("s00", "advisor", 2), "s00"), eq(true));
+
+    let mut driver = RolloutDriver::leading(1);
+    driver.run(400 * MS);
+    driver.holds("s00", 2);
+    expect_that!(done(&driver.tick(), "s00"), eq(true));
+    expect_that!(driver.run(SECOND), is_empty());
     Ok(())
 }
 
 #[gtest]
-fn a_server_that_is_gone_is_let_go() -> Result<()> {
-    let mut duty = Duty::leading(1);
-    duty.run(400 * MS);
-    duty.servers.clear();
-    duty.tick();
-    expect_that!(orders(&duty.run(10 * SECOND)), is_empty());
+fn a_removed_server_is_released() -> Result<()> {
+    let mut driver = RolloutDriver::leading(1);
+    driver.run(400 * MS);
+    driver.servers.clear();
+    driver.tick();
+    expect_that!(orders(&driver.run(10 * SECOND)), is_empty());
     Ok(())
 }
 
 #[gtest]
-fn servers_that_drain_or_are_lost_are_not_begun() -> Result<()> {
-    let mut duty = Duty::leading(2);
-    duty.at("s00").draining = true;
-    duty.at("s01").lost = true;
-    expect_that!(duty.run(5 * SECOND), is_empty());
+fn draining_and_lost_servers_are_not_reserved() -> Result<()> {
+    let mut driver = RolloutDriver::leading(2);
+    driver.at("s00").draining = true;
+    driver.at("s01").lost = true;
+    expect_that!(driver.run(5 * SECOND), is_empty());
     Ok(())
 }
 
 #[gtest]
-fn one_that_does_not_come_to_hold_it_is_given_up() -> Result<()> {
-    let mut duty = Duty::leading(1);
-    duty.run(400 * MS);
-    duty.answer("s00", OrderOutcome::InProgress);
-    let steps = duty.run(9 * SECOND);
+fn a_server_that_does_not_load_in_time_is_released() -> Result<()> {
+    let mut driver = RolloutDriver::leading(1);
+    driver.run(400 * MS);
+    driver.answer("s00", OrderOutcome::InProgress);
+    let steps = driver.run(9 * SECOND);
     // The mark is taken back by a tombstone that does not claim that the server holds the version.
     let given_up = steps.iter().find_map(|(at, step)| match step {
         Step::PublishReservation(item) if item.removed => Some(*at),
@@ -292,24 +292,24 @@
 }
 
 #[gtest]
-fn it_stops_with_the_lead() -> Result<()> {
-    let mut duty = Duty::leading(3);
-    duty.run(400 * MS);
-    duty.rollout.step_down();
-    expect_that!(duty.run(10 * SECOND), is_empty());
-    expect_that!(duty.rollout.may_send_order(1), eq(false));
-    expect_that!(duty.answer("s00", OrderOutcome::Loaded), is_empty());
-    expect_that!(duty.rollout.handle_report("s00", "advisor", 2), is_empty());
+fn the_rollout_stops_when_the_primary_steps_down() -> Result<()> {
+    let mut driver = RolloutDriver::leading(3);
+    driver.run(400 * MS);
+    driver.rollout.step_down();
+    expect_that!(driver.run(10 * SECOND), is_empty());
+    expect_that!(driver.rollout.may_send_order(1), eq(false));
+    expect_that!(driver.answer("s00", OrderOutcome::Loaded), is_empty());
+    expect_that!(driver.rollout.handle_report("s00", "advisor", 2), is_empty());
     Ok(())
 }
 
 #[gtest]
-fn a_new_lead_begins_anew_under_its_fence() -> Result<()> {
-    let mut duty = Duty::leading(1);
-    duty.run(400 * MS);
-    duty.answer("s00", OrderOutcome::InProgress);
-    duty.rollout.become_primary(duty.now, 2);
-    let steps = duty.run(SECOND);
+fn a_new_primary_starts_again_under_its_fencing_token() -> Result<()> {
+    let mut driver = RolloutDriver::leading(1);
+    driver.run(400 * MS);
+    driver.answer("s00", OrderOutcome::InProgress);
+    driver.rollout.become_primary(driver.now, 2);
+    let steps = driver.run(SECOND);
     let fences: Vec<u64> = orders(&steps).iter().map(|(_, order)| order.fencing_token).collect();
     expect_that!(fences, each(eq(&2)));
     expect_that!(fences, not(is_empty()));
@@ -317,26 +317,26 @@
 }
 
 #[gtest]
-fn a_newer_version_named_meanwhile_is_brought_about_as_well() -> Result<()> {
-    let mut duty = Duty::leading(1);
-    duty.run(400 * MS);
-    duty.named.insert("advisor".to_owned(), 3);
-    duty.answer("s00", OrderOutcome::Loaded);
-    duty.holds("s00", 2);
-    let steps = duty.run(SECOND);
+fn a_newer_version_announced_meanwhile_is_loaded_as_well() -> Result<()> {
+    let mut driver = RolloutDriver::leading(1);
+    driver.run(400 * MS);
+    driver.named.insert("advisor".to_owned(), 3);
+    driver.answer("s00", OrderOutcome::Loaded);
+    driver.holds("s00", 2);
+    let steps = driver.run(SECOND);
     expect_that!(orders(&steps).iter().map(|(_, order)| order.version).collect::<Vec<_>>(), contains(eq(&3)));
     Ok(())
 }
 
 #[gtest]
-fn what_is_of_no_use_any_longer_is_loaded_at_once_whatever_was_named_since() -> Result<()> {
-    let mut duty = Duty::leading(12);
-    duty.rollout.set_deadline("advisor", 2, duty.now + 6 * SECOND);
-    let mut steps = duty.run(3 * SECOND);
-    duty.named.insert("advisor".to_owned(), 3);
-    duty.rollout.set_deadline("advisor", 3, duty.now + 6 * SECOND);
+fn servers_past_their_deadline_load_at_once() -> Result<()> {
+    let mut driver = RolloutDriver::leading(12);
+    driver.rollout.set_deadline("advisor", 2, driver.now + 6 * SECOND);
+    let mut steps = driver.run(3 * SECOND);
+    driver.named.insert("advisor".to_owned(), 3);
+    driver.rollout.set_deadline("advisor", 3, driver.now + 6 * SECOND);
     // The first ones take their time. From 6 s on nothing goes to any server at version 1.
-    steps.extend(duty.run(3 * SECOND + 200 * MS));
+    steps.extend(driver.run(3 * SECOND + 200 * MS));
     let mut begun: Vec<Arc<str>> = marks(&steps).into_iter().map(|(_, server, _)| server).collect();
     begun.sort();
     begun.dedup();
@@ -345,70 +345,71 @@
 }
 
 #[gtest]
-fn those_whose_time_is_over_first_are_loaded_first() -> Result<()> {
-    let mut duty = Duty::leading(18);
-    duty.named.insert("advisor".to_owned(), 3);
-    duty.rollout.set_deadline("advisor", 2, duty.now + 5 * SECOND);
-    duty.rollout.set_deadline("advisor", 3, duty.now + 10 * SECOND);
+fn servers_with_the_earliest_deadline_load_first() -> Result<()> {
+    let mut driver = RolloutDriver::leading(18);
+    driver.named.insert("advisor".to_owned(), 3);
+    driver.rollout.set_deadline("advisor", 2, driver.now + 5 * SECOND);
+    driver.rollout.set_deadline("advisor", 3, driver.now + 10 * SECOND);
     for number in 0..15 {
-        duty.holds(&format!("s{number:02}"), 2);
+        driver.holds(&format!("s{number:02}"), 2);
     }
-    let first: Vec<Arc<str>> = marks(&duty.run(300 * MS)).into_iter().map(|(_, server, _)| server).collect();
+    let first: Vec<Arc<str>> =
+        marks(&driver.run(300 * MS)).into_iter().map(|(_, server, _)| server).collect();
     expect_that!(first, elements_are![eq(&Arc::from("s15")), eq(&Arc::from("s16")), eq(&Arc::from("s17"))]);
     Ok(())
 }
 
 #[gtest]
-fn a_time_that_begins_anew_is_waited_for() -> Result<()> {
-    let mut duty = Duty::leading(18);
-    duty.rollout.set_deadline("advisor", 2, duty.now + 2 * SECOND);
-    duty.rollout.set_deadline("advisor", 2, duty.now + 20 * SECOND);
-    expect_that!(marks(&duty.run(5 * SECOND)).len(), eq(3));
+fn an_extended_deadline_is_honoured() -> Result<()> {
+    let mut driver = RolloutDriver::leading(18);
+    driver.rollout.set_deadline("advisor", 2, driver.now + 2 * SECOND);
+    driver.rollout.set_deadline("advisor", 2, driver.now + 20 * SECOND);
+    expect_that!(marks(&driver.run(5 * SECOND)).len(), eq(3));
     Ok(())
 }
 
 /// However orders fare, within one and a half times the span all servers that are there hold the newest version.
 #[gtest]
-fn all_servers_come_to_hold_the_newest_version_in_time() -> Result<()> {
+fn all_servers_load_the_newest_version_in_time() -> Result<()> {
     const WITHIN: Micros = 8 * SECOND;
     for unlucky in [1, 3, 7] {
-        let mut duty = Duty::leading(20);
+        let mut driver = RolloutDriver::leading(20);
         let mut version = 1;
         let mut answered = 0;
         for named_after in [0, 700 * MS, 2 * SECOND, 500 * MS] {
-            step_orders(&mut duty, named_after, unlucky, &mut answered);
+            step_orders(&mut driver, named_after, unlucky, &mut answered);
             version += 1;
-            duty.named.insert("advisor".to_owned(), version);
-            duty.rollout.set_deadline("advisor", version, duty.now + WITHIN * 3 / 4);
+            driver.named.insert("advisor".to_owned(), version);
+            driver.rollout.set_deadline("advisor", version, driver.now + WITHIN * 3 / 4);
         }
-        step_orders(&mut duty, WITHIN * 3 / 2, unlucky, &mut answered);
-        let held: Vec<u64> = duty.servers.values().map(|server| server.models[0].version).collect();
+        step_orders(&mut driver, WITHIN * 3 / 2, unlucky, &mut answered);
+        let held: Vec<u64> = driver.servers.values().map(|server| server.models[0].version).collect();
         expect_that!(held, each(eq(&version)), "each order in {unlucky} is lost");
     }
     Ok(())
 }
 
 /// Goes on for this long. Of so many orders one is lost; the others are carried out at once.
-fn step_orders(duty: &mut Duty, span: Micros, unlucky: usize, answered: &mut usize) {
-    let until = duty.now + span;
-    while duty.now < until {
-        for step in duty.tick() {
+fn step_orders(driver: &mut RolloutDriver, span: Micros, unlucky: usize, answered: &mut usize) {
+    let until = driver.now + span;
+    while driver.now < until {
+        for step in driver.tick() {
             let Step::SendOrder(order) = step else { continue };
             *answered += 1;
             let lost = unlucky > 1 && answered.is_multiple_of(unlucky);
             let answer = if lost { OrderOutcome::Failed } else { OrderOutcome::Loaded };
-            duty.rollout.handle_order_outcome(duty.now, &order, answer);
+            driver.rollout.handle_order_outcome(driver.now, &order, answer);
             if !lost {
-                duty.holds(&order.server, order.version);
+                driver.holds(&order.server, order.version);
             }
         }
     }
 }
 
 #[gtest]
-fn marks_of_one_server_rise() -> Result<()> {
-    let mut duty = Duty::leading(2);
-    let steps = duty.run(20 * SECOND);
+fn reservation_stamps_of_one_server_rise() -> Result<()> {
+    let mut driver = RolloutDriver::leading(2);
+    let steps = driver.run(20 * SECOND);
     let stamps: Vec<_> = steps
         .iter()
         .filter_map(|(_, step)| match step {
--- a/controlplane/tests/outbox.rs
+++ b/controlplane/tests/send_queue.rs
@@ -20,7 +20,7 @@
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_large_state_passes_a_slow_link_whole() {
+async fn a_large_state_passes_a_slow_connection_completely() {
     let (mut near, mut far) = duplex(WINDOW);
     let reading = tokio::spawn(async move {
         let (mut bytes, mut count) = (vec![0; TAKEN], 0);
@@ -40,7 +40,7 @@
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_link_that_takes_nothing_is_given_up_after_the_span() {
+async fn a_connection_without_progress_is_closed_after_the_stall_timeout() {
     let (mut near, _far) = duplex(WINDOW);
     let begun = Instant::now();
     expect_that!(write_with_progress(&mut near, &vec![1; STATE], WITHIN).await, eq(false));
@@ -48,7 +48,7 @@
 }
 
 #[gtest]
-fn what_waits_is_bounded_in_bytes() {
+fn the_queue_is_bounded_in_bytes() {
     let (queue, _outgoing) = send_queue();
     let mut taken = 0;
     for _ in 0..100 {
@@ -62,7 +62,7 @@
 }
 
 #[gtest]
-fn what_waits_is_bounded_in_messages() {
+fn the_queue_is_bounded_in_messages() {
     let (queue, _outgoing) = send_queue();
     let taken = (0..2 * MAX_QUEUED_MESSAGES).filter(|_| queue.push(vec![0; 10]).is_ok()).count();
     expect_that!(taken, eq(MAX_QUEUED_MESSAGES));
@@ -70,7 +70,7 @@
 }
 
 #[gtest]
-fn the_largest_message_is_taken_where_nothing_waits() {
+fn the_largest_message_is_accepted_by_an_empty_queue() {
     let (queue, _outgoing) = send_queue();
     expect_that!(queue.push(vec![0; 2 * MAX_QUEUED_BYTES]), ok(anything()));
     expect_that!(queue.push(vec![0; 1]), err(eq(&SendError::Full)));
@@ -78,7 +78,7 @@
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn what_is_written_makes_room_and_stays_in_order() {
+async fn written_messages_free_capacity_and_stay_in_order() {
     let (queue, mut outgoing) = send_queue();
     for number in 0..10 {
         expect_that!(queue.push(vec![number; 1_000]), ok(anything()));
--- a/controlplane/tests/acknowledged_ends.rs
+++ b/controlplane/tests/server_exit_acknowledgment.rs
@@ -1,6 +1,6 @@
 //! What a server says of its end is acknowledged once it stands where no loss that may come takes all copies.
 
-#[path = "fleet/mod.rs"]
+#[path = "simulation/mod.rs"]
 mod simulation;
 
 use std::net::SocketAddrV4;
@@ -73,7 +73,7 @@
 }
 
 #[gtest]
-fn copies_stand_in_the_core_and_outside_it() {
+fn acknowledgment_needs_replicas_in_the_core_and_outside_it() {
     let rows = [
         Row { node: 0, acknowledge: &[1, 2], leaving: &[], enough: false },
         Row { node: 0, acknowledge: &[4, 5, 6], leaving: &[], enough: false },
@@ -97,7 +97,7 @@
 }
 
 #[gtest]
-fn a_node_that_is_about_to_end_does_not_count_itself() {
+fn a_node_that_shuts_down_does_not_count_itself() {
     let mut fleet = Fleet::new(NODES);
     fleet.hand(0, Input::ShutDown);
     expect_that!(fleet.leave(0), eq(false));
@@ -107,7 +107,7 @@
 }
 
 #[gtest]
-fn where_all_nodes_are_the_core_its_copies_are_enough() {
+fn where_all_nodes_are_the_core_its_replicas_are_enough() {
     let mut fleet = Fleet::new(CORE);
     expect_that!(fleet.leave(0), eq(false));
     expect_that!(fleet.acknowledge(0, 1, false), eq(false));
--- a/controlplane/tests/session.rs
+++ b/controlplane/tests/session_client.rs
@@ -69,7 +69,7 @@
 }
 
 #[gtest]
-fn without_a_view_all_seeds_are_asked_again_and_again() -> Result<()> {
+fn without_a_view_all_seeds_are_asked_repeatedly() -> Result<()> {
     let mut driven = Driven::new(2, &[1, 2, 3]);
     for _ in 0..10 {
         expect_that!(asked(&driven.next()), unordered_elements_are![&address(1), &address(3)]);
@@ -92,7 +92,7 @@
 }
 
 #[gtest]
-fn a_control_balancer_never_holds_its_own_session() -> Result<()> {
+fn a_control_balancer_has_no_session_with_itself() -> Result<()> {
     let (mut driven, control) = settled(1, &[1, 2, 3]);
     expect_that!(control, not(eq(address(1))));
     let sent = driven.run_without_replies(20 * SECOND);
@@ -101,7 +101,7 @@
 }
 
 #[gtest]
-fn silence_turns_to_the_next_control_balancer() -> Result<()> {
+fn a_timeout_moves_on_to_the_next_control_balancer() -> Result<()> {
     let (mut driven, control) = settled(9, &[1, 2, 3]);
     let since = driven.now;
     let sent = driven.run_without_replies(since + 8 * SECOND);
@@ -114,7 +114,7 @@
 }
 
 #[gtest]
-fn a_whole_round_of_silence_asks_the_seeds() -> Result<()> {
+fn after_a_round_without_replies_the_seeds_are_asked() -> Result<()> {
     let (mut driven, _) = settled(9, &[1, 2, 3]);
     driven.session.set_seeds(addresses([7, 8]));
     let since = driven.now;
@@ -127,7 +127,7 @@
 }
 
 #[gtest]
-fn a_view_that_seeds_tell_replaces_one_that_is_out_of_date() -> Result<()> {
+fn a_view_from_a_seed_replaces_an_outdated_one() -> Result<()> {
     let (mut driven, _) = settled(9, &[1, 2, 3]);
     driven.session.set_seeds(addresses([7]));
     let newer = view(8, [4, 5, 6]);
@@ -173,7 +173,7 @@
 }
 
 #[gtest]
-fn one_that_does_not_let_the_session_stand_is_left() -> Result<()> {
+fn a_control_balancer_that_does_not_grant_is_given_up() -> Result<()> {
     let (mut driven, control) = settled(9, &[1, 2, 3]);
     let since = driven.now;
     let refused = SessionHeartbeatReply { granted: false, ..grant(100, None) };
@@ -190,7 +190,7 @@
 }
 
 #[gtest]
-fn one_that_leaves_the_view_is_left_at_once() -> Result<()> {
+fn a_control_balancer_that_leaves_the_view_is_given_up_at_once() -> Result<()> {
     let (mut driven, control) = settled(9, &[1, 2, 3]);
     let others: Vec<u8> = [1, 2, 3].into_iter().filter(|one| address(*one) != control).collect();
     driven.session.learn_view(&view(4, others));
@@ -209,7 +209,7 @@
 }
 
 #[gtest]
-fn the_replica_is_told_once_it_is_there() -> Result<()> {
+fn the_replica_id_is_sent_once_there_is_one() -> Result<()> {
     let mut driven = Driven::new(2, &[1]);
     expect_that!(driven.next()[0].heartbeat.identity.replica, none());
     driven.session.set_replica(Some(77));
--- a/controlplane/tests/sessions.rs
+++ b/controlplane/tests/session_table.rs
@@ -83,7 +83,7 @@
 }
 
 #[gtest]
-fn silence_lapses_and_a_tombstone_is_published() -> Result<()> {
+fn a_session_without_heartbeats_expires_with_a_tombstone() -> Result<()> {
     let mut balancer = ControlBalancer::new(1);
     let item = balancer.heartbeat(0, 9, 100).or_fail()?.or_fail()?;
     expect_that!(balancer.tick(SESSION_TIMEOUT), is_empty());
@@ -96,7 +96,7 @@
 }
 
 #[gtest]
-fn a_session_that_moved_is_left_alone_by_its_old_holder() -> Result<()> {
+fn a_moved_session_is_left_alone_by_its_earlier_granter() -> Result<()> {
     let (mut old, mut new) = (ControlBalancer::new(1), ControlBalancer::new(2));
     old.heartbeat(0, 9, 100).or_fail()?;
     new.receive(&old.item(9));
@@ -109,7 +109,7 @@
 }
 
 #[gtest]
-fn a_session_that_moved_is_published_above_the_old_holders_tombstone() -> Result<()> {
+fn a_moved_session_supersedes_the_earlier_granters_tombstone() -> Result<()> {
     for (first, second) in [(1, 2), (2, 1), (3, 4), (4, 3), (7, 200)] {
         let (mut old, mut new) = (ControlBalancer::new(first), ControlBalancer::new(second));
         old.heartbeat(0, 9, 100).or_fail()?;
@@ -125,7 +125,7 @@
 }
 
 #[gtest]
-fn a_tombstone_that_comes_after_the_move_is_overcome_by_the_next_heartbeat() -> Result<()> {
+fn a_tombstone_after_the_move_is_superseded_by_the_next_heartbeat() -> Result<()> {
     for (first, second) in [(1, 2), (2, 1), (3, 4), (4, 3), (7, 200)] {
         let (mut old, mut new) = (ControlBalancer::new(first), ControlBalancer::new(second));
         old.heartbeat(0, 9, 100).or_fail()?;
@@ -155,7 +155,7 @@
 }
 
 #[gtest]
-fn a_move_back_stands_above_all_before() -> Result<()> {
+fn a_session_that_moves_back_supersedes_all_before() -> Result<()> {
     let (mut one, mut two) = (ControlBalancer::new(1), ControlBalancer::new(2));
     let mut now = 0;
     let mut stamps = vec![one.heartbeat(now, 9, 100).or_fail()?.or_fail()?.stamp];
@@ -174,7 +174,7 @@
 }
 
 #[gtest]
-fn an_older_process_is_told_what_to_go_beyond() -> Result<()> {
+fn a_stale_incarnation_is_rejected_with_the_newest() -> Result<()> {
     let mut balancer = ControlBalancer::new(1);
     balancer.heartbeat(0, 9, 100).or_fail()?;
     expect_that!(balancer.heartbeat(MS, 9, 99), err(eq(&StaleIncarnation { newest: 100 })));
@@ -194,7 +194,7 @@
 }
 
 #[gtest]
-fn the_items_of_a_holder_that_is_gone_are_removed_in_time() -> Result<()> {
+fn items_of_an_absent_granter_are_removed_in_time() -> Result<()> {
     let (mut gone, mut other) = (ControlBalancer::new(1), ControlBalancer::new(2));
     gone.heartbeat(0, 9, 100).or_fail()?;
     other.receive(&gone.item(9));
@@ -207,7 +207,7 @@
 }
 
 #[gtest]
-fn a_holder_that_has_a_session_itself_keeps_its_items() -> Result<()> {
+fn items_of_a_granter_with_a_session_stay() -> Result<()> {
     let (mut balancer, mut other) = (ControlBalancer::new(1), ControlBalancer::new(2));
     balancer.heartbeat(0, 9, 100).or_fail()?;
     other.receive(&balancer.item(9));
@@ -221,7 +221,7 @@
 }
 
 #[gtest]
-fn a_holder_that_was_missing_for_a_moment_starts_anew() -> Result<()> {
+fn a_short_absence_of_a_granter_is_forgotten() -> Result<()> {
     let (mut balancer, mut other) = (ControlBalancer::new(1), ControlBalancer::new(2));
     balancer.heartbeat(0, 9, 100).or_fail()?;
     other.receive(&balancer.item(9));
@@ -236,7 +236,7 @@
 }
 
 #[gtest]
-fn one_that_is_no_control_balancer_any_longer_takes_nothing_back() -> Result<()> {
+fn a_node_that_is_no_control_balancer_any_longer_expires_nothing() -> Result<()> {
     let mut balancer = ControlBalancer::new(1);
     balancer.heartbeat(0, 9, 100).or_fail()?;
     balancer.table.clear();
--- a/controlplane/tests/fleet.rs
+++ b/controlplane/tests/simulated_fleet.rs
@@ -1,6 +1,6 @@
 //! Days of whole fleets, each from one seed, in calm and with everything that may go wrong.
 
-#[path = "fleet/mod.rs"]
+#[path = "simulation/mod.rs"]
 mod simulation;
 
 use googletest::prelude::*;
--- a/controlplane/tests/fleet/outside.rs
+++ b/controlplane/tests/simulation/clients.rs
@@ -6,9 +6,9 @@
 use gradepaddle_controlplane::node::Input;
 use gradepaddle_controlplane::order::{Order, OrderOutcome};
 
-use super::calls::{Caller, Outcome, success};
-use super::checks::Check;
-use super::operator::{Clear, Task, body, identity, patch};
+use super::callers::{Caller, Outcome, success};
+use super::invariants::Check;
+use super::operator::{Conclusion, Task, body, identity, patch};
 use super::server::{CALL_WITHIN, Server, Stage};
 use super::world::{Event, World};
 use super::{MS, Micros, SECOND};
@@ -74,8 +74,8 @@
             }
             return;
         };
-        process.next_ticket += 1;
-        let ticket = process.next_ticket;
+        process.next_call_id += 1;
+        let ticket = process.next_call_id;
         process.callers.insert(ticket, caller);
         self.step(number, Input::Call { call_id: ticket, call });
     }
@@ -131,13 +131,14 @@
         }
     }
 
-    pub fn order_arrives(&mut self, machine: usize, life: u64, order: Order) {
+    pub fn order_arrives(&mut self, machine: usize, incarnation: u64, order: Order) {
         let now = self.now;
         self.report.orders += 1;
         let owner: Arc<str> = Arc::from(format!("node-{machine}"));
         let server = order.server.clone();
         let Some(one) = self.servers.iter_mut().find(|one| one.id == server && one.alive()) else {
-            return self.schedule_in(250 * MS, order_answered(machine, life, order, OrderOutcome::Failed));
+            return self
+                .schedule_in(250 * MS, order_answered(machine, incarnation, order, OrderOutcome::Failed));
         };
         let answer = match one.order(now, &order, &owner, &mut self.random) {
             Ok(answer) => answer,
@@ -150,7 +151,7 @@
             true => (1_500 * MS, OrderOutcome::Failed),
             false => (self.random.between(300, 3 * MS), answer),
         };
-        self.schedule_in(way, order_answered(machine, life, order, answer));
+        self.schedule_in(way, order_answered(machine, incarnation, order, answer));
     }
 
     pub fn operator_turn(&mut self, index: usize) {
@@ -210,10 +211,10 @@
         let now = self.now;
         let clear = self.operators[index].answered(now, outcome);
         match clear {
-            Clear::Again(at) => return self.schedule(at, Event::Operator(index)),
-            Clear::Acknowledged(task) => self.acknowledged(task),
-            Clear::Refused(task) => self.refused(index, task),
-            Clear::Read(_) => {}
+            Conclusion::Again(at) => return self.schedule(at, Event::Operator(index)),
+            Conclusion::Acknowledged(task) => self.acknowledged(task),
+            Conclusion::Refused(task) => self.refused(index, task),
+            Conclusion::Read(_) => {}
         }
         let idle = self.operators[0].task.is_none() && self.operators[1].task.is_none();
         if index == 2 {
@@ -264,6 +265,6 @@
     }
 }
 
-fn order_answered(machine: usize, life: u64, order: Order, answer: OrderOutcome) -> Event {
-    Event::OrderAnswered { machine, life, order, answer }
+fn order_answered(machine: usize, incarnation: u64, order: Order, answer: OrderOutcome) -> Event {
+    Event::OrderAnswered { machine, incarnation, order, answer }
 }
--- a/controlplane/tests/fleet/faults.rs
+++ b/controlplane/tests/simulation/faults.rs
@@ -2,7 +2,7 @@
 
 use gradepaddle_controlplane::node::Input;
 
-use super::checks::Check;
+use super::invariants::Check;
 use super::plan::Ending;
 use super::world::{Event, World};
 use super::{MS, Micros, SECOND};
@@ -40,7 +40,7 @@
             return self.schedule_in(rest, Event::Repair(Repair::Last));
         }
         let kind = self.random.below(KINDS);
-        let over = self.strike(kind);
+        let over = self.inject(kind);
         self.trace(|| format!("fault {kind}: {over:?}"));
         let Some(over) = over else { return self.schedule_in(300 * MS, Event::Fault) };
         self.plan.faults -= 1;
@@ -51,21 +51,21 @@
     }
 
     /// Brings about a fault; gives how long it lasts, or nothing if it would be too much now.
-    fn strike(&mut self, kind: usize) -> Option<Micros> {
+    fn inject(&mut self, kind: usize) -> Option<Micros> {
         let down = self.random.between(200 * MS, 3 * SECOND);
         match kind {
             0 => self.kill_one(down),
-            1 => self.kill_leader(down),
+            1 => self.kill_primary(down),
             2 => self.lose_disks(down),
             3 => self.replace_one(down),
-            4 => self.cut_leader(down),
-            5 => self.cut_some(down),
+            4 => self.partition_primary(down),
+            5 => self.partition_some(down),
             6 => self.freeze_one(down),
-            7 => self.spoil_disk(down),
-            8 => self.restart_in_order(),
-            9 => self.other_seeds(),
+            7 => self.fail_disk(down),
+            8 => self.restart_gracefully(),
+            9 => self.change_seeds(),
             10 => self.break_connections(),
-            _ => self.lossy(down),
+            _ => self.lose_messages(down),
         }
     }
 
@@ -76,7 +76,7 @@
         self.plan.losses.saturating_sub(lost.count())
     }
 
-    fn one_up(&mut self) -> Option<usize> {
+    fn pick_running(&mut self) -> Option<usize> {
         let up = self.up();
         let core_too = self.may_lose() > 0;
         let fit: Vec<usize> =
@@ -85,8 +85,9 @@
     }
 
     fn leader(&self) -> Option<usize> {
-        let leads =
-            |one: &&super::machine::Machine| one.process.as_ref().is_some_and(|it| it.told.leading.is_some());
+        let leads = |one: &&super::machine::Machine| {
+            one.process.as_ref().is_some_and(|it| it.observed.leading.is_some())
+        };
         self.machines.iter().find(leads).map(|one| one.number)
     }
 
@@ -95,17 +96,17 @@
         let silently = self.random.percent(50);
         self.stop(number, silently);
         let now = self.now;
-        self.machines[number].note_trouble(now, now + down);
+        self.machines[number].note_fault(now, now + down);
         self.schedule_in(down, Event::Start(number));
     }
 
     fn kill_one(&mut self, down: Micros) -> Option<Micros> {
-        let number = self.one_up()?;
+        let number = self.pick_running()?;
         self.lose(number, down);
         Some(down)
     }
 
-    fn kill_leader(&mut self, down: Micros) -> Option<Micros> {
+    fn kill_primary(&mut self, down: Micros) -> Option<Micros> {
         let leader = self.leader().filter(|_| self.may_lose() > 0)?;
         self.lose(leader, down);
         Some(down)
@@ -124,25 +125,25 @@
     }
 
     fn replace_one(&mut self, down: Micros) -> Option<Micros> {
-        let number = self.one_up()?;
+        let number = self.pick_running()?;
         self.stop(number, true);
         let (now, zone, core) = (self.now, self.machines[number].zone, self.machines[number].core);
         let fresh = self.add_machine(zone, core);
         self.machines[number].removed = true;
-        self.machines[number].note_trouble(now, now + down);
-        self.machines[fresh].note_trouble(now, now + down);
+        self.machines[number].note_fault(now, now + down);
+        self.machines[fresh].note_fault(now, now + down);
         self.schedule_in(down, Event::Start(fresh));
         Some(down)
     }
 
-    fn cut_leader(&mut self, down: Micros) -> Option<Micros> {
+    fn partition_primary(&mut self, down: Micros) -> Option<Micros> {
         let leader = self.leader().filter(|_| self.may_lose() > 0)?;
-        self.cut_off(vec![leader], down);
+        self.partition(vec![leader], down);
         Some(down)
     }
 
     /// Cuts off a zone, or a single machine.
-    fn cut_some(&mut self, down: Micros) -> Option<Micros> {
+    fn partition_some(&mut self, down: Micros) -> Option<Micros> {
         let zone = self.random.below(6);
         let mut apart: Vec<usize> = self
             .machines
@@ -151,13 +152,13 @@
             .map(|one| one.number)
             .collect();
         if apart.is_empty() {
-            apart = vec![self.one_up()?];
+            apart = vec![self.pick_running()?];
         }
-        self.cut_off(apart, down);
+        self.partition(apart, down);
         Some(down)
     }
 
-    fn cut_off(&mut self, apart: Vec<usize>, down: Micros) {
+    fn partition(&mut self, apart: Vec<usize>, down: Micros) {
         let now = self.now;
         let others: Vec<usize> = (0..self.machines.len()).filter(|number| !apart.contains(number)).collect();
         let way = self.random.below(4);
@@ -168,22 +169,22 @@
             self.network.cut(&others, &apart);
         }
         for number in apart {
-            self.machines[number].note_trouble(now, now + down);
+            self.machines[number].note_fault(now, now + down);
         }
         self.record.links.push((now, now + down));
         self.schedule_in(down, Event::Repair(Repair::Links));
     }
 
     fn freeze_one(&mut self, down: Micros) -> Option<Micros> {
-        let number = self.one_up()?;
+        let number = self.pick_running()?;
         let now = self.now;
         self.machines[number].frozen_until = now + down;
-        self.machines[number].note_trouble(now, now + down);
+        self.machines[number].note_fault(now, now + down);
         Some(down)
     }
 
-    fn spoil_disk(&mut self, down: Micros) -> Option<Micros> {
-        let number = self.one_up().filter(|number| self.machines[*number].core)?;
+    fn fail_disk(&mut self, down: Micros) -> Option<Micros> {
+        let number = self.pick_running().filter(|number| self.machines[*number].core)?;
         let now = self.now;
         let full = self.random.percent(50);
         let machine = &mut self.machines[number];
@@ -192,23 +193,23 @@
         } else {
             machine.disk.hangs_until = now + down;
         }
-        machine.note_trouble(now, now + down);
+        machine.note_fault(now, now + down);
         self.schedule_in(down, Event::Repair(Repair::Disk(number)));
         Some(down)
     }
 
     /// SIGTERM, the end, and the next start.
-    fn restart_in_order(&mut self) -> Option<Micros> {
-        let number = self.one_up()?;
+    fn restart_gracefully(&mut self) -> Option<Micros> {
+        let number = self.pick_running()?;
         let now = self.now;
         let (ends_in, back_in) = (2_700 * MS, 500 * MS);
-        self.machines[number].note_trouble(now, now + ends_in + back_in);
+        self.machines[number].note_fault(now, now + ends_in + back_in);
         self.step(number, Input::ShutDown);
         self.schedule_in(ends_in, Event::Repair(Repair::Ended { machine: number, back_in }));
         Some(ends_in + back_in)
     }
 
-    fn other_seeds(&mut self) -> Option<Micros> {
+    fn change_seeds(&mut self) -> Option<Micros> {
         for number in self.up() {
             let seeds = self.some_addresses();
             self.step(number, Input::SeedsChanged(seeds));
@@ -227,7 +228,7 @@
         Some(200 * MS)
     }
 
-    fn lossy(&mut self, down: Micros) -> Option<Micros> {
+    fn lose_messages(&mut self, down: Micros) -> Option<Micros> {
         self.network.loss = self.random.between(5, 40);
         self.record.links.push((self.now, self.now + down));
         self.schedule_in(down, Event::Repair(Repair::Links));
--- a/controlplane/tests/fleet/checks.rs
+++ b/controlplane/tests/simulation/invariants.rs
@@ -9,12 +9,12 @@
 use gradepaddle_placement::ServerState;
 use gradepaddle_proto::ControlCall;
 
-use super::calls::{Caller, Outcome};
+use super::callers::{Caller, Outcome};
 use super::machine::Machine;
 use super::operator::{Task, identity, version_of};
 use super::server::{Server, Stage};
 use super::world::{Event, World};
-use super::{IN_TOUCH, MS, Micros, SECOND};
+use super::{CONNECT_TIME, MS, Micros, SECOND};
 
 /// All nodes know what became of a server after this.
 const KNOWN_AFTER: Micros = 9 * SECOND;
@@ -23,7 +23,7 @@
 #[derive(Clone, Copy, Debug)]
 pub enum Check {
     /// Somebody leads.
-    Founded,
+    Bootstrapped,
     /// All nodes know all nodes.
     Members,
     /// A configuration that was acknowledged then is in force wherever machines are in touch.
@@ -81,7 +81,7 @@
         self.seen.insert(identity(body));
     }
 
-    pub fn links_calm(&self, from: Micros, until: Micros) -> bool {
+    pub fn network_without_faults(&self, from: Micros, until: Micros) -> bool {
         self.links.iter().all(|(begun, ended)| *ended < from || *begun > until)
     }
 }
@@ -89,7 +89,7 @@
 impl World {
     pub fn check(&mut self, check: Check) {
         let applies = match check {
-            Check::Founded => self.check_founded(),
+            Check::Bootstrapped => self.check_bootstrapped(),
             Check::Members => self.check_members(),
             Check::Applied { version, at } => self.check_applied(version, at),
             Check::Answered { operator, begun } => self.check_answered(operator, begun),
@@ -106,20 +106,21 @@
     }
 
     /// Whether core and links were without trouble, and in touch from the first time on.
-    fn core_calm(&self, from: Micros, until: Micros) -> bool {
-        let from = from.saturating_sub(IN_TOUCH);
+    fn core_without_faults(&self, from: Micros, until: Micros) -> bool {
+        let from = from.saturating_sub(CONNECT_TIME);
         let cores = self.machines.iter().filter(|machine| machine.core);
-        cores.into_iter().all(|machine| machine.calm(from, until)) && self.record.links_calm(from, until)
+        cores.into_iter().all(|machine| machine.calm(from, until))
+            && self.record.network_without_faults(from, until)
     }
 
     /// Machines that were in touch from the first time on.
-    fn in_touch(&self, from: Micros) -> Vec<usize> {
+    fn connected(&self, from: Micros) -> Vec<usize> {
         let up = self.machines.iter().filter(|machine| machine.up());
-        up.filter(|machine| machine.in_touch(from, self.now)).map(|machine| machine.number).collect()
+        up.filter(|machine| machine.connected(from, self.now)).map(|machine| machine.number).collect()
     }
 
-    fn check_founded(&mut self) -> bool {
-        let leaders = self.machines.iter().filter_map(|one| one.process.as_ref()?.told.leading);
+    fn check_bootstrapped(&mut self) -> bool {
+        let leaders = self.machines.iter().filter_map(|one| one.process.as_ref()?.observed.leading);
         if leaders.count() != 1 {
             self.broken("the system is not founded".to_owned());
         }
@@ -132,13 +133,13 @@
             up.iter().map(|number| self.machines[*number].address).collect();
         for number in &up {
             let Some(process) = &self.machines[*number].process else { continue };
-            let mut known = process.told.peers.clone();
+            let mut known = process.observed.peers.clone();
             known.insert(self.machines[*number].address);
-            known.retain(|address| addresses.contains(address) || !self.may_be_a_ghost(*address));
-            if known != addresses || !process.told.in_touch {
-                let (known, in_touch) = (known.len(), process.told.in_touch);
+            known.retain(|address| addresses.contains(address) || !self.may_be_a_stale_member(*address));
+            if known != addresses || !process.observed.connected {
+                let (known, connected) = (known.len(), process.observed.connected);
                 self.broken(format!(
-                    "node {number} knows {known} of {} nodes, in touch: {in_touch}",
+                    "node {number} knows {known} of {} nodes, in touch: {connected}",
                     up.len()
                 ));
             }
@@ -147,21 +148,23 @@
     }
 
     /// A node that is gone for good stays a member at present if its session's holder started anew: see `found.rs`.
-    fn may_be_a_ghost(&self, address: SocketAddrV4) -> bool {
+    fn may_be_a_stale_member(&self, address: SocketAddrV4) -> bool {
         !self.plan.strict && self.machines.iter().any(|one| one.address == address && one.removed)
     }
 
     pub fn configuration_of(&self, number: usize) -> u64 {
-        let told =
-            self.machines[number].process.as_ref().and_then(|process| process.told.configuration.as_ref());
+        let told = self.machines[number]
+            .process
+            .as_ref()
+            .and_then(|process| process.observed.configuration.as_ref());
         told.map_or(0, |(version, _)| *version)
     }
 
     fn check_applied(&mut self, version: u64, at: Micros) -> bool {
-        if !self.core_calm(at, self.now) {
+        if !self.core_without_faults(at, self.now) {
             return false;
         }
-        for number in self.in_touch(at) {
+        for number in self.connected(at) {
             let has = self.configuration_of(number);
             if has < version {
                 self.broken(format!(
@@ -177,7 +180,7 @@
         for number in self.up() {
             let has = self.configuration_of(number);
             let Some(process) = &self.machines[number].process else { continue };
-            let acts = process.told.keys_until > process.clock(self.now);
+            let acts = process.observed.keys_until > process.clock(self.now);
             if acts && has < version {
                 self.broken(format!(
                     "node {number} acts on keys of {has}, though {version} was acknowledged"
@@ -188,7 +191,7 @@
     }
 
     fn check_answered(&mut self, index: usize, begun: Micros) -> bool {
-        if !self.core_calm(begun, self.now) {
+        if !self.core_without_faults(begun, self.now) {
             return false;
         }
         let operator = &self.operators[index];
@@ -205,14 +208,16 @@
     }
 
     fn check_drained(&mut self, server: usize, by: usize, at: Micros) -> bool {
-        let from = at.saturating_sub(IN_TOUCH);
-        if !self.machines[by].calm(from, at.saturating_sub(1)) || !self.record.links_calm(from, self.now) {
+        let from = at.saturating_sub(CONNECT_TIME);
+        if !self.machines[by].calm(from, at.saturating_sub(1))
+            || !self.record.network_without_faults(from, self.now)
+        {
             return false;
         }
         let id = self.servers[server].id.clone();
-        for number in self.in_touch(at) {
+        for number in self.connected(at) {
             let Some(process) = &self.machines[number].process else { continue };
-            if process.told.servers.get(&id) == Some(&ServerState::Ready) {
+            if process.observed.servers.get(&id) == Some(&ServerState::Ready) {
                 self.broken(format!(
                     "node {number} calls {id} ready, whose end {by} acknowledged at {} ms",
                     at / MS
@@ -223,7 +228,7 @@
     }
 
     fn check_loaded(&mut self, version: u64, at: Micros) -> bool {
-        if !self.core_calm(at, self.now) || self.loading_may_be_held_up(at) {
+        if !self.core_without_faults(at, self.now) || self.loading_may_be_delayed(at) {
             return false;
         }
         let now = self.now;
@@ -254,7 +259,7 @@
         let leaders: Vec<usize> = self
             .machines
             .iter()
-            .filter(|one| one.process.as_ref().is_some_and(|process| process.told.leading.is_some()))
+            .filter(|one| one.process.as_ref().is_some_and(|process| process.observed.leading.is_some()))
             .map(|one| one.number)
             .collect();
         if leaders.len() != 1 {
@@ -264,7 +269,7 @@
     }
 
     /// A server that crashes while it loads holds up the others at present: see `found.rs`.
-    fn loading_may_be_held_up(&self, at: Micros) -> bool {
+    fn loading_may_be_delayed(&self, at: Micros) -> bool {
         let recently = |server: &&Server| server.crashed && server.since + KNOWN_AFTER > at;
         !self.plan.strict && self.servers.iter().any(|server| recently(&server))
     }
@@ -324,7 +329,7 @@
         for number in self.up() {
             let Some(process) = &self.machines[number].process else { continue };
             for server in self.servers.iter().filter(|server| server.since < settled) {
-                let told = process.told.servers.get(&server.id).copied();
+                let told = process.observed.servers.get(&server.id).copied();
                 let fits = match server.stage {
                     Stage::Ready => !self.plan.servers_agree || told == Some(ServerState::Ready),
                     Stage::Ended => told != Some(ServerState::Ready) || self.may_be_overlooked(server),
--- a/controlplane/tests/fleet/machine.rs
+++ b/controlplane/tests/simulation/machine.rs
@@ -14,16 +14,16 @@
 use gradepaddle_placement::ServerState;
 use gradepaddle_proto::Identity;
 
-use super::calls::Caller;
+use super::callers::Caller;
 use super::disk::Disk;
 use super::random::Random;
-use super::{IN_TOUCH, MS, Micros, SECOND};
+use super::{CONNECT_TIME, MS, Micros, SECOND};
 
 /// The zones.
 pub const ZONES: [&str; 3] = ["west", "middle", "east"];
 /// Servers say something this often.
 pub const HEARTBEAT_INTERVAL: Micros = 1_200 * MS;
-/// Two holders of the duty must not take turns within this.
+/// Two holders of the driver must not take turns within this.
 pub const LEASE: Micros = 3 * SECOND;
 /// Named weights have to be in use within this.
 pub const VERSION_WITHIN: Micros = 8 * SECOND;
@@ -32,12 +32,12 @@
 
 /// What a process has told its data plane.
 #[derive(Debug, Default)]
-pub struct Told {
+pub struct Observed {
     pub configuration: Option<(u64, Arc<[u8]>)>,
     pub peers: BTreeSet<SocketAddrV4>,
     pub servers: BTreeMap<Arc<str>, ServerState>,
     pub leading: Option<u64>,
-    pub in_touch: bool,
+    pub connected: bool,
     /// Until when it may act on keys, by its clock.
     pub keys_until: Micros,
 }
@@ -51,8 +51,8 @@
     pub woken: Micros,
     pub wakes_now: u32,
     pub callers: BTreeMap<u64, Caller>,
-    pub next_ticket: u64,
-    pub told: Told,
+    pub next_call_id: u64,
+    pub observed: Observed,
     pub leaving: bool,
 }
 
@@ -78,7 +78,7 @@
     pub disk: Disk,
     pub process: Option<Process>,
     /// Rises with each start and end of its process.
-    pub life: u64,
+    pub incarnation: u64,
     /// It never comes back.
     pub removed: bool,
     pub frozen_until: Micros,
@@ -113,7 +113,7 @@
             core,
             disk: Disk::empty(id),
             process: None,
-            life: 0,
+            incarnation: 0,
             removed: false,
             frozen_until: 0,
             stalls_for: 0,
@@ -131,7 +131,7 @@
     }
 
     /// Notes trouble, which may go on into the future.
-    pub fn note_trouble(&mut self, from: Micros, until: Micros) {
+    pub fn note_fault(&mut self, from: Micros, until: Micros) {
         self.trouble.push((from, until));
     }
 
@@ -141,12 +141,12 @@
     }
 
     /// Whether it was in touch from the first time on, until the second.
-    pub fn in_touch(&self, from: Micros, until: Micros) -> bool {
-        self.calm(from.saturating_sub(IN_TOUCH), until)
+    pub fn connected(&self, from: Micros, until: Micros) -> bool {
+        self.calm(from.saturating_sub(CONNECT_TIME), until)
     }
 
     pub fn start(&mut self, now: Micros, boot: &Boot, random: &mut Random) {
-        self.life += 1;
+        self.incarnation += 1;
         let node = Node::new(NodeSetup {
             session: SessionClient::new(
                 self.identity(now, boot.first, random),
@@ -172,8 +172,8 @@
             woken: Micros::MAX,
             wakes_now: 0,
             callers: BTreeMap::new(),
-            next_ticket: 0,
-            told: Told::default(),
+            next_call_id: 0,
+            observed: Observed::default(),
             leaving: false,
         });
     }
--- a/controlplane/tests/fleet/mod.rs
+++ b/controlplane/tests/simulation/mod.rs
@@ -3,22 +3,22 @@
 
 #![allow(dead_code, unused_imports, reason = "each test file uses its part")]
 
-mod calls;
-mod checks;
+mod callers;
+mod clients;
 mod disk;
 mod faults;
-mod histories;
+mod invariants;
 mod machine;
 mod network;
+mod operation_history;
 pub mod operator;
 mod outage;
-mod outside;
 mod plan;
 mod random;
 mod server;
 mod world;
 
-pub use outage::{Outage, Trouble, Victim};
+pub use outage::{Outage, OutageKind, Victim};
 pub use plan::{Ending, Plan};
 pub use world::{Report, World};
 
@@ -29,6 +29,6 @@
 /// A second.
 pub const SECOND: Micros = 1_000_000;
 /// How long a machine has to be without trouble to be in touch.
-pub const IN_TOUCH: Micros = 3 * SECOND;
+pub const CONNECT_TIME: Micros = 3 * SECOND;
 /// The only model.
 pub const MODEL: &str = "advisor";
--- a/controlplane/tests/fleet/network.rs
+++ b/controlplane/tests/simulation/network.rs
@@ -26,7 +26,7 @@
 
 /// When a message arrives, unless its connection breaks before.
 #[derive(Debug, Clone, Copy)]
-pub struct Way {
+pub struct Delivery {
     pub at: Micros,
     pub connection: u64,
 }
@@ -66,7 +66,7 @@
         between: (usize, usize),
         near: bool,
         random: &mut Random,
-    ) -> Option<Way> {
+    ) -> Option<Delivery> {
         let lost = random.percent(self.loss);
         let link = self.links.entry(between).or_default();
         if lost || now < link.down_until || self.cuts.contains(&between) {
@@ -74,7 +74,7 @@
         }
         let delay = if near { random.between(100, 500) } else { random.between(500, 3 * MS) };
         link.last_arrival = link.last_arrival.max(now + delay);
-        Some(Way { at: link.last_arrival, connection: link.broken })
+        Some(Delivery { at: link.last_arrival, connection: link.broken })
     }
 
     /// Whether what was sent on this connection still arrives.
--- a/controlplane/tests/fleet/histories.rs
+++ b/controlplane/tests/simulation/operation_history.rs
@@ -5,7 +5,7 @@
 use gradepaddle_controlplane::api::{Call, fingerprint_number};
 use gradepaddle_proto::ControlCall;
 
-use super::calls::{Caller, Outcome};
+use super::callers::{Caller, Outcome};
 use super::operator::identity;
 use super::random::Random;
 use super::world::{Event, World};
--- a/controlplane/tests/fleet/operator.rs
+++ b/controlplane/tests/simulation/operator.rs
@@ -5,7 +5,7 @@
 use gradepaddle_controlplane::api::Call;
 use gradepaddle_proto::ControlCall;
 
-use super::calls::Outcome;
+use super::callers::Outcome;
 use super::{MODEL, MS, Micros};
 
 /// What an operator wants.
@@ -41,7 +41,7 @@
 
 /// What is clear after an answer.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Clear {
+pub enum Conclusion {
     Acknowledged(Task),
     /// It isn't in force and never will be.
     Refused(Task),
@@ -115,22 +115,22 @@
     }
 
     /// Takes in what came of the call.
-    pub fn answered(&mut self, now: Micros, outcome: &Outcome) -> Clear {
+    pub fn answered(&mut self, now: Micros, outcome: &Outcome) -> Conclusion {
         let status = outcome.as_ref().map_or(0, |answer| answer.status);
         let ends = matches!(status, 200..=299 | 400 | 404 | 409 | 412 | 413 | 422);
         let Some(task) = self.task.clone().filter(|_| ends) else {
             self.pause = (self.pause * 2).clamp(50 * MS, 400 * MS);
-            return Clear::Again(now + self.pause);
+            return Conclusion::Again(now + self.pause);
         };
         self.task = None;
         match (&task, outcome) {
-            (Task::Read, Some(answer)) if status == 200 => Clear::Read(answer.body.clone()),
+            (Task::Read, Some(answer)) if status == 200 => Conclusion::Read(answer.body.clone()),
             (Task::Put { version, .. } | Task::Patch { version, .. }, _) if status == 200 => {
                 self.current = *version;
-                Clear::Acknowledged(task)
+                Conclusion::Acknowledged(task)
             }
-            _ if status == 200 => Clear::Acknowledged(task),
-            _ => Clear::Refused(task),
+            _ if status == 200 => Conclusion::Acknowledged(task),
+            _ => Conclusion::Refused(task),
         }
     }
 }
--- a/controlplane/tests/fleet/outage.rs
+++ b/controlplane/tests/simulation/outage.rs
@@ -6,7 +6,7 @@
 use gradepaddle_controlplane::node::Output;
 use gradepaddle_proto::ControlCall;
 
-use super::calls::{Caller, Outcome};
+use super::callers::{Caller, Outcome};
 use super::operator::version_of;
 use super::world::{Event, World};
 use super::{MS, Micros, SECOND};
@@ -37,17 +37,17 @@
 
 /// How it loses contact.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum OutageKind {
     /// Nothing gets through.
-    Cut,
+    Partition,
     /// Nothing gets through to and from machines with a disk.
-    CutFromCore,
+    PartitionFromCore,
     /// It hears nobody.
     Deaf,
     /// Nobody hears it.
     Mute,
     /// It is cut off, and frozen from one quarter of the time to three.
-    CutAndFrozen,
+    PartitionAndFrozen,
     /// The processes stand still.
     Frozen,
     /// It is cut off and connected again, in turns.
@@ -60,7 +60,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Outage {
     pub victim: Victim,
-    pub trouble: Trouble,
+    pub kind: OutageKind,
     pub lasts: Micros,
 }
 
@@ -77,7 +77,7 @@
 
 /// What was seen of an outage.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct OutageObservations {
     apart: Vec<usize>,
     began: Option<Micros>,
     /// Since when nothing has got through, if so.
@@ -110,8 +110,9 @@
     }
 
     fn victims(&self, victim: Victim) -> Vec<usize> {
-        let leads =
-            |one: &&super::machine::Machine| one.process.as_ref().is_some_and(|it| it.told.leading.is_some());
+        let leads = |one: &&super::machine::Machine| {
+            one.process.as_ref().is_some_and(|it| it.observed.leading.is_some())
+        };
         let Some(primary) = self.machines.iter().find(leads) else { return Vec::new() };
         let other = |core: bool| {
             let found = self.machines.iter().find(|one| one.core == core && one.number != primary.number);
@@ -148,37 +149,43 @@
             return self.broken("nobody leads before the outage".to_owned());
         }
         self.trace(|| format!("{outage:?} of {apart:?}"));
-        let core_only = outage.trouble == Trouble::CutFromCore;
+        let core_only = outage.kind == OutageKind::PartitionFromCore;
         let fit = |one: &&super::machine::Machine| !apart.contains(&one.number) && (one.core || !core_only);
         let others: Vec<usize> = self.machines.iter().filter(fit).map(|one| one.number).collect();
         if matches!(
-            outage.trouble,
-            Trouble::Cut | Trouble::CutFromCore | Trouble::CutAndFrozen | Trouble::Deaf
+            outage.kind,
+            OutageKind::Partition
+                | OutageKind::PartitionFromCore
+                | OutageKind::PartitionAndFrozen
+                | OutageKind::Deaf
         ) {
             self.network.cut(&others, &apart);
         }
         if matches!(
-            outage.trouble,
-            Trouble::Cut | Trouble::CutFromCore | Trouble::CutAndFrozen | Trouble::Mute
+            outage.kind,
+            OutageKind::Partition
+                | OutageKind::PartitionFromCore
+                | OutageKind::PartitionAndFrozen
+                | OutageKind::Mute
         ) {
             self.network.cut(&apart, &others);
         }
         for number in &apart {
-            self.machines[*number].note_trouble(now, now + outage.lasts);
+            self.machines[*number].note_fault(now, now + outage.lasts);
         }
         self.record.links.push((now, now + outage.lasts));
         self.report.faults += 1;
         self.outage.apart = apart;
         self.outage.began = Some(now);
-        let steady = !matches!(outage.trouble, Trouble::Flapping | Trouble::Stalling);
+        let steady = !matches!(outage.kind, OutageKind::Flapping | OutageKind::Stalling);
         self.outage.cut_since = steady.then_some(now);
-        match outage.trouble {
-            Trouble::Frozen => self.freeze_apart(outage.lasts),
-            Trouble::CutAndFrozen => {
+        match outage.kind {
+            OutageKind::Frozen => self.freeze_apart(outage.lasts),
+            OutageKind::PartitionAndFrozen => {
                 self.schedule_in(outage.lasts / 4, Event::Outage(OutageStep::Freeze));
             }
-            Trouble::Flapping => self.flap(),
-            Trouble::Stalling => self.stall(),
+            OutageKind::Flapping => self.flap(),
+            OutageKind::Stalling => self.stall(),
             _ => {}
         }
         self.schedule_in(outage.lasts, Event::Outage(OutageStep::End));
@@ -215,8 +222,14 @@
     }
 
     /// A process that stood still goes on with what it had decided before.
-    pub fn carry_out_late(&mut self, number: usize, life: u64, leader: Option<usize>, outputs: Vec<Output>) {
-        if self.machines[number].life != life {
+    pub fn carry_out_after_stall(
+        &mut self,
+        number: usize,
+        incarnation: u64,
+        leader: Option<usize>,
+        outputs: Vec<Output>,
+    ) {
+        if self.machines[number].incarnation != incarnation {
             return;
         }
         let passed_on = self.leader_by_epoch() != leader;
@@ -238,7 +251,7 @@
     /// The machine that took the lead last, if it believes that it leads.
     pub fn leader_by_epoch(&self) -> Option<usize> {
         let led = |one: &super::machine::Machine| {
-            one.process.as_ref().and_then(|process| process.told.leading).map(|epoch| (epoch, one.number))
+            one.process.as_ref().and_then(|process| process.observed.leading).map(|epoch| (epoch, one.number))
         };
         self.machines.iter().filter_map(led).max().map(|(_, number)| number)
     }
@@ -257,7 +270,7 @@
         if thawed > self.now {
             // It lasts longer, then.
             let now = self.now;
-            apart.iter().for_each(|number| self.machines[*number].note_trouble(now, thawed));
+            apart.iter().for_each(|number| self.machines[*number].note_fault(now, thawed));
             return self.schedule(thawed, Event::Outage(OutageStep::End));
         }
         self.network.heal();
@@ -325,7 +338,7 @@
             }
             None => {
                 let thawed = self.machines[machine].frozen_until;
-                let stands_still = self.plan.outage.is_some_and(|outage| outage.trouble == Trouble::Stalling);
+                let stands_still = self.plan.outage.is_some_and(|outage| outage.kind == OutageKind::Stalling);
                 if self.now > thawed + 2 * SECOND && !stands_still {
                     self.broken(format!("a read at node {machine} has no answer within a second"));
                 }
--- a/controlplane/tests/fleet/server.rs
+++ b/controlplane/tests/simulation/server.rs
@@ -46,7 +46,7 @@
     pub said: Stage,
     /// The machine that it calls.
     pub calls: Option<usize>,
-    keeps_to_one: bool,
+    sticky: bool,
     call_count: u64,
     pause: Micros,
     /// Until when it loads weights, and which.
@@ -71,7 +71,7 @@
             attempt: 0,
             said: Stage::Ready,
             calls: None,
-            keeps_to_one: random.percent(70),
+            sticky: random.percent(70),
             call_count: random.below(3) as u64,
             pause: 0,
             loading: None,
@@ -118,7 +118,7 @@
             return now + self.pause;
         }
         self.pause = 0;
-        if !self.keeps_to_one {
+        if !self.sticky {
             self.calls = None;
         }
         match (self.said, self.stage) {
@@ -154,7 +154,7 @@
         owner: &Arc<str>,
         random: &mut Random,
     ) -> Result<OrderOutcome, String> {
-        self.judge(now, order, owner)?;
+        self.check_order(now, order, owner)?;
         self.orders.push((now, owner.clone(), order.fencing_token));
         self.load(now);
         if self.version >= order.version {
@@ -167,7 +167,7 @@
         Ok(OrderOutcome::InProgress)
     }
 
-    fn judge(&self, now: Micros, order: &Order, owner: &Arc<str>) -> Result<(), String> {
+    fn check_order(&self, now: Micros, order: &Order, owner: &Arc<str>) -> Result<(), String> {
         for (at, before, fence) in &self.orders {
             let wrong = match () {
                 () if fence == &order.fencing_token && before != owner => "two holders with one fence",
--- a/controlplane/tests/fleet/world.rs
+++ b/controlplane/tests/simulation/world.rs
@@ -12,15 +12,15 @@
 use gradepaddle_placement::{ServerEntry, ServerState};
 use gradepaddle_proto::{Content, Envelope};
 
-use super::calls::{Caller, Outcome};
-use super::checks::{Check, Record};
+use super::callers::{Caller, Outcome};
 use super::disk::Disk;
 use super::faults::Repair;
-use super::histories::Histories;
+use super::invariants::{Check, Record};
 use super::machine::{Boot, Machine, ReplicaBoot};
 use super::network::Network;
+use super::operation_history::Histories;
 use super::operator::{Operator, version_of};
-use super::outage::{OutageStep, Seen};
+use super::outage::{OutageObservations, OutageStep};
 use super::plan::Plan;
 use super::random::Random;
 use super::server::Server;
@@ -37,15 +37,15 @@
 /// What is to come.
 pub enum Event {
     Start(usize),
-    Wake { machine: usize, life: u64, at: Micros },
+    Wake { machine: usize, incarnation: u64, at: Micros },
     Deliver { from: usize, to: usize, connection: u64, content: Content },
-    DiskOpen { machine: usize, life: u64, first: bool },
-    Written { machine: usize, life: u64 },
+    DiskOpen { machine: usize, incarnation: u64, first: bool },
+    Written { machine: usize, incarnation: u64 },
     Call { machine: usize, caller: Caller, call: Call },
     CallOver { caller: Caller, outcome: Outcome },
-    Order { machine: usize, life: u64, order: Order },
-    OrderAnswered { machine: usize, life: u64, order: Order, answer: OrderOutcome },
-    Asked { machine: usize, life: u64, server: Arc<str> },
+    Order { machine: usize, incarnation: u64, order: Order },
+    OrderAnswered { machine: usize, incarnation: u64, order: Order, answer: OrderOutcome },
+    Asked { machine: usize, incarnation: u64, server: Arc<str> },
     Server(usize),
     Churn,
     Operator(usize),
@@ -54,7 +54,7 @@
     Repair(Repair),
     Check(Check),
     Outage(OutageStep),
-    CarryOut { machine: usize, life: u64, leader: Option<usize>, outputs: Vec<Output> },
+    CarryOut { machine: usize, incarnation: u64, leader: Option<usize>, outputs: Vec<Output> },
     Read { machine: usize },
     Over,
 }
@@ -121,7 +121,7 @@
     pub servers: Vec<Server>,
     pub operators: [Operator; 3],
     pub record: Record,
-    pub outage: Seen,
+    pub outage: OutageObservations,
     pub report: Report,
     pub pending: HashSet<Caller>,
     pub first_seeds: Vec<SocketAddrV4>,
@@ -143,7 +143,7 @@
             servers: Vec::new(),
             operators: Default::default(),
             record: Record::default(),
-            outage: Seen::default(),
+            outage: OutageObservations::default(),
             report: Report::default(),
             pending: HashSet::new(),
             first_seeds: Vec::new(),
@@ -175,7 +175,7 @@
         self.schedule(2 * SECOND, Event::Operator(0));
         self.schedule(5 * SECOND, Event::Operator(2));
         self.schedule(5 * SECOND, Event::Churn);
-        self.schedule(3 * SECOND, Event::Check(Check::Founded));
+        self.schedule(3 * SECOND, Event::Check(Check::Bootstrapped));
         self.schedule(5 * SECOND, Event::Check(Check::Members));
         self.schedule(7 * SECOND, Event::Fault);
         if self.plan.outage.is_some() {
@@ -272,17 +272,17 @@
         let Some(event) = self.unless_frozen(event) else { return };
         match event {
             Event::Start(machine) => self.start(machine),
-            Event::Wake { machine, life, at } => self.wake(machine, life, at),
+            Event::Wake { machine, incarnation, at } => self.wake(machine, incarnation, at),
             Event::Deliver { from, to, connection, content } => self.deliver(from, to, connection, content),
-            Event::DiskOpen { machine, life, first } => self.disk_open(machine, life, first),
-            Event::Written { machine, life } => self.written(machine, life),
+            Event::DiskOpen { machine, incarnation, first } => self.disk_open(machine, incarnation, first),
+            Event::Written { machine, incarnation } => self.written(machine, incarnation),
             Event::Call { machine, caller, call } => self.call_arrives(machine, caller, call),
             Event::CallOver { caller, outcome } => self.call_over(caller, outcome),
-            Event::Order { machine, life, order } => self.order_arrives(machine, life, order),
-            Event::OrderAnswered { machine, life, order, answer } => {
-                self.hand(machine, life, Input::OrderCompleted { order, outcome: answer });
+            Event::Order { machine, incarnation, order } => self.order_arrives(machine, incarnation, order),
+            Event::OrderAnswered { machine, incarnation, order, answer } => {
+                self.hand(machine, incarnation, Input::OrderCompleted { order, outcome: answer });
             }
-            Event::Asked { machine, life, server } => self.asked(machine, life, server),
+            Event::Asked { machine, incarnation, server } => self.asked(machine, incarnation, server),
             Event::Server(index) => self.server_calls(index),
             Event::Churn => self.churn(),
             Event::Operator(index) => self.operator_turn(index),
@@ -291,8 +291,8 @@
             Event::Repair(repair) => self.repair(repair),
             Event::Check(check) => self.check(check),
             Event::Outage(step) => self.outage_step(step),
-            Event::CarryOut { machine, life, leader, outputs } => {
-                self.carry_out_late(machine, life, leader, outputs);
+            Event::CarryOut { machine, incarnation, leader, outputs } => {
+                self.carry_out_after_stall(machine, incarnation, leader, outputs);
             }
             Event::Read { machine } => self.read(machine),
             Event::Over => self.over = true,
@@ -330,11 +330,11 @@
         let now = self.now;
         let machine = &mut self.machines[number];
         machine.start(now, &boot, &mut self.random);
-        machine.note_trouble(now, now);
-        let (life, core) = (machine.life, machine.core);
+        machine.note_fault(now, now);
+        let (incarnation, core) = (machine.incarnation, machine.core);
         if core {
             let opens = self.random.between(2 * MS, 40 * MS);
-            self.schedule_in(opens, Event::DiskOpen { machine: number, life, first });
+            self.schedule_in(opens, Event::DiskOpen { machine: number, incarnation, first });
         }
         self.step(number, Input::Tick);
     }
@@ -344,8 +344,8 @@
         let now = self.now;
         let machine = &mut self.machines[number];
         let Some(process) = machine.process.take() else { return };
-        let leads = process.told.leading;
-        machine.life += 1;
+        let leads = process.observed.leading;
+        machine.incarnation += 1;
         machine.frozen_until = 0;
         machine.disk.crash(&mut self.random);
         self.network.break_all(now, number);
@@ -357,10 +357,10 @@
         }
     }
 
-    fn wake(&mut self, number: usize, life: u64, at: Micros) {
+    fn wake(&mut self, number: usize, incarnation: u64, at: Micros) {
         let machine = &mut self.machines[number];
         let Some(process) = machine.process.as_mut().filter(|process| process.wake_at == at) else { return };
-        if machine.life != life {
+        if machine.incarnation != incarnation {
             return;
         }
         process.wake_at = Micros::MAX;
@@ -379,17 +379,19 @@
         }
     }
 
-    fn disk_open(&mut self, number: usize, life: u64, first: bool) {
+    fn disk_open(&mut self, number: usize, incarnation: u64, first: bool) {
         let machine = &self.machines[number];
-        let Some(process) = machine.process.as_ref().filter(|_| machine.life == life) else { return };
+        let Some(process) = machine.process.as_ref().filter(|_| machine.incarnation == incarnation) else {
+            return;
+        };
         let boot = ReplicaBoot { first, losses: self.plan.losses, injected_fault: self.plan.injected_fault };
         let replica = machine.replica(process.clock(self.now), &boot, &mut self.random);
         self.step(number, Input::ReplicaOpened(Box::new(replica)));
     }
 
-    fn written(&mut self, number: usize, life: u64) {
+    fn written(&mut self, number: usize, incarnation: u64) {
         let machine = &mut self.machines[number];
-        if machine.life != life {
+        if machine.incarnation != incarnation {
             return;
         }
         let Some((write_id, durable)) = machine.disk.finish() else { return };
@@ -397,17 +399,17 @@
         self.step(number, input);
     }
 
-    fn hand(&mut self, number: usize, life: u64, input: Input) {
-        if self.machines[number].life == life {
+    fn hand(&mut self, number: usize, incarnation: u64, input: Input) {
+        if self.machines[number].incarnation == incarnation {
             self.step(number, input);
         }
     }
 
-    fn asked(&mut self, number: usize, life: u64, server: Arc<str>) {
+    fn asked(&mut self, number: usize, incarnation: u64, server: Arc<str>) {
         let now = self.now;
         let Some(one) = self.servers.iter_mut().find(|one| one.id == server && one.alive()) else { return };
         let version = one.holds(now);
-        self.hand(number, life, Input::VersionReported { server, model: Arc::from(MODEL), version });
+        self.hand(number, incarnation, Input::VersionReported { server, model: Arc::from(MODEL), version });
     }
 
     /// Hands an input to a node and carries out what comes of it.
@@ -421,25 +423,25 @@
         let wake = process.time_of(wake.max(local));
         if wake < process.wake_at {
             process.wake_at = wake;
-            let life = self.machines[number].life;
-            self.schedule(wake, Event::Wake { machine: number, life, at: wake });
+            let incarnation = self.machines[number].incarnation;
+            self.schedule(wake, Event::Wake { machine: number, incarnation, at: wake });
         }
         let decides = |output: &Output| matches!(output, Output::Respond { .. } | Output::SendOrder(_));
         if self.machines[number].stalls_for > 0 && outputs.iter().any(decides) {
-            return self.stand_still(number, outputs);
+            return self.stall_before_carrying_out(number, outputs);
         }
         for output in outputs {
             self.carry_out(number, output);
         }
     }
 
-    fn stand_still(&mut self, number: usize, outputs: Vec<Output>) {
+    fn stall_before_carrying_out(&mut self, number: usize, outputs: Vec<Output>) {
         let leader = self.leader_by_epoch();
         let machine = &mut self.machines[number];
-        let (span, life) = (std::mem::take(&mut machine.stalls_for), machine.life);
+        let (span, incarnation) = (std::mem::take(&mut machine.stalls_for), machine.incarnation);
         machine.frozen_until = self.now + span;
         self.trace(|| format!("node {number} stands still for {} ms", span / MS));
-        self.schedule_in(span, Event::CarryOut { machine: number, life, leader, outputs });
+        self.schedule_in(span, Event::CarryOut { machine: number, incarnation, leader, outputs });
     }
 
     pub fn carry_out(&mut self, number: usize, output: Output) {
@@ -448,34 +450,36 @@
             Output::Persist { write_id, records } => self.persist(number, write_id, records),
             Output::Respond { call_id, response } => self.answer(number, call_id, response),
             Output::ApplyConfiguration(body) => self.configure(number, body),
-            Output::ServerChanged(entry) => self.tell_server(number, entry),
-            Output::ServerRemoved(id) => self.tell_server_state(number, id, ServerState::Gone),
-            Output::PeersChanged(peers) => {
-                self.told(number, |told| told.peers = peers.into_iter().map(|peer| peer.address).collect())
+            Output::ServerChanged(entry) => self.observe_server(number, entry),
+            Output::ServerRemoved(id) => self.observe_server_state(number, id, ServerState::Gone),
+            Output::PeersChanged(peers) => self.observe(number, |observed| {
+                observed.peers = peers.into_iter().map(|peer| peer.address).collect()
+            }),
+            Output::ConfigurationValidity(shown) => {
+                self.observe(number, |observed| observed.keys_until = shown.until)
             }
-            Output::ConfigurationValidity(shown) => self.told(number, |told| told.keys_until = shown.until),
-            Output::Connected(in_touch) => self.told(number, |told| told.in_touch = in_touch),
+            Output::Connected(connected) => self.observe(number, |observed| observed.connected = connected),
             Output::SendOrder(order) => self.give_order(number, order),
             Output::QueryServer { server, .. } => {
-                let life = self.machines[number].life;
-                self.schedule_in(2 * MS, Event::Asked { machine: number, life, server });
+                let incarnation = self.machines[number].incarnation;
+                self.schedule_in(2 * MS, Event::Asked { machine: number, incarnation, server });
             }
             Output::Event(NodeEvent::BecamePrimary { epoch }) => {
                 self.trace(|| format!("node {number} leads {epoch}"));
                 self.report.highest_epoch = self.report.highest_epoch.max(epoch);
-                self.told(number, |told| told.leading = Some(epoch));
+                self.observe(number, |observed| observed.leading = Some(epoch));
             }
             Output::Event(NodeEvent::SteppedDown) => {
                 self.trace(|| format!("node {number} does not lead"));
-                self.told(number, |told| told.leading = None);
+                self.observe(number, |observed| observed.leading = None);
             }
             _ => {}
         }
     }
 
-    fn told(&mut self, number: usize, change: impl FnOnce(&mut super::machine::Told)) {
+    fn observe(&mut self, number: usize, change: impl FnOnce(&mut super::machine::Observed)) {
         if let Some(process) = &mut self.machines[number].process {
-            change(&mut process.told);
+            change(&mut process.observed);
         }
     }
 
@@ -492,28 +496,29 @@
         let now = self.now;
         let machine = &mut self.machines[number];
         let at = machine.disk.begin(now, takes, write_id, records);
-        let life = machine.life;
-        self.schedule(at, Event::Written { machine: number, life });
+        let incarnation = machine.incarnation;
+        self.schedule(at, Event::Written { machine: number, incarnation });
     }
 
     fn configure(&mut self, number: usize, body: Arc<[u8]>) {
         let version = version_of(&body);
-        let before = self.machines[number].process.as_ref().and_then(|one| one.told.configuration.clone());
+        let before =
+            self.machines[number].process.as_ref().and_then(|one| one.observed.configuration.clone());
         if let Some((before, _)) = before.filter(|(before, _)| *before >= version) {
             self.broken(format!("node {number} goes from configuration {before} to {version}"));
         }
         self.record.in_force(&body);
-        self.told(number, |told| told.configuration = Some((version, body)));
+        self.observe(number, |observed| observed.configuration = Some((version, body)));
     }
 
-    fn tell_server(&mut self, number: usize, entry: ServerEntry) {
+    fn observe_server(&mut self, number: usize, entry: ServerEntry) {
         self.trace(|| format!("node {number}: {} is {:?} {:?}", entry.id, entry.state, entry.models));
-        self.tell_server_state(number, entry.id, entry.state);
+        self.observe_server_state(number, entry.id, entry.state);
     }
 
-    fn tell_server_state(&mut self, number: usize, id: Arc<str>, state: ServerState) {
-        self.told(number, |told| {
-            told.servers.insert(id, state);
+    fn observe_server_state(&mut self, number: usize, id: Arc<str>, state: ServerState) {
+        self.observe(number, |observed| {
+            observed.servers.insert(id, state);
         });
     }
 
@@ -522,7 +527,7 @@
         let Some(process) = &machine.process else { return };
         if process.node.may_send_order(process.clock(self.now), order.fencing_token) {
             let led_since = |one: &&Machine| {
-                let leading = one.process.as_ref().and_then(|process| process.told.leading);
+                let leading = one.process.as_ref().and_then(|process| process.observed.leading);
                 leading.is_some_and(|epoch| epoch > order.fencing_token)
             };
             if let Some(other) = self.machines.iter().find(led_since).map(|one| one.number) {
@@ -531,9 +536,9 @@
                     order.fencing_token
                 ));
             }
-            let life = machine.life;
+            let incarnation = machine.incarnation;
             let way = self.random.between(300, 3 * MS);
-            self.schedule_in(way, Event::Order { machine: number, life, order });
+            self.schedule_in(way, Event::Order { machine: number, incarnation, order });
         }
     }
 
--- a/controlplane/tests/freshness.rs
+++ b/controlplane/tests/staleness.rs
@@ -1,25 +1,25 @@
 //! Evidence of the newest configuration: what it is worth, for how long, and that keys stop working everywhere in time.
 
-#[path = "fleet/mod.rs"]
+#[path = "simulation/mod.rs"]
 mod simulation;
 
 use googletest::prelude::*;
 use gradepaddle_controlplane::Micros;
 use gradepaddle_controlplane::staleness::{NewestVersion, StalenessBound};
-use simulation::{MS, Outage, Plan, Report, SECOND, Trouble, Victim, World};
+use simulation::{MS, Outage, OutageKind, Plan, Report, SECOND, Victim, World};
 
 const BOUND: Micros = 4_750 * MS;
 
-fn told(version: u64, age: Micros) -> NewestVersion {
+fn evidence(version: u64, age: Micros) -> NewestVersion {
     NewestVersion { version, age }
 }
 
 #[gtest]
-fn keys_may_be_acted_on_for_the_bound_after_the_question() {
+fn a_configuration_is_valid_for_the_bound_after_the_query() {
     let mut staleness = StalenessBound::new(Some(BOUND), 0);
     expect_that!(staleness.valid_until(7), some(eq(0)));
     staleness.query_sent(10 * SECOND, 1);
-    staleness.handle_reply(1, told(7, 300 * MS));
+    staleness.handle_reply(1, evidence(7, 300 * MS));
     let until = 10 * SECOND - 300 * MS + BOUND;
     // A configuration that is newer than what was in force then is as good.
     for (version, wanted) in [(6, 0), (7, until), (8, until)] {
@@ -27,25 +27,25 @@
     }
     // Newer evidence of a newer version says nothing more of the older one.
     staleness.query_sent(11 * SECOND, 2);
-    staleness.handle_reply(2, told(9, 0));
+    staleness.handle_reply(2, evidence(9, 0));
     expect_that!(staleness.valid_until(7), some(eq(until)));
     expect_that!(staleness.valid_until(9), some(eq(11 * SECOND + BOUND)));
 }
 
 #[gtest]
-fn answers_to_no_question_of_this_process_or_a_second_time_change_nothing() {
+fn unexpected_and_duplicate_replies_change_nothing() {
     let mut staleness = StalenessBound::new(Some(BOUND), 0);
-    staleness.handle_reply(1, told(7, 0));
+    staleness.handle_reply(1, evidence(7, 0));
     expect_that!(staleness.valid_until(7), some(eq(0)));
     staleness.query_sent(SECOND, 1);
-    staleness.handle_reply(1, told(7, 0));
-    staleness.handle_reply(1, told(9, 0));
+    staleness.handle_reply(1, evidence(7, 0));
+    staleness.handle_reply(1, evidence(9, 0));
     expect_that!(staleness.valid_until(7), some(eq(SECOND + BOUND)));
-    expect_that!(staleness.newest(3 * SECOND), some(eq(told(7, 2 * SECOND))));
+    expect_that!(staleness.newest(3 * SECOND), some(eq(evidence(7, 2 * SECOND))));
 }
 
 #[gtest]
-fn older_evidence_never_takes_the_place_of_later_one() {
+fn older_evidence_never_replaces_later_evidence() {
     let mut staleness = StalenessBound::new(Some(BOUND), 0);
     staleness.observe(5 * SECOND, 7);
     staleness.observe(3 * SECOND, 7);
@@ -57,7 +57,7 @@
 }
 
 #[gtest]
-fn without_a_bound_nothing_is_asked_and_keys_depend_on_nothing() {
+fn without_a_bound_nothing_is_queried() {
     let mut staleness = StalenessBound::new(None, 0);
     expect_that!(staleness.poll_query_due(9 * SECOND), eq(false));
     expect_that!(staleness.next_wake(), eq(Micros::MAX));
@@ -65,7 +65,7 @@
 }
 
 #[gtest]
-fn others_are_asked_once_what_is_known_is_old() {
+fn further_nodes_are_queried_once_evidence_is_stale() {
     let mut staleness = StalenessBound::new(Some(BOUND), 0);
     expect_that!(staleness.is_stale(0), eq(true));
     staleness.observe(SECOND, 1);
@@ -98,20 +98,26 @@
 }
 
 #[gtest]
-fn keys_stop_working_everywhere_whatever_goes_wrong() -> Result<()> {
+fn revoked_keys_stop_working_everywhere_under_faults() -> Result<()> {
     play(Plan::new(9, 3, 1), 40)?;
     play(Plan::new(9, 9, 2), 10)
 }
 
 /// Whoever is cut off hears nothing of a change, and stops acting on its keys all the same.
 #[gtest]
-fn keys_stop_working_at_nodes_that_are_cut_off() -> Result<()> {
+fn revoked_keys_stop_working_at_partitioned_nodes() -> Result<()> {
     const LASTS: Micros = 11 * SECOND;
     let victims = [Victim::Primary, Victim::OtherCore, Victim::WithoutDisk, Victim::HalfWithPrimary];
-    let troubles = [Trouble::Cut, Trouble::CutFromCore, Trouble::Deaf, Trouble::Mute, Trouble::CutAndFrozen];
+    let troubles = [
+        OutageKind::Partition,
+        OutageKind::PartitionFromCore,
+        OutageKind::Deaf,
+        OutageKind::Mute,
+        OutageKind::PartitionAndFrozen,
+    ];
     for victim in victims {
-        for trouble in troubles {
-            let outage = Some(Outage { victim, trouble, lasts: LASTS });
+        for kind in troubles {
+            let outage = Some(Outage { victim, kind, lasts: LASTS });
             let plan = Plan { faults: 0, outage, calm_for: LASTS + 8 * SECOND, ..Plan::new(8, 5, 2) };
             play(plan, 1)?;
         }
