--- a/system/src/control_store.rs
+++ b/system/src/control_store.rs
@@ -39,7 +39,7 @@
                     .address(peer_address(&settings))
                     .zone(&*settings.zone)
                     .first_boot(settings.first_boot)
-                    .machine_losses(settings.survive.machine_losses as usize)
+                    .machine_losses(settings.fault_tolerance.machine_losses as usize)
                     .shutdown_timeout(grace_period(&settings).as_micros() as u64)
                     .seed(random())
                     .build();
--- a/system/src/planes.rs
+++ b/system/src/planes.rs
@@ -53,12 +53,12 @@
         replica: None,
         first_boot: settings.first_boot,
     };
-    let losses = settings.survive.machine_losses as usize;
+    let losses = settings.fault_tolerance.machine_losses as usize;
     Node::new(NodeSetup {
         session: SessionClient::new(identity, seeds.clone(), CLOCK_START),
         gossip: Gossip::new(GossipConfig::builder().address(own).seed(random()).build(), CLOCK_START),
         bootstrap: Bootstrap::new(own, &seeds, losses, settings.first_boot, CLOCK_START),
-        heartbeat_interval: micros(settings.beat_every),
+        heartbeat_interval: micros(settings.heartbeat_interval),
         order_lease: micros(settings.bounds.lease),
         version_deadlines: VersionDeadlines {
             from_publication: micros(settings.bounds.version),
