--- a/controlplane/tests/common/mod.rs
+++ b/controlplane/tests/common/mod.rs
@@ -66,13 +66,13 @@
 }
 
 /// A dissemination that knows no other node.
-pub fn lone_spread(number: u8) -> Gossip {
+pub fn lone_gossip(number: u8) -> Gossip {
     Gossip::new(GossipConfig::builder().address(address(number)).seed(u64::from(number)).build(), 0)
 }
 
 /// Publishes and says whether the item was newer than what was held.
-pub fn publish(spread: &mut Gossip, item: Item) -> bool {
-    spread.publish(0, item, &mut Vec::new())
+pub fn publish(gossip: &mut Gossip, item: Item) -> bool {
+    gossip.publish(0, item, &mut Vec::new())
 }
 
 /// A heartbeat of a server that holds one model.
--- a/controlplane/tests/acknowledged_ends.rs
+++ b/controlplane/tests/server_exit_acknowledgment.rs
@@ -1,12 +1,12 @@
 //! What a server says of its end is acknowledged once it stands where no loss that may come takes all copies.
 
-#[path = "fleet/mod.rs"]
+#[path = "simulation/mod.rs"]
 mod simulation;
 
 use std::net::SocketAddrV4;
 
 use googletest::prelude::*;
-use gradepaddle_controlplane::calls::Call;
+use gradepaddle_controlplane::api::Call;
 use gradepaddle_controlplane::node::{Input, Output};
 use gradepaddle_gossip::{Entry, Message};
 use gradepaddle_proto::{Content, Envelope};
@@ -46,16 +46,17 @@
             };
             self.asked_for = items.first().map(|aged| aged.item.entry());
         }
-        out.iter()
-            .any(|output| matches!(output, Output::Answer { ticket: TICKET, answer } if answer.status == 200))
+        out.iter().any(
+            |output| matches!(output, Output::Respond { call_id: TICKET, response } if response.status == 200),
+        )
     }
 
     fn leave(&mut self, node: usize) -> bool {
         let call = Call::Leave { id: "a-server".to_owned() };
-        self.hand(node, Input::Call { ticket: TICKET, call })
+        self.hand(node, Input::Call { call_id: TICKET, call })
     }
 
-    fn confirm(&mut self, node: usize, from: usize, leaving: bool) -> bool {
+    fn acknowledge(&mut self, node: usize, from: usize, leaving: bool) -> bool {
         let from: SocketAddrV4 = self.world.machines[from].address;
         let entries = self.asked_for.clone().into_iter().collect();
         let content = Content::Gossip(Message::Acknowledge { entries, shutting_down: leaving });
@@ -63,52 +64,52 @@
     }
 }
 
-/// A node that takes a call, others that confirm, those of them that are about to end, and whether that will do.
+/// A node that takes a call, others that acknowledge, those of them that are about to end, and whether that will do.
 struct Row {
     node: usize,
-    confirm: &'static [usize],
+    acknowledge: &'static [usize],
     leaving: &'static [usize],
     enough: bool,
 }
 
 #[gtest]
-fn copies_stand_in_the_core_and_outside_it() {
+fn acknowledgment_needs_replicas_in_the_core_and_outside_it() {
     let rows = [
-        Row { node: 0, confirm: &[1, 2], leaving: &[], enough: false },
-        Row { node: 0, confirm: &[4, 5, 6], leaving: &[], enough: false },
-        Row { node: 0, confirm: &[1, 5], leaving: &[], enough: true },
-        Row { node: 0, confirm: &[1, 5], leaving: &[1], enough: false },
-        Row { node: 0, confirm: &[1, 5], leaving: &[5], enough: false },
-        Row { node: 0, confirm: &[1, 2, 5], leaving: &[1], enough: true },
-        Row { node: 0, confirm: &[1, 5, 6], leaving: &[5], enough: true },
-        Row { node: 4, confirm: &[5, 6, 7], leaving: &[], enough: false },
-        Row { node: 4, confirm: &[0, 6], leaving: &[], enough: false },
-        Row { node: 4, confirm: &[0, 2], leaving: &[], enough: true },
+        Row { node: 0, acknowledge: &[1, 2], leaving: &[], enough: false },
+        Row { node: 0, acknowledge: &[4, 5, 6], leaving: &[], enough: false },
+        Row { node: 0, acknowledge: &[1, 5], leaving: &[], enough: true },
+        Row { node: 0, acknowledge: &[1, 5], leaving: &[1], enough: false },
+        Row { node: 0, acknowledge: &[1, 5], leaving: &[5], enough: false },
+        Row { node: 0, acknowledge: &[1, 2, 5], leaving: &[1], enough: true },
+        Row { node: 0, acknowledge: &[1, 5, 6], leaving: &[5], enough: true },
+        Row { node: 4, acknowledge: &[5, 6, 7], leaving: &[], enough: false },
+        Row { node: 4, acknowledge: &[0, 6], leaving: &[], enough: false },
+        Row { node: 4, acknowledge: &[0, 2], leaving: &[], enough: true },
     ];
-    for Row { node, confirm, leaving, enough } in rows {
+    for Row { node, acknowledge, leaving, enough } in rows {
         let mut fleet = Fleet::new(NODES);
         let mut acknowledged = fleet.leave(node);
-        for from in confirm {
-            acknowledged |= fleet.confirm(node, *from, leaving.contains(from));
+        for from in acknowledge {
+            acknowledged |= fleet.acknowledge(node, *from, leaving.contains(from));
         }
-        expect_that!(acknowledged, eq(enough), "{confirm:?} at {node}, {leaving:?} leaving");
+        expect_that!(acknowledged, eq(enough), "{acknowledge:?} at {node}, {leaving:?} leaving");
     }
 }
 
 #[gtest]
-fn a_node_that_is_about_to_end_does_not_count_itself() {
+fn a_node_that_shuts_down_does_not_count_itself() {
     let mut fleet = Fleet::new(NODES);
-    fleet.hand(0, Input::Leaving);
+    fleet.hand(0, Input::ShutDown);
     expect_that!(fleet.leave(0), eq(false));
-    expect_that!(fleet.confirm(0, 1, false), eq(false));
-    expect_that!(fleet.confirm(0, 5, false), eq(false));
-    expect_that!(fleet.confirm(0, 2, false), eq(true));
+    expect_that!(fleet.acknowledge(0, 1, false), eq(false));
+    expect_that!(fleet.acknowledge(0, 5, false), eq(false));
+    expect_that!(fleet.acknowledge(0, 2, false), eq(true));
 }
 
 #[gtest]
-fn where_all_nodes_are_the_core_its_copies_are_enough() {
+fn where_all_nodes_are_the_core_its_replicas_are_enough() {
     let mut fleet = Fleet::new(CORE);
     expect_that!(fleet.leave(0), eq(false));
-    expect_that!(fleet.confirm(0, 1, false), eq(false));
-    expect_that!(fleet.confirm(0, 2, false), eq(true));
+    expect_that!(fleet.acknowledge(0, 1, false), eq(false));
+    expect_that!(fleet.acknowledge(0, 2, false), eq(true));
 }
