--- a/config/src/settings/reader.rs
+++ b/config/src/settings/reader.rs
@@ -15,6 +15,11 @@
 }
 
 impl Reader {
+    /// Parses the text of a settings file.
+    ///
+    /// # Errors
+    ///
+    /// [`Problem::Unreadable`] if the text isn't TOML.
     pub fn new(text: &str) -> Result<Self, Findings> {
         let values = Figment::from(Toml::string(text))
             .extract::<Value>()
