--- a/control/tests/simulator/clients.rs
+++ b/control/tests/simulator/clients.rs
@@ -1,4 +1,4 @@
-//! Operators that change the configuration and name versions, sometimes at once and sometimes anew.
+//! Operators that propose configurations and model versions, sometimes concurrently and sometimes again.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -19,7 +19,7 @@
 
 impl Clients {
     /// The next change that somebody wants.
-    pub fn wish(&mut self, random: &mut Random) -> Change {
+    pub fn next_change(&mut self, random: &mut Random) -> Change {
         if !self.unclear.is_empty() && random.permille(350) {
             let index = random.below(self.unclear.len());
             return self.unclear.swap_remove(index);
--- a/http/src/buffers/tests.rs
+++ b/http/src/buffers/tests.rs
@@ -18,12 +18,12 @@
     assert_eq!(chain.copy_front(3), message[2 * SIZE + 5..2 * SIZE + 8]);
     drop((chain, front));
     assert!(pool.0.free.borrow().len() >= 4, "the buffers are there to be used again");
-    assert_eq!(pool.0.out.get(), 0);
+    assert_eq!(pool.0.in_use.get(), 0);
 }
 
 /// Guards the memory limit: what is out is counted, and beyond its share messages flow in small parts.
 #[test]
-fn beyond_its_share_the_pool_gives_small_pieces() {
+fn a_pool_low_on_memory_gives_small_parts() {
     let pool = Pool::default();
     pool.set_limit(8 * SIZE);
     let mut chain = pool.chain();
