--- a/controlplane/tests/api.rs
+++ b/controlplane/tests/api.rs
@@ -1,11 +1,11 @@
-//! Which calls make sense, and how the others are turned down.
+//! Which calls are well-formed, and how others are rejected.
 
 use googletest::prelude::*;
 use gradepaddle_controlplane::api::{Call, Response, fingerprint_number, parse, patch_fingerprint_number};
 use gradepaddle_proto::ControlCall;
 use serde_json::{Value, json};
 
-/// One call and what is to come of it.
+/// One call and its expected result.
 struct Case {
     what: &'static str,
     method: &'static str,
--- a/controlplane/tests/bootstrap.rs
+++ b/controlplane/tests/bootstrap.rs
@@ -13,12 +13,12 @@
 
 const SEEDS: [u8; 3] = [1, 2, 3];
 
-/// The founder's part, to which no other seed has said hello yet.
+/// The bootstrap before any heartbeat of another seed.
 fn alone(losses: usize) -> Option<Bootstrap> {
     Bootstrap::new(address(1), &addresses(SEEDS), losses, true, 0)
 }
 
-/// The founder's part once all seeds have said hello; none of them has a disk so far.
+/// The bootstrap after heartbeats of all seeds, none of which has a disk so far.
 fn with_all_seeds(losses: usize) -> Option<Bootstrap> {
     let mut bootstrap = alone(losses)?;
     for seed in SEEDS {
@@ -79,7 +79,7 @@
 
 #[gtest]
 fn bootstrap_waits_for_the_other_seeds() -> Result<()> {
-    // Those of the others that say hello, and when the first view is sent.
+    // The seeds that send heartbeats, and when the first view is sent.
     let span = |from: Micros, until: Micros| Some((from, until));
     for (greeting, wanted) in [
         (&[2, 3][..], span(SECOND, 1_500 * MS)),
--- a/controlplane/tests/golden.rs
+++ b/controlplane/tests/golden.rs
@@ -97,7 +97,7 @@
     )
 }
 
-/// The decisions of a real node that leads.
+/// The decisions of a real primary.
 fn node_decides(mut node: LoneNode) -> Decide {
     Box::new(move |call| {
         Some(node.call(call).unwrap_or_else(|| Response::unavailable("nothing came at once")))
@@ -348,7 +348,7 @@
     format!("{} {key} {}.{} removed={removed} {}", kind.0, stamp.major, stamp.minor, hex(payload))
 }
 
-/// What a node that leads pushes to another one.
+/// What a primary pushes to another node.
 #[gtest]
 fn items_of_a_node() -> Result<()> {
     let mut node = LoneNode::leading();
--- a/controlplane/tests/leases.rs
+++ b/controlplane/tests/leases.rs
@@ -1,4 +1,4 @@
-//! What leaves a node leaves it within the lease: answers that were held up, late answers of the primary, orders.
+//! What a node sends is sent within the lease: delayed responses, late replies of the primary, orders.
 
 #[path = "simulation/mod.rs"]
 mod simulation;
@@ -31,7 +31,7 @@
 /// No lease lasts longer.
 const LEASE: Micros = 1_500 * MS;
 
-/// Three nodes that have taken configurations and named weights.
+/// Three nodes with configurations and announced model versions.
 struct Fleet {
     world: World,
     primary: usize,
@@ -116,7 +116,7 @@
     }
 }
 
-/// The backup's word comes when the lease has run out: the change is in force, and whoever leads now may say so.
+/// The backup acknowledges when the lease has run out: the change is in force, and only the present primary may say so.
 #[gtest]
 fn a_change_that_is_durable_after_the_lease_gets_503() -> Result<()> {
     for (later, status) in [(5 * MS, 200), (LEASE + 100 * MS, 503)] {
@@ -197,7 +197,7 @@
         let sent = fleet.clock(asked);
         let answer = answer(&fleet.hand(asked, later, input)).or_fail()?;
         expect_that!(answer.status, eq(status), "{what}");
-        // What is held up on its way out is not given either.
+        // What is delayed on its way out is not sent either.
         expect_that!(answer.at(sent + lease_remaining.max(MS)).status, eq(503), "{what}");
     }
     Ok(())
@@ -302,7 +302,7 @@
     answer: OrderOutcome,
 }
 
-/// Gives an order under fence 1, and does something once the first of its bytes have come.
+/// Sends an order with fencing token 1, and does something once the first of its bytes have come.
 async fn give_in_vain(permit: OrderPermit, then: impl FnOnce()) -> Result<Withheld> {
     let (listener, address) = listen().await?;
     let given = tokio::task::spawn_local(async move {
@@ -343,7 +343,7 @@
     })
 }
 
-/// An order that has no answer by the end of the lease is withdrawn: what a cut holds up would come much later.
+/// An order without a response by the end of the lease is cancelled: what a partition delays would arrive much later.
 #[gtest]
 fn an_order_without_a_response_is_reset_at_the_end_of_the_lease() -> Result<()> {
     run(async {
@@ -356,7 +356,7 @@
     })
 }
 
-/// A primary that hands over, or leads under the next epoch, lets no order of before arrive after one of the next.
+/// After a leadership transfer or a new epoch, no earlier order arrives after one of the next epoch.
 #[gtest]
 fn an_order_in_flight_is_reset_when_its_fencing_token_expires() -> Result<()> {
     run(async {
--- a/controlplane/tests/linearizability.rs
+++ b/controlplane/tests/linearizability.rs
@@ -1,4 +1,4 @@
-//! Whole fleets with operators who race, lose answers and send orders of before again, to any machine: one register
+//! Whole fleets with operators who race, lose responses and repeat earlier changes, at any machine: one register
 //! that compares and sets explains all that they are answered.
 
 #[path = "simulation/mod.rs"]
--- a/controlplane/tests/outages.rs
+++ b/controlplane/tests/outages.rs
@@ -113,7 +113,7 @@
                 expect_that!(report.violation, none(), "{cores} cores, {victim:?}, seed {seed}");
                 total.add(&report);
             }
-            // An even core has nobody who leads until it is whole again.
+            // A core of even size has no primary until the halves are connected again.
             let rests = if cores % 2 == 0 { LASTS } else { 0 };
             expect_that!(total.others_after, lt(rests + 4 * SECOND), "{cores} cores, {victim:?}");
             expect_that!(total.answers_after, lt(4 * SECOND), "{cores} cores, {victim:?}");
@@ -123,7 +123,7 @@
     Ok(())
 }
 
-/// A large fleet: eight machines with a disk in three zones, so that several are cut off together.
+/// A large fleet: eight machines with a disk in three zones, so that several are partitioned together.
 #[gtest]
 fn the_zone_of_the_primary_of_seventy_eight_nodes_is_partitioned() -> Result<()> {
     let cut = plan(8, 2, Victim::ZoneOfPrimary, OutageKind::Partition);
--- a/controlplane/tests/registry.rs
+++ b/controlplane/tests/registry.rs
@@ -23,7 +23,7 @@
         OwningNode { registry: Registry::new(address(node), HEARTBEAT_INTERVAL), gossip: lone_gossip(node) }
     }
 
-    /// A heartbeat; what it leads to is published, as the node does it.
+    /// A heartbeat; the decision is published, as the node does it.
     fn heartbeat(&mut self, now: Micros, state: &str, call_count: u64) -> Decision {
         let decision = self.registry.heartbeat(now, "s", &heartbeat(state, call_count), &self.gossip);
         self.publish(decision.clone());
--- a/controlplane/tests/regressions.rs
+++ b/controlplane/tests/regressions.rs
@@ -103,7 +103,7 @@
 }
 
 /// Design note: servers are watched for silence by the node that takes their heartbeats.
-/// OutageObservations: after a restart at the same address, the node owns its servers by their items and watches none of them, and
+/// Observed: after a restart at the same address, the node owns its servers by their items and watches none of them, and
 /// the others see their owner alive. A server that crashed meanwhile stays ready at all nodes for good.
 #[gtest]
 fn a_node_that_restarted_watches_the_servers_that_called_it_before() -> Result<()> {
@@ -114,7 +114,7 @@
     verify_that!(states(&out), contains(eq(&ServerState::Lost)))
 }
 
-/// Design note: the set of members is the union of the sessions that control balancers hold. OutageObservations: a control balancer
+/// Design note: the set of members is the union of the sessions that control balancers hold. Observed: a control balancer
 /// that restarted at its address holds none of the sessions that bear its name, and its own session keeps them from
 /// being orphans. A node that ended meanwhile and does not come back stays a member for good.
 #[gtest]
@@ -133,7 +133,7 @@
     verify_that!(keys, contains(eq(&&*address(2).to_string())))
 }
 
-/// OutageObservations: a node tells its data plane that a server whose node is missing is lost, and never takes that back when the
+/// Observed: a node tells its data plane that a server whose node is missing is lost, and never takes that back when the
 /// node's session returns: heartbeats that change nothing are not spread, so no item comes.
 #[gtest]
 fn a_server_is_ready_again_when_its_node_is_back() -> Result<()> {
@@ -149,7 +149,7 @@
 }
 
 /// DRAIN, and the design note: leaving is acknowledged once two other nodes hold it.
-/// OutageObservations: a second DELETE is answered 200 at once, though nobody else has confirmed the first.
+/// Observed: a second DELETE is answered 200 at once, though nobody else has confirmed the first.
 #[gtest]
 fn a_repeated_leave_is_not_acknowledged_before_other_nodes_have_it() -> Result<()> {
     let mut node = Driven::new(9);
@@ -165,7 +165,7 @@
     verify_that!(Driven::answers(&out, 2), not(contains(eq(&200))))
 }
 
-/// A primary's driver over servers `s0`, `s1`, ... at version 1 while version 2 is named.
+/// A primary's roll-out over servers `s0`, `s1`, ... at version 1 while version 2 is announced.
 struct RolloutDriver {
     rollout: Rollout,
     servers: Servers,
@@ -218,7 +218,7 @@
     steps.iter().any(done)
 }
 
-/// ONE: holders must not take turns within `leaseMs`. OutageObservations: a node that takes over after another waits, but forgets the
+/// ONE: holders must not take turns within `leaseMs`. Observed: a node that takes over after another waits, but forgets the
 /// wait when it leads again under the next epoch, as it does when it changes the view, and orders at once.
 #[gtest]
 fn the_lease_of_another_primary_is_waited_for_across_a_view_change() -> Result<()> {
@@ -230,7 +230,7 @@
     verify_that!(ordered(&after_the_change).len() + ordered(&within_the_lease).len(), eq(0))
 }
 
-/// VERSION. OutageObservations: a server that crashed while it loads keeps its place among those that load at once until it is given
+/// VERSION. Observed: a server that crashed while it loads keeps its place among those that load at once until it is given
 /// up 7 s later, though it has been known as lost for long.
 #[gtest]
 fn a_server_that_is_lost_while_it_loads_makes_room_for_another() -> Result<()> {
@@ -241,7 +241,7 @@
     verify_that!(ordered(&steps).iter().any(|server| &**server == "s1"), eq(true))
 }
 
-/// Prices fall on orders. OutageObservations: a server whose report says that it holds the version is held back and ordered again and
+/// Prices fall on orders. Observed: a server whose report says that it holds the version is held back and ordered again and
 /// again until its next heartbeat, up to `beatEveryMs` later.
 #[gtest]
 fn a_server_that_reported_the_version_is_not_ordered_again() -> Result<()> {
@@ -254,7 +254,7 @@
     verify_that!(ordered(&steps).len(), eq(0))
 }
 
-/// VERSION: named weights have to be in use within `versionMs`. OutageObservations: the first server that never takes its order is
+/// VERSION: named weights have to be in use within `versionMs`. Observed: the first server that never takes its order is
 /// begun again as soon as it was given up, and no other server is ever brought to the version.
 #[gtest]
 fn a_server_that_rejects_orders_does_not_block_others() -> Result<()> {
@@ -266,7 +266,7 @@
     verify_that!(ordered(&steps).iter().any(|server| &**server == "s1"), eq(true))
 }
 
-/// OutageObservations: a server that was given up is marked done, upon which every node tells its data plane that the server holds
+/// Observed: a server that was given up is marked done, upon which every node tells its data plane that the server holds
 /// the version (`Output::ServerHasVersion`), though it does not.
 #[gtest]
 fn a_released_server_without_the_version_is_not_reported_as_loaded() -> Result<()> {
@@ -282,7 +282,7 @@
     })
 }
 
-/// DEPLOY: seeds are any three machines that serve control. OutageObservations: where none of them has a disk, no node without a disk
+/// DEPLOY: seeds are any three machines that serve control. Observed: where none of them has a disk, no node without a disk
 /// ever learns of the view: core machines talk to members alone, and the founder does not remember what it founded.
 #[gtest]
 fn seeds_need_no_disk_at_the_first_start() -> Result<()> {
--- a/controlplane/tests/response_matching.rs
+++ b/controlplane/tests/response_matching.rs
@@ -1,4 +1,4 @@
-//! Answers reach the call that they belong to: calls that are passed on to the primary, and orders to servers.
+//! Responses reach the call that they belong to: calls forwarded to the primary, and orders to servers.
 
 mod common;
 
@@ -58,7 +58,7 @@
         self.hand(Input::Envelope(Envelope { from: address(from), content }))
     }
 
-    /// Reads the configuration; gives the name under which the call was passed on.
+    /// Reads the configuration; returns the id under which the call was forwarded.
     fn read(&mut self, ticket: u64) -> Result<u64> {
         let out =
             self.hand(Input::Call { call_id: ticket, call: Call::Control(ControlCall::GetConfiguration) });
@@ -71,7 +71,7 @@
         forwarded.or_fail()
     }
 
-    /// The calls that an answer to this name leads to the end of.
+    /// The calls that a reply with this id ends.
     fn answered(&mut self, from: u8, ticket: u64) -> Vec<u64> {
         let reply =
             ForwardedReply { call_id: ticket, status: 200, body: Arc::from(*b"{}"), lease_remaining: SECOND };
@@ -145,7 +145,7 @@
     epoch: u64,
     caller: Caller,
     calls: u64,
-    /// Calls without an answer: by the driver's ticket, the version that each names.
+    /// Calls without a response: by the driver's call id, the version that each announces.
     open: BTreeMap<u64, u64>,
     /// Answers on their way, with who gives them.
     on_the_way: Vec<(u8, ForwardedReply)>,
@@ -238,7 +238,7 @@
         Ok(())
     }
 
-    /// A primary answers by the version that was named.
+    /// A primary responds with the announced version.
     fn decide(&mut self, primary: SocketAddrV4, forward: &ForwardedCall) {
         let ControlCall::NameVersion { version, .. } = &forward.call else { return };
         let body = Arc::from(version.to_string().into_bytes());
@@ -334,7 +334,7 @@
     Ok(())
 }
 
-/// The same model: the newer version is not taken as held by the word on the older one.
+/// The same model: the newer version does not count as loaded by an outcome for the older one.
 #[gtest]
 fn an_outcome_of_an_order_of_an_older_version_does_not_match_a_newer_one() -> Result<()> {
     let mut driver = RolloutDriver::new(&[("advisor", 2)]);
--- a/controlplane/tests/rollout.rs
+++ b/controlplane/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! Bringing servers to named versions of weights.
+//! The roll-out of announced model versions to servers.
 
 mod common;
 
@@ -26,7 +26,7 @@
 }
 
 impl RolloutDriver {
-    /// Servers at version 1 while version 2 is named.
+    /// Servers at version 1 while version 2 is announced.
     fn new(servers: usize) -> RolloutDriver {
         let servers = (0..servers).map(|number| server(&format!("s{number:02}"))).collect();
         RolloutDriver {
@@ -281,7 +281,7 @@
     driver.run(400 * MS);
     driver.answer("s00", OrderOutcome::InProgress);
     let steps = driver.run(9 * SECOND);
-    // The mark is taken back by a tombstone that does not claim that the server holds the version.
+    // The reservation ends with a tombstone that does not say that the server has loaded the version.
     let given_up = steps.iter().find_map(|(at, step)| match step {
         Step::PublishReservation(item) if item.removed => Some(*at),
         _ => None,
--- a/controlplane/tests/server_exit_acknowledgment.rs
+++ b/controlplane/tests/server_exit_acknowledgment.rs
@@ -1,4 +1,4 @@
-//! What a server says of its end is acknowledged once it stands where no loss that may come takes all copies.
+//! Draining and leaving of a server are acknowledged once no tolerated loss can take all replicas of the item.
 
 #[path = "simulation/mod.rs"]
 mod simulation;
--- a/controlplane/tests/simulated_fleet.rs
+++ b/controlplane/tests/simulated_fleet.rs
@@ -1,4 +1,4 @@
-//! Days of whole fleets, each from one seed, in calm and with everything that may go wrong.
+//! Runs of complete simulated fleets, each from one seed, without and with faults.
 
 #[path = "simulation/mod.rs"]
 mod simulation;
--- a/controlplane/tests/simulation/disk.rs
+++ b/controlplane/tests/simulation/disk.rs
@@ -1,4 +1,4 @@
-//! A disk as the store presents it: writes in their order, each whole or not there.
+//! A disk as the store presents it: writes in order, each complete or absent.
 
 use std::collections::VecDeque;
 
--- a/controlplane/tests/simulation/faults.rs
+++ b/controlplane/tests/simulation/faults.rs
@@ -21,7 +21,7 @@
 pub enum Repair {
     Links,
     Disk(usize),
-    /// A process that was told to end has ended.
+    /// A process that was shutting down has exited.
     Ended {
         machine: usize,
         back_in: Micros,
@@ -261,7 +261,7 @@
         }
     }
 
-    /// All trouble is over; what remains is the ending.
+    /// All faults are over; what remains is the end of the run.
     fn last(&mut self) {
         match self.plan.ending {
             // Calls that are still open end first.
--- a/controlplane/tests/simulation/invariants.rs
+++ b/controlplane/tests/simulation/invariants.rs
@@ -22,21 +22,21 @@
 /// A rule to look at in time.
 #[derive(Clone, Copy, Debug)]
 pub enum Check {
-    /// Somebody leads.
+    /// There is one primary.
     Bootstrapped,
     /// All nodes know all nodes.
     Members,
-    /// A configuration that was acknowledged then is in force wherever machines are in touch.
+    /// A configuration that was acknowledged then is in force at all connected machines.
     Applied { version: u64, at: Micros },
     /// What an operator began then has a clear answer.
     Answered { operator: usize, begun: Micros },
-    /// All machines in touch know that a server takes nothing new.
+    /// All connected machines know that a server takes no new requests.
     Drained { server: usize, by: usize, at: Micros },
-    /// ModelVersion named then are in use.
+    /// A model version that was announced then is loaded.
     Loaded { version: u64, at: Micros },
-    /// No node acts on keys of an older version, in touch or not.
+    /// No node accepts keys of an older version, connected or not.
     Revoked { version: u64 },
-    /// After the last trouble all is as it should be.
+    /// After the last fault everything has converged.
     Settled,
 }
 
@@ -50,7 +50,7 @@
     pub final_fault: bool,
     /// The last fault comes after the next acknowledgement.
     pub awaits_final: bool,
-    /// Links in trouble.
+    /// Spans of network faults.
     pub links: Vec<(Micros, Micros)>,
     pub read: BTreeMap<usize, Arc<[u8]>>,
     acknowledged: BTreeMap<u64, (u64, Arc<[u8]>)>,
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Whether core and links were without trouble, and in touch from the first time on.
+    /// Whether core and network were without faults, and connected from the first time on.
     fn core_without_faults(&self, from: Micros, until: Micros) -> bool {
         let from = from.saturating_sub(CONNECT_TIME);
         let cores = self.machines.iter().filter(|machine| machine.core);
@@ -113,7 +113,7 @@
             && self.record.network_without_faults(from, until)
     }
 
-    /// Machines that were in touch from the first time on.
+    /// Machines that were connected from the first time on.
     fn connected(&self, from: Micros) -> Vec<usize> {
         let up = self.machines.iter().filter(|machine| machine.up());
         up.filter(|machine| machine.connected(from, self.now)).map(|machine| machine.number).collect()
@@ -268,7 +268,7 @@
         }
     }
 
-    /// A server that crashes while it loads holds up the others at present: see `found.rs`.
+    /// A server that crashes while it loads delays the others at present: see `found.rs`.
     fn loading_may_be_delayed(&self, at: Micros) -> bool {
         let recently = |server: &&Server| server.crashed && server.since + KNOWN_AFTER > at;
         !self.plan.strict && self.servers.iter().any(|server| recently(&server))
@@ -351,7 +351,7 @@
         }
     }
 
-    /// A server that crashed while some machine was in trouble is overlooked at present: see `found.rs`.
+    /// A server that crashed while some machine had a fault is overlooked at present: see `found.rs`.
     fn may_be_overlooked(&self, server: &Server) -> bool {
         let near =
             |one: &Machine| !one.calm(server.since.saturating_sub(2 * SECOND), server.since + KNOWN_AFTER);
--- a/controlplane/tests/simulation/machine.rs
+++ b/controlplane/tests/simulation/machine.rs
@@ -25,12 +25,12 @@
 pub const HEARTBEAT_INTERVAL: Micros = 1_200 * MS;
 /// Two holders of the driver must not take turns within this.
 pub const LEASE: Micros = 3 * SECOND;
-/// Named weights have to be in use within this.
+/// An announced model version has to be loaded within this.
 pub const VERSION_WITHIN: Micros = 8 * SECOND;
 /// Times of day start here.
 const TIME_OF_DAY: Micros = 1_700_000_000 * SECOND;
 
-/// What a process has told its data plane.
+/// What the data plane of a process has learned.
 #[derive(Debug, Default)]
 pub struct Observed {
     pub configuration: Option<(u64, Arc<[u8]>)>,
@@ -84,11 +84,11 @@
     pub frozen_until: Micros,
     /// For how long it stands still after it has decided something next; 0: it goes on.
     pub stalls_for: Micros,
-    /// Spans of trouble.
+    /// Spans of faults.
     trouble: Vec<(Micros, Micros)>,
 }
 
-/// What a process is told at its start.
+/// What a process starts with.
 pub struct Boot {
     pub seeds: Vec<SocketAddrV4>,
     pub first: bool,
@@ -96,7 +96,7 @@
     pub revoke_within: Option<Micros>,
 }
 
-/// What a replica is told at its start.
+/// What a replica starts with.
 pub struct ReplicaBoot {
     pub first: bool,
     pub losses: usize,
@@ -130,17 +130,17 @@
         self.process.as_ref().map(|process| process.started / MS)
     }
 
-    /// Notes trouble, which may go on into the future.
+    /// Records a fault, which may go on into the future.
     pub fn note_fault(&mut self, from: Micros, until: Micros) {
         self.trouble.push((from, until));
     }
 
-    /// Whether it was without trouble all the while.
+    /// Whether it was without faults in the whole span.
     pub fn calm(&self, from: Micros, until: Micros) -> bool {
         self.trouble.iter().all(|(begun, ended)| *ended < from || *begun > until)
     }
 
-    /// Whether it was in touch from the first time on, until the second.
+    /// Whether it was connected from the first time on, until the second.
     pub fn connected(&self, from: Micros, until: Micros) -> bool {
         self.calm(from.saturating_sub(CONNECT_TIME), until)
     }
--- a/controlplane/tests/simulation/mod.rs
+++ b/controlplane/tests/simulation/mod.rs
@@ -28,7 +28,7 @@
 pub const MS: Micros = 1_000;
 /// A second.
 pub const SECOND: Micros = 1_000_000;
-/// How long a machine has to be without trouble to be in touch.
+/// How long a machine has to be without faults to count as connected.
 pub const CONNECT_TIME: Micros = 3 * SECOND;
 /// The only model.
 pub const MODEL: &str = "advisor";
--- a/controlplane/tests/simulation/operator.rs
+++ b/controlplane/tests/simulation/operator.rs
@@ -1,4 +1,4 @@
-//! An operator who sends configurations and names weights until there is a clear answer.
+//! An operator who sends configurations and announces model versions until there is a conclusive response.
 
 use std::sync::Arc;
 
@@ -56,7 +56,7 @@
 /// What stands before the name of who made a configuration, in the one item that every patch replaces.
 const AUTHOR_FIELD: &str = "\"healthPath\":\"/";
 
-/// The item of a configuration that tells who made it.
+/// The item of a configuration with its author.
 fn author(by: &str) -> String {
     format!("{{\"name\":\"author\",{AUTHOR_FIELD}{by}\"}}")
 }
@@ -85,7 +85,7 @@
     digits.and_then(|digits| digits.parse().ok()).unwrap_or(u64::MAX)
 }
 
-/// What tells a configuration from all others: its version and who made it. A patch and what it makes have the same.
+/// The identity of a configuration: its version and its author. A patch and its result have the same.
 pub fn identity(body: &[u8]) -> Arc<[u8]> {
     let text = String::from_utf8_lossy(body);
     let author = text.split(AUTHOR_FIELD).nth(1).and_then(|rest| rest.split('"').next()).unwrap_or_default();
--- a/controlplane/tests/simulation/outage.rs
+++ b/controlplane/tests/simulation/outage.rs
@@ -21,17 +21,17 @@
 /// Who loses contact.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Victim {
-    /// The machine that leads.
+    /// The machine of the primary.
     Primary,
-    /// The zone of the machine that leads.
+    /// The zone of the primary.
     ZoneOfPrimary,
     /// Another machine with a disk.
     OtherCore,
     /// A machine without a disk.
     WithoutDisk,
-    /// Half of the machines with a disk, rounded down; the one that leads is among them.
+    /// Half of the machines with a disk, rounded down; with the primary among them.
     HalfWithPrimary,
-    /// The same, without the one that leads.
+    /// The same, without the primary.
     HalfWithoutPrimary,
 }
 
@@ -46,11 +46,11 @@
     Deaf,
     /// Nobody hears it.
     Mute,
-    /// It is cut off, and frozen from one quarter of the time to three.
+    /// It is partitioned, and frozen from one quarter of the time to three.
     PartitionAndFrozen,
     /// The processes stand still.
     Frozen,
-    /// It is cut off and connected again, in turns.
+    /// It is partitioned and connected again, in turns.
     Flapping,
     /// The processes stand still again and again, between deciding something and answering or ordering.
     Stalling,
@@ -82,7 +82,7 @@
     began: Option<Micros>,
     /// Since when nothing has got through, if so.
     cut_since: Option<Micros>,
-    /// No further trouble begins.
+    /// No further fault begins.
     ending: bool,
     ended: Option<Micros>,
     /// The newest version that was acknowledged when a read began.
@@ -191,7 +191,7 @@
         self.schedule_in(outage.lasts, Event::Outage(OutageStep::End));
     }
 
-    /// Cuts off what is connected, and connects what is cut off.
+    /// Partitions what is connected, and connects what is partitioned.
     fn flap(&mut self) {
         if self.outage.ended.is_some() {
             return;
@@ -248,7 +248,7 @@
         }
     }
 
-    /// The machine that took the lead last, if it believes that it leads.
+    /// The machine of the highest epoch among those that believe to be the primary.
     pub fn leader_by_epoch(&self) -> Option<usize> {
         let led = |one: &super::machine::Machine| {
             one.process.as_ref().and_then(|process| process.observed.leading).map(|epoch| (epoch, one.number))
--- a/controlplane/tests/simulation/plan.rs
+++ b/controlplane/tests/simulation/plan.rs
@@ -22,9 +22,9 @@
     pub nodes: usize,
     /// How many of them have a disk.
     pub cores: usize,
-    /// Among the seeds that a process is told is a machine with a disk.
+    /// Among the seeds of a process is a machine with a disk.
     pub a_seed_has_a_disk: bool,
-    /// After the first start all processes are told the same seeds, none of which has a disk.
+    /// After the first start all processes have the same seeds, none of which has a disk.
     pub same_seeds_without_disk: bool,
     pub losses: usize,
     pub servers: usize,
--- a/controlplane/tests/simulation/server.rs
+++ b/controlplane/tests/simulation/server.rs
@@ -39,7 +39,7 @@
     pub version: u64,
     pub stage: Stage,
     pub since: Micros,
-    /// It ended without a word.
+    /// It crashed.
     pub crashed: bool,
     pub attempt: u64,
     /// What its last call said.
@@ -49,7 +49,7 @@
     sticky: bool,
     call_count: u64,
     pause: Micros,
-    /// Until when it loads weights, and which.
+    /// Until when it loads, and which version.
     loading: Option<(Micros, u64)>,
     orders: Vec<(Micros, Arc<str>, u64)>,
 }
@@ -140,13 +140,13 @@
         }
     }
 
-    /// The version that it holds now.
+    /// The version that it has loaded by now.
     pub fn holds(&mut self, now: Micros) -> u64 {
         self.load(now);
         self.version
     }
 
-    /// Takes an order, or a word about what is wrong with it by the rules.
+    /// Handles an order; the error says which rule it breaks.
     pub fn order(
         &mut self,
         now: Micros,
--- a/controlplane/tests/simulation/world.rs
+++ b/controlplane/tests/simulation/world.rs
@@ -26,10 +26,10 @@
 use super::server::Server;
 use super::{MODEL, MS, Micros, SECOND};
 
-/// A process that wants to be woken more often than this at one moment holds the processor.
+/// A process that wants to be woken more often than this at one moment is spinning.
 const SPINS_MOST: u32 = 5;
 
-/// What starts before this starts for the first time with the whole system.
+/// A process that starts before this takes part in the first start of the fleet.
 const FIRST_START: Micros = SECOND;
 /// No day takes longer.
 const LONGEST_DAY: Micros = 200 * SECOND;
@@ -98,7 +98,7 @@
     pub loads: u64,
     pub faults: u64,
     pub highest_epoch: u64,
-    /// Checks that applied, and those that did not since there was trouble.
+    /// Checks that applied, and those that did not, for a fault.
     pub checked: u64,
     pub passed_over: u64,
     /// Reads in the course of an outage that got no clear answer.
--- a/controlplane/tests/staleness.rs
+++ b/controlplane/tests/staleness.rs
@@ -103,7 +103,7 @@
     play(Plan::new(9, 9, 2), 10)
 }
 
-/// Whoever is cut off hears nothing of a change, and stops acting on its keys all the same.
+/// A partitioned node learns nothing of a change, and stops accepting its keys all the same.
 #[gtest]
 fn revoked_keys_stop_working_at_partitioned_nodes() -> Result<()> {
     const LASTS: Micros = 11 * SECOND;
--- a/controlplane/tests/version_deadlines.rs
+++ b/controlplane/tests/version_deadlines.rs
@@ -1,4 +1,4 @@
-//! When a named version binds at a node, however late the node hears of it.
+//! When an announced version becomes binding at a node, however late the node learns of it.
 
 mod common;
 
@@ -33,7 +33,7 @@
     })
 }
 
-/// What a node tells its data plane: the version, when it binds, and whether it is a postponement.
+/// What a node reports to its data plane: the version, its deadline, and whether that was extended.
 #[derive(Debug, PartialEq)]
 struct Deadline {
     version: u64,
@@ -41,7 +41,7 @@
     postponed: bool,
 }
 
-/// Another node passes on that a version was named so many milliseconds ago, in its first or a later publication.
+/// Another node gossips that a version was announced so many milliseconds ago, in its first or a later publication.
 fn learn(node: &mut Node, now: Micros, name: (u64, u64), age_ms: u32) -> Vec<Deadline> {
     learn_again(node, now, name, age_ms, 0)
 }
--- a/system/src/check.rs
+++ b/system/src/check.rs
@@ -18,7 +18,7 @@
     Ok(())
 }
 
-/// Checks a configuration, and whether it may follow the version `current`.
+/// Checks a configuration, and whether it may replace version `current`.
 ///
 /// # Errors
 ///
--- a/system/src/effects.rs
+++ b/system/src/effects.rs
@@ -1,4 +1,4 @@
-//! What the control plane does to the data plane, the disk and the log.
+//! Carries out the outputs of the control plane on the data plane, the disk and the log.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -32,17 +32,17 @@
     }
 }
 
-/// The node's own side of its control plane.
+/// What the control plane of this node acts on.
 pub struct NodeEffects {
     /// The data plane.
     pub plane: Rc<DataPlane>,
-    /// The disk, where this node keeps control state.
+    /// The disk, where this node has a replica.
     pub writer: RefCell<Option<Writer>>,
     /// The clock of the control plane.
     pub clock: Clock,
     /// Notified when the control state is in other hands.
     pub ready_to_exit: Rc<Notify>,
-    /// Where to log.
+    /// The log.
     pub log: Logger,
 }
 
@@ -50,7 +50,7 @@
     fn apply_configuration(&self, body: Arc<[u8]>) {
         match Configuration::parse(&body) {
             Ok(configuration) => self.plane.set_configuration(configuration),
-            // It was checked before it was taken: another build may know more than this one.
+            // The primary has validated it: its build may know more than this one.
             Err(findings) => {
                 warn!(self.log, "configuration rejected"; "findings" => findings.to_string())
             }
@@ -113,10 +113,10 @@
     }
 
     fn configuration_validity(&self, validity: ConfigurationValidity) {
-        // In this order, so that a pause between the two shortens the span.
+        // The data plane's clock is read first: if the process is stopped between the two, the span is shorter.
         let now = self.plane.now();
         let span = validity.until.saturating_sub(self.clock.now());
-        // 0 stands for no evidence at all, for which requests wait; what is over already is over.
+        // 0 stands for no evidence at all, for which requests wait; anything else may have expired already.
         let until = if validity.until == 0 { 0 } else { now + span };
         self.plane.set_key_validity(KeyValidity { version: validity.version, valid_until: until });
     }
--- a/system/src/error.rs
+++ b/system/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command did not do what it was asked to, with what to do about it.
+//! Errors of the commands, with what an operator can do about each, and their exit codes.
 
 use std::net::SocketAddrV4;
 use std::path::PathBuf;
@@ -7,63 +7,63 @@
 use gradepaddle_config::Findings;
 use snafu::Snafu;
 
-/// The exit code where a file has findings.
+/// The exit code of a command whose file has findings.
 const FINDINGS: u8 = 2;
 
-/// What ends a command.
+/// Why a command failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum CommandError {
     /// The variable that names the settings file is not set.
     #[snafu(display("GRADEPADDLE_BOOT is not set: let it name the settings file"))]
     NoSettings,
-    /// A settings file that makes no sense.
+    /// The settings file is invalid.
     #[snafu(display("the settings have findings; correct them and start again:\n{findings}"))]
     Settings {
-        /// All of them, with their place.
+        /// All findings, each with its path in the document.
         findings: Findings,
     },
-    /// A configuration that makes no sense.
+    /// The configuration is invalid.
     #[snafu(display("the configuration has findings:\n{findings}"))]
     Configuration {
-        /// All of them, with their place.
+        /// All findings, each with its path in the document.
         findings: Findings,
     },
-    /// A configuration that can't follow the one in place.
+    /// The configuration can't replace the one in force.
     #[snafu(display("the configuration can't follow the one in place: {finding}"))]
     Successor {
-        /// What is wrong, with its place.
+        /// The finding, with its path in the document.
         finding: gradepaddle_config::Finding,
     },
-    /// A file that can't be read.
+    /// A file can't be read.
     #[snafu(display("{} can't be read: {source}", file.display()))]
     File {
         /// The file.
         file: PathBuf,
-        /// Why.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// An address that can't be listened on.
+    /// An address can't be listened on.
     #[snafu(display("can't listen on {address}: {source}; is another process there?"))]
     Listen {
         /// The address.
         address: SocketAddrV4,
-        /// Why.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// The settings lack an address that the role needs.
     #[snafu(display("listenOn.{name} is missing from the settings"))]
     NoAddress {
-        /// Which.
+        /// The name in `listenOn`.
         name: &'static str,
     },
     /// The runtime or its signal handlers can't be set up.
     #[snafu(display("the runtime can't be set up: {source}"))]
     Runtime {
-        /// Why.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// A node that does not answer.
+    /// A node does not respond.
     #[snafu(display("{address} does not answer; is it a control address?"))]
     NoAnswer {
         /// The address.
--- a/system/src/status.rs
+++ b/system/src/status.rs
@@ -8,11 +8,11 @@
 
 use crate::error::{CommandError, NoAnswerSnafu, RuntimeSnafu};
 
-/// Prints what the node at this control address says of itself and of the fleet, as JSON.
+/// Prints the state of the node at this control address, and of the fleet as it knows it, as JSON.
 ///
 /// # Errors
 ///
-/// [`CommandError::NoAnswer`] if it says nothing.
+/// [`CommandError::NoAnswer`] if it does not respond.
 pub fn print(address: SocketAddrV4) -> Result<(), CommandError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().context(RuntimeSnafu)?;
     let pool = Pool::default();
