--- a/control/tests/simulator/world/recovery.rs
+++ b/control/tests/simulator/world/recovery.rs
@@ -12,26 +12,26 @@
 pub(super) const RECOVERY_LIMIT: u64 = 4 * SECOND;
 
 impl World {
-    /// Ends all trouble and sees how long it takes until a change is acknowledged.
+    /// Ends all faults and measures the time until a change is acknowledged.
     pub(super) fn heal(&mut self) {
         self.healed = Some(self.now);
         self.network.heal();
         self.network.calm();
         for index in 0..self.machines.len() {
             let now = self.now;
-            if self.machines[index].leaving {
+            if self.machines[index].shutting_down {
                 self.crash(index);
             }
             let machine = &mut self.machines[index];
             machine.disk.full = false;
             machine.disk.hangs_until = now;
             machine.disk.busy_until = now;
-            machine.frozen = machine.frozen.map(|_| now);
+            machine.suspended = machine.suspended.map(|_| now);
             let incarnation = machine.incarnation;
             for _ in 0..machine.disk.waiting() {
                 self.schedule(MILLISECOND, Event::DiskDone { machine: index, incarnation });
             }
-            self.thaw(index);
+            self.resume(index);
             self.start(index);
         }
         self.schedule(1, Event::Probe);
--- a/controlplane/src/api_server.rs
+++ b/controlplane/src/api_server.rs
@@ -49,7 +49,7 @@
         let (response, keep_alive) = match body {
             Ok(Ok(body)) => (respond(&head, &body, &driver).await, head.keeps_alive()),
             Ok(Err(ReadError::BodyTooLong)) => (Response::message(413, "the body is too long"), false),
-            Ok(Err(ReadError::Malformed(what))) => (Response::message(400, what), false),
+            Ok(Err(ReadError::Malformed { source })) => (Response::message(400, &source.to_string()), false),
             Ok(Err(_)) | Err(_) => return,
         };
         // The lease is checked last of all: the process may have been stopped since the driver decided.
@@ -64,7 +64,7 @@
 }
 
 async fn read_body(connection: &mut Connection, head: &Head, pool: &Pool) -> Result<Vec<u8>, ReadError> {
-    let framing = head.framing(Framing::Length(0)).map_err(ReadError::Malformed)?;
+    let framing = head.framing(Framing::Length(0)).map_err(ReadError::from)?;
     let mut body = Body::with_limit(framing, MAX_BODY_BYTES)?;
     let mut bytes = pool.chain();
     while !connection.read_body(&mut body, &mut bytes, usize::MAX).await? {}
--- a/system/src/control_store.rs
+++ b/system/src/control_store.rs
@@ -9,7 +9,7 @@
 use gradepaddle_controlplane::clock::Clock;
 use gradepaddle_controlplane::driver::DriverEvent;
 use gradepaddle_controlplane::node::Input;
-use gradepaddle_store::{Done, Storage, StoreError, Writer};
+use gradepaddle_store::{Storage, StoreError, WriteResult, Writer};
 use slog::warn;
 use tokio::sync::mpsc;
 use tokio::time::sleep;
@@ -61,14 +61,14 @@
 ) -> Result<(Writer, RecoveredState), StoreError> {
     let opened = Storage::open(path, ReplicaId(random()))?;
     let events = events.clone();
-    let done = move |done: Done| {
-        let input = match done.result {
-            Ok(()) => Input::Persisted(done.write_id),
-            Err(_) => Input::PersistFailed(done.write_id),
+    let on_result = move |write: WriteResult| {
+        let input = match write.result {
+            Ok(()) => Input::Persisted(write.write_id),
+            Err(_) => Input::PersistFailed(write.write_id),
         };
         // Without a driver nobody waits for it.
         let _ = events.send(DriverEvent::Input(input));
     };
-    let writer = Writer::start(opened.storage, Box::new(done))?;
+    let writer = Writer::start(opened.storage, Box::new(on_result))?;
     Ok((writer, opened.recovered))
 }
