--- a/system/src/control_store.rs
+++ b/system/src/control_store.rs
@@ -61,17 +61,10 @@
 ) -> Result<(Writer, RecoveredState), StoreError> {
     let opened = Storage::open(path, ReplicaId(random()))?;
     let events = events.clone();
-<<<<<<< HEAD
-    let done = move |done: WriteResult| {
-        let input = match done.result {
-            Ok(()) => Input::Persisted(done.write_id),
-            Err(_) => Input::PersistFailed(done.write_id),
-=======
     let on_result = move |write: WriteResult| {
         let input = match write.result {
             Ok(()) => Input::Persisted(write.write_id),
             Err(_) => Input::PersistFailed(write.write_id),
->>>>>>> refs/heads/controlplane
         };
         // Without a driver nobody waits for it.
         let _ = events.send(DriverEvent::Input(input));
