--- a/controlplane/tests/calls.rs
+++ b/controlplane/tests/api.rs
@@ -1,7 +1,8 @@
 //! Which calls make sense, and how the others are turned down.
 
 use googletest::prelude::*;
-use gradepaddle_controlplane::calls::{Answer, Call, fingerprint_number, patch_fingerprint_number, read};
+use gradepaddle_controlplane::api::{Call, Response, fingerprint_number, parse, patch_fingerprint_number};
+use gradepaddle_proto::ControlCall;
 use serde_json::{Value, json};
 
 /// One call and what is to come of it.
@@ -38,20 +39,26 @@
     Case { if_match, ..case(what, ("PATCH", "/v1/config"), body, want) }
 }
 
-fn agrees(got: &std::result::Result<Call, Answer>, want: &Want) -> bool {
+fn agrees(got: &std::result::Result<Call, Response>, want: &Want) -> bool {
     match (got, want) {
         (Ok(Call::Heartbeat { id, heartbeat }), Want::Heartbeat(name, count)) => {
             id == name && heartbeat.call_count == *count
         }
         (Ok(Call::Leave { id }), Want::Leave(name)) => id == name,
-        (Ok(Call::PutConfiguration { if_match, version, .. }), Want::Put(base, own)) => {
-            if_match == base && version == own
+        (
+            Ok(Call::Control(ControlCall::PutConfiguration { if_match, version, .. })),
+            Want::Put(base, own),
+        ) => if_match == base && version == own,
+        (
+            Ok(Call::Control(ControlCall::PatchConfiguration { if_match, version, .. })),
+            Want::Patch(base, own),
+        ) => if_match == base && version == own,
+        (Ok(Call::Control(ControlCall::GetConfiguration)), Want::Get) | (Ok(Call::Status), Want::Status) => {
+            true
         }
-        (Ok(Call::PatchConfiguration { if_match, version, .. }), Want::Patch(base, own)) => {
-            if_match == base && version == own
+        (Ok(Call::Control(ControlCall::NameVersion { model, version })), Want::Name(name, own)) => {
+            &**model == *name && version == own
         }
-        (Ok(Call::GetConfiguration), Want::Get) | (Ok(Call::Status), Want::Status) => true,
-        (Ok(Call::NameVersion { model, version }), Want::Name(name, own)) => model == name && version == own,
         (Err(answer), Want::Refused(statuses)) => statuses.contains(&answer.status),
         _ => false,
     }
@@ -59,7 +66,7 @@
 
 fn check(cases: Vec<Case>) -> Result<()> {
     for case in cases {
-        let got = read(case.method, case.path, case.if_match, case.body.as_bytes());
+        let got = parse(case.method, case.path, case.if_match, case.body.as_bytes());
         expect_that!(agrees(&got, &case.want), eq(true), "{}: {got:?} instead of {:?}", case.what, case.want);
     }
     Ok(())
@@ -177,7 +184,7 @@
 }
 
 #[gtest]
-fn configurations_that_make_no_sense() -> Result<()> {
+fn invalid_configurations_are_rejected() -> Result<()> {
     let whole = configuration().to_string();
     let same_prefix = with(configuration(), "/routes/1/pathPrefix", json!("/stock/"));
     let weightless = json!([{"backend": "stock-old", "weight": 0}, {"backend": "stock-new", "weight": 0}]);
@@ -235,7 +242,7 @@
 }
 
 #[gtest]
-fn a_patch_is_the_same_change_only_on_the_same_version() {
+fn a_patch_is_the_same_change_only_on_the_same_base_version() {
     let sent = br#"{"version":9}"#;
     expect_that!(patch_fingerprint_number(7, sent), eq(patch_fingerprint_number(7, sent)));
     expect_that!(patch_fingerprint_number(7, sent), not(eq(patch_fingerprint_number(8, sent))));
@@ -243,9 +250,11 @@
 }
 
 #[gtest]
-fn the_body_is_kept_as_it_was_sent() -> Result<()> {
+fn the_body_is_stored_as_it_was_sent() -> Result<()> {
     let sent = serde_json::to_vec_pretty(&configuration())?;
-    let Ok(Call::PutConfiguration { body, .. }) = read("PUT", "/v1/config", Some("0"), &sent) else {
+    let Ok(Call::Control(ControlCall::PutConfiguration { body, .. })) =
+        parse("PUT", "/v1/config", Some("0"), &sent)
+    else {
         return fail!("it was not taken");
     };
     expect_that!(body.to_vec(), eq(&sent));
@@ -256,13 +265,13 @@
 }
 
 #[gtest]
-fn refusals_say_why() -> Result<()> {
-    let Err(answer) = read("PUT", "/v1/config", Some("0"), b"{}") else {
+fn rejections_carry_a_message() -> Result<()> {
+    let Err(answer) = parse("PUT", "/v1/config", Some("0"), b"{}") else {
         return fail!("an empty configuration was taken");
     };
-    let told: Value = serde_json::from_slice(&answer.body)?;
-    expect_that!(told["message"].as_str().unwrap_or_default(), not(eq("")));
-    expect_that!(Answer::unavailable("x").status, eq(503));
-    expect_that!(Answer::bare(200).body.len(), eq(0));
+    let body: Value = serde_json::from_slice(&answer.body)?;
+    expect_that!(body["message"].as_str().unwrap_or_default(), not(eq("")));
+    expect_that!(Response::unavailable("x").status, eq(503));
+    expect_that!(Response::bare(200).body.len(), eq(0));
     Ok(())
 }
--- a/controlplane/tests/leases.rs
+++ b/controlplane/tests/leases.rs
@@ -1,6 +1,6 @@
 //! What leaves a node leaves it within the lease: answers that were held up, late answers of the primary, orders.
 
-#[path = "fleet/mod.rs"]
+#[path = "simulation/mod.rs"]
 mod simulation;
 
 use std::io::ErrorKind;
@@ -9,16 +9,16 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use gradepaddle_controlplane::calls::{Answer, Call};
+use gradepaddle_controlplane::api::{Call, Response};
+use gradepaddle_controlplane::api_server::serve_api;
 use gradepaddle_controlplane::clock::Clock;
-use gradepaddle_controlplane::door::serve_calls;
 use gradepaddle_controlplane::driver::DriverEvent;
 use gradepaddle_controlplane::node::{Input, Node, Output};
-use gradepaddle_controlplane::orders::{self, OrderPermit};
-use gradepaddle_controlplane::rollout::{Order, OrderAnswer};
+use gradepaddle_controlplane::order::{Order, OrderOutcome};
+use gradepaddle_controlplane::server_client::{self, OrderPermit};
 use gradepaddle_controlplane::{CLOCK_START, Micros};
 use gradepaddle_http::buffers::Pool;
-use gradepaddle_proto::{Content, Envelope, ForwardedReply};
+use gradepaddle_proto::{Content, ControlCall, Envelope, ForwardedReply};
 use simulation::operator::body;
 use simulation::{MS, Plan, SECOND, World};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -43,7 +43,7 @@
         world.run_until(6_800 * MS);
         let leads = |node: &usize| {
             let process = world.machines[*node].process.as_ref().expect("it runs");
-            process.told.leading.is_some()
+            process.observed.leading.is_some()
         };
         let primary = (0..3).find(leads).expect("somebody leads");
         Fleet { world, primary }
@@ -66,7 +66,7 @@
     }
 
     fn call(&mut self, node: usize, call: Call) -> Vec<Output> {
-        self.hand(node, 0, Input::Call { ticket: TICKET, call })
+        self.hand(node, 0, Input::Call { call_id: TICKET, call })
     }
 
     fn address(&self, node: usize) -> SocketAddrV4 {
@@ -78,28 +78,32 @@
     }
 }
 
-fn answer(out: &[Output]) -> Option<Answer> {
+fn answer(out: &[Output]) -> Option<Response> {
     out.iter().find_map(|output| match output {
-        Output::Answer { ticket: TICKET, answer } => Some(answer.clone()),
+        Output::Respond { call_id: TICKET, response } => Some(response.clone()),
         _ => None,
     })
 }
 
 fn put(if_match: u64, version: u64) -> Call {
-    Call::PutConfiguration { if_match, version, body: body(version, "test", 0) }
+    Call::Control(ControlCall::PutConfiguration { if_match, version, body: body(version, "test", 0) })
 }
 
 fn some_order(address: SocketAddrV4) -> Order {
-    Order { server: Arc::from("s"), address, model: Arc::from("advisor"), version: 2, fence: 1 }
+    Order { server: Arc::from("s"), address, model: Arc::from("advisor"), version: 2, fencing_token: 1 }
 }
 
 /// The process may stand still between deciding and answering.
 #[gtest]
-fn what_the_primary_decides_at_once_is_said_within_its_lease_only() {
+fn immediate_decisions_are_sent_within_the_lease_only() {
     let rows = [
-        ("the newest configuration", Call::GetConfiguration, 200),
+        ("the newest configuration", Call::Control(ControlCall::GetConfiguration), 200),
         ("a version that was overtaken", put(0, 1_000), 412),
-        ("weights that were named", Call::NameVersion { model: "advisor".to_owned(), version: 1 }, 200),
+        (
+            "weights that were named",
+            Call::Control(ControlCall::NameVersion { model: Arc::from("advisor"), version: 1 }),
+            200,
+        ),
     ];
     for (what, call, status) in rows {
         let mut fleet = Fleet::new();
@@ -114,7 +118,7 @@
 
 /// The backup's word comes when the lease has run out: the change is in force, and whoever leads now may say so.
 #[gtest]
-fn a_change_that_is_written_after_the_lease_gets_no_clear_answer() -> Result<()> {
+fn a_change_that_is_durable_after_the_lease_gets_503() -> Result<()> {
     for (later, status) in [(5 * MS, 200), (LEASE + 100 * MS, 503)] {
         let mut fleet = Fleet::new();
         let primary = fleet.primary;
@@ -123,7 +127,7 @@
         let mut written = Vec::new();
         for output in out {
             match output {
-                Output::Persist { token, .. } => written.push(Input::Persisted(token)),
+                Output::Persist { write_id, .. } => written.push(Input::Persisted(write_id)),
                 Output::Send { to, content: content @ Content::Control(_) } => {
                     let backup = (0..3).find(|node| fleet.address(*node) == to).or_fail()?;
                     let input = fleet.envelope(primary, content);
@@ -152,7 +156,7 @@
     while let Some(input) = inputs.pop() {
         for output in fleet.hand(backup, MS, input) {
             match output {
-                Output::Persist { token, .. } => inputs.push(Input::Persisted(token)),
+                Output::Persist { write_id, .. } => inputs.push(Input::Persisted(write_id)),
                 Output::Send { content: content @ Content::Control(_), .. } => replies.push(content),
                 _ => {}
             }
@@ -163,7 +167,7 @@
 
 /// An answer of the primary comes late, or is read late by a process that stood still.
 #[gtest]
-fn an_answer_of_the_primary_is_passed_on_within_its_lease_only() -> Result<()> {
+fn a_reply_of_the_primary_is_relayed_within_its_lease_only() -> Result<()> {
     let rows = [
         ("at once", 412, 1_200 * MS, 2 * MS, 412),
         ("at once, a success", 200, 1_200 * MS, 2 * MS, 200),
@@ -175,53 +179,57 @@
         ("without a lease", 412, 0, 2 * MS, 503),
         ("nothing clear", 503, 0, 2 * MS, 503),
     ];
-    for (what, told, lease_left, later, status) in rows {
+    for (what, reply, lease_remaining, later, status) in rows {
         let mut fleet = Fleet::new();
         let asked = (fleet.primary + 1) % 3;
-        let out = fleet.call(asked, Call::GetConfiguration);
+        let out = fleet.call(asked, Call::Control(ControlCall::GetConfiguration));
         let ticket = out.iter().find_map(|output| match output {
             Output::Send { content: Content::ForwardedCall(forward), .. } => Some(forward.call_id),
             _ => None,
         });
         let forwarded = ForwardedReply {
             call_id: ticket.or_fail()?,
-            status: told,
+            status: reply,
             body: Arc::from([]),
-            lease_remaining: lease_left,
+            lease_remaining,
         };
         let input = fleet.envelope(fleet.primary, Content::ForwardedReply(forwarded));
         let sent = fleet.clock(asked);
         let answer = answer(&fleet.hand(asked, later, input)).or_fail()?;
         expect_that!(answer.status, eq(status), "{what}");
         // What is held up on its way out is not given either.
-        expect_that!(answer.at(sent + lease_left.max(MS)).status, eq(503), "{what}");
+        expect_that!(answer.at(sent + lease_remaining.max(MS)).status, eq(503), "{what}");
     }
     Ok(())
 }
 
 /// The primary says for how long its lease was to last.
 #[gtest]
-fn the_primary_tells_others_how_long_its_answer_holds() -> Result<()> {
+fn the_primary_sends_the_remaining_lease_with_its_reply() -> Result<()> {
     let mut fleet = Fleet::new();
     let (primary, asked) = (fleet.primary, (fleet.primary + 1) % 3);
-    let out = fleet.call(asked, Call::GetConfiguration);
+    let out = fleet.call(asked, Call::Control(ControlCall::GetConfiguration));
     let forward = out.into_iter().find_map(|output| match output {
         Output::Send { content: content @ Content::ForwardedCall(_), .. } => Some(content),
         _ => None,
     });
     let input = fleet.envelope(asked, forward.or_fail()?);
-    let told = fleet.hand(primary, 0, input).into_iter().find_map(|output| match output {
-        Output::Send { content: Content::ForwardedReply(told), .. } => Some(told),
+    let reply = fleet.hand(primary, 0, input).into_iter().find_map(|output| match output {
+        Output::Send { content: Content::ForwardedReply(reply), .. } => Some(reply),
         _ => None,
     });
-    let told = told.or_fail()?;
-    verify_that!((told.status, told.lease_remaining), (eq(200), all![gt(0), le(LEASE)]))
+    let reply = reply.or_fail()?;
+    verify_that!((reply.status, reply.lease_remaining), (eq(200), all![gt(0), le(LEASE)]))
 }
 
 /// Nobody waits in silence: callers go on after a second.
 #[gtest]
-fn a_call_that_the_primary_does_not_answer_gets_an_unclear_answer_within_a_second() -> Result<()> {
-    for call in [Call::GetConfiguration, put(0, 1), Call::NameVersion { model: "m".to_owned(), version: 1 }] {
+fn a_call_without_a_decision_of_the_primary_gets_503_within_a_second() -> Result<()> {
+    for call in [
+        Call::Control(ControlCall::GetConfiguration),
+        put(0, 1),
+        Call::Control(ControlCall::NameVersion { model: Arc::from("m"), version: 1 }),
+    ] {
         let mut fleet = Fleet::new();
         let asked = (fleet.primary + 1) % 3;
         let mut out = fleet.call(asked, call);
@@ -237,11 +245,12 @@
 }
 
 #[gtest]
-fn an_order_leaves_before_the_end_of_the_lease_only() -> Result<()> {
+fn an_order_is_sent_before_the_end_of_the_lease_only() -> Result<()> {
     let mut fleet = Fleet::new();
     let primary = fleet.primary;
     let now = fleet.clock(primary);
-    let epoch = fleet.world.machines[primary].process.as_ref().and_then(|one| one.told.leading).or_fail()?;
+    let epoch =
+        fleet.world.machines[primary].process.as_ref().and_then(|one| one.observed.leading).or_fail()?;
     let deadline = fleet.node(primary).order_deadline(now, epoch).or_fail()?;
     expect_that!(deadline, all![gt(now), le(now + LEASE)]);
     expect_that!(fleet.node(primary).order_deadline(deadline, epoch), none());
@@ -262,19 +271,19 @@
 
 /// The last look is taken where the answer is written.
 #[gtest]
-fn the_door_writes_nothing_clear_after_the_lease() -> Result<()> {
+fn the_api_server_sends_nothing_conclusive_after_the_lease() -> Result<()> {
     run(async {
         let rows = [(Some(CLOCK_START), "503"), (Some(CLOCK_START + 3_600 * SECOND), "200"), (None, "200")];
         for (valid_until, status) in rows {
             let (listener, address) = listen().await?;
             let (driver, mut calls) = mpsc::unbounded_channel();
-            let served = serve_calls(listener, driver, Clock::new(Instant::now()));
+            let served = serve_api(listener, driver, Clock::new(Instant::now()));
             let served = tokio::task::spawn_local(served);
             let mut caller = TcpStream::connect(address).await.or_fail()?;
             let request = b"GET /v1/config HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
             caller.write_all(request).await.or_fail()?;
             let Some(DriverEvent::Call(_, reply)) = calls.recv().await else { return fail!("no call came") };
-            let answer = Answer { valid_until, ..Answer::bare(200) };
+            let answer = Response { valid_until, ..Response::bare(200) };
             verify_that!(reply.send(answer).is_ok(), eq(true))?;
             let mut text = String::new();
             caller.read_to_string(&mut text).await.or_fail()?;
@@ -290,14 +299,14 @@
     bytes: Vec<u8>,
     /// How the connection ended for the server; `None` in good order.
     fault: Option<ErrorKind>,
-    answer: OrderAnswer,
+    answer: OrderOutcome,
 }
 
 /// Gives an order under fence 1, and does something once the first of its bytes have come.
 async fn give_in_vain(permit: OrderPermit, then: impl FnOnce()) -> Result<Withheld> {
     let (listener, address) = listen().await?;
     let given = tokio::task::spawn_local(async move {
-        orders::give(&some_order(address), "node-1", &Pool::default(), permit).await
+        server_client::send_order(&some_order(address), "node-1", &Pool::default(), permit).await
     });
     let (mut server, _) = listener.accept().await.or_fail()?;
     let mut bytes = vec![0; 16];
@@ -328,7 +337,7 @@
             let (_sender, leading) = watch::channel(leads);
             let withheld = give_in_vain(OrderPermit::new(1, deadline, leading), || {}).await?;
             expect_that!(withheld.bytes, is_empty(), "{what}");
-            expect_that!(withheld.answer, eq(OrderAnswer::NotTaken), "{what}");
+            expect_that!(withheld.answer, eq(OrderOutcome::Failed), "{what}");
         }
         Ok(())
     })
@@ -336,20 +345,20 @@
 
 /// An order that has no answer by the end of the lease is withdrawn: what a cut holds up would come much later.
 #[gtest]
-fn an_order_without_an_answer_is_reset_at_the_end_of_the_lease() -> Result<()> {
+fn an_order_without_a_response_is_reset_at_the_end_of_the_lease() -> Result<()> {
     run(async {
         let (_sender, leading) = watch::channel(Some(1));
         let deadline = Instant::now() + Duration::from_millis(200);
         let withheld = give_in_vain(OrderPermit::new(1, deadline, leading), || {}).await?;
         expect_that!(withheld.bytes.starts_with(b"POST /v1/order "), eq(true));
         expect_that!(withheld.fault, some(eq(ErrorKind::ConnectionReset)));
-        verify_that!(withheld.answer, eq(OrderAnswer::NotTaken))
+        verify_that!(withheld.answer, eq(OrderOutcome::Failed))
     })
 }
 
 /// A primary that hands over, or leads under the next epoch, lets no order of before arrive after one of the next.
 #[gtest]
-fn an_order_under_way_is_reset_when_its_fence_is_over() -> Result<()> {
+fn an_order_in_flight_is_reset_when_its_fencing_token_expires() -> Result<()> {
     run(async {
         for next in [None, Some(2)] {
             let mut fastest = Duration::MAX;
@@ -364,7 +373,7 @@
                 fastest = fastest.min(begun.elapsed());
                 expect_that!(withheld.bytes.starts_with(b"POST /v1/order "), eq(true));
                 expect_that!(withheld.fault, some(eq(ErrorKind::ConnectionReset)), "{next:?}");
-                expect_that!(withheld.answer, eq(OrderAnswer::NotTaken), "{next:?}");
+                expect_that!(withheld.answer, eq(OrderOutcome::Failed), "{next:?}");
             }
             // Not for want of an answer only, half a second later.
             expect_that!(fastest, lt(Duration::from_millis(450)), "{next:?}");
@@ -375,11 +384,13 @@
 
 /// A patch is judged on the configuration that is in force, and what is said of it within the lease only.
 #[gtest]
-fn what_the_primary_says_of_a_patch() {
-    let patch = |if_match, version, text: &str| Call::PatchConfiguration {
-        if_match,
-        version,
-        patch: Arc::from(text.as_bytes()),
+fn responses_of_the_primary_to_a_patch() {
+    let patch = |if_match, version, text: &str| {
+        Call::Control(ControlCall::PatchConfiguration {
+            if_match,
+            version,
+            patch: Arc::from(text.as_bytes()),
+        })
     };
     let mut fleet = Fleet::new();
     let current = fleet.world.operators[0].current;
@@ -406,21 +417,21 @@
 
 /// The answer was lost, and other changes have come since: the patch that is sent again was taken.
 #[gtest]
-fn a_patch_that_is_sent_again_later_is_acknowledged_again() -> Result<()> {
+fn a_repeated_patch_is_acknowledged_again() -> Result<()> {
     let mut fleet = Fleet::new();
     let current = fleet.world.operators[0].current;
     let text = format!(r#"{{"version":{},"upsert":{{"customers":[{{"name":"new"}}]}}}}"#, current + 1);
-    let first = Call::PatchConfiguration {
+    let first = Call::Control(ControlCall::PatchConfiguration {
         if_match: current,
         version: current + 1,
         patch: Arc::from(text.as_bytes()),
-    };
+    });
     let rival = put(current, current + 1);
-    let later = Call::PatchConfiguration {
+    let later = Call::Control(ControlCall::PatchConfiguration {
         if_match: current + 1,
         version: current + 2,
         patch: Arc::from(format!(r#"{{"version":{}}}"#, current + 2).as_bytes()),
-    };
+    });
     let rows = [
         ("first", &first, 200),
         ("again", &first, 200),
@@ -432,14 +443,14 @@
         let answer = settled_call(&mut fleet, call.clone()).or_fail()?;
         expect_that!(answer.status, eq(status), "{what}");
     }
-    let read = settled_call(&mut fleet, Call::GetConfiguration).or_fail()?;
+    let read = settled_call(&mut fleet, Call::Control(ControlCall::GetConfiguration)).or_fail()?;
     let read = String::from_utf8_lossy(&read.body).into_owned();
     expect_that!(read, contains_substring(format!("\"version\":{}", current + 2)));
     verify_that!(read, contains_substring(r#""customers":[{"name":"new"}]"#))
 }
 
 /// The answer to a call at the primary, with all that has to be written and replicated for it.
-fn settled_call(fleet: &mut Fleet, call: Call) -> Option<Answer> {
+fn settled_call(fleet: &mut Fleet, call: Call) -> Option<Response> {
     let primary = fleet.primary;
     let mut outputs = fleet.call(primary, call);
     for _ in 0..4 {
@@ -449,8 +460,8 @@
         let mut next = Vec::new();
         for output in outputs {
             match output {
-                Output::Persist { token, .. } => {
-                    next.extend(fleet.hand(primary, MS, Input::Persisted(token)))
+                Output::Persist { write_id, .. } => {
+                    next.extend(fleet.hand(primary, MS, Input::Persisted(write_id)))
                 }
                 Output::Send { to, content: content @ Content::Control(_) } => {
                     let backup = (0..3).find(|node| fleet.address(*node) == to)?;
--- a/controlplane/tests/regressions.rs
+++ b/controlplane/tests/regressions.rs
@@ -1,22 +1,23 @@
 //! Faults that tests have found, each with the smallest course of events that showed it; all mended since.
 
 mod common;
-#[path = "fleet/mod.rs"]
+#[path = "simulation/mod.rs"]
 mod simulation;
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use common::{MS, SECOND, address, addresses, identity, lone_spread, registration};
+use common::{MS, SECOND, address, addresses, identity, lone_gossip, registration};
 use googletest::prelude::*;
 use gradepaddle_controlplane::Micros;
-use gradepaddle_controlplane::calls::Call;
-use gradepaddle_controlplane::kinds::{self, Conclusion, SERVER, SESSION};
-use gradepaddle_controlplane::naming::VersionTimes;
+use gradepaddle_controlplane::api::Call;
+use gradepaddle_controlplane::item_kinds::{self, Evidence, SERVER, SESSION};
 use gradepaddle_controlplane::node::{Input, Node, NodeSetup, Output};
-use gradepaddle_controlplane::rollout::{OrderAnswer, Ordered, Rollout, Servers, Step};
-use gradepaddle_controlplane::session::OwnSession;
-use gradepaddle_controlplane::sessions::{HeldSessions, Session};
+use gradepaddle_controlplane::order::OrderOutcome;
+use gradepaddle_controlplane::rollout::{Reservation, Rollout, Servers, Step};
+use gradepaddle_controlplane::session_client::SessionClient;
+use gradepaddle_controlplane::session_table::{Session, SessionTable};
+use gradepaddle_controlplane::version_announcement::VersionDeadlines;
 use gradepaddle_gossip::{Aged, Item, Message, Stamp};
 use gradepaddle_placement::ServerState;
 use gradepaddle_proto::{Content, Decode, Encode, Envelope};
@@ -31,12 +32,12 @@
 impl Driven {
     fn new(number: u8) -> Driven {
         let node = Node::new(NodeSetup {
-            session: OwnSession::new(identity(number, 1), addresses([3, 4]), 0),
-            spread: lone_spread(number),
-            founding: None,
-            beat_every: 1_200 * MS,
+            session: SessionClient::new(identity(number, 1), addresses([3, 4]), 0),
+            gossip: lone_gossip(number),
+            bootstrap: None,
+            heartbeat_interval: 1_200 * MS,
             order_lease: 3 * SECOND,
-            version_times: VersionTimes { within: 8 * SECOND, in_all: None },
+            version_deadlines: VersionDeadlines { from_publication: 8 * SECOND, from_announcement: None },
             revoke_within: None,
             machine_losses: 1,
             now: 0,
@@ -70,7 +71,7 @@
 
     fn answers(out: &[Output], wanted: u64) -> Vec<u16> {
         let status = |output: &Output| match output {
-            Output::Answer { ticket, answer } if *ticket == wanted => Some(answer.status),
+            Output::Respond { call_id, response } if *call_id == wanted => Some(response.status),
             _ => None,
         };
         out.iter().filter_map(status).collect()
@@ -79,21 +80,21 @@
 
 fn states(out: &[Output]) -> Vec<ServerState> {
     let state = |output: &Output| match output {
-        Output::Server(entry) => Some(entry.state),
-        Output::ServerGone(_) => Some(ServerState::Gone),
+        Output::ServerChanged(entry) => Some(entry.state),
+        Output::ServerRemoved(_) => Some(ServerState::Gone),
         _ => None,
     };
     out.iter().filter_map(state).collect()
 }
 
-fn session(of: u8, holder: u8, minor: u64) -> Item {
-    let session = Session { identity: identity(of, 1), holder: address(holder) };
-    kinds::item(SESSION, &address(of).to_string(), Stamp { major: 1, minor }, session.to_bytes())
+fn session(of: u8, granted_by: u8, minor: u64) -> Item {
+    let session = Session { identity: identity(of, 1), granted_by: address(granted_by) };
+    item_kinds::item(SESSION, &address(of).to_string(), Stamp { major: 1, minor }, session.to_bytes())
 }
 
 fn server_of(owner: u8) -> Item {
-    let stamp = kinds::server_stamp(1, Conclusion::Told);
-    kinds::item(SERVER, "s", stamp, registration("s", owner, 1).to_bytes())
+    let stamp = item_kinds::server_stamp(1, Evidence::Reported);
+    item_kinds::item(SERVER, "s", stamp, registration("s", owner, 1).to_bytes())
 }
 
 /// A control plane in which nodes 2, 3 and 4 have their sessions.
@@ -102,7 +103,7 @@
 }
 
 /// Design note: servers are watched for silence by the node that takes their heartbeats.
-/// Seen: after a restart at the same address, the node owns its servers by their items and watches none of them, and
+/// OutageObservations: after a restart at the same address, the node owns its servers by their items and watches none of them, and
 /// the others see their owner alive. A server that crashed meanwhile stays ready at all nodes for good.
 #[gtest]
 fn a_node_that_restarted_watches_the_servers_that_called_it_before() -> Result<()> {
@@ -113,33 +114,33 @@
     verify_that!(states(&out), contains(eq(&ServerState::Lost)))
 }
 
-/// Design note: the set of members is the union of the sessions that control balancers hold. Seen: a control balancer
+/// Design note: the set of members is the union of the sessions that control balancers hold. OutageObservations: a control balancer
 /// that restarted at its address holds none of the sessions that bear its name, and its own session keeps them from
 /// being orphans. A node that ended meanwhile and does not come back stays a member for good.
 #[gtest]
-fn a_control_balancer_that_restarted_lets_sessions_lapse_that_it_held_before() -> Result<()> {
-    let mut spread = lone_spread(3);
+fn a_restarted_control_balancer_expires_sessions_of_its_earlier_process() -> Result<()> {
+    let mut gossip = lone_gossip(3);
     for item in among_others() {
-        common::publish(&mut spread, item);
+        common::publish(&mut gossip, item);
     }
-    let mut held = HeldSessions::new(address(3));
+    let mut held = SessionTable::new(address(3));
     let mut removed = Vec::new();
     for beat in 0..150 {
         let now = beat * 400 * MS;
-        removed.extend(held.tick(now, &spread));
+        removed.extend(held.tick(now, &gossip));
     }
     let keys: Vec<&str> = removed.iter().map(|item| &*item.key).collect();
     verify_that!(keys, contains(eq(&&*address(2).to_string())))
 }
 
-/// Seen: a node tells its data plane that a server whose node is missing is lost, and never takes that back when the
+/// OutageObservations: a node tells its data plane that a server whose node is missing is lost, and never takes that back when the
 /// node's session returns: heartbeats that change nothing are not spread, so no item comes.
 #[gtest]
 fn a_server_is_ready_again_when_its_node_is_back() -> Result<()> {
     let mut node = Driven::new(9);
     node.learn(among_others());
     node.learn(vec![server_of(2)]);
-    node.learn(vec![kinds::removal(SESSION, &address(2).to_string(), Stamp { major: 1, minor: 2 })]);
+    node.learn(vec![item_kinds::tombstone(SESSION, &address(2).to_string(), Stamp { major: 1, minor: 2 })]);
     let out = node.wait(8 * SECOND);
     verify_that!(states(&out), contains(eq(&ServerState::Lost)))?;
     node.learn(vec![session(2, 4, 3)]);
@@ -148,14 +149,14 @@
 }
 
 /// DRAIN, and the design note: leaving is acknowledged once two other nodes hold it.
-/// Seen: a second DELETE is answered 200 at once, though nobody else has confirmed the first.
+/// OutageObservations: a second DELETE is answered 200 at once, though nobody else has confirmed the first.
 #[gtest]
-fn leaving_that_nobody_holds_is_not_acknowledged_when_it_is_said_again() -> Result<()> {
+fn a_repeated_leave_is_not_acknowledged_before_other_nodes_have_it() -> Result<()> {
     let mut node = Driven::new(9);
     node.learn(among_others());
     node.wait(SECOND);
     node.learn(vec![server_of(2)]);
-    let leave = |ticket| Input::Call { ticket, call: Call::Leave { id: "s".to_owned() } };
+    let leave = |ticket| Input::Call { call_id: ticket, call: Call::Leave { id: "s".to_owned() } };
     let mut out = node.hand(leave(1));
     out.extend(node.wait(3 * SECOND));
     verify_that!(Driven::answers(&out, 1), elements_are![eq(&503)])?;
@@ -164,23 +165,23 @@
     verify_that!(Driven::answers(&out, 2), not(contains(eq(&200))))
 }
 
-/// A primary's duty over servers `s0`, `s1`, ... at version 1 while version 2 is named.
-struct Duty {
+/// A primary's driver over servers `s0`, `s1`, ... at version 1 while version 2 is named.
+struct RolloutDriver {
     rollout: Rollout,
     servers: Servers,
     now: Micros,
 }
 
-impl Duty {
-    fn new(servers: usize) -> Duty {
+impl RolloutDriver {
+    fn new(servers: usize) -> RolloutDriver {
         let ids = (0..servers).map(|number| Arc::from(format!("s{number}")));
         let servers = ids.map(|id: Arc<str>| (id.clone(), registration(&id, 1, 1))).collect();
         let mut rollout = Rollout::new(3 * SECOND);
-        rollout.lead(0, 1);
-        Duty { rollout, servers, now: 0 }
+        rollout.become_primary(0, 1);
+        RolloutDriver { rollout, servers, now: 0 }
     }
 
-    fn run(&mut self, span: Micros, answer: impl Fn(&str) -> OrderAnswer) -> Vec<Step> {
+    fn run(&mut self, span: Micros, answer: impl Fn(&str) -> OrderOutcome) -> Vec<Step> {
         let until = self.now + span;
         let named = BTreeMap::from([("advisor".to_owned(), 2)]);
         let mut all = Vec::new();
@@ -188,8 +189,8 @@
             self.now += 100 * MS;
             let steps = self.rollout.tick(self.now, &self.servers, &named);
             for step in &steps {
-                if let Step::Order(order) = step {
-                    let more = self.rollout.answered(self.now, order, answer(&order.server));
+                if let Step::SendOrder(order) = step {
+                    let more = self.rollout.handle_order_outcome(self.now, order, answer(&order.server));
                     all.extend(more);
                 }
             }
@@ -201,75 +202,77 @@
 
 fn ordered(steps: &[Step]) -> Vec<Arc<str>> {
     let server = |step: &Step| match step {
-        Step::Order(order) => Some(order.server.clone()),
+        Step::SendOrder(order) => Some(order.server.clone()),
         _ => None,
     };
     steps.iter().filter_map(server).collect()
 }
 
-fn told_done(steps: &[Step]) -> bool {
+fn reported_loaded(steps: &[Step]) -> bool {
     let done = |step: &Step| match step {
-        Step::Mark(item) => Ordered::from_bytes(&item.payload).is_ok_and(|mark| mark.done),
+        Step::PublishReservation(item) => {
+            Reservation::from_bytes(&item.payload).is_ok_and(|mark| mark.loaded)
+        }
         _ => false,
     };
     steps.iter().any(done)
 }
 
-/// ONE: holders must not take turns within `leaseMs`. Seen: a node that takes over after another waits, but forgets the
+/// ONE: holders must not take turns within `leaseMs`. OutageObservations: a node that takes over after another waits, but forgets the
 /// wait when it leads again under the next epoch, as it does when it changes the view, and orders at once.
 #[gtest]
-fn the_lease_of_another_is_waited_for_across_an_own_change_of_the_view() -> Result<()> {
-    let mut duty = Duty::new(1);
-    duty.rollout.lead(duty.now, 4);
-    let after_the_change = duty.run(400 * MS, |_| OrderAnswer::NotTaken);
-    duty.rollout.lead(duty.now, 5);
-    let within_the_lease = duty.run(2_500 * MS, |_| OrderAnswer::NotTaken);
+fn the_lease_of_another_primary_is_waited_for_across_a_view_change() -> Result<()> {
+    let mut driver = RolloutDriver::new(1);
+    driver.rollout.become_primary(driver.now, 4);
+    let after_the_change = driver.run(400 * MS, |_| OrderOutcome::Failed);
+    driver.rollout.become_primary(driver.now, 5);
+    let within_the_lease = driver.run(2_500 * MS, |_| OrderOutcome::Failed);
     verify_that!(ordered(&after_the_change).len() + ordered(&within_the_lease).len(), eq(0))
 }
 
-/// VERSION. Seen: a server that crashed while it loads keeps its place among those that load at once until it is given
+/// VERSION. OutageObservations: a server that crashed while it loads keeps its place among those that load at once until it is given
 /// up 7 s later, though it has been known as lost for long.
 #[gtest]
 fn a_server_that_is_lost_while_it_loads_makes_room_for_another() -> Result<()> {
-    let mut duty = Duty::new(3);
-    duty.run(SECOND, |_| OrderAnswer::InProgress);
-    duty.servers.get_mut("s0").or_fail()?.lost = true;
-    let steps = duty.run(SECOND, |_| OrderAnswer::InProgress);
+    let mut driver = RolloutDriver::new(3);
+    driver.run(SECOND, |_| OrderOutcome::InProgress);
+    driver.servers.get_mut("s0").or_fail()?.lost = true;
+    let steps = driver.run(SECOND, |_| OrderOutcome::InProgress);
     verify_that!(ordered(&steps).iter().any(|server| &**server == "s1"), eq(true))
 }
 
-/// Prices fall on orders. Seen: a server whose report says that it holds the version is held back and ordered again and
+/// Prices fall on orders. OutageObservations: a server whose report says that it holds the version is held back and ordered again and
 /// again until its next heartbeat, up to `beatEveryMs` later.
 #[gtest]
 fn a_server_that_reported_the_version_is_not_ordered_again() -> Result<()> {
-    let mut duty = Duty::new(1);
-    let steps = duty.run(SECOND, |_| OrderAnswer::InProgress);
+    let mut driver = RolloutDriver::new(1);
+    let steps = driver.run(SECOND, |_| OrderOutcome::InProgress);
     verify_that!(ordered(&steps).len(), eq(1))?;
-    duty.rollout.reported("s0", "advisor", 2);
+    driver.rollout.handle_report("s0", "advisor", 2);
     // Its heartbeat with the new version is still to come.
-    let steps = duty.run(1_200 * MS, |_| OrderAnswer::Holds);
+    let steps = driver.run(1_200 * MS, |_| OrderOutcome::Loaded);
     verify_that!(ordered(&steps).len(), eq(0))
 }
 
-/// VERSION: named weights have to be in use within `versionMs`. Seen: the first server that never takes its order is
+/// VERSION: named weights have to be in use within `versionMs`. OutageObservations: the first server that never takes its order is
 /// begun again as soon as it was given up, and no other server is ever brought to the version.
 #[gtest]
-fn one_server_that_takes_no_order_holds_up_no_other() -> Result<()> {
-    let mut duty = Duty::new(3);
-    let steps = duty.run(30 * SECOND, |server| match server {
-        "s0" => OrderAnswer::NotTaken,
-        _ => OrderAnswer::InProgress,
+fn a_server_that_rejects_orders_does_not_block_others() -> Result<()> {
+    let mut driver = RolloutDriver::new(3);
+    let steps = driver.run(30 * SECOND, |server| match server {
+        "s0" => OrderOutcome::Failed,
+        _ => OrderOutcome::InProgress,
     });
     verify_that!(ordered(&steps).iter().any(|server| &**server == "s1"), eq(true))
 }
 
-/// Seen: a server that was given up is marked done, upon which every node tells its data plane that the server holds
-/// the version (`Output::Holds`), though it does not.
+/// OutageObservations: a server that was given up is marked done, upon which every node tells its data plane that the server holds
+/// the version (`Output::ServerHasVersion`), though it does not.
 #[gtest]
-fn a_server_that_was_given_up_is_not_told_to_hold_the_version() -> Result<()> {
-    let mut duty = Duty::new(1);
-    let steps = duty.run(10 * SECOND, |_| OrderAnswer::NotTaken);
-    verify_that!(told_done(&steps), eq(false))
+fn a_released_server_without_the_version_is_not_reported_as_loaded() -> Result<()> {
+    let mut driver = RolloutDriver::new(1);
+    let steps = driver.run(10 * SECOND, |_| OrderOutcome::Failed);
+    verify_that!(reported_loaded(&steps), eq(false))
 }
 
 fn first_violation(plan: &Plan, mut seeds: std::ops::Range<u64>) -> Option<String> {
@@ -279,7 +282,7 @@
     })
 }
 
-/// DEPLOY: seeds are any three machines that serve control. Seen: where none of them has a disk, no node without a disk
+/// DEPLOY: seeds are any three machines that serve control. OutageObservations: where none of them has a disk, no node without a disk
 /// ever learns of the view: core machines talk to members alone, and the founder does not remember what it founded.
 #[gtest]
 fn seeds_need_no_disk_at_the_first_start() -> Result<()> {
--- a/controlplane/tests/fleet/disk.rs
+++ b/controlplane/tests/simulation/disk.rs
@@ -32,19 +32,19 @@
     }
 
     /// Begins a write; gives the time at which it ends.
-    pub fn begin(&mut self, now: Micros, takes: Micros, token: WriteId, records: Vec<Record>) -> Micros {
-        self.under_way.push_back((token, records));
+    pub fn begin(&mut self, now: Micros, takes: Micros, write_id: WriteId, records: Vec<Record>) -> Micros {
+        self.under_way.push_back((write_id, records));
         self.busy_until = self.busy_until.max(now).max(self.hangs_until) + takes;
         self.busy_until
     }
 
     /// Ends the oldest write; says whether it is durable.
     pub fn finish(&mut self) -> Option<(WriteId, bool)> {
-        let (token, records) = self.under_way.pop_front()?;
+        let (write_id, records) = self.under_way.pop_front()?;
         if !self.full {
             self.keep(records);
         }
-        Some((token, !self.full))
+        Some((write_id, !self.full))
     }
 
     /// The process or the power is gone: of what is under way, some first part is found later.
--- a/dataplane/src/version_deadlines.rs
+++ b/dataplane/src/version_deadlines.rs
@@ -48,6 +48,6 @@
     /// Counts and logs an attempt that was withdrawn.
     pub(crate) fn attempt_withdrawn(&self, server: &str) {
         increment(&self.counters.withdrawn);
-        info!(self.log, "request taken back"; "server" => server);
+        info!(self.log, "request withdrawn"; "server" => server);
     }
 }
