--- a/check/src/listing.rs
+++ b/check/src/listing.rs
@@ -300,7 +300,7 @@
                 (next.outages, next.up, next.counts) = (next.outages - 1, false, None);
                 match next.line {
                     Line::Watching(_) | Line::Coming(_) | Line::Silent => {
-                        next.failed(Why::TurnedDown, self.broken)
+                        next.failed(Why::TurnedDown, self.broken);
                     }
                     Line::Before(_) | Line::Failing(..) | Line::Made => {}
                 }
--- a/check/src/sizes.rs
+++ b/check/src/sizes.rs
@@ -129,6 +129,10 @@
     }
 
     /// Says what cannot be explored, if anything.
+    ///
+    /// # Errors
+    ///
+    /// The first size outside its bounds, or that there is no class; named by its command-line option.
     pub fn check(&self) -> Result<(), String> {
         let bounds = [
             ("--servers", u32::from(self.servers), 1, 6),
--- a/daemon/src/door/mod.rs
+++ b/daemon/src/door/mod.rs
@@ -19,6 +19,7 @@
 use tracing::{info, warn};
 
 use crate::clock::Clock;
+use crate::duty::Duty;
 use crate::fleet::Book;
 use crate::handover::Handover;
 use crate::mail;
@@ -175,7 +176,7 @@
         Call::Disable(id) => ban(id, true, context).await,
         Call::Enable(id) => ban(id, false, context).await,
         Call::Drain => {
-            let first = context.phase.tell(|duty, now| duty.drain(now));
+            let first = context.phase.tell(Duty::drain);
             Ok(if first { "draining" } else { "draining already" }.into())
         }
         Call::Resume => {
--- a/daemon/tests/network/main.rs
+++ b/daemon/tests/network/main.rs
@@ -166,9 +166,9 @@
     ] {
         let mut client = rig.client();
         if safe {
-            client.look(id)
+            client.look(id);
         } else {
-            client.order(id)
+            client.order(id);
         }
         let (at, mut server) = rig.accept(&[0, 1]);
         server.message();
@@ -367,9 +367,9 @@
         for (at, client) in busy.iter_mut().enumerate() {
             let id = format!("{round}{at}");
             if at % 2 == 0 {
-                client.look(&id)
+                client.look(&id);
             } else {
-                client.order(&id)
+                client.order(&id);
             }
             let (_, mut server) = rig.accept(&[0]);
             server.message();
--- a/dispatch/src/guard.rs
+++ b/dispatch/src/guard.rs
@@ -5,7 +5,7 @@
 
 use gradepaddle::{Class, Effect, Group, Micros, Outcome, Settings};
 
-use crate::attempt::{Cause, Extent, outcome};
+use crate::attempt::{Attempt, Cause, Extent, outcome};
 use crate::dispatch::Limits;
 use crate::fleet::{Place, Standing};
 use crate::transaction::Open;
@@ -199,7 +199,7 @@
                 return Some(Defect::RepeatedUnsafe);
             }
         }
-        if !self.second_copies && open.attempts.iter().any(|attempt| attempt.is_out()) {
+        if !self.second_copies && open.attempts.iter().any(Attempt::is_out) {
             return Some(Defect::SecondCopy);
         }
         None
@@ -217,7 +217,7 @@
             self.classes.get(open.class).map(|class| effect(class, open)),
             Some(Effect::Safe | Effect::Keyed { group: Group::All, .. })
         );
-        !harmless && open.attempts.iter().any(|attempt| attempt.may_have_run())
+        !harmless && open.attempts.iter().any(Attempt::may_have_run)
     }
 }
 
--- a/dispatch/tests/hard_cases.rs
+++ b/dispatch/tests/hard_cases.rs
@@ -269,6 +269,7 @@
 /// transaction fails at once, the chooser told of the attempt that was not made and of the end.
 #[test]
 fn an_action_that_breaks_a_rule_is_not_carried_out_and_ends_its_transaction() {
+    type Before = Box<dyn Fn(&mut Bench)>;
     let sent = |bench: &mut Bench| drop(bench.send("n-1", "a"));
     let ended = |bench: &mut Bench| {
         bench.send("n-1", "a");
@@ -278,7 +279,6 @@
         bench.list(ListKind::Delta, vec![server("b", State::Draining)]);
         bench.now += GRACE + 1;
     };
-    type Before = Box<dyn Fn(&mut Bench)>;
     let cases: [(Defect, usize, bool, Before); 6] = [
         (Defect::RepeatedUnsafe, UNSAFE, true, Box::new(ended)),
         (Defect::RepeatedUnsafe, UNSAFE, true, Box::new(sent)),
--- a/emulator/src/judge.rs
+++ b/emulator/src/judge.rs
@@ -220,6 +220,10 @@
 
 impl Account {
     /// An empty one.
+    ///
+    /// # Panics
+    ///
+    /// Never: the histogram's bounds are constants that its constructor accepts.
     pub fn new(scenario: &Scenario) -> Self {
         let part = |name: &String| Part { name: name.clone(), ..Part::default() };
         // 1 µs to an hour at two digits; values outside are held at the ends.
--- a/emulator/src/policy/mod.rs
+++ b/emulator/src/policy/mod.rs
@@ -82,6 +82,10 @@
     }
 
     /// One for a balancer with these settings. `board` shows the truth, for the one that sees it.
+    ///
+    /// # Errors
+    ///
+    /// The settings make no sense.
     pub fn start(
         self,
         settings: &Settings,
--- a/emulator/src/scenario.rs
+++ b/emulator/src/scenario.rs
@@ -832,6 +832,10 @@
 
 impl Scenario {
     /// Reads a scenario; faults name line, column and field.
+    ///
+    /// # Errors
+    ///
+    /// The text is no TOML of this format, or a field makes no sense ([`Scenario::check`]).
     pub fn parse(text: &str) -> Result<Scenario, String> {
         let mut scenario: Scenario = toml::from_str(text).map_err(|e| e.to_string().trim_end().to_owned())?;
         if scenario.classes.is_empty() {
@@ -853,6 +857,10 @@
     }
 
     /// Says what makes no sense, if anything.
+    ///
+    /// # Errors
+    ///
+    /// The first field that lies outside its bounds or contradicts another one.
     pub fn check(&self) -> Result<(), Fault> {
         let above = |field: &str, value: f64, least: f64, most: f64| {
             if value.is_finite() && (least..=most).contains(&value) {
--- a/emulator/src/world.rs
+++ b/emulator/src/world.rs
@@ -98,6 +98,10 @@
 
 /// Runs a scenario. Where a rule is broken, it is run once more to write down the history of the request
 /// that broke it first: a run with the same seed is the same.
+///
+/// # Errors
+///
+/// The scenario makes no sense ([`Scenario::check`]).
 pub fn run(scenario: &Scenario, player: impl Into<Player>, seed: u64) -> Result<Run, String> {
     scenario.check().map_err(|fault| fault.to_string())?;
     let player = player.into();
--- a/emulator/tests/world.rs
+++ b/emulator/tests/world.rs
@@ -175,13 +175,13 @@
 /// before it is the same.
 #[test]
 fn each_trouble_is_felt_where_it_should_be() {
+    type Felt<'a> = Box<dyn Fn(&Outcome) -> bool + 'a>;
     let before =
         |outcome: &Outcome| outcome.seconds[1..4].iter().map(|s| (s.asked, s.attempts)).collect::<Vec<_>>();
     let calm = play(&scenario(0.8, vec![]), Policy::Random);
     let up = |outcome: &Outcome, at: usize| outcome.seconds[at].up;
     let asked = |outcome: &Outcome| outcome.seconds[6..13].iter().map(|s| s.asked).sum::<u64>();
     let failures = |outcome: &Outcome| outcome.seconds[5..14].iter().map(|s| s.failures).sum::<u64>();
-    type Felt<'a> = Box<dyn Fn(&Outcome) -> bool + 'a>;
     let cases: Vec<(TroubleKind, Felt<'_>)> = vec![
         (TroubleKind::Surge { factor: 2.0 }, Box::new(|o| asked(o) > asked(&calm) * 3 / 2)),
         (
--- a/lab/src/experiment.rs
+++ b/lab/src/experiment.rs
@@ -25,6 +25,10 @@
 }
 
 /// Makes all runs, so many at a time; results come in the order of the jobs.
+///
+/// # Errors
+///
+/// The first fault, in the order of the jobs: the scenario of one makes no sense, or its run panicked.
 pub fn run_all(jobs: &[Job<'_>], threads: usize, show: bool) -> Result<Vec<Run>, String> {
     let bar = if show { ProgressBar::new(jobs.len() as u64) } else { ProgressBar::hidden() };
     if let Ok(style) = ProgressStyle::with_template("{bar:40} {pos}/{len} runs, {elapsed} gone, {eta} to go")
@@ -100,6 +104,10 @@
 }
 
 /// All policies in one scenario over the same seeds, and so over the same arrivals.
+///
+/// # Errors
+///
+/// Those of [`run_all`].
 pub fn compare(
     scenario: &Scenario,
     policies: &[Policy],
@@ -128,6 +136,10 @@
 }
 
 /// Makes one run and times it.
+///
+/// # Errors
+///
+/// The scenario makes no sense.
 pub fn timed(scenario: &Scenario, policy: Policy, seed: u64) -> Result<(Run, Speed), String> {
     let begun = Instant::now();
     let run = run(scenario, policy, seed)?;
@@ -136,6 +148,10 @@
 }
 
 /// Values of a swept parameter: `FROM..TO:STEP`, or a list with commas.
+///
+/// # Errors
+///
+/// A value is no number, a range is not `FROM..TO:STEP`, or it does not run upwards in at most 1000 steps.
 pub fn values(text: &str) -> Result<Vec<f64>, String> {
     let number = |text: &str| text.trim().parse::<f64>().map_err(|_| format!("{text:?} is no number"));
     let Some((from, rest)) = text.split_once("..") else {
--- a/lab/src/file.rs
+++ b/lab/src/file.rs
@@ -8,12 +8,20 @@
 use serde::Serialize;
 
 /// A scenario of this name: a file, or one under `scenarios/`.
+///
+/// # Errors
+///
+/// The file cannot be read, or holds no scenario that makes sense.
 pub fn scenario(name: &Path) -> Result<Scenario, String> {
     let text = text(name)?;
     parse(&text, name)
 }
 
 /// The text of a scenario, before it is decoded.
+///
+/// # Errors
+///
+/// The file cannot be read.
 pub fn text(name: &Path) -> Result<String, String> {
     let path = find(name);
     fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))
@@ -25,6 +33,10 @@
 }
 
 /// Decodes a scenario; one without a name has its file's.
+///
+/// # Errors
+///
+/// The text is no scenario, or one that makes no sense; the error names line and field.
 pub fn parse(text: &str, name: &Path) -> Result<Scenario, String> {
     let mut scenario = Scenario::parse(text).map_err(|fault| format!("{}: {fault}", name.display()))?;
     if scenario.name.is_empty() {
@@ -34,6 +46,10 @@
 }
 
 /// All scenarios of a folder, by name.
+///
+/// # Errors
+///
+/// The folder cannot be listed, or one of its scenarios cannot be read; the first one is named.
 pub fn all(folder: &Path) -> Result<Vec<(PathBuf, Scenario)>, String> {
     let entries = fs::read_dir(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
     let mut paths: Vec<PathBuf> = entries.filter_map(|entry| entry.ok().map(|entry| entry.path())).collect();
@@ -43,6 +59,10 @@
 }
 
 /// Sets a field, named as in `fleet.servers` or `trouble[0].share`, in a scenario's text.
+///
+/// # Errors
+///
+/// The text is no TOML, or the field's name is not `SECTION.FIELD` or names a section that the scenario lacks.
 pub fn with(text: &str, field: &str, value: f64) -> Result<String, String> {
     let mut table: toml::Table = toml::from_str(text).map_err(|e| e.to_string())?;
     let (section, key) = field.rsplit_once('.').ok_or_else(|| format!("{field:?} is not SECTION.FIELD"))?;
@@ -62,16 +82,28 @@
 }
 
 /// Makes a folder for results.
+///
+/// # Errors
+///
+/// The folder cannot be made.
 pub fn folder(path: &Path) -> Result<(), String> {
     fs::create_dir_all(path).map_err(|e| format!("{}: {e}", path.display()))
 }
 
 /// Writes text.
+///
+/// # Errors
+///
+/// The file cannot be written.
 pub fn write(path: &Path, text: &str) -> Result<(), String> {
     fs::write(path, text).map_err(|e| format!("{}: {e}", path.display()))
 }
 
 /// Writes a value as JSON.
+///
+/// # Errors
+///
+/// The value has no JSON form, or the file cannot be written.
 pub fn write_json(path: &Path, value: &impl Serialize) -> Result<(), String> {
     let mut text = serde_json::to_string_pretty(value).map_err(|e| format!("{}: {e}", path.display()))?;
     text.push('\n');
@@ -79,6 +111,10 @@
 }
 
 /// Reads a result; one of another format is turned down.
+///
+/// # Errors
+///
+/// The file cannot be read, or holds no result of the format [`SCHEMA`].
 pub fn read(path: &Path) -> Result<Outcome, String> {
     let text = fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     let value: serde_json::Value =
--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -110,6 +110,10 @@
 
 impl Scenario {
     /// Reads a file; what is wrong is named with line and field.
+    ///
+    /// # Errors
+    ///
+    /// The file cannot be read, is no scenario, or has a field outside its bounds.
     pub fn read(path: &Path) -> Result<Scenario, String> {
         Scenario::parse(&crate::file::text(path)?).map_err(|fault| format!("{}: {fault}", path.display()))
     }
@@ -203,6 +207,10 @@
 }
 
 /// The program beside this one, unless another is named.
+///
+/// # Errors
+///
+/// There is no file at the path, or no path is named and this program's own is unknown.
 pub fn program(named: Option<&Path>) -> Result<PathBuf, String> {
     let beside = || {
         let own = std::env::current_exe().ok()?;
@@ -219,6 +227,10 @@
 }
 
 /// Runs a scenario in real time.
+///
+/// # Errors
+///
+/// A process, an app server or a link cannot be started, or a fault cannot be brought about.
 pub fn run(scenario: &Scenario, program: &Path) -> Result<Outcome, String> {
     on_one_thread(play(scenario, program)).map_err(|e| e.to_string())
 }
@@ -449,6 +461,10 @@
 }
 
 /// Three processes with all that is round them, and traffic, until it is interrupted or the time is over.
+///
+/// # Errors
+///
+/// A process or an app server cannot be started.
 pub fn demo(program: &Path, length: Duration) -> Result<(), String> {
     let scenario = Scenario::default();
     let plan = Plan {
--- a/lab/src/plot.rs
+++ b/lab/src/plot.rs
@@ -41,6 +41,10 @@
 /// A picture that can be drawn on either kind of file.
 pub trait Picture {
     /// Draws it.
+    ///
+    /// # Errors
+    ///
+    /// The backend cannot draw.
     fn draw<B: DrawingBackend>(
         &self,
         area: &DrawingArea<B, Shift>,
@@ -50,6 +54,10 @@
 }
 
 /// Writes a picture as `NAME.svg` and `NAME.png`.
+///
+/// # Errors
+///
+/// A file cannot be drawn or written.
 pub fn save(folder: &Path, name: &str, picture: &impl Picture) -> Drawn {
     fonts();
     let (svg, png) = (folder.join(format!("{name}.svg")), folder.join(format!("{name}.png")));
@@ -68,6 +76,10 @@
 }
 
 /// A picture as SVG text.
+///
+/// # Errors
+///
+/// The picture cannot be drawn.
 pub fn svg(picture: &impl Picture) -> Result<String, String> {
     fonts();
     let mut text = String::new();
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -10,6 +10,10 @@
 use crate::{file, stats::Estimate};
 
 /// Writes all of one run into a folder: JSON, CSV, plots and the page.
+///
+/// # Errors
+///
+/// The folder or one of the files cannot be written, or a plot cannot be drawn.
 pub fn write(folder: &Path, outcome: &Outcome) -> Result<(), String> {
     file::folder(folder)?;
     file::write_json(&folder.join("result.json"), outcome)?;
@@ -17,6 +21,10 @@
 }
 
 /// Draws a result that is there: CSV, plots and the page.
+///
+/// # Errors
+///
+/// One of the files cannot be written, or a plot cannot be drawn.
 pub fn draw(folder: &Path, outcome: &Outcome) -> Result<(), String> {
     file::write(&folder.join("seconds.csv"), &seconds_csv(outcome))?;
     file::write(&folder.join("classes.csv"), &classes_csv(outcome))?;
@@ -238,6 +246,10 @@
 }
 
 /// The page of one run, with its plots in it.
+///
+/// # Errors
+///
+/// A plot cannot be drawn.
 pub fn page(outcome: &Outcome) -> Result<String, String> {
     let plots = [
         plot::svg(&Worth(outcome))?,
--- a/src/api.rs
+++ b/src/api.rs
@@ -186,6 +186,10 @@
 
 impl Settings {
     /// Says what makes no sense in these settings, if anything.
+    ///
+    /// # Errors
+    ///
+    /// The first setting that makes no sense.
     pub fn check(&self) -> Result<(), SettingsError> {
         let bad = |text: String| Err(SettingsError(text));
         let share = |x: f64| x.is_finite() && (0.0..=1.0).contains(&x);
--- a/src/keeping.rs
+++ b/src/keeping.rs
@@ -1,7 +1,7 @@
 //! Which idle connections are closed. Nothing here chooses a server, a repeat or a refusal.
 
-use crate::api::*;
-use crate::state::*;
+use crate::api::{Action, Micros, Outcome};
+use crate::state::{Balancer, Tally};
 
 /// The shortest idle time of a connection that is told apart; the next ones double it.
 const GAP: Micros = 100_000;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -3,7 +3,7 @@
 
 use serde::Deserialize;
 
-use crate::api::*;
+use crate::api::{Class, Effect, Group, Micros, Settings, Tenant};
 
 /// The settings object; unknown fields are skipped.
 #[derive(Deserialize)]
@@ -179,6 +179,10 @@
 impl Config {
     /// Decodes the object; what makes no sense is named. A zone or kind that only a class names is
     /// added to the names.
+    ///
+    /// # Errors
+    ///
+    /// The first field that makes no sense, by its name in the object.
     pub fn deployment(&self) -> Result<Deployment, String> {
         let (mut zones, mut kinds) = (self.failure_domains.clone(), self.kinds.clone());
         let limits = &self.limits;
--- a/src/state.rs
+++ b/src/state.rs
@@ -5,7 +5,7 @@
 use std::fmt::{self, Write as _};
 use std::hash::{BuildHasherDefault, Hasher};
 
-use crate::api::*;
+use crate::api::{Id, Micros, Outcome, Settings, State};
 use crate::sharing::Sharing;
 
 /// FNV-1a with a final mix: fixed, so that all gateways and all runs agree.
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -8,7 +8,7 @@
 
 use serde::Deserialize;
 
-use crate::api::*;
+use crate::api::{Action, Arrival, Ended, Event, ListKind, LoadReport, Micros, Outcome, Server, State};
 use crate::settings::{Config, Deployment, micros, one, place};
 use crate::state::Balancer;
 
@@ -115,6 +115,10 @@
 }
 
 /// Serves the wire until the input ends.
+///
+/// # Errors
+///
+/// Reading or writing fails, a line makes no sense, or the input ends inside a round.
 pub fn serve(mut input: impl BufRead, mut output: impl Write) -> Result<(), WireError> {
     let mut instances: BTreeMap<String, Instance> = BTreeMap::new();
     let (mut line, mut reply, mut actions) = (Vec::new(), Vec::new(), Vec::new());
--- a/standins/src/books.rs
+++ b/standins/src/books.rs
@@ -326,7 +326,7 @@
                 }
                 Fact::Unread { request } => cases.entry(*request).or_default().unread = true,
                 Fact::Heard { request, answer } => {
-                    cases.entry(*request).or_default().heard.push((*at, answer))
+                    cases.entry(*request).or_default().heard.push((*at, answer));
                 }
                 Fact::Came { request, server, group, took } => {
                     cases.entry(*request).or_default().came.push((*at, *server, *group, took));
--- a/standins/src/books/tests.rs
+++ b/standins/src/books/tests.rs
@@ -42,8 +42,8 @@
 #[test]
 fn each_rule_is_broken_by_what_breaks_it_alone() {
     use Answer::{Failed, GivenUp, Lost, Refused};
-    let keyed = Repeats::Keyed { window: 300_000 };
     type Seen = Vec<(u64, Fact)>;
+    let keyed = Repeats::Keyed { window: 300_000 };
     // One case to a line.
     #[rustfmt::skip]
     let cases: Vec<(&str, Seen, Option<Rule>)> = vec![
--- a/standins/src/broken.rs
+++ b/standins/src/broken.rs
@@ -41,6 +41,10 @@
 
 impl Broken {
     /// Starts one that calls discovery there.
+    ///
+    /// # Errors
+    ///
+    /// No port of the loopback interface can be bound.
     pub async fn start(fault: Fault, discovery: SocketAddr) -> io::Result<Broken> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
--- a/standins/src/council.rs
+++ b/standins/src/council.rs
@@ -50,11 +50,19 @@
 
 impl Council {
     /// Starts so many processes at once, the first `keepers` of them as keepers, and waits until they are ready.
+    ///
+    /// # Errors
+    ///
+    /// Those of [`Council::start_with`].
     pub async fn start(program: PathBuf, processes: usize, keepers: usize) -> io::Result<Council> {
         Self::start_with(program, processes, keepers, &[]).await
     }
 
     /// The same with more in their environment; those that are started later have it only as [`Council::more`] then says.
+    ///
+    /// # Errors
+    ///
+    /// No port can be bound, no temporary folder can be made, or a process does not start or does not get ready.
     pub async fn start_with(
         program: PathBuf,
         processes: usize,
@@ -87,6 +95,10 @@
     }
 
     /// Starts processes at these places, all at once, with the disks that are there.
+    ///
+    /// # Errors
+    ///
+    /// A configuration file cannot be written, or a process does not start or does not get ready.
     pub async fn start_places(&mut self, places: &[usize]) -> io::Result<()> {
         let mut starting = JoinSet::new();
         for place in places.iter().copied() {
@@ -171,6 +183,10 @@
     }
 
     /// Kills the process at a place, and waits for its end.
+    ///
+    /// # Errors
+    ///
+    /// The process has ended already, or cannot be signalled.
     pub async fn kill(&mut self, place: usize) -> io::Result<()> {
         if let Some(process) = self.processes[place].take() {
             process.kill()?;
@@ -180,16 +196,28 @@
     }
 
     /// Takes away the disk of one that does not run.
+    ///
+    /// # Errors
+    ///
+    /// The file cannot be removed; most often there is none.
     pub fn empty(&self, place: usize) -> io::Result<()> {
         std::fs::remove_file(self.disk(place))
     }
 
     /// The disk of one that does not run, as it is now.
+    ///
+    /// # Errors
+    ///
+    /// The file cannot be read.
     pub fn copy_of(&self, place: usize) -> io::Result<Vec<u8>> {
         std::fs::read(self.disk(place))
     }
 
     /// Puts this in place of the disk of one that does not run.
+    ///
+    /// # Errors
+    ///
+    /// The file cannot be written.
     pub fn put_back(&self, place: usize, disk: &[u8]) -> io::Result<()> {
         std::fs::write(self.disk(place), disk)
     }
@@ -212,6 +240,10 @@
     }
 
     /// What is said at the door of a place.
+    ///
+    /// # Errors
+    ///
+    /// The process has no door, or the connection to it fails.
     pub async fn call(&self, place: usize, line: &str) -> io::Result<String> {
         let door = self.process(place).door.ok_or_else(|| io::Error::other("no door"))?;
         let mut stream = TcpStream::connect(door).await?;
@@ -254,6 +286,10 @@
     }
 
     /// The place of the leader, once there is one among these.
+    ///
+    /// # Panics
+    ///
+    /// None of them leads within [`PATIENCE`].
     pub async fn leader(&self, among: &[usize]) -> usize {
         let looks = async {
             loop {
@@ -314,6 +350,10 @@
     }
 
     /// The status with which a place answers one request.
+    ///
+    /// # Errors
+    ///
+    /// The connection fails, or the answer has no status line.
     pub async fn asks(&self, place: usize, id: u64) -> io::Result<u16> {
         let mut stream = TcpStream::connect(self.process(place).address).await?;
         let request = format!(
--- a/standins/src/discovery.rs
+++ b/standins/src/discovery.rs
@@ -97,6 +97,10 @@
     }
 
     /// The address at which this process calls.
+    ///
+    /// # Errors
+    ///
+    /// No port of the loopback interface can be bound.
     pub async fn open_to(&self, process: usize) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -75,6 +75,10 @@
 
 impl Fleet {
     /// Starts app servers, then all processes at once, and waits until they are ready.
+    ///
+    /// # Errors
+    ///
+    /// No port can be bound, or a process does not start or does not get ready.
     pub async fn start(plan: Plan) -> io::Result<Fleet> {
         let ledger = Ledger::default();
         let discovery = Discovery::new(ledger.clone());
@@ -100,6 +104,10 @@
     }
 
     /// One more app server, listed as up. `born_ms` as in the list.
+    ///
+    /// # Errors
+    ///
+    /// No port of the loopback interface can be bound.
     pub async fn add_server(&mut self, born_ms: u64) -> io::Result<usize> {
         let number = self.servers.len();
         let make = Make { zone: number % self.plan.zones, ..self.plan.make };
@@ -124,6 +132,10 @@
 
     /// Starts processes at these places, all at once, and waits until they are ready. They have the list of now, and
     /// nothing that one before them had.
+    ///
+    /// # Errors
+    ///
+    /// No port can be bound, or a process does not start or does not get ready.
     pub async fn start_processes(&mut self, places: &[usize]) -> io::Result<()> {
         let mut starts = Vec::new();
         for place in places {
@@ -148,6 +160,10 @@
     }
 
     /// Kills the process at a place, which the front notices so much later. Gives it back, to wait for its end.
+    ///
+    /// # Errors
+    ///
+    /// The process has ended already, or cannot be signalled.
     pub fn kill(&mut self, place: usize, notice: Duration) -> io::Result<Option<Process>> {
         let process = self.processes[place].take();
         if let Some(process) = &process {
--- a/standins/src/mesh.rs
+++ b/standins/src/mesh.rs
@@ -96,6 +96,10 @@
 
     /// One more member, which sends from and receives at this address. Gives back its number and the address that the
     /// others are to know.
+    ///
+    /// # Errors
+    ///
+    /// No UDP port of the loopback interface can be bound.
     pub async fn add(&mut self, real: SocketAddr) -> io::Result<(usize, SocketAddr)> {
         let public = Rc::new(UdpSocket::bind("127.0.0.1:0").await?);
         let address = public.local_addr()?;
--- a/standins/src/process.rs
+++ b/standins/src/process.rs
@@ -38,11 +38,19 @@
 impl Process {
     /// Starts the program at this path and waits until it is ready. `config` is what its file holds; the address that
     /// it listens on is of its own choice.
+    ///
+    /// # Errors
+    ///
+    /// Those of [`Process::start_with`].
     pub async fn start(program: &Path, number: usize, config: &Value, ledger: Ledger) -> io::Result<Process> {
         Self::start_with(program, number, config, ledger, &[]).await
     }
 
     /// The same with more in its environment.
+    ///
+    /// # Errors
+    ///
+    /// Its folder or file cannot be written, the program cannot be started, or it does not get ready in [`PATIENCE`].
     pub async fn start_with(
         program: &Path,
         number: usize,
@@ -96,26 +104,46 @@
     }
 
     /// Kills it.
+    ///
+    /// # Errors
+    ///
+    /// It has ended already, or cannot be signalled.
     pub fn kill(&self) -> io::Result<()> {
         self.turn(Turn::Killed, Signal::KILL)
     }
 
     /// Asks it to end.
+    ///
+    /// # Errors
+    ///
+    /// It has ended already, or cannot be signalled.
     pub fn ask_to_end(&self) -> io::Result<()> {
         self.turn(Turn::Asked, Signal::TERM)
     }
 
     /// Pauses it.
+    ///
+    /// # Errors
+    ///
+    /// It has ended already, or cannot be signalled.
     pub fn pause(&self) -> io::Result<()> {
         self.turn(Turn::Paused, Signal::STOP)
     }
 
     /// Lets it go on.
+    ///
+    /// # Errors
+    ///
+    /// It has ended already, or cannot be signalled.
     pub fn resume(&self) -> io::Result<()> {
         self.turn(Turn::Resumed, Signal::CONT)
     }
 
     /// Gives it this configuration and tells it to read it.
+    ///
+    /// # Errors
+    ///
+    /// The file cannot be written, it has ended already, or it cannot be signalled.
     pub fn reload(&self, config: &Value) -> io::Result<()> {
         std::fs::write(self.folder.path().join("config.json"), config.to_string())?;
         self.signal(Signal::HUP)
--- a/standins/src/relay.rs
+++ b/standins/src/relay.rs
@@ -46,6 +46,10 @@
 
 impl Link {
     /// One that leads there, with no fault yet.
+    ///
+    /// # Errors
+    ///
+    /// No port of the loopback interface can be bound.
     pub async fn to(target: SocketAddr) -> io::Result<Link> {
         let link = Self::unaimed().await?;
         link.aim(target);
@@ -53,6 +57,10 @@
     }
 
     /// One that leads nowhere yet: it ends what is dialled.
+    ///
+    /// # Errors
+    ///
+    /// No port of the loopback interface can be bound.
     pub async fn unaimed() -> io::Result<Link> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
--- a/standins/src/server.rs
+++ b/standins/src/server.rs
@@ -79,6 +79,10 @@
 
 impl AppServer {
     /// Starts one.
+    ///
+    /// # Errors
+    ///
+    /// No port of the loopback interface can be bound.
     pub async fn start(number: usize, make: Make, ledger: Ledger) -> io::Result<AppServer> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
--- a/tests/cost.rs
+++ b/tests/cost.rs
@@ -1,8 +1,8 @@
 //! Conformance tables of the three costs and of the hash order, after the design page.
 
-use gradepaddle::cost::*;
+use gradepaddle::cost::{balancing, hash, locality, mix, order, replacement};
 
-/// L_idle, L_overload and MissCost of the design page.
+/// `L_idle`, `L_overload` and `MissCost` of the design page.
 const IDLE: f64 = 30.0;
 const OVERLOAD: f64 = 130.0;
 const MISS: f64 = 50.0;
