--- a/lab/src/experiment.rs
+++ b/lab/src/experiment.rs
@@ -10,7 +10,9 @@
 use gradepaddle_emulator::{Run, run};
 use indicatif::{ProgressBar, ProgressStyle};
 use serde::{Deserialize, Serialize};
+use snafu::{OptionExt, ResultExt, ensure};
 
+use crate::error::{Error, MalformedRangeSnafu, NotANumberSnafu, RangeStepsSnafu};
 use crate::stats::Estimate;
 
 /// One run that is to be made.
@@ -29,7 +31,7 @@
 /// # Errors
 ///
 /// The first fault, in the order of the jobs: the scenario of one makes no sense, or its run panicked.
-pub fn run_all(jobs: &[Job<'_>], threads: usize, show: bool) -> Result<Vec<Run>, String> {
+pub fn run_all(jobs: &[Job<'_>], threads: usize, show: bool) -> Result<Vec<Run>, Error> {
     let bar = if show { ProgressBar::new(jobs.len() as u64) } else { ProgressBar::hidden() };
     if let Ok(style) = ProgressStyle::with_template("{bar:40} {pos}/{len} runs, {elapsed} gone, {eta} to go")
     {
@@ -57,7 +59,9 @@
         }
     });
     bar.finish_and_clear();
-    runs.into_iter().map(|run| run.unwrap_or_else(|| Err("a run panicked".into()))).collect()
+    runs.into_iter()
+        .map(|run| run.ok_or(Error::RunPanicked)?.map_err(|reason| Error::RejectedScenario { reason }))
+        .collect()
 }
 
 /// One policy in one scenario over seeds.
@@ -114,7 +118,7 @@
     seeds: &[u64],
     threads: usize,
     show: bool,
-) -> Result<(Vec<Row>, Vec<Outcome>), String> {
+) -> Result<(Vec<Row>, Vec<Outcome>), Error> {
     let jobs: Vec<Job<'_>> = policies
         .iter()
         .flat_map(|policy| seeds.iter().map(|seed| Job { scenario, policy: *policy, seed: *seed }))
@@ -140,9 +144,9 @@
 /// # Errors
 ///
 /// The scenario makes no sense.
-pub fn timed(scenario: &Scenario, policy: Policy, seed: u64) -> Result<(Run, Speed), String> {
+pub fn timed(scenario: &Scenario, policy: Policy, seed: u64) -> Result<(Run, Speed), Error> {
     let begun = Instant::now();
-    let run = run(scenario, policy, seed)?;
+    let run = run(scenario, policy, seed).map_err(|reason| Error::RejectedScenario { reason })?;
     let speed = Speed { took: begun.elapsed(), tries: run.tries, events: run.events };
     Ok((run, speed))
 }
@@ -152,16 +156,14 @@
 /// # Errors
 ///
 /// A value is no number, a range is not `FROM..TO:STEP`, or it does not run upwards in at most 1000 steps.
-pub fn values(text: &str) -> Result<Vec<f64>, String> {
-    let number = |text: &str| text.trim().parse::<f64>().map_err(|_| format!("{text:?} is no number"));
+pub fn values(text: &str) -> Result<Vec<f64>, Error> {
+    let number = |text: &str| text.trim().parse::<f64>().context(NotANumberSnafu { text });
     let Some((from, rest)) = text.split_once("..") else {
         return text.split(',').map(number).collect();
     };
-    let (to, step) = rest.split_once(':').ok_or_else(|| format!("{text:?} is not FROM..TO:STEP"))?;
+    let (to, step) = rest.split_once(':').context(MalformedRangeSnafu { text })?;
     let (from, to, step) = (number(from)?, number(to)?, number(step)?);
-    if !(step > 0.0 && to >= from && (to - from) / step <= 1_000.0) {
-        return Err(format!("{text:?}: no range of at most 1000 steps upwards"));
-    }
+    ensure!(step > 0.0 && to >= from && (to - from) / step <= 1_000.0, RangeStepsSnafu { text });
     let count = ((to - from) / step + 1e-9).floor() as usize;
     Ok((0..=count).map(|n| from + n as f64 * step).collect())
 }
--- a/lab/src/experiment/tests.rs
+++ b/lab/src/experiment/tests.rs
@@ -3,8 +3,8 @@
 /// Guards sweeps against a range that is not what it says.
 #[test]
 fn ranges_and_lists_are_read_and_nonsense_is_named() {
-    assert_eq!(values("1..2:0.5"), Ok(vec![1.0, 1.5, 2.0]));
-    assert_eq!(values("3,1"), Ok(vec![3.0, 1.0]));
+    assert_eq!(values("1..2:0.5").expect("a range"), vec![1.0, 1.5, 2.0]);
+    assert_eq!(values("3,1").expect("a list"), vec![3.0, 1.0]);
     for bad in ["1..2", "2..1:1", "1..2:0", "a,b", "0..1e9:1"] {
         assert!(values(bad).is_err(), "{bad}");
     }
--- a/lab/src/file.rs
+++ b/lab/src/file.rs
@@ -6,13 +6,20 @@
 use gradepaddle_emulator::result::{Outcome, SCHEMA};
 use gradepaddle_emulator::scenario::Scenario;
 use serde::Serialize;
+use snafu::{OptionExt, ResultExt, ensure};
+
+use crate::error::{
+    CreateFolderSnafu, DecodeJsonSnafu, DecodeTomlSnafu, EncodeJsonSnafu, EncodeTomlSnafu, Error,
+    FieldPositionSnafu, FieldWithoutSectionSnafu, ForeignSchemaSnafu, ListFolderSnafu, MissingSectionSnafu,
+    ReadFileSnafu, WriteFileSnafu,
+};
 
 /// A scenario of this name: a file, or one under `scenarios/`.
 ///
 /// # Errors
 ///
 /// The file cannot be read, or holds no scenario that makes sense.
-pub fn scenario(name: &Path) -> Result<Scenario, String> {
+pub fn scenario(name: &Path) -> Result<Scenario, Error> {
     let text = text(name)?;
     parse(&text, name)
 }
@@ -22,9 +29,9 @@
 /// # Errors
 ///
 /// The file cannot be read.
-pub fn text(name: &Path) -> Result<String, String> {
+pub fn text(name: &Path) -> Result<String, Error> {
     let path = find(name);
-    fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))
+    fs::read_to_string(&path).context(ReadFileSnafu { path })
 }
 
 fn find(name: &Path) -> PathBuf {
@@ -37,8 +44,9 @@
 /// # Errors
 ///
 /// The text is no scenario, or one that makes no sense; the error names line and field.
-pub fn parse(text: &str, name: &Path) -> Result<Scenario, String> {
-    let mut scenario = Scenario::parse(text).map_err(|fault| format!("{}: {fault}", name.display()))?;
+pub fn parse(text: &str, name: &Path) -> Result<Scenario, Error> {
+    let mut scenario =
+        Scenario::parse(text).map_err(|reason| Error::ParseScenario { path: name.to_owned(), reason })?;
     if scenario.name.is_empty() {
         scenario.name = name.file_stem().map_or_else(String::new, |stem| stem.to_string_lossy().into_owned());
     }
@@ -50,8 +58,8 @@
 /// # Errors
 ///
 /// The folder cannot be listed, or one of its scenarios cannot be read; the first one is named.
-pub fn all(folder: &Path) -> Result<Vec<(PathBuf, Scenario)>, String> {
-    let entries = fs::read_dir(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
+pub fn all(folder: &Path) -> Result<Vec<(PathBuf, Scenario)>, Error> {
+    let entries = fs::read_dir(folder).context(ListFolderSnafu { path: folder })?;
     let mut paths: Vec<PathBuf> = entries.filter_map(|entry| entry.ok().map(|entry| entry.path())).collect();
     paths.retain(|path| path.extension().is_some_and(|end| end == "toml"));
     paths.sort();
@@ -63,22 +71,22 @@
 /// # Errors
 ///
 /// The text is no TOML, or the field's name is not `SECTION.FIELD` or names a section that the scenario lacks.
-pub fn with(text: &str, field: &str, value: f64) -> Result<String, String> {
-    let mut table: toml::Table = toml::from_str(text).map_err(|e| e.to_string())?;
-    let (section, key) = field.rsplit_once('.').ok_or_else(|| format!("{field:?} is not SECTION.FIELD"))?;
+pub fn with(text: &str, field: &str, value: f64) -> Result<String, Error> {
+    let mut table: toml::Table = toml::from_str(text).context(DecodeTomlSnafu)?;
+    let (section, key) = field.rsplit_once('.').context(FieldWithoutSectionSnafu { field })?;
     let inner = match section.split_once('[') {
         None => table.entry(section).or_insert_with(|| toml::Table::new().into()).as_table_mut(),
         Some((list, at)) => {
-            let at: usize = at.trim_end_matches(']').parse().map_err(|_| format!("{field:?}: no number"))?;
+            let at: usize = at.trim_end_matches(']').parse().context(FieldPositionSnafu { field })?;
             table.get_mut(list).and_then(|list| list.get_mut(at)).and_then(toml::Value::as_table_mut)
         }
     };
-    let inner = inner.ok_or_else(|| format!("{section:?} is not in the scenario"))?;
+    let inner = inner.context(MissingSectionSnafu { section })?;
     // Counts are whole in a scenario's types, and a whole number serves for the others as well.
     let whole = value.fract() == 0.0;
     let value = if whole { toml::Value::Integer(value as i64) } else { toml::Value::Float(value) };
     inner.insert(key.to_owned(), value);
-    toml::to_string(&table).map_err(|e| e.to_string())
+    toml::to_string(&table).context(EncodeTomlSnafu)
 }
 
 /// Makes a folder for results.
@@ -86,8 +94,8 @@
 /// # Errors
 ///
 /// The folder cannot be made.
-pub fn folder(path: &Path) -> Result<(), String> {
-    fs::create_dir_all(path).map_err(|e| format!("{}: {e}", path.display()))
+pub fn folder(path: &Path) -> Result<(), Error> {
+    fs::create_dir_all(path).context(CreateFolderSnafu { path })
 }
 
 /// Writes text.
@@ -95,8 +103,8 @@
 /// # Errors
 ///
 /// The file cannot be written.
-pub fn write(path: &Path, text: &str) -> Result<(), String> {
-    fs::write(path, text).map_err(|e| format!("{}: {e}", path.display()))
+pub fn write(path: &Path, text: &str) -> Result<(), Error> {
+    fs::write(path, text).context(WriteFileSnafu { path })
 }
 
 /// Writes a value as JSON.
@@ -104,8 +112,8 @@
 /// # Errors
 ///
 /// The value has no JSON form, or the file cannot be written.
-pub fn write_json(path: &Path, value: &impl Serialize) -> Result<(), String> {
-    let mut text = serde_json::to_string_pretty(value).map_err(|e| format!("{}: {e}", path.display()))?;
+pub fn write_json(path: &Path, value: &impl Serialize) -> Result<(), Error> {
+    let mut text = serde_json::to_string_pretty(value).context(EncodeJsonSnafu { path })?;
     text.push('\n');
     write(path, &text)
 }
@@ -115,15 +123,12 @@
 /// # Errors
 ///
 /// The file cannot be read, or holds no result of the format [`SCHEMA`].
-pub fn read(path: &Path) -> Result<Outcome, String> {
-    let text = fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    let value: serde_json::Value =
-        serde_json::from_str(&text).map_err(|e| format!("{}: {e}", path.display()))?;
+pub fn read(path: &Path) -> Result<Outcome, Error> {
+    let text = fs::read_to_string(path).context(ReadFileSnafu { path })?;
+    let value: serde_json::Value = serde_json::from_str(&text).context(DecodeJsonSnafu { path })?;
     let schema = value.get("schema").and_then(serde_json::Value::as_u64);
-    if schema != Some(u64::from(SCHEMA)) {
-        return Err(format!("{}: field schema: {schema:?} is not {SCHEMA}", path.display()));
-    }
-    serde_json::from_value(value).map_err(|e| format!("{}: {e}", path.display()))
+    ensure!(schema == Some(u64::from(SCHEMA)), ForeignSchemaSnafu { path, found: schema });
+    serde_json::from_value(value).context(DecodeJsonSnafu { path })
 }
 
 #[cfg(test)]
--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -14,8 +14,14 @@
 use gradepaddle_standins::relay::{CLEAR, Way};
 use gradepaddle_standins::server::Make;
 use serde::{Deserialize, Serialize};
+use snafu::{OptionExt, ResultExt, ensure};
 use tokio::time::Instant;
 
+use crate::error::{
+    DecodeFleetScenarioSnafu, Error, FleetScenarioSnafu, FleetSnafu, MissingProgramSnafu, OutOfBoundsSnafu,
+    UnnamedProgramSnafu,
+};
+
 /// The version of the result's format.
 pub const SCHEMA: u32 = 1;
 /// Full service: so many seconds in a row ...
@@ -114,22 +120,20 @@
     /// # Errors
     ///
     /// The file cannot be read, is no scenario, or has a field outside its bounds.
-    pub fn read(path: &Path) -> Result<Scenario, String> {
-        Scenario::parse(&crate::file::text(path)?).map_err(|fault| format!("{}: {fault}", path.display()))
+    pub fn read(path: &Path) -> Result<Scenario, Error> {
+        Scenario::parse(&crate::file::text(path)?).context(FleetScenarioSnafu { path })
     }
 
-    fn parse(text: &str) -> Result<Scenario, String> {
-        let scenario: Scenario = toml::from_str(text).map_err(|e| e.to_string().trim_end().to_owned())?;
+    fn parse(text: &str) -> Result<Scenario, Error> {
+        let scenario: Scenario = toml::from_str(text).context(DecodeFleetScenarioSnafu)?;
         scenario.check()?;
         Ok(scenario)
     }
 
-    fn check(&self) -> Result<(), String> {
+    fn check(&self) -> Result<(), Error> {
         let within = |field: &str, value: f64, least: f64, most: f64| {
-            if (least..=most).contains(&value) {
-                return Ok(());
-            }
-            Err(format!("{field}: {value} is not from {least} to {most}"))
+            ensure!((least..=most).contains(&value), OutOfBoundsSnafu { field, value, least, most });
+            Ok(())
         };
         within("processes", self.processes as f64, 1.0, 1_000.0)?;
         within("servers", self.servers as f64, 1.0, 1_000.0)?;
@@ -211,19 +215,14 @@
 /// # Errors
 ///
 /// There is no file at the path, or no path is named and this program's own is unknown.
-pub fn program(named: Option<&Path>) -> Result<PathBuf, String> {
+pub fn program(named: Option<&Path>) -> Result<PathBuf, Error> {
     let beside = || {
         let own = std::env::current_exe().ok()?;
         Some(own.parent()?.join("gradepaddle"))
     };
-    let path = named.map(Path::to_path_buf).or_else(beside).ok_or("no program is named by --program")?;
-    if path.is_file() {
-        return Ok(path);
-    }
-    Err(format!(
-        "{}: no program there; build it by `cargo build --release`, or name it by --program",
-        path.display()
-    ))
+    let path = named.map(Path::to_path_buf).or_else(beside).context(UnnamedProgramSnafu)?;
+    ensure!(path.is_file(), MissingProgramSnafu { path });
+    Ok(path)
 }
 
 /// Runs a scenario in real time.
@@ -231,8 +230,8 @@
 /// # Errors
 ///
 /// A process, an app server or a link cannot be started, or a fault cannot be brought about.
-pub fn run(scenario: &Scenario, program: &Path) -> Result<Outcome, String> {
-    on_one_thread(play(scenario, program)).map_err(|e| e.to_string())
+pub fn run(scenario: &Scenario, program: &Path) -> Result<Outcome, Error> {
+    on_one_thread(play(scenario, program)).context(FleetSnafu)
 }
 
 fn make(scenario: &Scenario) -> Make {
@@ -465,7 +464,7 @@
 /// # Errors
 ///
 /// A process or an app server cannot be started.
-pub fn demo(program: &Path, length: Duration) -> Result<(), String> {
+pub fn demo(program: &Path, length: Duration) -> Result<(), Error> {
     let scenario = Scenario::default();
     let plan = Plan {
         program: program.to_owned(),
@@ -492,7 +491,7 @@
         load.set(false);
         io::Result::Ok(())
     };
-    on_one_thread(shows).map_err(|e| e.to_string())
+    on_one_thread(shows).context(FleetSnafu)
 }
 
 #[cfg(test)]
--- a/lab/src/fleet/tests.rs
+++ b/lab/src/fleet/tests.rs
@@ -24,7 +24,7 @@
         ("[[fault]]\nat_s = 1\nkind = \"kill\"\nshare = 3\n", "fault[0].share: 3"),
         ("[[fault]]\nat_s = 1\nkind = \"flood\"\n", "flood"),
     ] {
-        let fault = Scenario::parse(text).expect_err(text);
+        let fault = Scenario::parse(text).expect_err(text).to_string();
         assert!(fault.contains(wrong), "{fault:?} for {text:?}");
     }
 }
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -16,7 +16,7 @@
 use gradepaddle_lab::experiment::{Job, Row, compare, run_all, timed, values};
 use gradepaddle_lab::plot::{Bars, Line, Lines};
 use gradepaddle_lab::stats::Estimate;
-use gradepaddle_lab::{file, fleet, plot, report};
+use gradepaddle_lab::{Error, file, fleet, plot, report};
 
 /// Tries designs on the emulator: runs, comparisons, sweeps and plots.
 #[derive(Parser)]
@@ -138,12 +138,12 @@
     }
 }
 
-fn policies(names: &[String]) -> Result<Vec<Policy>, String> {
-    names.iter().map(|name| name.parse()).collect()
+fn policies(names: &[String]) -> Result<Vec<Policy>, Error> {
+    names.iter().map(|name| name.parse().map_err(|reason| Error::UnknownPolicy { reason })).collect()
 }
 
 /// False where the decisions in service break a rule.
-fn carry_out(command: Command) -> Result<bool, String> {
+fn carry_out(command: Command) -> Result<bool, Error> {
     match command {
         Command::Simulate { scenario, seed, policy, out } => {
             let scenario = file::scenario(&scenario)?;
@@ -202,7 +202,7 @@
     }
 }
 
-fn side_by_side(scenarios: &[PathBuf], policies: &[Policy], many: &Many) -> Result<bool, String> {
+fn side_by_side(scenarios: &[PathBuf], policies: &[Policy], many: &Many) -> Result<bool, Error> {
     let all: Vec<Scenario> = if scenarios.is_empty() {
         file::all(Path::new("scenarios"))?.into_iter().map(|(_, scenario)| scenario).collect()
     } else {
@@ -229,19 +229,20 @@
     Ok(!rows.iter().any(|row| row.policy == Policy::Module.name() && row.broken > 0))
 }
 
-fn sweep(path: &Path, vary: &[String], policies: &[Policy], many: &Many) -> Result<(), String> {
+fn sweep(path: &Path, vary: &[String], policies: &[Policy], many: &Many) -> Result<(), Error> {
     let text = file::text(path)?;
     let ranges: Vec<(String, Vec<f64>)> = vary
         .iter()
         .map(|one| {
-            let (field, range) = one.split_once('=').ok_or_else(|| format!("{one:?} is not FIELD=VALUES"))?;
+            let (field, range) =
+                one.split_once('=').ok_or_else(|| Error::MalformedVariation { text: one.clone() })?;
             Ok((field.to_owned(), values(range)?))
         })
-        .collect::<Result<_, String>>()?;
+        .collect::<Result<_, Error>>()?;
     let (first, second) = match &ranges[..] {
         [one] => (one, None),
         [one, two] => (one, Some(two)),
-        _ => return Err("one or two figures can be varied".into()),
+        _ => return Err(Error::VariationCount),
     };
     let outer: Vec<Option<f64>> =
         second.map_or(vec![None], |(_, values)| values.iter().copied().map(Some).collect());
@@ -298,12 +299,12 @@
 }
 
 /// Microseconds of one decision with its end, by the number of app servers: the median of rounds.
-fn decision_cost(servers: u32) -> Result<Estimate, String> {
+fn decision_cost(servers: u32) -> Result<Estimate, Error> {
     const HOUR: u64 = 3_600_000_000;
     let base = Settings::default().classes.remove(0);
     let class = Class { aim: HOUR, deadline: HOUR, effect: Effect::Safe, ..base };
     let settings = Settings { classes: vec![class], gateways: 3, ..Settings::default() };
-    let mut balancer = Balancer::new(settings, 7).map_err(|e| e.to_string())?;
+    let mut balancer = Balancer::new(settings, 7).map_err(|source| Error::Settings { source })?;
     let server = |n: u32| Server {
         id: format!("s{n}").into(),
         zone: n % 3,
@@ -349,7 +350,7 @@
     Ok(Estimate::of(&rounds[2..7]))
 }
 
-fn cost(servers: &[u32], out: Option<&Path>) -> Result<(), String> {
+fn cost(servers: &[u32], out: Option<&Path>) -> Result<(), Error> {
     let mut csv = "servers,us_per_decision,half\n".to_owned();
     let mut points = Vec::new();
     for count in servers {
--- a/lab/src/plot.rs
+++ b/lab/src/plot.rs
@@ -9,7 +9,9 @@
 use plotters::drawing::DrawingAreaErrorKind;
 use plotters::prelude::*;
 use plotters::style::FontStyle;
+use snafu::ResultExt;
 
+use crate::error::{DrawFileSnafu, DrawSnafu, Error};
 use crate::experiment::Row;
 use crate::stats::Estimate;
 
@@ -28,8 +30,6 @@
     RGBColor(0, 0, 0),
 ];
 
-type Drawn = Result<(), String>;
-
 fn fonts() {
     static ONCE: Once = Once::new();
     // The machine may have no font at all.
@@ -58,7 +58,7 @@
 /// # Errors
 ///
 /// A file cannot be drawn or written.
-pub fn save(folder: &Path, name: &str, picture: &impl Picture) -> Drawn {
+pub fn save(folder: &Path, name: &str, picture: &impl Picture) -> Result<(), Error> {
     fonts();
     let (svg, png) = (folder.join(format!("{name}.svg")), folder.join(format!("{name}.png")));
     {
@@ -66,13 +66,15 @@
         area.fill(&WHITE)
             .and_then(|()| picture.draw(&area))
             .and_then(|()| area.present())
-            .map_err(|e| format!("{}: {e}", svg.display()))?;
+            .map_err(Into::into)
+            .context(DrawFileSnafu { path: svg.clone() })?;
     }
     let area = BitMapBackend::new(&png, SIZE).into_drawing_area();
     area.fill(&WHITE)
         .and_then(|()| picture.draw(&area))
         .and_then(|()| area.present())
-        .map_err(|e| format!("{}: {e}", png.display()))
+        .map_err(Into::into)
+        .context(DrawFileSnafu { path: png.clone() })
 }
 
 /// A picture as SVG text.
@@ -80,7 +82,7 @@
 /// # Errors
 ///
 /// The picture cannot be drawn.
-pub fn svg(picture: &impl Picture) -> Result<String, String> {
+pub fn svg(picture: &impl Picture) -> Result<String, Error> {
     fonts();
     let mut text = String::new();
     {
@@ -88,7 +90,8 @@
         area.fill(&WHITE)
             .and_then(|()| picture.draw(&area))
             .and_then(|()| area.present())
-            .map_err(|e| e.to_string())?;
+            .map_err(Into::into)
+            .context(DrawSnafu)?;
     }
     Ok(text)
 }
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -5,6 +5,7 @@
 
 use gradepaddle_emulator::result::Outcome;
 
+use crate::error::Error;
 use crate::experiment::Row;
 use crate::plot::{self, Flow, Heat, Latency, Worth};
 use crate::{file, stats::Estimate};
@@ -14,7 +15,7 @@
 /// # Errors
 ///
 /// The folder or one of the files cannot be written, or a plot cannot be drawn.
-pub fn write(folder: &Path, outcome: &Outcome) -> Result<(), String> {
+pub fn write(folder: &Path, outcome: &Outcome) -> Result<(), Error> {
     file::folder(folder)?;
     file::write_json(&folder.join("result.json"), outcome)?;
     draw(folder, outcome)
@@ -25,7 +26,7 @@
 /// # Errors
 ///
 /// One of the files cannot be written, or a plot cannot be drawn.
-pub fn draw(folder: &Path, outcome: &Outcome) -> Result<(), String> {
+pub fn draw(folder: &Path, outcome: &Outcome) -> Result<(), Error> {
     file::write(&folder.join("seconds.csv"), &seconds_csv(outcome))?;
     file::write(&folder.join("classes.csv"), &classes_csv(outcome))?;
     plot::save(folder, "worth", &Worth(outcome))?;
@@ -250,7 +251,7 @@
 /// # Errors
 ///
 /// A plot cannot be drawn.
-pub fn page(outcome: &Outcome) -> Result<String, String> {
+pub fn page(outcome: &Outcome) -> Result<String, Error> {
     let plots = [
         plot::svg(&Worth(outcome))?,
         plot::svg(&Flow(outcome))?,
