--- a/standins/src/broken.rs
+++ b/standins/src/broken.rs
@@ -10,7 +10,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{JoinHandle, JoinSet, spawn_local};
 
-use crate::wire;
+use crate::{Error, wire};
 
 /// What it does wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -78,7 +78,7 @@
 async fn exchange(at: SocketAddr, text: &str) -> io::Result<wire::Message> {
     let mut stream = BufReader::new(TcpStream::connect(at).await?);
     stream.get_mut().write_all(text.as_bytes()).await?;
-    wire::read(&mut stream).await?.ok_or_else(|| io::Error::other("no answer"))
+    Ok(wire::read(&mut stream).await?.ok_or(Error::NoAnswer)?)
 }
 
 async fn serve(
@@ -94,7 +94,7 @@
         let hosts = list["hosts"].as_array().cloned().unwrap_or_default();
         let open = |host: &&Value| fault == Fault::IgnoresDrains || host["health"] == "up";
         let dial = hosts.iter().find(open).and_then(|host| host["dial"].as_str()?.parse().ok());
-        let Some(dial) = dial else { return Err(io::Error::other("nobody is up")) };
+        let Some(dial) = dial else { return Err(Error::NobodyUp.into()) };
         let text = request.text();
         let mut answer = exchange(dial, &text).await?;
         if fault == Fault::Repeats {
--- a/standins/src/council.rs
+++ b/standins/src/council.rs
@@ -17,7 +17,7 @@
 use crate::process::Process;
 use crate::relay::{CLEAR, Link, Way};
 use crate::server::{AppServer, Make};
-use crate::{Ledger, PATIENCE};
+use crate::{Error, Ledger, PATIENCE};
 
 /// The app server that they all have.
 pub const SERVER: &str = "s0";
@@ -245,7 +245,7 @@
     ///
     /// The process has no door, or the connection to it fails.
     pub async fn call(&self, place: usize, line: &str) -> io::Result<String> {
-        let door = self.process(place).door.ok_or_else(|| io::Error::other("no door"))?;
+        let door = self.process(place).door.ok_or(Error::NoDoor)?;
         let mut stream = TcpStream::connect(door).await?;
         stream.write_all(format!("{line}\n").as_bytes()).await?;
         let mut answer = String::new();
@@ -364,6 +364,6 @@
         let mut answer = String::new();
         stream.read_to_string(&mut answer).await?;
         let status = answer.split(' ').nth(1).and_then(|text| text.parse().ok());
-        status.ok_or_else(|| io::Error::other(format!("no status in {answer:?}")))
+        Ok(status.ok_or(Error::NoStatus { answer })?)
     }
 }
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -8,6 +8,7 @@
 pub mod clients;
 pub mod council;
 pub mod discovery;
+pub mod error;
 pub mod fleet;
 pub mod front;
 pub mod mesh;
@@ -25,6 +26,8 @@
 
 use books::{Books, Fact};
 
+pub use error::Error;
+
 /// Nothing that is waited for takes this long unless it never comes.
 pub const PATIENCE: Duration = Duration::from_secs(60);
 
--- a/standins/src/process.rs
+++ b/standins/src/process.rs
@@ -14,7 +14,7 @@
 use tokio::task::spawn_local;
 
 use crate::books::{Fact, Turn};
-use crate::{Ledger, PATIENCE};
+use crate::{Error, Ledger, PATIENCE};
 
 /// One process. It is killed when it is dropped, also by a panic.
 pub struct Process {
@@ -31,10 +31,6 @@
     folder: TempDir,
 }
 
-fn other(text: impl Into<String>) -> io::Error {
-    io::Error::other(text.into())
-}
-
 impl Process {
     /// Starts the program at this path and waits until it is ready. `config` is what its file holds; the address that
     /// it listens on is of its own choice.
@@ -70,17 +66,14 @@
             .stdout(Stdio::piped())
             .kill_on_drop(true)
             .spawn()?;
-        let id =
-            child.id().and_then(|id| Pid::from_raw(id.try_into().ok()?)).ok_or_else(|| other("no id"))?;
-        let output = child.stdout.take().ok_or_else(|| other("no output"))?;
+        let id = child.id().and_then(|id| Pid::from_raw(id.try_into().ok()?)).ok_or(Error::NoProcessId)?;
+        let output = child.stdout.take().ok_or(Error::NoOutput)?;
         let (says, said) = oneshot::channel();
         let books = ledger.clone();
         spawn_local(follow(child, output, number, says, books));
-        let [address, door, fleet] = match tokio::time::timeout(PATIENCE, said).await {
-            Ok(Ok([Some(address), door, fleet])) => [Some(address), door, fleet],
-            _ => return Err(other(format!("process {number} does not get ready"))),
+        let Ok(Ok([Some(address), door, fleet])) = tokio::time::timeout(PATIENCE, said).await else {
+            return Err(Error::NotReady { number }.into());
         };
-        let address = address.ok_or_else(|| other("no address"))?;
         Ok(Process { number, address, door, fleet, id, ledger, folder })
     }
 
@@ -92,7 +85,7 @@
     fn signal(&self, signal: Signal) -> io::Result<()> {
         // One that has ended and was waited for must not be signalled: its number may be another's by now.
         if matches!(self.ledger.read(|books| books.last_turn(self.number)), Some(Turn::Ended(_))) {
-            return Err(other(format!("process {} has ended", self.number)));
+            return Err(Error::ProcessEnded { number: self.number }.into());
         }
         Ok(kill_process(self.id, signal)?)
     }
--- a/standins/src/wire.rs
+++ b/standins/src/wire.rs
@@ -2,8 +2,11 @@
 
 use std::io;
 
+use snafu::ResultExt;
 use tokio::io::{AsyncBufRead, AsyncBufReadExt, AsyncReadExt};
 
+use crate::error::{BodyNotTextSnafu, ContentLengthSnafu, Error};
+
 /// The longest head and the longest body that are read.
 const MOST: usize = 256 * 1024;
 
@@ -44,10 +47,6 @@
     }
 }
 
-fn odd(what: &str) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, what.to_owned())
-}
-
 /// Reads a message; nothing where the connection ends before one.
 pub async fn read(from: &mut (impl AsyncBufRead + Unpin)) -> io::Result<Option<Message>> {
     let mut lines = Vec::new();
@@ -60,7 +59,7 @@
             return Ok(None);
         }
         if !line.ends_with('\n') || size > MOST {
-            return Err(odd("a head that is cut off or too long"));
+            return Err(Error::Head.into());
         }
         let line = line.trim_end();
         if line.is_empty() {
@@ -69,7 +68,7 @@
         lines.push(line.to_owned());
     }
     let mut lines = lines.into_iter();
-    let first = lines.next().ok_or_else(|| odd("no first line"))?;
+    let first = lines.next().ok_or(Error::NoFirstLine)?;
     let headers: Vec<(String, String)> = lines
         .filter_map(|line| {
             let (name, value) = line.split_once(':')?;
@@ -78,15 +77,15 @@
         .collect();
     let mut message = Message { first, headers, body: String::new() };
     let length: usize = match message.get("content-length") {
-        Some(text) => text.parse().map_err(|_| odd("a length that is none"))?,
+        Some(text) => text.parse().context(ContentLengthSnafu)?,
         None => 0,
     };
     if length > MOST {
-        return Err(odd("a body that is too long"));
+        return Err(Error::BodyTooLong.into());
     }
     let mut body = vec![0; length];
     from.read_exact(&mut body).await?;
-    message.body = String::from_utf8(body).map_err(|_| odd("a body that is no text"))?;
+    message.body = String::from_utf8(body).context(BodyNotTextSnafu)?;
     Ok(Some(message))
 }
 
