--- a/controlplane/tests/fleet.rs
+++ b/controlplane/tests/simulated_fleet.rs
@@ -1,6 +1,6 @@
-//! Days of whole fleets, each from one seed, in calm and with everything that may go wrong.
+//! Runs of complete simulated fleets, each from one seed, without and with faults.
 
-#[path = "fleet/mod.rs"]
+#[path = "simulation/mod.rs"]
 mod simulation;
 
 use googletest::prelude::*;
--- a/controlplane/tests/fleet/checks.rs
+++ b/controlplane/tests/simulation/invariants.rs
@@ -4,16 +4,17 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-use gradepaddle_controlplane::calls::Call;
+use gradepaddle_controlplane::api::Call;
 use gradepaddle_controlplane::node::{Input, Output};
 use gradepaddle_placement::ServerState;
+use gradepaddle_proto::ControlCall;
 
-use super::calls::{Caller, Outcome};
+use super::callers::{Caller, Outcome};
 use super::machine::Machine;
 use super::operator::{Task, identity, version_of};
 use super::server::{Server, Stage};
 use super::world::{Event, World};
-use super::{IN_TOUCH, MS, Micros, SECOND};
+use super::{CONNECT_TIME, MS, Micros, SECOND};
 
 /// All nodes know what became of a server after this.
 const KNOWN_AFTER: Micros = 9 * SECOND;
@@ -21,21 +22,21 @@
 /// A rule to look at in time.
 #[derive(Clone, Copy, Debug)]
 pub enum Check {
-    /// Somebody leads.
-    Founded,
+    /// There is one primary.
+    Bootstrapped,
     /// All nodes know all nodes.
     Members,
-    /// A configuration that was acknowledged then is in force wherever machines are in touch.
+    /// A configuration that was acknowledged then is in force at all connected machines.
     Applied { version: u64, at: Micros },
     /// What an operator began then has a clear answer.
     Answered { operator: usize, begun: Micros },
-    /// All machines in touch know that a server takes nothing new.
+    /// All connected machines know that a server takes no new requests.
     Drained { server: usize, by: usize, at: Micros },
-    /// Weights named then are in use.
+    /// A model version that was announced then is loaded.
     Loaded { version: u64, at: Micros },
-    /// No node acts on keys of an older version, in touch or not.
+    /// No node accepts keys of an older version, connected or not.
     Revoked { version: u64 },
-    /// After the last trouble all is as it should be.
+    /// After the last fault everything has converged.
     Settled,
 }
 
@@ -49,7 +50,7 @@
     pub final_fault: bool,
     /// The last fault comes after the next acknowledgement.
     pub awaits_final: bool,
-    /// Links in trouble.
+    /// Spans of network faults.
     pub links: Vec<(Micros, Micros)>,
     pub read: BTreeMap<usize, Arc<[u8]>>,
     acknowledged: BTreeMap<u64, (u64, Arc<[u8]>)>,
@@ -80,7 +81,7 @@
         self.seen.insert(identity(body));
     }
 
-    pub fn links_calm(&self, from: Micros, until: Micros) -> bool {
+    pub fn network_without_faults(&self, from: Micros, until: Micros) -> bool {
         self.links.iter().all(|(begun, ended)| *ended < from || *begun > until)
     }
 }
@@ -88,7 +89,7 @@
 impl World {
     pub fn check(&mut self, check: Check) {
         let applies = match check {
-            Check::Founded => self.check_founded(),
+            Check::Bootstrapped => self.check_bootstrapped(),
             Check::Members => self.check_members(),
             Check::Applied { version, at } => self.check_applied(version, at),
             Check::Answered { operator, begun } => self.check_answered(operator, begun),
@@ -104,21 +105,22 @@
         }
     }
 
-    /// Whether core and links were without trouble, and in touch from the first time on.
-    fn core_calm(&self, from: Micros, until: Micros) -> bool {
-        let from = from.saturating_sub(IN_TOUCH);
+    /// Whether core and network were without faults, and connected from the first time on.
+    fn core_without_faults(&self, from: Micros, until: Micros) -> bool {
+        let from = from.saturating_sub(CONNECT_TIME);
         let cores = self.machines.iter().filter(|machine| machine.core);
-        cores.into_iter().all(|machine| machine.calm(from, until)) && self.record.links_calm(from, until)
+        cores.into_iter().all(|machine| machine.calm(from, until))
+            && self.record.network_without_faults(from, until)
     }
 
-    /// Machines that were in touch from the first time on.
-    fn in_touch(&self, from: Micros) -> Vec<usize> {
+    /// Machines that were connected from the first time on.
+    fn connected(&self, from: Micros) -> Vec<usize> {
         let up = self.machines.iter().filter(|machine| machine.up());
-        up.filter(|machine| machine.in_touch(from, self.now)).map(|machine| machine.number).collect()
+        up.filter(|machine| machine.connected(from, self.now)).map(|machine| machine.number).collect()
     }
 
-    fn check_founded(&mut self) -> bool {
-        let leaders = self.machines.iter().filter_map(|one| one.process.as_ref()?.told.leading);
+    fn check_bootstrapped(&mut self) -> bool {
+        let leaders = self.machines.iter().filter_map(|one| one.process.as_ref()?.observed.leading);
         if leaders.count() != 1 {
             self.broken("the system is not founded".to_owned());
         }
@@ -131,13 +133,13 @@
             up.iter().map(|number| self.machines[*number].address).collect();
         for number in &up {
             let Some(process) = &self.machines[*number].process else { continue };
-            let mut known = process.told.peers.clone();
+            let mut known = process.observed.peers.clone();
             known.insert(self.machines[*number].address);
-            known.retain(|address| addresses.contains(address) || !self.may_be_a_ghost(*address));
-            if known != addresses || !process.told.in_touch {
-                let (known, in_touch) = (known.len(), process.told.in_touch);
+            known.retain(|address| addresses.contains(address) || !self.may_be_a_stale_member(*address));
+            if known != addresses || !process.observed.connected {
+                let (known, connected) = (known.len(), process.observed.connected);
                 self.broken(format!(
-                    "node {number} knows {known} of {} nodes, in touch: {in_touch}",
+                    "node {number} knows {known} of {} nodes, in touch: {connected}",
                     up.len()
                 ));
             }
@@ -146,21 +148,23 @@
     }
 
     /// A node that is gone for good stays a member at present if its session's holder started anew: see `found.rs`.
-    fn may_be_a_ghost(&self, address: SocketAddrV4) -> bool {
+    fn may_be_a_stale_member(&self, address: SocketAddrV4) -> bool {
         !self.plan.strict && self.machines.iter().any(|one| one.address == address && one.removed)
     }
 
     pub fn configuration_of(&self, number: usize) -> u64 {
-        let told =
-            self.machines[number].process.as_ref().and_then(|process| process.told.configuration.as_ref());
+        let told = self.machines[number]
+            .process
+            .as_ref()
+            .and_then(|process| process.observed.configuration.as_ref());
         told.map_or(0, |(version, _)| *version)
     }
 
     fn check_applied(&mut self, version: u64, at: Micros) -> bool {
-        if !self.core_calm(at, self.now) {
+        if !self.core_without_faults(at, self.now) {
             return false;
         }
-        for number in self.in_touch(at) {
+        for number in self.connected(at) {
             let has = self.configuration_of(number);
             if has < version {
                 self.broken(format!(
@@ -176,7 +180,7 @@
         for number in self.up() {
             let has = self.configuration_of(number);
             let Some(process) = &self.machines[number].process else { continue };
-            let acts = process.told.keys_until > process.clock(self.now);
+            let acts = process.observed.keys_until > process.clock(self.now);
             if acts && has < version {
                 self.broken(format!(
                     "node {number} acts on keys of {has}, though {version} was acknowledged"
@@ -187,7 +191,7 @@
     }
 
     fn check_answered(&mut self, index: usize, begun: Micros) -> bool {
-        if !self.core_calm(begun, self.now) {
+        if !self.core_without_faults(begun, self.now) {
             return false;
         }
         let operator = &self.operators[index];
@@ -204,14 +208,16 @@
     }
 
     fn check_drained(&mut self, server: usize, by: usize, at: Micros) -> bool {
-        let from = at.saturating_sub(IN_TOUCH);
-        if !self.machines[by].calm(from, at.saturating_sub(1)) || !self.record.links_calm(from, self.now) {
+        let from = at.saturating_sub(CONNECT_TIME);
+        if !self.machines[by].calm(from, at.saturating_sub(1))
+            || !self.record.network_without_faults(from, self.now)
+        {
             return false;
         }
         let id = self.servers[server].id.clone();
-        for number in self.in_touch(at) {
+        for number in self.connected(at) {
             let Some(process) = &self.machines[number].process else { continue };
-            if process.told.servers.get(&id) == Some(&ServerState::Ready) {
+            if process.observed.servers.get(&id) == Some(&ServerState::Ready) {
                 self.broken(format!(
                     "node {number} calls {id} ready, whose end {by} acknowledged at {} ms",
                     at / MS
@@ -222,7 +228,7 @@
     }
 
     fn check_loaded(&mut self, version: u64, at: Micros) -> bool {
-        if !self.core_calm(at, self.now) || self.loading_may_be_held_up(at) {
+        if !self.core_without_faults(at, self.now) || self.loading_may_be_delayed(at) {
             return false;
         }
         let now = self.now;
@@ -253,7 +259,7 @@
         let leaders: Vec<usize> = self
             .machines
             .iter()
-            .filter(|one| one.process.as_ref().is_some_and(|process| process.told.leading.is_some()))
+            .filter(|one| one.process.as_ref().is_some_and(|process| process.observed.leading.is_some()))
             .map(|one| one.number)
             .collect();
         if leaders.len() != 1 {
@@ -262,8 +268,8 @@
         }
     }
 
-    /// A server that crashes while it loads holds up the others at present: see `found.rs`.
-    fn loading_may_be_held_up(&self, at: Micros) -> bool {
+    /// A server that crashes while it loads delays the others at present: see `found.rs`.
+    fn loading_may_be_delayed(&self, at: Micros) -> bool {
         let recently = |server: &&Server| server.crashed && server.since + KNOWN_AFTER > at;
         !self.plan.strict && self.servers.iter().any(|server| recently(&server))
     }
@@ -273,9 +279,9 @@
         let now = self.now;
         let Some(process) = &mut self.machines[number].process else { return String::new() };
         let (clock, mut out) = (process.clock(now), Vec::new());
-        process.node.handle(clock, Input::Call { ticket: u64::MAX, call: Call::Status }, &mut out);
+        process.node.handle(clock, Input::Call { call_id: u64::MAX, call: Call::Status }, &mut out);
         let answer = out.into_iter().find_map(|output| match output {
-            Output::Answer { ticket: u64::MAX, answer } => Some(answer.body),
+            Output::Respond { call_id: u64::MAX, response } => Some(response.body),
             _ => None,
         });
         String::from_utf8_lossy(&answer.unwrap_or_default()).into_owned()
@@ -323,7 +329,7 @@
         for number in self.up() {
             let Some(process) = &self.machines[number].process else { continue };
             for server in self.servers.iter().filter(|server| server.since < settled) {
-                let told = process.told.servers.get(&server.id).copied();
+                let told = process.observed.servers.get(&server.id).copied();
                 let fits = match server.stage {
                     Stage::Ready => !self.plan.servers_agree || told == Some(ServerState::Ready),
                     Stage::Ended => told != Some(ServerState::Ready) || self.may_be_overlooked(server),
@@ -345,7 +351,7 @@
         }
     }
 
-    /// A server that crashed while some machine was in trouble is overlooked at present: see `found.rs`.
+    /// A server that crashed while some machine had a fault is overlooked at present: see `found.rs`.
     fn may_be_overlooked(&self, server: &Server) -> bool {
         let near =
             |one: &Machine| !one.calm(server.since.saturating_sub(2 * SECOND), server.since + KNOWN_AFTER);
@@ -355,7 +361,7 @@
     /// Reads the configuration through a node, until there is an answer.
     pub fn read(&mut self, machine: usize) {
         let attempt = self.now;
-        self.call(machine, Caller::Reader { machine, attempt }, Call::GetConfiguration);
+        self.call(machine, Caller::Reader { machine, attempt }, Call::Control(ControlCall::GetConfiguration));
     }
 
     pub fn read_over(&mut self, machine: usize, outcome: Outcome) {
--- a/controlplane/tests/fleet/operator.rs
+++ b/controlplane/tests/simulation/operator.rs
@@ -1,10 +1,11 @@
-//! An operator who sends configurations and names weights until there is a clear answer.
+//! An operator who sends configurations and announces model versions until there is a conclusive response.
 
 use std::sync::Arc;
 
-use gradepaddle_controlplane::calls::Call;
+use gradepaddle_controlplane::api::Call;
+use gradepaddle_proto::ControlCall;
 
-use super::calls::Outcome;
+use super::callers::Outcome;
 use super::{MODEL, MS, Micros};
 
 /// What an operator wants.
@@ -40,7 +41,7 @@
 
 /// What is clear after an answer.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Clear {
+pub enum Conclusion {
     Acknowledged(Task),
     /// It isn't in force and never will be.
     Refused(Task),
@@ -55,7 +56,7 @@
 /// What stands before the name of who made a configuration, in the one item that every patch replaces.
 const AUTHOR_FIELD: &str = "\"healthPath\":\"/";
 
-/// The item of a configuration that tells who made it.
+/// The item of a configuration with its author.
 fn author(by: &str) -> String {
     format!("{{\"name\":\"author\",{AUTHOR_FIELD}{by}\"}}")
 }
@@ -84,7 +85,7 @@
     digits.and_then(|digits| digits.parse().ok()).unwrap_or(u64::MAX)
 }
 
-/// What tells a configuration from all others: its version and who made it. A patch and what it makes have the same.
+/// The identity of a configuration: its version and its author. A patch and its result have the same.
 pub fn identity(body: &[u8]) -> Arc<[u8]> {
     let text = String::from_utf8_lossy(body);
     let author = text.split(AUTHOR_FIELD).nth(1).and_then(|rest| rest.split('"').next()).unwrap_or_default();
@@ -100,30 +101,36 @@
     pub fn call(&mut self) -> Option<Call> {
         self.attempt += 1;
         Some(match self.task.clone()? {
-            Task::Put { if_match, version, body } => Call::PutConfiguration { if_match, version, body },
-            Task::Patch { if_match, version, patch } => Call::PatchConfiguration { if_match, version, patch },
-            Task::Name { version } => Call::NameVersion { model: MODEL.to_owned(), version },
-            Task::Read => Call::GetConfiguration,
+            Task::Put { if_match, version, body } => {
+                Call::Control(ControlCall::PutConfiguration { if_match, version, body })
+            }
+            Task::Patch { if_match, version, patch } => {
+                Call::Control(ControlCall::PatchConfiguration { if_match, version, patch })
+            }
+            Task::Name { version } => {
+                Call::Control(ControlCall::NameVersion { model: Arc::from(MODEL), version })
+            }
+            Task::Read => Call::Control(ControlCall::GetConfiguration),
         })
     }
 
     /// Takes in what came of the call.
-    pub fn answered(&mut self, now: Micros, outcome: &Outcome) -> Clear {
+    pub fn answered(&mut self, now: Micros, outcome: &Outcome) -> Conclusion {
         let status = outcome.as_ref().map_or(0, |answer| answer.status);
         let ends = matches!(status, 200..=299 | 400 | 404 | 409 | 412 | 413 | 422);
         let Some(task) = self.task.clone().filter(|_| ends) else {
             self.pause = (self.pause * 2).clamp(50 * MS, 400 * MS);
-            return Clear::Again(now + self.pause);
+            return Conclusion::Again(now + self.pause);
         };
         self.task = None;
         match (&task, outcome) {
-            (Task::Read, Some(answer)) if status == 200 => Clear::Read(answer.body.clone()),
+            (Task::Read, Some(answer)) if status == 200 => Conclusion::Read(answer.body.clone()),
             (Task::Put { version, .. } | Task::Patch { version, .. }, _) if status == 200 => {
                 self.current = *version;
-                Clear::Acknowledged(task)
+                Conclusion::Acknowledged(task)
             }
-            _ if status == 200 => Clear::Acknowledged(task),
-            _ => Clear::Refused(task),
+            _ if status == 200 => Conclusion::Acknowledged(task),
+            _ => Conclusion::Refused(task),
         }
     }
 }
--- a/dataplane/src/control_inputs.rs
+++ b/dataplane/src/control_inputs.rs
@@ -24,7 +24,7 @@
         }
         let now = self.now();
         self.placer.borrow_mut().set_services(now, service_specs(&configuration));
-        info!(self.log, "configuration in force"; "version" => configuration.version);
+        info!(self.log, "configuration applied"; "version" => configuration.version);
         self.replace_configuration(Rc::new(configuration), hasher.finish());
         update_subscriptions(self);
     }
--- a/dataplane/src/data_plane.rs
+++ b/dataplane/src/data_plane.rs
@@ -126,7 +126,7 @@
     pub(crate) fn log_key_validity(&self) {
         let expired = self.keys_expired();
         if self.key_validity.note_expired(expired) {
-            info!(self.log, "keys"; "lapsed" => expired);
+            info!(self.log, "configuration validity changed"; "expired" => expired);
         }
     }
 
--- a/dataplane/src/response_forwarding.rs
+++ b/dataplane/src/response_forwarding.rs
@@ -240,8 +240,8 @@
     }
 
     fn warn_outdated(&self, begin: OutdatedStart) {
-        warn!(self.plane.log, "request begun on outdated weights"; "server" => &*self.placement.server,
-            "version" => begin.version, "binding" => begin.binding, "waited_ms" => begin.waited / MICROS_PER_MS);
+        warn!(self.plane.log, "request started on outdated version"; "server" => &*self.placement.server,
+            "version" => begin.version, "required_version" => begin.binding, "waited_ms" => begin.waited / MICROS_PER_MS);
     }
 
     async fn write_body(
--- a/system/src/effects.rs
+++ b/system/src/effects.rs
@@ -1,4 +1,4 @@
-//! What the control plane does to the data plane, the disk and the log.
+//! Carries out the outputs of the control plane on the data plane, the disk and the log.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -8,8 +8,8 @@
 use gradepaddle_control::{Record, WriteId};
 use gradepaddle_controlplane::clock::Clock;
 use gradepaddle_controlplane::driver::Effects;
-use gradepaddle_controlplane::node::{Event, KeysShown, MemberNode};
-use gradepaddle_controlplane::rollout::OrderAnswer;
+use gradepaddle_controlplane::node::{ConfigurationValidity, Event, MemberNode};
+use gradepaddle_controlplane::order::OrderOutcome;
 use gradepaddle_dataplane::load_reports::recipients::Peer;
 use gradepaddle_dataplane::{DataPlane, KeyValidity};
 use gradepaddle_placement::{Micros, ServerEntry, ServerState};
@@ -24,40 +24,40 @@
     span / MILLISECOND
 }
 
-fn answer_name(answer: OrderAnswer) -> &'static str {
-    match answer {
-        OrderAnswer::InProgress => "in_progress",
-        OrderAnswer::Holds => "holds",
-        OrderAnswer::NotTaken => "not_taken",
+fn outcome_name(outcome: OrderOutcome) -> &'static str {
+    match outcome {
+        OrderOutcome::InProgress => "in_progress",
+        OrderOutcome::Loaded => "loaded",
+        OrderOutcome::Failed => "failed",
     }
 }
 
-/// The node's own side of its control plane.
+/// What the control plane of this node acts on.
 pub struct NodeEffects {
     /// The data plane.
     pub plane: Rc<DataPlane>,
-    /// The disk, where this node keeps control state.
+    /// The disk, where this node has a replica.
     pub writer: RefCell<Option<Writer>>,
     /// The clock of the control plane.
     pub clock: Clock,
-    /// Told when the control state is in other hands.
-    pub may_end: Rc<Notify>,
-    /// Where to log.
+    /// Notified when the control state is in other hands.
+    pub ready_to_exit: Rc<Notify>,
+    /// The log.
     pub log: Logger,
 }
 
 impl Effects for NodeEffects {
-    fn configure(&self, body: Arc<[u8]>) {
+    fn apply_configuration(&self, body: Arc<[u8]>) {
         match Configuration::parse(&body) {
             Ok(configuration) => self.plane.set_configuration(configuration),
-            // It was checked before it was taken: another build may know more than this one.
+            // The primary has validated it: its build may know more than this one.
             Err(findings) => {
-                warn!(self.log, "configuration not understood"; "findings" => findings.to_string())
+                warn!(self.log, "configuration rejected"; "findings" => findings.to_string())
             }
         }
     }
 
-    fn server(&self, entry: ServerEntry) {
+    fn server_changed(&self, entry: ServerEntry) {
         if !matches!(entry.state, ServerState::Ready) {
             self.plane.close_idle_connections(&entry.id);
         }
@@ -65,94 +65,94 @@
         self.plane.placer.borrow_mut().update_server(now, entry);
     }
 
-    fn server_gone(&self, id: &str) {
+    fn server_removed(&self, id: &str) {
         self.plane.close_idle_connections(id);
         let now = self.plane.now();
         self.plane.placer.borrow_mut().remove_server(now, id);
     }
 
-    fn peers(&self, peers: Vec<MemberNode>) {
+    fn peers_changed(&self, peers: Vec<MemberNode>) {
         let balancers = peers.len() + 1;
         self.plane.placer.borrow_mut().set_balancer_count(balancers);
         let peers = peers.into_iter().map(|node| Peer { address: node.address, zone: node.zone });
         self.plane.set_peers(&peers.collect::<Vec<_>>());
-        info!(self.log, "members"; "count" => balancers);
+        info!(self.log, "membership changed"; "members" => balancers);
     }
 
-    fn rank(&self, rank: usize) {
+    fn rank_changed(&self, rank: usize) {
         self.plane.set_listener_rank(rank);
     }
 
-    fn store(&self, name: &str, alive: bool) {
+    fn cache_store_changed(&self, name: &str, alive: bool) {
         self.plane.set_reported_store_health(name, alive);
     }
 
-    fn weights_named(&self, model: &str, version: u64, binds_in: Micros) {
-        self.plane.announce_version(model, version, binds_in);
+    fn version_announced(&self, model: &str, version: u64, deadline_in: Micros) {
+        self.plane.announce_version(model, version, deadline_in);
     }
 
-    fn weights_postponed(&self, model: &str, version: u64, binds_in: Micros) {
-        self.plane.postpone_version(model, version, binds_in);
+    fn version_deadline_extended(&self, model: &str, version: u64, deadline_in: Micros) {
+        self.plane.postpone_version(model, version, deadline_in);
     }
 
-    fn hold(&self, server: &str, span: Micros) {
+    fn pause_server(&self, server: &str, span: Micros) {
         let now = self.plane.now();
         self.plane.placer.borrow_mut().pause_server(now, server, span);
     }
 
-    fn holds(&self, server: &str, model: &str, version: u64) {
+    fn server_has_version(&self, server: &str, model: &str, version: u64) {
         let now = self.plane.now();
         self.plane.placer.borrow_mut().observe_version(now, server, model, version);
     }
 
-    fn in_touch(&self, in_touch: bool) {
-        if in_touch {
+    fn connected(&self, connected: bool) {
+        if connected {
             self.plane.set_control_connected(true);
         }
-        info!(self.log, "control"; "in_touch" => in_touch);
+        info!(self.log, "control session changed"; "connected" => connected);
     }
 
-    fn keys(&self, shown: KeysShown) {
-        // In this order, so that a pause between the two shortens the span.
+    fn configuration_validity(&self, validity: ConfigurationValidity) {
+        // The data plane's clock is read first: if the process is stopped between the two, the span is shorter.
         let now = self.plane.now();
-        let span = shown.until.saturating_sub(self.clock.now());
-        // 0 stands for no evidence at all, for which requests wait; what is over already is over.
-        let until = if shown.until == 0 { 0 } else { now + span };
-        self.plane.set_key_validity(KeyValidity { version: shown.version, valid_until: until });
+        let span = validity.until.saturating_sub(self.clock.now());
+        // 0 stands for no evidence at all, for which requests wait; anything else may have expired already.
+        let until = if validity.until == 0 { 0 } else { now + span };
+        self.plane.set_key_validity(KeyValidity { version: validity.version, valid_until: until });
     }
 
     fn event(&self, event: Event) {
         match event {
-            Event::Leading { epoch } => info!(self.log, "leading"; "epoch" => epoch),
-            Event::NotLeading => info!(self.log, "not leading"),
-            Event::Founded { members } => info!(self.log, "first view told"; "members" => members),
-            Event::ServerLost { id } => info!(self.log, "server lost"; "server" => &*id),
-            Event::VersionNamed { model, version, binds_in } => {
-                info!(self.log, "version named";
-                    "model" => &*model, "version" => version, "binds_in_ms" => millis(binds_in));
+            Event::BecamePrimary { epoch } => info!(self.log, "became primary"; "epoch" => epoch),
+            Event::SteppedDown => info!(self.log, "stepped down"),
+            Event::Bootstrapped { members } => info!(self.log, "bootstrap view sent"; "members" => members),
+            Event::ServerTimedOut { id } => info!(self.log, "server heartbeat timed out"; "server" => &*id),
+            Event::VersionAnnounced { model, version, deadline_in } => {
+                info!(self.log, "model version announced";
+                    "model" => &*model, "version" => version, "deadline_ms" => millis(deadline_in));
             }
-            Event::LoadingBegun { server, target } => {
-                info!(self.log, "server held back";
-                    "server" => &*server, "model" => &*target.model, "version" => target.version);
+            Event::ServerReserved { server, reservation } => {
+                info!(self.log, "server reserved for rollout";
+                    "server" => &*server, "model" => &*reservation.model, "version" => reservation.version);
             }
-            Event::LoadingEnded { server, target } => {
-                info!(self.log, "server open again"; "server" => &*server,
-                    "model" => &*target.model, "version" => target.version, "loaded" => target.done);
+            Event::ServerReleased { server, reservation } => {
+                info!(self.log, "server released after rollout"; "server" => &*server,
+                    "model" => &*reservation.model, "version" => reservation.version, "loaded" => reservation.loaded);
             }
-            Event::OrderAnswered { order, answer } => {
-                info!(self.log, "order answered"; "server" => &*order.server, "model" => &*order.model,
-                    "version" => order.version, "fence" => order.fence, "answer" => answer_name(answer));
+            Event::OrderCompleted { order, outcome } => {
+                info!(self.log, "server order answered"; "server" => &*order.server, "model" => &*order.model,
+                    "version" => order.version, "fencing_token" => order.fencing_token, "result" => outcome_name(outcome));
             }
         }
     }
 
-    fn persist(&self, token: WriteId, records: Vec<Record>) {
+    fn persist(&self, write_id: WriteId, records: Vec<Record>) {
         if let Some(writer) = &*self.writer.borrow() {
-            writer.write(token, records);
+            writer.write(write_id, records);
         }
     }
 
-    fn may_end(&self) {
-        self.may_end.notify_one();
+    fn ready_to_exit(&self) {
+        self.ready_to_exit.notify_one();
     }
 }
