--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -5,19 +5,28 @@
 
 use gradepaddle_emulator::result::Outcome;
 
+use crate::error::Error;
 use crate::experiment::Row;
 use crate::plot::{self, Flow, Heat, Latency, Worth};
 use crate::{file, stats::Estimate};
 
 /// Writes all of one run into a folder: JSON, CSV, plots and the page.
-pub fn write(folder: &Path, outcome: &Outcome) -> Result<(), String> {
+///
+/// # Errors
+///
+/// The folder or one of the files cannot be written, or a plot cannot be drawn.
+pub fn write(folder: &Path, outcome: &Outcome) -> Result<(), Error> {
     file::folder(folder)?;
     file::write_json(&folder.join("result.json"), outcome)?;
     draw(folder, outcome)
 }
 
 /// Draws a result that is there: CSV, plots and the page.
-pub fn draw(folder: &Path, outcome: &Outcome) -> Result<(), String> {
+///
+/// # Errors
+///
+/// One of the files cannot be written, or a plot cannot be drawn.
+pub fn draw(folder: &Path, outcome: &Outcome) -> Result<(), Error> {
     file::write(&folder.join("seconds.csv"), &seconds_csv(outcome))?;
     file::write(&folder.join("classes.csv"), &classes_csv(outcome))?;
     plot::save(folder, "worth", &Worth(outcome))?;
@@ -238,7 +247,11 @@
 }
 
 /// The page of one run, with its plots in it.
-pub fn page(outcome: &Outcome) -> Result<String, String> {
+///
+/// # Errors
+///
+/// A plot cannot be drawn.
+pub fn page(outcome: &Outcome) -> Result<String, Error> {
     let plots = [
         plot::svg(&Worth(outcome))?,
         plot::svg(&Flow(outcome))?,
--- a/standins/src/process.rs
+++ b/standins/src/process.rs
@@ -14,7 +14,7 @@
 use tokio::task::spawn_local;
 
 use crate::books::{Fact, Turn};
-use crate::{Ledger, PATIENCE};
+use crate::{Error, Ledger, PATIENCE};
 
 /// One process. It is killed when it is dropped, also by a panic.
 pub struct Process {
@@ -31,18 +31,22 @@
     folder: TempDir,
 }
 
-fn other(text: impl Into<String>) -> io::Error {
-    io::Error::other(text.into())
-}
-
 impl Process {
     /// Starts the program at this path and waits until it is ready. `config` is what its file holds; the address that
     /// it listens on is of its own choice.
+    ///
+    /// # Errors
+    ///
+    /// Those of [`Process::start_with`].
     pub async fn start(program: &Path, number: usize, config: &Value, ledger: Ledger) -> io::Result<Process> {
         Self::start_with(program, number, config, ledger, &[]).await
     }
 
     /// The same with more in its environment.
+    ///
+    /// # Errors
+    ///
+    /// Its folder or file cannot be written, the program cannot be started, or it does not get ready in [`PATIENCE`].
     pub async fn start_with(
         program: &Path,
         number: usize,
@@ -62,17 +66,14 @@
             .stdout(Stdio::piped())
             .kill_on_drop(true)
             .spawn()?;
-        let id =
-            child.id().and_then(|id| Pid::from_raw(id.try_into().ok()?)).ok_or_else(|| other("no id"))?;
-        let output = child.stdout.take().ok_or_else(|| other("no output"))?;
+        let id = child.id().and_then(|id| Pid::from_raw(id.try_into().ok()?)).ok_or(Error::NoProcessId)?;
+        let output = child.stdout.take().ok_or(Error::NoOutput)?;
         let (says, said) = oneshot::channel();
         let books = ledger.clone();
         spawn_local(follow(child, output, number, says, books));
-        let [address, door, fleet] = match tokio::time::timeout(PATIENCE, said).await {
-            Ok(Ok([Some(address), door, fleet])) => [Some(address), door, fleet],
-            _ => return Err(other(format!("process {number} does not get ready"))),
+        let Ok(Ok([Some(address), door, fleet])) = tokio::time::timeout(PATIENCE, said).await else {
+            return Err(Error::NotReady { number }.into());
         };
-        let address = address.ok_or_else(|| other("no address"))?;
         Ok(Process { number, address, door, fleet, id, ledger, folder })
     }
 
@@ -84,7 +85,7 @@
     fn signal(&self, signal: Signal) -> io::Result<()> {
         // One that has ended and was waited for must not be signalled: its number may be another's by now.
         if matches!(self.ledger.read(|books| books.last_turn(self.number)), Some(Turn::Ended(_))) {
-            return Err(other(format!("process {} has ended", self.number)));
+            return Err(Error::ProcessEnded { number: self.number }.into());
         }
         Ok(kill_process(self.id, signal)?)
     }
@@ -96,26 +97,46 @@
     }
 
     /// Kills it.
+    ///
+    /// # Errors
+    ///
+    /// It has ended already, or cannot be signalled.
     pub fn kill(&self) -> io::Result<()> {
         self.turn(Turn::Killed, Signal::KILL)
     }
 
     /// Asks it to end.
+    ///
+    /// # Errors
+    ///
+    /// It has ended already, or cannot be signalled.
     pub fn ask_to_end(&self) -> io::Result<()> {
         self.turn(Turn::Asked, Signal::TERM)
     }
 
     /// Pauses it.
+    ///
+    /// # Errors
+    ///
+    /// It has ended already, or cannot be signalled.
     pub fn pause(&self) -> io::Result<()> {
         self.turn(Turn::Paused, Signal::STOP)
     }
 
     /// Lets it go on.
+    ///
+    /// # Errors
+    ///
+    /// It has ended already, or cannot be signalled.
     pub fn resume(&self) -> io::Result<()> {
         self.turn(Turn::Resumed, Signal::CONT)
     }
 
     /// Gives it this configuration and tells it to read it.
+    ///
+    /// # Errors
+    ///
+    /// The file cannot be written, it has ended already, or it cannot be signalled.
     pub fn reload(&self, config: &Value) -> io::Result<()> {
         std::fs::write(self.folder.path().join("config.json"), config.to_string())?;
         self.signal(Signal::HUP)
