--- a/config/tests/patches.rs
+++ b/config/tests/patches.rs
@@ -24,10 +24,10 @@
 }
 
 #[gtest]
-fn items_are_added_replaced_and_removed_by_name() -> googletest::Result<()> {
+fn items_are_added_replaced_and_removed_by_name() -> Result<()> {
+    type Edit<'a> = Box<dyn FnOnce(&mut Value) + 'a>;
     let added = route("fourth", "three.example", "/c/");
     let replacing = route("first", "one.example", "/z/");
-    type Edit<'a> = Box<dyn FnOnce(&mut Value) + 'a>;
     let cases: Vec<(&str, Value, Edit<'_>)> = vec![
         ("a version alone", json!({"version": 9}), Box::new(|_| {})),
         ("empty lists", json!({"version": 9, "upsert": {"routes": []}, "remove": {}}), Box::new(|_| {})),
@@ -75,7 +75,7 @@
 
 /// What a patch doesn't name is handed on as it was sent, to the byte.
 #[gtest]
-fn other_bytes_are_unchanged() -> googletest::Result<()> {
+fn other_bytes_are_unchanged() -> Result<()> {
     let base = br#"{"version":5, "odd": {"n": 1.0e2},"routes":[{"name":"a" , "x":1.50}],"backends":[ ]}"#;
     let patch =
         Patch::parse(br#"{"version":7,"upsert":{"routes":[{"name":"b"}],"customers":[{"name":"t"}]}}"#)?;
@@ -202,7 +202,7 @@
 
 /// A base in which a name stands twice: which one is meant can't be told.
 #[gtest]
-fn an_ambiguous_name_is_rejected() -> googletest::Result<()> {
+fn an_ambiguous_name_is_rejected() -> Result<()> {
     let base = br#"{"version":5,"routes":[{"name":"a"},{"name":"a"}],"backends":[]}"#;
     for patch in
         [r#"{"version":9,"upsert":{"routes":[{"name":"a"}]}}"#, r#"{"version":9,"remove":{"routes":["a"]}}"#]
--- a/config/tests/route_lookup.rs
+++ b/config/tests/route_lookup.rs
@@ -41,7 +41,7 @@
 #[gtest]
 fn a_path_may_end_inside_a_character_of_a_prefix() {
     let body = edited(|body| {
-        body["routes"] = json!([route("x", "one.example", "/\u{e9}/"), route("y", "one.example", "/e/")])
+        body["routes"] = json!([route("x", "one.example", "/\u{e9}/"), route("y", "one.example", "/e/")]);
     });
     let configuration = parsed(&body);
     expect_that!(configuration.route("one.example", "/\u{e9}/1").map(|route| &*route.name), some(eq("x")));
--- a/config/tests/valid_configurations.rs
+++ b/config/tests/valid_configurations.rs
@@ -145,7 +145,7 @@
             push(&mut body["routes"][2]["trafficSplit"], json!({"backend": "alpha", "weight": 5}));
         }),
         ("a service with weight 0 beside others", |body| {
-            body["routes"][2]["trafficSplit"][1]["weight"] = json!(0)
+            body["routes"][2]["trafficSplit"][1]["weight"] = json!(0);
         }),
         ("an empty single service beside a split", |body| body["routes"][2]["backend"] = json!("")),
         ("an empty split beside a single service", |body| body["routes"][0]["trafficSplit"] = json!([])),
--- a/control/src/leadership.rs
+++ b/control/src/leadership.rs
@@ -110,7 +110,7 @@
         let Some(proposal_id) = pending.proposal_id else { return };
         match self.committed.check(&pending.change) {
             ChangeCheck::AlreadyApplied => {
-                out.push(Output::Answer { proposal_id, outcome: Outcome::Committed })
+                out.push(Output::Answer { proposal_id, outcome: Outcome::Committed });
             }
             _ => self.queue.insert(0, Proposal { proposal_id, change: pending.change, since: pending.since }),
         }
--- a/control/tests/catch_up.rs
+++ b/control/tests/catch_up.rs
@@ -49,9 +49,9 @@
     for round in 0..rounds * fleet.machines.len() {
         let place = round % fleet.machines.len();
         if how == Return::WithDisk {
-            fleet.crash(place)
+            fleet.crash(place);
         } else {
-            fleet.wipe(place)
+            fleet.wipe(place);
         }
         let down = [50, 700, 2_500][round % 3] * MILLISECOND;
         fleet.start_after(place, down);
--- a/control/tests/simulator/clients.rs
+++ b/control/tests/simulator/clients.rs
@@ -49,10 +49,10 @@
     pub fn learn(&mut self, change: &Change, outcome: Outcome) {
         match (change, outcome) {
             (Change::PutConfiguration { version, .. }, Outcome::Committed) => {
-                self.believed = self.believed.max(*version)
+                self.believed = self.believed.max(*version);
             }
             (_, Outcome::Conflict { current } | Outcome::VersionNotHigher { current }) => {
-                self.believed = current
+                self.believed = current;
             }
             (_, Outcome::Unknown | Outcome::NotPrimary { .. }) => self.unclear.push(change.clone()),
             _ => {}
--- a/control/tests/simulator/random.rs
+++ b/control/tests/simulator/random.rs
@@ -1,4 +1,4 @@
-//! A pseudo-random generator that depends on the seed alone (SplitMix64).
+//! A pseudo-random generator that depends on the seed alone (`SplitMix64`).
 
 #[derive(Debug, Clone)]
 pub struct Random(u64);
--- a/controlplane/src/node.rs
+++ b/controlplane/src/node.rs
@@ -112,10 +112,10 @@
             Input::Envelope(Envelope { from, content }) => self.handle_message(now, from, content, out),
             Input::Call { call_id, call } => self.handle_call(now, call_id, call, out),
             Input::Persisted(write_id) => {
-                self.step_replica(now, ReplicaInput::WriteCompleted { write_id }, out)
+                self.step_replica(now, ReplicaInput::WriteCompleted { write_id }, out);
             }
             Input::PersistFailed(write_id) => {
-                self.step_replica(now, ReplicaInput::WriteFailed { write_id }, out)
+                self.step_replica(now, ReplicaInput::WriteFailed { write_id }, out);
             }
             Input::OrderCompleted { order, outcome } => {
                 let steps = self.rollout.handle_order_outcome(now, &order, outcome);
@@ -221,7 +221,7 @@
             }
             ReplicaOutput::Persist { write_id, records } => out.push(Output::Persist { write_id, records }),
             ReplicaOutput::Answer { proposal_id, outcome } => {
-                self.handle_decision(now, proposal_id.0, outcome, out)
+                self.handle_decision(now, proposal_id.0, outcome, out);
             }
             ReplicaOutput::Committed { state } => self.publish_committed(now, &state, out),
             ReplicaOutput::BecamePrimary { epoch } => {
@@ -248,10 +248,10 @@
                 }
                 GossipOutput::Changed(item) => self.handle_item(now, &item, out),
                 GossipOutput::Acknowledged { publish_id } => {
-                    self.handle_acknowledgment(publish_id, true, out)
+                    self.handle_acknowledgment(publish_id, true, out);
                 }
                 GossipOutput::AcknowledgmentFailed { publish_id } => {
-                    self.handle_acknowledgment(publish_id, false, out)
+                    self.handle_acknowledgment(publish_id, false, out);
                 }
             }
         }
--- a/controlplane/src/node/servers.rs
+++ b/controlplane/src/node/servers.rs
@@ -92,7 +92,7 @@
     /// Starts the time of all announced versions again, where this primary follows one that was lost: the core was
     /// unstable, and servers could not be ordered.
     pub(super) fn extend_version_deadlines(&mut self, now: Micros, epoch: u64, out: &mut Vec<Output>) {
-        if !self.replica.as_ref().is_some_and(|replica| replica.took_over_after_timeout()) {
+        if !self.replica.as_ref().is_some_and(gradepaddle_control::Replica::took_over_after_timeout) {
             return;
         }
         let mut results = Vec::new();
--- a/controlplane/src/node/status.rs
+++ b/controlplane/src/node/status.rs
@@ -76,7 +76,7 @@
     pub(super) fn status(&self, now: Micros) -> Response {
         let identity = self.session.identity();
         let view = self.view_summary();
-        let replica = self.replica.as_ref().map(|replica| replica.status());
+        let replica = self.replica.as_ref().map(gradepaddle_control::Replica::status);
         let configuration = self.gossip.get(CONFIGURATION, CONFIGURATION_KEY);
         let status = Status {
             node: identity.name.to_string(),
--- a/controlplane/tests/golden.rs
+++ b/controlplane/tests/golden.rs
@@ -436,7 +436,7 @@
         for step in rollout.tick(tick * 100 * MS, &servers, &named) {
             match step {
                 Step::PublishReservation(item) => {
-                    transcript.line(&format!("{tick} mark {}", item_line(&item)))
+                    transcript.line(&format!("{tick} mark {}", item_line(&item)));
                 }
                 Step::SendOrder(order) => transcript.line(&format!("{tick} order of {}", order.version)),
                 Step::QueryServer { server, .. } => transcript.line(&format!("{tick} ask {server}")),
--- a/controlplane/tests/leases.rs
+++ b/controlplane/tests/leases.rs
@@ -461,7 +461,7 @@
         for output in outputs {
             match output {
                 Output::Persist { write_id, .. } => {
-                    next.extend(fleet.hand(primary, MS, Input::Persisted(write_id)))
+                    next.extend(fleet.hand(primary, MS, Input::Persisted(write_id)));
                 }
                 Output::Send { to, content: content @ Content::Control(_) } => {
                     let backup = (0..3).find(|node| fleet.address(*node) == to)?;
--- a/controlplane/tests/response_matching.rs
+++ b/controlplane/tests/response_matching.rs
@@ -123,7 +123,7 @@
     Ok(())
 }
 
-/// SplitMix64.
+/// `SplitMix64`.
 struct Random(u64);
 
 impl Random {
@@ -370,7 +370,7 @@
     Order { server: Arc::from("i-7"), address, model: Arc::from("advisor"), version: 2, fencing_token: 41 }
 }
 
-/// A permit for an order under this fencing_token, good for as long as the sender is kept.
+/// A permit for an order under this `fencing_token`, good for as long as the sender is kept.
 fn permit(fencing_token: u64) -> (watch::Sender<Option<u64>>, OrderPermit) {
     let leading = watch::Sender::new(Some(fencing_token));
     let deadline = Instant::now() + Duration::from_secs(10);
--- a/controlplane/tests/simulation/world.rs
+++ b/controlplane/tests/simulation/world.rs
@@ -453,10 +453,10 @@
             Output::ServerChanged(entry) => self.observe_server(number, entry),
             Output::ServerRemoved(id) => self.observe_server_state(number, id, ServerState::Gone),
             Output::PeersChanged(peers) => self.observe(number, |observed| {
-                observed.peers = peers.into_iter().map(|peer| peer.address).collect()
+                observed.peers = peers.into_iter().map(|peer| peer.address).collect();
             }),
             Output::ConfigurationValidity(shown) => {
-                self.observe(number, |observed| observed.keys_until = shown.until)
+                self.observe(number, |observed| observed.keys_until = shown.until);
             }
             Output::Connected(connected) => self.observe(number, |observed| observed.connected = connected),
             Output::SendOrder(order) => self.give_order(number, order),
--- a/dataplane/src/proxy.rs
+++ b/dataplane/src/proxy.rs
@@ -138,7 +138,7 @@
                     return Some((*response, placement));
                 }
                 Ok(AttemptResult::Response(response, placement)) => {
-                    self.discard_response(&response, &placement)
+                    self.discard_response(&response, &placement);
                 }
                 Ok(AttemptResult::NotSent) if self.history.may_connect_again() => {}
                 Ok(AttemptResult::Rejected | AttemptResult::Failed) => {}
--- a/dataplane/tests/adversary/client.rs
+++ b/dataplane/tests/adversary/client.rs
@@ -155,10 +155,10 @@
                 self.check_body(request, server, response, complete);
             }
             Some(server) => {
-                self.history.violation(format!("MIXED: {id}: {server} did not give {response:?}"))
+                self.history.violation(format!("MIXED: {id}: {server} did not give {response:?}"));
             }
             None if response.status < 300 => {
-                self.history.violation(format!("MIXED: {id}: a success of nobody: {response:?}"))
+                self.history.violation(format!("MIXED: {id}: a success of nobody: {response:?}"));
             }
             None => {}
         }
--- a/dataplane/tests/adversary/random.rs
+++ b/dataplane/tests/adversary/random.rs
@@ -2,7 +2,7 @@
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// SplitMix64.
+/// `SplitMix64`.
 pub struct Random(u64);
 
 impl Random {
--- a/dataplane/tests/cache_events.rs
+++ b/dataplane/tests/cache_events.rs
@@ -49,7 +49,7 @@
         out.push(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).as_bytes());
         connection.write(&[&out]).await.expect("the node reads");
     }
-    std::future::pending().await
+    std::future::pending::<()>().await;
 }
 
 /// The first reports of stores that another balancer is sent.
--- a/dataplane/tests/connection_faults.rs
+++ b/dataplane/tests/connection_faults.rs
@@ -40,7 +40,7 @@
     let (mut stream, _) = listener.accept().await.expect("a connection");
     let mut received = Vec::new();
     let end = loop {
-        if let Some(end) = common::client::find(&received, b"\r\n\r\n") {
+        if let Some(end) = client::find(&received, b"\r\n\r\n") {
             break end + 4;
         }
         assert_ne!(stream.read_buf(&mut received).await.expect("bytes"), 0);
@@ -164,7 +164,7 @@
         }
         // It was not answered, which it would have been at the end of the wait.
         expect_that!(harness.plane.counters.denied.get(), eq(0));
-        harness.plane.set_configuration(common::configuration::parsed(&configuration()));
+        harness.plane.set_configuration(configuration::parsed(&configuration()));
         expect_that!(harness.all_server_requests().await.len(), eq(0));
     });
 }
@@ -294,7 +294,7 @@
             body["version"] = json!(6);
             body["limits"]["maxHeaderBytes"] = json!(9000);
         });
-        harness.plane.set_configuration(common::configuration::parsed(&raised));
+        harness.plane.set_configuration(configuration::parsed(&raised));
         let long = ClientRequest::get("/safe/x").field("X-Fill", &"f".repeat(8000));
         expect_that!(client.request(&long).await.status, eq(200));
         let longer = ClientRequest::get("/safe/x").field("X-Fill", &"f".repeat(9000));
--- a/dataplane/tests/key_validity.rs
+++ b/dataplane/tests/key_validity.rs
@@ -110,7 +110,7 @@
                 tokio::task::yield_now().await;
             }
             tokio::task::yield_now().await;
-            plane.set_configuration(common::configuration::parsed(&later));
+            plane.set_configuration(configuration::parsed(&later));
             plane.set_key_validity(shown(LATER));
         });
         expect_that!(response.status, eq(401));
--- a/dataplane/tests/load_reports.rs
+++ b/dataplane/tests/load_reports.rs
@@ -165,7 +165,7 @@
         &counters.outdated,
         &counters.implausible,
     ]
-    .map(|counter| counter.get())
+    .map(std::cell::Cell::get)
 }
 
 #[gtest]
--- a/gossip/src/gossip.rs
+++ b/gossip/src/gossip.rs
@@ -144,14 +144,14 @@
         self.items.expire(now);
         match message {
             Message::Push { items, acknowledge, repair } => {
-                self.handle_push(now, from, &items, acknowledge, repair, out)
+                self.handle_push(now, from, &items, acknowledge, repair, out);
             }
             Message::Offer { entries } => self.handle_offer(now, from, entries, out),
             Message::Fetch { entries } => self.handle_fetch(now, from, entries, out),
             Message::Digest { ranges, reply } => self.handle_digest(now, from, ranges, reply, out),
             Message::Entries { ranges } => self.handle_entries(now, from, ranges, out),
             Message::Acknowledge { entries, shutting_down } => {
-                self.handle_acknowledgment(now, from, &entries, shutting_down, out)
+                self.handle_acknowledgment(now, from, &entries, shutting_down, out);
             }
         }
     }
--- a/gossip/src/ranges.rs
+++ b/gossip/src/ranges.rs
@@ -128,7 +128,7 @@
     bytes.iter().fold(hash, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME))
 }
 
-/// The finalizer of MurmurHash3: spreads every bit over all others, which an exclusive or over many hashes needs.
+/// The finalizer of `MurmurHash3`: spreads every bit over all others, which an exclusive or over many hashes needs.
 fn mixed(mut hash: u64) -> u64 {
     hash = (hash ^ (hash >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
     hash = (hash ^ (hash >> 33)).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
--- a/gossip/tests/acknowledgment.rs
+++ b/gossip/tests/acknowledgment.rs
@@ -141,7 +141,7 @@
     expect_that!(fleet.acknowledgments[&1].1, eq(true));
 }
 
-/// Where the peers shrink to the acknowledged_by, that is all there are.
+/// Where the peers shrink to the `acknowledged_by`, that is all there are.
 #[gtest]
 fn fewer_peers_need_fewer_copies() {
     let mut fleet = Simulation::new(3, 30);
--- a/gossip/tests/reach.rs
+++ b/gossip/tests/reach.rs
@@ -29,7 +29,7 @@
     copies: f64,
 }
 
-/// Publishes items in a node_at_rest fleet and measures when the last node takes each.
+/// Publishes items in a `node_at_rest` fleet and measures when the last node takes each.
 fn reach(nodes: usize, loss: f64) -> Reach {
     let mut fleet = Simulation::new(nodes, 7 + nodes as u64);
     fleet.run_for(2 * SECOND);
--- a/http/src/head.rs
+++ b/http/src/head.rs
@@ -230,7 +230,7 @@
 /// The spans of the three parts of a first line.
 fn first_line(text: &[u8], line: Range<usize>) -> Result<[Range<usize>; 3], MalformedMessage> {
     let bytes = &text[line.clone()];
-    if std::str::from_utf8(bytes).is_err() || bytes.iter().any(|b| b.is_ascii_control()) {
+    if std::str::from_utf8(bytes).is_err() || bytes.iter().any(u8::is_ascii_control) {
         return Err(MalformedMessage::FirstLineNotText);
     }
     let space = |from: usize| (from..line.end).find(|i| text[*i] == b' ');
--- a/http/src/head/tests.rs
+++ b/http/src/head/tests.rs
@@ -3,7 +3,6 @@
 
 use super::*;
 use crate::buffers::Pool;
-use crate::head;
 use crate::testing::fixed;
 
 fn runner() -> TestRunner {
@@ -28,9 +27,9 @@
         let mut inbox = Pool::default().chain();
         inbox.push(text.as_bytes());
         prop_assume!(!lines.is_empty());
-        let end = head::find_end(&inbox, 0);
+        let end = find_end(&inbox, 0);
         prop_assert_eq!(end, Some(text.len()));
-        prop_assert_eq!(head::find_end(&inbox, cut.min(text.len() - 1)), end);
+        prop_assert_eq!(find_end(&inbox, cut.min(text.len() - 1)), end);
         if let Ok(head) = Head::parse(text.into_bytes()) {
             let request = head.check_request().is_ok();
             prop_assert!(!request || head.target().starts_with('/'));
--- a/placement/examples/decision_cost.rs
+++ b/placement/examples/decision_cost.rs
@@ -5,8 +5,8 @@
 
 use std::time::Instant;
 
-use common::*;
-use gradepaddle_placement::*;
+use common::{MS, STORE, added, chunk, long, place, placer_of, request, serve};
+use gradepaddle_placement::{PlacementConfig, TableSizes};
 
 const ROUNDS: u64 = 20_000;
 
--- a/placement/examples/fleet_simulation.rs
+++ b/placement/examples/fleet_simulation.rs
@@ -4,7 +4,7 @@
 #[path = "../tests/common/mod.rs"]
 mod common;
 
-use common::simulation::*;
+use common::simulation::{Plan, Policy, Simulation};
 
 fn main() {
     let given: Vec<f64> = std::env::args().skip(1).filter_map(|word| word.parse().ok()).collect();
--- a/placement/tests/common/mod.rs
+++ b/placement/tests/common/mod.rs
@@ -4,7 +4,11 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::sync::Arc;
 
-use gradepaddle_placement::*;
+use gradepaddle_placement::{
+    AttemptId, AttemptOutcome, CacheEvent, CacheIsolation, CacheStoreService, Counters, Micros, ModelService,
+    ModelVersion, Placement, PlacementConfig, PlacementRequest, Placer, PromptChunk, ServerEntry,
+    ServerLoadReport, ServerState, ServiceSpec,
+};
 
 pub mod simulation;
 
--- a/placement/tests/common/simulation.rs
+++ b/placement/tests/common/simulation.rs
@@ -4,7 +4,11 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 
-use super::*;
+use super::{
+    Arc, AttemptId, AttemptOutcome, CacheEvent, Counters, MODEL, MS, Micros, PlacementConfig,
+    PlacementRequest, Placer, PromptChunk, STORE, ServerEntry, ServerLoadReport, ServiceSpec, ZONES, chunk,
+    entry, pool, request, shelf, store_address,
+};
 
 const STEP_MS: f64 = 5.47;
 const STEP_EACH_MS: f64 = 0.0121;
--- a/placement/tests/kv_transfers.rs
+++ b/placement/tests/kv_transfers.rs
@@ -86,6 +86,7 @@
 
 #[gtest]
 fn the_store_is_a_source_while_it_has_contact() {
+    type Change = (fn(&mut Placer), Micros);
     let (home, salt, mut node) = fresh(1, 3);
     cache_chunks(&mut node, STORE, &salt, &long(1, 1)[..2]);
     let choice = place(&mut node, NOW, 1, 2);
@@ -93,8 +94,7 @@
     expect_that!(choice.fetch, some(eq(store_address())));
     expect_that!(choice.save, none());
     expect_that!(node.counters().guessed_fetches, eq(0));
-    // Failed, silent or emptied, it is not named.
-    type Change = (fn(&mut Placer), Micros);
+    // Failed, without contact or emptied, it is no source.
     let changes: [Change; 2] =
         [(|node| node.record_source_failure(NOW - 10 * MS, STORE), NOW), (|_| {}, NOW + 3_000 * MS)];
     for (change, at) in changes {
--- a/placement/tests/model_versions.rs
+++ b/placement/tests/model_versions.rs
@@ -1,4 +1,4 @@
-//! VersionDeadlines of weights, walls and the salts that keep them apart.
+//! `VersionDeadlines` of weights, walls and the salts that keep them apart.
 
 mod common;
 
--- a/placement/tests/stream_pauses.rs
+++ b/placement/tests/stream_pauses.rs
@@ -1,4 +1,4 @@
-//! StreamPauses in streams: learned from streams that came whole, and heeded only where they are near the streams' bound.
+//! `StreamPauses` in streams: learned from streams that came whole, and heeded only where they are near the streams' bound.
 
 mod common;
 
--- a/store/tests/disk/mod.rs
+++ b/store/tests/disk/mod.rs
@@ -65,7 +65,7 @@
     }
 
     pub fn contents(&self) -> MutexGuard<'_, Contents> {
-        self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+        self.0.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     pub fn set_fault(&self, fault: DiskFault) {
--- a/store/tests/writer.rs
+++ b/store/tests/writer.rs
@@ -33,12 +33,12 @@
 
 impl Gate {
     fn set_closed(&self, closed: bool) {
-        *self.closed.lock().unwrap_or_else(|poisoned| poisoned.into_inner()) = closed;
+        *self.closed.lock().unwrap_or_else(std::sync::PoisonError::into_inner) = closed;
         self.opened.notify_all();
     }
 
     fn pass(&self) {
-        let closed = self.closed.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        let closed = self.closed.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         drop(self.opened.wait_while(closed, |closed| *closed));
     }
 }
--- a/system/src/command.rs
+++ b/system/src/command.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 pub enum Command {
-    /// Run a node; GRADEPADDLE_BOOT names its settings file
+    /// Run a node; `GRADEPADDLE_BOOT` names its settings file
     #[bpaf(command)]
     Run,
     /// Check a settings file and print every finding; nothing is started
--- a/system/src/effects.rs
+++ b/system/src/effects.rs
@@ -52,7 +52,7 @@
             Ok(configuration) => self.plane.set_configuration(configuration),
             // The primary has validated it: its build may know more than this one.
             Err(findings) => {
-                warn!(self.log, "configuration rejected"; "findings" => findings.to_string())
+                warn!(self.log, "configuration rejected"; "findings" => findings.to_string());
             }
         }
     }
