--- a/placement/examples/decision_cost.rs
+++ b/placement/examples/decision_cost.rs
@@ -15,7 +15,7 @@
         let mut node = placer_of(PlacementConfig::builder().own_zone("a").build(), servers);
         node.set_balancer_count(78);
         let salt = place(&mut node, 0, 0, 0).salt.expect("version known");
-        // Every server keeps the four common chunks and 30 subjects of its own.
+        // Every server has the four common chunks cached and 30 subjects of its own.
         for number in 0..servers {
             let id = format!("i-{number}");
             (1..=4).for_each(|group| node.apply_cache_event(0, &id, added(&salt, &chunk(group, 2_520))));
--- a/placement/tests/cache_store_saves.rs
+++ b/placement/tests/cache_store_saves.rs
@@ -1,4 +1,4 @@
-//! What is saved in a store whose link may carry no more, and what moves cost beside their time.
+//! Saves to a cache store whose link is full, and the cost of transfers beside their duration.
 
 mod common;
 
@@ -7,10 +7,10 @@
 use gradepaddle_placement::*;
 
 const NOW: Micros = 20_000 * MS;
-/// Later than any save that arrives.
+/// After this a save has arrived or is lost.
 const ARRIVED: Micros = 3_000 * MS;
 
-/// A prompt of a subject with this many tokens of its own, and whether the store is to get it.
+/// Places a prompt of a subject with this many own tokens; whether it is saved to the store.
 fn is_saved(node: &mut Placer, now: Micros, subject: u64, own: u32) -> bool {
     node.record_cache_contact(now, STORE);
     let mut chunks = long(subject, subject);
@@ -20,7 +20,7 @@
     choice.save.is_some()
 }
 
-/// Has this many saves ordered one after the other, of which the store tells or not.
+/// Orders a save for each subject, one after the other; `arrive` tells whether the store reports them.
 fn save_some(node: &mut Placer, from: Micros, subjects: std::ops::Range<u64>, arrive: bool) -> Micros {
     let salt = place(&mut placer(6), NOW, 1, 1).salt.expect("version known").to_string();
     let mut now = from;
@@ -41,7 +41,7 @@
     let mut node = placer(6);
     expect_that!(is_saved(&mut node, NOW, 1, 20_000), eq(true));
     let now = save_some(&mut node, NOW + 100 * MS, 2..12, false);
-    // SaveTracker of mostly shared prompts go on, which tell when the link has room again.
+    // Mostly shared prompts are still saved, which shows when the link has capacity again.
     expect_that!(is_saved(&mut node, now, 20, 1_000), eq(true));
     expect_that!(is_saved(&mut node, now, 21, 20_000), eq(false));
     let now = save_some(&mut node, now, 30..50, true);
@@ -53,7 +53,7 @@
 fn chunks_computed_beside_a_transfer_are_saved() {
     let salt = place(&mut placer(6), NOW, 1, 1).salt.expect("version known").to_string();
     let mut node = placer(6);
-    // Another server keeps only the common chunk.
+    // Another server has only the common chunk cached.
     node.apply_cache_event(NOW - MS, "i-1", added(&salt, &long(1, 1)[0]));
     node.observe_server_load(NOW - MS, "i-1", ServerLoadReport { running: 40, waiting: 40, slots: 48 });
     node.record_cache_contact(NOW, STORE);
@@ -62,7 +62,7 @@
     expect_that!(choice.save, some(eq(store_address())));
 }
 
-/// Moving a prompt pushes others out of the taker's memory, so that a short wait at its holder is better.
+/// A transfer evicts other prompts at its destination, so a short wait at the holder is better.
 #[gtest]
 fn a_short_wait_at_the_holder_is_preferred_to_a_transfer() {
     for (backlog_ms, stays) in [(80.0, true), (400.0, false)] {
--- a/placement/tests/common/mod.rs
+++ b/placement/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: entries, services, requests and an placer over a few servers.
+//! What the tests share: entries, services, requests and a placer over a few servers.
 #![allow(dead_code, reason = "each test file uses its own chunk")]
 
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -61,7 +61,7 @@
         .build()
 }
 
-/// An placer over `count` servers of version 1, in zone a.
+/// A placer over `count` servers of version 1, in zone a.
 pub fn placer(count: u16) -> Placer {
     placer_of(PlacementConfig::builder().own_zone("a").seed(7).build(), count)
 }
@@ -98,7 +98,7 @@
     }
 }
 
-/// Chooses for a long prompt.
+/// Places a long prompt.
 pub fn place(placer: &mut Placer, now: Micros, subject: u64, own: u64) -> Placement {
     placer.place(now, &request(&long(subject, own)), &[]).expect("a server is ready")
 }
--- a/placement/tests/common/simulation.rs
+++ b/placement/tests/common/simulation.rs
@@ -1,5 +1,5 @@
-//! A seeded simulation of servers that run requests in batches, after the engine figures of the deployment pages:
-//! pieces of 2,048 prompt tokens between steps, memory shared with kept chunks, moves over links, late kept events.
+//! A seeded simulation of servers that run requests in batches, after the figures of inference engines on the deployment pages:
+//! prefill chunks of 2,048 tokens between steps, memory shared with cached chunks, transfers over links, late events.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -20,7 +20,7 @@
 const LOST_EVENTS: u64 = 100;
 const WAY: Micros = 500;
 
-/// How requests are spread.
+/// How requests are placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
     Placer,
@@ -46,7 +46,7 @@
 pub struct Outcome {
     /// Times to first token in milliseconds, of the long and the short kind.
     pub first_ms: [Vec<f64>; 2],
-    /// Tokens of shared chunks that were read though some server had read them before.
+    /// Tokens of shared chunks that were computed again.
     pub read_again: u64,
     pub moved: u64,
     pub refused: u64,
@@ -123,7 +123,7 @@
         self.order.insert(clock, (salt.clone(), chunk.id));
     }
 
-    /// Drops the least recently used beyond the room left by running requests.
+    /// Evicts the least recently used chunks beyond the capacity that running requests leave.
     fn shrink(&mut self, running: u64) -> Vec<((Arc<str>, u64), u32)> {
         let mut dropped = Vec::new();
         while self.used + running > self.room {
@@ -317,7 +317,7 @@
         self.deliver(arrives, machine, job);
     }
 
-    /// Moves what the source has beyond the server's own; when that is there.
+    /// Transfers what the source has beyond the server's own; when the transfer is complete.
     fn fetch(&mut self, now: Micros, machine: usize, source: Option<usize>, job: &Job) -> Micros {
         let own = self.machines[machine].cache.head(&job.salt, &job.chunks);
         let (cache, link, until) = match source {
--- a/placement/tests/golden.rs
+++ b/placement/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Choices, pinned: two placers that tell each other what they know are driven by calls drawn by seed, and everything
-//! that they return goes into one number. The numbers were taken from commit 4552024: a change of names or of structure
+//! Pinned placements: two placers that exchange reports are driven by seeded random calls, and everything
+//! that they return goes into a digest. The digests were taken from commit 4552024: a change of names or of structure
 //! leaves them as they are, a change of a decision does not.
 
 mod common;
@@ -19,7 +19,7 @@
 
 const SERVERS: u16 = 14;
 const STEPS: usize = 20_000;
-/// What seeds 1 to 6 give.
+/// The digests of seeds 1 to 6.
 const DIGESTS: [&str; 6] = [
     "cb52203808b16b8c",
     "8d65d122af8f7a55",
@@ -32,7 +32,7 @@
 const SECOND_MODEL: &str = "m1";
 const SECOND_STORE: &str = "cellar";
 
-/// Numbers drawn by seed.
+/// Seeded random numbers.
 struct Random(u64);
 
 impl Random {
@@ -50,7 +50,7 @@
     }
 }
 
-/// One number made of all that was returned.
+/// A digest of all that was returned.
 struct Digest(u64);
 
 impl Digest {
@@ -311,7 +311,7 @@
     }
 }
 
-/// One node's reports go to the other.
+/// Sends one node's reports to the other.
 fn exchange(nodes: &mut [Node; 2], from: usize, now: Micros, digest: &mut Digest) {
     let sender = &mut nodes[from];
     sender.sequence += 1;
--- a/placement/tests/kv_transfers.rs
+++ b/placement/tests/kv_transfers.rs
@@ -1,4 +1,4 @@
-//! Where chunks are fetched from, what is saved, and the index of kept chunks.
+//! Sources of KV transfers, saves, and the index of cached chunks.
 
 mod common;
 
@@ -36,7 +36,7 @@
 
 #[gtest]
 fn the_holder_of_the_longest_prefix_is_the_source_and_of_equals_the_nearest() {
-    // i-0 and i-3 stand in zone a, i-1 and i-4 in b, i-2 and i-5 in c.
+    // i-0 and i-3 are in zone a, i-1 and i-4 in b, i-2 and i-5 in c.
     for (holders, chosen, source) in [
         (vec![("i-1", 2), ("i-2", 1)], "i-0", "i-1"),
         (vec![("i-1", 2), ("i-3", 2)], "i-0", "i-3"),
@@ -117,7 +117,7 @@
     node.record_cache_contact(NOW, STORE);
     let first = place(&mut node, NOW, 1, 1);
     expect_that!(first.save, some(eq(store_address())));
-    // Another that reads them meanwhile does not send them too.
+    // Another server that computes them meanwhile does not save them, too.
     let meanwhile = node.place(NOW, &request(&long(1, 9)), std::slice::from_ref(&first.server));
     let meanwhile = meanwhile.expect("others are ready");
     expect_that!(meanwhile.save, none());
@@ -125,7 +125,7 @@
     serve(&mut node, NOW, &first);
     node.record_cache_contact(NOW + 200 * MS, STORE);
     expect_that!(place(&mut node, NOW + 200 * MS, 1, 2).save, none());
-    // Elsewhere, before the store has told: not again either.
+    // Not again elsewhere either, before the store has reported them.
     let elsewhere = node.place(NOW + 210 * MS, &request(&long(1, 3)), std::slice::from_ref(&first.server));
     expect_that!(elsewhere.expect("others are ready").save, none());
 }
@@ -158,9 +158,9 @@
     for id in 0..1_000 {
         node.apply_cache_event(NOW, "i-0", added("s", &chunk(id, 3_000)));
     }
-    // 105,065 tokens: what all balancers see read counts, so nothing beyond the memory can still be kept.
+    // 105,065 tokens: the prefills that all balancers see count, so nothing beyond the capacity can still be cached.
     expect_that!(node.table_sizes().cached_chunks, eq(35));
-    // The oldest went.
+    // The least recently used was evicted.
     let before = node.table_sizes().cached_chunks;
     node.apply_cache_event(
         NOW,
@@ -196,7 +196,7 @@
     }
     expect_that!(node.table_sizes().cached_chunks, eq(100));
     expect_that!(node.table_sizes().index_bytes, le(2 * bytes + 8_192));
-    // A chunk that shrank counts with what is left of it.
+    // A partially evicted chunk counts with its remaining tokens.
     node.apply_cache_event(NOW, "i-0", CacheEvent::Dropped { salt: "s", chunk: 1, tokens: 8, model: MODEL });
     expect_that!(node.table_sizes().cached_chunks, eq(100));
 }
@@ -236,13 +236,13 @@
     }
 }
 
-/// Seen on kctc-grown: of the chunks that an older holder was asked for, nine in ten were gone, since more is read there
-/// than other nodes know of. The store keeps them for longer.
+/// Seen on kctc-grown: of the chunks that an older holder was asked for, nine in ten were evicted, since more is cached there
+/// than other nodes know of. The store retains them for longer.
 #[gtest]
 fn a_holder_with_long_unused_chunks_comes_after_the_store() {
     for (unused, source) in [(100 * MS, address_of("i-1")), (5_000 * MS, store_address())] {
         let (_, salt, mut node) = fresh(1, 3);
-        // It had to make room for what was read there: ten prompts a second, each of a sixteenth of its memory.
+        // Evictions by new prefills: ten prompts a second, each of a sixteenth of its memory.
         for number in 0..100 {
             let event = chunk(5_000 + number, 6_500);
             node.apply_cache_event(number * 100 * MS, "i-1", added(&salt, &event));
--- a/placement/tests/model_versions.rs
+++ b/placement/tests/model_versions.rs
@@ -1,4 +1,4 @@
-//! `VersionDeadlines` of weights, walls and the salts that keep them apart.
+//! Model versions and their deadlines, isolation, and the salts that separate cached chunks.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use gradepaddle_placement::*;
 
 const NAMED: Micros = 10_000 * MS;
-/// Within which a named version binds.
+/// The time from an announcement to its deadline.
 const WITHIN: Micros = 8_000 * MS;
 
 fn servers_chosen(node: &mut Placer, now: Micros) -> BTreeSet<std::sync::Arc<str>> {
@@ -99,13 +99,13 @@
     let new = BTreeSet::from(["i-0".into(), "i-1".into()]);
     let at = NAMED + 2_000 * MS;
     expect_that!(servers_chosen(&mut node, at), eq(&new));
-    // Until it is due, the old ones take what the new ones are too loaded for.
+    // Before the deadline, servers with the old version take what the newer ones are too loaded for.
     let open: Vec<_> = (0..40).map(|own| place(&mut node, at, own, own)).collect();
     expect_that!(node.server_statuses(at).filter(|s| s.in_flight > 0).count(), gt(2));
     for choice in open {
         node.record_end(at, choice.attempt, AttemptOutcome::ClientGone, None, None);
     }
-    // 8 s less 1.5 s after it was named, they get nothing, however loaded the others are.
+    // From 8 s less 1.5 s after the announcement they get nothing, however loaded the others are.
     let due = NAMED + 6_500 * MS;
     expect_that!(servers_chosen(&mut node, due), eq(&new));
     for subject in 0..80 {
@@ -120,12 +120,12 @@
     node.announce_version(NAMED + WITHIN, MODEL, 2);
     expect_that!(servers_chosen(&mut node, NAMED + 6_499 * MS).len(), gt(0));
     expect_that!(servers_chosen(&mut node, NAMED + 6_500 * MS).len(), eq(0));
-    // A late heartbeat with the old version does not help; the news of the new one does.
+    // A late heartbeat with the old version does not help; a report of the new one does.
     node.update_server(NAMED + 6_600 * MS, entry(0, 1));
     expect_that!(servers_chosen(&mut node, NAMED + 6_600 * MS).len(), eq(0));
     node.update_server(NAMED + 6_700 * MS, entry(0, 2));
     expect_that!(servers_chosen(&mut node, NAMED + 6_700 * MS).len(), eq(1));
-    // A server without a known version is left out too, and so is a new one with the old.
+    // A server without a known version is left out, too, and so is a new server with the old version.
     node.update_server(NAMED + 6_800 * MS, ServerEntry { models: vec![], ..entry(7, 1) });
     node.update_server(NAMED + 6_800 * MS, entry(8, 1));
     expect_that!(servers_chosen(&mut node, NAMED + 6_800 * MS).len(), eq(1));
@@ -137,13 +137,13 @@
     (0..3).for_each(|n| node.update_server(0, entry(n, u64::from(n) + 1)));
     node.announce_version(NAMED + WITHIN, MODEL, 2);
     node.announce_version(NAMED + WITHIN + 3_000 * MS, MODEL, 3);
-    // An old name that comes late changes nothing.
+    // An old announcement that arrives late changes nothing.
     node.announce_version(NAMED + WITHIN + 4_000 * MS, MODEL, 1);
     let least = |node: &mut Placer, at| {
         let chunks = long(1, 1);
         let mut tried = Vec::new();
         while let Ok(choice) = node.place(at, &request(&chunks), &tried) {
-            // None is left open: a server that is silent for long is taken to let others wait as long.
+            // All attempts are ended: a server that has not answered for long is expected to delay others as long.
             node.record_end(at, choice.attempt, AttemptOutcome::ClientGone, None, None);
             if tried.contains(&choice.server) {
                 break;
@@ -160,8 +160,8 @@
 
 #[gtest]
 fn a_server_whose_queue_outlasts_its_version_is_left_out() {
-    // The server is silent: what follows is expected to wait as long as the first has waited, and version 2 binds after
-    // 8 s. Nothing else leaves it out before 6.5 s.
+    // The server does not answer: a later request is expected to wait as long as the first, and version 2 is binding after
+    // 8 s. Nothing else excludes it before 6.5 s.
     for (waited, chosen) in [(3_000, true), (3_700, true), (4_100, false), (5_000, false)] {
         let mut node = placer(1);
         node.announce_version(NAMED + WITHIN, MODEL, 2);
@@ -180,12 +180,12 @@
     expect_that!(node.start_deadline(waiting.attempt), none());
     node.announce_version(NAMED + WITHIN, MODEL, 2);
     node.announce_version(NAMED + WITHIN + 2_000 * MS, MODEL, 3);
-    // A quarter of a second before version 2 binds, whatever was named since.
+    // A quarter of a second before version 2 is binding, whatever was announced since.
     expect_that!(node.start_deadline(waiting.attempt), some(eq(NAMED + WITHIN - 250 * MS)));
     expect_that!(node.start_deadline(begun.attempt), none());
     node.extend_version_deadline(NAMED + WITHIN + 1_000 * MS, MODEL, 2);
     expect_that!(node.start_deadline(waiting.attempt), some(eq(NAMED + WITHIN + 750 * MS)));
-    // One on version 2 may wait until version 3 binds.
+    // An attempt on version 2 may wait until version 3 is binding.
     node.observe_version(NAMED + 2 * MS, "i-0", MODEL, 2);
     node.observe_version(NAMED + 2 * MS, "i-1", MODEL, 2);
     node.observe_version(NAMED + 2 * MS, "i-2", MODEL, 2);
@@ -202,7 +202,7 @@
     expect_that!(node.outdated_start(NAMED + WITHIN - 1, late.attempt, None), none());
     let begin = node.outdated_start(NAMED + WITHIN, late.attempt, None);
     expect_that!(begin, some(eq(OutdatedStart { version: 1, binding: 2, waited: WITHIN })));
-    // Its answer says that the server has loaded the newer version meanwhile.
+    // Its response states that the server has loaded the newer version meanwhile.
     expect_that!(node.outdated_start(NAMED + WITHIN, loaded.attempt, Some(2)), none());
     expect_that!(node.counters().outdated_starts, eq(1));
 }
@@ -215,7 +215,7 @@
     node.update_server(2, entry(0, 2));
     node.observe_version(3, "i-0", MODEL, 1);
     expect_that!(expected(&mut node, 4), some(eq(3)));
-    // One that denies it has an unknown version until it tells, and no longer the one denied.
+    // A server that denies its version has an unknown one until it reports another.
     let choice = place(&mut node, 5, 1, 5);
     node.record_end(6, choice.attempt, AttemptOutcome::VersionMismatch, None, None);
     expect_that!(expected(&mut node, 7), none());
--- a/placement/tests/peer_loads.rs
+++ b/placement/tests/peer_loads.rs
@@ -1,4 +1,4 @@
-//! What balancers tell each other: loads in flight, prompts read; and what the control plane says of single servers.
+//! Reports between balancers: loads in flight and completed prefills; and what the control plane says of single servers.
 
 mod common;
 
@@ -9,21 +9,21 @@
 
 const NOW: Micros = 20_000 * MS;
 const PEER: u64 = 99;
-/// Within which a named version binds.
+/// The time from an announcement to its deadline.
 const WITHIN: Micros = 8_000 * MS;
 
 fn load(server: &str, backlog_ms: f64) -> LocalLoad {
     LocalLoad { server: hash(server), backlog_ms, running: 1, tokens: 9_000 }
 }
 
-/// A node that knows of one other balancer.
+/// A node beside one other balancer.
 fn pair(servers: u16) -> Placer {
     let mut node = placer(servers);
     node.set_balancer_count(2);
     node
 }
 
-/// Where a fresh prompt of this subject goes.
+/// The server that a new prompt of this subject is placed on.
 fn home(servers: u16, subject: u64) -> String {
     place(&mut pair(servers), NOW, subject, 1).server.to_string()
 }
@@ -80,7 +80,7 @@
     expect_that!(seen.len(), eq(1));
     expect_that!(one.take_prefill_reports(), is_empty());
     other.apply_peer_prefill_reports(NOW + 200 * MS, &seen);
-    // The holder is busy, so the next goes elsewhere and takes the chunks along.
+    // The holder is busy, so the next request goes elsewhere and fetches the chunks.
     other.apply_peer_loads(NOW + 200 * MS, PEER, 1, vec![load(&first.server, 900.0)]);
     let next = place(&mut other, NOW + 201 * MS, 1, 2);
     expect_that!(&*next.server, not(eq(&*first.server)));
@@ -108,7 +108,7 @@
     node.apply_peer_loads(NOW - MS, PEER, 1, vec![streams]);
     let choice = node.place(NOW, &request(&chunks), &[]).expect("a server is ready");
     expect_that!(&*choice.server, not(eq(&*home)));
-    // A short reading stays with its key's home.
+    // A short prefill stays at its key's home.
     let mut node = pair(2);
     node.apply_peer_loads(NOW - MS, PEER, 1, vec![streams]);
     let short = [chunk(1, 2_520), chunk(1_001, 3_780), chunk(7, 600)];
@@ -135,7 +135,7 @@
     let mut node = pair(2);
     node.announce_version(NOW + WITHIN, MODEL, 2);
     node.extend_version_deadline(NOW + WITHIN + 6_000 * MS, MODEL, 2);
-    // 8 s less the margin of 1.5 s: it would have bound at 6.5 s, and does at 12.5 s.
+    // 8 s less the margin of 1.5 s: it would have been binding for placements at 6.5 s, and is at 12.5 s.
     expect_that!(node.place(NOW + 12_000 * MS, &request(&long(1, 1)), &[]).is_ok(), eq(true));
     expect_that!(node.place(NOW + 13_000 * MS, &request(&long(1, 2)), &[]).is_err(), eq(true));
     node.extend_version_deadline(NOW + WITHIN + 13_000 * MS, MODEL, 2);
--- a/placement/tests/placement.rs
+++ b/placement/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Which server wins: homes, spreading under load, states, failures, refusals.
+//! Selection of servers: homes, spreading under load, states, ejection, rejections.
 
 mod common;
 
@@ -55,7 +55,7 @@
     now += 300 * MS;
     let again = place(&mut node, now, 1, 2);
     expect_that!(again.server, eq(&first.server));
-    // Nothing ends: the key's set widens, each time to one that fetches from a holder.
+    // Nothing ends: the key's set widens, each time by a server that fetches from a holder.
     let mut used = BTreeSet::new();
     let mut open = vec![again];
     for own in 0..30 {
@@ -67,7 +67,7 @@
     for choice in open {
         serve(&mut node, now + 100 * MS, &choice);
     }
-    // Once all is read, its first holders serve it again, by the least sum.
+    // Once all prefills are complete, its first holders serve it again, by the least sum.
     now += 5_000 * MS;
     let later: BTreeSet<_> = (0..5)
         .map(|own| {
@@ -104,7 +104,7 @@
             node.apply_cache_event(1_900 * MS, &format!("i-{holder}"), added(&salt, shared));
         }
         expect_that!(&*place(&mut node, 2_000 * MS, 9, 2).server, eq(&*format!("i-{holder}")));
-        // Once dropped it is no holder any more, and the home has it.
+        // Once evicted there, the home serves it.
         for shared in &long(9, 1)[..2] {
             let event = CacheEvent::Dropped { salt: &salt, chunk: shared.id, tokens: 0, model: MODEL };
             node.apply_cache_event(2_100 * MS, &format!("i-{holder}"), event);
@@ -155,7 +155,7 @@
             let other = place(&mut node, now + span * MS - 2, 5, now + 1);
             expect_that!(other.server, not(eq(&home.server)));
             node.record_end(now + span * MS - 1, other.attempt, AttemptOutcome::ClientGone, None, None);
-            // The members of the key's set since don't matter here: a fresh key with that home.
+            // An unknown key with that home, so that the key's set does not matter.
             now += span * MS;
             let status = node.server_statuses(now).find(|s| s.id == home.server).expect("known");
             expect_that!(status.is_ejected, eq(false));
@@ -182,7 +182,7 @@
     let is_ejected = |node: &Placer, now| node.server_statuses(now).next().expect("one").is_ejected;
     expect_that!(is_ejected(&node, now + 199 * MS), eq(true));
     expect_that!(is_ejected(&node, now + 201 * MS), eq(false));
-    // All are suspect: the only one is used all the same.
+    // All are ejected: the only one is used nevertheless.
     let trial = place(&mut node, now + 20, 1, 100);
     node.record_first_event(now + 50 * MS, trial.attempt);
     expect_that!(is_ejected(&node, now + 51 * MS), eq(false));
@@ -242,7 +242,7 @@
     let mut node = placer(1);
     let mut now = 2_000 * MS;
     for own in 0..20 {
-        // Nothing of it is kept yet, so that 7,600 tokens are read: 200 ms at usual speed.
+        // Nothing of it is cached yet, so 7,600 tokens are computed: 200 ms at standard speed.
         let chunks = [chunk(10 * own, 2_600), chunk(10 * own + 1, 5_000)];
         let choice = node.place(now, &request(&chunks), &[]).expect("ready");
         node.record_first_event(now + 262 * MS, choice.attempt);
@@ -268,7 +268,7 @@
     let fresh =
         |node: &Placer, now| node.server_statuses(now).find(|s| &*s.id == "i-9").expect("known").load_ms;
     expect_that!(fresh(&node, at), near(mean, 0.2 * mean));
-    // Not for ever, or it would never be chosen among jammed ones.
+    // Not for ever, or it would never be selected among overloaded ones.
     let choice = place(&mut node, at + 1_100 * MS, 78, 78);
     expect_that!(&*choice.server, eq("i-9"));
 }
@@ -279,7 +279,7 @@
     let now = 2_000 * MS;
     let home = place(&mut node, now, 5, 1);
     serve(&mut node, now, &home);
-    // Ten of 9,203 tokens fit into nine tenths of 105,065; they decode, so that nothing waits.
+    // Ten of 9,203 tokens fit into nine tenths of 105,065; they are in decode, so no prefill waits.
     let mut at_home = 0;
     for own in 0..20 {
         let at = now + (own + 1) * 300 * MS;
@@ -297,7 +297,7 @@
     let now = 2_000 * MS;
     let chunks = long(1, 1);
     let hurried = PlacementRequest { time_left: 300 * MS, ..request(&chunks) };
-    // Free places: never refused, however late.
+    // With free slots nothing is rejected, however late.
     for _ in 0..7 {
         expect_that!(node.place(now, &hurried, &[]), ok(anything()));
     }
@@ -306,7 +306,7 @@
         refused += u32::from(matches!(node.place(now, &hurried, &[]), Err(Rejection::Overloaded { .. })));
     }
     expect_that!(refused, ge(3));
-    // One with time left waits.
+    // A request with time left waits.
     expect_that!(node.place(now, &request(&chunks), &[]), ok(anything()));
     let Err(Rejection::Overloaded { retry_after }) = node.place(now, &hurried, &[]) else {
         panic!("all places are taken");
--- a/placement/tests/retry_budget.rs
+++ b/placement/tests/retry_budget.rs
@@ -27,7 +27,7 @@
         Fleet { nodes, shares, owed: vec![0.0; count], requests: vec![], repeats: vec![] }
     }
 
-    /// One tick at this rate a second; each node repeats as often as it may.
+    /// One tick at this rate a second; each node retries as often as it may.
     fn tick(&mut self, rate: f64) {
         let now = self.requests.len() as u64 * TICK + WINDOW;
         let (mut requests, mut repeats) = (0, 0);
@@ -47,7 +47,7 @@
         self.repeats.push(repeats);
     }
 
-    /// The most by which a sliding window exceeds the bound, and the most repeats in one.
+    /// The most by which a sliding window exceeds the bound, and the most retries in one.
     fn worst(&self, ratio: f64, slack: f64) -> (f64, u32) {
         let window = (WINDOW / TICK) as usize;
         let sum = |counts: &[u32], from: usize| counts[from..from + window].iter().sum::<u32>();
@@ -81,7 +81,7 @@
                 let (worst, most) = fleet.worst(0.2, slack);
                 println!("{count} nodes, slack {slack}, uneven {uneven}, wave {wave}: {worst:.1} {most}");
                 expect_that!(worst, le(0.0));
-                // It is there to be used.
+                // The budget can be used.
                 expect_that!(most, gt(50));
             }
         }
--- a/placement/tests/simulation.rs
+++ b/placement/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! Time to first token of the chooser beside a random choice and a pure hash, in a simulation of a small fleet.
+//! Time to first token with the placer, with random placement and with pure hashing, in a simulation of a small fleet.
 
 mod common;
 
--- a/placement/tests/store_updates.rs
+++ b/placement/tests/store_updates.rs
@@ -1,4 +1,4 @@
-//! What a store keeps, as one balancer hears it and tells it to those that do not listen.
+//! Updates of a store's cache, which a subscribed balancer forwards to those that are not.
 
 mod common;
 
@@ -13,7 +13,7 @@
     place(&mut placer(3), NOW, 1, 1).salt.expect("version known").to_string()
 }
 
-/// Changes at a store: chunks of a subject by number, and the tokens that are kept now.
+/// Changes at a store: chunks of a subject by number, and their cached tokens.
 fn changes(store: &str, chunks: &[(usize, u32)]) -> StoreUpdate {
     let ids = long(1, 1);
     let chunks = chunks
@@ -22,7 +22,7 @@
     StoreUpdate { store: holder_hash(store), reset: false, chunks: chunks.collect() }
 }
 
-/// A node that does not listen, after it was told these changes one after the other.
+/// A node that does not subscribe, after it got these updates one after the other.
 fn told(all: &[StoreUpdate]) -> Placer {
     let mut node = placer(3);
     node.record_cache_contact(NOW, STORE);
@@ -34,7 +34,7 @@
 fn store_updates_reach_nodes_that_do_not_subscribe() {
     let whole = changes(STORE, &[(0, 2_520), (1, 3_780)]);
     let reset = StoreUpdate { reset: true, ..changes(STORE, &[]) };
-    // What was told, whether the store is known to have the chunks, and whether it is sent them.
+    // The updates, whether the store is known to have the chunks, and whether they are saved there.
     let rows = [
         ("nothing", vec![], false, true),
         ("all chunks", vec![whole.clone()], true, false),
--- a/placement/tests/stream_pauses.rs
+++ b/placement/tests/stream_pauses.rs
@@ -1,4 +1,4 @@
-//! `StreamPauses` in streams: learned from streams that came whole, and heeded only where they are near the streams' bound.
+//! Pauses in streams: learned from complete streams, and taken into account only near the streams' target.
 
 mod common;
 
@@ -16,19 +16,19 @@
     PlacementRequest { event_gap_target, ..request(chunks) }
 }
 
-/// The home of a long prompt that nobody has read, and a node where two streams of another balancer run there.
+/// The home of an uncached long prompt, and the server selected where two streams of another balancer run at that home.
 fn streams_at_home(pauses: &[Micros], event_gap_target: Micros) -> (Arc<str>, Arc<str>) {
     let chunks = long(1, 1);
     let mut node = placer(4);
     let home = node.place(NOW, &long_request(&chunks, event_gap_target), &[]).expect("a server").server;
     let mut node = placer(4);
     node.set_balancer_count(2);
-    // Some request has told of the bound before.
+    // An earlier request has the target, too.
     node.place(NOW - 5_000 * MS, &long_request(&long(2, 2), event_gap_target), &[]).expect("a server");
     for longest in pauses {
         node.observe_stream_pause(StreamPause { service: SERVICE, longest: *longest });
     }
-    // The server's own hash is what others name it by.
+    // Reports name a server by its hash.
     let mut other = placer(4);
     let chosen = other.place(NOW, &long_request(&chunks, event_gap_target), &[]).expect("a server");
     let mut told = other.local_loads(NOW);
@@ -55,7 +55,7 @@
     }
 }
 
-/// Most streams meet no reading: what the few see that do is learned, and not forgotten over the others.
+/// Most streams meet no long prefill: the pauses of the few that do are learned all the same.
 #[gtest]
 fn the_longest_pauses_count_and_not_the_mean() {
     let mut pauses = Vec::new();
