--- a/placement/src/kv_transfer.rs
+++ b/placement/src/kv_transfer.rs
@@ -16,7 +16,7 @@
 const CROSS_ZONE_FACTOR: f64 = 2.0;
 /// The cost of a transfer beside its duration: transfers are priced, and delay others of the same source.
 const PRICE_FACTOR: f64 = 1.5;
-/// What a transferred prefix evicts at its destination is computed again in chunk: the cost of that as a share of the prefill
+/// What a transferred prefix evicts at its destination is computed again in part: the cost of that as a share of the prefill
 /// of the transferred prefix.
 const EVICTION_COST_SHARE: f64 = 0.2;
 /// Fewer tokens than this are not worth a transfer.
