--- a/placement/src/cache_event.rs
+++ b/placement/src/cache_event.rs
@@ -44,7 +44,7 @@
 pub struct StoreUpdate {
     /// A hash of the store's name, the same at all nodes.
     pub store: u64,
-    /// The store restarted, or its events have a `event_gap_target`: nothing cached earlier is known to be left.
+    /// The store restarted, or its events have a gap: nothing cached earlier is known to be left.
     pub reset: bool,
     /// The chunks, in the order of their changes.
     pub chunks: Vec<CachedTokens>,
--- a/placement/src/peer_loads.rs
+++ b/placement/src/peer_loads.rs
@@ -1,4 +1,4 @@
-//! What other balancers report to have in flight, which takes the place of an estimate from this node's own chunk.
+//! What other balancers report to have in flight, which takes the place of an estimate from this node's own part.
 
 use std::collections::HashMap;
 
--- a/placement/src/placer/cache_events.rs
+++ b/placement/src/placer/cache_events.rs
@@ -39,7 +39,7 @@
         }
     }
 
-    /// A server or store restarted, or its events have a `event_gap_target`: nothing is known of its cache.
+    /// A server or store restarted, or its events have a gap: nothing is known of its cache.
     pub fn reset_cache_holder(&mut self, now: Micros, holder: &str) {
         self.record_cache_contact(now, holder);
         if let Some(holder) = self.cache_holder(holder) {
--- a/placement/src/prefix_index.rs
+++ b/placement/src/prefix_index.rs
@@ -51,7 +51,7 @@
     next_stamp: u32,
 }
 
-/// The chunk of a chain of chunks that a holder has without a gap.
+/// The part of a chain of chunks that a holder has without a gap.
 struct ChainPrefix {
     tokens: u32,
     /// When the last chunk of it was used.
--- a/placement/src/request.rs
+++ b/placement/src/request.rs
@@ -4,7 +4,7 @@
 
 use crate::time::Micros;
 
-/// One chunk of a prompt; the operators' pages call it a chunk.
+/// One chunk of a prompt; the operators' pages call it a part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptChunk {
     /// Its id as a number, see [`PromptChunk::id`].
--- a/placement/src/retry_budget.rs
+++ b/placement/src/retry_budget.rs
@@ -3,7 +3,7 @@
 
 use crate::time::Micros;
 
-/// The chunk of its share that a node uses. The rest covers that nodes cut time into windows differently.
+/// The part of its share that a node uses. The rest covers that nodes cut time into windows differently.
 const USED_SHARE: f64 = 0.8;
 /// Slices that a window is counted in.
 const SLICES: usize = 100;
--- a/placement/src/selection.rs
+++ b/placement/src/selection.rs
@@ -140,7 +140,7 @@
         is_out_of_memory || balancing(load, self.idle, self.overload).is_infinite()
     }
 
-    /// The sum of the three costs without its infinite chunk, and of what is charged besides.
+    /// The sum of the three costs without its infinite part, and of what is charged besides.
     fn cost(&self, candidate: &Candidate, load: f64, cached_share: f64, version: Option<u64>) -> f64 {
         let wait = balancing(load, self.idle, f64::INFINITY);
         let delayed = (self.prefill_ms - SHORT_PREFILL_MS).max(0.0)
--- a/placement/src/server_load.rs
+++ b/placement/src/server_load.rs
@@ -70,7 +70,7 @@
     }
 }
 
-/// A server's own figures, without this node's chunk.
+/// A server's own figures, without this node's part.
 #[derive(Clone, Copy, Debug)]
 struct OthersReport {
     at: Micros,
