--- a/system/src/command.rs
+++ b/system/src/command.rs
@@ -6,10 +6,12 @@
 use bpaf::Bpaf;
 
 /// What the program is asked to do.
+// Doc comments here are printed as help, where backticks would show.
+#[expect(clippy::doc_markdown, reason = "the text is printed as help")]
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 pub enum Command {
-    /// Run a node; `GRADEPADDLE_BOOT` names its settings file
+    /// Run a node; GRADEPADDLE_BOOT names its settings file
     #[bpaf(command)]
     Run,
     /// Check a settings file and print every finding; nothing is started
