--- a/daemon/src/door/call.rs
+++ b/daemon/src/admin/command.rs
@@ -1,37 +1,37 @@
-//! What the operators' lines mean.
+//! Parses the commands of the operators' line protocol.
 
 use gradepaddle::Id;
 
-/// A call.
+/// A command. Its debug form is written to the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Call {
-    /// Is this process ready to serve?
+pub enum AdminCommand {
+    /// Asks whether this process is ready to serve.
     Ready,
-    /// Nothing more to this app server.
+    /// Bans an app server: it gets no new requests.
     Disable(Id),
-    /// This app server may serve again.
+    /// Lifts the ban of an app server.
     Enable(Id),
-    /// What the book of the fleet says of itself.
+    /// Asks for the status of the fleet's book.
     Book,
-    /// Send clients away.
+    /// Drains this process: clients are sent to other balancers.
     Drain,
-    /// Back to work.
+    /// Ends the drain.
     Resume,
 }
 
-impl Call {
-    /// Reads a line; says what is wrong with it.
+impl AdminCommand {
+    /// Parses a line.
     ///
     /// # Errors
     ///
     /// What is wrong with the line, as a text for the operator.
-    pub fn parse(line: &str) -> Result<Call, String> {
+    pub fn parse(line: &str) -> Result<AdminCommand, String> {
         let mut words = line.split(' ');
         let name = words.next().unwrap_or_default();
         let takes_id = match name {
             "disable-server" | "enable-server" => true,
             "ready" | "drain" | "resume" | "book" => false,
-            // Quoted with its odd characters escaped, as all that a caller sent.
+            // Quoted and escaped, like everything that a caller has sent.
             _ => return Err(format!("unknown call {name:?}")),
         };
         let id = match (words.next(), words.next()) {
@@ -43,12 +43,12 @@
             _ => return Err(format!("{name} has too many arguments")),
         };
         Ok(match (name, id) {
-            ("disable-server", Some(id)) => Call::Disable(id),
-            ("enable-server", Some(id)) => Call::Enable(id),
-            ("book", _) => Call::Book,
-            ("drain", _) => Call::Drain,
-            ("resume", _) => Call::Resume,
-            _ => Call::Ready,
+            ("disable-server", Some(id)) => AdminCommand::Disable(id),
+            ("enable-server", Some(id)) => AdminCommand::Enable(id),
+            ("book", _) => AdminCommand::Book,
+            ("drain", _) => AdminCommand::Drain,
+            ("resume", _) => AdminCommand::Resume,
+            _ => AdminCommand::Ready,
         })
     }
 }
--- a/daemon/src/clock.rs
+++ b/daemon/src/clock.rs
@@ -1,5 +1,5 @@
-//! One clock for all: the wall clock read once at the start, carried on by the monotonic one, so that
-//! it never jumps and still compares with the start times that discovery tells.
+//! The daemon's one clock: the wall clock is read once at the start and advanced by the monotonic clock, so that it never
+//! jumps and can still be compared with the start times that discovery sends.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -20,14 +20,14 @@
         Clock { started: Instant::now(), unix: unix.as_micros() as Micros }
     }
 
-    /// Now.
+    /// The current time.
     pub fn now(&self) -> Micros {
         self.unix + self.started.elapsed().as_micros() as Micros
     }
 
-    /// A time of this clock as the timers count it.
+    /// The tokio timer instant of a time of this clock.
     pub fn instant(&self, at: Micros) -> Instant {
-        // A time as far off as this is never waited for to its end.
+        // No timer is waited for as long as this; the limit keeps the addition from overflowing.
         const FAR: Micros = 365 * 86_400 * 1_000_000;
         self.started + Duration::from_micros(at.saturating_sub(self.unix).min(FAR))
     }
--- a/daemon/src/fleet/file.rs
+++ b/daemon/src/fleet/file.rs
@@ -1,5 +1,5 @@
-//! The fleet file: who keeps the book, where, and under which keys. Unknown keys are refused; each error says where and
-//! what to do.
+//! The fleet file: the keepers of the book, their addresses, and the keys of the cluster. Unknown fields are rejected; each
+//! error names the place in the file and a remedy.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -8,16 +8,16 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-/// Why a fleet file is not taken.
+/// Why a fleet file is rejected.
 #[derive(Debug, Error)]
 pub enum FileError {
-    /// It can not be read.
+    /// The file can't be read.
     #[error("{0}: {1}; name a file that can be read, or unset GRADEPADDLE_FLEET")]
     Unreadable(String, std::io::Error),
-    /// It is no such file, with line and column.
+    /// The file is not valid TOML or has unknown or missing fields; the message has the line and column.
     #[error("{0}: {1}")]
     Syntax(String, String),
-    /// A value makes no sense.
+    /// A value is invalid.
     #[error("{file}: {field}: {what}; {remedy}")]
     Value {
         /// The file.
@@ -29,83 +29,84 @@
         /// What to do.
         remedy: &'static str,
     },
-    /// The settings forbid it.
+    /// The settings forbid balancers to share anything.
     #[error("the settings say peers: false, so balancers must share nothing; unset GRADEPADDLE_FLEET")]
     Forbidden,
 }
 
-/// A keeper, as the file names it.
+/// A keeper's name and address.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Named {
+pub struct KeeperAddress {
     /// Its balancer's name.
     pub name: String,
-    /// Where the others reach it.
+    /// Where the other processes connect to it.
     pub address: SocketAddr,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct NamedKey {
+struct KeyEntry {
     id: u32,
     secret: String,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Text {
+struct RawFile {
     cluster: String,
     disk: Option<PathBuf>,
     listen: Option<SocketAddr>,
     #[serde(default)]
-    keeper: Vec<Named>,
+    keeper: Vec<KeeperAddress>,
     #[serde(default)]
-    key: Vec<NamedKey>,
+    key: Vec<KeyEntry>,
 }
 
-/// What this process does in the fleet.
+/// A valid fleet file, as seen by one balancer.
 #[derive(Clone, Debug)]
-pub struct File {
+pub struct FleetFile {
     /// The cluster's name and its keys.
     pub seal: Seal,
     /// All keepers.
-    pub keepers: Vec<Named>,
-    /// If this is one of them: where it listens, and its disk.
-    pub keeps: Option<(SocketAddr, PathBuf)>,
+    pub keepers: Vec<KeeperAddress>,
+    /// If this balancer is a keeper: where it listens, and the file of its disk.
+    pub own_keeper: Option<(SocketAddr, PathBuf)>,
 }
 
-impl File {
+impl FleetFile {
     /// Reads the file for the balancer of this name.
     ///
     /// # Errors
     ///
-    /// [`FileError`] if the file can't be read, is not valid, or does not name this balancer.
-    pub fn read(path: &Path, name: &str) -> Result<File, FileError> {
-        let place = path.display().to_string();
-        let text = std::fs::read_to_string(path).map_err(|e| FileError::Unreadable(place.clone(), e))?;
-        Self::parse(&text, &place, name)
+    /// [`FileError`] if the file can't be read or is not valid.
+    pub fn read(path: &Path, name: &str) -> Result<FleetFile, FileError> {
+        let path_text = path.display().to_string();
+        let text = std::fs::read_to_string(path).map_err(|e| FileError::Unreadable(path_text.clone(), e))?;
+        Self::parse(&text, &path_text, name)
     }
 
-    fn parse(text: &str, place: &str, name: &str) -> Result<File, FileError> {
-        let text: Text =
-            toml::from_str(text).map_err(|e| FileError::Syntax(place.to_owned(), e.to_string()))?;
-        let wrong = |field: &str, what: String, remedy| {
-            Err(FileError::Value { file: place.to_owned(), field: field.to_owned(), what, remedy })
+    fn parse(text: &str, path_text: &str, name: &str) -> Result<FleetFile, FileError> {
+        let text: RawFile =
+            toml::from_str(text).map_err(|e| FileError::Syntax(path_text.to_owned(), e.to_string()))?;
+        let invalid = |field: &str, what: String, remedy| {
+            Err(FileError::Value { file: path_text.to_owned(), field: field.to_owned(), what, remedy })
         };
         if !matches!(text.keeper.len(), 3 | 5 | 7) {
             let what = format!("{} of them", text.keeper.len());
-            return wrong("keeper", what, "name 3, 5 or 7: an even number bears no more losses");
+            return invalid("keeper", what, "name 3, 5 or 7: an even number bears no more losses");
         }
         for (at, keeper) in text.keeper.iter().enumerate() {
-            let twice = |other: &Named| other.name == keeper.name || other.address == keeper.address;
-            if text.keeper[..at].iter().any(twice) {
+            let is_duplicate =
+                |other: &KeeperAddress| other.name == keeper.name || other.address == keeper.address;
+            if text.keeper[..at].iter().any(is_duplicate) {
                 let field = format!("keeper {}", at + 1);
-                return wrong(&field, "named twice".into(), "give each its own name and address");
+                return invalid(&field, "named twice".into(), "give each its own name and address");
             }
         }
         if !matches!(text.key.len(), 1 | 2) {
             let what = format!("{} of them", text.key.len());
-            return wrong("key", what, "give one, or two during a rotation: the first signs");
+            return invalid("key", what, "give one, or two during a rotation: the first signs");
         }
         let mut keys = Vec::new();
         for (at, key) in text.key.iter().enumerate() {
@@ -116,25 +117,25 @@
                 }
                 Ok(_) => {
                     let what = format!("number {} comes twice", key.id);
-                    return wrong(&format!("key {}", at + 1), what, "give each key its own number");
+                    return invalid(&format!("key {}", at + 1), what, "give each key its own number");
                 }
                 Err(_) => {
                     let what = "the secret is not 64 hexadecimal digits".to_owned();
-                    return wrong(&format!("key {}", at + 1), what, "draw 32 random bytes for it");
+                    return invalid(&format!("key {}", at + 1), what, "draw 32 random bytes for it");
                 }
             }
         }
-        let own = text.keeper.iter().find(|keeper| keeper.name == name);
-        let keeps = match (own, text.disk) {
+        let own_entry = text.keeper.iter().find(|keeper| keeper.name == name);
+        let own_keeper = match (own_entry, text.disk) {
             (None, _) => None,
             (Some(keeper), Some(disk)) => Some((text.listen.unwrap_or(keeper.address), disk)),
             (Some(_), None) => {
                 let what = format!("missing, and {name} keeps the book");
-                return wrong("disk", what, "name a file in a folder that outlives the process");
+                return invalid("disk", what, "name a file in a folder that outlives the process");
             }
         };
         let seal = Seal { cluster: text.cluster, keys };
-        Ok(File { seal, keepers: text.keeper, keeps })
+        Ok(FleetFile { seal, keepers: text.keeper, own_keeper })
     }
 }
 
--- a/daemon/src/fleet/file/tests.rs
+++ b/daemon/src/fleet/file/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn good() -> String {
+fn valid_file() -> String {
     let keeper = |n: u16| format!("[[keeper]]\nname = \"n{n}\"\naddress = \"127.0.0.1:{}\"\n", 7000 + n);
     let keepers: String = (1..=3).map(keeper).collect();
     format!(
@@ -9,28 +9,28 @@
     )
 }
 
-/// Guards operators against a file that is guessed at: each fault is named with its place and what to do.
+/// Guards operators against an invalid file that is accepted: each error names the place in the file and a remedy.
 #[test]
 fn each_fault_is_named_with_its_place_and_a_remedy() {
-    let file = File::parse(&good(), "f", "n2").expect("a good file");
-    assert_eq!(file.keeps.map(|(at, _)| at.port()), Some(7002));
-    assert!(File::parse(&good(), "f", "n9").expect("a good file").keeps.is_none());
+    let file = FleetFile::parse(&valid_file(), "f", "n2").expect("a good file");
+    assert_eq!(file.own_keeper.map(|(at, _)| at.port()), Some(7002));
+    assert!(FleetFile::parse(&valid_file(), "f", "n9").expect("a good file").own_keeper.is_none());
     let cases = [
-        (good().replace("cluster", "clutser"), "f: TOML parse error at line 1"),
-        (good().replace("name = \"n3\"", "name = \"n2\""), "f: keeper 3: named twice; give each"),
+        (valid_file().replace("cluster", "clutser"), "f: TOML parse error at line 1"),
+        (valid_file().replace("name = \"n3\"", "name = \"n2\""), "f: keeper 3: named twice; give each"),
         (
-            good().replace("[[keeper]]\nname = \"n3\"\naddress = \"127.0.0.1:7003\"\n", ""),
+            valid_file().replace("[[keeper]]\nname = \"n3\"\naddress = \"127.0.0.1:7003\"\n", ""),
             "f: keeper: 2 of them; name 3",
         ),
-        (good().replace("abab", "zz"), "f: key 1: the secret is not 64"),
-        (good().replace("disk = \"book.redb\"\n", ""), "f: disk: missing, and n2 keeps the book; name"),
+        (valid_file().replace("abab", "zz"), "f: key 1: the secret is not 64"),
+        (valid_file().replace("disk = \"book.redb\"\n", ""), "f: disk: missing, and n2 keeps the book; name"),
         (
-            good() + &format!("[[key]]\nid = 1\nsecret = \"{}\"\n", "cd".repeat(32)),
+            valid_file() + &format!("[[key]]\nid = 1\nsecret = \"{}\"\n", "cd".repeat(32)),
             "f: key 2: number 1 comes twice; give",
         ),
     ];
-    for (text, says) in cases {
-        let why = File::parse(&text, "f", "n2").expect_err("a fault").to_string();
-        assert!(why.starts_with(says), "{why}");
+    for (text, expected) in cases {
+        let why = FleetFile::parse(&text, "f", "n2").expect_err("a fault").to_string();
+        assert!(why.starts_with(expected), "{why}");
     }
 }
--- a/daemon/src/fleet/keeper.rs
+++ b/daemon/src/fleet/keeper.rs
@@ -1,5 +1,5 @@
-//! A keeper as the daemon runs it: an actor round the core, one for each other keeper, one for each who calls, and a thread
-//! that waits for the disk.
+//! Runs a keeper: an actor around the Raft core, a task for each other keeper, a task for each incoming connection, and a
+//! thread that writes to the disk.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -18,66 +18,66 @@
 use tokio::time::{MissedTickBehavior, interval, sleep};
 use tracing::info;
 
-use super::crash::Crash;
-use super::file::Named;
-use super::line::{Line, LineError, PULSE, Packet};
-use super::{Answers, Common};
+use super::crash_point::CrashPoint;
+use super::file::KeeperAddress;
+use super::peer_connection::{HEARTBEAT_INTERVAL, LineError, Packet, PeerConnection};
+use super::{Answers, Shared};
 
-/// One tick.
-const TICK: Duration = Duration::from_millis(50);
-/// So much waits for one other side; what of the consensus is too much is dropped, as it is sent anew, and a reader that
-/// is so slow is cut off.
-const QUEUE: usize = 256;
-/// How long a dial may take, and how long to wait before the next.
-const DIAL: Duration = Duration::from_millis(1000);
-const AGAIN: Duration = Duration::from_millis(200);
+/// The interval of the Raft core's ticks.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// The most packets that wait for one connection. Beyond that, Raft messages are dropped, as they are sent again, and a reader
+/// is disconnected.
+const QUEUE_LENGTH: usize = 256;
+/// The timeout of a connect, and the delay before the next one.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
+const RECONNECT_DELAY: Duration = Duration::from_millis(200);
 
-/// What comes to the actor.
+/// An event for the actor.
 enum Event {
-    /// Another keeper tells of itself.
+    /// Another keeper has sent its hello.
     Heard(Hello),
-    /// A word of the consensus.
+    /// A Raft message.
     Message(Box<Message>),
-    /// The disk has kept what it was given up to this number, or can not.
+    /// The disk has written all batches up to this number, or has failed.
     Kept(Result<u64, StoreError>),
-    /// A write is handed in.
+    /// A write is submitted.
     Write(Write, Answers),
-    /// A reader follows.
+    /// A reader follows this keeper.
     Follow(Answers),
 }
 
 /// Why a keeper steps down.
 #[derive(Debug, Error)]
 pub enum StepDown {
-    /// Its disk can not be trusted.
+    /// Its disk can't be trusted.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// What is saved can not be used.
+    /// The saved ledger can't be used.
     #[error(transparent)]
     Ledger(#[from] LedgerError),
-    /// The others remember more.
+    /// The other keepers know of more than its disk holds.
     #[error(transparent)]
     Message(MessageError),
-    /// It was replaced.
+    /// Another disk has replaced it under its name.
     #[error(
         "this keeper's disk was replaced by another under its name; move the file away and start this balancer anew"
     )]
     Replaced,
 }
 
-/// Tells the other side, if it keeps up; false if it is to be cut off.
-fn tell(to: &Answers, packet: Packet) -> bool {
+/// Queues a packet for a connection; false if the queue is full or closed.
+fn try_send(to: &Answers, packet: Packet) -> bool {
     to.try_send(packet).is_ok()
 }
 
 struct Actor {
     keeper: Keeper,
-    common: Rc<Common>,
-    crash: Crash,
-    blank: bool,
-    own: Rc<RefCell<Hello>>,
-    fresh: Rc<Cell<bool>>,
-    heard: BTreeMap<String, Hello>,
+    shared: Rc<Shared>,
+    crash_point: CrashPoint,
+    empty_disk: bool,
+    own_hello: Rc<RefCell<Hello>>,
+    has_leader: Rc<Cell<bool>>,
+    hellos: BTreeMap<String, Hello>,
     peers: BTreeMap<String, mpsc::Sender<Packet>>,
     ids: BTreeMap<KeeperId, String>,
     waiting: BTreeMap<(u64, u64), Answers>,
@@ -85,82 +85,93 @@
     disk: std::sync::mpsc::Sender<Batch>,
 }
 
-/// Keeps the book until it steps down; never ends otherwise.
+/// Runs the keeper until it steps down; does not return otherwise.
 pub async fn run(
     listener: TcpListener,
     disk: (Disk, Kept),
-    common: Rc<Common>,
+    shared: Rc<Shared>,
     writes: &mut mpsc::Receiver<(Write, Answers)>,
 ) -> StepDown {
-    let why = keep(listener, disk, common.clone(), writes).await;
-    common.steps_down(&why.to_string());
+    let why = run_actor(listener, disk, shared.clone(), writes).await;
+    shared.step_down(&why.to_string());
     why
 }
 
-/// Opens the disk of a keeper, or makes one.
+/// Opens a keeper's disk, or creates one with this id.
 ///
 /// # Errors
 ///
 /// [`StoreError`] if the disk fails, or what is on it can't be read.
-pub fn open(path: &Path, fresh: KeeperId) -> Result<(Disk, Kept), StoreError> {
-    Disk::open(path, fresh)
+pub fn open(path: &Path, new_id: KeeperId) -> Result<(Disk, Kept), StoreError> {
+    Disk::open(path, new_id)
 }
 
-async fn keep(
+async fn run_actor(
     listener: TcpListener,
     (disk, kept): (Disk, Kept),
-    common: Rc<Common>,
+    shared: Rc<Shared>,
     writes: &mut mpsc::Receiver<(Write, Answers)>,
 ) -> StepDown {
-    let blank = kept.is_empty();
-    let names: Vec<String> = common.file.keepers.iter().map(|keeper| keeper.name.clone()).collect();
-    let keeper = Keeper::new(names.clone(), kept, common.contents(), Timing::default(), common.draw());
+    let empty_disk = kept.is_empty();
+    let names: Vec<String> = shared.file.keepers.iter().map(|keeper| keeper.name.clone()).collect();
+    let keeper = Keeper::new(names.clone(), kept, shared.contents(), Timing::default(), shared.random_u64());
     let keeper = match keeper {
         Ok(keeper) => keeper,
         Err(why) => return why.into(),
     };
-    info!(id = format!("{:x}", keeper.id()), blank, applied = keeper.ledger().index(), "book: keeper");
-    let (events, mut inbox) = mpsc::channel(4 * QUEUE);
-    let own = Rc::new(RefCell::new(keeper.hello(&common.name)));
-    let fresh = Rc::new(Cell::new(false));
-    // They end with the actor: one that has stepped down is nobody's peer.
+    info!(
+        id = format!("{:x}", keeper.id()),
+        blank = empty_disk,
+        applied = keeper.ledger().index(),
+        "book: keeper started"
+    );
+    let (events, mut event_receiver) = mpsc::channel(4 * QUEUE_LENGTH);
+    let own_hello = Rc::new(RefCell::new(keeper.hello(&shared.name)));
+    let has_leader = Rc::new(Cell::new(false));
+    // The tasks end with the actor: a keeper that has stepped down has no peers.
     let mut tasks = JoinSet::new();
     let mut peers = BTreeMap::new();
-    for named in common.file.keepers.iter().filter(|named| named.name != common.name) {
-        let (mailbox, packets) = mpsc::channel(QUEUE);
-        peers.insert(named.name.clone(), mailbox);
-        tasks.spawn_local(dial(named.clone(), common.clone(), own.clone(), packets, events.clone()));
+    for peer in shared.file.keepers.iter().filter(|peer| peer.name != shared.name) {
+        let (sender, packets) = mpsc::channel(QUEUE_LENGTH);
+        peers.insert(peer.name.clone(), sender);
+        tasks.spawn_local(run_peer(peer.clone(), shared.clone(), own_hello.clone(), packets, events.clone()));
     }
-    tasks.spawn_local(accept(listener, common.clone(), own.clone(), fresh.clone(), events.clone()));
+    tasks.spawn_local(accept(
+        listener,
+        shared.clone(),
+        own_hello.clone(),
+        has_leader.clone(),
+        events.clone(),
+    ));
     let mut actor = Actor {
         keeper,
-        common,
-        crash: Crash::told(),
-        blank,
-        own,
-        fresh,
-        heard: BTreeMap::new(),
+        shared,
+        crash_point: CrashPoint::from_env(),
+        empty_disk,
+        own_hello,
+        has_leader,
+        hellos: BTreeMap::new(),
         peers,
         ids: BTreeMap::new(),
         waiting: BTreeMap::new(),
         readers: Vec::new(),
-        disk: write_behind(disk, events),
+        disk: spawn_disk_thread(disk, events),
     };
     if actor.keeper.ledger().index() > 0 {
-        // What the disk holds, before anybody is met.
-        actor.common.changed();
+        // The content of the disk is known before there is any connection.
+        actor.shared.notify_changed();
     }
-    let mut ticks = interval(TICK);
-    // After a pause the time that passed is no reason to hurry.
+    let mut ticks = interval(TICK_INTERVAL);
+    // After the process was paused, missed ticks are not made up for.
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    actor.carry_out();
+    actor.execute_outputs();
     loop {
         let step = tokio::select! {
             biased;
             _ = ticks.tick() => actor.tick(),
-            event = inbox.recv() => match event {
-                Some(event) => actor.take(event),
-                // The actor holds a sender by way of its disk.
+            event = event_receiver.recv() => match event {
+                Some(event) => actor.handle_event(event),
+                // The disk thread holds a sender, so the channel stays open.
                 None => Ok(()),
             },
             Some((write, answers)) = writes.recv() => {
@@ -168,7 +179,7 @@
                 Ok(())
             }
         };
-        actor.carry_out();
+        actor.execute_outputs();
         if let Err(why) = step {
             return why;
         }
@@ -181,11 +192,11 @@
     }
 }
 
-/// A thread that puts batches on the disk in their order, so that nobody who is served waits for it.
-fn write_behind(mut disk: Disk, events: mpsc::Sender<Event>) -> std::sync::mpsc::Sender<Batch> {
-    let (batches, given) = std::sync::mpsc::channel::<Batch>();
+/// Starts a thread that writes batches to the disk in order, so that serving requests never waits for the disk.
+fn spawn_disk_thread(mut disk: Disk, events: mpsc::Sender<Event>) -> std::sync::mpsc::Sender<Batch> {
+    let (batches, received_batches) = std::sync::mpsc::channel::<Batch>();
     std::thread::spawn(move || {
-        for batch in given {
+        for batch in received_batches {
             let kept = disk.write(&batch).map(|()| batch.number);
             let failed = kept.is_err();
             if events.blocking_send(Event::Kept(kept)).is_err() || failed {
@@ -200,59 +211,67 @@
     fn tick(&mut self) -> Result<(), StepDown> {
         self.keeper.tick();
         let stand = self.keeper.stand();
-        self.fresh.set(stand.leads || stand.leader.is_some());
-        self.common.say(|view| view.stands(&stand, self.fresh.get()));
-        self.found_if_due();
+        self.has_leader.set(stand.leads || stand.leader.is_some());
+        self.shared.update_view(|view| view.update_from_keeper(&stand, self.has_leader.get()));
+        self.bootstrap_if_due();
         Ok(())
     }
 
-    /// The first keeper founds the book once all others have said that they know of none.
-    fn found_if_due(&mut self) {
-        let named = &self.common.file.keepers;
-        let first = named.first().is_some_and(|first| first.name == self.common.name);
-        let blank = |other: &Named| self.heard.get(&other.name).is_some_and(|hello| hello.book.is_none());
-        if !self.blank || !first || self.keeper.ledger().index() > 0 || !named[1..].iter().all(blank) {
+    /// The first keeper of the fleet file founds the book once all others have reported that they know of none.
+    fn bootstrap_if_due(&mut self) {
+        let keepers = &self.shared.file.keepers;
+        let is_first = keepers.first().is_some_and(|first| first.name == self.shared.name);
+        let has_no_book =
+            |other: &KeeperAddress| self.hellos.get(&other.name).is_some_and(|hello| hello.book.is_none());
+        if !self.empty_disk
+            || !is_first
+            || self.keeper.ledger().index() > 0
+            || !keepers[1..].iter().all(has_no_book)
+        {
             return;
         }
         let id = self.keeper.id();
-        let batch = founding(id, &self.common.name, self.common.contents());
+        let batch = founding(id, &self.shared.name, self.shared.contents());
         let mut kept = Kept { id, ..Kept::default() };
         kept.take(&batch);
-        let names = named.iter().map(|keeper| keeper.name.clone()).collect();
-        // Nobody can have heard of what is not on the disk: it goes there first, and all else behind it.
-        let keeper = Keeper::new(names, kept, self.common.contents(), Timing::default(), self.common.draw());
+        let names = keepers.iter().map(|keeper| keeper.name.clone()).collect();
+        // The founding batch is written before anything else, so no other keeper can learn of a book that is not on the disk.
+        let keeper =
+            Keeper::new(names, kept, self.shared.contents(), Timing::default(), self.shared.random_u64());
         if let Ok(keeper) = keeper {
             info!(id = format!("{id:x}"), "book: founded");
             self.keeper = keeper;
-            self.blank = false;
-            self.keep(batch);
+            self.empty_disk = false;
+            self.store(batch);
         }
     }
 
-    fn take(&mut self, event: Event) -> Result<(), StepDown> {
+    fn handle_event(&mut self, event: Event) -> Result<(), StepDown> {
         match event {
             Event::Heard(hello) => {
                 if self.keeper.heard_of(&hello) {
                     self.ids.insert(hello.id, hello.name.clone());
-                    self.heard.insert(hello.name.clone(), hello);
+                    self.hellos.insert(hello.name.clone(), hello);
                 } else {
-                    self.common
-                        .once(format!("{} keeps another book; empty the disk of one of the two", hello.name));
+                    self.shared.warn_once(format!(
+                        "{} keeps another book; empty the disk of one of the two",
+                        hello.name
+                    ));
                 }
             }
             Event::Message(message) => match self.keeper.receive(&message) {
                 Ok(()) | Err(MessageError::ForAnother(_)) => {}
                 Err(why @ MessageError::OldDisk { .. }) => return Err(StepDown::Message(why)),
-                Err(why) => self.common.once(why.to_string()),
+                Err(why) => self.shared.warn_once(why.to_string()),
             },
             Event::Kept(Ok(number)) => {
-                self.pass("after-disk");
+                self.reach_crash_point("after-disk");
                 self.keeper.kept(number);
             }
             Event::Kept(Err(why)) => return Err(why.into()),
             Event::Write(write, answers) => self.write(write, answers),
             Event::Follow(answers) => {
-                if tell(&answers, Packet::Whole(self.keeper.ledger().save())) {
+                if try_send(&answers, Packet::Whole(self.keeper.ledger().save())) {
                     self.readers.push(answers);
                 }
             }
@@ -266,104 +285,104 @@
         self.waiting.insert((session, number), answers.clone());
         if let Err(why) = self.keeper.write(write) {
             self.waiting.remove(&(session, number));
-            // Whoever asked may have gone.
-            tell(&answers, Packet::Turned { number, why: why.to_string() });
+            // The connection may have ended.
+            try_send(&answers, Packet::Turned { number, why: why.to_string() });
         }
     }
 
-    fn pass(&self, point: &str) {
+    fn reach_crash_point(&self, point: &str) {
         if self.keeper.stand().leads {
-            self.crash.pass(point);
+            self.crash_point.reached(point);
         }
     }
 
-    fn keep(&self, batch: Batch) {
-        self.pass("before-disk");
-        // The thread ends only after a failure, which it has told.
+    fn store(&self, batch: Batch) {
+        self.reach_crash_point("before-disk");
+        // The thread ends only after a failure, which it has reported.
         let _ = self.disk.send(batch);
     }
 
-    fn carry_out(&mut self) {
+    fn execute_outputs(&mut self) {
         for output in self.keeper.outputs() {
             match output {
                 Output::Send(message) => {
                     let peer = self.ids.get(&message.to).and_then(|name| self.peers.get(name));
-                    // Full, it is dropped: the consensus sends anew.
+                    // Dropped if the queue is full: Raft sends it again.
                     let _ = peer.map(|peer| peer.try_send(Packet::Consensus(Box::new(message))));
                 }
-                Output::Keep(batch) => self.keep(batch),
+                Output::Keep(batch) => self.store(batch),
                 Output::Applied { index, write } => {
                     let applied = Packet::Applied { index, write };
-                    self.readers.retain(|reader| tell(reader, applied.clone()));
-                    self.common.changed();
+                    self.readers.retain(|reader| try_send(reader, applied.clone()));
+                    self.shared.notify_changed();
                 }
                 Output::Done { session, number, outcome } => {
-                    // Whoever was asked answers, leader or not.
-                    self.crash.pass("before-answer");
+                    // The keeper that received the write answers, whether it leads or not.
+                    self.crash_point.reached("before-answer");
                     if let Some(answers) = self.waiting.remove(&(session, number)) {
-                        tell(&answers, Packet::Done { number, outcome });
+                        try_send(&answers, Packet::Done { number, outcome });
                     }
                 }
                 Output::Replaced => {
                     let whole = Packet::Whole(self.keeper.ledger().save());
-                    self.readers.retain(|reader| tell(reader, whole.clone()));
-                    self.common.changed();
+                    self.readers.retain(|reader| try_send(reader, whole.clone()));
+                    self.shared.notify_changed();
                 }
             }
         }
-        *self.own.borrow_mut() = self.keeper.hello(&self.common.name);
+        *self.own_hello.borrow_mut() = self.keeper.hello(&self.shared.name);
     }
 }
 
-/// Holds a connection to another keeper, and says there what comes in.
-async fn dial(
-    named: Named,
-    common: Rc<Common>,
-    own: Rc<RefCell<Hello>>,
+/// Keeps a connection to another keeper open, and sends it the packets that are queued for it.
+async fn run_peer(
+    peer: KeeperAddress,
+    shared: Rc<Shared>,
+    own_hello: Rc<RefCell<Hello>>,
     mut packets: mpsc::Receiver<Packet>,
     events: mpsc::Sender<Event>,
 ) {
     loop {
-        if let Err(why) = dialled(&named, &common, &own, &mut packets, &events).await {
-            common.once(format!("keeper {}: {why}", named.name));
+        if let Err(why) = peer_session(&peer, &shared, &own_hello, &mut packets, &events).await {
+            shared.warn_once(format!("keeper {}: {why}", peer.name));
         }
-        sleep(AGAIN).await;
+        sleep(RECONNECT_DELAY).await;
     }
 }
 
-async fn dialled(
-    named: &Named,
-    common: &Common,
-    own: &Rc<RefCell<Hello>>,
+async fn peer_session(
+    peer: &KeeperAddress,
+    shared: &Shared,
+    own_hello: &Rc<RefCell<Hello>>,
     packets: &mut mpsc::Receiver<Packet>,
     events: &mpsc::Sender<Event>,
 ) -> Result<(), LineError> {
-    let mut line = super::reach(named, common, DIAL).await?;
-    // What waited for a connection is old by now.
+    let mut connection = super::connect(peer, shared, CONNECT_TIMEOUT).await?;
+    // Packets queued while there was no connection are outdated.
     while packets.try_recv().is_ok() {}
-    let hello = own.borrow().clone();
-    line.say(&Packet::Hello(hello)).await?;
-    let mut pulse = interval(PULSE);
+    let hello = own_hello.borrow().clone();
+    connection.send(&Packet::Hello(hello)).await?;
+    let mut heartbeat = interval(HEARTBEAT_INTERVAL);
     loop {
         tokio::select! {
             biased;
-            heard = line.hear() => if let Packet::Hello(hello) = heard? {
-                take_hello(&line.name, hello, events).await;
+            received = connection.receive() => if let Packet::Hello(hello) = received? {
+                handle_hello(&connection.name, hello, events).await;
             },
-            _ = pulse.tick() => {
-                let hello = own.borrow().clone();
-                line.say(&Packet::Hello(hello)).await?;
+            _ = heartbeat.tick() => {
+                let hello = own_hello.borrow().clone();
+                connection.send(&Packet::Hello(hello)).await?;
             }
             packet = packets.recv() => match packet {
-                Some(packet) => line.say(&packet).await?,
+                Some(packet) => connection.send(&packet).await?,
                 None => return Ok(()),
             },
         }
     }
 }
 
-/// A keeper speaks for itself alone.
-async fn take_hello(name: &str, hello: Hello, events: &mpsc::Sender<Event>) {
+/// Passes on a hello, if the keeper at the other end speaks for itself.
+async fn handle_hello(name: &str, hello: Hello, events: &mpsc::Sender<Event>) {
     if hello.name == name {
         let _ = events.send(Event::Heard(hello)).await;
     }
@@ -371,75 +390,78 @@
 
 async fn accept(
     listener: TcpListener,
-    common: Rc<Common>,
-    own: Rc<RefCell<Hello>>,
-    fresh: Rc<Cell<bool>>,
+    shared: Rc<Shared>,
+    own_hello: Rc<RefCell<Hello>>,
+    has_leader: Rc<Cell<bool>>,
     events: mpsc::Sender<Event>,
 ) {
-    let mut callers = JoinSet::new();
+    let mut connections = JoinSet::new();
     loop {
-        while callers.try_join_next().is_some() {}
+        while connections.try_join_next().is_some() {}
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(e) => {
-                common.once(format!("accepting failed: {e}; see the limit on descriptors"));
-                sleep(AGAIN).await;
+                shared.warn_once(format!("accepting a connection failed: {e}; see the limit on descriptors"));
+                sleep(RECONNECT_DELAY).await;
                 continue;
             }
         };
-        let (common, own, fresh, events) = (common.clone(), own.clone(), fresh.clone(), events.clone());
-        callers.spawn_local(async move {
-            match caller(stream, &common, &own, &fresh, &events).await {
+        let (shared, own_hello, has_leader, events) =
+            (shared.clone(), own_hello.clone(), has_leader.clone(), events.clone());
+        connections.spawn_local(async move {
+            match serve_connection(stream, &shared, &own_hello, &has_leader, &events).await {
                 Ok(()) | Err(LineError::Ended | LineError::Broken(_)) => {}
-                Err(why) => common.once(format!("a caller: {why}")),
+                Err(why) => shared.warn_once(format!("incoming connection: {why}")),
             }
         });
     }
 }
 
-/// One who calls: another keeper, or a reader.
-async fn caller(
+/// Serves an incoming connection, of another keeper or of a reader.
+async fn serve_connection(
     stream: TcpStream,
-    common: &Common,
-    own: &Rc<RefCell<Hello>>,
-    fresh: &Cell<bool>,
+    shared: &Shared,
+    own_hello: &Rc<RefCell<Hello>>,
+    has_leader: &Cell<bool>,
     events: &mpsc::Sender<Event>,
 ) -> Result<(), LineError> {
-    let mut line = Line::meet(stream, common.file.seal.clone(), &common.name, common.draw()).await?;
-    let keeps = common.file.keepers.iter().any(|keeper| keeper.name == line.name);
-    let (answers, mut answered) = mpsc::channel(QUEUE);
-    let mut followed: Option<mpsc::Receiver<Packet>> = None;
-    let mut pulse = interval(PULSE);
+    let mut connection =
+        PeerConnection::handshake(stream, shared.file.seal.clone(), &shared.name, shared.random_u64())
+            .await?;
+    let is_keeper = shared.file.keepers.iter().any(|keeper| keeper.name == connection.name);
+    let (answers, mut answer_receiver) = mpsc::channel(QUEUE_LENGTH);
+    let mut applied_receiver: Option<mpsc::Receiver<Packet>> = None;
+    let mut heartbeat = interval(HEARTBEAT_INTERVAL);
     loop {
         let applied = async {
-            match &mut followed {
+            match &mut applied_receiver {
                 Some(applied) => applied.recv().await,
                 None => std::future::pending().await,
             }
         };
         tokio::select! {
             biased;
-            // Its own sender is held here: it does not end.
-            Some(packet) = answered.recv() => line.say(&packet).await?,
+            // The sender is held here, so the channel stays open.
+            Some(packet) = answer_receiver.recv() => connection.send(&packet).await?,
             packet = applied => match packet {
-                Some(packet) => line.say(&packet).await?,
-                // It was too slow, and starts anew.
+                Some(packet) => connection.send(&packet).await?,
+                // The reader was too slow and was dropped; it connects again.
                 None => return Err(LineError::Silent),
             },
-            _ = pulse.tick() => {
-                let packet = match keeps {
-                    true => Packet::Hello(own.borrow().clone()),
-                    false => Packet::Pulse { fresh: fresh.get() },
+            _ = heartbeat.tick() => {
+                let packet = match is_keeper {
+                    true => Packet::Hello(own_hello.borrow().clone()),
+                    false => Packet::Pulse { fresh: has_leader.get() },
                 };
-                line.say(&packet).await?;
+                connection.send(&packet).await?;
             }
-            heard = line.hear() => match heard? {
-                Packet::Hello(hello) if keeps => take_hello(&line.name, hello, events).await,
-                Packet::Consensus(message) if keeps => drop(events.send(Event::Message(message)).await),
+            received = connection.receive() => match received? {
+                Packet::Hello(hello) if is_keeper => handle_hello(&connection.name, hello, events).await,
+                Packet::Consensus(message) if is_keeper => drop(events.send(Event::Message(message)).await),
                 Packet::Write(write) => drop(events.send(Event::Write(write, answers.clone())).await),
                 Packet::Follow => {
-                    let (applied, follows) = mpsc::channel(QUEUE);
-                    followed = Some(follows);
+                    let (applied, follows) = mpsc::channel(QUEUE_LENGTH);
+                    applied_receiver = Some(follows);
                     drop(events.send(Event::Follow(applied)).await);
                 }
                 _ => {}
--- a/daemon/src/fleet/mod.rs
+++ b/daemon/src/fleet/mod.rs
@@ -1,10 +1,11 @@
-//! The book of the fleet in this process: keeper or reader, its bans, and what it says of itself. Off unless a fleet file
-//! is named. What it is for, and the ways weighed, stand in `docs/fleet-book.md`.
+//! The fleet's book in this process: the replicated list of bans that all balancers share. A process is either a keeper (a
+//! member of the Raft group) or a reader that follows one. Off unless a fleet file is configured. Its purpose and the
+//! alternatives considered are in `docs/fleet-book.md`.
 
-mod crash;
+mod crash_point;
 mod file;
 mod keeper;
-mod line;
+mod peer_connection;
 mod reader;
 
 use std::cell::RefCell;
@@ -25,162 +26,168 @@
 use tokio::time::{Instant, sleep, timeout};
 use tracing::{info, warn};
 
-use file::{File, FileError, Named};
-use line::{Line, LineError, Packet};
+use file::{FileError, FleetFile, KeeperAddress};
+use peer_connection::{LineError, Packet, PeerConnection};
 
-/// A write that nothing came of is handed in again after this.
-const RETRY: Duration = Duration::from_millis(1500);
-/// An operator waits this long for the book.
-const PATIENCE: Duration = Duration::from_secs(4);
-/// So many writes wait at this process.
-const QUEUE: usize = 64;
-/// So many different complaints are logged; each once.
-const COMPLAINTS: usize = 200;
+/// A write without a result is submitted again after this.
+const WRITE_RETRY_AFTER: Duration = Duration::from_millis(1500);
+/// How long an operator's command waits for its write.
+const BAN_TIMEOUT: Duration = Duration::from_secs(4);
+/// The most writes that wait at this process.
+const MAX_QUEUED_WRITES: usize = 64;
+/// The most different warnings that are logged, each once.
+const MAX_WARNINGS: usize = 200;
 
-/// Where answers to a write go.
+/// The channel for the result of a write.
 type Answers = mpsc::Sender<Packet>;
 
-/// Why the book can not be kept or read here.
+/// Why this process can't take part in the book.
 #[derive(Debug, Error)]
 pub enum FleetError {
-    /// The fleet file.
+    /// The fleet file is invalid.
     #[error(transparent)]
-    File(#[from] FileError),
-    /// The address where this keeper is to be reached.
+    FleetFile(#[from] FileError),
+    /// This keeper can't listen at its address.
     #[error("listen: {0}: {1}; see who else listens there, or name another address in the fleet file")]
     Listen(std::net::SocketAddr, std::io::Error),
 }
 
-/// Why a write is not known to hold.
+/// Why a write is not known to be committed.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum WriteError {
-    /// It was turned down.
+    /// It was rejected.
     #[error("the book did not take it: {0}")]
     Turned(String),
-    /// Nothing came of it in time. It is tried on.
+    /// There was no result in time. It is still retried.
     #[error(
         "no majority of keepers has confirmed it yet; it is tried on, so ask `book` for the revision, and see the keepers"
     )]
     Unconfirmed,
-    /// Too many wait.
-    #[error("{QUEUE} writes wait already; see the keepers")]
+    /// Too many writes are waiting.
+    #[error("{MAX_QUEUED_WRITES} writes wait already; see the keepers")]
     Busy,
 }
 
-/// What the book says of itself here.
+/// The status of the book at this process, as the `book` command reports it.
 #[derive(Clone, Debug, Serialize)]
 pub struct View {
     /// `keeper` or `reader`.
     role: &'static str,
-    /// It leads.
+    /// This keeper is the leader.
     leads: bool,
     /// The leader, or for a reader the keeper that it follows.
     from: Option<String>,
-    /// Up to where the book is known here.
+    /// The last write that is applied here.
     revision: u64,
-    /// Milliseconds since a keeper with a leader was heard.
+    /// Milliseconds since the last contact with a keeper that had a leader.
     age_ms: Option<u64>,
-    /// Keepers that count.
+    /// The voting keepers.
     voters: Vec<String>,
-    /// Keepers that are being caught up.
+    /// Keepers that are catching up and do not vote yet.
     learners: Vec<String>,
-    /// Amid a change of who counts: no further machine may be taken away.
+    /// A change of the voters is in progress: no other machine may be taken away until it is done.
     changing: bool,
     /// Why this keeper has stepped down.
     fault: Option<String>,
-    /// App servers that are out by the book.
+    /// The banned app servers.
     out: Vec<String>,
     #[serde(skip)]
-    heard: Option<Instant>,
+    last_contact: Option<Instant>,
 }
 
 impl View {
-    fn stands(&mut self, stand: &Stand, fresh: bool) {
+    fn update_from_keeper(&mut self, stand: &Stand, fresh: bool) {
         (self.leads, self.from, self.revision) = (stand.leads, stand.leader.clone(), stand.applied);
         (self.voters, self.learners) = (stand.voters.clone(), stand.learners.clone());
         self.changing = stand.changing;
         if fresh {
-            self.heard = Some(Instant::now());
+            self.last_contact = Some(Instant::now());
         }
     }
 
-    fn reads(&mut self, from: &str, revision: u64, fresh: bool) {
+    fn update_from_reader(&mut self, from: &str, revision: u64, fresh: bool) {
         (self.from, self.revision) = (Some(from.to_owned()), revision);
         if fresh {
-            self.heard = Some(Instant::now());
+            self.last_contact = Some(Instant::now());
         }
     }
 }
 
 /// What all actors of the book share.
-struct Common {
+struct Shared {
     name: String,
-    file: File,
+    file: FleetFile,
     bans: Shown,
-    /// What was there of the content at the last telling.
+    /// The number of changes of the content so far.
     changes: watch::Sender<u64>,
     view: RefCell<View>,
     random: RefCell<Pcg64Mcg>,
-    complaints: RefCell<BTreeSet<String>>,
+    warnings: RefCell<BTreeSet<String>>,
 }
 
-impl Common {
+impl Shared {
     fn contents(&self) -> Vec<Box<dyn Content>> {
         vec![Box::new(Bans::shown_at(self.bans.clone()))]
     }
 
-    fn draw(&self) -> u64 {
+    fn random_u64(&self) -> u64 {
         self.random.borrow_mut().random()
     }
 
-    fn changed(&self) {
+    fn notify_changed(&self) {
         self.changes.send_modify(|count| *count += 1);
     }
 
-    fn say(&self, change: impl FnOnce(&mut View)) {
+    fn update_view(&self, change: impl FnOnce(&mut View)) {
         change(&mut self.view.borrow_mut());
     }
 
-    /// This keeper does not go on, for this reason; it reads from now on.
-    fn steps_down(&self, why: &str) {
+    /// Records why this keeper steps down; from now on this process is a reader.
+    fn step_down(&self, why: &str) {
         warn!("book: this keeper steps down: {why}");
-        self.say(|view| {
+        self.update_view(|view| {
             (view.role, view.leads, view.fault) = ("reader", false, Some(why.to_owned()));
         });
     }
 
-    /// Logs a complaint, the first time that it comes up.
-    fn once(&self, what: String) {
-        let mut complaints = self.complaints.borrow_mut();
-        if complaints.len() < COMPLAINTS && complaints.insert(what.clone()) {
+    /// Logs a warning, the first time that it occurs.
+    fn warn_once(&self, what: String) {
+        let mut warnings = self.warnings.borrow_mut();
+        if warnings.len() < MAX_WARNINGS && warnings.insert(what.clone()) {
             warn!("book: {what}");
         }
     }
 }
 
-/// Dials a keeper and meets it.
-async fn reach(named: &Named, common: &Common, within: Duration) -> Result<Line, LineError> {
+/// Connects to a keeper, and checks that it is the one that was addressed.
+async fn connect(
+    keeper: &KeeperAddress,
+    shared: &Shared,
+    within: Duration,
+) -> Result<PeerConnection, LineError> {
     let stream =
-        timeout(within, TcpStream::connect(named.address)).await.map_err(|_| LineError::Silent)??;
-    let line = Line::meet(stream, common.file.seal.clone(), &common.name, common.draw()).await?;
-    match line.name == named.name {
-        true => Ok(line),
-        false => Err(LineError::Another(line.name.clone(), named.name.clone())),
+        timeout(within, TcpStream::connect(keeper.address)).await.map_err(|_| LineError::Silent)??;
+    let connection =
+        PeerConnection::handshake(stream, shared.file.seal.clone(), &shared.name, shared.random_u64())
+            .await?;
+    match connection.name == keeper.name {
+        true => Ok(connection),
+        false => Err(LineError::Another(connection.name.clone(), keeper.name.clone())),
     }
 }
 
-type Asked = (bans::Change, oneshot::Sender<Result<Outcome, String>>);
+type QueuedWrite = (bans::Change, oneshot::Sender<Result<Outcome, String>>);
 
-/// The book, as the rest of the daemon sees it.
+/// A handle to the book for the rest of the daemon.
 #[derive(Clone)]
 pub struct Book {
-    common: Rc<Common>,
-    asks: mpsc::Sender<Asked>,
+    shared: Rc<Shared>,
+    requests: mpsc::Sender<QueuedWrite>,
     changes: watch::Receiver<u64>,
 }
 
 impl Book {
-    /// Opens the book by this file; a keeper listens when this returns.
+    /// Opens the book as this fleet file configures it; a keeper listens when this returns.
     ///
     /// # Errors
     ///
@@ -189,14 +196,14 @@
         if !peers {
             return Err(FileError::Forbidden.into());
         }
-        let file = File::read(path, name)?;
-        let (changes, seen) = watch::channel(0);
-        // Numbers of disks and sessions must differ between processes that were given the same seed.
+        let file = FleetFile::read(path, name)?;
+        let (changes, changes_receiver) = watch::channel(0);
+        // The ids of disks and sessions must differ between processes that are configured with the same seed.
         let clock = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
         let random = seed ^ (clock.as_nanos() as u64) ^ u64::from(std::process::id()).rotate_left(40);
-        let keeps = file.keeps.clone();
+        let own_keeper = file.own_keeper.clone();
         let view = View {
-            role: if keeps.is_some() { "keeper" } else { "reader" },
+            role: if own_keeper.is_some() { "keeper" } else { "reader" },
             leads: false,
             from: None,
             revision: 0,
@@ -206,121 +213,123 @@
             changing: false,
             fault: None,
             out: Vec::new(),
-            heard: None,
+            last_contact: None,
         };
-        let common = Rc::new(Common {
+        let shared = Rc::new(Shared {
             name: name.to_owned(),
             file,
             bans: Shown::default(),
             changes,
             view: RefCell::new(view),
             random: RefCell::new(Pcg64Mcg::seed_from_u64(random)),
-            complaints: RefCell::default(),
+            warnings: RefCell::default(),
         });
-        let (asks, asked) = mpsc::channel(QUEUE);
-        let (writes, mut given) = mpsc::channel(QUEUE);
-        let mut keeps_with = None;
-        if let Some((listen, disk)) = keeps {
-            match keeper::open(&disk, common.draw().max(1)) {
+        let (requests, queue) = mpsc::channel(MAX_QUEUED_WRITES);
+        let (writes, mut write_receiver) = mpsc::channel(MAX_QUEUED_WRITES);
+        let mut keeper_setup = None;
+        if let Some((listen, disk)) = own_keeper {
+            match keeper::open(&disk, shared.random_u64().max(1)) {
                 Ok(disk) => {
                     let listener =
                         TcpListener::bind(listen).await.map_err(|e| FleetError::Listen(listen, e))?;
                     let at = listener.local_addr().map_err(|e| FleetError::Listen(listen, e))?;
                     info!(fleet_addr = %at, "book: keeper listens");
-                    keeps_with = Some((listener, disk));
+                    keeper_setup = Some((listener, disk));
                 }
-                // The balancer serves all the same, by what the other keepers tell.
-                Err(why) => common.steps_down(&why.to_string()),
+                // The balancer still serves, and follows the other keepers as a reader.
+                Err(why) => shared.step_down(&why.to_string()),
             }
         }
-        let of = common.clone();
+        let task_shared = shared.clone();
         spawn_local(async move {
-            if let Some((listener, disk)) = keeps_with {
-                keeper::run(listener, disk, of.clone(), &mut given).await;
+            if let Some((listener, disk)) = keeper_setup {
+                keeper::run(listener, disk, task_shared.clone(), &mut write_receiver).await;
             }
-            info!(keepers = of.file.keepers.len(), "book: reader");
-            reader::run(of, &mut given).await;
+            info!(keepers = task_shared.file.keepers.len(), "book: reader started");
+            reader::run(task_shared, &mut write_receiver).await;
         });
-        spawn_local(write_in_turn(common.clone(), asked, writes));
-        Ok(Book { common, asks, changes: seen })
+        spawn_local(write_in_order(shared.clone(), queue, writes));
+        Ok(Book { shared, requests, changes: changes_receiver })
     }
 
-    /// Takes an app server out for all balancers, or lets it serve. The outcome once it holds.
+    /// Bans an app server at all balancers, or lifts the ban. Returns the outcome once the write is committed.
     ///
     /// # Errors
     ///
-    /// It is not known to hold.
-    pub async fn ban(&self, server: &str, since: Option<u64>) -> Result<Outcome, WriteError> {
+    /// The write is not known to be committed.
+    pub async fn set_ban(&self, server: &str, since: Option<u64>) -> Result<Outcome, WriteError> {
         let server = server.to_owned();
         let change = match since {
-            Some(since) => bans::Change::Ban { server, ban: Ban { since, by: self.common.name.clone() } },
+            Some(since) => bans::Change::Ban { server, ban: Ban { since, by: self.shared.name.clone() } },
             None => bans::Change::Lift { server },
         };
-        let (answer, answered) = oneshot::channel();
-        self.asks.try_send((change, answer)).map_err(|_| WriteError::Busy)?;
-        match timeout(PATIENCE, answered).await {
+        let (answer, response) = oneshot::channel();
+        self.requests.try_send((change, answer)).map_err(|_| WriteError::Busy)?;
+        match timeout(BAN_TIMEOUT, response).await {
             Ok(Ok(Ok(Outcome::Refused(why)) | Err(why))) => Err(WriteError::Turned(why)),
             Ok(Ok(Ok(outcome))) => Ok(outcome),
             Ok(Err(_)) | Err(_) => Err(WriteError::Unconfirmed),
         }
     }
 
-    /// Hands each change of the bans on, for as long as the process lasts.
+    /// Calls `each` at each change of the bans, until the process ends.
     pub async fn follow(self, mut each: impl FnMut(&str, Option<u64>)) {
-        let mut held = Held::new();
+        let mut previous = Held::new();
         let mut changes = self.changes.clone();
-        // It lasts as long as its sender, which is held here.
+        // The sender is held here, so the channel stays open.
         while changes.changed().await.is_ok() {
-            let now = self.common.bans.borrow().clone();
-            now.iter()
-                .filter(|(id, _)| !held.contains_key(*id))
+            let current = self.shared.bans.borrow().clone();
+            current
+                .iter()
+                .filter(|(id, _)| !previous.contains_key(*id))
                 .for_each(|(id, ban)| each(id, Some(ban.since)));
-            held.keys().filter(|id| !now.contains_key(*id)).for_each(|id| each(id, None));
-            held = now;
+            previous.keys().filter(|id| !current.contains_key(*id)).for_each(|id| each(id, None));
+            previous = current;
         }
     }
 
-    /// Waits until the book was told here, this long at most: an app server that is out gets nothing from the start.
-    pub async fn told(&self, within: Duration) {
+    /// Waits until the book's content is known here, for at most this long, so that a banned app server gets no request from
+    /// the start.
+    pub async fn wait_until_known(&self, within: Duration) {
         let mut changes = self.changes.clone();
         let _ = timeout(within, changes.wait_for(|count| *count > 0)).await;
     }
 
-    /// What it says of itself, as JSON.
+    /// The status of the book, as JSON.
     pub fn view(&self) -> String {
-        let mut view = self.common.view.borrow().clone();
+        let mut view = self.shared.view.borrow().clone();
         let millis = |at: Instant| u64::try_from(at.elapsed().as_millis()).unwrap_or(u64::MAX);
         (view.age_ms, view.out) =
-            (view.heard.map(millis), self.common.bans.borrow().keys().cloned().collect());
+            (view.last_contact.map(millis), self.shared.bans.borrow().keys().cloned().collect());
         serde_json::to_string(&view).unwrap_or_default()
     }
 }
 
-/// Hands writes in one after the other, each until it is known what came of it: a later one must not overtake.
-async fn write_in_turn(
-    common: Rc<Common>,
-    mut asked: mpsc::Receiver<Asked>,
+/// Submits writes one at a time, each until its result is known, so that no write overtakes an earlier one.
+async fn write_in_order(
+    shared: Rc<Shared>,
+    mut queue: mpsc::Receiver<QueuedWrite>,
     writes: mpsc::Sender<(Write, Answers)>,
 ) {
-    let (session, mut number) = (common.draw(), 0);
-    while let Some((change, answer)) = asked.recv().await {
+    let (session, mut number) = (shared.random_u64(), 0);
+    while let Some((change, answer)) = queue.recv().await {
         number += 1;
         let write = Write { session, number, kind: bans::KIND, body: bans::body(&change) };
-        let came = loop {
-            let (answers, mut answered) = mpsc::channel(4);
+        let result = loop {
+            let (answers, mut response) = mpsc::channel(4);
             if writes.send((write.clone(), answers)).await.is_err() {
                 // This keeper has stepped down.
                 break Err("this keeper has stepped down; tell another balancer".to_owned());
             }
-            match timeout(RETRY, answered.recv()).await {
+            match timeout(WRITE_RETRY_AFTER, response.recv()).await {
                 Ok(Some(Packet::Done { outcome, .. })) => break Ok(outcome),
                 Ok(Some(Packet::Turned { why, .. })) => break Err(why),
-                // The connection ended under it: another is tried.
-                Ok(_) => sleep(RETRY / 8).await,
+                // The connection ended before the result: the write is submitted again on another one.
+                Ok(_) => sleep(WRITE_RETRY_AFTER / 8).await,
                 Err(_) => {}
             }
         };
-        // The operator may have gone; it holds all the same.
-        let _ = answer.send(came);
+        // The operator may have disconnected; the result holds all the same.
+        let _ = answer.send(result);
     }
 }
--- a/daemon/src/fleet/reader.rs
+++ b/daemon/src/fleet/reader.rs
@@ -1,4 +1,4 @@
-//! A reader: one connection to a keeper, whose applied state it follows and to which it hands writes.
+//! A reader: follows the applied state of one keeper over a connection, and submits writes to it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,77 +8,77 @@
 use tokio::sync::mpsc;
 use tokio::time::{interval, sleep};
 
-use super::line::{LineError, PULSE, Packet};
-use super::{Answers, Common, reach};
+use super::peer_connection::{HEARTBEAT_INTERVAL, LineError, Packet};
+use super::{Answers, Shared, connect};
 
-/// How long a dial may take, and how long to wait before the next keeper is tried.
-const DIAL: Duration = Duration::from_millis(1000);
-const AGAIN: Duration = Duration::from_millis(200);
+/// The timeout of a connect, and the delay before the next keeper is tried.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
+const RECONNECT_DELAY: Duration = Duration::from_millis(200);
 
-/// Why a keeper is not followed any more.
+/// Why the reader stops following a keeper.
 #[derive(Debug, Error)]
 enum ReadError {
     /// The connection ended.
     #[error(transparent)]
     Line(#[from] LineError),
-    /// What it tells can not be used here.
+    /// The keeper's content can't be used by this build.
     #[error(transparent)]
     Ledger(#[from] LedgerError),
 }
 
-/// Follows the keepers, one after the other, for as long as the process lasts.
-pub async fn run(common: Rc<Common>, writes: &mut mpsc::Receiver<(Write, Answers)>) {
-    let keepers = &common.file.keepers;
-    let mut ledger = Ledger::new(common.contents());
-    // All begin at different ones, or the first would have them all.
-    let first = common.draw() as usize % keepers.len();
+/// Follows one keeper, and the next one when that fails, until the process ends.
+pub async fn run(shared: Rc<Shared>, writes: &mut mpsc::Receiver<(Write, Answers)>) {
+    let keepers = &shared.file.keepers;
+    let mut ledger = Ledger::new(shared.contents());
+    // Readers begin at random keepers; otherwise all of them would connect to the first one.
+    let first = shared.random_u64() as usize % keepers.len();
     // A keeper that has stepped down does not follow itself.
-    let others = keepers.iter().filter(|keeper| keeper.name != common.name);
+    let others = keepers.iter().filter(|keeper| keeper.name != shared.name);
     for keeper in others.cycle().skip(first) {
-        let Err(why) = follow(keeper, &common, &mut ledger, writes).await else { return };
-        common.once(format!("keeper {}: {why}", keeper.name));
-        sleep(AGAIN).await;
+        let Err(why) = follow(keeper, &shared, &mut ledger, writes).await else { return };
+        shared.warn_once(format!("keeper {}: {why}", keeper.name));
+        sleep(RECONNECT_DELAY).await;
     }
 }
 
 async fn follow(
-    keeper: &super::file::Named,
-    common: &Common,
+    keeper: &super::file::KeeperAddress,
+    shared: &Shared,
     ledger: &mut Ledger,
     writes: &mut mpsc::Receiver<(Write, Answers)>,
 ) -> Result<(), ReadError> {
-    let mut line = reach(keeper, common, DIAL).await?;
-    line.say(&Packet::Follow).await?;
-    let mut pulse = interval(PULSE);
-    let mut waits: Option<(u64, Answers)> = None;
+    let mut connection = connect(keeper, shared, CONNECT_TIMEOUT).await?;
+    connection.send(&Packet::Follow).await?;
+    let mut heartbeat = interval(HEARTBEAT_INTERVAL);
+    let mut pending: Option<(u64, Answers)> = None;
     loop {
         tokio::select! {
             biased;
-            heard = line.hear() => match heard? {
+            received = connection.receive() => match received? {
                 Packet::Whole(saved) => {
                     ledger.load(&saved)?;
-                    common.say(|view| view.reads(&line.name, ledger.index(), true));
-                    common.changed();
+                    shared.update_view(|view| view.update_from_reader(&connection.name, ledger.index(), true));
+                    shared.notify_changed();
                 }
                 Packet::Applied { index, write } => {
                     ledger.apply(index, &write);
-                    common.say(|view| view.reads(&line.name, ledger.index(), true));
-                    common.changed();
+                    shared.update_view(|view| view.update_from_reader(&connection.name, ledger.index(), true));
+                    shared.notify_changed();
                 }
-                Packet::Pulse { fresh } => common.say(|view| view.reads(&line.name, ledger.index(), fresh)),
+                Packet::Pulse { fresh } => shared.update_view(|view| view.update_from_reader(&connection.name, ledger.index(), fresh)),
                 packet @ (Packet::Done { number, .. } | Packet::Turned { number, .. }) => {
-                    if let Some((_, answers)) = waits.take_if(|(waits, _)| *waits == number) {
-                        // Whoever asked may have gone.
+                    if let Some((_, answers)) = pending.take_if(|(pending, _)| *pending == number) {
+                        // The receiver may be gone.
                         let _ = answers.try_send(packet);
                     }
                 }
                 _ => {}
             },
-            _ = pulse.tick() => line.say(&Packet::Pulse { fresh: false }).await?,
+            _ = heartbeat.tick() => connection.send(&Packet::Pulse { fresh: false }).await?,
             write = writes.recv() => match write {
                 Some((write, answers)) => {
-                    waits = Some((write.number, answers));
-                    line.say(&Packet::Write(write)).await?;
+                    pending = Some((write.number, answers));
+                    connection.send(&Packet::Write(write)).await?;
                 }
                 None => return Ok(()),
             },
--- a/daemon/src/handover/mod.rs
+++ b/daemon/src/handover/mod.rs
@@ -1,8 +1,9 @@
-//! What the processes of one balancer leave each other in `$TMPDIR`, the one thing that they share: bans, the
-//! service table, and who lives and holds how much. `record` says what the files mean, `folder` keeps them.
+//! What the processes of one balancer hand over to each other in `$TMPDIR`, the only thing that they share: bans, the service
+//! table, and which processes run and how many descriptors each claims. [`record`] defines the content of the files,
+//! [`shared_directory`] stores them.
 
-mod folder;
 mod record;
+mod shared_directory;
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -17,147 +18,148 @@
 use tokio::time::sleep;
 use tracing::{info, warn};
 
-use crate::mail;
-use crate::phase::Phase;
-use crate::sockets::Budget;
-use folder::{Entry, Folder};
-pub use record::{Others, Table};
+use crate::descriptor_budget::DescriptorBudget;
+use crate::dispatch_handle::DispatchHandle;
+use crate::lifecycle::Lifecycle;
+pub use record::{OtherProcesses, Table};
 use record::{Process, VERSION};
+use shared_directory::{ProcessFile, SharedDirectory};
 
-/// How often the folder is looked at. A ban made elsewhere must bind here well within the grace.
-const LOOK: Duration = Duration::from_millis(200);
-/// While there is another process: what the one gives up the other needs at once.
-const LOOK_CLOSELY: Duration = Duration::from_millis(40);
-/// The longest table that is left for an heir.
-const MOST_TABLE: usize = 1024 * 1024;
+/// The interval at which the directory is read. A ban made by another process must apply here well within the grace.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// The interval while there is another process: it needs descriptors as soon as this one releases them.
+const SHARED_POLL_INTERVAL: Duration = Duration::from_millis(40);
+/// The size limit in bytes of a table that is stored for a successor.
+const MAX_TABLE: usize = 1024 * 1024;
 
-/// This process's side of the folder.
+/// This process's view of the shared directory.
 pub struct Handover {
-    folder: Folder,
-    own: String,
-    entry: Entry,
+    directory: SharedDirectory,
+    own_name: String,
+    own_file: ProcessFile,
     process: Cell<Process>,
-    /// Told when the process claims another number of descriptors.
+    /// Notified when the process claims another number of descriptors.
     changed: Notify,
-    /// The balancer's descriptors, if they are shared with processes that may come.
-    sockets: Option<usize>,
-    /// Files of bans that were seen, and whether each was good.
+    /// The descriptors of the balancer, if they are shared with other processes.
+    descriptors: Option<usize>,
+    /// The ban files that were seen, and whether each was valid.
     seen: RefCell<BTreeMap<String, bool>>,
-    /// What went wrong last, so that it is said once.
-    fault: RefCell<String>,
+    /// The last error, so that it is logged only once.
+    last_error: RefCell<String>,
 }
 
 impl Handover {
-    /// Enters this process. `sockets` are the balancer's descriptors, if others may come that share them.
+    /// Adds this process to the directory. `descriptors` is the limit of the balancer, if it is shared with other processes.
     ///
     /// # Errors
     ///
-    /// What is wrong with the folder, or that another process of this name lives, as a text for the log.
-    pub fn enter(within: &Path, name: &str, sockets: Option<usize>) -> Result<Rc<Handover>, String> {
-        let place = record::name("gradepaddle", name).ok_or("the balancer's name is too long")?;
-        let folder = Folder::open(within, &place).map_err(|e| format!("{place}: {e}"))?;
+    /// What is wrong with the directory, or that another process of this name runs, as a text for the log.
+    pub fn join(parent: &Path, name: &str, descriptors: Option<usize>) -> Result<Rc<Handover>, String> {
+        let place = record::file_name("gradepaddle", name).ok_or("the balancer's name is too long")?;
+        let directory = SharedDirectory::open(parent, &place).map_err(|e| format!("{place}: {e}"))?;
         let born = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
         let (born, pid) = (born.as_micros() as u64, std::process::id());
-        let process = Process { version: VERSION, born, pid, ready: false, claim: record::FIRST };
-        let own = format!("process-{pid}-{born}");
-        let entry = folder.enter(&own, &process).map_err(|e| format!("{place}/{own}: {e}"))?;
+        let process = Process { version: VERSION, born, pid, ready: false, claim: record::INITIAL_CLAIM };
+        let own_name = format!("process-{pid}-{born}");
+        let own_file =
+            directory.add_process(&own_name, &process).map_err(|e| format!("{place}/{own_name}: {e}"))?;
         Ok(Rc::new(Handover {
-            folder,
-            own,
-            entry,
+            directory,
+            own_name,
+            own_file,
             process: Cell::new(process),
             changed: Notify::new(),
-            sockets,
+            descriptors,
             seen: RefCell::default(),
-            fault: RefCell::default(),
+            last_error: RefCell::default(),
         }))
     }
 
-    /// The others that live. A folder that cannot be read has none, and is named in the log.
-    pub fn others(&self) -> Others {
-        let live = self.folder.processes(&self.own).unwrap_or_else(|e| {
-            self.say(format!("the other processes: {e}"));
+    /// The other running processes. If the directory can't be read, there are none and the error is logged.
+    pub fn others(&self) -> OtherProcesses {
+        let running = self.directory.processes(&self.own_name).unwrap_or_else(|e| {
+            self.log_once(format!("reading the other processes failed: {e}"));
             Vec::new()
         });
-        Others::of(&self.process.get(), &live)
+        OtherProcesses::of(&self.process.get(), &running)
     }
 
-    /// Says that this process can serve.
-    pub fn ready(&self) {
-        self.tell(Process { ready: true, ..self.process.get() });
+    /// Publishes that this process can serve.
+    pub fn set_ready(&self) {
+        self.publish(Process { ready: true, ..self.process.get() });
     }
 
-    fn tell(&self, process: Process) {
+    fn publish(&self, process: Process) {
         if self.process.replace(process) != process
-            && let Err(e) = self.entry.say(&process)
+            && let Err(e) = self.own_file.write(&process)
         {
-            self.say(format!("{}: {e}", self.own));
+            self.log_once(format!("{}: {e}", self.own_name));
         }
     }
 
-    /// Waits until this process has more than its first descriptors.
+    /// Waits until this process has claimed more than its initial descriptors.
     pub async fn room(&self) {
-        while self.sockets.is_some() && self.process.get().claim <= record::FIRST {
+        while self.descriptors.is_some() && self.process.get().claim <= record::INITIAL_CLAIM {
             self.changed.notified().await;
         }
     }
 
-    fn say(&self, fault: String) {
-        if self.fault.replace(fault.clone()) != fault {
-            warn!("handover: {fault}");
+    fn log_once(&self, error: String) {
+        if self.last_error.replace(error.clone()) != error {
+            warn!("handover: {error}");
         }
     }
 
-    /// Claims this process's part of the descriptors and keeps to it.
-    pub fn share(&self, budget: &Budget, leaving: bool) -> Others {
+    /// Claims this process's share of the descriptors and limits the budget to it.
+    pub fn share(&self, budget: &DescriptorBudget, terminating: bool) -> OtherProcesses {
         let others = self.others();
-        let Some(sockets) = self.sockets else { return others };
-        budget.limit(self.process.get().claim);
-        let turn = match self.folder.turn() {
-            Ok(Some(turn)) => turn,
+        let Some(descriptors) = self.descriptors else { return others };
+        budget.set_limit(self.process.get().claim);
+        let lock = match self.directory.try_lock() {
+            Ok(Some(lock)) => lock,
             Ok(None) => return others,
             Err(e) => {
-                self.say(format!("whose turn it is: {e}"));
+                self.log_once(format!("locking the claims failed: {e}"));
                 return others;
             }
         };
         let (others, process) = (self.others(), self.process.get());
-        let claim = others.claim(sockets, budget.holds(), process.claim, leaving);
-        // What is given up is given up before that is said, what is won used after.
-        budget.limit(claim.min(process.claim));
-        self.tell(Process { claim, ..process });
-        budget.limit(claim);
+        let claim = others.claim(descriptors, budget.held(), process.claim, terminating);
+        // Descriptors are given up before the smaller claim is published, and used after the larger one is.
+        budget.set_limit(claim.min(process.claim));
+        self.publish(Process { claim, ..process });
+        budget.set_limit(claim);
         self.changed.notify_one();
-        drop(turn);
+        drop(lock);
         others
     }
 
-    /// Writes a ban down, or takes it away. Done when this returns.
+    /// Stores a ban, or removes it. It is on disk when this returns.
     ///
     /// # Errors
     ///
     /// Why it is not on disk, as a text for the operator; nothing has changed then.
-    pub fn ban(&self, server: &Id, since: Option<Micros>) -> Result<(), String> {
-        let file = record::name("ban", server).ok_or("the id is too long to be written down")?;
+    pub fn store_ban(&self, server: &Id, since: Option<Micros>) -> Result<(), String> {
+        let file = record::file_name("ban", server).ok_or("the id is too long to be written down")?;
         if let Some(made) = since {
             let ban = record::Ban { version: VERSION, server: server.to_string(), made };
             let text = serde_json::to_vec(&ban).map_err(|e| e.to_string())?;
-            self.folder.write(&file, &text).map_err(|e| format!("the ban cannot be written down: {e}"))?;
+            self.directory.write(&file, &text).map_err(|e| format!("the ban cannot be written down: {e}"))?;
             self.seen.borrow_mut().insert(file, true);
         } else {
-            self.folder.remove(&file).map_err(|e| format!("the ban cannot be taken away: {e}"))?;
+            self.directory.remove(&file).map_err(|e| format!("the ban cannot be taken away: {e}"))?;
             self.seen.borrow_mut().remove(&file);
         }
         Ok(())
     }
 
-    /// The bans that have come, and since when they hold, and those that have gone since the last look: made by
-    /// another process or before the start.
-    pub fn bans(&self) -> Vec<(Id, Option<Micros>)> {
-        let files = match self.folder.names("ban-") {
+    /// The bans that were made or lifted since the last call, by another process or before the start, with the time since which
+    /// each one holds, or none if it was lifted.
+    pub fn ban_changes(&self) -> Vec<(Id, Option<Micros>)> {
+        let files = match self.directory.names("ban-") {
             Ok(files) => files,
             Err(e) => {
-                self.say(format!("the bans: {e}"));
+                self.log_once(format!("listing the bans failed: {e}"));
                 return Vec::new();
             }
         };
@@ -165,75 +167,80 @@
         let before = std::mem::take(&mut *seen);
         for file in files {
             let was = before.get(&file).copied();
-            let read = || self.folder.read(&file).map_err(|e| e.to_string());
-            let good = was == Some(true)
-                || match read().and_then(|text| record::ban(&file, &text)) {
+            let read = || self.directory.read(&file).map_err(|e| e.to_string());
+            let valid = was == Some(true)
+                || match read().and_then(|text| record::parse_ban(&file, &text)) {
                     Ok((server, made)) => {
                         changes.push((server, Some(made)));
                         true
                     }
                     Err(why) => {
-                        // One that is put right later counts from then on.
+                        // Read again at each call: a file that is repaired later applies from then on.
                         if was.is_none() {
-                            warn!(file, "handover: not heeded, no ban of ours: {why}");
+                            warn!(file, "handover: invalid ban file ignored: {why}");
                         }
                         false
                     }
                 };
-            seen.insert(file, good);
+            seen.insert(file, valid);
         }
-        for (file, _) in before.iter().filter(|(file, good)| **good && !seen.contains_key(*file)) {
-            changes.extend(record::banned(file).map(|server| (server, None)));
+        for (file, _) in before.iter().filter(|(file, valid)| **valid && !seen.contains_key(*file)) {
+            changes.extend(record::server_of_ban_file(file).map(|server| (server, None)));
         }
         changes
     }
 
-    /// Leaves the service table for a process that may come.
-    pub fn leave_table(&self, discovery: SocketAddr, seq: u64, hosts: Vec<Value>) {
+    /// Stores the service table for a successor process.
+    pub fn store_table(&self, discovery: SocketAddr, seq: u64, hosts: Vec<Value>) {
         let table = Table { version: VERSION, discovery: discovery.to_string(), seq, hosts };
         let text = serde_json::to_vec(&table).map_err(|e| e.to_string());
-        let fits = text.and_then(|text| match text.len() <= MOST_TABLE {
+        let checked = text.and_then(|text| match text.len() <= MAX_TABLE {
             true => Ok(text),
-            false => Err(format!("{} bytes are too many", text.len())),
+            false => Err(format!("{} bytes, but the limit is {MAX_TABLE}", text.len())),
         });
-        let left = fits.and_then(|text| self.folder.write("table", &text).map_err(|e| e.to_string()));
-        if let Err(why) = left {
-            self.say(format!("the table: {why}"));
+        let stored = checked.and_then(|text| self.directory.write("table", &text).map_err(|e| e.to_string()));
+        if let Err(why) = stored {
+            self.log_once(format!("storing the table failed: {why}"));
         }
     }
 
-    /// The service table as the last process left it, if any did.
-    pub fn last_table(&self) -> Option<Table> {
-        let text = match self.folder.read("table") {
+    /// The service table that the previous process has stored, if any did.
+    pub fn stored_table(&self) -> Option<Table> {
+        let text = match self.directory.read("table") {
             Ok(text) => text,
             Err(e) if e.kind() == std::io::ErrorKind::NotFound => return None,
             Err(e) => {
-                self.say(format!("the table: {e}"));
+                self.log_once(format!("reading the table failed: {e}"));
                 return None;
             }
         };
         match serde_json::from_slice::<Table>(&text) {
             Ok(table) if table.version == VERSION => Some(table),
             Ok(table) => {
-                warn!(version = table.version, "handover: table not heeded, its version is another");
+                warn!(version = table.version, "handover: table ignored: unsupported version");
                 None
             }
             Err(e) => {
-                warn!("handover: table not heeded: {e}");
+                warn!("handover: table ignored: {e}");
                 None
             }
         }
     }
 
-    /// Keeps bans and shares as the others leave them, until the process ends.
-    pub async fn run(self: Rc<Self>, decision: mail::Mailbox, budget: Budget, phase: Rc<Phase>) {
+    /// Applies the bans of other processes and updates the share of descriptors, until the process ends.
+    pub async fn run(
+        self: Rc<Self>,
+        dispatch: DispatchHandle,
+        budget: DescriptorBudget,
+        lifecycle: Rc<Lifecycle>,
+    ) {
         loop {
-            let others = self.share(&budget, phase.duty().is_leaving());
+            let others = self.share(&budget, lifecycle.state().is_terminating());
             let alone = !others.older && !others.younger;
-            sleep(if alone { LOOK } else { LOOK_CLOSELY }).await;
-            for (server, since) in self.bans() {
+            sleep(if alone { POLL_INTERVAL } else { SHARED_POLL_INTERVAL }).await;
+            for (server, since) in self.ban_changes() {
                 info!(%server, out = since.is_some(), "handover: ban made or ended by another process");
-                decision.heed_ban(server, since);
+                dispatch.apply_ban(server, since);
             }
         }
     }
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -1,24 +1,24 @@
-//! `gradepaddle`: an HTTP balancer on real sockets. The decisions are the library's; here is what they
-//! need to run: connections, messages, time and the service table.
+//! `gradepaddle`: an HTTP balancer on real sockets. The library makes the decisions; this program provides the connections,
+//! messages, time and service table that it needs.
 
 #![forbid(unsafe_code)]
 
+mod admin;
 mod app_server;
+mod attempt;
 mod clock;
 mod config;
-mod decision;
-mod door;
-mod duty;
+mod descriptor_budget;
+mod dispatch_actor;
+mod dispatch_handle;
+mod drain_state;
 mod fleet;
 mod handover;
 mod http;
-mod inherit;
-mod mail;
-mod phase;
+mod inherited_listener;
+mod lifecycle;
 mod probe;
-mod routed_task;
 mod service_table;
-mod sockets;
 mod terminal;
 mod transaction;
 
@@ -38,46 +38,49 @@
 use tracing::{Level, debug, error, info, warn};
 
 use crate::clock::Clock;
-use crate::config::{Config, Occasion};
-use crate::decision::{Decision, Known};
+use crate::config::{Config, ReadReason};
+use crate::descriptor_budget::DescriptorBudget;
+use crate::dispatch_actor::{DispatchActor, TableStatus};
+use crate::dispatch_handle::DispatchHandle;
 use crate::fleet::Book;
 use crate::handover::Handover;
-use crate::phase::Phase;
+use crate::lifecycle::Lifecycle;
 use crate::service_table::ServiceTable;
 
-/// A process that follows another waits this long for discovery before it serves by what the other knew.
-const HEAR: Duration = Duration::from_millis(1000);
+/// How long a process waits at its start for discovery, and for the fleet's book, before it serves with what it knows, such as
+/// the table of the process that it succeeds.
+const DISCOVERY_WAIT: Duration = Duration::from_millis(1000);
 
 fn main() -> ExitCode {
-    // `GRADEPADDLE_LOG=debug` adds a line for each attempt, connect and answer, for counts over a fleet.
+    // `GRADEPADDLE_LOG=debug` adds a line for each attempt, connect and answer, from which counts over a fleet are made.
     let level = variable("GRADEPADDLE_LOG").map(|level| level.parse::<Level>());
     let most = match &level {
         Some(Ok(level)) => *level,
         _ => Level::INFO,
     };
     tracing_subscriber::fmt().with_target(false).with_ansi(false).with_max_level(most).init();
-    if let Some(Err(fault)) = level {
-        error!("GRADEPADDLE_LOG: {fault}");
+    if let Some(Err(error)) = level {
+        error!("GRADEPADDLE_LOG: {error}");
         return ExitCode::FAILURE;
     }
-    let config = match Config::read(variable, Occasion::Start) {
+    let config = match Config::read(variable, ReadReason::Start) {
         Ok(config) => config,
-        Err(fault) => {
-            error!("configuration: {fault}");
+        Err(error) => {
+            error!("configuration: {error}");
             return ExitCode::FAILURE;
         }
     };
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
-        Err(fault) => {
-            error!("starting: {fault}");
+        Err(error) => {
+            error!("starting: {error}");
             return ExitCode::FAILURE;
         }
     };
     match LocalSet::new().block_on(&runtime, serve(config)) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            error!("ended: {fault}");
+        Err(error) => {
+            error!("ended: {error}");
             ExitCode::FAILURE
         }
     }
@@ -87,50 +90,51 @@
     std::env::var(name).ok()
 }
 
-/// Reads the configuration anew at each SIGHUP. What is bad changes nothing.
-async fn reload(mut hangup: Signal, mut config: Config, table: service_table::Mailbox) {
+/// Reads the configuration again at each SIGHUP. An invalid one changes nothing.
+async fn reload(mut hangup: Signal, mut config: Config, table: service_table::CommandSender) {
     while hangup.recv().await.is_some() {
-        let fresh = match Config::read(variable, Occasion::Anew) {
-            Ok(fresh) => fresh,
-            Err(fault) => {
-                error!("SIGHUP: the configuration in use is kept: {fault}");
+        let new = match Config::read(variable, ReadReason::Reload) {
+            Ok(new) => new,
+            Err(error) => {
+                error!("SIGHUP: the configuration in use is kept: {error}");
                 continue;
             }
         };
-        info!(discovery = %fresh.discovery, "SIGHUP: configuration read anew");
-        for field in config.unheeded(&fresh) {
-            warn!("SIGHUP: field {field} has changed; that is heeded at the next start");
+        info!(discovery = %new.discovery, "SIGHUP: configuration reloaded");
+        for field in config.restart_only_changes(&new) {
+            warn!("SIGHUP: field {field} has changed; the change takes effect at the next start");
         }
-        if fresh.discovery != config.discovery {
-            config.discovery = fresh.discovery;
+        if new.discovery != config.discovery {
+            config.discovery = new.discovery;
             // The table ends only with the process.
-            let _ = table.send(service_table::Ask::Move(fresh.discovery));
+            let _ = table.send(service_table::Command::SetDiscovery(new.discovery));
         }
     }
 }
 
-/// The folder shared with other processes of this balancer, where the platform gives one and it is of use.
-fn handover(config: &Config, has_door: bool) -> Option<Rc<Handover>> {
-    let within = std::env::var_os("TMPDIR").filter(|_| has_door || config.inherited.is_some())?;
-    let sockets = config.inherited.map(|_| config.sockets);
-    match Handover::enter(within.as_ref(), &config.name, sockets) {
+/// Joins the directory that is shared with other processes of this balancer, if the platform provides one and it is needed.
+fn join_handover(config: &Config, has_admin_listener: bool) -> Option<Rc<Handover>> {
+    let parent =
+        std::env::var_os("TMPDIR").filter(|_| has_admin_listener || config.inherited_fd.is_some())?;
+    let descriptors = config.inherited_fd.map(|_| config.descriptors);
+    match Handover::join(parent.as_ref(), &config.name, descriptors) {
         Ok(handover) => Some(handover),
-        Err(fault) => {
-            // What would be left there is lost with the process, but it serves.
-            warn!("handover: {fault}");
+        Err(error) => {
+            // The process still serves, but its bans and table are lost when it ends.
+            warn!("handover: {error}");
             None
         }
     }
 }
 
-/// Serves until SIGTERM, then until all is answered.
+/// Serves until SIGTERM, then until all requests are answered.
 async fn serve(mut config: Config) -> Result<(), String> {
-    // Caught from the start on: either of them would end the process.
+    // Installed first, because either signal would end the process by default.
     let hangup = signal(SignalKind::hangup()).map_err(|e| format!("signals: {e}"))?;
     let mut terminate = signal(SignalKind::terminate()).map_err(|e| format!("signals: {e}"))?;
-    let listener = match config.inherited {
+    let listener = match config.inherited_fd {
         Some(fd) => {
-            let listener = inherit::listener(fd, config.listen)
+            let listener = inherited_listener::adopt(fd, config.listen)
                 .and_then(|listener| TcpListener::from_std(listener).map_err(|e| e.to_string()));
             listener.map_err(|e| format!("RELAY_INHERITED_FD: descriptor {fd}: {e}"))?
         }
@@ -140,24 +144,27 @@
         }
     };
     let address = listener.local_addr().map_err(|e| e.to_string())?;
-    let door = match config.admin_addr {
+    let admin_listener = match config.admin_addr {
         Some(at) => Some(TcpListener::bind(at).await.map_err(|e| format!("field admin_addr: {at}: {e}"))?),
         None => None,
     };
     let (clock, pool) = (Clock::start(), Pool::default());
     pool.set_limit(config.memory_mb * 1024 * 1024 / 2);
-    let budget = sockets::Budget::new(config.sockets, door.as_ref().map_or(0, |_| door::CALLERS + 1));
-    let handover = handover(&config, door.is_some());
+    let budget = DescriptorBudget::new(
+        config.descriptors,
+        admin_listener.as_ref().map_or(0, |_| admin::MAX_CONNECTIONS + 1),
+    );
+    let handover = join_handover(&config, admin_listener.is_some());
     let older = handover.as_ref().is_some_and(|handover| handover.share(&budget, false).older);
     let balancer = Balancer::new(config.deployment.settings.clone(), config.seed);
     let balancer = balancer.map_err(|e| format!("field {e}"))?;
-    let (table_known, mut known) = watch::channel(Known::default());
-    let (ready, is_ready) = watch::channel(false);
-    let phase = Rc::new(Phase::new(clock));
-    let (decision, mails) = mail::Mailbox::new();
-    let (table, asks) = mpsc::unbounded_channel();
+    let (table_status_sender, mut table_status) = watch::channel(TableStatus::default());
+    let (ready_sender, ready) = watch::channel(false);
+    let lifecycle = Rc::new(Lifecycle::new(clock));
+    let (dispatch_handle, dispatch_commands) = DispatchHandle::new();
+    let (table_sender, table_commands) = mpsc::unbounded_channel();
 
-    let routing = Rc::new(routed_task::Context {
+    let attempt_context = Rc::new(attempt::Context {
         pool: pool.clone(),
         clock,
         budget: budget.clone(),
@@ -168,19 +175,27 @@
     });
     let limits = Limits { grace: config.deployment.drain_grace, ..Limits::default() };
     let dispatch = Dispatch::new(balancer, &config.deployment.settings, &config.name, limits);
-    let deciding = Decision::new(dispatch, decision.clone(), table.clone(), routing.clone(), table_known);
-    let mut deciding = spawn_local(deciding.run(mails));
-    let (at, deployment) = (config.discovery, config.deployment.clone());
-    let listing = ServiceTable::new(at, deployment, decision.clone(), routing, handover.clone());
-    let left = handover.as_ref().and_then(|handover| handover.last_table());
-    let list = std::mem::take(&mut config.known).or_left(at, left, older);
+    let dispatch_actor = DispatchActor::new(
+        dispatch,
+        dispatch_handle.clone(),
+        table_sender.clone(),
+        attempt_context.clone(),
+        table_status_sender,
+    );
+    let mut dispatch_task = spawn_local(dispatch_actor.run(dispatch_commands));
+    let (discovery, deployment) = (config.discovery, config.deployment.clone());
+    let service_table =
+        ServiceTable::new(discovery, deployment, dispatch_handle.clone(), attempt_context, handover.clone());
+    let stored_table = handover.as_ref().and_then(|handover| handover.stored_table());
+    let initial_table =
+        std::mem::take(&mut config.initial_table).or_handed_over(discovery, stored_table, older);
     if let Some(handover) = &handover {
-        // Before the table: nothing goes to one that is out.
-        for (server, since) in handover.bans() {
+        // Before the table is applied, so that a banned app server gets no request.
+        for (server, since) in handover.ban_changes() {
             info!(%server, "handover: ban from before the start");
-            decision.heed_ban(server, since);
+            dispatch_handle.apply_ban(server, since);
         }
-        spawn_local(handover.clone().run(decision.clone(), budget.clone(), phase.clone()));
+        spawn_local(handover.clone().run(dispatch_handle.clone(), budget.clone(), lifecycle.clone()));
     }
     let book = match variable("GRADEPADDLE_FLEET") {
         Some(path) => {
@@ -190,91 +205,92 @@
         None => None,
     };
     if let Some(book) = book.clone() {
-        let decision = decision.clone();
+        let dispatch_handle = dispatch_handle.clone();
         spawn_local(book.follow(move |server, since| {
             info!(server, out = since.is_some(), "book: ban made or ended");
-            decision.heed_ban(server.into(), since);
+            dispatch_handle.apply_ban(server.into(), since);
         }));
     }
-    let mut listing = spawn_local(listing.run(list, asks));
-    let (alive, mut ended) = mpsc::channel(1);
+    let mut table_task = spawn_local(service_table.run(initial_table, table_commands));
+    let (alive, mut all_closed) = mpsc::channel(1);
     let deployment = config.deployment.clone();
-    let (calls, watched) = (decision.clone(), is_ready.clone());
+    let (admin_dispatch, admin_ready) = (dispatch_handle.clone(), ready.clone());
     let terminals = terminal::Context {
         pool,
         clock,
         budget,
         deployment,
-        decision,
-        ready: is_ready.clone(),
-        phase: phase.watch(),
+        dispatch: dispatch_handle,
+        ready: ready.clone(),
+        policy: lifecycle.watch(),
     };
-    // An inherited socket may be served by another process: what is taken off it must be served here.
-    let when = config.inherited.map(|_| is_ready.clone());
+    // Another process may serve an inherited socket, so nothing is accepted from it before it can be served here.
+    let start_when = config.inherited_fd.map(|_| ready.clone());
     let terminals = Rc::new(terminals);
-    spawn_local(terminal::hurry(terminals.clone()));
-    let mut accepting = spawn_local(terminal::accept(listener, when, terminals, alive));
+    spawn_local(terminal::evict_stalled(terminals.clone()));
+    let mut accept_task = spawn_local(terminal::accept(listener, start_when, terminals, alive));
     info!(name = config.name, listen = %address, discovery = %config.discovery, "started");
-    if let Some(door) = door {
-        info!(admin_addr = %door.local_addr().map_err(|e| e.to_string())?, "operators' door open");
-        let (phase, handover, book) = (phase.clone(), handover.clone(), book.clone());
-        let context = door::Context { decision: calls, ready: watched, clock, phase, handover, book };
-        spawn_local(door::run(door, Rc::new(context)));
+    if let Some(admin_listener) = admin_listener {
+        info!(admin_addr = %admin_listener.local_addr().map_err(|e| e.to_string())?, "admin listener open");
+        let (lifecycle, handover, book) = (lifecycle.clone(), handover.clone(), book.clone());
+        let context =
+            admin::Context { dispatch: admin_dispatch, ready: admin_ready, clock, lifecycle, handover, book };
+        spawn_local(admin::run(admin_listener, Rc::new(context)));
     }
-    debug!(settings = ?config.deployment, sockets = config.sockets, "told");
-    // What an agent has counts from the first moment on, so that is heard before anything is served.
+    debug!(settings = ?config.deployment, sockets = config.descriptors, "configuration");
+    // A pushed list counts from the start, so it is waited for before anything is served.
     let pushed = !config.deployment.settings.ask_discovery;
-    spawn_local(reload(hangup, config, table));
+    spawn_local(reload(hangup, config, table_sender));
 
-    let entered = handover.clone();
+    let ready_handover = handover.clone();
     spawn_local(async move {
-        // The decisions last as long as the process.
-        let _ = known.wait_for(|known| known.named > 0).await;
+        // The sender, in the dispatch actor, lives as long as the process.
+        let _ = table_status.wait_for(|status| status.servers > 0).await;
         if older || pushed {
-            // It serves in any case: discovery may be down, and the other may be stuck.
-            let _ = timeout(HEAR, async {
-                let _ = known.wait_for(|known| known.told).await;
-                if let Some(handover) = &entered {
+            // It serves after the timeout in any case: discovery may be down, and the other process may be stuck.
+            let _ = timeout(DISCOVERY_WAIT, async {
+                let _ = table_status.wait_for(|status| status.from_discovery).await;
+                if let Some(handover) = &ready_handover {
                     handover.room().await;
                 }
             })
             .await;
         }
         if let Some(book) = book {
-            // One that is cut off serves all the same: by the list, with the bans that it was told here.
-            book.told(HEAR).await;
+            // A process that can't reach the book still serves: by the list, with the bans that are known here.
+            book.wait_until_known(DISCOVERY_WAIT).await;
         }
-        info!(app_servers = known.borrow().named, older, "ready");
-        ready.send_replace(true);
-        if let Some(handover) = entered {
-            handover.ready();
+        info!(app_servers = table_status.borrow().servers, older, "ready");
+        ready_sender.send_replace(true);
+        if let Some(handover) = ready_handover {
+            handover.set_ready();
         }
     });
-    let turning = phase.clone();
-    spawn_local(async move { turning.run().await });
-    let leaving = async {
+    let running_lifecycle = lifecycle.clone();
+    spawn_local(async move { running_lifecycle.run().await });
+    let terminated = async {
         terminate.recv().await;
-        let heir = handover.as_ref().is_some_and(|handover| handover.others().heir);
-        match heir {
-            true => info!("SIGTERM: an heir serves, nothing more is accepted"),
+        let has_successor = handover.as_ref().is_some_and(|handover| handover.others().ready_successor);
+        match has_successor {
+            true => info!("SIGTERM: a successor serves, no more connections are accepted"),
             false => info!("SIGTERM: no longer ready, still answering"),
         }
-        phase.tell(|duty, now| duty.leave(now, heir));
-        // The phase lasts as long as this.
-        let _ = phase.watch().wait_for(|stance| !stance.accepts).await;
+        lifecycle.update(|state, now| state.terminate(now, has_successor));
+        // The sender lives as long as `lifecycle`, which is held here.
+        let _ = lifecycle.watch().wait_for(|policy| !policy.accepts).await;
         info!("closing");
     };
-    // None of the actors ends by itself while the daemon serves: one that does has panicked.
+    // No actor ends while the daemon serves; one that does has panicked.
     tokio::select! {
         biased;
-        () = leaving => {}
-        end = &mut deciding => return Err(format!("the decisions ended: {end:?}")),
-        end = &mut listing => return Err(format!("the service table ended: {end:?}")),
-        end = &mut accepting => return Err(format!("accepting ended: {end:?}")),
+        () = terminated => {}
+        end = &mut dispatch_task => return Err(format!("the dispatch actor ended: {end:?}")),
+        end = &mut table_task => return Err(format!("the service table ended: {end:?}")),
+        end = &mut accept_task => return Err(format!("accepting ended: {end:?}")),
     }
-    accepting.await.map_err(|e| format!("accepting ended: {e}"))?;
-    // Every terminal holds a sender; the channel ends with the last of them.
-    while ended.recv().await.is_some() {}
+    accept_task.await.map_err(|e| format!("accepting ended: {e}"))?;
+    // Every terminal holds a sender, so the channel is closed when the last terminal has ended.
+    while all_closed.recv().await.is_some() {}
     info!("all is answered");
     Ok(())
 }
--- a/daemon/src/probe.rs
+++ b/daemon/src/probe.rs
@@ -1,4 +1,4 @@
-//! One probe of an app server. It ends once, and tells what came back; that changes no request and no answer.
+//! One probe of an app server. It ends once and reports its result; it affects no client's request and no answer.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,88 +10,88 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
+use crate::attempt::{Context, Endpoint, PoolReturn};
+use crate::descriptor_budget::Side;
+use crate::dispatch_handle::DispatchHandle;
 use crate::http::{Body, Connection, Framing, Head, ReadError};
-use crate::mail;
-use crate::routed_task::{Context, Entry, Parking};
-use crate::sockets::Side;
 
-/// A probe is given up after this. The decisions ask again after as much, so that one that waits longer in the
-/// queue of its app server has nothing to say that the next would not.
-const WITHIN: Duration = Duration::from_millis(500);
-/// A report is a line: what is longer is none.
-const LONGEST: usize = 4096;
+/// The timeout of a probe. Dispatch sends the next probe after the same time, so a probe that waits longer in the queue of its
+/// app server has nothing to tell that the next one would not.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
+/// A load report is a single line; a longer body is not one.
+const MAX_BODY: usize = 4096;
 
-/// The duty to tell the end of a probe. Dropped without it, it tells that there was none.
-pub struct Duty {
-    decision: mail::Mailbox,
+/// Reports the end of a probe exactly once. If it is dropped unused, it reports that no probe was sent.
+pub struct ProbeReporter {
+    dispatch: DispatchHandle,
     server: Option<Id>,
 }
 
-impl Duty {
-    /// The duty for a probe of this app server.
-    pub fn new(decision: mail::Mailbox, server: Id) -> Self {
-        Duty { decision, server: Some(server) }
+impl ProbeReporter {
+    /// The reporter for a probe of this app server.
+    pub fn new(dispatch: DispatchHandle, server: Id) -> Self {
+        ProbeReporter { dispatch, server: Some(server) }
     }
 
-    fn tell(mut self, cause: Cause, report: Option<LoadReport>) {
+    fn complete(mut self, cause: Cause, report: Option<LoadReport>) {
         if let Some(server) = self.server.take() {
-            self.decision.probed(server, cause, report);
+            self.dispatch.probe_ended(server, cause, report);
         }
     }
 }
 
-impl Drop for Duty {
+impl Drop for ProbeReporter {
     fn drop(&mut self) {
         if let Some(server) = self.server.take() {
-            self.decision.probed(server, Cause::NotTried, None);
+            self.dispatch.probe_ended(server, Cause::NotTried, None);
         }
     }
 }
 
-/// Probes and tells the end. The app server closed to new work, it ends at once.
+/// Sends a probe and reports its end. It ends at once when the app server is closed to new requests.
 pub async fn run(
-    duty: Duty,
+    reporter: ProbeReporter,
     reused: Option<Connection>,
-    mut standing: watch::Receiver<Entry>,
-    parking: Parking,
+    mut endpoint: watch::Receiver<Endpoint>,
+    pool_return: PoolReturn,
     context: Rc<Context>,
 ) {
-    let view = standing.clone();
+    let current = endpoint.clone();
     let probe = async {
         if let Some(connection) = reused {
-            match ask(connection, &context).await {
-                // It was closed at the other end while it was idle.
+            match exchange(connection, &context).await {
+                // The app server had closed the idle connection; a new one is opened.
                 Err(ReadError::Closed) => {}
-                answered => return conclude(answered, &parking),
+                response => return outcome(response, &pool_return),
             }
         }
-        let Some(permit) = context.budget.take(Side::Server) else { return (Cause::NotTried, None) };
-        let dial = view.borrow().dial;
-        let Ok(Ok(stream)) = timeout(context.dial_timeout, TcpStream::connect(dial)).await else {
+        let Some(permit) = context.budget.take(Side::AppServer) else { return (Cause::NotTried, None) };
+        let address = current.borrow().address;
+        let Ok(Ok(stream)) = timeout(context.dial_timeout, TcpStream::connect(address)).await else {
             return (Cause::NoConnection, None);
         };
-        if !view.borrow().open {
+        if !current.borrow().open {
             return (Cause::Closed, None);
         }
-        conclude(ask(Connection::new(stream, &context.pool, permit), &context).await, &parking)
+        outcome(exchange(Connection::new(stream, &context.pool, permit), &context).await, &pool_return)
     };
     let (cause, report) = tokio::select! {
         biased;
-        // The table lasts as long as the actor; without either nobody is to be probed.
-        _ = standing.wait_for(|entry| !entry.open) => (Cause::Closed, None),
-        end = timeout(WITHIN, probe) => end.unwrap_or((Cause::OutOfTime, None)),
+        // The sender lives as long as the actor of the app server. If either is gone, the probe is not wanted any more.
+        _ = endpoint.wait_for(|endpoint| !endpoint.open) => (Cause::Closed, None),
+        end = timeout(PROBE_TIMEOUT, probe) => end.unwrap_or((Cause::OutOfTime, None)),
     };
-    duty.tell(cause, report);
+    reporter.complete(cause, report);
 }
 
-/// What came back, with the connection as far as it can be used again.
-struct Answered {
+/// The response to a probe, with the connection if it can be reused.
+struct ProbeResponse {
     head: Head,
     body: Chain,
     connection: Option<Connection>,
 }
 
-async fn ask(mut connection: Connection, context: &Context) -> Result<Answered, ReadError> {
+async fn exchange(mut connection: Connection, context: &Context) -> Result<ProbeResponse, ReadError> {
     let mut message = context.pool.chain();
     let path = if context.reports { "/stats" } else { "/health/live" };
     message.push(format!("GET {path} HTTP/1.1\r\nHost: app-server\r\n\r\n").as_bytes());
@@ -104,24 +104,27 @@
     };
     let mut rest = Body::new(framing)?;
     let mut body = context.pool.chain();
-    while !connection.read_body(&mut rest, &mut body, LONGEST).await? {
-        if body.len() >= LONGEST {
+    while !connection.read_body(&mut rest, &mut body, MAX_BODY).await? {
+        if body.len() >= MAX_BODY {
             return Err(ReadError::BodyTooLong);
         }
     }
-    let usable = head.keeps_alive() && framing != Framing::UntilClose && !connection.has_input();
-    Ok(Answered { head, body, connection: Some(connection).filter(|_| usable) })
+    let reusable = head.keeps_alive() && framing != Framing::UntilClose && !connection.has_input();
+    Ok(ProbeResponse { head, body, connection: Some(connection).filter(|_| reusable) })
 }
 
-fn conclude(answered: Result<Answered, ReadError>, parking: &Parking) -> (Cause, Option<LoadReport>) {
-    let Answered { head, body, connection } = match answered {
-        Ok(answered) => answered,
+fn outcome(
+    response: Result<ProbeResponse, ReadError>,
+    pool_return: &PoolReturn,
+) -> (Cause, Option<LoadReport>) {
+    let ProbeResponse { head, body, connection } = match response {
+        Ok(response) => response,
         Err(ReadError::Closed) => return (Cause::Broke, None),
         Err(_) => return (Cause::Spoilt, None),
     };
-    if let (Some(connection), Some(parking)) = (connection, parking.upgrade()) {
+    if let (Some(connection), Some(pool_return)) = (connection, pool_return.upgrade()) {
         // If the actor has just ended, the connection closes here.
-        let _ = parking.send(connection);
+        let _ = pool_return.send(connection);
     }
     let cause = match head.status() {
         Ok(200) => Cause::Served,
--- a/daemon/src/service_table.rs
+++ b/daemon/src/service_table.rs
@@ -1,5 +1,5 @@
-//! The service table: discovery's list, read by a watch and handed on. When to watch anew, and what a list
-//! means for an app server, is not decided here.
+//! The service table: discovery's list of app servers, read over a watch and passed to the dispatch actor. When to open the
+//! next watch, and what a list means for an app server, is decided elsewhere.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,31 +16,31 @@
 use tokio::time::{Instant, sleep_until, timeout, timeout_at};
 use tracing::{debug, info, warn};
 
+use crate::attempt::Context;
+use crate::descriptor_budget::Side;
+use crate::dispatch_handle::{DispatchHandle, TableUpdate};
 use crate::handover::{Handover, Table};
 use crate::http::{ChunkedDecoder, Connection, Framing};
-use crate::mail::{self, Change};
-use crate::routed_task::Context;
-use crate::sockets::Side;
 
-/// How long the connection may take to come up.
-const DIAL: Duration = Duration::from_secs(1);
-/// The longest value of a watch: room for the list of some thousand app servers.
-const MAX_VALUE: usize = 1024 * 1024;
+/// The timeout for opening a connection to discovery.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// The size limit of a list in bytes: room for some thousand app servers.
+const MAX_LIST: usize = 1024 * 1024;
 
-/// What the table is asked.
-pub enum Ask {
+/// A command to the service table.
+pub enum Command {
     /// Open a watch.
     Watch,
     /// Discovery is at this address from now on.
-    Move(SocketAddr),
+    SetDiscovery(SocketAddr),
 }
 
-/// The mailbox of the table.
-pub type Mailbox = mpsc::UnboundedSender<Ask>;
+/// The sender of commands to the service table.
+pub type CommandSender = mpsc::UnboundedSender<Command>;
 
-/// The list, or changes of it, as discovery writes them.
+/// The list, or changes to it, in discovery's format.
 #[derive(Default, Deserialize)]
-pub struct Listing {
+pub struct HostList {
     #[serde(default)]
     seq: u64,
     #[serde(default)]
@@ -70,64 +70,65 @@
     1.0
 }
 
-/// The values of a watch, one behind the other, however they are cut into lines and chunks.
+/// Decodes the stream of a watch into its JSON lists, however they are split into lines and chunks.
 #[derive(Default)]
-struct Values {
-    text: Vec<u8>,
+struct ListDecoder {
+    buffer: Vec<u8>,
 }
 
-impl Values {
-    /// Takes in what came, and gives back the values that are whole by now. Fails where a value is no list, or is too
-    /// long: nothing behind that can be trusted.
-    fn take(&mut self, came: &[u8]) -> Result<Vec<Listing>, String> {
-        self.text.extend_from_slice(came);
-        let (mut whole, mut used) = (Vec::new(), 0);
-        // A list ends with this; before that there is nothing to read, in however many pieces it comes.
-        if came.contains(&b'}') {
-            let mut values = serde_json::Deserializer::from_slice(&self.text).into_iter();
+impl ListDecoder {
+    /// Takes in received bytes and returns the lists that are complete by now. Fails if a value is not a list or is too
+    /// long; nothing after that can be trusted.
+    fn decode(&mut self, received: &[u8]) -> Result<Vec<HostList>, String> {
+        self.buffer.extend_from_slice(received);
+        let (mut complete, mut used) = (Vec::new(), 0);
+        // Every list ends with a brace. Parsing only then keeps a list that arrives in many pieces from being parsed anew
+        // at each of them.
+        if received.contains(&b'}') {
+            let mut values = serde_json::Deserializer::from_slice(&self.buffer).into_iter();
             while let Some(value) = values.next() {
                 match value {
-                    Ok(listing) => whole.push(listing),
+                    Ok(list) => complete.push(list),
                     Err(e) if e.is_eof() => break,
-                    Err(e) => return Err(format!("what is no list: {e}")),
+                    Err(e) => return Err(format!("invalid list: {e}")),
                 }
                 used = values.byte_offset();
             }
         }
-        let space = self.text[used..].iter().take_while(|byte| byte.is_ascii_whitespace()).count();
-        self.text.drain(..used + space);
-        match self.text.first() {
-            Some(byte) if *byte != b'{' => Err("what is no list".into()),
-            _ if self.text.len() >= MAX_VALUE => Err("a list that is too long".into()),
-            _ => Ok(whole),
+        let space = self.buffer[used..].iter().take_while(|byte| byte.is_ascii_whitespace()).count();
+        self.buffer.drain(..used + space);
+        match self.buffer.first() {
+            Some(byte) if *byte != b'{' => Err("invalid list: not a JSON object".into()),
+            _ if self.buffer.len() >= MAX_LIST => Err("list too long".into()),
+            _ => Ok(complete),
         }
     }
 
-    /// True if half a value waits for its rest.
-    fn is_amid(&self) -> bool {
-        !self.text.is_empty()
+    /// True if a list has been received in part.
+    fn has_partial_list(&self) -> bool {
+        !self.buffer.is_empty()
     }
 }
 
 /// How a watch ended.
-enum End {
-    /// Without a word.
+enum WatchEnd {
+    /// Discovery fell silent.
     Silent(String),
-    /// Before there was a connection.
-    Unreached(String),
-    /// With a word: reset, turned down, spoilt.
+    /// No connection was opened.
+    Unreachable(String),
+    /// Discovery ended or reset the watch, rejected the request, or sent something invalid.
     Failed(String),
 }
 
-impl From<&str> for End {
+impl From<&str> for WatchEnd {
     fn from(why: &str) -> Self {
-        End::Failed(why.to_owned())
+        WatchEnd::Failed(why.to_owned())
     }
 }
 
-impl From<String> for End {
+impl From<String> for WatchEnd {
     fn from(why: String) -> Self {
-        End::Failed(why)
+        WatchEnd::Failed(why)
     }
 }
 
@@ -135,81 +136,86 @@
 pub struct ServiceTable {
     discovery: SocketAddr,
     deployment: Deployment,
-    decision: mail::Mailbox,
+    dispatch: DispatchHandle,
     context: Rc<Context>,
     seq: u64,
     clock: ListClock,
-    /// The entries as they were told, by id, where they are left for a process that may follow.
-    left: Option<(Rc<Handover>, BTreeMap<String, Value>)>,
+    /// The entries by id, as discovery sent them, if they are handed over to a successor process.
+    handover: Option<(Rc<Handover>, BTreeMap<String, Value>)>,
 }
 
-impl Listing {
-    /// The newer of this list, which discovery at this address told once, and what the last process left. One
-    /// that just was in service knows best; its version counts only where the same discovery told it.
-    pub fn or_left(self, discovery: SocketAddr, left: Option<Table>, just_now: bool) -> Listing {
-        let Some(left) = left else { return self };
-        let same = left.discovery == discovery.to_string();
-        if just_now || same && left.seq >= self.seq {
-            return Listing { seq: if same { left.seq } else { 0 }, whole: true, hosts: left.hosts };
+impl HostList {
+    /// The newer of this configured list, which discovery at this address sent at some time, and the table that the previous
+    /// process has handed over. A process that was in service until `just_now` has the newest table. A version counts only
+    /// where the same discovery sent both.
+    pub fn or_handed_over(self, discovery: SocketAddr, table: Option<Table>, just_now: bool) -> HostList {
+        let Some(table) = table else { return self };
+        let same = table.discovery == discovery.to_string();
+        if just_now || same && table.seq >= self.seq {
+            return HostList { seq: if same { table.seq } else { 0 }, whole: true, hosts: table.hosts };
         }
         self
     }
 }
 
 impl ServiceTable {
-    /// A table that holds nothing yet; what it comes to hold is left for a process that may follow.
+    /// An empty table; with `handover`, its content is handed over to a successor process.
     pub fn new(
         discovery: SocketAddr,
         deployment: Deployment,
-        decision: mail::Mailbox,
+        dispatch: DispatchHandle,
         context: Rc<Context>,
         handover: Option<Rc<Handover>>,
     ) -> Self {
-        let left = handover.map(|handover| (handover, BTreeMap::new()));
+        let handover = handover.map(|handover| (handover, BTreeMap::new()));
         let clock = ListClock::new(deployment.settings.gateways, u64::from(deployment.settings.me));
-        ServiceTable { discovery, deployment, decision, context, seq: 0, clock, left }
+        ServiceTable { discovery, deployment, dispatch, context, seq: 0, clock, handover }
     }
 
-    /// Starts from the last list and watches whenever asked to.
-    pub async fn run(mut self, known: Listing, mut inbox: mpsc::UnboundedReceiver<Ask>) {
-        self.apply(known, ListKind::Cached);
-        // Lists that have to be asked for are asked for in turn, as the decisions say. Pushed ones count from the first
-        // moment on.
-        let mut again = (!self.deployment.settings.ask_discovery).then(|| self.now());
+    /// Starts from `initial`, the last known list, and opens a watch at each [`Command::Watch`].
+    pub async fn run(mut self, initial: HostList, mut commands: mpsc::UnboundedReceiver<Command>) {
+        self.apply(initial, ListKind::Cached);
+        // Where discovery is asked on request, the dispatch actor says when. Where lists are pushed, they count from the
+        // start, so the first watch is opened at once.
+        let mut retry_at = (!self.deployment.settings.ask_discovery).then(|| self.now());
         loop {
-            let ask = tokio::select! {
+            let command = tokio::select! {
                 biased;
-                ask = inbox.recv() => ask,
-                () = sleep_until(self.instant(again)), if again.is_some() => Some(Ask::Watch),
+                command = commands.recv() => command,
+                () = sleep_until(self.instant(retry_at)), if retry_at.is_some() => Some(Command::Watch),
             };
-            match ask {
+            match command {
                 None => return,
-                Some(Ask::Watch) => {}
-                Some(Ask::Move(to)) => self.moved(to),
+                Some(Command::Watch) => {}
+                Some(Command::SetDiscovery(to)) => self.set_discovery(to),
             }
-            // A move ends a watch for no fault, so it goes on at once at the new address; what has fallen silent is
-            // broken, and waiting would only make it later.
+            // A new address ends the watch without a failure, so the next one is opened there at once. So it is after a
+            // silence: the watch is broken, and waiting would only delay the next list.
             let (why, how) = loop {
                 tokio::select! {
                     biased;
-                    to = next_move(&mut inbox) => match to {
-                        Some(to) => self.moved(to),
+                    to = next_discovery(&mut commands) => match to {
+                        Some(to) => self.set_discovery(to),
                         None => return,
                     },
                     end = self.watch() => match end {
-                        End::Unreached(why) => break (why, Failure::Unreachable),
-                        End::Failed(why) => break (why, Failure::TurnedDown),
-                        End::Silent(what) => {
+                        WatchEnd::Unreachable(why) => break (why, Failure::Unreachable),
+                        WatchEnd::Failed(why) => break (why, Failure::TurnedDown),
+                        WatchEnd::Silent(what) => {
                             self.clock.fell_silent();
                             let behind = self.clock.is_behind(self.now());
-                            warn!(discovery = %self.discovery, seq = self.seq, behind, "{what}: asked anew");
+                            warn!(discovery = %self.discovery, seq = self.seq, behind, "{what}; opening a new watch");
                         }
                     },
                 }
             };
-            again = Some(self.clock.failed(self.now(), how));
+            retry_at = Some(self.clock.failed(self.now(), how));
             warn!(discovery = %self.discovery, seq = self.seq, "watch broken: {why}");
-            self.decision.table(Change { seq: self.seq, kind: ListKind::Failed, entries: Vec::new() });
+            self.dispatch.update_table(TableUpdate {
+                seq: self.seq,
+                kind: ListKind::Failed,
+                entries: Vec::new(),
+            });
         }
     }
 
@@ -221,25 +227,25 @@
         self.context.clock.instant(at.unwrap_or(Micros::MAX))
     }
 
-    /// Turns to another discovery. The table holds until that has told its list, but not its version:
-    /// another discovery counts its own, and changes after ours might mean nothing there.
-    fn moved(&mut self, to: SocketAddr) {
+    /// Changes to another discovery. The entries stay until it has sent its list, but the version is dropped: each discovery
+    /// counts its own versions, and changes after ours might mean nothing there.
+    fn set_discovery(&mut self, to: SocketAddr) {
         info!(from = %self.discovery, %to, "discovery has moved");
         (self.discovery, self.seq) = (to, 0);
         self.clock.moved(self.now());
     }
 
-    /// Watches until the watch ends, and says how it did.
-    async fn watch(&mut self) -> End {
+    /// Opens a watch, reads it until it ends, and returns how it did.
+    async fn watch(&mut self) -> WatchEnd {
         debug!(seq = self.seq, "call for the list");
         let Some(permit) = self.context.budget.take(Side::Discovery) else {
-            return End::Unreached("no descriptor left".into());
+            return WatchEnd::Unreachable("no descriptor left".into());
         };
         self.clock.called(self.now());
-        let mut connection = match timeout(DIAL, TcpStream::connect(self.discovery)).await {
+        let mut connection = match timeout(CONNECT_TIMEOUT, TcpStream::connect(self.discovery)).await {
             Ok(Ok(stream)) => Connection::new(stream, &self.context.pool, permit),
-            Ok(Err(e)) => return End::Unreached(e.to_string()),
-            Err(_) => return End::Unreached("the connection did not come up".into()),
+            Ok(Err(e)) => return WatchEnd::Unreachable(e.to_string()),
+            Err(_) => return WatchEnd::Unreachable("connect timed out".into()),
         };
         let mut request = self.context.pool.chain();
         let text = format!(
@@ -249,12 +255,12 @@
         request.push(text.as_bytes());
         let head = timeout_at(self.instant(self.clock.silent_at()), async {
             connection.write(&[&request]).await.map_err(|e| e.to_string())?;
-            connection.read_head().await.map_err(|fault| fault.to_string())
+            connection.read_head().await.map_err(|error| error.to_string())
         });
         let head = match head.await {
             Ok(Ok(head)) => head,
             Ok(Err(why)) => return why.into(),
-            Err(_) => return End::Silent("a call without an answer".into()),
+            Err(_) => return WatchEnd::Silent("discovery sent no response".into()),
         };
         match head.status() {
             Ok(200) => {}
@@ -262,31 +268,33 @@
             Err(why) => return why.to_string().into(),
         }
         if head.framing(Framing::UntilClose) != Ok(Framing::Chunked) {
-            return "the answer is not chunked".into();
+            return "the response is not chunked".into();
         }
-        let (mut chunks, mut came, mut values) =
-            (ChunkedDecoder::new(), self.context.pool.chain(), Values::default());
+        let (mut chunks, mut received, mut decoder) =
+            (ChunkedDecoder::new(), self.context.pool.chain(), ListDecoder::default());
         loop {
-            let read = connection.read_chunks(&mut chunks, &mut came, MAX_VALUE);
+            let read = connection.read_chunks(&mut chunks, &mut received, MAX_LIST);
             let ended = match timeout_at(self.instant(self.clock.silent_at()), read).await {
                 Ok(Ok(ended)) => ended,
-                Ok(Err(fault)) => return fault.to_string().into(),
-                Err(_) if values.is_amid() => return End::Silent("half a list, then silence".into()),
-                Err(_) => return End::Silent("a watch that is silent".into()),
+                Ok(Err(error)) => return error.to_string().into(),
+                Err(_) if decoder.has_partial_list() => {
+                    return WatchEnd::Silent("discovery fell silent within a list".into());
+                }
+                Err(_) => return WatchEnd::Silent("the watch fell silent".into()),
             };
-            let text = came.copy_front(came.len());
-            came.consume(text.len());
-            match values.take(&text) {
-                Ok(listings) => {
-                    for listing in listings {
+            let text = received.copy_front(received.len());
+            received.consume(text.len());
+            match decoder.decode(&text) {
+                Ok(lists) => {
+                    for list in lists {
                         self.clock.told(self.now());
-                        self.changed(listing);
+                        self.apply_received(list);
                     }
                 }
                 Err(why) => return why.into(),
             }
-            // Half a value is no sign of life: what it would tell is still owed.
-            if !values.is_amid() {
+            // A part of a list is no sign of life: the list is still owed.
+            if !decoder.has_partial_list() {
                 self.clock.beats(self.now());
             }
             if ended {
@@ -295,23 +303,23 @@
         }
     }
 
-    fn changed(&mut self, listing: Listing) {
-        // Changes come in order; one from before our version would bring back what has passed.
-        if !listing.whole && listing.seq < self.seq {
-            warn!(seq = listing.seq, held = self.seq, "skipped changes older than the table");
+    fn apply_received(&mut self, list: HostList) {
+        // Changes arrive in order. Changes older than the held version would restore an outdated state.
+        if !list.whole && list.seq < self.seq {
+            warn!(seq = list.seq, held = self.seq, "skipped changes older than the table");
             return;
         }
-        let kind = if listing.whole { ListKind::Full } else { ListKind::Delta };
-        self.apply(listing, kind);
+        let kind = if list.whole { ListKind::Full } else { ListKind::Delta };
+        self.apply(list, kind);
     }
 
-    /// Keeps the entries as they were told, where they are to be left.
-    fn note(&mut self, listing: &Listing, kind: ListKind) {
-        let Some((_, entries)) = &mut self.left else { return };
+    /// Records the entries as discovery sent them, if they are handed over.
+    fn record_entries(&mut self, list: &HostList, kind: ListKind) {
+        let Some((_, entries)) = &mut self.handover else { return };
         if kind != ListKind::Delta {
             entries.clear();
         }
-        for host in &listing.hosts {
+        for host in &list.hosts {
             let Some(id) = host.get("host").and_then(Value::as_str) else { continue };
             match host.get("health").and_then(Value::as_str) {
                 Some("removed") => drop(entries.remove(id)),
@@ -320,38 +328,38 @@
         }
     }
 
-    /// Leaves the table as it is now known.
-    fn leave(&self, seq: u64) {
-        if let Some((handover, entries)) = &self.left {
-            handover.leave_table(self.discovery, seq, entries.values().cloned().collect());
+    /// Stores the current table for a successor process.
+    fn hand_over(&self, seq: u64) {
+        if let Some((handover, entries)) = &self.handover {
+            handover.store_table(self.discovery, seq, entries.values().cloned().collect());
         }
     }
 
-    fn apply(&mut self, listing: Listing, kind: ListKind) {
-        self.note(&listing, kind);
-        // Only what discovery told: one that starts on an old list must not leave that over a newer one.
-        let changes = kind == ListKind::Full || !listing.hosts.is_empty() || listing.seq != self.seq;
+    fn apply(&mut self, list: HostList, kind: ListKind) {
+        self.record_entries(&list, kind);
+        // Only what discovery sent is handed over: a process that starts from an old list must not replace a newer one.
+        let changes = kind == ListKind::Full || !list.hosts.is_empty() || list.seq != self.seq;
         if kind != ListKind::Cached && changes {
-            self.leave(listing.seq);
+            self.hand_over(list.seq);
         }
-        self.seq = listing.seq;
-        let mut entries = Vec::with_capacity(listing.hosts.len());
-        for host in listing.hosts {
+        self.seq = list.seq;
+        let mut entries = Vec::with_capacity(list.hosts.len());
+        for host in list.hosts {
             match serde_json::from_value::<Host>(host) {
                 Ok(host) => entries.extend(self.entry(host)),
-                // One entry that cannot be read must not cost the rest of the list.
+                // One invalid entry must not cost the rest of the list.
                 Err(e) => warn!("skipped an entry of the list: {e}"),
             }
         }
-        self.decision.table(Change { seq: self.seq, kind, entries });
+        self.dispatch.update_table(TableUpdate { seq: self.seq, kind, entries });
     }
 
-    /// One entry as the decisions take it, with its address unless it is gone.
+    /// An entry in dispatch's terms, with its address unless it is removed.
     fn entry(&mut self, host: Host) -> Option<(Server, Option<SocketAddr>)> {
         let state = match host.health.as_str() {
             "up" => State::Ready,
             "removed" => State::Gone,
-            // A state that is not known here is at least not up: it gets nothing new.
+            // An unknown state is at least not `up`, so the app server gets no new requests.
             _ => State::Draining,
         };
         let mut address = None;
@@ -376,11 +384,10 @@
     }
 }
 
-/// The next move. Meanwhile a watch is on, so others that are asked for are not wanted: one call ends in
-/// one failure.
-async fn next_move(inbox: &mut mpsc::UnboundedReceiver<Ask>) -> Option<SocketAddr> {
+/// The next address of discovery. Requests for a watch are dropped, since one is open: each watch reports one failure.
+async fn next_discovery(commands: &mut mpsc::UnboundedReceiver<Command>) -> Option<SocketAddr> {
     loop {
-        if let Ask::Move(to) = inbox.recv().await? {
+        if let Command::SetDiscovery(to) = commands.recv().await? {
             return Some(to);
         }
     }
--- a/daemon/src/terminal.rs
+++ b/daemon/src/terminal.rs
@@ -1,8 +1,8 @@
-//! The clients' side: accepts connections, reads one transaction at a time, notices a client that
-//! closes, and writes the one final answer.
+//! Terminals: the client side of the daemon. It accepts connections, reads one request at a time, notices a client that
+//! disconnects, and writes the one final response.
 
-mod intake;
-mod outgoing;
+mod request_reader;
+mod response_writer;
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -17,77 +17,77 @@
 use tracing::warn;
 
 use crate::clock::Clock;
-use crate::duty::Stance;
+use crate::descriptor_budget::{DescriptorBudget, Permit, Side, WaitKind};
+use crate::dispatch_handle::DispatchHandle;
+use crate::drain_state::TrafficPolicy;
 use crate::http::{self, Connection};
-use crate::mail;
-use crate::sockets::{Budget, Permit, Side, Wait};
 use crate::transaction::{FinalAnswer, Message, Reply, Transaction};
-use intake::Upload;
-use outgoing::Outgoing;
+use request_reader::Upload;
+use response_writer::OutgoingResponse;
 
-/// The head of the first request must have come this long after its client connected: until then nothing tells
-/// a client from a connection that only holds a descriptor. That of a later one, after its first byte.
-const HEAD_WITHIN: Duration = Duration::from_millis(2700);
-/// A client that has asked, and sends nothing for this long, is closed.
-const IDLE: Duration = Duration::from_secs(10);
-/// On the way out, a client may stand still amid its request for this long. Those that never go on would keep
-/// the process, and with it the one that follows, for seconds.
-const STAND_STILL: Duration = Duration::from_millis(400);
-/// A new connection may say something for this long, also where idle ones are closed.
-const SPEAK_WITHIN: Duration = Duration::from_millis(300);
-/// How soon one that waits may be old enough to make room for another.
-const LOOK_AGAIN: Duration = Duration::from_millis(20);
-/// What clients beyond the descriptor budget are told.
-const DOOR_PAUSE: Micros = 500_000;
+/// The timeout for the head of a request. For the first request it counts from the connect, because until then nothing tells
+/// a client from a connection that only holds a descriptor; for a later one, from its first byte.
+const HEAD_TIMEOUT: Duration = Duration::from_millis(2700);
+/// A client that has sent a request before, and sends nothing for this long, is disconnected.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// During termination, a client may make no progress within its request for this long. Clients that never continue would
+/// delay the end of the process, and with it the one that follows, for seconds.
+const MAX_STALL: Duration = Duration::from_millis(400);
+/// A new connection has this long to send its first bytes, even while idle connections are closed.
+const FIRST_BYTE_GRACE: Duration = Duration::from_millis(300);
+/// The interval at which waiting connections are checked for ones that have become old enough to be closed.
+const EVICTION_INTERVAL: Duration = Duration::from_millis(20);
+/// The `Retry-After` for clients that are rejected by the descriptor budget or by a drain.
+const REJECT_RETRY_AFTER: Micros = 500_000;
 
 /// What all terminals share.
 pub struct Context {
-    /// Where buffers come from.
+    /// The buffer pool.
     pub pool: Pool,
     /// The daemon's clock.
     pub clock: Clock,
     /// The descriptor budget.
-    pub budget: Budget,
+    pub budget: DescriptorBudget,
     /// The names and deadlines of classes and tenants.
     pub deployment: Deployment,
-    /// Where transactions go.
-    pub decision: mail::Mailbox,
+    /// Where transactions are submitted.
+    pub dispatch: DispatchHandle,
     /// True once transactions can be served.
     pub ready: watch::Receiver<bool>,
-    /// What the process owes its clients.
-    pub phase: watch::Receiver<Stance>,
+    /// How clients are treated now.
+    pub policy: watch::Receiver<TrafficPolicy>,
 }
 
-/// Accepts, not before `when` it is said to, until the daemon closes; then empties the backlog, unless an heir
-/// does. Each terminal holds a clone of `alive`.
+/// Accepts connections, from the time on that `start_when` turns true, until the policy stops it. Then accepts what is in the
+/// backlog, unless that is left to a successor process. Each terminal holds a clone of `alive`.
 pub async fn accept(
     listener: TcpListener,
-    when: Option<watch::Receiver<bool>>,
+    start_when: Option<watch::Receiver<bool>>,
     context: Rc<Context>,
     alive: mpsc::Sender<()>,
 ) {
-    let mut phase = context.phase.clone();
-    if let Some(mut when) = when {
+    let mut policy = context.policy.clone();
+    if let Some(mut start_when) = start_when {
         tokio::select! {
-            _ = when.wait_for(|ready| *ready) => {}
-            _ = phase.wait_for(|stance| !stance.accepts) => {}
+            _ = start_when.wait_for(|start| *start) => {}
+            _ = policy.wait_for(|policy| !policy.accepts) => {}
         }
     }
     loop {
         let accepted = tokio::select! {
             biased;
-            _ = phase.wait_for(|stance| !stance.accepts) => break,
+            _ = policy.wait_for(|policy| !policy.accepts) => break,
             accepted = accept_one(&listener, &context) => accepted,
         };
         start(accepted, &context, &alive);
     }
-    if phase.borrow().to_heir {
+    if policy.borrow().leaves_backlog {
         return;
     }
-    // What the kernel has accepted counts as ours, so it is served before the listener goes.
+    // Connections that the kernel has accepted for this process are served before the listener is closed.
     let Ok(listener) = listener.into_std() else { return };
     while let Ok((stream, _)) = listener.accept() {
-        let Some(permit) = context.budget.take(Side::Terminal) else { return };
+        let Some(permit) = context.budget.take(Side::Client) else { return };
         let stream = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream));
         if let Ok(stream) = stream {
             start((stream, permit), &context, &alive);
@@ -97,32 +97,32 @@
 
 async fn accept_one(listener: &TcpListener, context: &Context) -> (TcpStream, Permit) {
     loop {
-        let permit = room(&context.budget).await;
+        let permit = client_permit(&context.budget).await;
         match listener.accept().await {
             Ok((stream, _)) => {
-                // Two for one, so that those that wait become fewer.
+                // Two are evicted for each one accepted, so that the number of waiting connections falls.
                 let now = Instant::now();
-                let _ = context.budget.relieve(now) && context.budget.relieve(now);
+                let _ = context.budget.evict_overdue(now) && context.budget.evict_overdue(now);
                 return (stream, permit);
             }
             Err(e) => {
-                // Out of descriptors or memory, or a client that is gone already.
-                warn!("accepting failed: {e}");
+                // Out of descriptors or memory, or the client has disconnected already.
+                warn!("accepting a client connection failed: {e}");
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         }
     }
 }
 
-/// A descriptor for one more client, if need be that of one that waits for too long.
-async fn room(budget: &Budget) -> Permit {
+/// A permit for one more client, if need be that of a connection that has waited for too long.
+async fn client_permit(budget: &DescriptorBudget) -> Permit {
     loop {
-        if let Some(permit) = budget.take(Side::Terminal) {
+        if let Some(permit) = budget.take(Side::Client) {
             return permit;
         }
-        budget.relieve(Instant::now());
-        // Nothing may be freed at all: those that wait only grow old enough to be closed.
-        let _ = timeout(LOOK_AGAIN, budget.freed()).await;
+        budget.evict_overdue(Instant::now());
+        // Not only a release makes room: waiting connections become old enough to be closed.
+        let _ = timeout(EVICTION_INTERVAL, budget.released()).await;
     }
 }
 
@@ -131,57 +131,57 @@
     let connection = Connection::new(stream, &context.pool, permit);
     tokio::task::spawn_local(async move {
         if let Some(connection) = serve(connection, &context).await {
-            let waiting = context.budget.wait(Wait::Silent);
+            let eviction_entry = context.budget.wait(WaitKind::Silent);
             tokio::select! {
                 () = connection.close_lingering() => {}
-                () = waiting.unwanted() => {}
+                () = eviction_entry.evicted() => {}
             }
         }
         drop(alive);
     });
 }
 
-/// Serves one client until its connection is to be closed; given back where that is our doing: the client must have
-/// time to read its last answer, and what it sends meanwhile must not reset the connection.
+/// Serves one client until its connection is to be closed. Returns the connection if the close is ours: the client must have
+/// time to read its last response, and what it sends meanwhile must not reset the connection.
 async fn serve(mut connection: Connection, context: &Context) -> Option<Connection> {
-    // Set until the first request has come.
-    let came = Instant::now();
-    let mut first = Some(came + HEAD_WITHIN);
+    // `Some` until the first request has arrived.
+    let connected = Instant::now();
+    let mut first = Some(connected + HEAD_TIMEOUT);
     loop {
         if !connection.has_input() {
             let now = Instant::now();
             let (kind, until, at_least) = match first {
-                Some(until) => (Wait::Silent, until, came + SPEAK_WITHIN),
-                None => (Wait::Next, now + IDLE, now),
+                Some(until) => (WaitKind::Silent, until, connected + FIRST_BYTE_GRACE),
+                None => (WaitKind::BetweenRequests, now + IDLE_TIMEOUT, now),
             };
-            match awaited(&mut connection, context, kind, until, at_least).await {
-                Awaited::Request => {}
-                // A request may be on its way just now: it is read to its end, and nothing becomes of it.
-                Awaited::Nothing => return Some(connection),
-                Awaited::Gone => return None,
+            match wait_for_request(&mut connection, context, kind, until, at_least).await {
+                WaitResult::Request => {}
+                // A request may be arriving just now: it is read to its end and not processed.
+                WaitResult::Close => return Some(connection),
+                WaitResult::Disconnected => return None,
             }
         }
-        let until = first.take().unwrap_or_else(|| Instant::now() + HEAD_WITHIN);
-        let mut rest = context.budget.wait(Wait::Rest);
-        let request = intake::read(&mut connection, &context.pool, until, &mut rest).await;
-        drop(rest);
-        let (reply, keep) = match request {
+        let until = first.take().unwrap_or_else(|| Instant::now() + HEAD_TIMEOUT);
+        let mut eviction_entry = context.budget.wait(WaitKind::PartialRequest);
+        let request = request_reader::read(&mut connection, &context.pool, until, &mut eviction_entry).await;
+        drop(eviction_entry);
+        let (response, keep) = match request {
             Ok((request, upload)) => {
-                let open = context.budget.take(Side::Open);
+                let open = context.budget.take(Side::OpenRequest);
                 let keep = request.head.keeps_alive() && open.is_some();
-                let (reply, whole) =
-                    answer(&mut connection, context, request, upload, open.is_some()).await?;
-                // Read after the answer is there: the daemon may be on its way out since.
-                let keep = keep && whole && !context.phase.borrow().parts;
-                // In a crowd most clients ask once in a long while, and the next may find no place.
-                (reply, keep && !context.budget.is_short(Side::Terminal))
+                let (response, complete) =
+                    respond(&mut connection, context, request, upload, open.is_some()).await?;
+                // Read only after the response is there: termination may have begun since the request arrived.
+                let keep = keep && complete && !context.policy.borrow().closes_after_response;
+                // In a crowd most clients send a request only once in a long while, and the next may find no room.
+                (response, keep && !context.budget.is_short(Side::Client))
             }
-            Err(unread) => {
-                let (status, why) = unread.told()?;
-                (Outgoing::plain(&context.pool, status, None, &why), false)
+            Err(error) => {
+                let (status, why) = error.response()?;
+                (OutgoingResponse::local(&context.pool, status, None, &why), false)
             }
         };
-        match reply.write(&mut connection, &context.pool, keep).await {
+        match response.write(&mut connection, &context.pool, keep).await {
             Ok(true) => {}
             Ok(false) => return Some(connection),
             Err(_) => return None,
@@ -189,115 +189,124 @@
     }
 }
 
-/// On the way out, closes clients that stand still amid a request, until the process ends.
-pub async fn hurry(context: Rc<Context>) {
-    // The phase lasts as long as the process.
-    let _ = context.phase.clone().wait_for(|stance| stance.leaves.is_some() && !stance.keeps).await;
+/// During termination, disconnects clients that make no progress within a request, until the process ends.
+pub async fn evict_stalled(context: Rc<Context>) {
+    // The sender lives as long as the process.
+    let _ = context
+        .policy
+        .clone()
+        .wait_for(|policy| policy.terminating_since.is_some() && !policy.keeps_idle)
+        .await;
     loop {
-        context.budget.hurry(Instant::now(), STAND_STILL);
-        tokio::time::sleep(LOOK_AGAIN).await;
+        context.budget.evict_stalled(Instant::now(), MAX_STALL);
+        tokio::time::sleep(EVICTION_INTERVAL).await;
     }
 }
 
-/// What became of a wait for a request.
-enum Awaited {
-    /// Some of it has come.
+/// How a wait for a request ended.
+enum WaitResult {
+    /// Bytes of it have arrived.
     Request,
-    /// Nothing, and the connection is to be closed.
-    Nothing,
-    /// The client has gone.
-    Gone,
+    /// Nothing has arrived, and the connection is to be closed.
+    Close,
+    /// The client has disconnected.
+    Disconnected,
 }
 
 /// Waits for the first byte of a request.
-async fn awaited(
+async fn wait_for_request(
     connection: &mut Connection,
     context: &Context,
-    kind: Wait,
+    kind: WaitKind,
     until: Instant,
     at_least: Instant,
-) -> Awaited {
-    let mut phase = context.phase.clone();
-    let waiting = context.budget.wait(kind);
-    let unkept = async {
-        // The phase lasts as long as the process.
-        let _ = phase.wait_for(|stance| !stance.keeps).await;
+) -> WaitResult {
+    let mut policy = context.policy.clone();
+    let eviction_entry = context.budget.wait(kind);
+    let idle_closed = async {
+        // The sender lives as long as the process.
+        let _ = policy.wait_for(|policy| !policy.keeps_idle).await;
         tokio::time::sleep_until(at_least).await;
     };
     tokio::select! {
         biased;
-        read = connection.fill() => return if matches!(read, Ok(1..)) { Awaited::Request } else { Awaited::Gone },
-        () = unkept => {}
-        () = waiting.unwanted() => {}
+        read = connection.fill() =>
+            return if matches!(read, Ok(1..)) { WaitResult::Request } else { WaitResult::Disconnected },
+        () = idle_closed => {}
+        () = eviction_entry.evicted() => {}
         () = tokio::time::sleep_until(until) => {}
     }
-    // A request that has come just now is answered, not crossed by the close.
-    if connection.is_idle() { Awaited::Nothing } else { Awaited::Request }
+    // A request that has arrived at this moment is answered: the close must not cross it.
+    if connection.is_idle() { WaitResult::Close } else { WaitResult::Request }
 }
 
-/// The answer to a request, and whether all of that has been read; none if the client has left.
-async fn answer(
+/// The response to a request, and whether all of the request has been read; none if the client has disconnected.
+async fn respond(
     connection: &mut Connection,
     context: &Context,
     request: http::Request,
     mut upload: Option<Upload>,
-    served: bool,
-) -> Option<(Outgoing, bool)> {
+    has_permit: bool,
+) -> Option<(OutgoingResponse, bool)> {
     let pool = &context.pool;
-    let whole = upload.is_none();
-    let plain = |status, pause, text: &str| Some((Outgoing::plain(pool, status, pause, text), whole));
+    let complete = upload.is_none();
+    let local = |status, retry_after, text: &str| {
+        Some((OutgoingResponse::local(pool, status, retry_after, text), complete))
+    };
     match request.head.target().split('?').next() {
         Some("/health/ready") => {
-            let ready = *context.ready.borrow() && context.phase.borrow().ready;
-            return if ready { plain(200, None, "ready") } else { plain(503, None, "not ready") };
+            let ready = *context.ready.borrow() && context.policy.borrow().ready;
+            return if ready { local(200, None, "ready") } else { local(503, None, "not ready") };
         }
-        Some("/health/live") => return plain(200, None, "alive"),
+        Some("/health/live") => return local(200, None, "alive"),
         _ => {}
     }
-    if context.phase.borrow().refuses {
-        return plain(503, Some(DOOR_PAUSE), "drained");
+    if context.policy.borrow().rejects {
+        return local(503, Some(REJECT_RETRY_AFTER), "drained");
     }
     let transaction = match transaction(request, context) {
         Ok(transaction) => transaction,
-        Err((status, why)) => return plain(status, None, why),
+        Err((status, why)) => return local(status, None, why),
     };
-    if !served {
-        return plain(503, Some(DOOR_PAUSE), "no connection to spare");
+    if !has_permit {
+        return local(503, Some(REJECT_RETRY_AFTER), "no connection to spare");
     }
     let message = transaction.message.clone();
-    let mut pending = context.decision.ask(transaction);
+    let mut pending = context.dispatch.submit(transaction);
     let answer = loop {
-        // Dropped where it returns early, the pending answer tells that nobody waits for it.
+        // An early return drops the pending answer, which reports that nobody waits for it.
         tokio::select! {
             biased;
             answer = pending.answer() => break answer,
-            more = intake::more(connection, &mut upload, pool) => match more {
-                Ok(true) => pending.uploaded(),
+            more = request_reader::forward_upload(connection, &mut upload, pool) => match more {
+                Ok(true) => pending.upload_complete(),
                 Ok(false) => {}
-                Err(unread) => {
-                    let (status, why) = unread.told()?;
-                    return Some((Outgoing::plain(pool, status, None, &why), false));
+                Err(error) => {
+                    let (status, why) = error.response()?;
+                    return Some((OutgoingResponse::local(pool, status, None, &why), false));
                 }
             }
         }
     };
-    let whole = upload.is_none();
-    let plain = |status, pause, text: &str| Some((Outgoing::plain(pool, status, pause, text), whole));
+    let complete = upload.is_none();
+    let local = |status, retry_after, text: &str| {
+        Some((OutgoingResponse::local(pool, status, retry_after, text), complete))
+    };
     match answer {
-        FinalAnswer::Served(Reply::Http(reply))
-        | FinalAnswer::Failed { reply: Some(Reply::Http(reply)), .. } => {
+        FinalAnswer::Served(Reply::Http(response))
+        | FinalAnswer::Failed { reply: Some(Reply::Http(response)), .. } => {
             let Message::Http(request) = &*message;
-            Some((Outgoing::passed_on(pool, &request.head, reply), whole))
+            Some((OutgoingResponse::forwarded(pool, &request.head, response), complete))
         }
-        FinalAnswer::Refused { pause } => plain(503, Some(pause), "short on capacity"),
-        FinalAnswer::Known => plain(409, None, "a request with this X-Correlation-Id is open"),
-        FinalAnswer::Failed { late: true, .. } => plain(504, None, "no answer in time"),
-        FinalAnswer::Failed { .. } => plain(500, None, "failed"),
+        FinalAnswer::Refused { pause } => local(503, Some(pause), "short on capacity"),
+        FinalAnswer::Known => local(409, None, "a request with this X-Correlation-Id is open"),
+        FinalAnswer::Failed { late: true, .. } => local(504, None, "no answer in time"),
+        FinalAnswer::Failed { .. } => local(500, None, "failed"),
     }
 }
 
-/// What a request says, in terms that no longer depend on HTTP. What contradicts itself is turned down
-/// here: an app server would turn it down too, and seem to fail.
+/// The transaction of a request, in terms that do not depend on HTTP. A request that contradicts itself is rejected here: an
+/// app server would reject it too, and would seem to fail.
 fn transaction(request: http::Request, context: &Context) -> Result<Transaction, (u16, &'static str)> {
     let arrived = context.clock.now();
     let (head, deployment, whole) = (&request.head, &context.deployment, request.rest.is_none());
@@ -319,35 +328,35 @@
         "POST" if !safe => {}
         _ => return Err((405, "not this class's method")),
     }
-    let named = head.get("x-account");
-    let tenant = named.and_then(|name| deployment.tenants.iter().position(|tenant| tenant == name));
+    let account = head.get("x-account");
+    let tenant = account.and_then(|name| deployment.tenants.iter().position(|tenant| tenant == name));
     let deadline = deployment.settings.classes[class].deadline;
     let time_left = match head.get("x-time-left") {
         None => deadline,
         Some(text) => {
             let seconds: Option<f64> = text.parse().ok().filter(|seconds: &f64| seconds.is_finite());
             let seconds = seconds.ok_or((400, "X-Time-Left is no number"))?;
-            // The cast saturates: a negative time left is none.
+            // The cast saturates: a negative time left counts as 0.
             deadline.min((seconds * 1e6) as Micros)
         }
     };
-    // On the way out nobody may be left without an answer when the end comes.
+    // During termination every request has to be answered before the process ends.
     let longest = deployment.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
-    let by = context.phase.borrow().answered_by(longest);
-    let time_left = by.map_or(time_left, |by| time_left.min(by.saturating_sub(arrived)));
-    let key = head.get_all("cookie").find_map(cookie);
-    // App servers can only drop a repeat of what one key names. A safe class needs none.
-    let names: Vec<_> = head.get_all("idempotency-key").map(<[u8]>::trim_ascii).collect();
-    let once = !matches!(names[..], [name] if !name.is_empty());
-    // A guess that is no guess changes nothing: the request is served like one without.
+    let answer_by = context.policy.borrow().answer_by(longest);
+    let time_left = answer_by.map_or(time_left, |at| time_left.min(at.saturating_sub(arrived)));
+    let key = head.get_all("cookie").find_map(user_cookie);
+    // App servers recognize a repeat only if exactly one key names the request. A safe class needs no key.
+    let idempotency_keys: Vec<_> = head.get_all("idempotency-key").map(<[u8]>::trim_ascii).collect();
+    let once = !matches!(idempotency_keys[..], [key] if !key.is_empty());
+    // An invalid hint is ignored.
     let hint = head.get("x-weight-hint").and_then(|text| text.trim().parse().ok());
     let hint = hint.filter(|work: &f64| work.is_finite() && *work >= 1.0).map(|work| work as Micros);
     let message = Rc::new(Message::Http(request));
     Ok(Transaction { own, class, tenant, key, once, hint, arrived, time_left, whole, message })
 }
 
-/// The cookie `user` of a cookie header.
-fn cookie(header: &[u8]) -> Option<String> {
+/// The cookie `user` of a `Cookie` header.
+fn user_cookie(header: &[u8]) -> Option<String> {
     let text = std::str::from_utf8(header).ok()?;
     let mut pairs = text.split(';').filter_map(|pair| pair.trim().split_once('='));
     pairs.find(|(name, _)| *name == "user").map(|(_, value)| value.to_owned())
--- a/daemon/src/terminal/outgoing.rs
+++ b/daemon/src/terminal/response_writer.rs
@@ -1,4 +1,4 @@
-//! Answers as they go out: the daemon's own, and an app server's, whole or as it flows.
+//! Writes responses: the daemon's own, and an app server's, buffered or streamed.
 
 use std::io;
 
@@ -7,14 +7,14 @@
 use gradepaddle_http::stall_budget::StallBudget;
 use tokio::time::{Instant, timeout};
 
-use crate::http::{self, Answer, Connection, Flow, Framing, Head};
+use crate::http::{self, Connection, Framing, Head, Response, ResponseStream};
 
-/// An answer, its head still open.
-pub struct Outgoing {
+/// A response to a client, whose head is not ended yet.
+pub struct OutgoingResponse {
     head: Chain,
     body: Chain,
-    /// What follows behind that, and how it is framed towards the client.
-    flow: Option<(Box<Flow>, Framing)>,
+    /// The rest of a streamed body, and its framing towards the client.
+    stream: Option<(Box<ResponseStream>, Framing)>,
 }
 
 fn reason(status: u16) -> &'static str {
@@ -32,54 +32,55 @@
     }
 }
 
-impl Outgoing {
-    /// An answer of the daemon's own.
-    pub fn plain(pool: &Pool, status: u16, pause: Option<Micros>, text: &str) -> Self {
+impl OutgoingResponse {
+    /// A response of the daemon's own.
+    pub fn local(pool: &Pool, status: u16, retry_after: Option<Micros>, text: &str) -> Self {
         let (mut head, mut body) = (pool.chain(), pool.chain());
         body.push(text.as_bytes());
         body.push(b"\n");
         let line = format!("HTTP/1.1 {status} {}\r\nContent-Type: text/plain\r\n", reason(status));
         head.push(line.as_bytes());
-        if let Some(pause) = pause {
-            head.push(format!("Retry-After: {:.3}\r\n", pause as f64 / 1e6).as_bytes());
+        if let Some(retry_after) = retry_after {
+            head.push(format!("Retry-After: {:.3}\r\n", retry_after as f64 / 1e6).as_bytes());
         }
         http::push_framing_field(&mut head, Framing::Length(body.len() as u64));
-        Outgoing { head, body, flow: None }
+        OutgoingResponse { head, body, stream: None }
     }
 
-    /// An app server's answer to this request, its body unchanged.
-    pub fn passed_on(pool: &Pool, request: &Head, answer: Answer) -> Self {
-        let Answer { head: from, body, flow } = answer;
+    /// An app server's response to this request, with its body unchanged.
+    pub fn forwarded(pool: &Pool, request: &Head, response: Response) -> Self {
+        let Response { head: from, body, stream } = response;
         let mut head = pool.chain();
         head.push(format!("HTTP/1.1 {}\r\n", from.status_line()).as_bytes());
         http::push_end_to_end_fields(&mut head, &from, &[]);
-        let flow = flow.map(|flow| {
-            let framing = match flow.framing {
+        let stream = stream.map(|stream| {
+            let framing = match stream.framing {
                 Framing::Length(length) => Framing::Length(length),
-                // The client must be able to tell an end from a break.
+                // The client must be able to tell a complete body from a truncated one.
                 _ if request.is_http_1_0() => Framing::UntilClose,
                 _ => Framing::Chunked,
             };
-            (flow, framing)
+            (stream, framing)
         });
-        match &flow {
+        match &stream {
             Some((_, framing)) => http::push_framing_field(&mut head, *framing),
             None if request.method() == "HEAD" || from.has_no_body() => {}
             None => http::push_framing_field(&mut head, Framing::Length(body.len() as u64)),
         }
-        Outgoing { head, body, flow }
+        OutgoingResponse { head, body, stream }
     }
 
-    /// Writes it. True if the connection stays, false if it is to end, with the answer whole in both cases.
+    /// Writes the response. True if the connection is kept, false if it is to be closed; the response is complete in both
+    /// cases.
     ///
     /// # Errors
     ///
-    /// The error of the connection: the client has gone, or a part of the answer is written.
+    /// The error of the connection: the client has disconnected, or only a part of the response was written.
     pub async fn write(self, connection: &mut Connection, pool: &Pool, keep: bool) -> io::Result<bool> {
-        let Outgoing { mut head, body, flow } = self;
-        let keep = keep && !matches!(flow, Some((_, Framing::UntilClose)));
+        let OutgoingResponse { mut head, body, stream } = self;
+        let keep = keep && !matches!(stream, Some((_, Framing::UntilClose)));
         head.push(if keep { b"\r\n" as &[u8] } else { b"Connection: close\r\n\r\n" });
-        let Some((flow, framing)) = flow else {
+        let Some((stream, framing)) = stream else {
             connection.write(&[&head, &body]).await?;
             return Ok(keep);
         };
@@ -90,32 +91,32 @@
         let http::ChunkFrame { before, after } = frame(body.len(), false);
         connection.write(&[&head, &before, &body, &after]).await?;
         drop((head, before, body, after));
-        let Flow { connection: mut from, body: mut rest, parking, .. } = *flow;
+        let ResponseStream { connection: mut upstream, body: mut rest, pool_return, .. } = *stream;
         let mut stall_budget = StallBudget::for_reader();
         loop {
-            let (since, mut piece) = (Instant::now(), pool.chain());
+            let (since, mut part) = (Instant::now(), pool.chain());
             let read =
-                timeout(stall_budget.remaining(), from.read_body(&mut rest, &mut piece, pool.part_size()))
+                timeout(stall_budget.remaining(), upstream.read_body(&mut rest, &mut part, pool.part_size()))
                     .await;
-            stall_budget.record_wait(since.elapsed(), piece.len());
+            stall_budget.record_wait(since.elapsed(), part.len());
             let Ok(Ok(last)) = read else {
-                // Broken off, or standing still: what the client has must not look whole.
+                // The app server's response ended early or stalled: what the client has received must not look complete.
                 connection.reset_on_drop();
                 return Err(io::ErrorKind::UnexpectedEof.into());
             };
-            let http::ChunkFrame { before, after } = frame(piece.len(), last);
-            connection.write(&[&before, &piece, &after]).await?;
+            let http::ChunkFrame { before, after } = frame(part.len(), last);
+            connection.write(&[&before, &part, &after]).await?;
             if last {
                 break;
             }
-            // Others have their turn, however fast both sides are.
+            // Lets other tasks run, however fast both sides are.
             tokio::task::yield_now().await;
         }
-        // With more than belongs to the answer it is of no further use.
-        if let Some(parking) = parking.and_then(|parking| parking.upgrade())
-            && !from.has_input()
+        // A connection with bytes behind the response can't be reused.
+        if let Some(pool_return) = pool_return.and_then(|pool_return| pool_return.upgrade())
+            && !upstream.has_input()
         {
-            let _ = parking.send(from);
+            let _ = pool_return.send(upstream);
         }
         Ok(keep)
     }
--- a/daemon/src/transaction.rs
+++ b/daemon/src/transaction.rs
@@ -1,15 +1,14 @@
-//! What the terminals hand on, whatever protocol they speak. A second protocol adds a variant to
-//! [`Message`] and [`Reply`], with a terminal and a routed task that know it; dispatch, the decisions and
-//! their rules stay the same.
+//! Transactions: requests and answers as dispatch sees them, whatever protocol the client speaks. A second protocol adds a
+//! variant to [`Message`] and [`Reply`], with a terminal and an attempt that handle it; dispatch and its rules stay the same.
 
 use std::rc::Rc;
 
 use crate::http;
 
-/// A client's request, as far as decisions need it, and the message to hand on.
+/// The properties of a client's request that dispatch needs, and the request itself.
 pub type Transaction = gradepaddle_dispatch::Transaction<Rc<Message>>;
 
-/// The one final answer that a transaction gets.
+/// The one final answer to a transaction.
 pub type FinalAnswer = gradepaddle_dispatch::FinalAnswer<Reply>;
 
 /// A request in its protocol.
@@ -18,8 +17,8 @@
     Http(http::Request),
 }
 
-/// An app server's answer in its protocol.
+/// An app server's response in its protocol.
 pub enum Reply {
     /// HTTP/1.1.
-    Http(http::Answer),
+    Http(http::Response),
 }
--- a/daemon/tests/network/crossings.rs
+++ b/daemon/tests/network/crossings.rs
@@ -92,7 +92,7 @@
     rig.logged("no longer ready");
     rig.terminate();
     rig.signal("-HUP");
-    rig.logged("configuration read anew");
+    rig.logged("configuration reloaded");
     client.order("c1");
     let (_, mut server) = rig.accept(&[0]);
     let message = server.message();
--- a/daemon/tests/network/listing.rs
+++ b/daemon/tests/network/listing.rs
@@ -75,7 +75,7 @@
     let mut watch = call(&rig);
     watch.say(HEAD);
     watch.chunk(r#"{"seq":8,"whole":true,"hosts":}"#);
-    rig.logged("watch broken: what is no list");
+    rig.logged("watch broken: invalid list");
     assert!(watch.ended());
     let mut again = call(&rig);
     again.say(HEAD);
--- a/daemon/tests/network/replaced.rs
+++ b/daemon/tests/network/replaced.rs
@@ -32,7 +32,7 @@
     let heir = rig.beside();
     ready(&heir);
     rig.terminate();
-    rig.logged("an heir serves");
+    rig.logged("a successor serves");
     let mut fresh: Vec<_> = (0..20).map(|_| rig.client()).collect();
     let answer = ask(&mut idle);
     assert!(answer.starts_with("HTTP/1.1 200 OK") && answer.contains("Connection: close"), "{answer}");
@@ -49,7 +49,7 @@
     let second = rig.beside();
     ready(&second);
     heir.terminate();
-    heir.logged("an heir serves");
+    heir.logged("a successor serves");
     assert!(!ask(&mut rig.client()).contains("Connection: close"));
     let answer = ask(&mut fresh[1]);
     assert!(answer.starts_with("HTTP/1.1 200 OK") && answer.contains("Connection: close"), "{answer}");
@@ -163,7 +163,7 @@
     ready(&heir);
     assert!(ask(&mut held).starts_with("HTTP/1.1 503"));
     rig.terminate();
-    rig.logged("an heir serves");
+    rig.logged("a successor serves");
     assert!(ask(&mut rig.client()).starts_with("HTTP/1.1 200 OK"));
     assert_eq!(rig.exit(), Some(0));
 }
@@ -179,7 +179,7 @@
     let heir = rig.beside();
     ready(&heir);
     rig.terminate();
-    rig.logged("an heir serves");
+    rig.logged("a successor serves");
     drop(held);
     let mut clients: Vec<_> = (0..30).map(|_| rig.client()).collect();
     assert!(clients.iter_mut().all(|client| ask(client).starts_with("HTTP/1.1 200 OK")));
--- a/daemon/tests/network/rig.rs
+++ b/daemon/tests/network/rig.rs
@@ -95,7 +95,7 @@
         };
         daemon.address = named(&daemon.logged("started"), "listen=");
         if has_door {
-            daemon.door = Some(named(&daemon.logged("door open"), "admin_addr="));
+            daemon.door = Some(named(&daemon.logged("admin listener open"), "admin_addr="));
         }
         daemon
     }
