--- a/check/src/sizes.rs
+++ b/check/src/sizes.rs
@@ -1,7 +1,7 @@
 //! How large a case is.
 
 use clap::{Args, ValueEnum};
-use gradepaddle::{Class, Effect, Group, Micros, Settings};
+use gradepaddle::{Class, DeduplicationScope, Idempotency, Micros, Settings};
 
 /// May a class's transactions run more than once?
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, ValueEnum)]
@@ -109,13 +109,13 @@
     pub fn settings(&self, step: Micros) -> Settings {
         let base = Settings::default();
         let class = |kind: &Kind| Class {
-            aim: step * Micros::from(self.deadline),
+            latency_target: step * Micros::from(self.deadline),
             deadline: step * Micros::from(self.deadline),
-            effect: match kind {
-                Kind::Safe => Effect::Safe,
-                Kind::Unsafe => Effect::Unsafe,
+            idempotency: match kind {
+                Kind::Safe => Idempotency::Safe,
+                Kind::Unsafe => Idempotency::Unsafe,
                 Kind::Keyed | Kind::Nameless => {
-                    Effect::Keyed { group: Group::Zone, window: Kind::window(step) }
+                    Idempotency::Keyed { scope: DeduplicationScope::Zone, window: Kind::window(step) }
                 }
             },
             ..base.classes[0].clone()
@@ -123,7 +123,7 @@
         Settings {
             classes: self.classes.iter().map(class).collect(),
             max_attempts: self.attempts,
-            second_copies: self.second_copies,
+            hedging: self.second_copies,
             ..base
         }
     }
--- a/check/src/world.rs
+++ b/check/src/world.rs
@@ -3,7 +3,7 @@
 
 use std::fmt;
 
-use gradepaddle::{Action, Id, ListKind, Micros, Server, State};
+use gradepaddle::{Action, Id, ListKind, Micros, Server, ServerState};
 use gradepaddle_dispatch::{
     Cause, Dispatch, Extent, FinalAnswer, Input, Limits, Output, Ticket, Transaction,
 };
@@ -172,7 +172,7 @@
     u32::from(at) % 2
 }
 
-fn server(at: u8, state: State) -> Server {
+fn server(at: u8, state: ServerState) -> Server {
     let id: Id = NAMES[usize::from(at)].into();
     Server { id, zone: zone(at), kind: 0, cell: u32::from(at), state, weight: 1.0, started: None }
 }
@@ -438,11 +438,14 @@
             Step::Send(c, s) => {
                 self.clients[usize::from(c)].sends += 1;
                 let (request, until) = (self.request(c)?, self.now + case.step);
-                self.choose(case, Action::Send { request, server: NAMES[usize::from(s)].into(), until });
+                self.choose(
+                    case,
+                    Action::Send { request, server: NAMES[usize::from(s)].into(), deadline: until },
+                );
             }
             Step::Refuse(c) => {
                 let request = self.request(c)?;
-                self.choose(case, Action::Refuse { request, pause: 1 });
+                self.choose(case, Action::Reject { request, retry_after: 1 });
             }
             Step::Fail(c) => {
                 let request = self.request(c)?;
@@ -498,7 +501,7 @@
                 if case.broken == Broken::DrainAtNextList {
                     self.held.push(s);
                 } else {
-                    self.list(case, ListKind::Delta, vec![server(s, State::Draining)]);
+                    self.list(case, ListKind::Delta, vec![server(s, ServerState::Draining)]);
                 }
             }
             Step::Replace(s) => {
@@ -507,7 +510,7 @@
                 let old = &mut self.servers[usize::from(s)];
                 (old.closed, old.gone) = (old.closed.or(Some(self.now)), true);
                 self.servers.push(Standing { closed: None, banned: None, open: false, gone: false });
-                let entries = vec![server(s, State::Gone), server(new, State::Ready)];
+                let entries = vec![server(s, ServerState::Gone), server(new, ServerState::Ready)];
                 self.list(case, ListKind::Delta, entries);
             }
             Step::Ban(s) => {
@@ -592,7 +595,7 @@
                 (standing.closed, standing.gone) = (standing.closed.or(Some(self.now)), true);
             }
         }
-        self.list(case, kind, (0..first).map(|s| server(s, State::Ready)).collect());
+        self.list(case, kind, (0..first).map(|s| server(s, ServerState::Ready)).collect());
     }
 
     fn ban(&mut self, case: &Case, at: u8, since: Option<Micros>) {
@@ -601,12 +604,15 @@
 
     fn list(&mut self, case: &Case, kind: ListKind, mut servers: Vec<Server>) {
         for s in (0..self.servers.len() as u8).filter(|_| case.broken == Broken::ListEndsBan) {
-            if servers.iter().any(|e| e.id == server(s, State::Ready).id && e.state == State::Ready) {
+            if servers
+                .iter()
+                .any(|e| e.id == server(s, ServerState::Ready).id && e.state == ServerState::Ready)
+            {
                 self.ban(case, s, None);
             }
         }
         if kind == ListKind::Delta {
-            servers.extend(self.held.drain(..).map(|s| server(s, State::Draining)));
+            servers.extend(self.held.drain(..).map(|s| server(s, ServerState::Draining)));
         } else if kind == ListKind::Full {
             self.held.clear();
         }
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -161,8 +161,8 @@
         pool: pool.clone(),
         clock,
         budget: budget.clone(),
-        dial_timeout: Duration::from_micros(config.deployment.dial_timeout),
-        conn_idle: config.deployment.conn_idle,
+        dial_timeout: Duration::from_micros(config.deployment.connect_timeout),
+        conn_idle: config.deployment.connection_idle_timeout,
         reports: config.deployment.reports,
         idle_reuse: IdleReuse::new(Instant::now()),
     });
@@ -223,7 +223,7 @@
     }
     debug!(settings = ?config.deployment, sockets = config.sockets, "told");
     // What an agent has counts from the first moment on, so that is heard before anything is served.
-    let pushed = !config.deployment.settings.ask_discovery;
+    let pushed = !config.deployment.settings.poll_discovery;
     spawn_local(reload(hangup, config, table));
 
     let entered = handover.clone();
--- a/daemon/src/probe.rs
+++ b/daemon/src/probe.rs
@@ -131,6 +131,6 @@
         Err(_) => return (Cause::Spoilt, None),
     };
     let text = body.copy_front(body.len());
-    let report = std::str::from_utf8(&text).ok().and_then(LoadReport::read);
-    (cause, report.or_else(|| head.get("x-backend-load").and_then(LoadReport::read)))
+    let report = std::str::from_utf8(&text).ok().and_then(LoadReport::parse);
+    (cause, report.or_else(|| head.get("x-backend-load").and_then(LoadReport::parse)))
 }
--- a/daemon/src/routed_task.rs
+++ b/daemon/src/routed_task.rs
@@ -258,7 +258,7 @@
             // A refusal says that trying again is harmless, whoever words it, so an app server's is never
             // passed on: here the request may have run.
             let passes = cause != Cause::Unprocessed && !matches!(head.status(), Ok(429 | 503));
-            let load = head.get("x-backend-load").filter(|_| context.reports).and_then(LoadReport::read);
+            let load = head.get("x-backend-load").filter(|_| context.reports).and_then(LoadReport::parse);
             match rest {
                 None => {
                     let connection = Some(connection).filter(|one| usable && !one.has_input());
--- a/daemon/src/service_table.rs
+++ b/daemon/src/service_table.rs
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use gradepaddle::settings::{Deployment, micros, place};
-use gradepaddle::{ListKind, Micros, Server, State};
+use gradepaddle::settings::{Deployment, intern_name, micros_from_ms};
+use gradepaddle::{ListKind, Micros, Server, ServerState};
 use gradepaddle_dispatch::{Failure, ListClock};
 use serde::Deserialize;
 use serde_json::Value;
@@ -166,7 +166,8 @@
         handover: Option<Rc<Handover>>,
     ) -> Self {
         let left = handover.map(|handover| (handover, BTreeMap::new()));
-        let clock = ListClock::new(deployment.settings.gateways, u64::from(deployment.settings.me));
+        let clock =
+            ListClock::new(deployment.settings.gateway_count, u64::from(deployment.settings.gateway_index));
         ServiceTable { discovery, deployment, decision, context, seq: 0, clock, left }
     }
 
@@ -175,7 +176,7 @@
         self.apply(known, ListKind::Cached);
         // Lists that have to be asked for are asked for in turn, as the decisions say. Pushed ones count from the first
         // moment on.
-        let mut again = (!self.deployment.settings.ask_discovery).then(|| self.now());
+        let mut again = (!self.deployment.settings.poll_discovery).then(|| self.now());
         loop {
             let ask = tokio::select! {
                 biased;
@@ -349,13 +350,13 @@
     /// One entry as the decisions take it, with its address unless it is gone.
     fn entry(&mut self, host: Host) -> Option<(Server, Option<SocketAddr>)> {
         let state = match host.health.as_str() {
-            "up" => State::Ready,
-            "removed" => State::Gone,
+            "up" => ServerState::Ready,
+            "removed" => ServerState::Gone,
             // A state that is not known here is at least not up: it gets nothing new.
-            _ => State::Draining,
+            _ => ServerState::Draining,
         };
         let mut address = None;
-        if state != State::Gone {
+        if state != ServerState::Gone {
             let dial = host.dial.as_deref().unwrap_or_default();
             address = dial.parse().ok();
             if address.is_none() {
@@ -365,12 +366,12 @@
         }
         let server = Server {
             id: host.host.into(),
-            zone: place(&mut self.deployment.zones, &host.site),
-            kind: place(&mut self.deployment.kinds, &host.class),
+            zone: intern_name(&mut self.deployment.zones, &host.site),
+            kind: intern_name(&mut self.deployment.kinds, &host.class),
             cell: host.block,
             state,
             weight: host.share,
-            started: (host.born_ms > 0.0).then(|| micros(host.born_ms)),
+            started: (host.born_ms > 0.0).then(|| micros_from_ms(host.born_ms)),
         };
         Some((server, address))
     }
--- a/daemon/src/terminal.rs
+++ b/daemon/src/terminal.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use gradepaddle::settings::Deployment;
-use gradepaddle::{Effect, Micros};
+use gradepaddle::{Idempotency, Micros};
 use gradepaddle_http::buffers::Pool;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
@@ -312,7 +312,7 @@
     }
     let class = deployment.classes.iter().position(|class| class == first);
     let class = class.ok_or((400, "unknown service class"))?;
-    let safe = deployment.settings.classes[class].effect == Effect::Safe;
+    let safe = deployment.settings.classes[class].idempotency == Idempotency::Safe;
     match head.method() {
         "GET" if safe && request.body.is_empty() && whole => {}
         "GET" if safe => return Err((400, "a GET with a body")),
--- a/dispatch/benches/dispatch.rs
+++ b/dispatch/benches/dispatch.rs
@@ -7,7 +7,7 @@
 use std::hint::black_box;
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use gradepaddle::{Action, Balancer, Class, Event, ListKind, Micros, Server, Settings, State};
+use gradepaddle::{Action, Balancer, Class, Event, ListKind, Micros, Server, ServerState, Settings};
 use gradepaddle_dispatch::{Cause, Chooser, Dispatch, Extent, Input, Limits, Output, Transaction};
 
 const HOUR: Micros = 3_600_000_000;
@@ -18,7 +18,7 @@
 impl Chooser for First {
     fn handle(&mut self, _: Micros, event: Event<'_>, out: &mut Vec<Action>) {
         if let Event::Request(arrival) = event {
-            out.push(Action::Send { request: arrival.id, server: "s0".into(), until: Micros::MAX });
+            out.push(Action::Send { request: arrival.id, server: "s0".into(), deadline: Micros::MAX });
         }
     }
 }
@@ -33,7 +33,8 @@
 impl<C: Chooser> Bench<C> {
     /// Ten app servers, and nothing that ends by itself while a bench runs.
     fn new(chooser: impl Fn(&Settings) -> C) -> Self {
-        let class = Class { aim: HOUR, deadline: 24 * HOUR, ..Settings::default().classes.remove(0) };
+        let class =
+            Class { latency_target: HOUR, deadline: 24 * HOUR, ..Settings::default().classes.remove(0) };
         let settings = Settings { classes: vec![class], ..Settings::default() };
         let dispatch = Dispatch::new(chooser(&settings), &settings, "n1", Limits::default());
         let mut bench = Bench { dispatch, out: Vec::new(), now: 1, ticket: 0 };
@@ -42,7 +43,7 @@
             zone: i % 3,
             kind: 0,
             cell: i,
-            state: State::Ready,
+            state: ServerState::Ready,
             weight: 1.0,
             started: None,
         };
--- a/dispatch/src/attempt.rs
+++ b/dispatch/src/attempt.rs
@@ -50,12 +50,12 @@
         Cause::Served => Outcome::Ok,
         Cause::Denied => Outcome::Denied,
         Cause::Failed | Cause::Spoilt => Outcome::Error,
-        Cause::Unprocessed => Outcome::Full,
+        Cause::Unprocessed => Outcome::Overloaded,
         Cause::NoConnection => Outcome::ConnectFailed,
         Cause::Broke => Outcome::Reset,
         Cause::OutOfTime => Outcome::TimedOut,
         Cause::Withdrawn => Outcome::Cancelled,
-        Cause::Closed | Cause::NotTried => Outcome::Moot,
+        Cause::Closed | Cause::NotTried => Outcome::NotSent,
     }
 }
 
@@ -67,9 +67,9 @@
         (Cause::Served, _) => Outcome::Ok,
         (Cause::Denied, _) => Outcome::Denied,
         (Cause::Failed | Cause::Spoilt, _) => Outcome::Error,
-        (Cause::Unprocessed, _) => Outcome::Full,
+        (Cause::Unprocessed, _) => Outcome::Overloaded,
         (Cause::Withdrawn, _) => Outcome::Cancelled,
-        (Cause::NotTried, Extent::Nothing) => Outcome::Moot,
+        (Cause::NotTried, Extent::Nothing) => Outcome::NotSent,
         (Cause::OutOfTime, Extent::Whole) => Outcome::TimedOut,
         (Cause::Broke | Cause::NoConnection | Cause::Closed | Cause::NotTried, Extent::Whole) => {
             Outcome::Reset
--- a/dispatch/src/dispatch.rs
+++ b/dispatch/src/dispatch.rs
@@ -5,7 +5,8 @@
 use std::sync::Arc;
 
 use gradepaddle::{
-    Action, Arrival, Ended, Event, Id, ListKind, LoadReport, Micros, Outcome, Server, Settings, State,
+    Action, Arrival, AttemptEnd, Event, Id, ListKind, LoadReport, Micros, Outcome, Server, ServerState,
+    Settings,
 };
 
 use crate::attempt::{Attempt, Cause, Extent, probed};
@@ -88,7 +89,7 @@
             rulebook: Arc::new(Rulebook::new(settings, &limits)),
             limits,
             name: name.into(),
-            fleet: Fleet::new(settings.only_draining_binds),
+            fleet: Fleet::new(settings.keep_gone_servers),
             open: BTreeMap::new(),
             own: BTreeSet::new(),
             wakes: BTreeSet::new(),
@@ -132,7 +133,7 @@
                 // Told twice, or of none that was sent: it says nothing.
                 if let Some(since) = self.probes.remove(&server) {
                     let took = now.saturating_sub(since);
-                    let event = Event::Probed { server: &server, outcome: probed(cause), took, report };
+                    let event = Event::ProbeEnded { server: &server, outcome: probed(cause), took, report };
                     self.decide(now, event, &mut echoes, out);
                 }
             }
@@ -147,14 +148,21 @@
                 Echo::Moot { ticket, attempt } => {
                     let Some(open) = self.open.get(&ticket) else { continue };
                     let (id, closed) = (open.id.clone(), !open.owed);
-                    let (outcome, took) = (Outcome::Moot, 0);
-                    let ended = Ended { request: &id, attempt, outcome, took, closed, report: None };
-                    self.decide(now, Event::Ended(ended), &mut echoes, out);
+                    let (outcome, took) = (Outcome::NotSent, 0);
+                    let ended = AttemptEnd {
+                        request: &id,
+                        attempt,
+                        outcome,
+                        took,
+                        request_finished: closed,
+                        report: None,
+                    };
+                    self.decide(now, Event::AttemptEnded(ended), &mut echoes, out);
                     self.settle(ticket);
                 }
                 Echo::Unprobed { server } => {
-                    let (outcome, took) = (Outcome::Moot, 0);
-                    let event = Event::Probed { server: &server, outcome, took, report: None };
+                    let (outcome, took) = (Outcome::NotSent, 0);
+                    let event = Event::ProbeEnded { server: &server, outcome, took, report: None };
                     self.decide(now, event, &mut echoes, out);
                 }
             }
@@ -252,7 +260,8 @@
         // What still comes is expected soon: of a client that stops amid it, the shell tells.
         let ttl = arrived.saturating_add(time_left).saturating_sub(now);
         let hint = hint.map(|work| work as f64);
-        let arrival = Arrival { id, class, tenant, ttl, hint, key: key.as_deref(), once };
+        let arrival =
+            Arrival { id, class, tenant, ttl, work_hint: hint, key: key.as_deref(), run_once: once };
         self.decide(now, Event::Request(arrival), echoes, out);
         self.settle(ticket);
     }
@@ -304,8 +313,8 @@
             (_, reply) => open.reply = reply,
         }
         let (id, closed) = (open.id.clone(), !open.owed);
-        let ended = Ended { request: &id, attempt, outcome, took, closed, report };
-        self.decide(now, Event::Ended(ended), echoes, out);
+        let ended = AttemptEnd { request: &id, attempt, outcome, took, request_finished: closed, report };
+        self.decide(now, Event::AttemptEnded(ended), echoes, out);
         self.settle(ticket);
     }
 
@@ -323,9 +332,9 @@
             out.push(Output::Standing { server, open });
         }
         // To the chooser a banned one drains, as long as the ban lasts.
-        for server in servers.iter_mut().filter(|server| server.state == State::Ready) {
+        for server in servers.iter_mut().filter(|server| server.state == ServerState::Ready) {
             if self.fleet.is_banned(&server.id) {
-                server.state = State::Draining;
+                server.state = ServerState::Draining;
             }
         }
         self.decide(now, Event::List { kind, servers }, echoes, out);
@@ -418,8 +427,9 @@
         for (attempt, took) in out_now {
             self.found(Defect::NeverEnded, id.clone(), out);
             let outcome = Outcome::TimedOut;
-            let ended = Ended { request: &id, attempt, outcome, took, closed: true, report: None };
-            self.decide(now, Event::Ended(ended), echoes, out);
+            let ended =
+                AttemptEnd { request: &id, attempt, outcome, took, request_finished: true, report: None };
+            self.decide(now, Event::AttemptEnded(ended), echoes, out);
         }
         self.settle(ticket);
     }
@@ -434,7 +444,7 @@
     ) {
         let Some(open) = self.open.get(&ticket) else { return };
         let id = open.id.clone();
-        self.decide(now, Event::Left { request: &id }, echoes, out);
+        self.decide(now, Event::ClientDisconnected { request: &id }, echoes, out);
         self.settle(ticket);
     }
 
@@ -476,8 +486,10 @@
 
     fn act(&mut self, now: Micros, action: Action, echoes: &mut VecDeque<Echo>, out: &mut Vec<Output<M, R>>) {
         match action {
-            Action::Send { request, server, until } => self.send(now, request, server, until, echoes, out),
-            Action::Refuse { request, pause } => self.refuse(request, pause, echoes, out),
+            Action::Send { request, server, deadline: until } => {
+                self.send(now, request, server, until, echoes, out);
+            }
+            Action::Reject { request, retry_after: pause } => self.refuse(request, pause, echoes, out),
             Action::Fail { request } => self.give_up(request, out),
             Action::Cancel { request, attempt } => {
                 if let Some(ticket) = self.ticket(&request)
@@ -491,7 +503,7 @@
             Action::Wake { at } => {
                 self.wakes.insert(at);
             }
-            Action::DropIdle { server } => out.push(Output::DropIdle { server }),
+            Action::CloseIdleConnections { server } => out.push(Output::DropIdle { server }),
             Action::Subscribe => out.push(Output::Watch),
             Action::Log { text } => out.push(Output::Log { text }),
             Action::Probe { server } => self.probe(now, server, echoes, out),
@@ -525,7 +537,7 @@
             extent: Extent::Nothing,
             withdrawn: false,
             // The chooser counts this attempt, so it is counted here too.
-            outcome: defect.map(|_| Outcome::Moot),
+            outcome: defect.map(|_| Outcome::NotSent),
         });
         let Some(defect) = defect else {
             // Nothing is waited for once the client has given up.
--- a/dispatch/src/fleet.rs
+++ b/dispatch/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use gradepaddle::{Id, ListKind, Micros, Server, State};
+use gradepaddle::{Id, ListKind, Micros, Server, ServerState};
 
 /// Where an app server stands among the others.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
@@ -145,7 +145,7 @@
         let open = self.standing(id) == Some(Standing::Open);
         self.banned.entry(id.clone()).or_insert(since);
         let entry = self.entries.get(id).filter(|_| open)?;
-        Some(entry.server(id, State::Draining, entry.started))
+        Some(entry.server(id, ServerState::Draining, entry.started))
     }
 
     /// Ends a ban; gives back what the chooser is to be told, if the app server is open by that. It was
@@ -155,7 +155,7 @@
         let open = self.standing(id) == Some(Standing::Open);
         let entry = self.entries.get(id).filter(|_| open)?;
         // One that the list calls gone, and that only a drain would bind, has to be listed again.
-        let state = if entry.gone.is_some() { State::Gone } else { State::Ready };
+        let state = if entry.gone.is_some() { ServerState::Gone } else { ServerState::Ready };
         let started = entry.started.filter(|at| *at > since).unwrap_or(now);
         Some(entry.server(id, state, Some(started)))
     }
@@ -175,7 +175,7 @@
         for server in servers {
             let place = Place { zone: server.zone, kind: server.kind, cell: server.cell };
             let known = self.standing(&server.id).map(|standing| standing == Standing::Open);
-            if server.state == State::Gone {
+            if server.state == ServerState::Gone {
                 self.leave(now, &server.id, &mut changes);
                 continue;
             }
@@ -184,7 +184,7 @@
             entry.weight = server.weight.to_bits();
             entry.started = server.started.or(entry.started);
             entry.drains = match server.state {
-                State::Draining => entry.drains.or(Some(now)),
+                ServerState::Draining => entry.drains.or(Some(now)),
                 _ => None,
             };
             if let Some(at) = entry.gone.take() {
@@ -231,7 +231,7 @@
 }
 
 impl Entry {
-    fn server(&self, id: &Id, state: State, started: Option<Micros>) -> Server {
+    fn server(&self, id: &Id, state: ServerState, started: Option<Micros>) -> Server {
         let Place { zone, kind, cell } = self.place;
         Server { id: id.clone(), zone, kind, cell, state, weight: f64::from_bits(self.weight), started }
     }
--- a/dispatch/src/guard.rs
+++ b/dispatch/src/guard.rs
@@ -3,7 +3,7 @@
 
 use std::fmt;
 
-use gradepaddle::{Class, Effect, Group, Micros, Outcome, Settings};
+use gradepaddle::{Class, DeduplicationScope, Idempotency, Micros, Outcome, Settings};
 
 use crate::attempt::{Attempt, Cause, Extent, outcome};
 use crate::dispatch::Limits;
@@ -154,7 +154,7 @@
         Rulebook {
             classes: settings.classes.clone(),
             max_attempts: settings.max_attempts as usize,
-            second_copies: settings.second_copies,
+            second_copies: settings.hedging,
             cancel: settings.cancel,
             probes: settings.probes,
             grace: limits.grace,
@@ -188,12 +188,12 @@
         }
         if let Some(first) = open.attempts.iter().find(|attempt| attempt.may_have_run()) {
             let allowed = match effect(class, open) {
-                Effect::Safe => true,
-                Effect::Unsafe => false,
-                Effect::Keyed { window, .. } if now > first.sent.saturating_add(window) => false,
-                Effect::Keyed { group: Group::All, .. } => true,
-                Effect::Keyed { group: Group::Zone, .. } => first.place.zone == place.zone,
-                Effect::Keyed { group: Group::Cell, .. } => first.place.cell == place.cell,
+                Idempotency::Safe => true,
+                Idempotency::Unsafe => false,
+                Idempotency::Keyed { window, .. } if now > first.sent.saturating_add(window) => false,
+                Idempotency::Keyed { scope: DeduplicationScope::All, .. } => true,
+                Idempotency::Keyed { scope: DeduplicationScope::Zone, .. } => first.place.zone == place.zone,
+                Idempotency::Keyed { scope: DeduplicationScope::Cell, .. } => first.place.cell == place.cell,
             };
             if !allowed {
                 return Some(Defect::RepeatedUnsafe);
@@ -215,13 +215,13 @@
     pub fn refusal_lies<M, R>(&self, open: &Open<M, R>) -> bool {
         let harmless = matches!(
             self.classes.get(open.class).map(|class| effect(class, open)),
-            Some(Effect::Safe | Effect::Keyed { group: Group::All, .. })
+            Some(Idempotency::Safe | Idempotency::Keyed { scope: DeduplicationScope::All, .. })
         );
         !harmless && open.attempts.iter().any(Attempt::may_have_run)
     }
 }
 
 /// What its class allows, unless nothing names it to those that would drop a repeat.
-fn effect<M, R>(class: &Class, open: &Open<M, R>) -> Effect {
-    if open.once && class.effect != Effect::Safe { Effect::Unsafe } else { class.effect }
+fn effect<M, R>(class: &Class, open: &Open<M, R>) -> Idempotency {
+    if open.once && class.idempotency != Idempotency::Safe { Idempotency::Unsafe } else { class.idempotency }
 }
--- a/dispatch/tests/hard_cases.rs
+++ b/dispatch/tests/hard_cases.rs
@@ -15,9 +15,11 @@
 impl Chooser for Script {
     fn handle(&mut self, _: Micros, event: Event<'_>, out: &mut Vec<Action>) {
         match event {
-            Event::Ended(ended) => self.told.push((ended.attempt, ended.outcome, ended.closed)),
-            Event::Left { .. } => self.left += 1,
-            Event::Probed { outcome, took, .. } => self.probed.push((outcome, took)),
+            Event::AttemptEnded(ended) => {
+                self.told.push((ended.attempt, ended.outcome, ended.request_finished));
+            }
+            Event::ClientDisconnected { .. } => self.left += 1,
+            Event::ProbeEnded { outcome, took, .. } => self.probed.push((outcome, took)),
             _ => {}
         }
         out.append(&mut self.planned);
@@ -36,15 +38,19 @@
 const SAFE: usize = 0;
 const UNSAFE: usize = 1;
 
-fn server(id: &str, state: State) -> Server {
+fn server(id: &str, state: ServerState) -> Server {
     Server { id: id.into(), zone: 0, kind: 0, cell: 0, state, weight: 1.0, started: None }
 }
 
 fn settings() -> Settings {
     let base = Settings::default();
-    let class = |effect| Class { deadline: DEADLINE, effect, ..base.classes[0].clone() };
-    let only = Class { zones: Some(vec![1]), ..class(Effect::Safe) };
-    Settings { classes: vec![class(Effect::Safe), class(Effect::Unsafe), only], max_attempts: 2, ..base }
+    let class = |effect| Class { deadline: DEADLINE, idempotency: effect, ..base.classes[0].clone() };
+    let only = Class { zones: Some(vec![1]), ..class(Idempotency::Safe) };
+    Settings {
+        classes: vec![class(Idempotency::Safe), class(Idempotency::Unsafe), only],
+        max_attempts: 2,
+        ..base
+    }
 }
 
 impl Bench {
@@ -55,7 +61,7 @@
     fn with(settings: Settings) -> Bench {
         let limits = Limits { grace: GRACE, backstop: 10, reap: 50, forget: 10_000 };
         let mut bench = Bench { dispatch: Dispatch::new(Script::default(), &settings, "n", limits), now: 0 };
-        bench.list(ListKind::Cached, vec![server("a", State::Ready), server("b", State::Ready)]);
+        bench.list(ListKind::Cached, vec![server("a", ServerState::Ready), server("b", ServerState::Ready)]);
         bench
     }
 
@@ -94,7 +100,7 @@
 
     fn send(&mut self, request: &str, server: &str) -> Outputs {
         let until = self.now + DEADLINE;
-        self.choose(Action::Send { request: request.into(), server: server.into(), until })
+        self.choose(Action::Send { request: request.into(), server: server.into(), deadline: until })
     }
 
     fn end(&mut self, ticket: Ticket, attempt: u32, extent: Extent, cause: Cause) -> Outputs {
@@ -176,7 +182,7 @@
     let mut bench = Bench::new();
     bench.take(1, b"c", UNSAFE);
     bench.send("n-1", "a");
-    let out = bench.list(ListKind::Delta, vec![server("a", State::Draining)]);
+    let out = bench.list(ListKind::Delta, vec![server("a", ServerState::Draining)]);
     assert_eq!(out, [Output::Standing { server: "a".into(), open: false }]);
     bench.end(1, 0, Extent::Nothing, Cause::Closed);
     assert_eq!(bench.told(), [(0, Outcome::ConnectFailed, false)], "it never ran");
@@ -190,7 +196,7 @@
     bench.take(1, b"c", UNSAFE);
     bench.send("n-1", "a");
     bench.tell(Input::Written { ticket: 1, attempt: 0, extent: Extent::Part });
-    let out = bench.list(ListKind::Delta, vec![server("a", State::Draining)]);
+    let out = bench.list(ListKind::Delta, vec![server("a", ServerState::Draining)]);
     assert!(!out.iter().any(|output| matches!(output, Output::Withdraw { .. })));
     assert_eq!(answers(&bench.end(1, 0, Extent::Whole, Cause::Served)), [(1, FinalAnswer::Served("r"))]);
 }
@@ -201,7 +207,8 @@
     bench.take(1, b"c", UNSAFE);
     bench.send("n-1", "a");
     bench.now = 5;
-    let out = bench.list(ListKind::Delta, vec![server("a", State::Gone), server("a2", State::Ready)]);
+    let out =
+        bench.list(ListKind::Delta, vec![server("a", ServerState::Gone), server("a2", ServerState::Ready)]);
     let standing = |id: &str, open| Output::Standing { server: id.into(), open };
     assert_eq!(out, [standing("a", false), standing("a2", true)]);
     assert_eq!(bench.dispatch.fleet().standing("a"), Some(Standing::Gone(5)));
@@ -229,12 +236,12 @@
 #[test]
 fn a_failed_list_holds_and_an_old_one_counts_as_told() {
     let mut bench = Bench::new();
-    bench.list(ListKind::Delta, vec![server("a", State::Draining)]);
+    bench.list(ListKind::Delta, vec![server("a", ServerState::Draining)]);
     assert!(bench.list(ListKind::Failed, Vec::new()).is_empty());
     bench.now = GRACE + 1;
     bench.take(1, b"c", SAFE);
     assert_eq!(starts(&bench.send("n-1", "a")), 0);
-    let old = vec![server("a", State::Ready), server("b", State::Ready)];
+    let old = vec![server("a", ServerState::Ready), server("b", ServerState::Ready)];
     assert_eq!(bench.list(ListKind::Full, old).len(), 1);
     bench.take(2, b"d", SAFE);
     assert_eq!(starts(&bench.send("n-2", "a")), 1);
@@ -276,7 +283,7 @@
         bench.end(1, 0, Extent::Whole, Cause::Broke);
     };
     let drained = |bench: &mut Bench| {
-        bench.list(ListKind::Delta, vec![server("b", State::Draining)]);
+        bench.list(ListKind::Delta, vec![server("b", ServerState::Draining)]);
         bench.now += GRACE + 1;
     };
     let cases: [(Defect, usize, bool, Before); 6] = [
@@ -296,7 +303,7 @@
         (Defect::Misplaced, 2, true, Box::new(|_| {})),
     ];
     for (defect, class, second_copies, before) in cases {
-        let mut bench = Bench::with(Settings { second_copies, ..settings() });
+        let mut bench = Bench::with(Settings { hedging: second_copies, ..settings() });
         bench.take(1, b"c", class);
         before(&mut bench);
         let open: usize =
@@ -308,7 +315,7 @@
         assert_eq!((starts(&out), named, withdrawn), (0, 1, open), "{defect:?}");
         let [(1, FinalAnswer::Failed { .. })] = answers(&out)[..] else { panic!("{defect:?}: {out:?}") };
         let told = bench.told();
-        assert!(matches!(told[..], [(_, Outcome::Moot, true)]), "{defect:?}: {told:?}");
+        assert!(matches!(told[..], [(_, Outcome::NotSent, true)]), "{defect:?}: {told:?}");
         // With nothing out, the end of the attempt that was not made says it all.
         let left = usize::from(open > 0);
         assert_eq!((bench.dispatch.chooser().left, bench.dispatch.defects().count(defect)), (left, 1));
@@ -317,7 +324,7 @@
 
 #[test]
 fn a_refusal_of_what_may_have_run_becomes_a_failure() {
-    let refuse = || Action::Refuse { request: "n-1".into(), pause: 7 };
+    let refuse = || Action::Reject { request: "n-1".into(), retry_after: 7 };
     for (class, cause, honest) in
         [(UNSAFE, Cause::Broke, false), (UNSAFE, Cause::Unprocessed, true), (SAFE, Cause::Broke, true)]
     {
@@ -340,7 +347,7 @@
     bench.take(1, b"c", UNSAFE);
     let out = bench.send("n-1", "z");
     assert!(answers(&out).is_empty() && starts(&out) == 0);
-    assert_eq!(bench.told(), [(0, Outcome::Moot, false)]);
+    assert_eq!(bench.told(), [(0, Outcome::NotSent, false)]);
     assert_eq!(starts(&bench.send("n-1", "a")), 1);
 }
 
@@ -377,8 +384,10 @@
     for ticket in 0..5_000u64 {
         let now = ticket * 10_000;
         if ticket % 100 == 0 {
-            let servers =
-                vec![server(&format!("s{}", ticket / 100), State::Ready), server("s", State::Ready)];
+            let servers = vec![
+                server(&format!("s{}", ticket / 100), ServerState::Ready),
+                server("s", ServerState::Ready),
+            ];
             dispatch.handle(now, Input::List { kind: ListKind::Full, servers }, &mut out);
         }
         let transaction = Transaction {
@@ -437,7 +446,7 @@
     };
     assert!(probe(&mut bench) && !probe(&mut bench), "one is out");
     bench.now = 7;
-    assert_eq!(ended(&mut bench, Cause::Denied), [(Outcome::Moot, 0), (Outcome::Denied, 7)]);
+    assert_eq!(ended(&mut bench, Cause::Denied), [(Outcome::NotSent, 0), (Outcome::Denied, 7)]);
     assert!(ended(&mut bench, Cause::Served).is_empty(), "it has ended already");
     assert!(probe(&mut bench));
     bench.now = 7 + 50;
@@ -445,16 +454,16 @@
     ended(&mut bench, Cause::OutOfTime);
     assert_eq!(bench.dispatch.defects().total(), 0);
     let told = |state| vec![server("a", state)];
-    bench.list(ListKind::Delta, told(State::Draining));
+    bench.list(ListKind::Delta, told(ServerState::Draining));
     assert!(!probe(&mut bench), "it drains, and the grace is not for probes");
-    bench.list(ListKind::Delta, told(State::Ready));
+    bench.list(ListKind::Delta, told(ServerState::Ready));
     let since = Some(bench.now);
     bench.tell(Input::Ban { server: "a".into(), since });
     assert!(!probe(&mut bench), "it is out");
     bench.tell(Input::Ban { server: "a".into(), since: None });
     assert!(probe(&mut bench));
     let mut forbidden = Bench::new();
-    assert!(!probe(&mut forbidden) && forbidden.dispatch.chooser().probed == [(Outcome::Moot, 0)]);
+    assert!(!probe(&mut forbidden) && forbidden.dispatch.chooser().probed == [(Outcome::NotSent, 0)]);
     for (bench, defects) in [(bench, 2), (forbidden, 1)] {
         assert_eq!(bench.dispatch.defects().count(Defect::Unprobeable), defects);
     }
@@ -483,7 +492,7 @@
     let mut bench = Bench::new();
     let transaction = flowing();
     let send =
-        |server: &str| Action::Send { request: "n-1".into(), server: server.into(), until: 9 * DEADLINE };
+        |server: &str| Action::Send { request: "n-1".into(), server: server.into(), deadline: 9 * DEADLINE };
     bench.dispatch.chooser_mut().planned.push(send("a"));
     bench.tell(Input::Taken { ticket: 1, transaction });
     bench.now = 5 * DEADLINE;
@@ -513,7 +522,8 @@
 #[test]
 fn what_is_used_up_is_not_sent_again_whatever_the_chooser_asks_for() {
     let mut bench = Bench::new();
-    let send = |server: &str| Action::Send { request: "n-1".into(), server: server.into(), until: DEADLINE };
+    let send =
+        |server: &str| Action::Send { request: "n-1".into(), server: server.into(), deadline: DEADLINE };
     bench.dispatch.chooser_mut().planned.push(send("a"));
     let transaction = flowing();
     bench.tell(Input::Taken { ticket: 1, transaction });
--- a/emulator/src/balancer.rs
+++ b/emulator/src/balancer.rs
@@ -1,6 +1,6 @@
 //! Balancers: the code in service round its chooser, the CPU that it may use, and its attempts on their way.
 
-use gradepaddle::{ListKind, LoadReport, Micros, State as Listed};
+use gradepaddle::{ListKind, LoadReport, Micros, ServerState as Listed};
 use gradepaddle_dispatch::{
     Cause, Chooser, Defect, Dispatch, Extent, FinalAnswer, Guard, Input, Limits, Output, Transaction,
 };
--- a/emulator/src/discovery.rs
+++ b/emulator/src/discovery.rs
@@ -1,6 +1,6 @@
 //! Discovery: what it has noticed of app servers, and who hears of it when.
 
-use gradepaddle::{Micros, Server, State};
+use gradepaddle::{Micros, Server, ServerState};
 
 use crate::random::Stream;
 use crate::scenario::{Discovery as Settings, millis, seconds};
@@ -11,7 +11,7 @@
     /// The app server.
     pub server: u32,
     /// What it is called from then on.
-    pub state: State,
+    pub state: ServerState,
     /// When it last started, if lately.
     pub started: Option<Micros>,
 }
@@ -25,7 +25,7 @@
     /// What is noticed for certain, and when at the latest, by app server: changes keep their order.
     last: Vec<Micros>,
     /// What stands in a whole list now.
-    current: Vec<Option<(State, Option<Micros>)>>,
+    current: Vec<Option<(ServerState, Option<Micros>)>>,
     /// It can be reached unless one of these is on.
     pub outages: u32,
     /// Further behind than usual by this.
@@ -76,14 +76,14 @@
         if self.current.len() <= server {
             self.current.resize(server + 1, None);
         }
-        self.current[server] = (entry.state != State::Gone).then_some((entry.state, entry.started));
+        self.current[server] = (entry.state != ServerState::Gone).then_some((entry.state, entry.started));
         self.entries.push(entry);
         self.entries.len() as u32
     }
 
     /// The whole list.
     pub fn whole(&self) -> impl Iterator<Item = Entry> {
-        let entry = |(server, current): (usize, &Option<(State, Option<Micros>)>)| {
+        let entry = |(server, current): (usize, &Option<(ServerState, Option<Micros>)>)| {
             current.map(|(state, started)| Entry { server: server as u32, state, started })
         };
         self.current.iter().enumerate().filter_map(entry)
--- a/emulator/src/policy/balanced.rs
+++ b/emulator/src/policy/balanced.rs
@@ -2,7 +2,7 @@
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use gradepaddle::{LoadReport, Micros, Outcome, State};
+use gradepaddle::{LoadReport, Micros, Outcome, ServerState};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
@@ -93,7 +93,7 @@
         let took = match outcome {
             Outcome::Ok | Outcome::TimedOut => took as f64,
             // One that fails quickly is not a quick one.
-            Outcome::Error | Outcome::ConnectFailed | Outcome::Reset | Outcome::Full => {
+            Outcome::Error | Outcome::ConnectFailed | Outcome::Reset | Outcome::Overloaded => {
                 (took as f64).max(5.0 * UNKNOWN)
             }
             _ => return,
@@ -117,7 +117,7 @@
 
 impl Method for Bounded {
     fn changed(&mut self, peers: &[Peer]) {
-        let ready = peers.iter().filter(|peer| peer.state == State::Ready);
+        let ready = peers.iter().filter(|peer| peer.state == ServerState::Ready);
         let place = |peer: &Peer, nth: u64| {
             let mut hasher = DefaultHasher::new();
             (&peer.id, nth).hash(&mut hasher);
--- a/emulator/src/policy/lifecycle.rs
+++ b/emulator/src/policy/lifecycle.rs
@@ -4,7 +4,8 @@
 use std::collections::BTreeMap;
 
 use gradepaddle::{
-    Action, Arrival, Effect, Ended, Event, Id, ListKind, LoadReport, Micros, Outcome, Server, Settings, State,
+    Action, Arrival, AttemptEnd, Event, Id, Idempotency, ListKind, LoadReport, Micros, Outcome, Server,
+    ServerState, Settings,
 };
 use gradepaddle_dispatch::Chooser;
 use rand::{Rng, RngExt, SeedableRng};
@@ -14,7 +15,7 @@
 #[derive(Clone, Debug)]
 pub struct Peer {
     pub id: Id,
-    pub state: State,
+    pub state: ServerState,
     /// Attempts of ours that are out.
     pub outstanding: u32,
     /// Counts from 0 in the order in which they became known.
@@ -75,7 +76,7 @@
 /// A reference policy.
 pub struct Lifecycle<M> {
     method: M,
-    effects: Vec<Effect>,
+    effects: Vec<Idempotency>,
     aims: Vec<Micros>,
     max_attempts: usize,
     max_pause: Micros,
@@ -97,18 +98,18 @@
     pub fn new(settings: &Settings, seed: u64, method: M) -> Self {
         Lifecycle {
             method,
-            effects: settings.classes.iter().map(|class| class.effect).collect(),
-            aims: settings.classes.iter().map(|class| class.aim).collect(),
+            effects: settings.classes.iter().map(|class| class.idempotency).collect(),
+            aims: settings.classes.iter().map(|class| class.latency_target).collect(),
             max_attempts: settings.max_attempts as usize,
-            max_pause: settings.max_pause,
-            only_draining_binds: settings.only_draining_binds,
+            max_pause: settings.max_retry_after,
+            only_draining_binds: settings.keep_gone_servers,
             probes: settings.probes,
             peers: Vec::new(),
             names: BTreeMap::new(),
             ready: Vec::new(),
             held: BTreeMap::new(),
             random: Pcg64Mcg::seed_from_u64(seed),
-            asked: !settings.ask_discovery,
+            asked: !settings.poll_discovery,
             ask_at: Micros::MAX,
             failures: 0,
         }
@@ -126,19 +127,24 @@
         if kind != ListKind::Delta {
             for peer in &mut self.peers {
                 if !servers.iter().any(|server| server.id == peer.id) && !self.only_draining_binds {
-                    peer.state = State::Gone;
+                    peer.state = ServerState::Gone;
                 }
             }
         }
         for server in servers {
             let at = *self.names.entry(server.id.clone()).or_insert_with(|| {
                 let number = self.peers.len();
-                self.peers.push(Peer { id: server.id.clone(), state: State::Gone, outstanding: 0, number });
+                self.peers.push(Peer {
+                    id: server.id.clone(),
+                    state: ServerState::Gone,
+                    outstanding: 0,
+                    number,
+                });
                 number
             });
             self.peers[at].state = server.state;
         }
-        self.ready = (0..self.peers.len()).filter(|at| self.peers[*at].state == State::Ready).collect();
+        self.ready = (0..self.peers.len()).filter(|at| self.peers[*at].state == ServerState::Ready).collect();
         self.method.changed(&self.peers);
     }
 
@@ -148,7 +154,7 @@
         let may_have_run = |outcome: &Option<Outcome>| !outcome.is_some_and(Outcome::never_ran);
         let ran = held.attempts.iter().any(|(_, outcome)| may_have_run(outcome));
         let denied = held.attempts.iter().any(|(_, outcome)| *outcome == Some(Outcome::Denied));
-        let safe = self.effects[held.class] == Effect::Safe;
+        let safe = self.effects[held.class] == Idempotency::Safe;
         let again = held.attempts.len() < self.max_attempts && now < held.ends && !denied && (safe || !ran);
         let untried: Vec<usize> = if held.attempts.is_empty() {
             Vec::new()
@@ -166,7 +172,7 @@
                 held.attempts.push((at, None));
                 let (server, until) = (self.peers[at].id.clone(), held.ends);
                 self.peers[at].outstanding += 1;
-                out.push(Action::Send { request: id, server, until });
+                out.push(Action::Send { request: id, server, deadline: until });
                 return;
             }
         }
@@ -174,13 +180,13 @@
             self.held.remove(&id);
         }
         out.push(if (safe || !ran) && !denied {
-            Action::Refuse { request: id, pause: self.max_pause / 2 }
+            Action::Reject { request: id, retry_after: self.max_pause / 2 }
         } else {
             Action::Fail { request: id }
         });
     }
 
-    fn ended(&mut self, now: Micros, ended: Ended<'_>, out: &mut Vec<Action>) {
+    fn ended(&mut self, now: Micros, ended: AttemptEnd<'_>, out: &mut Vec<Action>) {
         let Some((id, held)) = self.held.get_key_value(ended.request) else { return };
         let id = id.clone();
         let Some((peer, None)) = held.attempts.get(ended.attempt as usize).copied() else { return };
@@ -191,7 +197,7 @@
         }
         let Some(held) = self.held.get_mut(&id) else { return };
         held.attempts[ended.attempt as usize].1 = Some(ended.outcome);
-        if ended.closed {
+        if ended.request_finished {
             if held.attempts.iter().all(|(_, outcome)| outcome.is_some()) {
                 self.held.remove(&id);
             }
@@ -223,8 +229,8 @@
                 self.held.insert(id.clone(), held);
                 self.go_on(now, id, out);
             }
-            Event::Ended(ended) => self.ended(now, ended, out),
-            Event::Left { request } => {
+            Event::AttemptEnded(ended) => self.ended(now, ended, out),
+            Event::ClientDisconnected { request } => {
                 if let Some(held) = self.held.get(request)
                     && held.attempts.iter().all(|(_, outcome)| outcome.is_some())
                 {
@@ -237,7 +243,7 @@
                     out.push(Action::Subscribe);
                 }
             }
-            Event::Probed { server, report, .. } => {
+            Event::ProbeEnded { server, report, .. } => {
                 if let (Some(at), Some(report)) = (self.names.get(server), report) {
                     self.method.told(now, *at, report);
                 }
--- a/emulator/src/policy/truth.rs
+++ b/emulator/src/policy/truth.rs
@@ -37,7 +37,7 @@
 
 impl Seer {
     pub fn new(settings: &Settings, board: Rc<Board>) -> Self {
-        let aims = settings.classes.iter().map(|class| class.aim).min().unwrap_or(1_000_000);
+        let aims = settings.classes.iter().map(|class| class.latency_target).min().unwrap_or(1_000_000);
         Seer { board, usual: aims as f64 / 12.0 }
     }
 }
--- a/emulator/src/scenario.rs
+++ b/emulator/src/scenario.rs
@@ -7,7 +7,7 @@
 mod trouble;
 mod validation;
 
-use gradepaddle::{Class, Effect, Group, Micros, Settings, Tenant};
+use gradepaddle::{Class, DeduplicationScope, Idempotency, Micros, Settings, Tenant};
 use serde::{Deserialize, Serialize};
 
 pub use fleet::{Balancers, Discovery, Fleet, Listing, MachineKind, Network, Probe, Report, Reporting};
@@ -106,22 +106,22 @@
     /// What a balancer is told.
     pub fn settings(&self, me: u32) -> Settings {
         let class = |class: &ClassOf| Class {
-            aim: millis(class.aim_ms),
-            aim_stretch: 0.0,
+            latency_target: millis(class.aim_ms),
+            latency_target_per_work: 0.0,
             deadline: millis(class.deadline_ms),
             worth: class.worth,
             late_worth: 0.0,
-            effect: match class.effect {
-                Repeats::Safe => Effect::Safe,
+            idempotency: match class.effect {
+                Repeats::Safe => Idempotency::Safe,
                 Repeats::Keyed => {
                     let group = match class.group {
-                        Within::All => Group::All,
-                        Within::Zone => Group::Zone,
-                        Within::Cell => Group::Cell,
+                        Within::All => DeduplicationScope::All,
+                        Within::Zone => DeduplicationScope::Zone,
+                        Within::Cell => DeduplicationScope::Cell,
                     };
-                    Effect::Keyed { group, window: millis(class.window_ms) }
+                    Idempotency::Keyed { scope: group, window: millis(class.window_ms) }
                 }
-                Repeats::Unsafe => Effect::Unsafe,
+                Repeats::Unsafe => Idempotency::Unsafe,
             },
             zones: None,
             kinds: None,
@@ -130,23 +130,23 @@
         Settings {
             classes: self.classes.iter().map(class).collect(),
             tenants: quotas.into_iter().map(|quota| Tenant { quota }).collect(),
-            over_share_worth: self.load.over_share_worth,
+            over_quota_worth: self.load.over_share_worth,
             worth_by_work: self.goal.worth_by == WorthBy::Work,
             zone: Some(me % self.fleet.zones),
-            me,
-            gateways: self.balancers.count,
-            ask_discovery: true,
-            ask_within: 10_000_000,
+            gateway_index: me,
+            gateway_count: self.balancers.count,
+            poll_discovery: true,
+            max_poll_interval: 10_000_000,
             warm_keys: self.fleet.key_gain > 0.0,
             cancel: self.rules.cancel,
-            second_copies: self.rules.second_copies,
+            hedging: self.rules.second_copies,
             probes: self.rules.probes,
             max_attempts: self.rules.max_attempts,
-            max_pause: millis(self.rules.max_pause_ms),
-            cold_from: self.rules.cold_from,
-            warm_within: seconds(self.rules.warm_within_s),
-            fall_multiple: self.rules.fall_multiple,
-            fall_after: seconds(self.rules.fall_s),
+            max_retry_after: millis(self.rules.max_pause_ms),
+            initial_capacity_share: self.rules.cold_from,
+            max_warm_up_time: seconds(self.rules.warm_within_s),
+            cold_overload_factor: self.rules.fall_multiple,
+            cold_overload_time: seconds(self.rules.fall_s),
             tick: 0,
             cross_zone_price: self.goal.cross_zone,
             ..Settings::default()
--- a/emulator/src/world.rs
+++ b/emulator/src/world.rs
@@ -3,7 +3,7 @@
 
 use std::rc::Rc;
 
-use gradepaddle::{Id, ListKind, LoadReport, Micros, Settings, SettingsError, State as Listed};
+use gradepaddle::{Id, ListKind, LoadReport, Micros, ServerState as Listed, Settings, SettingsError};
 use gradepaddle_dispatch::{Cause, Chooser};
 use slotmap::SlotMap;
 
--- a/emulator/tests/second_deployment.rs
+++ b/emulator/tests/second_deployment.rs
@@ -76,7 +76,7 @@
         for (id, sent, at, until) in &mut self.open {
             if *sent < turns.len() && *at <= now && !known.is_empty() {
                 let server = known[turns[*sent] % known.len()].clone();
-                out.push(Action::Send { request: id.clone(), server, until: *until });
+                out.push(Action::Send { request: id.clone(), server, deadline: *until });
                 (*sent, *at) = (*sent + 1, now + self.pause);
             }
         }
@@ -96,7 +96,7 @@
                 self.known = servers.into_iter().map(|server| server.id).collect();
             }
             Event::Request(arrival) => {
-                self.heard.hints.borrow_mut().extend(arrival.hint);
+                self.heard.hints.borrow_mut().extend(arrival.work_hint);
                 if self.probes
                     && let Some(server) = self.known.first()
                 {
@@ -104,17 +104,17 @@
                 }
                 self.open.push((arrival.id, 0, now, now + arrival.ttl));
             }
-            Event::Probed { outcome, took, report, .. } => {
+            Event::ProbeEnded { outcome, took, report, .. } => {
                 let queue = report.and_then(|report| report.queue);
                 self.heard.probes.borrow_mut().push((outcome, took, queue));
             }
-            Event::Ended(ended) => {
+            Event::AttemptEnded(ended) => {
                 self.heard.reports.set(self.heard.reports.get() + usize::from(ended.report.is_some()));
-                if ended.closed {
+                if ended.request_finished {
                     self.open.retain(|(id, ..)| **id != *ended.request);
                 }
             }
-            Event::Left { request } => self.open.retain(|(id, ..)| **id != *request),
+            Event::ClientDisconnected { request } => self.open.retain(|(id, ..)| **id != *request),
             _ => {}
         }
         self.go_on(now, out);
--- a/emulator/tests/world.rs
+++ b/emulator/tests/world.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use gradepaddle::{Action, Event, Id, ListKind, Micros, Settings, State};
+use gradepaddle::{Action, Event, Id, ListKind, Micros, ServerState, Settings};
 use gradepaddle_dispatch::Chooser;
 use gradepaddle_emulator::judge::Rule;
 use gradepaddle_emulator::policy::Policy;
@@ -59,7 +59,7 @@
             _ => self.known.get((now % 7) as usize).cloned(),
         };
         let until = now + 6_000_000;
-        out.extend(server.map(|server| Action::Send { request, server, until }));
+        out.extend(server.map(|server| Action::Send { request, server, deadline: until }));
     }
 }
 
@@ -72,7 +72,7 @@
                 }
                 for server in servers {
                     self.known.retain(|id| *id != server.id);
-                    if server.state == State::Ready {
+                    if server.state == ServerState::Ready {
                         self.known.push(server.id);
                     }
                 }
@@ -81,18 +81,18 @@
             Event::Request(arrival) if self.bad != Bad::Forgets => {
                 self.send(now, arrival.id.clone(), out);
                 if self.bad == Bad::RefusesWhatRuns {
-                    out.push(Action::Refuse { request: arrival.id, pause: 1 });
+                    out.push(Action::Reject { request: arrival.id, retry_after: 1 });
                 } else {
                     self.ends.push((arrival.id, now + arrival.ttl));
                     out.push(Action::Wake { at: now + arrival.ttl });
                 }
             }
-            Event::Ended(ended) => {
+            Event::AttemptEnded(ended) => {
                 let request: Id = ended.request.into();
                 match self.bad {
                     Bad::AnswersTwice => out.push(Action::Fail { request }),
                     Bad::Repeats if ended.attempt < 3 => self.send(now, request, out),
-                    _ if !ended.closed => out.push(Action::Fail { request }),
+                    _ if !ended.request_finished => out.push(Action::Fail { request }),
                     _ => {}
                 }
             }
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -9,7 +9,8 @@
 
 use clap::{Args, Parser, Subcommand};
 use gradepaddle::{
-    Action, Arrival, Balancer, Class, Effect, Ended, Event, ListKind, Outcome, Server, Settings, State,
+    Action, Arrival, AttemptEnd, Balancer, Class, Event, Idempotency, ListKind, Outcome, Server, ServerState,
+    Settings,
 };
 use gradepaddle_emulator::policy::Policy;
 use gradepaddle_emulator::scenario::Scenario;
@@ -302,15 +303,15 @@
 fn decision_cost(servers: u32) -> Result<Estimate, Error> {
     const HOUR: u64 = 3_600_000_000;
     let base = Settings::default().classes.remove(0);
-    let class = Class { aim: HOUR, deadline: HOUR, effect: Effect::Safe, ..base };
-    let settings = Settings { classes: vec![class], gateways: 3, ..Settings::default() };
+    let class = Class { latency_target: HOUR, deadline: HOUR, idempotency: Idempotency::Safe, ..base };
+    let settings = Settings { classes: vec![class], gateway_count: 3, ..Settings::default() };
     let mut balancer = Balancer::new(settings, 7).map_err(|source| Error::Settings { source })?;
     let server = |n: u32| Server {
         id: format!("s{n}").into(),
         zone: n % 3,
         kind: 0,
         cell: n / 6,
-        state: State::Ready,
+        state: ServerState::Ready,
         weight: 1.0,
         started: None,
     };
@@ -330,15 +331,22 @@
                 class: 0,
                 tenant: None,
                 ttl: HOUR,
-                hint: None,
+                work_hint: None,
                 key: Some(&key),
-                once: false,
+                run_once: false,
             };
             balancer.handle(now, Event::Request(arrival), &mut out);
             black_box(&out);
             let outcome = Outcome::Ok;
-            let ended = Ended { request: &id, attempt: 0, outcome, took: 40, closed: true, report: None };
-            balancer.handle(now + 40, Event::Ended(ended), &mut out);
+            let ended = AttemptEnd {
+                request: &id,
+                attempt: 0,
+                outcome,
+                took: 40,
+                request_finished: true,
+                report: None,
+            };
+            balancer.handle(now + 40, Event::AttemptEnded(ended), &mut out);
         }
         begun.elapsed().as_secs_f64() * 1e6 / count as f64
     };
--- a/src/api.rs
+++ b/src/api.rs
@@ -14,13 +14,13 @@
 
 /// May a request be run more than once?
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Repeats are harmless.
     Safe,
     /// Repeats are dropped by the servers of one group, for `window` after the first attempt.
     Keyed {
         /// The servers that drop each other's repeats.
-        group: Group,
+        scope: DeduplicationScope,
         /// How long they remember, from the sending of the first attempt that may have run.
         window: Micros,
     },
@@ -30,7 +30,7 @@
 
 /// The servers that know of each other's keyed requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DeduplicationScope {
     /// All servers.
     All,
     /// The servers of one zone.
@@ -43,9 +43,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// An answer within this time of the request's arrival has its full worth.
-    pub aim: Micros,
+    pub latency_target: Micros,
     /// The aim grows by this multiple of the request's own work, up to the deadline.
-    pub aim_stretch: f64,
+    pub latency_target_per_work: f64,
     /// How long a client waits in all.
     pub deadline: Micros,
     /// The worth of one request.
@@ -53,7 +53,7 @@
     /// The share of its worth that an answer after the aim still has.
     pub late_worth: f64,
     /// Whether it may be repeated.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// The zones whose servers it may be sent to, at every attempt; `None`: those of any zone.
     /// Both this and `kinds` bind. A zone without servers is no error. An empty list names no
     /// server: the class is sent nowhere and its requests are refused.
@@ -86,42 +86,42 @@
     /// Tenants; requests name theirs by position.
     pub tenants: Vec<Tenant>,
     /// What a request beyond its tenant's share is worth, as a fraction.
-    pub over_share_worth: f64,
+    pub over_quota_worth: f64,
     /// True if worth is counted for each unit of work, not for each request.
     pub worth_by_work: bool,
     /// The zone of this gateway.
     pub zone: Option<u32>,
     /// This gateway's number, below `gateways`.
-    pub me: u32,
+    pub gateway_index: u32,
     /// How many gateways there are.
-    pub gateways: u32,
+    pub gateway_count: u32,
     /// True if the server list has to be asked for.
-    pub ask_discovery: bool,
+    pub poll_discovery: bool,
     /// Ask at least this often when there is no subscription.
-    pub ask_within: Micros,
+    pub max_poll_interval: Micros,
     /// True if servers do less work for a key that they met lately.
     pub warm_keys: bool,
     /// Running attempts may be withdrawn.
     pub cancel: bool,
     /// A request may have two attempts out at once.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Servers may be probed.
     pub probes: bool,
     /// Attempts a request may have in all.
     pub max_attempts: u32,
     /// The longest pause that a refused client is told.
-    pub max_pause: Micros,
+    pub max_retry_after: Micros,
     /// A server starts at this fraction of its capacity or more.
-    pub cold_from: f64,
+    pub initial_capacity_share: f64,
     /// And is warm after this at the latest.
-    pub warm_within: Micros,
+    pub max_warm_up_time: Micros,
     /// A cold server sent more than this multiple of its capacity ...
-    pub fall_multiple: f64,
+    pub cold_overload_factor: f64,
     /// ... for this long falls over.
-    pub fall_after: Micros,
+    pub cold_overload_time: Micros,
     /// True if only a server seen as draining is closed to new requests. One that is called gone, or
     /// that a full list leaves out, without that stays usable while it answers. False: gone binds too.
-    pub only_draining_binds: bool,
+    pub keep_gone_servers: bool,
     /// The caller hands events over at most this often.
     pub tick: Micros,
     /// What an attempt that crosses zones costs, in worth of a mean request.
@@ -136,34 +136,34 @@
     fn default() -> Self {
         Settings {
             classes: vec![Class {
-                aim: 1_000_000,
-                aim_stretch: 0.0,
+                latency_target: 1_000_000,
+                latency_target_per_work: 0.0,
                 deadline: 4_000_000,
                 worth: 1.0,
                 late_worth: 0.0,
-                effect: Effect::Safe,
+                idempotency: Idempotency::Safe,
                 zones: None,
                 kinds: None,
             }],
             tenants: Vec::new(),
-            over_share_worth: 1.0,
+            over_quota_worth: 1.0,
             worth_by_work: false,
             zone: None,
-            me: 0,
-            gateways: 1,
-            ask_discovery: false,
-            ask_within: 10_000_000,
+            gateway_index: 0,
+            gateway_count: 1,
+            poll_discovery: false,
+            max_poll_interval: 10_000_000,
             warm_keys: true,
             cancel: true,
-            second_copies: true,
+            hedging: true,
             probes: false,
             max_attempts: 3,
-            max_pause: 2_000_000,
-            cold_from: 0.15,
-            warm_within: 20_000_000,
-            fall_multiple: 3.0,
-            fall_after: 3_000_000,
-            only_draining_binds: false,
+            max_retry_after: 2_000_000,
+            initial_capacity_share: 0.15,
+            max_warm_up_time: 20_000_000,
+            cold_overload_factor: 3.0,
+            cold_overload_time: 3_000_000,
+            keep_gone_servers: false,
             tick: 1_000,
             cross_zone_price: 0.0,
             handshake_price: 0.0,
@@ -197,26 +197,29 @@
             return bad("there is no class".into());
         }
         for (i, class) in self.classes.iter().enumerate() {
-            if class.aim == 0 || class.deadline == 0 {
+            if class.latency_target == 0 || class.deadline == 0 {
                 return bad(format!("class {i}: aim and deadline must be above 0"));
             }
             if !(class.worth.is_finite() && class.worth >= 0.0 && share(class.late_worth)) {
                 return bad(format!("class {i}: worth must be 0 or more, late worth from 0 to 1"));
             }
-            if !(class.aim_stretch.is_finite() && class.aim_stretch >= 0.0) {
+            if !(class.latency_target_per_work.is_finite() && class.latency_target_per_work >= 0.0) {
                 return bad(format!("class {i}: aim stretch must be 0 or more"));
             }
         }
         if self.tenants.iter().any(|t| !t.quota.is_finite() || t.quota < 0.0) {
             return bad("a tenant's quota must be 0 or more".into());
         }
-        if self.gateways == 0 || self.me >= self.gateways {
-            return bad(format!("own number {} is not below {} gateways", self.me, self.gateways));
+        if self.gateway_count == 0 || self.gateway_index >= self.gateway_count {
+            return bad(format!(
+                "own number {} is not below {} gateways",
+                self.gateway_index, self.gateway_count
+            ));
         }
-        if !share(self.cold_from) || !share(self.over_share_worth) {
+        if !share(self.initial_capacity_share) || !share(self.over_quota_worth) {
             return bad("cold share and over-share worth must lie from 0 to 1".into());
         }
-        if !(self.fall_multiple.is_finite() && self.fall_multiple > 0.0) {
+        if !(self.cold_overload_factor.is_finite() && self.cold_overload_factor > 0.0) {
             return bad("fall multiple must be above 0".into());
         }
         if [self.cross_zone_price, self.handshake_price, self.connection_price].iter().any(|p| !p.is_finite())
@@ -232,7 +235,7 @@
 
 /// What discovery says of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum State {
+pub enum ServerState {
     /// Takes requests.
     Ready,
     /// Finishes its work and takes nothing new.
@@ -254,7 +257,7 @@
     /// The servers that share its knowledge of keyed requests.
     pub cell: u32,
     /// Whether it takes requests.
-    pub state: State,
+    pub state: ServerState,
     /// Its size, compared with others'.
     pub weight: f64,
     /// When it last started, if lately.
@@ -282,9 +285,9 @@
     /// Requests that wait for service.
     pub queue: Option<f64>,
     /// Recent service time without waiting.
-    pub service: Option<f64>,
+    pub service_time: Option<f64>,
     /// Errors a second.
-    pub errors: Option<f64>,
+    pub errors_per_second: Option<f64>,
 }
 
 /// How an attempt ended.
@@ -297,7 +300,7 @@
     /// The server turned the request itself down: it found it at fault, as any other would.
     Denied,
     /// Turned away unseen.
-    Full,
+    Overloaded,
     /// No answer in time; it may have run or may still.
     TimedOut,
     /// No connection: it never ran.
@@ -307,13 +310,13 @@
     /// Withdrawn; it may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
 }
 
 impl Outcome {
     /// True if the outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
+        matches!(self, Outcome::Overloaded | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
@@ -329,16 +332,16 @@
     /// The client gives up after this.
     pub ttl: Micros,
     /// Expected work, if known.
-    pub hint: Option<f64>,
+    pub work_hint: Option<f64>,
     /// What it is about.
     pub key: Option<&'a str>,
     /// Nothing names it to servers that drop repeats: whatever its class says, it may run once only.
-    pub once: bool,
+    pub run_once: bool,
 }
 
 /// The end of an attempt.
 #[derive(Clone, Debug)]
-pub struct Ended<'a> {
+pub struct AttemptEnd<'a> {
     /// The request.
     pub request: &'a str,
     /// The attempt, counted from 0.
@@ -348,7 +351,7 @@
     /// How long it took.
     pub took: Micros,
     /// True if the request has had its final answer, by this outcome or before.
-    pub closed: bool,
+    pub request_finished: bool,
     /// The report that came along.
     pub report: Option<LoadReport>,
 }
@@ -363,8 +366,8 @@
         /// The entries.
         servers: Vec<Server>,
     },
-    /// A request has come in. It gets exactly one final answer: an [`Event::Ended`] with
-    /// `closed`, or an [`Action::Refuse`] or [`Action::Fail`].
+    /// A request has come in. It gets exactly one final answer: an [`Event::AttemptEnded`] with
+    /// `request_finished`, or an [`Action::Reject`] or [`Action::Fail`].
     Request(Arrival<'a>),
     /// A streamed answer has begun: the attempt is the client's from now on.
     Streaming {
@@ -374,16 +377,16 @@
         attempt: u32,
     },
     /// An attempt has ended.
-    Ended(Ended<'a>),
+    AttemptEnded(AttemptEnd<'a>),
     /// The client has left: nothing is owed for the request any more.
-    Left {
+    ClientDisconnected {
         /// The request.
         request: &'a str,
     },
     /// A timer asked for with [`Action::Wake`] is due.
     Wake,
     /// A probe has ended.
-    Probed {
+    ProbeEnded {
         /// The server.
         server: &'a str,
         /// How it ended.
@@ -405,14 +408,14 @@
         /// The server.
         server: Id,
         /// Give the attempt up at this time.
-        until: Micros,
+        deadline: Micros,
     },
     /// Answer that the request was refused and may be tried again without harm.
-    Refuse {
+    Reject {
         /// The request.
         request: Id,
         /// Ask the client to stay away for this long.
-        pause: Micros,
+        retry_after: Micros,
     },
     /// Answer that the request failed.
     Fail {
@@ -437,7 +440,7 @@
         server: Id,
     },
     /// Close the idle connections to a server.
-    DropIdle {
+    CloseIdleConnections {
         /// The server.
         server: Id,
     },
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -37,15 +37,19 @@
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         // A rate learned from the first few answers alone may be off a hundredfold, and then all is rejected.
-        let primer =
-            settings.classes.iter().map(|c| c.aim as f64).sum::<f64>() / settings.classes.len() as f64;
+        let primer = settings.classes.iter().map(|c| c.latency_target as f64).sum::<f64>()
+            / settings.classes.len() as f64;
         Ok(Balancer {
             tally: Tally { primer, ..Tally::default() },
             random: mix(seed) | 1,
             open: vec![Vec::new(); settings.classes.len()],
             armed: Micros::MAX,
             ask_at: Micros::MAX,
-            classes: settings.classes.iter().map(|c| Seen { aim: c.aim as f64, ..Seen::default() }).collect(),
+            classes: settings
+                .classes
+                .iter()
+                .map(|c| Seen { aim: c.latency_target as f64, ..Seen::default() })
+                .collect(),
             tokens: settings.tenants.iter().map(|_| (1.0, 0)).collect(),
             top_worth: settings.classes.iter().map(|c| c.worth).fold(0.0, f64::max),
             warm_share: INITIAL_WARM_SHARE,
@@ -68,10 +72,10 @@
             Event::List { kind, servers } => self.handle_list(now, kind, servers),
             Event::Request(arrival) => self.handle_request(now, arrival, out),
             Event::Streaming { request, attempt } => self.handle_streaming(request, attempt, out),
-            Event::Ended(ended) => self.handle_attempt_end(now, ended, out),
-            Event::Left { request } => self.handle_client_left(request, out),
+            Event::AttemptEnded(ended) => self.handle_attempt_end(now, ended, out),
+            Event::ClientDisconnected { request } => self.handle_client_left(request, out),
             Event::Wake => self.handle_wake(now, out),
-            Event::Probed { server, outcome, .. } => self.probed(now, server, outcome),
+            Event::ProbeEnded { server, outcome, .. } => self.probed(now, server, outcome),
         }
         if self.ask_at <= now {
             out.push(Action::Subscribe);
--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -57,9 +57,10 @@
     ) -> (Request, Micros) {
         let class = arrival.class;
         let c = &self.settings.classes[class];
-        let hint = arrival.hint.filter(|h| h.is_finite() && *h > 0.0);
-        let work = hint.unwrap_or(c.aim as f64 * UNHINTED_WORK_SHARE);
-        let aim = (c.aim as f64 + c.aim_stretch * work).min(c.deadline as f64) as Micros;
+        let hint = arrival.work_hint.filter(|h| h.is_finite() && *h > 0.0);
+        let work = hint.unwrap_or(c.latency_target as f64 * UNHINTED_WORK_SHARE);
+        let aim =
+            (c.latency_target as f64 + c.latency_target_per_work * work).min(c.deadline as f64) as Micros;
         let ends = now.saturating_add(arrival.ttl);
         let useful = if c.late_worth > 0.0 { ends } else { ends.min(now.saturating_add(aim)) };
         let mut value = c.worth / self.top_worth.max(1e-9);
@@ -68,7 +69,7 @@
             value *= (mean / work).min(1.0);
         }
         if arrival.tenant.is_some_and(|tenant| self.is_over_share(tenant, now)) {
-            value *= self.settings.over_share_worth;
+            value *= self.settings.over_quota_worth;
         }
         self.retries = (self.retries + RETRIES_PER_REQUEST).min(MAX_SAVED_RETRIES);
         self.refresh_estimates(now, out);
@@ -78,7 +79,7 @@
             keyed: arrival.key.is_some() && self.settings.warm_keys,
             work,
             hinted: hint.is_some(),
-            once: arrival.once,
+            once: arrival.run_once,
             value,
             ends,
             useful,
@@ -95,7 +96,7 @@
         self.tally.mean_work = mean + (work - mean) * LEARNING_RATE / 4.0;
         let seen = &mut self.classes[class].work;
         *seen += if *seen > 0.0 { (work - *seen) * LEARNING_RATE / 4.0 } else { work };
-        let window = self.settings.fall_after.max(1) as f64;
+        let window = self.settings.cold_overload_time.max(1) as f64;
         self.tally.offered *= (-(now.saturating_sub(self.tally.came) as f64) / window).exp();
         self.tally.offered += work / window;
         self.tally.came = now;
@@ -132,7 +133,7 @@
 
     fn is_over_share(&mut self, tenant: usize, now: Micros) -> bool {
         let Some(t) = self.settings.tenants.get(tenant) else { return false };
-        let rate = t.quota / f64::from(self.settings.gateways);
+        let rate = t.quota / f64::from(self.settings.gateway_count);
         let (tokens, at) = &mut self.tokens[tenant];
         *tokens = (*tokens + rate * now.saturating_sub(*at) as f64 / 1e6).min(rate.max(1.0));
         *at = now;
@@ -155,11 +156,11 @@
 
     fn reject(&self, request: crate::api::Id, pause: Micros, out: &mut Vec<Action>) {
         let pause = self.bounded_pause(pause);
-        out.push(Action::Refuse { request, pause });
+        out.push(Action::Reject { request, retry_after: pause });
     }
 
     /// What a rejected client is asked for: never no pause at all, or it is back while nothing has changed.
     pub(super) fn bounded_pause(&self, wanted: Micros) -> Micros {
-        wanted.max(MIN_PAUSE).min(self.settings.max_pause)
+        wanted.max(MIN_PAUSE).min(self.settings.max_retry_after)
     }
 }
--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -2,7 +2,7 @@
 
 use std::cmp::Reverse;
 
-use crate::api::{Action, Ended, Id, Micros, Outcome};
+use crate::api::{Action, AttemptEnd, Id, Micros, Outcome};
 use crate::balancer::retries::OVERDUE_TIMES;
 use crate::state::{Attempt, Balancer, Holder, Pick, Repeat, Request};
 
@@ -37,14 +37,14 @@
         self.classes[r.class].out += 1;
         peer.weight += 1.0;
         peer.work += work;
-        if peer.started.is_some_and(|t| now < t.saturating_add(self.settings.warm_within)) {
-            let since = now.saturating_sub(self.settings.fall_after);
+        if peer.started.is_some_and(|t| now < t.saturating_add(self.settings.max_warm_up_time)) {
+            let since = now.saturating_sub(self.settings.cold_overload_time);
             while peer.spent.front().is_some_and(|(at, _)| *at <= since) {
                 peer.spent.pop_front();
             }
             peer.spent.push_back((now, sure));
         }
-        out.push(Action::Send { request: id.clone(), server: peer.id.clone(), until: r.useful });
+        out.push(Action::Send { request: id.clone(), server: peer.id.clone(), deadline: r.useful });
         if r.keyed {
             let set = &mut self.young.entry(r.key).or_default().holders;
             set.retain(|h| h.server != pick.server);
@@ -88,8 +88,8 @@
         }
     }
 
-    pub(super) fn handle_attempt_end(&mut self, now: Micros, ended: Ended<'_>, out: &mut Vec<Action>) {
-        let Ended { request, attempt, outcome, took, closed, .. } = ended;
+    pub(super) fn handle_attempt_end(&mut self, now: Micros, ended: AttemptEnd<'_>, out: &mut Vec<Action>) {
+        let AttemptEnd { request, attempt, outcome, took, request_finished: closed, .. } = ended;
         let Some((id, mut r)) = self.requests.remove_entry(request) else { return };
         match r.attempts.get_mut(attempt as usize) {
             Some(a) if a.outcome.is_none() => {
@@ -134,7 +134,7 @@
             r.closed = true;
             let (request, pause) = (id.clone(), self.bounded_pause(pause));
             out.push(if self.may_refuse(&r) {
-                Action::Refuse { request, pause }
+                Action::Reject { request, retry_after: pause }
             } else {
                 Action::Fail { request }
             });
--- a/src/balancer/learning.rs
+++ b/src/balancer/learning.rs
@@ -72,7 +72,7 @@
     ) {
         let zone = self.servers[server].zone;
         let lost = match outcome {
-            Outcome::Ok | Outcome::Full | Outcome::Error | Outcome::Denied => {
+            Outcome::Ok | Outcome::Overloaded | Outcome::Error | Outcome::Denied => {
                 self.record_zone_answer(zone, true)
             }
             // One that refuses a connection at once speaks for its zone.
@@ -85,11 +85,11 @@
         // What is sent on a connection that has gone quiet may have run; a dial that fails has not.
         for p in self.servers.iter_mut().filter(|p| lost && p.zone == zone && p.idle.is_some()) {
             p.idle = None;
-            out.push(Action::DropIdle { server: p.id.clone() });
+            out.push(Action::CloseIdleConnections { server: p.id.clone() });
         }
         match outcome {
             // A request at fault says nothing against the server that turns it down.
-            Outcome::Ok | Outcome::Full | Outcome::Denied => self.record_health(now, server, true),
+            Outcome::Ok | Outcome::Overloaded | Outcome::Denied => self.record_health(now, server, true),
             Outcome::Error | Outcome::ConnectFailed | Outcome::Reset => {
                 self.record_health(now, server, false);
             }
@@ -98,7 +98,7 @@
         }
         let peer = &mut self.servers[server];
         match outcome {
-            Outcome::Ok | Outcome::Error | Outcome::Full | Outcome::Denied => {
+            Outcome::Ok | Outcome::Error | Outcome::Overloaded | Outcome::Denied => {
                 (peer.idle, peer.sign) = (Some(now), now);
             }
             Outcome::Reset | Outcome::ConnectFailed => peer.idle = None,
@@ -134,7 +134,7 @@
             seen.failing += (to - seen.failing) * LEARNING_RATE;
         };
         let unanswered = match outcome {
-            Outcome::Moot => return None,
+            Outcome::NotSent => return None,
             Outcome::Ok => {
                 move_shares(0.0, FAILURE_WEIGHT);
                 None
@@ -144,7 +144,7 @@
                 None
             }
             Outcome::ConnectFailed => Some(CONNECT_FAILURE_WEIGHT),
-            Outcome::Full | Outcome::Reset => Some(FAILURE_WEIGHT),
+            Outcome::Overloaded | Outcome::Reset => Some(FAILURE_WEIGHT),
             Outcome::TimedOut => Some(if silent { FAILURE_WEIGHT } else { FAILURE_WEIGHT / 2.0 }),
             Outcome::Cancelled | Outcome::Denied => None,
         };
--- a/src/balancer/load.rs
+++ b/src/balancer/load.rs
@@ -87,7 +87,7 @@
     pub(super) fn decay_server(&mut self, server: usize, now: Micros) {
         let span = now.saturating_sub(self.servers[server].faded);
         if self.kept.0 != span {
-            let window = self.settings.fall_after.max(1) as f64;
+            let window = self.settings.cold_overload_time.max(1) as f64;
             let half = self.classes.iter().map(|c| c.aim).fold(0.0, f64::max);
             let again = self.ready.len() as f64 * self.tally.mean_work / self.tally.offered.max(1e-9);
             let memory = (PRIOR_OBSERVATIONS * self.classes.len() as f64 * again)
@@ -132,7 +132,8 @@
         }
         let span = now - self.refreshed.max(now.saturating_sub(MAX_REFRESH_SPAN));
         self.refreshed = now;
-        let overdue = (f64::from(self.settings.gateways - 1) * self.longest_usual_response() / 2.0).max(1.0);
+        let overdue =
+            (f64::from(self.settings.gateway_count - 1) * self.longest_usual_response() / 2.0).max(1.0);
         let carried_by_kind = self.update_own_work(now, span, overdue);
         self.estimate_others_work();
         for server in 0..self.servers.len() {
@@ -191,7 +192,7 @@
             let peer = &mut self.servers[self.ready[i]];
             let expected = self.tally.usual * peer.relative;
             let mean = (peer.usual * peer.weight + expected * MEAN_WEIGHT) / (peer.weight + MEAN_WEIGHT);
-            peer.others = f64::from(self.settings.gateways - 1) * mean;
+            peer.others = f64::from(self.settings.gateway_count - 1) * mean;
         }
     }
 
@@ -202,7 +203,7 @@
             self.drain = (met.max(took * 1e-6) + self.tally.primer) / (took + self.tally.primer);
         }
         self.tally.all = self.tally.all.map(|x| x * recent);
-        let window = self.settings.fall_after.max(1) as f64;
+        let window = self.settings.cold_overload_time.max(1) as f64;
         // What was borne is borne again, also by starting servers in a jam that answers little. Harm: speeds that fell.
         let kept = (-(span as f64) / BORNE_HALF_LIFE).exp2();
         for (kind, (carried, n)) in carried_by_kind {
--- a/src/balancer/retries.rs
+++ b/src/balancer/retries.rs
@@ -1,6 +1,6 @@
 //! Retries and hedged requests: whether another attempt may be made, where, and when one is.
 
-use crate::api::{Action, Effect, Group, Id, Micros, Outcome};
+use crate::api::{Action, DeduplicationScope, Id, Idempotency, Micros, Outcome};
 use crate::balancer::selection::SelectionMode;
 use crate::state::{Attempt, Balancer, Repeat, Request};
 
@@ -12,9 +12,9 @@
 
 impl Balancer {
     /// Whether a request may run more than once.
-    pub(super) fn effect(&self, r: &Request) -> Effect {
-        let effect = self.settings.classes[r.class].effect;
-        if r.once && effect != Effect::Safe { Effect::Unsafe } else { effect }
+    pub(super) fn effect(&self, r: &Request) -> Idempotency {
+        let effect = self.settings.classes[r.class].idempotency;
+        if r.once && effect != Idempotency::Safe { Idempotency::Unsafe } else { effect }
     }
 
     /// Whether, and where, another attempt may go.
@@ -23,17 +23,21 @@
         let spent = r.attempts.len() >= self.settings.max_attempts as usize;
         let denied = r.attempts.iter().any(|a| a.outcome == Some(Outcome::Denied));
         let barred = denied || r.closed || r.streaming || spent || now >= r.ends;
-        if barred || (out && !self.settings.second_copies) {
+        if barred || (out && !self.settings.hedging) {
             return Repeat::No;
         }
         let Some(first) = r.attempts.iter().find(|a| may_have_run(a)) else { return Repeat::Any };
         match self.effect(r) {
-            Effect::Safe => Repeat::Any,
-            Effect::Unsafe => Repeat::No,
-            Effect::Keyed { window, .. } if now >= first.sent + window => Repeat::No,
-            Effect::Keyed { group: Group::All, .. } => Repeat::Any,
-            Effect::Keyed { group: Group::Zone, .. } => Repeat::Zone(self.servers[first.server].zone),
-            Effect::Keyed { group: Group::Cell, .. } => Repeat::Cell(self.servers[first.server].cell),
+            Idempotency::Safe => Repeat::Any,
+            Idempotency::Unsafe => Repeat::No,
+            Idempotency::Keyed { window, .. } if now >= first.sent + window => Repeat::No,
+            Idempotency::Keyed { scope: DeduplicationScope::All, .. } => Repeat::Any,
+            Idempotency::Keyed { scope: DeduplicationScope::Zone, .. } => {
+                Repeat::Zone(self.servers[first.server].zone)
+            }
+            Idempotency::Keyed { scope: DeduplicationScope::Cell, .. } => {
+                Repeat::Cell(self.servers[first.server].cell)
+            }
         }
     }
 
@@ -43,8 +47,8 @@
             return false;
         }
         match self.effect(r) {
-            Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
-            Effect::Keyed { .. } | Effect::Unsafe => !r.attempts.iter().any(may_have_run),
+            Idempotency::Safe | Idempotency::Keyed { scope: DeduplicationScope::All, .. } => true,
+            Idempotency::Keyed { .. } | Idempotency::Unsafe => !r.attempts.iter().any(may_have_run),
         }
     }
 
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -1,6 +1,6 @@
 //! The selection of a server: the least sum of LARD's three costs over the servers open to a request's class.
 
-use crate::api::{Effect, Micros};
+use crate::api::{Idempotency, Micros};
 use crate::balancer::learning::own_wait;
 use crate::balancer::load::{KEY_HALF_LIFE, odds};
 use crate::cost::{balancing, locality, order, replacement};
@@ -52,7 +52,7 @@
 
     /// The time that a request of a class has for waiting.
     pub(super) fn slack(&self, class: usize) -> f64 {
-        let aim = self.settings.classes[class].aim as f64;
+        let aim = self.settings.classes[class].latency_target as f64;
         (aim - self.classes[class].floor).max(aim / 4.0)
     }
 
@@ -62,7 +62,7 @@
         let (idle, overload) = (IDLE_SHARE * slack / unit, slack / unit);
         let miss = MISS_SERVICES / self.warm_share * (1.0 + (self.mean_wait[r.class] / unit - idle).max(0.0));
         // Where a failed attempt may not be retried it costs the request besides.
-        let failure = if self.effect(r) == Effect::Unsafe { 2.0 * miss } else { miss };
+        let failure = if self.effect(r) == Idempotency::Unsafe { 2.0 * miss } else { miss };
         // Crossing zones costs its price, a miss the work that others then wait for: next to nothing in an idle fleet, all of
         // it in a jam. So requests keep to their zone while that is free; never at more than a miss.
         let wasted = (1.0 - self.warm_share) * (self.mean_wait[r.class] / (JAM_SHARE * slack)).max(1e-6);
@@ -150,7 +150,7 @@
     /// are mapped by agreement: other gateways send it there too. Guards against tables that stay empty. Each home gets at
     /// most `HOME_SHARE` of a mean server's work from it: a hot key widens early. Harm: misses for a key that was rare.
     fn apply_key(&self, now: Micros, r: &Request, known: &Entry, terms: &CostTerms, seats: &mut [Seat]) {
-        let others = if r.keyed { 1.0 - 1.0 / f64::from(self.settings.gateways) } else { 0.0 };
+        let others = if r.keyed { 1.0 - 1.0 / f64::from(self.settings.gateway_count) } else { 0.0 };
         let part = (known.came - 1.0).max(0.0) / self.tally.arrivals.max(1.0);
         let wide = (part * seats.len() as f64 / HOME_SHARE).ceil();
         let wide = wide.clamp(1.0, seats.len().max(1) as f64) as usize;
@@ -166,7 +166,7 @@
                 (seats[at].warm, seats[at].held) = ((-age).exp2(), true);
             }
         }
-        let me = mix(u64::from(self.settings.me) + 1);
+        let me = mix(u64::from(self.settings.gateway_index) + 1);
         for (_, server) in &homes {
             let Ok(at) = seats.binary_search_by_key(server, |seat| seat.server) else { continue };
             let seat = &mut seats[at];
--- a/src/balancer/server_list.rs
+++ b/src/balancer/server_list.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::api::{Id, ListKind, Micros, Server, State};
+use crate::api::{Id, ListKind, Micros, Server, ServerState};
 use crate::probing::UNPROBED;
 use crate::state::{Balancer, Brief, Peer, hash};
 
@@ -23,9 +23,10 @@
         }
         if kind != ListKind::Cached {
             self.ask_failed = 0;
-        } else if self.settings.ask_discovery && !self.listed {
-            self.ask_at =
-                now + u64::from(self.settings.me) * self.call_spread() / u64::from(self.settings.gateways);
+        } else if self.settings.poll_discovery && !self.listed {
+            self.ask_at = now
+                + u64::from(self.settings.gateway_index) * self.call_spread()
+                    / u64::from(self.settings.gateway_count);
         }
         if kind != ListKind::Delta {
             self.drop_unlisted(now, &entries);
@@ -48,7 +49,7 @@
     fn schedule_retried_call(&mut self, now: Micros) {
         self.ask_failed = (self.ask_failed + 1).min(MAX_CALL_FAILURES);
         let spread = self.call_spread();
-        let most = (self.settings.ask_within / 4).max(2 * spread).max(1);
+        let most = (self.settings.max_poll_interval / 4).max(2 * spread).max(1);
         let wait = ((FIRST_CALL_PAUSE << self.ask_failed) + (spread << (self.ask_failed - 1))).min(most);
         self.ask_at = now + wait / 2 + self.next_random() % (wait / 2 + 1);
     }
@@ -56,12 +57,12 @@
     /// Over how long the calls of all gateways are spread, each in its turn. Guards against calls that wait too long, are
     /// made again and keep discovery too busy for any. Harm: one that restarts alone waits too.
     fn call_spread(&self) -> Micros {
-        let calls = u64::from(self.settings.gateways.saturating_sub(CONCURRENT_CALLS));
-        (calls * DISCOVERY_CALL).min(self.settings.ask_within / 2)
+        let calls = u64::from(self.settings.gateway_count.saturating_sub(CONCURRENT_CALLS));
+        (calls * DISCOVERY_CALL).min(self.settings.max_poll_interval / 2)
     }
 
     fn drop_unlisted(&mut self, now: Micros, entries: &[Server]) {
-        let binds = !self.settings.only_draining_binds;
+        let binds = !self.settings.keep_gone_servers;
         let named: BTreeSet<&Id> = entries.iter().map(|entry| &entry.id).collect();
         for peer in self.servers.iter_mut().filter(|peer| !named.contains(&peer.id)) {
             drop_server(peer, now, binds);
@@ -87,7 +88,7 @@
     }
 
     fn update_server(&mut self, now: Micros, server: usize, entry: &Server) {
-        let (binds, probes) = (!self.settings.only_draining_binds, self.settings.probes);
+        let (binds, probes) = (!self.settings.keep_gone_servers, self.settings.probes);
         let listed = self.listed;
         let peer = &mut self.servers[server];
         (peer.zone, peer.kind, peer.cell) = (entry.zone, entry.kind, entry.cell);
@@ -96,7 +97,7 @@
         // old, or was wrong, restarts nothing.
         let fresh = match entry.started {
             Some(started) => peer.started.is_none_or(|last| started > last),
-            None => listed && peer.state == State::Gone && entry.state == State::Ready,
+            None => listed && peer.state == ServerState::Gone && entry.state == ServerState::Ready,
         };
         if fresh {
             peer.started = Some(entry.started.unwrap_or(now));
@@ -106,11 +107,11 @@
             peer.errors.clear();
             self.zones.remove(&peer.zone);
         }
-        if entry.state == State::Gone {
+        if entry.state == ServerState::Gone {
             return drop_server(peer, now, binds);
         }
         // One that drained and is listed again may be a list that is out of date.
-        if peer.state == State::Draining && entry.state == State::Ready && !fresh {
+        if peer.state == ServerState::Draining && entry.state == ServerState::Ready && !fresh {
             (peer.proven, peer.answered) = (!probes, false);
         }
         (peer.state, peer.dropped) = (entry.state, None);
@@ -121,10 +122,10 @@
         let longest = self.settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
         for (slot, peer) in self.servers.iter_mut().enumerate() {
             if peer.dropped.is_some_and(|at| now > at.max(peer.sign).saturating_add(FORGET_AFTER)) {
-                peer.state = State::Gone;
+                peer.state = ServerState::Gone;
             }
             let is_unused = peer.in_flight == 0 && now > peer.sent.saturating_add(2 * longest);
-            if peer.state == State::Gone && is_unused && self.names.remove(&peer.id).is_some() {
+            if peer.state == ServerState::Gone && is_unused && self.names.remove(&peer.id).is_some() {
                 *peer = Peer { life: peer.life + 1, ..Peer::default() };
                 self.free.push(slot);
             }
@@ -137,7 +138,8 @@
     /// after a restart and new servers that are not up yet. Harm: one with a full table at the first attempt waits a little
     /// for the second.
     pub(crate) fn classify_servers(&mut self) {
-        let proven = |s: &usize| (self.servers[*s].state == State::Ready).then_some(self.servers[*s].proven);
+        let proven =
+            |s: &usize| (self.servers[*s].state == ServerState::Ready).then_some(self.servers[*s].proven);
         self.ready = (0..self.servers.len()).filter(|s| proven(s) == Some(true)).collect();
         self.trial = (0..self.servers.len()).filter(|s| proven(s) == Some(false)).collect();
         self.update_relative_sizes();
@@ -158,8 +160,8 @@
 /// Gone, or left out of the list. Unless that binds, only one that drained is closed, until it is listed as ready.
 fn drop_server(peer: &mut Peer, now: Micros, binds: bool) {
     if binds {
-        peer.state = State::Gone;
-    } else if peer.state != State::Gone {
+        peer.state = ServerState::Gone;
+    } else if peer.state != ServerState::Gone {
         peer.dropped = peer.dropped.or(Some(now));
     }
 }
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -10,8 +10,8 @@
     /// The share of its capacity that a server is sure to have by now.
     pub(super) fn warmth(&self, peer: &Peer, now: Micros) -> f64 {
         let Some(started) = peer.started else { return 1.0 };
-        let age = now.saturating_sub(started) as f64 / self.settings.warm_within.max(1) as f64;
-        self.settings.cold_from + (1.0 - self.settings.cold_from) * age.min(1.0)
+        let age = now.saturating_sub(started) as f64 / self.settings.max_warm_up_time.max(1) as f64;
+        self.settings.initial_capacity_share + (1.0 - self.settings.initial_capacity_share) * age.min(1.0)
     }
 
     /// Guards a starting server: may it be sent this much more within the fall window? My part is what my peers of its kind
@@ -27,17 +27,17 @@
         let s = &self.settings;
         // A budget that goes by hints alone fills with requests whose hint is too low.
         let work = work.max(self.classes[class].work);
-        let since = now.saturating_sub(s.fall_after);
+        let since = now.saturating_sub(s.cold_overload_time);
         let spent: f64 = peer.spent.iter().filter(|(at, _)| *at > since).map(|(_, w)| w).sum();
         let rate = self.tally.kind_rate.get(&peer.kind).copied().unwrap_or(0.0);
         let rate = if rate > 0.0 { rate } else { self.tally.offered / self.ready.len().max(1) as f64 };
-        let budget = USED_SHARE * s.fall_multiple * warmth * rate * s.fall_after as f64;
+        let budget = USED_SHARE * s.cold_overload_factor * warmth * rate * s.cold_overload_time as f64;
         if spent + work <= budget {
             return true;
         }
-        let me = mix(peer.hash ^ u64::from(s.me) ^ u64::from(peer.life) << 32);
+        let me = mix(peer.hash ^ u64::from(s.gateway_index) ^ u64::from(peer.life) << 32);
         // Windows begin with the server's start, each gateway's at its own phase, without the incomplete first one.
-        let span = s.fall_after.max(1);
+        let span = s.cold_overload_time.max(1);
         let window = (now.saturating_sub(peer.started.unwrap_or(0)) + me % span) / span;
         let drawn = mix(me ^ window.wrapping_mul(0x9e37_79b9_7f4a_7c15)) as f64 / u64::MAX as f64;
         window > 0 && spent <= 0.0 && drawn * work < budget
--- a/src/keeping.rs
+++ b/src/keeping.rs
@@ -36,7 +36,7 @@
         let dead = |[ok, lost]: &[f64; 2]| *lost >= 2.0 && *lost > *ok;
         let dead = self.tally.gaps.iter().skip(1).position(dead).map_or(Micros::MAX, |i| GAP << i);
         let here = self.tally.offered / self.tally.mean_work.max(1.0) * 1e6;
-        let all = (here * f64::from(s.gateways)).max(1e-9);
+        let all = (here * f64::from(s.gateway_count)).max(1e-9);
         let even = 100.0 * self.ready.len() as f64 * s.handshake_price / (s.connection_price * all);
         for &i in &self.ready {
             let peer = &mut self.servers[i];
@@ -45,7 +45,7 @@
             let worth = if likely < 1.0 { (likely * even * 1e6) as Micros } else { Micros::MAX };
             if now - since >= worth.min(dead) {
                 peer.idle = None;
-                out.push(Action::DropIdle { server: peer.id.clone() });
+                out.push(Action::CloseIdleConnections { server: peer.id.clone() });
             }
         }
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,21 +5,25 @@
 //! same events give the same actions. Servers are chosen by locality-aware request distribution.
 //!
 //! ```
-//! use gradepaddle::{Action, Arrival, Balancer, Ended, Event, ListKind, Outcome, Server, Settings, State};
+//! use gradepaddle::{
+//!     Action, Arrival, AttemptEnd, Balancer, Event, ListKind, Outcome, Server, ServerState, Settings,
+//! };
 //!
 //! let mut balancer = Balancer::new(Settings::default(), 7)?;
 //! let mut actions = Vec::new();
 //! let server = Server {
-//!     id: "a".into(), zone: 0, kind: 0, cell: 0, state: State::Ready, weight: 1.0, started: None,
+//!     id: "a".into(), zone: 0, kind: 0, cell: 0, state: ServerState::Ready, weight: 1.0, started: None,
 //! };
 //! balancer.handle(0, Event::List { kind: ListKind::Full, servers: vec![server] }, &mut actions);
-//! let request = Arrival { id: "r1".into(), class: 0, tenant: None, ttl: 500_000, hint: None, key: Some("k"), once: false };
+//! let request = Arrival {
+//!     id: "r1".into(), class: 0, tenant: None, ttl: 500_000, work_hint: None, key: Some("k"), run_once: false,
+//! };
 //! balancer.handle(1_000, Event::Request(request), &mut actions);
 //! assert!(matches!(&actions[0], Action::Send { server, .. } if &**server == "a"));
-//! let ended = Ended {
-//!     request: "r1", attempt: 0, outcome: Outcome::Ok, took: 900, closed: true, report: None,
+//! let ended = AttemptEnd {
+//!     request: "r1", attempt: 0, outcome: Outcome::Ok, took: 900, request_finished: true, report: None,
 //! };
-//! balancer.handle(2_000, Event::Ended(ended), &mut actions);
+//! balancer.handle(2_000, Event::AttemptEnded(ended), &mut actions);
 //! # Ok::<(), gradepaddle::SettingsError>(())
 //! ```
 
--- a/src/probing.rs
+++ b/src/probing.rs
@@ -33,7 +33,7 @@
     /// An answer of whatever kind shows that the process is there, none shows nothing: the time of the next
     /// trial was set when this one began.
     pub(crate) fn probed(&mut self, now: Micros, server: &str, outcome: Outcome) {
-        let answered = matches!(outcome, Outcome::Ok | Outcome::Full | Outcome::Denied);
+        let answered = matches!(outcome, Outcome::Ok | Outcome::Overloaded | Outcome::Denied);
         if let Some(server) = self.names.get(server).copied().filter(|_| answered) {
             self.record_health(now, server, true);
         }
--- a/src/report.rs
+++ b/src/report.rs
@@ -9,7 +9,7 @@
     /// Reads `name=value,name=value`, each name as in the settings or as on the simulator's wire. Names that are
     /// not known are skipped. A value that is no number, negative or without end makes the whole report
     /// worthless: nothing tells which of its figures still mean something.
-    pub fn read(text: &str) -> Option<LoadReport> {
+    pub fn parse(text: &str) -> Option<LoadReport> {
         let mut report = LoadReport::default();
         let fields: Vec<&str> = text.split(',').map(str::trim).filter(|field| !field.is_empty()).collect();
         if fields.is_empty() || fields.len() > MOST {
@@ -22,10 +22,10 @@
                 "inflight" | "concurrent" => &mut report.in_flight,
                 "queue" | "depth" => &mut report.queue,
                 "latency_ms" | "mean_ms" => {
-                    report.service = Some(value * 1000.0);
+                    report.service_time = Some(value * 1000.0);
                     continue;
                 }
-                "eps" | "err_ps" => &mut report.errors,
+                "eps" | "err_ps" => &mut report.errors_per_second,
                 _ => continue,
             };
             *known = Some(value);
--- a/src/report/tests.rs
+++ b/src/report/tests.rs
@@ -3,9 +3,13 @@
 /// Guards against figures taken from a report that is torn or made up, and names that get lost.
 #[test]
 fn a_report_is_read_whole_or_not_at_all() {
-    let read = LoadReport::read;
-    let report =
-        LoadReport { in_flight: Some(7.0), queue: Some(2.5), service: Some(1500.0), errors: Some(0.0) };
+    let read = LoadReport::parse;
+    let report = LoadReport {
+        in_flight: Some(7.0),
+        queue: Some(2.5),
+        service_time: Some(1500.0),
+        errors_per_second: Some(0.0),
+    };
     for text in [
         "inflight=7,queue=2.5,latency_ms=1.5,eps=0,util=0.61",
         " concurrent = 7 , depth=2.5,mean_ms=1.5,err_ps=0,tps=9\r\n",
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -3,7 +3,7 @@
 
 use serde::Deserialize;
 
-use crate::api::{Class, Effect, Group, Micros, Settings, Tenant};
+use crate::api::{Class, DeduplicationScope, Idempotency, Micros, Settings, Tenant};
 
 /// The settings object; unknown fields are skipped.
 #[derive(Deserialize)]
@@ -146,7 +146,7 @@
 }
 
 /// Milliseconds as the settings and lists write them.
-pub fn micros(ms: f64) -> Micros {
+pub fn micros_from_ms(ms: f64) -> Micros {
     // The cast saturates: negative and non-finite values become 0.
     (ms * 1000.0).round() as Micros
 }
@@ -165,9 +165,9 @@
     /// The machine types' names; lists may add to them.
     pub kinds: Vec<String>,
     /// Servers close a connection idle for this long.
-    pub conn_idle: Micros,
+    pub connection_idle_timeout: Micros,
     /// A connection that is not up by then has failed.
-    pub dial_timeout: Micros,
+    pub connect_timeout: Micros,
     /// So long after it was told that a server drains or is gone, nothing new may be sent to it.
     pub drain_grace: Micros,
     /// Servers report their load.
@@ -192,9 +192,9 @@
             tenants: self.realms.iter().map(|r| r.name.clone()).collect(),
             zones,
             kinds,
-            conn_idle: micros(limits.conn_idle_ms),
-            dial_timeout: micros(limits.dial_timeout_ms),
-            drain_grace: micros(self.rules.drain_grace_ms),
+            connection_idle_timeout: micros_from_ms(limits.conn_idle_ms),
+            connect_timeout: micros_from_ms(limits.dial_timeout_ms),
+            drain_grace: micros_from_ms(self.rules.drain_grace_ms),
             reports: !matches!(self.report.via.as_str(), "" | "off"),
             peers: limits.peers,
         })
@@ -204,61 +204,61 @@
 fn settings(config: &Config, zones: &mut Vec<String>, kinds: &mut Vec<String>) -> Result<Settings, String> {
     let base = Settings::default();
     let places = |list: &Option<Vec<String>>, names: &mut Vec<String>| {
-        list.as_ref().map(|l| l.iter().map(|n| place(names, n)).collect())
+        list.as_ref().map(|l| l.iter().map(|n| intern_name(names, n)).collect())
     };
     let mut classes = Vec::new();
     for c in &config.categories {
         let group = match c.group.as_str() {
-            "zone" => Group::Zone,
-            "cell" => Group::Cell,
-            "" | "all" => Group::All,
+            "zone" => DeduplicationScope::Zone,
+            "cell" => DeduplicationScope::Cell,
+            "" | "all" => DeduplicationScope::All,
             other => return Err(format!("config.categories: unknown group {other}")),
         };
         let effect = match c.effect.as_str() {
-            "safe" => Effect::Safe,
-            "keyed" => Effect::Keyed { group, window: micros(c.window_ms) },
-            "unsafe" => Effect::Unsafe,
+            "safe" => Idempotency::Safe,
+            "keyed" => Idempotency::Keyed { scope: group, window: micros_from_ms(c.window_ms) },
+            "unsafe" => Idempotency::Unsafe,
             other => return Err(format!("config.categories: unknown effect {other}")),
         };
         if c.aim_ms < 0.0 || c.deadline_ms < 0.0 || c.window_ms < 0.0 {
             return Err(format!("config.categories: {} has a negative time", c.name));
         }
         classes.push(Class {
-            aim: micros(c.aim_ms),
-            aim_stretch: c.aim_stretch,
-            deadline: micros(c.deadline_ms),
+            latency_target: micros_from_ms(c.aim_ms),
+            latency_target_per_work: c.aim_stretch,
+            deadline: micros_from_ms(c.deadline_ms),
             worth: c.points,
             late_worth: c.late_worth,
-            effect,
+            idempotency: effect,
             zones: places(&c.failure_domains_only, zones),
             kinds: places(&c.runs_on, kinds),
         });
     }
     let (limits, rules) = (&config.limits, &config.rules);
-    let span = |ms: Option<f64>, usual: Micros| ms.map_or(usual, micros);
+    let span = |ms: Option<f64>, usual: Micros| ms.map_or(usual, micros_from_ms);
     Ok(Settings {
         classes,
         tenants: config.realms.iter().map(|r| Tenant { quota: r.quota_per_s }).collect(),
-        over_share_worth: config.over_share_worth,
+        over_quota_worth: config.over_share_worth,
         worth_by_work: config.value_by == "work",
-        zone: config.my_zone.as_ref().map(|z| place(zones, z)),
-        me: config.me,
-        gateways: config.peers_total,
-        ask_discovery: config.discovery == "on_request",
-        ask_within: span(rules.ask_within_ms, base.ask_within),
+        zone: config.my_zone.as_ref().map(|z| intern_name(zones, z)),
+        gateway_index: config.me,
+        gateway_count: config.peers_total,
+        poll_discovery: config.discovery == "on_request",
+        max_poll_interval: span(rules.ask_within_ms, base.max_poll_interval),
         warm_keys: config.extra.warm_keys,
         cancel: limits.cancel,
-        second_copies: limits.second_copies,
+        hedging: limits.second_copies,
         probes: limits.probes,
         max_attempts: limits.try_limit.unwrap_or(base.max_attempts),
         // Also where clients are not known to heed it: a refusal always says when to come back.
-        max_pause: limits.max_retry_after_ms.map_or(base.max_pause, micros),
-        cold_from: rules.cold_from.unwrap_or(base.cold_from),
-        warm_within: span(rules.warm_within_ms, base.warm_within),
-        fall_multiple: rules.fall_multiple.unwrap_or(base.fall_multiple),
-        fall_after: span(rules.tip_after_ms, base.fall_after),
-        only_draining_binds: rules.dropped_stay_open,
-        tick: micros(config.tick_ms),
+        max_retry_after: limits.max_retry_after_ms.map_or(base.max_retry_after, micros_from_ms),
+        initial_capacity_share: rules.cold_from.unwrap_or(base.initial_capacity_share),
+        max_warm_up_time: span(rules.warm_within_ms, base.max_warm_up_time),
+        cold_overload_factor: rules.fall_multiple.unwrap_or(base.cold_overload_factor),
+        cold_overload_time: span(rules.tip_after_ms, base.cold_overload_time),
+        keep_gone_servers: rules.dropped_stay_open,
+        tick: micros_from_ms(config.tick_ms),
         cross_zone_price: config.fees.cross_zone,
         handshake_price: config.fees.handshake,
         connection_price: config.fees.connection,
@@ -266,7 +266,7 @@
 }
 
 /// The position of a name, added if it is new.
-pub fn place(names: &mut Vec<String>, name: &str) -> u32 {
+pub fn intern_name(names: &mut Vec<String>, name: &str) -> u32 {
     let at = names.iter().position(|n| n == name).unwrap_or_else(|| {
         names.push(name.to_owned());
         names.len() - 1
--- a/src/state.rs
+++ b/src/state.rs
@@ -5,7 +5,7 @@
 use std::fmt::{self, Write as _};
 use std::hash::{BuildHasherDefault, Hasher};
 
-use crate::api::{Id, Micros, Outcome, Settings, State};
+use crate::api::{Id, Micros, Outcome, ServerState, Settings};
 use crate::sharing::Sharing;
 
 /// FNV-1a with a final mix: fixed, so that all gateways and all runs agree.
@@ -159,7 +159,7 @@
     pub zone: u32,
     pub kind: u32,
     pub cell: u32,
-    pub state: State,
+    pub state: ServerState,
     /// Its size, and that in sizes of a mean server.
     pub size: f64,
     pub relative: f64,
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -8,8 +8,10 @@
 
 use serde::Deserialize;
 
-use crate::api::{Action, Arrival, Ended, Event, ListKind, LoadReport, Micros, Outcome, Server, State};
-use crate::settings::{Config, Deployment, micros, one, place};
+use crate::api::{
+    Action, Arrival, AttemptEnd, Event, ListKind, LoadReport, Micros, Outcome, Server, ServerState,
+};
+use crate::settings::{Config, Deployment, intern_name, micros_from_ms, one};
 use crate::state::Balancer;
 
 /// Why the adapter stopped.
@@ -141,7 +143,7 @@
         let missing = |field: &str| fail(format!("{}: field {field} is missing", parsed.what));
         match (parsed.what, now) {
             ("Round", None) => {
-                now = Some(micros(parsed.moment_ms.ok_or_else(|| missing("momentMs"))?));
+                now = Some(micros_from_ms(parsed.moment_ms.ok_or_else(|| missing("momentMs"))?));
                 continue;
             }
             ("EofBatch", Some(_)) => {
@@ -213,12 +215,12 @@
     Ok(match ending {
         0 => Outcome::Error,
         1 => Outcome::Ok,
-        2 => Outcome::Full,
+        2 => Outcome::Overloaded,
         3 => Outcome::TimedOut,
         4 => Outcome::ConnectFailed,
         5 => Outcome::Reset,
         6 => Outcome::Cancelled,
-        7 => Outcome::Moot,
+        7 => Outcome::NotSent,
         other => return Err(format!("ending: unknown outcome {other}")),
     })
 }
@@ -229,14 +231,14 @@
     let missing = |field: &str| format!("{what}: field {field} is missing");
     let request = || line.handle.as_deref().ok_or_else(|| missing("handle"));
     let attempt = || line.r#try.ok_or_else(|| missing("try"));
-    let took = || line.duration_ms.map(micros).ok_or_else(|| missing("durationMs"));
+    let took = || line.duration_ms.map(micros_from_ms).ok_or_else(|| missing("durationMs"));
     let ending = || outcome(line.ending.ok_or_else(|| missing("ending"))?);
     let report = || {
         line.server_stats.as_ref().map(|s| LoadReport {
             in_flight: s.concurrent,
             queue: s.depth,
-            service: s.mean_ms.map(|ms| ms * 1000.0),
-            errors: s.err_ps,
+            service_time: s.mean_ms.map(|ms| ms * 1000.0),
+            errors_per_second: s.err_ps,
         })
     };
     Ok(Some(match what {
@@ -252,17 +254,17 @@
             for record in line.records.as_deref().unwrap_or_default() {
                 servers.push(Server {
                     id: record.host.as_str().into(),
-                    zone: place(&mut instance.deployment.zones, &record.campus),
-                    kind: place(&mut instance.deployment.kinds, &record.machine),
+                    zone: intern_name(&mut instance.deployment.zones, &record.campus),
+                    kind: intern_name(&mut instance.deployment.kinds, &record.machine),
                     cell: record.cell,
                     state: match record.phase.as_str() {
-                        "IN" => State::Ready,
-                        "LAME" => State::Draining,
-                        "OUT" => State::Gone,
+                        "IN" => ServerState::Ready,
+                        "LAME" => ServerState::Draining,
+                        "OUT" => ServerState::Gone,
                         other => return Err(format!("records.phase: unknown state {other}")),
                     },
                     weight: record.share,
-                    started: (record.boot_time_ms > 0.0).then(|| micros(record.boot_time_ms)),
+                    started: (record.boot_time_ms > 0.0).then(|| micros_from_ms(record.boot_time_ms)),
                 });
             }
             Event::List { kind, servers }
@@ -279,24 +281,24 @@
                 class: find(&instance.deployment.classes, grade)
                     .ok_or_else(|| format!("grade: unknown class {grade}"))?,
                 tenant,
-                ttl: micros(line.ttl_ms.ok_or_else(|| missing("ttlMs"))?),
-                hint: line.weight_hint_ms.filter(|_| line.options & 1 != 0).map(|ms| ms * 1000.0),
+                ttl: micros_from_ms(line.ttl_ms.ok_or_else(|| missing("ttlMs"))?),
+                work_hint: line.weight_hint_ms.filter(|_| line.options & 1 != 0).map(|ms| ms * 1000.0),
                 key: line.partition_key.as_deref(),
-                once: false,
+                run_once: false,
             })
         }
         "Flowing" => Event::Streaming { request: request()?, attempt: attempt()? },
-        "Answer" => Event::Ended(Ended {
+        "Answer" => Event::AttemptEnded(AttemptEnd {
             request: request()?,
             attempt: attempt()?,
             outcome: ending()?,
             took: took()?,
-            closed: line.no_more,
+            request_finished: line.no_more,
             report: report(),
         }),
-        "Lapsed" => Event::Left { request: request()? },
+        "Lapsed" => Event::ClientDisconnected { request: request()? },
         "Wake" => Event::Wake,
-        "HealthResult" => Event::Probed {
+        "HealthResult" => Event::ProbeEnded {
             server: line.host.as_deref().ok_or_else(|| missing("host"))?,
             outcome: ending()?,
             took: took()?,
@@ -333,13 +335,13 @@
 
 fn write_action(reply: &mut Vec<u8>, gateway: &str, action: &Action) {
     match action {
-        Action::Send { request, server, until } => {
+        Action::Send { request, server, deadline: until } => {
             put(reply, "Place", gateway);
             put_text(reply, "handle", request);
             put_text(reply, "host", server);
             put_ms(reply, "untilMs", *until);
         }
-        Action::Refuse { request, pause } => {
+        Action::Reject { request, retry_after: pause } => {
             put(reply, "Reject", gateway);
             put_text(reply, "handle", request);
             put_ms(reply, "pauseMs", *pause);
@@ -363,7 +365,7 @@
             put(reply, "Poll", gateway);
             put_text(reply, "host", server);
         }
-        Action::DropIdle { server } => {
+        Action::CloseIdleConnections { server } => {
             put(reply, "DropConns", gateway);
             put_text(reply, "host", server);
         }
--- a/tests/choice.rs
+++ b/tests/choice.rs
@@ -100,13 +100,13 @@
 #[test]
 fn unsafe_requests_repeat_only_on_proof_that_they_never_ran() {
     for (outcome, again) in [
-        (Outcome::Full, true),
+        (Outcome::Overloaded, true),
         (Outcome::ConnectFailed, true),
         (Outcome::Error, false),
         (Outcome::Reset, false),
         (Outcome::TimedOut, false),
     ] {
-        let settings = Settings { classes: vec![class(Effect::Unsafe)], ..Settings::default() };
+        let settings = Settings { classes: vec![class(Idempotency::Unsafe)], ..Settings::default() };
         let mut bench = Bench::with_servers(settings, 3);
         bench.arrive(1, "r", "k", 10_000.0);
         bench.event(200_000, Event::Wake);
@@ -120,8 +120,10 @@
 
 #[test]
 fn keyed_requests_repeat_inside_their_group_and_window() {
-    for (group, servers) in [(Group::Cell, 1), (Group::Zone, 2), (Group::All, 6)] {
-        let effect = Effect::Keyed { group, window: 100_000 };
+    for (group, servers) in
+        [(DeduplicationScope::Cell, 1), (DeduplicationScope::Zone, 2), (DeduplicationScope::All, 6)]
+    {
+        let effect = Idempotency::Keyed { scope: group, window: 100_000 };
         let settings = Settings { classes: vec![class(effect)], ..Settings::default() };
         let mut bench = Bench::new(settings.clone());
         let list = || (0..6).map(|i| server(&name(i), u32::from(i))).collect::<Vec<_>>();
@@ -132,14 +134,14 @@
         bench.end(50_000, "r", 0, Outcome::Error, 50_000);
         let second = cell(&bench.sent().expect("inside the window it may be tried again"));
         match group {
-            Group::Cell => assert_eq!(first, second),
-            Group::Zone => assert_eq!(first / 2, second / 2),
-            Group::All => {}
+            DeduplicationScope::Cell => assert_eq!(first, second),
+            DeduplicationScope::Zone => assert_eq!(first / 2, second / 2),
+            DeduplicationScope::All => {}
         }
         bench.end(100_001, "r", 1, Outcome::Error, 50_001);
         assert_eq!(bench.sent(), None, "the window is over; {servers} servers share it");
-        assert_eq!(bench.refused(), group == Group::All);
-        assert_eq!(bench.failed(), group != Group::All);
+        assert_eq!(bench.refused(), group == DeduplicationScope::All);
+        assert_eq!(bench.failed(), group != DeduplicationScope::All);
     }
 }
 
@@ -149,9 +151,9 @@
     bench.arrive(1, "r", "k", 10_000.0);
     let used = bench.sent().expect("sent");
     let other = if used == "a" { "b" } else { "a" };
-    let state = State::Draining;
+    let state = ServerState::Draining;
     bench.list(2, ListKind::Delta, vec![Server { state, ..server(other, 0) }]);
-    bench.end(3, "r", 0, Outcome::Full, 2);
+    bench.end(3, "r", 0, Outcome::Overloaded, 2);
     assert_ne!(bench.sent().as_deref(), Some(other));
     bench.list(4, ListKind::Full, vec![]);
     bench.arrive(5, "r2", "k", 10_000.0);
@@ -160,7 +162,7 @@
 
 /// Work sent to a cold server in the busiest fall window, and in one like it to a warm server.
 fn cold_and_warm(start: impl Fn(&mut Bench, Micros)) -> (u32, u32) {
-    let mut bench = Bench::with_servers(Settings { gateways: 2, ..Settings::default() }, 4);
+    let mut bench = Bench::with_servers(Settings { gateway_count: 2, ..Settings::default() }, 4);
     let now = bench.settle(0, 500);
     start(&mut bench, now);
     let mut sent: BTreeMap<String, Vec<Micros>> = BTreeMap::new();
@@ -183,7 +185,7 @@
         b.list(now, ListKind::Delta, vec![Server { started: Some(now), ..server("d", 3) }]);
     };
     let returned = |b: &mut Bench, now: Micros| {
-        b.list(now, ListKind::Delta, vec![Server { state: State::Gone, ..server("d", 3) }]);
+        b.list(now, ListKind::Delta, vec![Server { state: ServerState::Gone, ..server("d", 3) }]);
         b.list(now, ListKind::Delta, vec![server("d", 3)]);
     };
     for (cold, warm) in [cold_and_warm(restarted), cold_and_warm(returned)] {
@@ -194,7 +196,7 @@
 
 #[test]
 fn a_failed_list_keeps_the_last_one_and_is_asked_for_again() {
-    let settings = Settings { ask_discovery: true, ..Settings::default() };
+    let settings = Settings { poll_discovery: true, ..Settings::default() };
     let mut bench = Bench::new(settings);
     bench.list(0, ListKind::Cached, vec![server("a", 0)]);
     assert!(bench.out.contains(&Action::Subscribe));
@@ -217,9 +219,10 @@
 
 #[test]
 fn overload_is_refused_early_and_by_worth() {
-    let mut classes = vec![class(Effect::Safe), class(Effect::Safe)];
+    let mut classes = vec![class(Idempotency::Safe), class(Idempotency::Safe)];
     classes[1].worth = 0.1;
-    let mut bench = Bench::with_servers(Settings { classes, max_pause: 1_000_000, ..Settings::default() }, 2);
+    let mut bench =
+        Bench::with_servers(Settings { classes, max_retry_after: 1_000_000, ..Settings::default() }, 2);
     let now = bench.settle(0, 300);
     let mut served = [0, 0];
     for i in 0..400u64 {
@@ -230,9 +233,9 @@
             class,
             tenant: None,
             ttl: 1_500_000,
-            hint: Some(1e4),
+            work_hint: Some(1e4),
             key: None,
-            once: false,
+            run_once: false,
         };
         bench.event(now + i * 500, Event::Request(arrival));
         served[class] += u32::from(bench.sent().is_some());
@@ -247,10 +250,10 @@
 fn overload_is_rejected_early_also_while_a_new_server_is_on_trial() {
     let sent_in_a_jam = |on_trial: bool| {
         let settings = Settings {
-            classes: vec![class(Effect::Safe)],
+            classes: vec![class(Idempotency::Safe)],
             probes: true,
-            cold_from: 1.0,
-            max_pause: 1_000_000,
+            initial_capacity_share: 1.0,
+            max_retry_after: 1_000_000,
             ..Settings::default()
         };
         let mut bench = Bench::with_servers(settings, 2);
@@ -288,7 +291,7 @@
 /// no reason to refuse what others would do in a tenth of their time.
 #[test]
 fn resets_refuse_nothing_where_answers_are_short() {
-    let classes = vec![Class { aim: 150_000, ..class(Effect::Unsafe) }];
+    let classes = vec![Class { latency_target: 150_000, ..class(Idempotency::Unsafe) }];
     let mut bench = Bench::with_servers(Settings { classes, ..Settings::default() }, 2);
     let mut now = bench.settle(0, 300);
     let mut refused = 0;
@@ -327,10 +330,10 @@
     let base = Settings::default;
     for settings in [
         Settings { classes: vec![], ..base() },
-        Settings { me: 2, gateways: 2, ..base() },
+        Settings { gateway_index: 2, gateway_count: 2, ..base() },
         Settings { max_attempts: 0, ..base() },
-        Settings { cold_from: f64::NAN, ..base() },
-        Settings { fall_multiple: 0.0, ..base() },
+        Settings { initial_capacity_share: f64::NAN, ..base() },
+        Settings { cold_overload_factor: 0.0, ..base() },
         Settings { tenants: vec![Tenant { quota: -1.0 }], ..base() },
     ] {
         let Err(error) = Balancer::new(settings, 1) else { panic!("accepted") };
@@ -345,7 +348,7 @@
     bench.arrive(2, "r", "", 10_000.0);
     bench.arrive(2, "r", "", 10_000.0);
     assert_eq!(bench.sent(), None, "an id is taken once");
-    bench.event(3, Event::Left { request: "r" });
+    bench.event(3, Event::ClientDisconnected { request: "r" });
     bench.end(4, "r", 0, Outcome::TimedOut, 2);
     bench.end(4, "r", 0, Outcome::TimedOut, 2);
     bench.event(5, Event::Wake);
@@ -355,7 +358,7 @@
 
 #[test]
 fn a_jammed_key_goes_to_an_idle_server_before_it_is_refused() {
-    let settings = Settings { classes: vec![class(Effect::Safe)], ..Settings::default() };
+    let settings = Settings { classes: vec![class(Idempotency::Safe)], ..Settings::default() };
     let mut bench = Bench::with_servers(settings, 2);
     // Keys met before are four times as cheap, so a spill is dear while the mean server waits.
     for i in 0..400u64 {
@@ -391,9 +394,9 @@
 #[test]
 fn in_a_jam_requests_beyond_a_tenants_share_are_refused_first() {
     let settings = Settings {
-        classes: vec![class(Effect::Safe)],
+        classes: vec![class(Idempotency::Safe)],
         tenants: vec![Tenant { quota: 1e6 }, Tenant { quota: 1.0 }],
-        over_share_worth: 0.1,
+        over_quota_worth: 0.1,
         ..Settings::default()
     };
     let mut bench = Bench::with_servers(settings, 2);
@@ -402,8 +405,15 @@
     for i in 0..400u64 {
         let (tenant, id) = ((i % 2) as usize, format!("r{i}").as_str().into());
         let tenant = Some(tenant);
-        let arrival =
-            Arrival { id, class: 0, tenant, ttl: 1_500_000, hint: Some(1e4), key: None, once: false };
+        let arrival = Arrival {
+            id,
+            class: 0,
+            tenant,
+            ttl: 1_500_000,
+            work_hint: Some(1e4),
+            key: None,
+            run_once: false,
+        };
         bench.event(now + i * 500, Event::Request(arrival));
         served[(i % 2) as usize] += u32::from(bench.sent().is_some());
     }
@@ -411,12 +421,12 @@
 }
 
 fn placed(zones: Option<Vec<u32>>, kinds: Option<Vec<u32>>) -> Bench {
-    let class = Class { zones, kinds, ..class(Effect::Safe) };
+    let class = Class { zones, kinds, ..class(Idempotency::Safe) };
     Bench::new(Settings { classes: vec![class], ..Settings::default() })
 }
 
 /// Four servers: a and b in zone 0, c and d in zone 1; a and c of kind 0, b and d of kind 1.
-fn two_by_two(state: impl Fn(&str) -> State, started: Option<Micros>) -> Vec<Server> {
+fn two_by_two(state: impl Fn(&str) -> ServerState, started: Option<Micros>) -> Vec<Server> {
     let place = |i: u8| (name(i), u32::from(i / 2), u32::from(i % 2));
     let one = |(id, zone, kind): (String, u32, u32)| {
         let state = state(&id);
@@ -436,9 +446,9 @@
         (Some(vec![7]), None, ""),
         (Some(vec![]), None, ""),
     ] {
-        for outcome in [Outcome::Full, Outcome::Error, Outcome::ConnectFailed, Outcome::TimedOut] {
+        for outcome in [Outcome::Overloaded, Outcome::Error, Outcome::ConnectFailed, Outcome::TimedOut] {
             let mut bench = placed(zones.clone(), kinds.clone());
-            bench.list(0, ListKind::Full, two_by_two(|_| State::Ready, None));
+            bench.list(0, ListKind::Full, two_by_two(|_| ServerState::Ready, None));
             let mut seen = BTreeSet::new();
             for i in 0..40u64 {
                 let (at, id) = (i * 50_000, format!("r{i}"));
@@ -460,13 +470,13 @@
 #[test]
 fn no_open_server_ready_ends_the_request_also_when_others_idle() {
     for (state, started) in [
-        (State::Gone, None),
-        (State::Draining, None),
+        (ServerState::Gone, None),
+        (ServerState::Draining, None),
         // Cold, and its budget spent by the first request.
-        (State::Ready, Some(1)),
+        (ServerState::Ready, Some(1)),
     ] {
         let mut bench = placed(None, Some(vec![1]));
-        let of = |id: &str| if "bd".contains(id) { state } else { State::Ready };
+        let of = |id: &str| if "bd".contains(id) { state } else { ServerState::Ready };
         let mut list = two_by_two(of, None);
         list.iter_mut().filter(|s| s.kind == 1).for_each(|s| s.started = started);
         bench.list(0, ListKind::Full, list);
@@ -483,10 +493,10 @@
 #[test]
 fn pressure_is_judged_over_the_servers_open_to_the_class() {
     // The servers of kind 1 are jammed by the class bound to them; the other class is not refused.
-    let bound = Class { kinds: Some(vec![1]), ..class(Effect::Safe) };
-    let free = Class { kinds: Some(vec![0]), ..class(Effect::Safe) };
+    let bound = Class { kinds: Some(vec![1]), ..class(Idempotency::Safe) };
+    let free = Class { kinds: Some(vec![0]), ..class(Idempotency::Safe) };
     let mut bench = Bench::new(Settings { classes: vec![bound, free], ..Settings::default() });
-    bench.list(0, ListKind::Full, two_by_two(|_| State::Ready, None));
+    bench.list(0, ListKind::Full, two_by_two(|_| ServerState::Ready, None));
     let now = bench.settle(0, 100);
     let mut refused = [0, 0];
     for i in 0..600 {
@@ -498,9 +508,9 @@
             class,
             tenant: None,
             ttl,
-            hint: Some(10_000.0),
+            work_hint: Some(10_000.0),
             key,
-            once: false,
+            run_once: false,
         };
         bench.event(now + i as u64 * 1_000, Event::Request(arrival));
         refused[class] += u32::from(bench.refused());
@@ -517,7 +527,7 @@
 fn worst_window(cold: &str, settled: u64) -> f64 {
     let gateways = 600;
     let start = settled * 666_000;
-    let settings = |me| Settings { me, gateways, ..Settings::default() };
+    let settings = |me| Settings { gateway_index: me, gateway_count: gateways, ..Settings::default() };
     let mut sent: Vec<(Micros, f64)> = Vec::new();
     for me in 0..gateways {
         let mut bench = Bench::with_servers(settings(me), 10);
@@ -566,7 +576,7 @@
 }
 
 fn gateways(count: u32) -> Settings {
-    Settings { gateways: count, ..Settings::default() }
+    Settings { gateway_count: count, ..Settings::default() }
 }
 
 #[test]
@@ -574,7 +584,7 @@
     // No table holds the key yet: agreement alone must say where it is warm, also with noise.
     let mut homes = BTreeSet::new();
     for me in 0..40 {
-        let mut bench = Bench::with_servers(Settings { me, ..gateways(40) }, 8);
+        let mut bench = Bench::with_servers(Settings { gateway_index: me, ..gateways(40) }, 8);
         let now = bench.settle(u64::from(me), 20);
         for i in 0..u64::from(me % 7) {
             bench.arrive(now + i, &format!("noise{i}"), &format!("n{me}-{i}"), 20_000.0);
@@ -589,7 +599,7 @@
 fn a_hot_key_has_more_homes_before_any_of_them_jams() {
     let mut seen = [BTreeSet::new(), BTreeSet::new()];
     for me in 0..60 {
-        let mut bench = Bench::with_servers(Settings { me, ..gateways(60) }, 20);
+        let mut bench = Bench::with_servers(Settings { gateway_index: me, ..gateways(60) }, 20);
         for i in 0..40u64 {
             let (at, id) = (i * 100_000, format!("r{i}"));
             // One request in four is for one key; each other key comes once.
@@ -658,7 +668,7 @@
         let (now, id) = (i * 400_000, format!("r{i}"));
         bench.arrive(now, &id, &format!("k{i}"), 10_000.0);
         for action in &bench.out {
-            if let Action::DropIdle { server } = action {
+            if let Action::CloseIdleConnections { server } = action {
                 closed += 1;
                 open.remove(&**server);
             }
@@ -688,7 +698,7 @@
         for i in 0..200 {
             let (at, id) = (i * every, format!("r{i}"));
             bench.arrive(at, &id, &format!("k{i}"), 10_000.0);
-            dropped += bench.out.iter().filter(|a| matches!(a, Action::DropIdle { .. })).count();
+            dropped += bench.out.iter().filter(|a| matches!(a, Action::CloseIdleConnections { .. })).count();
             bench.end(at + 1_500, &id, 0, Outcome::Ok, 1_500);
         }
         assert_eq!(dropped == 0, kept, "{dropped} closed with {count} gateways");
@@ -715,7 +725,7 @@
 fn where_the_list_tells_no_sizes_faster_kinds_are_home_to_more_keys() {
     let mut count = [0, 0];
     for me in 0..4 {
-        let mut bench = Bench::new(Settings { me, ..gateways(100) });
+        let mut bench = Bench::new(Settings { gateway_index: me, ..gateways(100) });
         let kind = |i: u8| u32::from(i / 5);
         bench.list(
             0,
@@ -736,7 +746,7 @@
 
 #[test]
 fn a_class_that_fails_at_a_server_leaves_the_others_there() {
-    let settings = Settings { classes: vec![class(Effect::Unsafe); 2], ..gateways(30) };
+    let settings = Settings { classes: vec![class(Idempotency::Unsafe); 2], ..gateways(30) };
     let mut bench = Bench::with_servers(settings, 6);
     let bad = ["a", "b", "c"];
     let (mut failed, mut served) = ([0, 0], 0);
@@ -744,7 +754,15 @@
         let (now, id, class) = (i * 150_000, format!("r{i}"), (i % 2) as usize);
         let key = format!("k{i}");
         let (key, ttl, hint) = (Some(key.as_str()), 1_500_000, Some(10_000.0));
-        let arrival = Arrival { id: id.as_str().into(), class, tenant: None, ttl, hint, key, once: false };
+        let arrival = Arrival {
+            id: id.as_str().into(),
+            class,
+            tenant: None,
+            ttl,
+            work_hint: hint,
+            key,
+            run_once: false,
+        };
         bench.event(now, Event::Request(arrival));
         let Some(server) = bench.sent() else { continue };
         let fails = class == 0 && bad.contains(&server.as_str());
@@ -800,7 +818,7 @@
 fn only_draining_closes_a_server_where_so_set_and_gone_does_elsewhere() {
     let with = |id: &str, state| Server { state, ..server(id, 0) };
     for only in [false, true] {
-        let settings = Settings { only_draining_binds: only, ..Settings::default() };
+        let settings = Settings { keep_gone_servers: only, ..Settings::default() };
         let open = |lists: &[(ListKind, Vec<Server>)]| {
             let mut bench = Bench::new(settings.clone());
             bench.list(0, ListKind::Cached, (0..4).map(|i| server(&name(i), 0)).collect());
@@ -813,21 +831,24 @@
         };
         let rest = || (0..3).map(|i| server(&name(i), 0)).collect::<Vec<_>>();
         let delta = |state| (ListKind::Delta, vec![with("d", state)]);
-        assert_eq!(open(&[delta(State::Gone)]), only, "gone without draining");
+        assert_eq!(open(&[delta(ServerState::Gone)]), only, "gone without draining");
         assert_eq!(open(&[(ListKind::Full, rest())]), only, "left out");
         assert_eq!(open(&[(ListKind::Full, Vec::new())]), only, "an empty list");
-        assert!(!open(&[delta(State::Draining), delta(State::Gone)]), "draining, then gone");
-        assert!(!open(&[delta(State::Draining), (ListKind::Full, rest())]), "draining, then left out");
-        assert!(open(&[delta(State::Draining), delta(State::Gone), delta(State::Ready)]), "back");
+        assert!(!open(&[delta(ServerState::Draining), delta(ServerState::Gone)]), "draining, then gone");
+        assert!(!open(&[delta(ServerState::Draining), (ListKind::Full, rest())]), "draining, then left out");
+        assert!(
+            open(&[delta(ServerState::Draining), delta(ServerState::Gone), delta(ServerState::Ready)]),
+            "back"
+        );
     }
 }
 
 #[test]
 fn a_dropped_server_that_does_not_answer_is_left_alone_and_forgotten() {
-    let settings = Settings { only_draining_binds: true, ..Settings::default() };
+    let settings = Settings { keep_gone_servers: true, ..Settings::default() };
     let mut bench = Bench::with_servers(settings, 4);
     let mut now = bench.settle(0, 100);
-    bench.list(now, ListKind::Delta, vec![Server { state: State::Gone, ..server("d", 3) }]);
+    bench.list(now, ListKind::Delta, vec![Server { state: ServerState::Gone, ..server("d", 3) }]);
     let mut sent = 0;
     for i in 0..1000u64 {
         let id = format!("r{i}");
@@ -848,7 +869,7 @@
 
 #[test]
 fn a_list_put_right_makes_no_server_cold_and_an_old_one_none_warm() {
-    let settings = || Settings { only_draining_binds: true, gateways: 2, ..Settings::default() };
+    let settings = || Settings { keep_gone_servers: true, gateway_count: 2, ..Settings::default() };
     let count = |change: &dyn Fn(&mut Bench, Micros)| {
         let mut bench = Bench::with_servers(settings(), 4);
         let now = bench.settle(0, 300);
@@ -865,13 +886,13 @@
     let d = |state, started| vec![Server { state, started, ..server("d", 3) }];
     let steady = count(&|_, _| {});
     let blink = count(&|b: &mut Bench, now| {
-        b.list(now, ListKind::Delta, d(State::Gone, None));
-        b.list(now, ListKind::Delta, d(State::Ready, None));
+        b.list(now, ListKind::Delta, d(ServerState::Gone, None));
+        b.list(now, ListKind::Delta, d(ServerState::Ready, None));
     });
     let restarted = count(&|b: &mut Bench, now| {
-        b.list(now, ListKind::Delta, d(State::Ready, Some(now)));
+        b.list(now, ListKind::Delta, d(ServerState::Ready, Some(now)));
         for old in [Some(now - 1_000_000), None] {
-            b.list(now, ListKind::Delta, d(State::Ready, old));
+            b.list(now, ListKind::Delta, d(ServerState::Ready, old));
         }
     });
     assert_eq!(steady, blink);
@@ -887,7 +908,7 @@
     bench.arrive(now + 100_000, "first", "k", 10_000.0);
     let probe = |server: &str| Action::Probe { server: server.into() };
     assert!((0..4).all(|i| bench.out.contains(&probe(&format!("x{i}")))));
-    let answer = |server, outcome| Event::Probed { server, outcome, took: 1_000, report: None };
+    let answer = |server, outcome| Event::ProbeEnded { server, outcome, took: 1_000, report: None };
     for server in ["x0", "x1", "x2"] {
         bench.event(now + 200_000, answer(server, Outcome::Error));
     }
@@ -903,7 +924,7 @@
 fn a_fleet_that_answers_no_probe_is_tried_by_requests() {
     let replaced = |outcome: Option<Outcome>| {
         // None is cold, or that would hold requests back too.
-        let settings = Settings { probes: true, cold_from: 1.0, ..Settings::default() };
+        let settings = Settings { probes: true, initial_capacity_share: 1.0, ..Settings::default() };
         let mut bench = Bench::with_servers(settings, 4);
         let now = bench.settle(0, 100);
         let new = |i: u8| Server { started: Some(0), ..server(&format!("x{i}"), u32::from(i)) };
@@ -917,7 +938,7 @@
             probes += asked.len();
             for server in &asked {
                 let Some(outcome) = outcome else { continue };
-                bench.event(t, Event::Probed { server, outcome, took: 1_000, report: None });
+                bench.event(t, Event::ProbeEnded { server, outcome, took: 1_000, report: None });
             }
             if sent.is_some() {
                 bench.end(t + 10_000, &id, 0, Outcome::Ok, 10_000);
@@ -926,7 +947,7 @@
         }
         (probes, served)
     };
-    for outcome in [None, Some(Outcome::Moot), Some(Outcome::TimedOut), Some(Outcome::ConnectFailed)] {
+    for outcome in [None, Some(Outcome::NotSent), Some(Outcome::TimedOut), Some(Outcome::ConnectFailed)] {
         let (probes, served) = replaced(outcome);
         assert!((4..=8).contains(&probes), "{outcome:?}: two for each at most, not {probes}");
         let late = served.iter().filter(|i| **i >= 200).count();
@@ -943,7 +964,7 @@
 #[test]
 fn hints_that_are_too_low_do_not_fill_a_cold_server() {
     let sent = |low: f64| {
-        let mut bench = Bench::with_servers(Settings { gateways: 2, ..Settings::default() }, 4);
+        let mut bench = Bench::with_servers(Settings { gateway_count: 2, ..Settings::default() }, 4);
         let now = bench.settle(0, 500);
         bench.list(now, ListKind::Delta, vec![Server { started: Some(now), ..server("d", 3) }]);
         let mut sent = 0;
@@ -980,7 +1001,7 @@
 #[test]
 fn a_server_that_only_errs_is_tried_less_and_less() {
     let mut bench =
-        Bench::with_servers(Settings { classes: vec![class(Effect::Unsafe)], ..Settings::default() }, 3);
+        Bench::with_servers(Settings { classes: vec![class(Idempotency::Unsafe)], ..Settings::default() }, 3);
     let now = bench.settle(0, 200);
     let mut sent = 0;
     for i in 0..3_000u64 {
@@ -1014,8 +1035,8 @@
 
 #[test]
 fn a_class_that_waits_everywhere_keeps_neither_slots_nor_the_others_out() {
-    let late = Class { aim: 1_000_000, ..class(Effect::Unsafe) };
-    let settings = Settings { classes: vec![class(Effect::Unsafe), late], ..Settings::default() };
+    let late = Class { latency_target: 1_000_000, ..class(Idempotency::Unsafe) };
+    let settings = Settings { classes: vec![class(Idempotency::Unsafe), late], ..Settings::default() };
     let mut bench = Bench::with_servers(settings, 8);
     let arrive = |bench: &mut Bench, now: Micros, id: &str, class: usize| {
         let arrival = Arrival {
@@ -1023,9 +1044,9 @@
             class,
             tenant: None,
             ttl: 1_500_000,
-            hint: Some(10_000.0),
+            work_hint: Some(10_000.0),
             key: Some(id),
-            once: false,
+            run_once: false,
         };
         bench.event(now, Event::Request(arrival));
         bench.sent().is_some()
@@ -1063,14 +1084,14 @@
 
 #[test]
 fn an_old_list_brings_no_drained_server_back_before_it_answers() {
-    let settings = Settings { probes: true, only_draining_binds: true, ..Settings::default() };
+    let settings = Settings { probes: true, keep_gone_servers: true, ..Settings::default() };
     let mut bench = Bench::with_servers(settings, 4);
     let now = bench.settle(0, 200);
-    for state in [State::Draining, State::Gone, State::Ready] {
+    for state in [ServerState::Draining, ServerState::Gone, ServerState::Ready] {
         bench.list(now, ListKind::Delta, vec![Server { state, ..server("d", 3) }]);
     }
     assert!(!used(&mut bench, now + 100_000).contains("d"));
-    let answered = Event::Probed { server: "d", outcome: Outcome::Ok, took: 1_000, report: None };
+    let answered = Event::ProbeEnded { server: "d", outcome: Outcome::Ok, took: 1_000, report: None };
     bench.event(now + 200_000, answered);
     assert!(used(&mut bench, now + 300_000).contains("d"));
 }
@@ -1094,14 +1115,14 @@
 
 #[test]
 fn what_is_given_up_is_answered_at_once_with_a_pause() {
-    let settings = Settings { max_attempts: 2, max_pause: 1_000_000, ..Settings::default() };
+    let settings = Settings { max_attempts: 2, max_retry_after: 1_000_000, ..Settings::default() };
     let mut bench = Bench::with_servers(settings, 3);
     let now = bench.settle(0, 100);
     bench.arrive(now, "r", "k", 10_000.0);
     bench.end(now + 1_000, "r", 0, Outcome::Error, 1_000);
     assert!(bench.sent().is_some(), "it is tried once more");
     bench.end(now + 2_000, "r", 1, Outcome::Error, 1_000);
-    let paused = |a: &Action| matches!(a, Action::Refuse { pause, .. } if *pause > 0);
+    let paused = |a: &Action| matches!(a, Action::Reject { retry_after: pause, .. } if *pause > 0);
     assert!(bench.out.iter().any(paused), "no attempt is left: refused in the same event, with a pause");
 }
 
@@ -1110,7 +1131,7 @@
 #[test]
 fn every_refusal_says_when_to_come_back() {
     let pause = |bench: &Bench| match bench.out.as_slice() {
-        [Action::Refuse { pause, .. }] => *pause,
+        [Action::Reject { retry_after: pause, .. }] => *pause,
         other => panic!("one refusal and nothing else, not {other:?}"),
     };
     let mut bench = Bench::new(Settings::default());
@@ -1121,13 +1142,21 @@
     let id = "no class".into();
     bench.event(
         1_000,
-        Event::Request(Arrival { id, class, tenant: None, ttl: 9, hint: None, key: None, once: false }),
+        Event::Request(Arrival {
+            id,
+            class,
+            tenant: None,
+            ttl: 9,
+            work_hint: None,
+            key: None,
+            run_once: false,
+        }),
     );
     assert_eq!(pause(&bench), 50_000);
 
     let mut bench = Bench::with_servers(Settings { max_attempts: 1, ..Settings::default() }, 2);
     bench.arrive(1_000, "turned away", "k", 10_000.0);
-    bench.end(2_000, "turned away", 0, Outcome::Full, 1_000);
+    bench.end(2_000, "turned away", 0, Outcome::Overloaded, 1_000);
     assert_eq!(pause(&bench), 50_000, "nothing is known of usual times yet");
     bench.arrive(3_000, "late", "k", 10_000.0);
     bench.end(1_003_000, "late", 0, Outcome::TimedOut, 1_000_000);
@@ -1182,7 +1211,7 @@
 fn requests_keep_to_their_zone_while_that_is_free() {
     let crossed = |price: f64, gap: Micros, took: Micros| {
         let settings =
-            Settings { zone: Some(0), gateways: 3, cross_zone_price: price, ..Settings::default() };
+            Settings { zone: Some(0), gateway_count: 3, cross_zone_price: price, ..Settings::default() };
         let mut bench = Bench::with_servers(settings, 6);
         let mut now = bench.settle(0, 200);
         let (mut far, mut sent) = (0, 0);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -8,14 +8,14 @@
     pub out: Vec<Action>,
 }
 
-pub fn class(effect: Effect) -> Class {
+pub fn class(effect: Idempotency) -> Class {
     let base = Settings::default().classes.remove(0);
-    Class { aim: 300_000, deadline: 1_500_000, effect, ..base }
+    Class { latency_target: 300_000, deadline: 1_500_000, idempotency: effect, ..base }
 }
 
 pub fn server(id: &str, cell: u32) -> Server {
     let id = id.into();
-    Server { id, zone: cell / 2, kind: 0, cell, state: State::Ready, weight: 1.0, started: None }
+    Server { id, zone: cell / 2, kind: 0, cell, state: ServerState::Ready, weight: 1.0, started: None }
 }
 
 impl Bench {
@@ -47,16 +47,26 @@
             class: 0,
             tenant: None,
             ttl: 1_500_000,
-            hint: Some(hint),
+            work_hint: Some(hint),
             key,
-            once: false,
+            run_once: false,
         };
         self.event(now, Event::Request(arrival));
     }
 
     pub fn end(&mut self, now: Micros, request: &str, attempt: u32, outcome: Outcome, took: Micros) {
         let closed = outcome == Outcome::Ok;
-        self.event(now, Event::Ended(Ended { request, attempt, outcome, took, closed, report: None }));
+        self.event(
+            now,
+            Event::AttemptEnded(AttemptEnd {
+                request,
+                attempt,
+                outcome,
+                took,
+                request_finished: closed,
+                report: None,
+            }),
+        );
     }
 
     /// The server of the first send among the last actions.
@@ -68,7 +78,7 @@
     }
 
     pub fn refused(&self) -> bool {
-        self.out.iter().any(|a| matches!(a, Action::Refuse { .. }))
+        self.out.iter().any(|a| matches!(a, Action::Reject { .. }))
     }
 
     pub fn failed(&self) -> bool {
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -38,8 +38,8 @@
 fn each_deployment_gets_what_its_settings_say() {
     let (orders, lifts) = (deployment(ORDERS), deployment(LIFTS));
     assert_eq!((orders.drain_grace, lifts.drain_grace), (1_000_000, 2_000_000));
-    assert_eq!((orders.conn_idle, lifts.conn_idle), (5_000_000, 15_000_000));
-    assert_eq!((orders.dial_timeout, lifts.dial_timeout), (250_000, 120_000));
+    assert_eq!((orders.connection_idle_timeout, lifts.connection_idle_timeout), (5_000_000, 15_000_000));
+    assert_eq!((orders.connect_timeout, lifts.connect_timeout), (250_000, 120_000));
     assert_eq!((orders.reports, lifts.reports), (false, true));
     for (deployment, probes) in [(&orders, 0), (&lifts, 3)] {
         let mut bench = Bench::with_servers(deployment.settings.clone(), 6);
@@ -71,9 +71,9 @@
             class: 1,
             tenant: None,
             ttl: 9_000_000,
-            hint: Some(30_000.0),
+            work_hint: Some(30_000.0),
             key: Some("k"),
-            once: false,
+            run_once: false,
         };
         bench.event(1_000, Event::Request(arrival));
         let first = zones(&bench, &all).expect("an idle fleet takes it");
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -17,7 +17,12 @@
     let mut gateways: Vec<Bench> = (0..starts.len() as u32)
         .map(|me| {
             let gateways = starts.len() as u32;
-            Bench::new(Settings { me, gateways, ask_discovery: true, ..Settings::default() })
+            Bench::new(Settings {
+                gateway_index: me,
+                gateway_count: gateways,
+                poll_discovery: true,
+                ..Settings::default()
+            })
         })
         .collect();
     // What each is told next: the first list, a time that it asked for, or how its call ended.
@@ -74,8 +79,8 @@
 
 /// Settings of a large fleet in which connections have a price.
 fn thin() -> Settings {
-    let classes = vec![class(Effect::Safe)];
-    Settings { classes, gateways: 100, handshake_price: 0.08, ..Settings::default() }
+    let classes = vec![class(Idempotency::Safe)];
+    Settings { classes, gateway_count: 100, handshake_price: 0.08, ..Settings::default() }
 }
 
 /// Guards against second copies on thin evidence: where a server has nothing else of ours, an answer that takes
@@ -108,7 +113,7 @@
 #[test]
 fn a_cold_server_helps_also_while_the_warm_ones_jam() {
     let sent_cold = |jam: bool| {
-        let settings = Settings { classes: vec![class(Effect::Unsafe)], ..Settings::default() };
+        let settings = Settings { classes: vec![class(Idempotency::Unsafe)], ..Settings::default() };
         let mut bench = Bench::with_servers(settings, 8);
         let mut now = bench.settle(0, 500);
         if jam {
@@ -144,7 +149,7 @@
 /// with another class each time, but one error there is already most of what it has heard of that server.
 #[test]
 fn a_server_that_only_errs_costs_each_gateway_little() {
-    let classes: Vec<Class> = (0..4).map(|_| class(Effect::Unsafe)).collect();
+    let classes: Vec<Class> = (0..4).map(|_| class(Idempotency::Unsafe)).collect();
     let mut bench = Bench::with_servers(Settings { classes, ..thin() }, 20);
     let mut errors = 0;
     for i in 0..600u64 {
@@ -155,9 +160,9 @@
             class,
             tenant: None,
             ttl: 1_500_000,
-            hint: None,
+            work_hint: None,
             key: Some(&key),
-            once: false,
+            run_once: false,
         };
         bench.event(now, Event::Request(arrival));
         match bench.sent().as_deref() {
@@ -185,7 +190,7 @@
 /// for each connection that they have there, and wait for a dial at each server besides.
 #[test]
 fn a_zone_that_falls_silent_is_left_alone_as_a_whole_and_found_again() {
-    let mut bench = three_zones(Settings { classes: vec![class(Effect::Unsafe)], ..thin() });
+    let mut bench = three_zones(Settings { classes: vec![class(Idempotency::Unsafe)], ..thin() });
     let (lost, back) = (20 * SECOND, 30 * SECOND);
     let (mut sent, mut dropped, mut later) = (0, 0, 0);
     for i in 0..700u64 {
@@ -196,7 +201,7 @@
         if there && now > lost && now < back {
             sent += 1;
             bench.end(now + 60_000, &id, 0, Outcome::TimedOut, 60_000);
-            dropped += bench.out.iter().filter(|a| matches!(a, Action::DropIdle { .. })).count();
+            dropped += bench.out.iter().filter(|a| matches!(a, Action::CloseIdleConnections { .. })).count();
         } else {
             later += u32::from(there && now >= back);
             bench.end(now + 20_000, &id, 0, Outcome::Ok, 20_000);
@@ -210,7 +215,7 @@
 /// A zone is left alone only while another is left: with all silent, each request is still tried somewhere.
 #[test]
 fn where_all_zones_are_silent_none_is_left_alone() {
-    let mut bench = three_zones(Settings { classes: vec![class(Effect::Unsafe)], ..thin() });
+    let mut bench = three_zones(Settings { classes: vec![class(Idempotency::Unsafe)], ..thin() });
     // All have answered before: one that never has is left alone by itself.
     let start = bench.settle(0, 600);
     let mut tried = 0;
@@ -231,7 +236,7 @@
 /// that long, but what all servers together hold of mine tells at once.
 #[test]
 fn a_jam_of_the_whole_fleet_is_seen_while_it_builds() {
-    let classes: Vec<Class> = (0..4).map(|_| class(Effect::Unsafe)).collect();
+    let classes: Vec<Class> = (0..4).map(|_| class(Idempotency::Unsafe)).collect();
     let mut bench = three_zones(Settings { classes, ..thin() });
     let start = bench.settle(0, 400);
     // From here on each answer takes 290 ms, of an aim of 300.
@@ -248,9 +253,9 @@
             class: i as usize % 4,
             tenant: None,
             ttl: 1_500_000,
-            hint: Some(10_000.0),
+            work_hint: Some(10_000.0),
             key: Some(&key),
-            once: false,
+            run_once: false,
         };
         bench.event(now, Event::Request(arrival));
         if bench.sent().is_some() {
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -5,8 +5,8 @@
 
 use gradepaddle::cost::{hash, mix};
 use gradepaddle::{
-    Action, Arrival, Balancer, Class, Effect, Ended, Event, Group, ListKind, LoadReport, Micros, Outcome,
-    Server, Settings, State, Tenant,
+    Action, Arrival, AttemptEnd, Balancer, Class, DeduplicationScope, Event, Idempotency, ListKind,
+    LoadReport, Micros, Outcome, Server, ServerState, Settings, Tenant,
 };
 
 const STEPS: usize = 6_000;
@@ -72,33 +72,48 @@
     sent: Micros,
 }
 
-fn class(aim: Micros, deadline: Micros, worth: f64, effect: Effect) -> Class {
-    Class { aim, aim_stretch: 0.0, deadline, worth, late_worth: 0.2, effect, zones: None, kinds: None }
+fn class(aim: Micros, deadline: Micros, worth: f64, effect: Idempotency) -> Class {
+    Class {
+        latency_target: aim,
+        latency_target_per_work: 0.0,
+        deadline,
+        worth,
+        late_worth: 0.2,
+        idempotency: effect,
+        zones: None,
+        kinds: None,
+    }
 }
 
 fn settings(seed: u64, faults: Faults) -> Settings {
-    let keyed =
-        Effect::Keyed { group: [Group::All, Group::Zone, Group::Cell][seed as usize % 3], window: 900_000 };
-    let unsafe_class =
-        Class { aim_stretch: 2.0, zones: Some(vec![0, 1]), ..class(400_000, 2_000_000, 3.0, Effect::Unsafe) };
+    let keyed = Idempotency::Keyed {
+        scope: [DeduplicationScope::All, DeduplicationScope::Zone, DeduplicationScope::Cell]
+            [seed as usize % 3],
+        window: 900_000,
+    };
+    let unsafe_class = Class {
+        latency_target_per_work: 2.0,
+        zones: Some(vec![0, 1]),
+        ..class(400_000, 2_000_000, 3.0, Idempotency::Unsafe)
+    };
     Settings {
         classes: vec![
-            class(200_000, 1_500_000, 1.0, Effect::Safe),
+            class(200_000, 1_500_000, 1.0, Idempotency::Safe),
             class(600_000, 3_000_000, 2.0, keyed),
             unsafe_class,
         ],
         tenants: vec![Tenant { quota: 40.0 }, Tenant { quota: 400.0 }],
-        over_share_worth: 0.3,
+        over_quota_worth: 0.3,
         worth_by_work: seed.is_multiple_of(2),
         zone: (!seed.is_multiple_of(4)).then_some(0),
-        me: (seed % 5) as u32,
-        gateways: 1 + [4, 19, 99][seed as usize % 3],
-        ask_discovery: true,
+        gateway_index: (seed % 5) as u32,
+        gateway_count: 1 + [4, 19, 99][seed as usize % 3],
+        poll_discovery: true,
         probes: faults == Faults::Any && !seed.is_multiple_of(2),
-        only_draining_binds: faults == Faults::Any && seed.is_multiple_of(3),
-        second_copies: seed % 4 != 3,
+        keep_gone_servers: faults == Faults::Any && seed.is_multiple_of(3),
+        hedging: seed % 4 != 3,
         cancel: seed % 5 != 4,
-        warm_within: 6_000_000,
+        max_warm_up_time: 6_000_000,
         cross_zone_price: 0.02,
         handshake_price: if seed.is_multiple_of(2) { 0.01 } else { 0.0 },
         connection_price: 0.01,
@@ -107,7 +122,14 @@
 }
 
 fn server(random: &mut Random, number: u64, now: Micros) -> Server {
-    let states = [State::Ready, State::Ready, State::Ready, State::Ready, State::Draining, State::Gone];
+    let states = [
+        ServerState::Ready,
+        ServerState::Ready,
+        ServerState::Ready,
+        ServerState::Ready,
+        ServerState::Draining,
+        ServerState::Gone,
+    ];
     Server {
         id: Arc::from(format!("s-{number}")),
         zone: (number % 3) as u32,
@@ -131,7 +153,7 @@
     let listed = (0..SERVERS).map(|number| {
         let drawn = server(random, number, now);
         // Most servers of a complete list are ready.
-        if random.chance(85) { Server { state: State::Ready, ..drawn } } else { drawn }
+        if random.chance(85) { Server { state: ServerState::Ready, ..drawn } } else { drawn }
     });
     listed.collect()
 }
@@ -143,7 +165,8 @@
 
 fn outcome(random: &mut Random, server: &str, dark: bool, faults: Faults) -> Outcome {
     if faults == Faults::AnsweredOnly {
-        let answers = [Outcome::Ok, Outcome::Ok, Outcome::Ok, Outcome::Ok, Outcome::Denied, Outcome::Full];
+        let answers =
+            [Outcome::Ok, Outcome::Ok, Outcome::Ok, Outcome::Ok, Outcome::Denied, Outcome::Overloaded];
         return answers[random.below(6) as usize];
     }
     if dark && zone(server) == 2 {
@@ -152,12 +175,12 @@
     let failures = [
         Outcome::Error,
         Outcome::Denied,
-        Outcome::Full,
+        Outcome::Overloaded,
         Outcome::TimedOut,
         Outcome::ConnectFailed,
         Outcome::Reset,
         Outcome::Cancelled,
-        Outcome::Moot,
+        Outcome::NotSent,
     ];
     // Some servers fail more often than others.
     let sick = hash(server).is_multiple_of(9);
@@ -168,8 +191,8 @@
     let report = LoadReport {
         in_flight: Some(random.below(20) as f64),
         queue: random.chance(50).then(|| random.below(10) as f64),
-        service: random.chance(50).then(|| 500.0 + random.below(40_000) as f64),
-        errors: None,
+        service_time: random.chance(50).then(|| 500.0 + random.below(40_000) as f64),
+        errors_per_second: None,
     };
     random.chance(20).then_some(report)
 }
@@ -204,13 +227,13 @@
         self.balancer.handle(now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { request, server, until } => {
+                Action::Send { request, server, deadline: until } => {
                     self.text(1, &request, until);
                     self.text(2, &server, 0);
                     let attempt = self.sent_before(&request);
                     self.running.push(Running { request, attempt, server, sent: now });
                 }
-                Action::Refuse { request, pause } => self.text(3, &request, pause),
+                Action::Reject { request, retry_after: pause } => self.text(3, &request, pause),
                 Action::Fail { request } => self.text(4, &request, 0),
                 Action::Cancel { request, attempt } => self.text(5, &request, u64::from(attempt)),
                 Action::Wake { at } => self.text(6, "", at),
@@ -218,7 +241,7 @@
                     self.text(7, &server, 0);
                     self.probed.push(server);
                 }
-                Action::DropIdle { server } => self.text(8, &server, 0),
+                Action::CloseIdleConnections { server } => self.text(8, &server, 0),
                 Action::Subscribe => self.text(9, "", 0),
                 Action::Log { text } => self.text(10, &text, 0),
             }
@@ -239,9 +262,9 @@
             class: self.random.below(3) as usize,
             tenant: self.random.chance(60).then(|| self.random.below(2) as usize),
             ttl: 300_000 + self.random.below(2_500_000),
-            hint: self.random.chance(40).then(|| 1_000.0 + self.random.below(90_000) as f64),
+            work_hint: self.random.chance(40).then(|| 1_000.0 + self.random.below(90_000) as f64),
             key: self.random.chance(80).then_some(&key),
-            once: self.random.chance(10),
+            run_once: self.random.chance(10),
         };
         self.handle(now, Event::Request(arrival));
     }
@@ -255,15 +278,15 @@
         let outcome = outcome(&mut self.random, &one.server, self.dark, self.faults);
         let report = report(&mut self.random);
         self.ended.push(one.request.clone());
-        let ended = Ended {
+        let ended = AttemptEnd {
             request: &one.request,
             attempt: one.attempt,
             outcome,
             took: now - one.sent,
-            closed: outcome == Outcome::Ok,
+            request_finished: outcome == Outcome::Ok,
             report,
         };
-        self.handle(now, Event::Ended(ended));
+        self.handle(now, Event::AttemptEnded(ended));
     }
 
     fn other(&mut self, now: Micros) {
@@ -285,14 +308,14 @@
                 if self.random.chance(50) {
                     self.handle(now, Event::Streaming { request: &request, attempt });
                 } else {
-                    self.handle(now, Event::Left { request: &request });
+                    self.handle(now, Event::ClientDisconnected { request: &request });
                 }
             }
             6..=8 if !self.probed.is_empty() => {
                 let server = self.probed.remove(0);
                 let outcome = outcome(&mut self.random, &server, self.dark, self.faults);
                 let report = report(&mut self.random);
-                self.handle(now, Event::Probed { server: &server, outcome, took: 3_000, report });
+                self.handle(now, Event::ProbeEnded { server: &server, outcome, took: 3_000, report });
             }
             _ => self.handle(now, Event::Wake),
         }
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -51,13 +51,13 @@
 /// at once that the first `gone` servers are no more, whose load seeks others.
 fn beyond(gateways: u32, load: f64, (cold, gone): (u8, u8), seed: u64) -> (f64, usize) {
     let settings = |me| Settings {
-        classes: vec![class(Effect::Safe)],
-        me,
-        gateways,
-        cold_from: 0.36,
-        warm_within: 6 * SECOND,
-        fall_multiple: MULTIPLE,
-        fall_after: 2 * SECOND,
+        classes: vec![class(Idempotency::Safe)],
+        gateway_index: me,
+        gateway_count: gateways,
+        initial_capacity_share: 0.36,
+        max_warm_up_time: 6 * SECOND,
+        cold_overload_factor: MULTIPLE,
+        cold_overload_time: 2 * SECOND,
         ..Settings::default()
     };
     let mut draw = Draw(seed);
@@ -84,7 +84,7 @@
             told = true;
             for bench in &mut all {
                 let started = |at| Server { started: Some(start), ..server(&name(at), u32::from(at)) };
-                let left = |at| Server { state: State::Gone, ..server(&name(at), u32::from(at)) };
+                let left = |at| Server { state: ServerState::Gone, ..server(&name(at), u32::from(at)) };
                 let fresh = (0..SERVERS).filter(|at| fresh(*at)).map(started);
                 bench.list(now, ListKind::Delta, (0..gone).map(left).chain(fresh).collect());
             }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -31,30 +31,31 @@
 const OUTCOMES: [Outcome; 7] = [
     Outcome::Ok,
     Outcome::Error,
-    Outcome::Full,
+    Outcome::Overloaded,
     Outcome::TimedOut,
     Outcome::ConnectFailed,
     Outcome::Reset,
     Outcome::Cancelled,
 ];
-const GROUPS: [Group; 3] = [Group::All, Group::Zone, Group::Cell];
+const GROUPS: [DeduplicationScope; 3] =
+    [DeduplicationScope::All, DeduplicationScope::Zone, DeduplicationScope::Cell];
 
 fn classes() -> Vec<Class> {
-    let keyed = |group| class(Effect::Keyed { group, window: 250_000 });
+    let keyed = |group| class(Idempotency::Keyed { scope: group, window: 250_000 });
     let bound = |class: Class| Class { zones: Some(vec![0, 1]), kinds: Some(vec![1]), ..class };
     let mut all = vec![
-        class(Effect::Safe),
-        class(Effect::Unsafe),
+        class(Idempotency::Safe),
+        class(Idempotency::Unsafe),
         keyed(GROUPS[0]),
         keyed(GROUPS[1]),
         keyed(GROUPS[2]),
     ];
-    all.extend([bound(class(Effect::Safe)), bound(keyed(GROUPS[1]))]);
+    all.extend([bound(class(Idempotency::Safe)), bound(keyed(GROUPS[1]))]);
     all
 }
 
 /// Cells of one server, zones of two, kinds in turn.
-fn placed(i: u8, state: State) -> Server {
+fn placed(i: u8, state: ServerState) -> Server {
     Server { state, kind: u32::from(i % 2), ..server(&name(i), u32::from(i)) }
 }
 
@@ -79,7 +80,7 @@
     fn new() -> World {
         let settings = Settings { classes: classes(), max_attempts: 4, ..Settings::default() };
         let mut bench = Bench::new(settings);
-        bench.list(0, ListKind::Full, (0..6).map(|i| placed(i, State::Ready)).collect());
+        bench.list(0, ListKind::Full, (0..6).map(|i| placed(i, ServerState::Ready)).collect());
         let (held, wakes, trace) = (BTreeMap::new(), Vec::new(), Vec::new());
         World { bench, now: 0, held, ready: [true; 6], wakes, trace }
     }
@@ -94,7 +95,7 @@
 
     fn check(&mut self, action: &Action) {
         match action {
-            Action::Send { request, server, until } => {
+            Action::Send { request, server, deadline: until } => {
                 let at = u32::from(server.as_bytes()[0] - b'a');
                 assert!(self.ready[at as usize], "sent to a draining or gone server");
                 let r = self.held.get_mut(&**request).expect("known");
@@ -103,26 +104,26 @@
                 assert!(open, "sent to a server that is not open to its class");
                 assert!(r.attempts.len() < 4);
                 let ran = r.attempts.iter().find(|a| !a.3.is_some_and(Outcome::never_ran));
-                match (classes()[r.class].effect, ran) {
-                    (Effect::Unsafe, Some(_)) => panic!("an unsafe request may have run"),
-                    (Effect::Keyed { group, window }, Some(first)) => {
+                match (classes()[r.class].idempotency, ran) {
+                    (Idempotency::Unsafe, Some(_)) => panic!("an unsafe request may have run"),
+                    (Idempotency::Keyed { scope: group, window }, Some(first)) => {
                         assert!(self.now <= first.1 + window, "outside the window");
                         match group {
-                            Group::All => {}
-                            Group::Zone => assert_eq!(first.0 / 2, at / 2),
-                            Group::Cell => assert_eq!(first.0, at),
+                            DeduplicationScope::All => {}
+                            DeduplicationScope::Zone => assert_eq!(first.0 / 2, at / 2),
+                            DeduplicationScope::Cell => assert_eq!(first.0, at),
                         }
                     }
                     _ => {}
                 }
                 r.attempts.push((at, self.now, (*until).min(r.ends), None));
             }
-            Action::Refuse { request, .. } | Action::Fail { request } => {
+            Action::Reject { request, .. } | Action::Fail { request } => {
                 let r = self.held.get_mut(&**request).expect("known");
                 assert!(!r.closed, "a second final answer");
                 r.closed = true;
                 let ran = r.attempts.iter().any(|a| !a.3.is_some_and(Outcome::never_ran));
-                if ran && matches!(action, Action::Refuse { .. }) {
+                if ran && matches!(action, Action::Reject { .. }) {
                     assert!(!matches!(r.class, 1 | 3 | 4 | 6), "a refusal after it may have run");
                 }
             }
@@ -143,7 +144,14 @@
         r.closed |= outcome == Outcome::Ok;
         let closed = r.closed;
         let attempt = attempt as u32;
-        self.feed(Event::Ended(Ended { request, attempt, outcome, took, closed, report: None }));
+        self.feed(Event::AttemptEnded(AttemptEnd {
+            request,
+            attempt,
+            outcome,
+            took,
+            request_finished: closed,
+            report: None,
+        }));
     }
 
     fn out(&self) -> Vec<(String, usize, u64)> {
@@ -188,9 +196,9 @@
                         class,
                         tenant: None,
                         ttl,
-                        hint: None,
+                        work_hint: None,
                         key,
-                        once: false,
+                        run_once: false,
                     }));
                 }
                 Step::End { pick, outcome } => {
@@ -204,12 +212,12 @@
                         self.held.iter().filter(|(_, r)| !r.closed).map(|(i, _)| i.clone()).collect();
                     if let Some(id) = open.get(pick % open.len().max(1)) {
                         self.held.get_mut(id).expect("open").closed = true;
-                        self.feed(Event::Left { request: id });
+                        self.feed(Event::ClientDisconnected { request: id });
                     }
                 }
                 Step::Change { server: s, state } => {
-                    let state = [State::Ready, State::Draining, State::Gone][state];
-                    self.ready[usize::from(s)] = state == State::Ready;
+                    let state = [ServerState::Ready, ServerState::Draining, ServerState::Gone][state];
+                    self.ready[usize::from(s)] = state == ServerState::Ready;
                     let servers = vec![placed(s, state)];
                     self.feed(Event::List { kind: ListKind::Delta, servers });
                 }
