--- a/dataplane/src/attempt.rs
+++ b/dataplane/src/attempt.rs
@@ -145,7 +145,7 @@
         }
         SendResult::Failed => {
             history.may_have_run = true;
-            guard.end(AttemptOutcome::Broken, None);
+            guard.end(AttemptOutcome::ConnectionBroken, None);
             AttemptResult::Failed
         }
         SendResult::VersionOutdated => {
@@ -192,7 +192,7 @@
     match (response.status, response.version()) {
         (421, Some(_)) => AttemptOutcome::VersionMismatch,
         (421, None) => AttemptOutcome::Misdirected,
-        _ => AttemptOutcome::NotRun,
+        _ => AttemptOutcome::NotProcessed,
     }
 }
 
--- a/dataplane/src/response_forwarding.rs
+++ b/dataplane/src/response_forwarding.rs
@@ -159,7 +159,7 @@
                 return self.abort(outcome, AttemptOutcome::ClientGone);
             }
             if read.is_err() {
-                return self.abort(ForwardingOutcome::Interrupted, AttemptOutcome::Broken);
+                return self.abort(ForwardingOutcome::Interrupted, AttemptOutcome::ConnectionBroken);
             }
             if last {
                 self.end_attempt(AttemptOutcome::Served);
--- a/dataplane/tests/cache_events.rs
+++ b/dataplane/tests/cache_events.rs
@@ -105,7 +105,7 @@
         let (harness, other) = listening(1, vec![list, events]).await;
         let mut bytes = vec![0; 64 * 1024];
         // Told each second at the latest: what was heard before it would be in it.
-        while harness.plane.placer.borrow().table_sizes().cached_chunks == 0 {
+        while harness.plane.placer.borrow().table_sizes().index_entries == 0 {
             tokio::task::yield_now().await;
         }
         let length = other.recv(&mut bytes).await.expect("a datagram");
--- a/placement/examples/decision_cost.rs
+++ b/placement/examples/decision_cost.rs
@@ -41,7 +41,7 @@
         times.sort_unstable();
         let mean = times.iter().sum::<u64>() / ROUNDS;
         let percentile = |share: f64| times[(ROUNDS as f64 * share) as usize] as f64 / 1e3;
-        let TableSizes { keys, cached_chunks: kept, index_bytes: bytes } = node.table_sizes();
+        let TableSizes { keys, index_entries: kept, index_bytes: bytes } = node.table_sizes();
         println!(
             "{servers} servers: choice mean {:.1} us, p50 {:.1}, p99 {:.1}; whole attempt {:.1} us; \
              {keys} keys, {kept} kept chunks in {} KB",
--- a/placement/src/config.rs
+++ b/placement/src/config.rs
@@ -34,8 +34,8 @@
     pub retry_window: Micros,
     /// Prompt keys in each of the two generations of the key table.
     #[builder(default = 20_000)]
-    pub keys: usize,
+    pub keys_per_generation: usize,
     /// Pairs of chunk and holder in the index of cached prefixes.
     #[builder(default = 300_000)]
-    pub index_entries: usize,
+    pub max_index_entries: usize,
 }
--- a/placement/src/outcome.rs
+++ b/placement/src/outcome.rs
@@ -59,8 +59,8 @@
 pub enum AttemptOutcome {
     /// The complete response was received.
     Served,
-    /// The server stated that it did not run the request.
-    NotRun,
+    /// The server stated that it did not process the request.
+    NotProcessed,
     /// 421: another server has that address now, or the id is another server's.
     Misdirected,
     /// 421: the server has another model version than expected.
@@ -69,8 +69,8 @@
     Outdated,
     /// The connection could not be established.
     ConnectFailed,
-    /// The connection was reset, or broke off within the response.
-    Broken,
+    /// The connection was reset, or closed before the response was complete.
+    ConnectionBroken,
     /// The response timed out.
     TimedOut,
     /// The client disconnected.
--- a/placement/src/placer.rs
+++ b/placement/src/placer.rs
@@ -129,8 +129,8 @@
         Placer {
             own_zone,
             fleet,
-            keys: KeyTable::new(config.keys),
-            prefix_index: PrefixCacheIndex::new(config.index_entries),
+            keys: KeyTable::new(config.keys_per_generation),
+            prefix_index: PrefixCacheIndex::new(config.max_index_entries),
             versions: VersionDeadlines::default(),
             salts: CacheSalts::default(),
             attempts: HashMap::new(),
--- a/placement/src/placer/attempts.rs
+++ b/placement/src/placer/attempts.rs
@@ -160,13 +160,13 @@
 ) {
     match outcome {
         AttemptOutcome::Served => server.ejection.record_answer(sent_at),
-        AttemptOutcome::NotRun => {
+        AttemptOutcome::NotProcessed => {
             server.ejection.record_answer(sent_at);
             server.record_rejection(now, node_seed);
         }
         AttemptOutcome::Misdirected => server.ejection.record_misdirection(now),
         AttemptOutcome::ConnectFailed
-        | AttemptOutcome::Broken
+        | AttemptOutcome::ConnectionBroken
         | AttemptOutcome::TimedOut
         | AttemptOutcome::ServerError => server.ejection.record_failure(now, sent_at),
         AttemptOutcome::VersionMismatch | AttemptOutcome::Outdated | AttemptOutcome::ClientGone => {}
--- a/placement/src/placer/status.rs
+++ b/placement/src/placer/status.rs
@@ -22,7 +22,7 @@
     pub fn table_sizes(&self) -> TableSizes {
         TableSizes {
             keys: self.keys.len(),
-            cached_chunks: self.prefix_index.len(),
+            index_entries: self.prefix_index.len(),
             index_bytes: self.prefix_index.bytes(),
         }
     }
--- a/placement/src/prompt.rs
+++ b/placement/src/prompt.rs
@@ -10,16 +10,16 @@
 
 impl PromptChunk {
     /// The number of a chunk from its id: the value of up to 16 hexadecimal digits, otherwise a hash of the text.
-    pub fn id(text: &str) -> u64 {
+    pub fn parse_id(text: &str) -> u64 {
         let is_number = text.len() <= MAX_NUMBER_DIGITS && text.bytes().all(|byte| byte.is_ascii_hexdigit());
         if is_number && let Ok(id) = u64::from_str_radix(text, 16) { id } else { hash(text) }
     }
 
     /// Reads the value of `X-Prompt-Prefix`, `ID:TOKENS` separated by commas; `None` if it is malformed.
-    pub fn list(text: &str) -> Option<Vec<PromptChunk>> {
+    pub fn parse_list(text: &str) -> Option<Vec<PromptChunk>> {
         let chunk = |item: &str| {
             let (id, tokens) = item.trim().split_once(':')?;
-            Some(PromptChunk { id: PromptChunk::id(id), tokens: tokens.parse().ok()? })
+            Some(PromptChunk { id: PromptChunk::parse_id(id), tokens: tokens.parse().ok()? })
         };
         text.split(',').map(chunk).collect()
     }
--- a/placement/src/request.rs
+++ b/placement/src/request.rs
@@ -7,7 +7,7 @@
 /// One chunk of a prompt; the operators' pages call it a part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptChunk {
-    /// Its id as a number, see [`PromptChunk::id`].
+    /// Its id as a number, see [`PromptChunk::parse_id`].
     pub id: u64,
     /// Its length in tokens.
     pub tokens: u32,
--- a/placement/src/status.rs
+++ b/placement/src/status.rs
@@ -60,7 +60,7 @@
     /// Keys in the key table.
     pub keys: usize,
     /// Pairs of chunk and holder in the index of cached prefixes.
-    pub cached_chunks: usize,
+    pub index_entries: usize,
     /// Bytes that the index occupies.
     pub index_bytes: usize,
 }
--- a/placement/tests/golden.rs
+++ b/placement/tests/golden.rs
@@ -102,8 +102,8 @@
         let config = PlacementConfig::builder()
             .own_zone(zone)
             .seed(seed)
-            .keys(40)
-            .index_entries(900)
+            .keys_per_generation(40)
+            .max_index_entries(900)
             .retry_slack(3.0)
             .build();
         let mut placer = Placer::new(config);
@@ -182,12 +182,12 @@
 
 fn outcome(random: &mut Random) -> AttemptOutcome {
     let outcomes = [
-        AttemptOutcome::NotRun,
+        AttemptOutcome::NotProcessed,
         AttemptOutcome::Misdirected,
         AttemptOutcome::VersionMismatch,
         AttemptOutcome::Outdated,
         AttemptOutcome::ConnectFailed,
-        AttemptOutcome::Broken,
+        AttemptOutcome::ConnectionBroken,
         AttemptOutcome::TimedOut,
         AttemptOutcome::ClientGone,
         AttemptOutcome::ServerError,
@@ -368,8 +368,8 @@
     ];
     counts.into_iter().for_each(|count| digest.number(count));
     digest.number(node.placer.in_flight() as u64);
-    let TableSizes { keys, cached_chunks, .. } = node.placer.table_sizes();
-    [keys, cached_chunks].into_iter().for_each(|size| digest.number(size as u64));
+    let TableSizes { keys, index_entries, .. } = node.placer.table_sizes();
+    [keys, index_entries].into_iter().for_each(|size| digest.number(size as u64));
 }
 
 fn count_repeats(node: &mut Node, now: Micros, random: &mut Random, digest: &mut Digest) {
--- a/placement/tests/kv_transfers.rs
+++ b/placement/tests/kv_transfers.rs
@@ -143,13 +143,13 @@
 fn chunks_count_as_cached_after_the_first_event() {
     let mut node = placer(3);
     let choice = place(&mut node, NOW, 1, 1);
-    expect_that!(node.table_sizes().cached_chunks, eq(0));
+    expect_that!(node.table_sizes().index_entries, eq(0));
     node.record_first_event(NOW + 200 * MS, choice.attempt);
-    expect_that!(node.table_sizes().cached_chunks, eq(3));
+    expect_that!(node.table_sizes().index_entries, eq(3));
     node.record_first_event(NOW + 300 * MS, choice.attempt);
-    expect_that!(node.table_sizes().cached_chunks, eq(3));
+    expect_that!(node.table_sizes().index_entries, eq(3));
     node.reset_cache_holder(NOW + 400 * MS, &choice.server);
-    expect_that!(node.table_sizes().cached_chunks, eq(0));
+    expect_that!(node.table_sizes().index_entries, eq(0));
 }
 
 #[gtest]
@@ -159,23 +159,23 @@
         node.apply_cache_event(NOW, "i-0", added("s", &chunk(id, 3_000)));
     }
     // 105,065 tokens: the prefills that all balancers see count, so nothing beyond the capacity can still be cached.
-    expect_that!(node.table_sizes().cached_chunks, eq(35));
+    expect_that!(node.table_sizes().index_entries, eq(35));
     // The least recently used was evicted.
-    let before = node.table_sizes().cached_chunks;
+    let before = node.table_sizes().index_entries;
     node.apply_cache_event(
         NOW,
         "i-0",
         CacheEvent::Dropped { salt: "s", chunk: 999, tokens: 0, model: MODEL },
     );
     node.apply_cache_event(NOW, "i-0", CacheEvent::Dropped { salt: "s", chunk: 0, tokens: 0, model: MODEL });
-    expect_that!(node.table_sizes().cached_chunks, eq(before - 1));
-    let mut node = placer_of(PlacementConfig::builder().index_entries(1_000).build(), 4);
+    expect_that!(node.table_sizes().index_entries, eq(before - 1));
+    let mut node = placer_of(PlacementConfig::builder().max_index_entries(1_000).build(), 4);
     for id in 0..2_000 {
         for number in 0..4 {
             node.apply_cache_event(NOW, &format!("i-{number}"), added("s", &chunk(id, 10)));
         }
     }
-    expect_that!(node.table_sizes().cached_chunks, le(1_000));
+    expect_that!(node.table_sizes().index_entries, le(1_000));
 }
 
 #[gtest]
@@ -194,16 +194,16 @@
         );
         node.apply_cache_event(NOW, "i-0", added("s", &chunk(id, 16)));
     }
-    expect_that!(node.table_sizes().cached_chunks, eq(100));
+    expect_that!(node.table_sizes().index_entries, eq(100));
     expect_that!(node.table_sizes().index_bytes, le(2 * bytes + 8_192));
     // A partially evicted chunk counts with its remaining tokens.
     node.apply_cache_event(NOW, "i-0", CacheEvent::Dropped { salt: "s", chunk: 1, tokens: 8, model: MODEL });
-    expect_that!(node.table_sizes().cached_chunks, eq(100));
+    expect_that!(node.table_sizes().index_entries, eq(100));
 }
 
 #[gtest]
 fn an_index_entry_takes_few_bytes() {
-    let mut node = placer_of(PlacementConfig::builder().index_entries(200_000).build(), 100);
+    let mut node = placer_of(PlacementConfig::builder().max_index_entries(200_000).build(), 100);
     let mut count = 0;
     for number in 0..100u64 {
         for id in 0..1_500 {
@@ -211,7 +211,7 @@
             count += 1;
         }
     }
-    let TableSizes { cached_chunks: entries, index_bytes: bytes, .. } = node.table_sizes();
+    let TableSizes { index_entries: entries, index_bytes: bytes, .. } = node.table_sizes();
     expect_that!(entries, eq(count));
     let each = bytes as f64 / count as f64;
     println!("{entries} entries of one holder each, {each:.0} bytes an entry");
@@ -220,19 +220,19 @@
 
 #[gtest]
 fn chunk_ids_and_lists_are_parsed() {
-    let list = PromptChunk::list("5c1e07a2:800,91bd3f06:410,e4402b7d:250").expect("well formed");
+    let list = PromptChunk::parse_list("5c1e07a2:800,91bd3f06:410,e4402b7d:250").expect("well formed");
     expect_that!(list, eq(&[chunk(0x5c1e_07a2, 800), chunk(0x91bd_3f06, 410), chunk(0xe440_2b7d, 250)]));
-    expect_that!(PromptChunk::id("00000000000000ff"), eq(255));
+    expect_that!(PromptChunk::parse_id("00000000000000ff"), eq(255));
     expect_that!(
-        PromptChunk::id("5c1e07a25c1e07a25c1e07a2"),
-        eq(PromptChunk::id("5c1e07a25c1e07a25c1e07a2"))
+        PromptChunk::parse_id("5c1e07a25c1e07a25c1e07a2"),
+        eq(PromptChunk::parse_id("5c1e07a25c1e07a25c1e07a2"))
     );
     expect_that!(
-        PromptChunk::id("5c1e07a25c1e07a25c1e07a2"),
-        not(eq(PromptChunk::id("5c1e07a25c1e07a25c1e07a3")))
+        PromptChunk::parse_id("5c1e07a25c1e07a25c1e07a2"),
+        not(eq(PromptChunk::parse_id("5c1e07a25c1e07a25c1e07a3")))
     );
     for wrong in ["", "a", "a:", "a:b", "a:1,", "a:-1"] {
-        expect_that!(PromptChunk::list(wrong), none());
+        expect_that!(PromptChunk::parse_list(wrong), none());
     }
 }
 
--- a/placement/tests/placement.rs
+++ b/placement/tests/placement.rs
@@ -109,7 +109,7 @@
             let event = CacheEvent::Dropped { salt: &salt, chunk: shared.id, tokens: 0, model: MODEL };
             node.apply_cache_event(2_100 * MS, &format!("i-{holder}"), event);
         }
-        expect_that!(node.table_sizes().cached_chunks, eq(0));
+        expect_that!(node.table_sizes().index_entries, eq(0));
     }
 }
 
@@ -143,7 +143,7 @@
 fn a_failing_server_is_ejected_for_a_growing_time() {
     for outcome in [
         AttemptOutcome::ConnectFailed,
-        AttemptOutcome::Broken,
+        AttemptOutcome::ConnectionBroken,
         AttemptOutcome::TimedOut,
         AttemptOutcome::ServerError,
     ] {
@@ -177,7 +177,7 @@
     let now = 2_000 * MS;
     let many: Vec<_> = (0..8).map(|own| place(&mut node, now, 1, own)).collect();
     for choice in &many {
-        node.record_end(now + 10, choice.attempt, AttemptOutcome::Broken, None, None);
+        node.record_end(now + 10, choice.attempt, AttemptOutcome::ConnectionBroken, None, None);
     }
     let is_ejected = |node: &Placer, now| node.server_statuses(now).next().expect("one").is_ejected;
     expect_that!(is_ejected(&node, now + 199 * MS), eq(true));
@@ -193,7 +193,7 @@
     let mut node = placer(3);
     let now = 2_000 * MS;
     let home = place(&mut node, now, 5, 1);
-    node.record_end(now, home.attempt, AttemptOutcome::NotRun, None, None);
+    node.record_end(now, home.attempt, AttemptOutcome::NotProcessed, None, None);
     expect_that!(place(&mut node, now + 149 * MS, 5, 2).server, not(eq(&home.server)));
     let back = node.server_statuses(now + 301 * MS).find(|s| s.id == home.server).expect("known");
     expect_that!(back.is_ejected, eq(false));
@@ -207,7 +207,7 @@
     for turn in 0..3 {
         let choice = node.place(now + turn, &request(&long(5, turn)), &tried).expect("one is left");
         expect_that!(tried.contains(&choice.server), eq(false));
-        node.record_end(now + turn, choice.attempt, AttemptOutcome::NotRun, None, None);
+        node.record_end(now + turn, choice.attempt, AttemptOutcome::NotProcessed, None, None);
         tried.push(choice.server);
     }
     expect_that!(node.place(now + 5, &request(&long(5, 9)), &tried), err(anything()));
@@ -350,7 +350,7 @@
     node.remove_server(2, "i-0");
     node.update_server(3, entry(5, 1));
     node.record_first_event(4, old.attempt);
-    node.record_end(5, old.attempt, AttemptOutcome::Broken, None, None);
+    node.record_end(5, old.attempt, AttemptOutcome::ConnectionBroken, None, None);
     let status: Vec<_> = node.server_statuses(6).collect();
     expect_that!(status.len(), eq(1));
     expect_that!(status[0].in_flight, eq(0));
