--- a/book/src/bans.rs
+++ b/book/src/bans.rs
@@ -48,32 +48,32 @@
 }
 
 /// The bans that hold, by app server.
-pub type Held = BTreeMap<String, Ban>;
+pub type ActiveBans = BTreeMap<String, Ban>;
 
 /// What is shown of the bans to those who act on them.
 #[derive(Clone, Default)]
-pub struct Shown(Rc<RefCell<Held>>);
+pub struct SharedBans(Rc<RefCell<ActiveBans>>);
 
-impl Shown {
+impl SharedBans {
     /// The bans that hold now.
-    pub fn borrow(&self) -> Ref<'_, Held> {
+    pub fn borrow(&self) -> Ref<'_, ActiveBans> {
         self.0.borrow()
     }
 }
 
 /// The content.
 #[derive(Default)]
-pub struct Bans(Shown);
+pub struct Bans(SharedBans);
 
 impl Bans {
     /// None yet, and where they will be shown.
-    pub fn new() -> (Self, Shown) {
-        let shown = Shown::default();
+    pub fn new() -> (Self, SharedBans) {
+        let shown = SharedBans::default();
         (Bans(shown.clone()), shown)
     }
 
     /// None yet, to be shown there.
-    pub fn shown_at(shown: Shown) -> Self {
+    pub fn sharing(shown: SharedBans) -> Self {
         shown.0.borrow_mut().clear();
         Bans(shown)
     }
--- a/book/src/frame.rs
+++ b/book/src/frame.rs
@@ -8,7 +8,7 @@
 /// The version of what is sent.
 pub const VERSION: u16 = 1;
 /// The longest frame, in bytes.
-pub const LONGEST: usize = 1024 * 1024;
+pub const MAX_FRAME_BYTES: usize = 1024 * 1024;
 const HASH: usize = blake3::OUT_LEN;
 
 /// A key and its number.
@@ -33,7 +33,7 @@
     #[error("a frame that can not be read; see who else sends to this address")]
     Unreadable,
     /// Too long to be sent or taken.
-    #[error("a frame of {0} bytes, over {LONGEST}; the book holds too much, see its page")]
+    #[error("a frame of {0} bytes, over {MAX_FRAME_BYTES}; the book holds too much, see its page")]
     TooLong(usize),
     /// Another version.
     #[error("a frame of version {0}, and this is version {VERSION}; finish the roll-out")]
@@ -72,7 +72,7 @@
 
 /// The cluster's name and keys: the first signs, any is accepted.
 #[derive(Clone, Debug)]
-pub struct Seal {
+pub struct ClusterKeys {
     /// The cluster's name.
     pub cluster: String,
     /// One key, or two during a rotation.
@@ -82,7 +82,7 @@
 /// One side of a connection.
 #[derive(Debug)]
 pub struct Session {
-    seal: Seal,
+    seal: ClusterKeys,
     name: String,
     /// What this side has drawn; the other side's frames carry it.
     own: u64,
@@ -94,12 +94,12 @@
 
 impl Session {
     /// A side that has drawn this number, and is called so.
-    pub fn new(seal: Seal, name: &str, own: u64) -> Self {
+    pub fn new(seal: ClusterKeys, name: &str, own: u64) -> Self {
         Session { seal, name: name.to_owned(), own, other: None, sent: 0, taken: 0 }
     }
 
     /// True once the other side's first frame has come: only then may more than the first be sent.
-    pub fn is_met(&self) -> bool {
+    pub fn is_established(&self) -> bool {
         self.other.is_some()
     }
 
@@ -107,8 +107,8 @@
     ///
     /// # Errors
     ///
-    /// None but what [`Session::pack`] has.
-    pub fn greet(&mut self) -> Result<Vec<u8>, FrameError> {
+    /// None but what [`Session::encode`] has.
+    pub fn handshake(&mut self) -> Result<Vec<u8>, FrameError> {
         self.write(0, &self.own.to_le_bytes())
     }
 
@@ -117,7 +117,7 @@
     /// # Errors
     ///
     /// It is too long, or cannot be written down.
-    pub fn pack(&mut self, value: &impl Serialize) -> Result<Vec<u8>, FrameError> {
+    pub fn encode(&mut self, value: &impl Serialize) -> Result<Vec<u8>, FrameError> {
         let body = postcard::to_stdvec(value).map_err(|_| FrameError::Unreadable)?;
         self.write(self.other.unwrap_or(0), &body)
     }
@@ -136,7 +136,7 @@
         let mut bytes = postcard::to_stdvec(&frame).map_err(|_| FrameError::Unreadable)?;
         let hash = blake3::keyed_hash(&key.secret, &bytes);
         bytes.extend_from_slice(hash.as_bytes());
-        if bytes.len() > LONGEST {
+        if bytes.len() > MAX_FRAME_BYTES {
             return Err(FrameError::TooLong(bytes.len()));
         }
         self.sent += 1;
@@ -144,7 +144,7 @@
     }
 
     fn open<'a>(&self, bytes: &'a [u8]) -> Result<Frame<'a>, FrameError> {
-        if bytes.len() > LONGEST {
+        if bytes.len() > MAX_FRAME_BYTES {
             return Err(FrameError::TooLong(bytes.len()));
         }
         let at = bytes.len().checked_sub(HASH).ok_or(FrameError::Unreadable)?;
@@ -171,7 +171,7 @@
     /// # Errors
     ///
     /// It is none.
-    pub fn meet(&mut self, bytes: &[u8]) -> Result<String, FrameError> {
+    pub fn accept_handshake(&mut self, bytes: &[u8]) -> Result<String, FrameError> {
         let frame = self.open(bytes)?;
         let drawn = frame.body.try_into().map_err(|_| FrameError::Unreadable)?;
         if frame.serial != 0 || frame.draw != 0 {
@@ -186,7 +186,7 @@
     /// # Errors
     ///
     /// It is not from the other side, or not the next of this connection.
-    pub fn unpack<T: DeserializeOwned>(&mut self, bytes: &[u8]) -> Result<T, FrameError> {
+    pub fn decode<T: DeserializeOwned>(&mut self, bytes: &[u8]) -> Result<T, FrameError> {
         let frame = self.open(bytes)?;
         if frame.draw != self.own || frame.serial != self.taken {
             return Err(FrameError::Replayed);
--- a/book/src/keeper.rs
+++ b/book/src/keeper.rs
@@ -10,12 +10,12 @@
 
 use crate::KeeperId;
 use crate::ledger::{Content, Ledger, LedgerError, Outcome, Write};
-use crate::log::{Entry, Hard, Kept, Log, Members, Snapshot};
+use crate::log::{Entry, HardState, Log, Membership, PersistentState, Snapshot};
 use crate::message::{Message, MessageError};
 use crate::store::Batch;
 
 /// The longest body of a write, in bytes.
-pub const LONGEST: usize = 64 * 1024;
+pub const MAX_WRITE_BYTES: usize = 64 * 1024;
 /// So many writes may wait at a keeper.
 const WAITING: usize = 4096;
 /// A learner that lags by no more entries counts as caught up.
@@ -37,9 +37,9 @@
     /// A keeper that was heard of within this is there.
     pub present: u64,
     /// Entries between two snapshots.
-    pub snapshot: u64,
+    pub snapshot_interval: u64,
     /// Entries that are kept behind a snapshot for those that lag a little.
-    pub spare: u64,
+    pub retained_entries: u64,
 }
 
 impl Default for Timing {
@@ -51,8 +51,8 @@
             forget: 400,
             resend: 40,
             present: 40,
-            snapshot: 1000,
-            spare: 200,
+            snapshot_interval: 1000,
+            retained_entries: 200,
         }
     }
 }
@@ -73,8 +73,8 @@
 pub enum Output {
     /// Send this to `message.to`; it may be lost.
     Send(Message),
-    /// Put this on the disk, behind all before it, and then say [`Keeper::kept`].
-    Keep(Batch),
+    /// Put this on the disk, behind all before it, and then say [`Keeper::persisted`].
+    Persist(Batch),
     /// This write took effect or was turned down, at this index: pass it on to readers.
     Applied {
         /// The index.
@@ -83,7 +83,7 @@
         write: Write,
     },
     /// What came of a write that was handed in here.
-    Done {
+    WriteDone {
         /// Whose.
         session: u64,
         /// Which.
@@ -92,7 +92,7 @@
         outcome: Outcome,
     },
     /// The ledger was replaced as a whole: readers start anew from [`Keeper::ledger`].
-    Replaced,
+    LedgerReplaced,
 }
 
 /// Why a write is not taken in.
@@ -109,7 +109,7 @@
         needed: usize,
     },
     /// It is too long.
-    #[error("a write of {0} bytes, over {LONGEST}; say it in several writes")]
+    #[error("a write of {0} bytes, over {MAX_WRITE_BYTES}; say it in several writes")]
     TooLong(usize),
     /// The kind is not known here.
     #[error("content of kind {0} is not known to this keeper; finish the roll-out first")]
@@ -121,23 +121,23 @@
 
 /// Where a keeper stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Stand {
+pub struct Status {
     /// It leads.
-    pub leads: bool,
+    pub is_leader: bool,
     /// The name of the leader that it knows.
     pub leader: Option<String>,
     /// The term.
     pub term: u64,
     /// Up to where its ledger goes.
-    pub applied: u64,
+    pub applied_index: u64,
     /// Those that count, by name.
     pub voters: Vec<String>,
     /// Those that are being caught up, by name.
     pub learners: Vec<String>,
     /// Amid a change of who counts: until it is over, those that are replaced count too.
-    pub changing: bool,
+    pub in_membership_change: bool,
     /// Writes are taken.
-    pub open: bool,
+    pub accepts_writes: bool,
 }
 
 struct Waiting {
@@ -173,7 +173,7 @@
     /// The number of the founder.
     book: KeeperId,
     names: BTreeMap<KeeperId, String>,
-    members: Members,
+    members: Membership,
     present: BTreeMap<String, (KeeperId, u64)>,
     waiting: BTreeMap<(u64, u64), Waiting>,
     /// Since when a snapshot is under way to another keeper.
@@ -194,15 +194,15 @@
 }
 
 /// What the first keeper puts on its empty disk to found the book, with itself alone.
-pub fn founding(id: KeeperId, name: &str, contents: Vec<Box<dyn Content>>) -> Batch {
+pub fn initial_batch(id: KeeperId, name: &str, contents: Vec<Box<dyn Content>>) -> Batch {
     let mut ledger = Ledger::new(contents);
     ledger.pass(1);
     let names = BTreeMap::from([(id, name.to_owned())]);
     let state = plain(&State { book: id, names, ledger: ledger.save() });
-    let members = Members { voters: vec![id], ..Members::default() };
+    let members = Membership { voters: vec![id], ..Membership::default() };
     Batch {
         number: 0,
-        hard: Some(Hard { term: 1, vote: 0, commit: 1 }),
+        hard: Some(HardState { term: 1, vote: 0, commit: 1 }),
         snapshot: Some(Snapshot { index: 1, term: 1, members, state }),
         ..Batch::default()
     }
@@ -216,7 +216,7 @@
     /// The saved book can not be used.
     pub fn new(
         named: Vec<String>,
-        kept: Kept,
+        kept: PersistentState,
         contents: Vec<Box<dyn Content>>,
         timing: Timing,
         seed: u64,
@@ -294,20 +294,20 @@
     }
 
     /// Where it stands.
-    pub fn stand(&self) -> Stand {
+    pub fn status(&self) -> Status {
         let raft = &self.node.raft;
         let names = |ids: &[KeeperId]| -> Vec<String> {
             ids.iter().map(|id| self.name(*id).map_or_else(|| format!("{id:x}"), str::to_owned)).collect()
         };
-        Stand {
-            leads: raft.state == StateRole::Leader,
+        Status {
+            is_leader: raft.state == StateRole::Leader,
             leader: self.name(raft.leader_id).map(str::to_owned),
             term: raft.term,
-            applied: self.ledger.index(),
+            applied_index: self.ledger.index(),
             voters: names(&self.members.voters),
             learners: names(&self.members.learners),
-            changing: !self.members.outgoing.is_empty(),
-            open: self.open().is_ok(),
+            in_membership_change: !self.members.outgoing.is_empty(),
+            accepts_writes: self.check_open().is_ok(),
         }
     }
 
@@ -319,12 +319,12 @@
 
     /// True if its disk is known to be no longer part of the book: it was replaced.
     pub fn is_removed(&self) -> bool {
-        let Members { voters, learners, outgoing, learners_next, .. } = &self.members;
+        let Membership { voters, learners, outgoing, learners_next, .. } = &self.members;
         let all = [voters, learners, outgoing, learners_next];
         self.names.contains_key(&self.id) && !all.iter().any(|ids| ids.contains(&self.id))
     }
 
-    fn open(&self) -> Result<(), Refused> {
+    fn check_open(&self) -> Result<(), Refused> {
         let (voters, needed) = (self.members.voters.len(), self.named.len() / 2 + 1);
         if voters >= needed { Ok(()) } else { Err(Refused::NotOpen { voters, needed }) }
     }
@@ -368,7 +368,7 @@
 
     /// Another keeper is there, and tells this of itself. False if it belongs to another book: nothing that it says is
     /// to be taken in.
-    pub fn heard_of(&mut self, hello: &Hello) -> bool {
+    pub fn peer_seen(&mut self, hello: &Hello) -> bool {
         if self.book != 0 && hello.book.is_some_and(|book| book != self.book) {
             return false;
         }
@@ -400,7 +400,7 @@
     }
 
     /// The disk has kept this batch, and all before it.
-    pub fn kept(&mut self, number: u64) {
+    pub fn persisted(&mut self, number: u64) {
         self.release(number);
         self.settle();
     }
@@ -420,7 +420,7 @@
         self.out.extend(messages.iter().map(|message| Output::Send(message.into())));
     }
 
-    /// A write is handed in. [`Output::Done`] follows once it is applied here; if none does in time, it may be handed
+    /// A write is handed in. [`Output::WriteDone`] follows once it is applied here; if none does in time, it may be handed
     /// in again, here or elsewhere, with the same session and number.
     ///
     /// # Errors
@@ -429,11 +429,11 @@
     pub fn write(&mut self, write: Write) -> Result<(), Refused> {
         let (session, number) = (write.session, write.number);
         if let Some(outcome) = self.ledger.outcome(session, number) {
-            self.out.push(Output::Done { session, number, outcome: outcome.clone() });
+            self.out.push(Output::WriteDone { session, number, outcome: outcome.clone() });
             return Ok(());
         }
-        self.open()?;
-        if write.body.len() > LONGEST {
+        self.check_open()?;
+        if write.body.len() > MAX_WRITE_BYTES {
             return Err(Refused::TooLong(write.body.len()));
         }
         if !self.ledger.knows(write.kind) {
@@ -468,7 +468,7 @@
             change.node_id = id;
             change
         };
-        let Members { voters, learners, .. } = &self.members;
+        let Membership { voters, learners, .. } = &self.members;
         let same_name = |name: &str, but: KeeperId, among: &[KeeperId]| -> Vec<KeeperId> {
             among.iter().copied().filter(|id| *id != but && self.name(*id) == Some(name)).collect()
         };
@@ -541,7 +541,7 @@
             batch.entries = ready.entries().iter().map(Entry::from).collect();
             self.log.append(&batch.entries);
             if let Some(hard) = ready.hs() {
-                let hard = Hard::from(hard);
+                let hard = HardState::from(hard);
                 self.log.set_hard(&hard);
                 batch.hard = Some(hard);
             }
@@ -553,10 +553,10 @@
             let snapshot = batch.snapshot.as_ref().map(|snapshot| snapshot.index);
             self.held.push_back(Held { number, messages: later, snapshot });
             match nothing {
-                false => self.out.push(Output::Keep(batch)),
+                false => self.out.push(Output::Persist(batch)),
                 // Nothing before it is under way to the disk: it is kept already.
                 true if self.held.len() == 1 => self.release(number),
-                true => self.out.push(Output::Keep(batch)),
+                true => self.out.push(Output::Persist(batch)),
             }
             for entry in &committed {
                 self.apply(entry);
@@ -579,7 +579,7 @@
                 if let Ok((id, name)) = postcard::from_bytes(&change.context) {
                     self.names.insert(id, name);
                 }
-                let Members { voters, learners, outgoing, .. } = &self.members;
+                let Membership { voters, learners, outgoing, .. } = &self.members;
                 let all = [voters, learners, outgoing];
                 let own = self.id;
                 self.names.retain(|id, _| *id == own || all.iter().any(|ids| ids.contains(id)));
@@ -596,7 +596,7 @@
             let (session, number) = (write.session, write.number);
             self.out.push(Output::Applied { index: entry.index, write });
             if self.waiting.remove(&(session, number)).is_some() {
-                self.out.push(Output::Done { session, number, outcome });
+                self.out.push(Output::WriteDone { session, number, outcome });
             }
         }
     }
@@ -609,23 +609,24 @@
         (self.book, self.names) = (state.book, state.names);
         self.ledger.pass(snapshot.index);
         self.members = snapshot.members.clone();
-        self.out.push(Output::Replaced);
+        self.out.push(Output::LedgerReplaced);
         Ok(())
     }
 
     fn snapshot_if_due(&mut self) {
         let index = self.ledger.index();
         let had = self.log.snapshot_index();
-        let is_due = index >= had + self.timing.snapshot || (self.log.wants_snapshot() && index > had);
+        let is_due =
+            index >= had + self.timing.snapshot_interval || (self.log.wants_snapshot() && index > had);
         if !is_due {
             return;
         }
         let Some(term) = self.log.term_at(index) else { return };
         let state = State { book: self.book, names: self.names.clone(), ledger: self.ledger.save() };
         let snapshot = Snapshot { index, term, members: self.members.clone(), state: plain(&state) };
-        let first = self.log.compact(snapshot.clone(), self.timing.spare);
+        let first = self.log.compact(snapshot.clone(), self.timing.retained_entries);
         let batch = Batch { snapshot: Some(snapshot), first: Some(first), ..Batch::default() };
-        self.out.push(Output::Keep(batch));
+        self.out.push(Output::Persist(batch));
     }
 }
 
--- a/book/src/keeper/tests.rs
+++ b/book/src/keeper/tests.rs
@@ -5,11 +5,11 @@
 /// version is neither kept nor acknowledged.
 #[test]
 fn a_snapshot_that_can_not_be_read_is_not_vouched_for() {
-    let founded = founding(1, "a", vec![Box::new(Bans::new().0)]).snapshot.expect("it founds");
-    let members = Members { voters: vec![1], learners: vec![2], ..Members::default() };
+    let founded = initial_batch(1, "a", vec![Box::new(Bans::new().0)]).snapshot.expect("it founds");
+    let members = Membership { voters: vec![1], learners: vec![2], ..Membership::default() };
     let snapshot = Some(Snapshot { members, index: 5, ..founded });
     let named = ["a", "b", "c"].map(str::to_owned).to_vec();
-    let kept = Kept { id: 2, ..Kept::default() };
+    let kept = PersistentState { id: 2, ..PersistentState::default() };
     let older = Keeper::new(named, kept, Vec::new(), Timing::default(), 7);
     let mut older = older.unwrap_or_else(|e| panic!("{e}"));
     let kind = MessageType::MsgSnapshot.value();
--- a/book/src/lib.rs
+++ b/book/src/lib.rs
@@ -12,9 +12,9 @@
 mod message;
 pub mod store;
 
-pub use keeper::{Hello, Keeper, Output, Refused, Stand, Timing, founding};
+pub use keeper::{Hello, Keeper, Output, Refused, Status, Timing, initial_batch};
 pub use ledger::{Content, Ledger, LedgerError, Outcome, Write};
-pub use log::{Entry, Hard, Kept, Members, Snapshot};
+pub use log::{Entry, HardState, Membership, PersistentState, Snapshot};
 pub use message::{Message, MessageError};
 
 /// Names a keeper's disk: drawn when the disk is made, so that one that was emptied is another keeper.
--- a/book/src/log.rs
+++ b/book/src/log.rs
@@ -29,7 +29,7 @@
 
 /// What a keeper must not forget beside the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Hard {
+pub struct HardState {
     /// The latest term that it knows.
     pub term: u64,
     /// Whom it has voted for in it; 0 for nobody.
@@ -40,7 +40,7 @@
 
 /// Who takes part.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Members {
+pub struct Membership {
     /// Those that count.
     pub voters: Vec<KeeperId>,
     /// Those that are caught up first.
@@ -61,27 +61,27 @@
     /// The term of the entry there.
     pub term: u64,
     /// Who takes part at that index.
-    pub members: Members,
+    pub members: Membership,
     /// The ledger and the names of its keepers.
     pub state: Vec<u8>,
 }
 
 /// All that a disk holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Kept {
+pub struct PersistentState {
     /// Whose disk it is.
     pub id: KeeperId,
     /// Its promises.
-    pub hard: Hard,
+    pub hard: HardState,
     /// Where the log begins.
     pub snapshot: Snapshot,
     /// The log behind that, without a gap.
     pub entries: Vec<Entry>,
 }
 
-impl Kept {
+impl PersistentState {
     /// Takes in a batch, as a disk does.
-    pub fn take(&mut self, batch: &Batch) {
+    pub fn apply(&mut self, batch: &Batch) {
         if let Some(snapshot) = &batch.snapshot {
             self.entries.retain(|entry| batch.first.is_some() && entry.index > snapshot.index);
             self.snapshot = snapshot.clone();
@@ -126,15 +126,15 @@
     }
 }
 
-impl From<&eraftpb::HardState> for Hard {
+impl From<&eraftpb::HardState> for HardState {
     fn from(hard: &eraftpb::HardState) -> Self {
-        Hard { term: hard.term, vote: hard.vote, commit: hard.commit }
+        HardState { term: hard.term, vote: hard.vote, commit: hard.commit }
     }
 }
 
-impl From<&eraftpb::ConfState> for Members {
+impl From<&eraftpb::ConfState> for Membership {
     fn from(state: &eraftpb::ConfState) -> Self {
-        Members {
+        Membership {
             voters: state.voters.clone(),
             learners: state.learners.clone(),
             outgoing: state.voters_outgoing.clone(),
@@ -144,8 +144,8 @@
     }
 }
 
-impl From<&Members> for eraftpb::ConfState {
-    fn from(members: &Members) -> Self {
+impl From<&Membership> for eraftpb::ConfState {
+    fn from(members: &Membership) -> Self {
         eraftpb::ConfState {
             voters: members.voters.clone(),
             learners: members.learners.clone(),
@@ -182,7 +182,7 @@
 
 #[derive(Debug)]
 struct Inner {
-    hard: Hard,
+    hard: HardState,
     snapshot: Snapshot,
     entries: Vec<Entry>,
     /// The log up to here is left out once it is in the snapshot and the others have it.
@@ -196,13 +196,13 @@
 pub(crate) struct Log(Rc<RefCell<Inner>>);
 
 impl Log {
-    pub fn new(kept: Kept) -> Self {
+    pub fn new(kept: PersistentState) -> Self {
         let first = kept.snapshot.index + 1;
-        let Kept { hard, snapshot, entries, .. } = kept;
+        let PersistentState { hard, snapshot, entries, .. } = kept;
         Log(Rc::new(RefCell::new(Inner { hard, snapshot, entries, first, wanted: false })))
     }
 
-    pub fn set_hard(&self, hard: &Hard) {
+    pub fn set_hard(&self, hard: &HardState) {
         self.0.borrow_mut().hard = hard.clone();
     }
 
@@ -311,7 +311,7 @@
 
     fn snapshot(&self, request_index: u64, to: u64) -> raft::Result<eraftpb::Snapshot> {
         let mut inner = self.0.borrow_mut();
-        let Members { voters, learners, outgoing, .. } = &inner.snapshot.members;
+        let Membership { voters, learners, outgoing, .. } = &inner.snapshot.members;
         // One that does not find itself in a snapshot passes it over.
         let is_in = [voters, learners, outgoing].iter().any(|ids| ids.contains(&to));
         if is_in && inner.snapshot.index >= request_index {
--- a/book/src/store.rs
+++ b/book/src/store.rs
@@ -9,7 +9,7 @@
 use thiserror::Error;
 
 use crate::KeeperId;
-use crate::log::{Entry, Hard, Kept, Snapshot};
+use crate::log::{Entry, HardState, PersistentState, Snapshot};
 
 /// What goes to the disk in one step: all of it or nothing.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -17,7 +17,7 @@
     /// What [`crate::Keeper::kept`] is told when it is done; 0 if nothing waits for it.
     pub number: u64,
     /// New promises.
-    pub hard: Option<Hard>,
+    pub hard: Option<HardState>,
     /// In place of the log up to its index.
     pub snapshot: Option<Snapshot>,
     /// The log from the first of these on; what was there before from that place on goes.
@@ -103,7 +103,7 @@
     /// # Errors
     ///
     /// It can not be trusted, written or read.
-    pub fn open(path: &Path, fresh: KeeperId) -> Result<(Disk, Kept), StoreError> {
+    pub fn open(path: &Path, fresh: KeeperId) -> Result<(Disk, PersistentState), StoreError> {
         let file = Database::create(path).map_err(|e| StoreError::Open(e.to_string()))?;
         Self::with(file, fresh)
     }
@@ -113,7 +113,7 @@
     /// # Errors
     ///
     /// As for [`Disk::open`].
-    pub fn with(file: Database, fresh: KeeperId) -> Result<(Disk, Kept), StoreError> {
+    pub fn with(file: Database, fresh: KeeperId) -> Result<(Disk, PersistentState), StoreError> {
         let disk = Disk { file };
         let is_new = {
             let read = disk.file.begin_read().map_err(broken)?;
@@ -138,7 +138,7 @@
     }
 
     /// All that it holds.
-    fn read(&self) -> Result<Kept, StoreError> {
+    fn read(&self) -> Result<PersistentState, StoreError> {
         let read = self.file.begin_read().map_err(broken)?;
         let heads = read.open_table(HEADS).map_err(broken)?;
         let format: u32 = match heads.get("format").map_err(broken)? {
@@ -148,7 +148,7 @@
         if format != FORMAT {
             return Err(StoreError::Format(format));
         }
-        let mut kept = Kept::default();
+        let mut kept = PersistentState::default();
         match heads.get("id").map_err(broken)? {
             Some(sealed) => kept.id = unseal("id", sealed.value())?,
             None => return Err(StoreError::Rotten("id".into())),
--- a/book/tests/disk.rs
+++ b/book/tests/disk.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 
 use gradepaddle_book::store::{Batch, Disk, StoreError};
-use gradepaddle_book::{Entry, Hard, Kept, Members, Snapshot};
+use gradepaddle_book::{Entry, HardState, Membership, PersistentState, Snapshot};
 use redb::{Builder, StorageBackend};
 
 /// A file in memory that writes down what is done to it.
@@ -83,7 +83,7 @@
     }
 }
 
-fn open(file: Recorded, id: u64) -> Result<(Disk, Kept), StoreError> {
+fn open(file: Recorded, id: u64) -> Result<(Disk, PersistentState), StoreError> {
     let file = Builder::new().create_with_backend(file).map_err(|e| StoreError::Open(e.to_string()))?;
     Disk::with(file, id)
 }
@@ -94,9 +94,9 @@
 
 /// A life of a disk: founding, a log that grows, a tail that is replaced, snapshots of one's own and from elsewhere.
 fn life() -> Vec<Batch> {
-    let hard = |term, commit| Some(Hard { term, vote: 3, commit });
+    let hard = |term, commit| Some(HardState { term, vote: 3, commit });
     let snapshot = |index| {
-        let members = Members { voters: vec![1, 2, 3], ..Members::default() };
+        let members = Membership { voters: vec![1, 2, 3], ..Membership::default() };
         Some(Snapshot { index, term: 1, members, state: vec![7; 100] })
     };
     vec![
@@ -115,12 +115,12 @@
 fn what_was_kept_is_there_after_a_restart() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("book.redb");
-    let mut expected = Kept { id: 77, ..Kept::default() };
+    let mut expected = PersistentState { id: 77, ..PersistentState::default() };
     for batch in life() {
         let (mut disk, kept) = Disk::open(&path, 77).expect("the disk");
         assert_eq!(kept, expected);
         disk.write(&batch).expect("room");
-        expected.take(&batch);
+        expected.apply(&batch);
     }
     let (_, kept) = Disk::open(&path, 5).expect("the disk");
     assert_eq!(kept, expected, "and its number stays");
@@ -136,7 +136,7 @@
     for batch in life() {
         disk.write(&batch).expect("room");
         let mut next = states.last().expect("the first").1.clone();
-        next.take(&batch);
+        next.apply(&batch);
         let steps = file.0.lock().expect("no panic while it is held").steps.len();
         states.push((steps, next));
     }
--- a/check/src/broken.rs
+++ b/check/src/broken.rs
@@ -110,7 +110,7 @@
 }
 
 impl Guard for Broken {
-    fn forbids(&self, defect: Defect) -> bool {
+    fn enforces(&self, defect: Defect) -> bool {
         let lifted = match self {
             Broken::SecondCopyOfUnsafe => Defect::RepeatedUnsafe,
             Broken::SecondCopyUnset => Defect::SecondCopy,
@@ -119,7 +119,7 @@
             Broken::DrainForgotten => Defect::SentToClosed,
             Broken::AnswerAndTimeOut => Defect::SecondAnswer,
             Broken::KeyElsewhere => Defect::RepeatedUnsafe,
-            Broken::SentSpent => Defect::SentSpent,
+            Broken::SentSpent => Defect::SentAfterBodyConsumed,
             _ => return true,
         };
         defect != lifted
@@ -133,15 +133,15 @@
         }
     }
 
-    fn forgets(&self) -> bool {
+    fn removes_finished(&self) -> bool {
         *self != Broken::EndedKept
     }
 
-    fn holds(&self) -> bool {
+    fn cancels_unstarted(&self) -> bool {
         *self != Broken::BegunForNobody
     }
 
-    fn has_backstop(&self) -> bool {
+    fn fails_overdue(&self) -> bool {
         *self != Broken::NoBackstop
     }
 }
--- a/check/src/keepers.rs
+++ b/check/src/keepers.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 use gradepaddle_book::store::Batch;
-use gradepaddle_book::{Content, Keeper, Kept, Message, Output, Timing, Write, founding};
+use gradepaddle_book::{Content, Keeper, Message, Output, PersistentState, Timing, Write, initial_batch};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -94,7 +94,7 @@
     keeper: Option<Keeper>,
     shown: Rc<RefCell<Vec<u32>>>,
     /// What survives a crash, and what is under way to it, each until its step.
-    disk: Kept,
+    disk: PersistentState,
     under_way: VecDeque<(u64, Batch)>,
     /// Steps that a batch takes at most.
     slow: u64,
@@ -157,7 +157,8 @@
                 return Ok(world.seen);
             }
         }
-        let stands: Vec<_> = world.nodes.iter().map(|node| node.keeper.as_ref().map(Keeper::stand)).collect();
+        let stands: Vec<_> =
+            world.nodes.iter().map(|node| node.keeper.as_ref().map(Keeper::status)).collect();
         Err(format!("seed {}: the keepers do not come together again: {stands:#?}", self.seed))
     }
 }
@@ -182,9 +183,9 @@
         };
         for at in 0..run.keepers {
             let id = world.random.random_range(1..u64::MAX);
-            let mut disk = Kept { id, ..Kept::default() };
+            let mut disk = PersistentState { id, ..PersistentState::default() };
             if at == 0 {
-                disk.take(&founding(id, "k0", vec![Box::new(Numbers(Rc::default()))]));
+                disk.apply(&initial_batch(id, "k0", vec![Box::new(Numbers(Rc::default()))]));
             }
             let slow = if world.random.random_bool(0.2) { 30 } else { 4 };
             let shown = Rc::default();
@@ -199,7 +200,7 @@
 
     fn start(&mut self, at: usize) {
         let seed = self.random.random();
-        let timing = Timing { snapshot: 40, spare: 10, ..Timing::default() };
+        let timing = Timing { snapshot_interval: 40, retained_entries: 10, ..Timing::default() };
         let node = &mut self.nodes[at];
         node.shown = Rc::default();
         let contents: Vec<Box<dyn Content>> = vec![Box::new(Numbers(node.shown.clone()))];
@@ -221,7 +222,7 @@
         node.until = self.now + down;
         if emptied {
             let id = if self.run.broken == Broken::VotesAfterAnEmptiedDisk { node.disk.id } else { fresh };
-            node.disk = Kept { id, ..Kept::default() };
+            node.disk = PersistentState { id, ..PersistentState::default() };
             self.seen.emptied += 1;
         } else {
             self.seen.crashes += 1;
@@ -231,7 +232,8 @@
     /// Machines whose disks do not count yet: emptied ones that are not voters again.
     fn missing(&self) -> usize {
         let keepers = self.nodes.iter().filter_map(|node| node.keeper.as_ref());
-        let Some(best) = keepers.max_by_key(|keeper| (keeper.stand().leads, keeper.ledger().index())) else {
+        let Some(best) = keepers.max_by_key(|keeper| (keeper.status().is_leader, keeper.ledger().index()))
+        else {
             return self.nodes.len();
         };
         let counts = |node: &&Node| best.is_voter(node.disk.id) && node.disk.snapshot.index > 0;
@@ -303,7 +305,7 @@
         };
         for other in (0..self.nodes.len()).filter(|other| self.sides[*other] == self.sides[at]) {
             if let Some(keeper) = &mut self.nodes[other].keeper {
-                keeper.heard_of(&hello);
+                keeper.peer_seen(&hello);
             }
         }
     }
@@ -312,11 +314,11 @@
         let node = &mut self.nodes[at];
         while node.under_way.front().is_some_and(|(when, _)| *when <= self.now) {
             let Some((_, batch)) = node.under_way.pop_front() else { break };
-            node.disk.take(&batch);
+            node.disk.apply(&batch);
             if let Some(keeper) = &mut node.keeper
                 && self.run.broken != Broken::AcknowledgesBeforeTheDisk
             {
-                keeper.kept(batch.number);
+                keeper.persisted(batch.number);
             }
         }
     }
@@ -330,7 +332,7 @@
             for output in outputs {
                 match output {
                     Output::Send(message) => self.send(at, message),
-                    Output::Keep(batch) => {
+                    Output::Persist(batch) => {
                         let node = &mut self.nodes[at];
                         let before = node.under_way.back().map_or(self.now, |(when, _)| *when);
                         let takes = self.random.random_range(0..=node.slow);
@@ -338,7 +340,7 @@
                         if let Some(keeper) = &mut node.keeper
                             && self.run.broken == Broken::AcknowledgesBeforeTheDisk
                         {
-                            keeper.kept(batch.number);
+                            keeper.persisted(batch.number);
                         }
                     }
                     Output::Applied { index, write } => {
@@ -347,8 +349,8 @@
                             self.breach = Some(format!("two writes at index {index}"));
                         }
                     }
-                    Output::Done { session, number, .. } => self.done(session, number),
-                    Output::Replaced => {}
+                    Output::WriteDone { session, number, .. } => self.done(session, number),
+                    Output::LedgerReplaced => {}
                 }
             }
         }
@@ -421,7 +423,8 @@
 
     /// All hold the same, with all that was acknowledged, and all take part.
     fn is_together(&mut self) -> bool {
-        let stands: Vec<_> = self.nodes.iter().filter_map(|n| n.keeper.as_ref()).map(Keeper::stand).collect();
+        let stands: Vec<_> =
+            self.nodes.iter().filter_map(|n| n.keeper.as_ref()).map(Keeper::status).collect();
         self.seen.term = stands.iter().map(|stand| stand.term).max().unwrap_or_default();
         let lists: Vec<_> = self.nodes.iter().map(|node| node.shown.borrow()).collect();
         let all = lists.iter().all(|list| self.acknowledged.iter().all(|number| list.contains(number)));
--- a/check/src/listing.rs
+++ b/check/src/listing.rs
@@ -2,7 +2,7 @@
 //! as told is reckoned here anew, from what the world did, beside the clock that is checked.
 
 use gradepaddle::Micros;
-use gradepaddle_dispatch::{Failure, KNOCK, ListClock, RECALL};
+use gradepaddle_dispatch::{Failure, ListClock, RECONNECT_INTERVAL, RETRY_INTERVALS};
 use stateright::{Checker, Model, Property};
 
 /// Time goes in steps of this.
@@ -157,7 +157,7 @@
 
 impl World {
     fn told(&mut self) {
-        self.clock.told(at(self.now));
+        self.clock.list_received(at(self.now));
         self.line = Line::Watching(self.now);
         self.held = self.drained.is_some();
         self.counts = None;
@@ -171,10 +171,10 @@
     /// A call or a watch has failed: when the process asks again at the latest, whatever its lot.
     fn failed(&mut self, why: Why, broken: Broken) {
         let (how, within) = match why {
-            Why::TurnedDown => (Failure::TurnedDown, RECALL[0]),
-            Why::Unreachable => (Failure::Unreachable, KNOCK),
+            Why::TurnedDown => (Failure::TurnedDown, RETRY_INTERVALS[0]),
+            Why::Unreachable => (Failure::Unreachable, RECONNECT_INTERVAL),
         };
-        let by = self.clock.failed(at(self.now), how);
+        let by = self.clock.call_failed(at(self.now), how);
         assert!(by > at(self.now) && by <= at(self.now) + within, "{by} after {}", at(self.now));
         self.line =
             Line::Before(if broken == Broken::Spaced { self.now + SPACED } else { self.now + step(within) });
@@ -184,7 +184,7 @@
     fn waits_until(&self, broken: Broken) -> u32 {
         match (broken, &self.line) {
             (Broken::Patient, Line::Silent) => self.counts.unwrap_or(0).saturating_sub(TOLD) + 20,
-            _ => self.clock.silent_at().map_or(u32::MAX, step),
+            _ => self.clock.silence_deadline().map_or(u32::MAX, step),
         }
     }
 
@@ -194,14 +194,14 @@
             Line::Coming(then) if then <= self.now => self.told(),
             Line::Failing(then, why) if then <= self.now => self.failed(why, case.broken),
             Line::Watching(heard) if self.now >= heard + BEAT => {
-                self.clock.beats(at(self.now));
+                self.clock.heartbeat_received(at(self.now));
                 self.line = Line::Watching(self.now);
             }
             _ => {}
         }
         let open = matches!(self.line, Line::Silent | Line::Coming(_) | Line::Failing(_, Why::TurnedDown));
         if open && self.now >= self.waits_until(case.broken) {
-            self.clock.fell_silent();
+            self.clock.silence_timed_out();
             let spaced = if case.broken == Broken::Outage { SPACED } else { 0 };
             self.line = Line::Before(self.now + spaced);
         }
@@ -276,7 +276,7 @@
         match act {
             Act::Tick => next.tick(self),
             Act::Call => {
-                next.clock.called(at(next.now));
+                next.clock.call_started(at(next.now));
                 next.line = Line::Made;
             }
             Act::Answered(0) => next.told(),
@@ -323,10 +323,10 @@
                 next.unheard_since(next.now);
                 next.line = Line::Silent;
             }
-            Act::Half => next.clock.beats(at(next.now)),
+            Act::Half => next.clock.heartbeat_received(at(next.now)),
             Act::Move => {
                 next.moves -= 1;
-                next.clock.moved(at(next.now));
+                next.clock.discovery_moved(at(next.now));
                 let counts = next.now + MOVED;
                 next.counts = Some(next.counts.map_or(counts, |before| before.min(counts)));
                 next.line = Line::Before(next.now);
--- a/check/src/world.rs
+++ b/check/src/world.rs
@@ -190,9 +190,14 @@
 
 impl Case {
     fn limits(&self) -> Limits {
-        let grace = self.step * Micros::from(self.sizes.grace);
+        let drain_grace = self.step * Micros::from(self.sizes.grace);
         // No slack: what is due at a time is told before time goes on.
-        Limits { grace, backstop: 0, reap: self.step, forget: Micros::MAX / 2 }
+        Limits {
+            drain_grace,
+            answer_overrun: 0,
+            attempt_end_overrun: self.step,
+            server_retention: Micros::MAX / 2,
+        }
     }
 
     fn kind(&self, client: u8) -> Kind {
@@ -220,7 +225,7 @@
 
     fn dispatch<C: Player>(&self) -> Dispatched<C> {
         let settings = self.sizes.settings(self.step);
-        Dispatch::guarded(C::fresh(&settings), self.broken, &settings, "n", self.limits())
+        Dispatch::with_guard(C::fresh(&settings), self.broken, &settings, "n", self.limits())
     }
 
     /// The world before anything has happened: the balancer has its last list.
@@ -361,7 +366,7 @@
         if self.left.crashes > 0 && self.clients.iter().any(|client| client.ticket.is_some()) {
             steps.push(Step::Crash);
         }
-        let due = self.dispatch.due();
+        let due = self.dispatch.next_tick_at();
         if due.is_some_and(|at| at <= self.now) {
             steps.push(Step::Tick);
         } else if !overdue && self.now < case.horizon() {
@@ -393,11 +398,11 @@
         let kept = next
             .dispatch
             .views()
-            .any(|view| !view.owed && !next.flights.iter().any(|f| f.ticket == view.ticket));
+            .any(|view| !view.answer_pending && !next.flights.iter().any(|f| f.ticket == view.ticket));
         if kept {
             next.breaks(Property::NothingKept);
         }
-        let mut own: Vec<&[u8]> = next.dispatch.views().map(|view| view.own).collect();
+        let mut own: Vec<&[u8]> = next.dispatch.views().map(|view| view.client_request_id).collect();
         own.sort_unstable();
         if own.windows(2).any(|two| two[0] == two[1]) {
             next.breaks(Property::OwnAnswer);
@@ -412,11 +417,12 @@
                 let ticket =
                     self.clients.iter().filter(|client| client.ticket.is_some() && !client.lost).count();
                 let (ticket, time_left) = (ticket as Ticket, case.time_left());
-                let whole = !case.sizes.flows;
+                let upload_complete = !case.sizes.flows;
                 let client = &mut self.clients[usize::from(c)];
-                (client.ticket, client.ends) = (Some(ticket), whole.then_some(self.now + time_left));
+                (client.ticket, client.ends) =
+                    (Some(ticket), upload_complete.then_some(self.now + time_left));
                 let transaction = Transaction {
-                    own: case.own(c)[..].into(),
+                    client_request_id: case.own(c)[..].into(),
                     class: usize::from(c) % case.sizes.classes.len(),
                     tenant: None,
                     key: None,
@@ -424,16 +430,16 @@
                     once: case.kind(c) == Kind::Nameless,
                     arrived: self.now,
                     time_left,
-                    whole,
+                    upload_complete,
                     message: c,
                 };
-                self.tell(case, Input::Taken { ticket, transaction });
+                self.tell(case, Input::Accepted { ticket, transaction });
             }
             Step::Leave(c) => {
                 self.left.leaves -= 1;
                 let ticket = self.client(c).ticket?;
                 self.clients[usize::from(c)].left = true;
-                self.tell(case, Input::Left { ticket });
+                self.tell(case, Input::ClientDisconnected { ticket });
             }
             Step::Send(c, s) => {
                 self.clients[usize::from(c)].sends += 1;
@@ -455,7 +461,7 @@
             Step::NoConnection(c, a) => self.end(case, c, a, Cause::NoConnection)?,
             Step::Dial(c, a) => self.flight(c, a)?.up = true,
             Step::FirstByte(c, a) => {
-                let (now, grace) = (self.now, case.limits().grace);
+                let (now, grace) = (self.now, case.limits().drain_grace);
                 let (server, withdrawn) = (self.flight(c, a)?.server, self.flight(c, a)?.withdrawn);
                 if withdrawn {
                     return self.end(case, c, a, Cause::Withdrawn);
@@ -490,7 +496,7 @@
                 self.left.late_ends -= 1;
                 let (ticket, attempt) = self.last?;
                 let (extent, cause, reply) = (Extent::Whole, Cause::Served, Some(u8::MAX));
-                self.tell(case, Input::Ended { ticket, attempt, extent, cause, reply, report: None });
+                self.tell(case, Input::AttemptEnded { ticket, attempt, extent, cause, reply, report: None });
             }
             Step::Drain(s) => {
                 self.left.drains -= 1;
@@ -527,7 +533,7 @@
             Step::Spend(c, attempt) => {
                 let ticket = self.client(c).ticket?;
                 self.clients[usize::from(c)].spent = true;
-                self.tell(case, Input::Spent { ticket, attempt });
+                self.tell(case, Input::BodyConsumed { ticket, attempt });
             }
             Step::ListFails => {
                 self.left.old_lists -= 1;
@@ -579,7 +585,7 @@
     /// The chooser asks for something of its own accord: at a list call that failed, which changes nothing.
     fn choose(&mut self, case: &Case, action: Action) {
         self.dispatch.chooser_mut().plan(action);
-        self.tell(case, Input::List { kind: ListKind::Failed, servers: Vec::new() });
+        self.tell(case, Input::ServerList { kind: ListKind::Failed, servers: Vec::new() });
     }
 
     /// The list as it was at the very beginning. What it names is told to be ready.
@@ -610,7 +616,7 @@
         } else if kind == ListKind::Full {
             self.held.clear();
         }
-        self.tell(case, Input::List { kind, servers });
+        self.tell(case, Input::ServerList { kind, servers });
     }
 
     fn end(&mut self, case: &Case, client: u8, attempt: u32, cause: Cause) -> Option<()> {
@@ -627,7 +633,7 @@
         }
         self.last = (self.left.late_ends > 0).then_some((ticket, attempt));
         let reply = matches!(cause, Cause::Served | Cause::Failed).then_some(client);
-        self.tell(case, Input::Ended { ticket, attempt, extent, cause, reply, report: None });
+        self.tell(case, Input::AttemptEnded { ticket, attempt, extent, cause, reply, report: None });
         Some(())
     }
 
@@ -646,7 +652,7 @@
                 let Some(standing) = self.servers.get(usize::from(at)) else {
                     return self.breaks(Property::NothingNewToClosed);
                 };
-                if standing.shut().is_some_and(|since| self.now > since + case.limits().grace) {
+                if standing.shut().is_some_and(|since| self.now > since + case.limits().drain_grace) {
                     self.breaks(Property::NothingNewToClosed);
                 }
                 if self.client(client).spent {
@@ -680,7 +686,7 @@
                     .filter(|f| f.ticket == ticket && f.attempt == attempt)
                     .for_each(|f| f.withdrawn = true);
             }
-            Output::Hold { ticket, attempt } => {
+            Output::CancelUnstarted { ticket, attempt } => {
                 let flights = self.flights.iter_mut();
                 flights
                     .filter(|f| f.ticket == ticket && f.attempt == attempt && f.extent == Extent::Nothing)
@@ -702,7 +708,7 @@
                     self.breaks(Property::OwnAnswer);
                 }
             }
-            Output::Standing { server, open } => {
+            Output::Availability { server, open } => {
                 if let Some(at) = NAMES.iter().position(|name| *name == &*server) {
                     self.servers[at].open = open;
                 }
--- a/daemon/src/decision.rs
+++ b/daemon/src/decision.rs
@@ -76,7 +76,7 @@
     /// Takes mails until the process ends.
     pub async fn run(mut self, mut inbox: Inbox) {
         loop {
-            let due = self.dispatch.due();
+            let due = self.dispatch.next_tick_at();
             let at = due.map_or_else(Instant::now, |at| self.context.clock.instant(at));
             tokio::select! {
                 biased;
@@ -95,13 +95,15 @@
                 let channels = Channels { answer: Some(answer), wishes: Vec::new() };
                 self.channels.insert(ticket, channels);
                 debug!(ticket, class = transaction.class, key = transaction.key, "taken");
-                self.hand_over(Input::Taken { ticket, transaction });
+                self.hand_over(Input::Accepted { ticket, transaction });
             }
             Mail::Input(input) => {
                 match &input {
-                    Input::Left { ticket } => self.over(*ticket, |channels| drop(channels.answer.take())),
-                    Input::Probed { server, cause, report } => debug!(%server, ?cause, ?report, "probed"),
-                    Input::Ended { ticket, attempt, extent, cause, .. } => {
+                    Input::ClientDisconnected { ticket } => {
+                        self.over(*ticket, |channels| drop(channels.answer.take()));
+                    }
+                    Input::ProbeEnded { server, cause, report } => debug!(%server, ?cause, ?report, "probed"),
+                    Input::AttemptEnded { ticket, attempt, extent, cause, .. } => {
                         debug!(ticket, attempt, ?extent, ?cause, "ended");
                         let attempt = *attempt as usize;
                         self.over(*ticket, |channels| {
@@ -146,8 +148,8 @@
             }
             servers.push(server);
         }
-        self.hand_over(Input::List { kind, servers });
-        let up = self.dispatch.fleet().open();
+        self.hand_over(Input::ServerList { kind, servers });
+        let up = self.dispatch.fleet().open_count();
         info!(seq, ?kind, entries = count, up, "service table");
         let told = matches!(kind, ListKind::Full | ListKind::Delta);
         self.table_known.send_modify(|known| {
@@ -186,7 +188,7 @@
                 // It may have ended at this moment.
                 let _ = wish.map(|wish| wish.send(Wish::Withdrawn));
             }),
-            Output::Hold { ticket, attempt } => {
+            Output::CancelUnstarted { ticket, attempt } => {
                 let channels = self.channels.get(&ticket);
                 let wish = channels.and_then(|channels| channels.wishes.get(attempt as usize)?.as_ref());
                 let _ = wish.map(|wish| wish.send(Wish::NotBegun));
@@ -200,10 +202,12 @@
                     }
                 });
             }
-            Output::Standing { server, open } => command(&server, app_server::Command::Standing(open)),
+            Output::Availability { server, open } => {
+                command(&server, app_server::Command::Standing(open));
+            }
             Output::DropIdle { server } => command(&server, app_server::Command::DropIdle),
-            Output::Forgotten { server } => drop(self.app_servers.remove(&server)),
-            Output::Watch => {
+            Output::ServerRemoved { server } => drop(self.app_servers.remove(&server)),
+            Output::WatchServerList => {
                 let _ = self.table.send(service_table::Ask::Watch);
             }
             Output::Log { text } => info!("decisions: {text}"),
--- a/daemon/src/fleet/file.rs
+++ b/daemon/src/fleet/file.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use gradepaddle_book::frame::{Key, Seal};
+use gradepaddle_book::frame::{ClusterKeys, Key};
 use serde::Deserialize;
 use thiserror::Error;
 
@@ -67,7 +67,7 @@
 #[derive(Clone, Debug)]
 pub struct File {
     /// The cluster's name and its keys.
-    pub seal: Seal,
+    pub seal: ClusterKeys,
     /// All keepers.
     pub keepers: Vec<Named>,
     /// If this is one of them: where it listens, and its disk.
@@ -133,7 +133,7 @@
                 return wrong("disk", what, "name a file in a folder that outlives the process");
             }
         };
-        let seal = Seal { cluster: text.cluster, keys };
+        let seal = ClusterKeys { cluster: text.cluster, keys };
         Ok(File { seal, keepers: text.keeper, keeps })
     }
 }
--- a/daemon/src/fleet/keeper.rs
+++ b/daemon/src/fleet/keeper.rs
@@ -9,7 +9,8 @@
 
 use gradepaddle_book::store::{Batch, Disk, StoreError};
 use gradepaddle_book::{
-    Hello, Keeper, KeeperId, Kept, LedgerError, Message, MessageError, Output, Timing, Write, founding,
+    Hello, Keeper, KeeperId, LedgerError, Message, MessageError, Output, PersistentState, Timing, Write,
+    initial_batch,
 };
 use thiserror::Error;
 use tokio::net::{TcpListener, TcpStream};
@@ -88,7 +89,7 @@
 /// Keeps the book until it steps down; never ends otherwise.
 pub async fn run(
     listener: TcpListener,
-    disk: (Disk, Kept),
+    disk: (Disk, PersistentState),
     common: Rc<Common>,
     writes: &mut mpsc::Receiver<(Write, Answers)>,
 ) -> StepDown {
@@ -102,13 +103,13 @@
 /// # Errors
 ///
 /// [`StoreError`] if the disk fails, or what is on it can't be read.
-pub fn open(path: &Path, fresh: KeeperId) -> Result<(Disk, Kept), StoreError> {
+pub fn open(path: &Path, fresh: KeeperId) -> Result<(Disk, PersistentState), StoreError> {
     Disk::open(path, fresh)
 }
 
 async fn keep(
     listener: TcpListener,
-    (disk, kept): (Disk, Kept),
+    (disk, kept): (Disk, PersistentState),
     common: Rc<Common>,
     writes: &mut mpsc::Receiver<(Write, Answers)>,
 ) -> StepDown {
@@ -199,9 +200,9 @@
 impl Actor {
     fn tick(&mut self) -> Result<(), StepDown> {
         self.keeper.tick();
-        let stand = self.keeper.stand();
-        self.fresh.set(stand.leads || stand.leader.is_some());
-        self.common.say(|view| view.stands(&stand, self.fresh.get()));
+        let status = self.keeper.status();
+        self.fresh.set(status.is_leader || status.leader.is_some());
+        self.common.say(|view| view.stands(&status, self.fresh.get()));
         self.found_if_due();
         Ok(())
     }
@@ -215,9 +216,9 @@
             return;
         }
         let id = self.keeper.id();
-        let batch = founding(id, &self.common.name, self.common.contents());
-        let mut kept = Kept { id, ..Kept::default() };
-        kept.take(&batch);
+        let batch = initial_batch(id, &self.common.name, self.common.contents());
+        let mut kept = PersistentState { id, ..PersistentState::default() };
+        kept.apply(&batch);
         let names = named.iter().map(|keeper| keeper.name.clone()).collect();
         // Nobody can have heard of what is not on the disk: it goes there first, and all else behind it.
         let keeper = Keeper::new(names, kept, self.common.contents(), Timing::default(), self.common.draw());
@@ -232,7 +233,7 @@
     fn take(&mut self, event: Event) -> Result<(), StepDown> {
         match event {
             Event::Heard(hello) => {
-                if self.keeper.heard_of(&hello) {
+                if self.keeper.peer_seen(&hello) {
                     self.ids.insert(hello.id, hello.name.clone());
                     self.heard.insert(hello.name.clone(), hello);
                 } else {
@@ -247,7 +248,7 @@
             },
             Event::Kept(Ok(number)) => {
                 self.pass("after-disk");
-                self.keeper.kept(number);
+                self.keeper.persisted(number);
             }
             Event::Kept(Err(why)) => return Err(why.into()),
             Event::Write(write, answers) => self.write(write, answers),
@@ -272,7 +273,7 @@
     }
 
     fn pass(&self, point: &str) {
-        if self.keeper.stand().leads {
+        if self.keeper.status().is_leader {
             self.crash.pass(point);
         }
     }
@@ -291,20 +292,20 @@
                     // Full, it is dropped: the consensus sends anew.
                     let _ = peer.map(|peer| peer.try_send(Packet::Consensus(Box::new(message))));
                 }
-                Output::Keep(batch) => self.keep(batch),
+                Output::Persist(batch) => self.keep(batch),
                 Output::Applied { index, write } => {
                     let applied = Packet::Applied { index, write };
                     self.readers.retain(|reader| tell(reader, applied.clone()));
                     self.common.changed();
                 }
-                Output::Done { session, number, outcome } => {
+                Output::WriteDone { session, number, outcome } => {
                     // Whoever was asked answers, leader or not.
                     self.crash.pass("before-answer");
                     if let Some(answers) = self.waiting.remove(&(session, number)) {
                         tell(&answers, Packet::Done { number, outcome });
                     }
                 }
-                Output::Replaced => {
+                Output::LedgerReplaced => {
                     let whole = Packet::Whole(self.keeper.ledger().save());
                     self.readers.retain(|reader| tell(reader, whole.clone()));
                     self.common.changed();
--- a/daemon/src/fleet/line.rs
+++ b/daemon/src/fleet/line.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
-use gradepaddle_book::frame::{FrameError, LONGEST, Seal, Session};
+use gradepaddle_book::frame::{ClusterKeys, FrameError, MAX_FRAME_BYTES, Session};
 use gradepaddle_book::{Hello, Message, Outcome, Write};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -97,15 +97,20 @@
     /// # Errors
     ///
     /// [`LineError`] if the connection fails, the other side is silent, or its seal is another one.
-    pub async fn meet(stream: TcpStream, seal: Seal, own: &str, drawn: u64) -> Result<Line, LineError> {
+    pub async fn meet(
+        stream: TcpStream,
+        seal: ClusterKeys,
+        own: &str,
+        drawn: u64,
+    ) -> Result<Line, LineError> {
         stream.set_nodelay(true)?;
-        let codec = LengthDelimitedCodec::builder().max_frame_length(LONGEST).new_codec();
+        let codec = LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec();
         let mut framed = Framed::new(stream, codec);
         let mut session = Session::new(seal, own, drawn);
-        framed.send(Bytes::from(session.greet()?)).await?;
+        framed.send(Bytes::from(session.handshake()?)).await?;
         let first = timeout(MEET, framed.next()).await.map_err(|_| LineError::Silent)?;
         let first = first.ok_or(LineError::Ended)??;
-        let name = session.meet(&first)?;
+        let name = session.accept_handshake(&first)?;
         Ok(Line { framed, session, heard: Instant::now(), name })
     }
 
@@ -115,7 +120,7 @@
     ///
     /// [`LineError`] if the connection fails or takes nothing for too long.
     pub async fn say(&mut self, packet: &Packet) -> Result<(), LineError> {
-        let bytes = self.session.pack(packet)?;
+        let bytes = self.session.encode(packet)?;
         Ok(timeout(SILENT, self.framed.send(Bytes::from(bytes))).await.map_err(|_| LineError::Silent)??)
     }
 
@@ -129,6 +134,6 @@
         let next = timeout_at(self.heard + SILENT, self.framed.next());
         let bytes = next.await.map_err(|_| LineError::Silent)?.ok_or(LineError::Ended)??;
         self.heard = Instant::now();
-        Ok(self.session.unpack(&bytes)?)
+        Ok(self.session.decode(&bytes)?)
     }
 }
--- a/daemon/src/fleet/mod.rs
+++ b/daemon/src/fleet/mod.rs
@@ -13,8 +13,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use gradepaddle_book::bans::{self, Ban, Bans, Held, Shown};
-use gradepaddle_book::{Content, Outcome, Stand, Write};
+use gradepaddle_book::bans::{self, ActiveBans, Ban, Bans, SharedBans};
+use gradepaddle_book::{Content, Outcome, Status, Write};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::Serialize;
@@ -95,10 +95,11 @@
 }
 
 impl View {
-    fn stands(&mut self, stand: &Stand, fresh: bool) {
-        (self.leads, self.from, self.revision) = (stand.leads, stand.leader.clone(), stand.applied);
-        (self.voters, self.learners) = (stand.voters.clone(), stand.learners.clone());
-        self.changing = stand.changing;
+    fn stands(&mut self, status: &Status, fresh: bool) {
+        (self.leads, self.from, self.revision) =
+            (status.is_leader, status.leader.clone(), status.applied_index);
+        (self.voters, self.learners) = (status.voters.clone(), status.learners.clone());
+        self.changing = status.in_membership_change;
         if fresh {
             self.heard = Some(Instant::now());
         }
@@ -116,7 +117,7 @@
 struct Common {
     name: String,
     file: File,
-    bans: Shown,
+    bans: SharedBans,
     /// What was there of the content at the last telling.
     changes: watch::Sender<u64>,
     view: RefCell<View>,
@@ -126,7 +127,7 @@
 
 impl Common {
     fn contents(&self) -> Vec<Box<dyn Content>> {
-        vec![Box::new(Bans::shown_at(self.bans.clone()))]
+        vec![Box::new(Bans::sharing(self.bans.clone()))]
     }
 
     fn draw(&self) -> u64 {
@@ -211,7 +212,7 @@
         let common = Rc::new(Common {
             name: name.to_owned(),
             file,
-            bans: Shown::default(),
+            bans: SharedBans::default(),
             changes,
             view: RefCell::new(view),
             random: RefCell::new(Pcg64Mcg::seed_from_u64(random)),
@@ -267,7 +268,7 @@
 
     /// Hands each change of the bans on, for as long as the process lasts.
     pub async fn follow(self, mut each: impl FnMut(&str, Option<u64>)) {
-        let mut held = Held::new();
+        let mut held = ActiveBans::new();
         let mut changes = self.changes.clone();
         // It lasts as long as its sender, which is held here.
         while changes.changed().await.is_ok() {
--- a/daemon/src/mail.rs
+++ b/daemon/src/mail.rs
@@ -75,17 +75,17 @@
         cause: Cause,
         (reply, report): (Option<Reply>, Option<LoadReport>),
     ) {
-        self.send(Mail::Input(Input::Ended { ticket, attempt, extent, cause, reply, report }));
+        self.send(Mail::Input(Input::AttemptEnded { ticket, attempt, extent, cause, reply, report }));
     }
 
     /// Tells how a probe ended.
     pub fn probed(&self, server: Id, cause: Cause, report: Option<LoadReport>) {
-        self.send(Mail::Input(Input::Probed { server, cause, report }));
+        self.send(Mail::Input(Input::ProbeEnded { server, cause, report }));
     }
 
     /// Tells that an attempt has used up what cannot be had again.
     pub fn spent(&self, ticket: Ticket, attempt: u32) {
-        self.send(Mail::Input(Input::Spent { ticket, attempt }));
+        self.send(Mail::Input(Input::BodyConsumed { ticket, attempt }));
     }
 
     /// Tells what the service table says.
@@ -131,14 +131,14 @@
     pub async fn answer(&mut self) -> FinalAnswer {
         let answer = (&mut self.answered).await;
         self.done = true;
-        answer.unwrap_or(FinalAnswer::Failed { late: false, reply: None })
+        answer.unwrap_or(FinalAnswer::Failed { timed_out: false, reply: None })
     }
 }
 
 impl Drop for Pending {
     fn drop(&mut self) {
         if !self.done {
-            self.decision.send(Mail::Input(Input::Left { ticket: self.ticket }));
+            self.decision.send(Mail::Input(Input::ClientDisconnected { ticket: self.ticket }));
         }
     }
 }
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -166,7 +166,7 @@
         reports: config.deployment.reports,
         idle_reuse: IdleReuse::new(Instant::now()),
     });
-    let limits = Limits { grace: config.deployment.drain_grace, ..Limits::default() };
+    let limits = Limits { drain_grace: config.deployment.drain_grace, ..Limits::default() };
     let dispatch = Dispatch::new(balancer, &config.deployment.settings, &config.name, limits);
     let deciding = Decision::new(dispatch, decision.clone(), table.clone(), routing.clone(), table_known);
     let mut deciding = spawn_local(deciding.run(mails));
--- a/daemon/src/service_table.rs
+++ b/daemon/src/service_table.rs
@@ -200,14 +200,14 @@
                         End::Unreached(why) => break (why, Failure::Unreachable),
                         End::Failed(why) => break (why, Failure::TurnedDown),
                         End::Silent(what) => {
-                            self.clock.fell_silent();
+                            self.clock.silence_timed_out();
                             let behind = self.clock.is_behind(self.now());
                             warn!(discovery = %self.discovery, seq = self.seq, behind, "{what}: asked anew");
                         }
                     },
                 }
             };
-            again = Some(self.clock.failed(self.now(), how));
+            again = Some(self.clock.call_failed(self.now(), how));
             warn!(discovery = %self.discovery, seq = self.seq, "watch broken: {why}");
             self.decision.table(Change { seq: self.seq, kind: ListKind::Failed, entries: Vec::new() });
         }
@@ -226,7 +226,7 @@
     fn moved(&mut self, to: SocketAddr) {
         info!(from = %self.discovery, %to, "discovery has moved");
         (self.discovery, self.seq) = (to, 0);
-        self.clock.moved(self.now());
+        self.clock.discovery_moved(self.now());
     }
 
     /// Watches until the watch ends, and says how it did.
@@ -235,7 +235,7 @@
         let Some(permit) = self.context.budget.take(Side::Discovery) else {
             return End::Unreached("no descriptor left".into());
         };
-        self.clock.called(self.now());
+        self.clock.call_started(self.now());
         let mut connection = match timeout(DIAL, TcpStream::connect(self.discovery)).await {
             Ok(Ok(stream)) => Connection::new(stream, &self.context.pool, permit),
             Ok(Err(e)) => return End::Unreached(e.to_string()),
@@ -247,7 +247,7 @@
             self.seq, self.discovery
         );
         request.push(text.as_bytes());
-        let head = timeout_at(self.instant(self.clock.silent_at()), async {
+        let head = timeout_at(self.instant(self.clock.silence_deadline()), async {
             connection.write(&[&request]).await.map_err(|e| e.to_string())?;
             connection.read_head().await.map_err(|fault| fault.to_string())
         });
@@ -268,7 +268,7 @@
             (ChunkedDecoder::new(), self.context.pool.chain(), Values::default());
         loop {
             let read = connection.read_chunks(&mut chunks, &mut came, MAX_VALUE);
-            let ended = match timeout_at(self.instant(self.clock.silent_at()), read).await {
+            let ended = match timeout_at(self.instant(self.clock.silence_deadline()), read).await {
                 Ok(Ok(ended)) => ended,
                 Ok(Err(fault)) => return fault.to_string().into(),
                 Err(_) if values.is_amid() => return End::Silent("half a list, then silence".into()),
@@ -279,7 +279,7 @@
             match values.take(&text) {
                 Ok(listings) => {
                     for listing in listings {
-                        self.clock.told(self.now());
+                        self.clock.list_received(self.now());
                         self.changed(listing);
                     }
                 }
@@ -287,7 +287,7 @@
             }
             // Half a value is no sign of life: what it would tell is still owed.
             if !values.is_amid() {
-                self.clock.beats(self.now());
+                self.clock.heartbeat_received(self.now());
             }
             if ended {
                 return "discovery ended it".into();
--- a/daemon/src/terminal.rs
+++ b/daemon/src/terminal.rs
@@ -290,8 +290,8 @@
             Some((Outgoing::passed_on(pool, &request.head, reply), whole))
         }
         FinalAnswer::Refused { pause } => plain(503, Some(pause), "short on capacity"),
-        FinalAnswer::Known => plain(409, None, "a request with this X-Correlation-Id is open"),
-        FinalAnswer::Failed { late: true, .. } => plain(504, None, "no answer in time"),
+        FinalAnswer::DuplicateId => plain(409, None, "a request with this X-Correlation-Id is open"),
+        FinalAnswer::Failed { timed_out: true, .. } => plain(504, None, "no answer in time"),
         FinalAnswer::Failed { .. } => plain(500, None, "failed"),
     }
 }
@@ -300,9 +300,9 @@
 /// here: an app server would turn it down too, and seem to fail.
 fn transaction(request: http::Request, context: &Context) -> Result<Transaction, (u16, &'static str)> {
     let arrived = context.clock.now();
-    let (head, deployment, whole) = (&request.head, &context.deployment, request.rest.is_none());
+    let (head, deployment, upload_complete) = (&request.head, &context.deployment, request.rest.is_none());
     let ids: Vec<_> = head.get_all("x-correlation-id").collect();
-    let own = match ids[..] {
+    let client_request_id = match ids[..] {
         [id] if !id.is_empty() => Arc::from(id),
         _ => return Err((400, "X-Correlation-Id must be given once")),
     };
@@ -314,7 +314,7 @@
     let class = class.ok_or((400, "unknown service class"))?;
     let safe = deployment.settings.classes[class].effect == Effect::Safe;
     match head.method() {
-        "GET" if safe && request.body.is_empty() && whole => {}
+        "GET" if safe && request.body.is_empty() && upload_complete => {}
         "GET" if safe => return Err((400, "a GET with a body")),
         "POST" if !safe => {}
         _ => return Err((405, "not this class's method")),
@@ -343,7 +343,18 @@
     let hint = head.get("x-weight-hint").and_then(|text| text.trim().parse().ok());
     let hint = hint.filter(|work: &f64| work.is_finite() && *work >= 1.0).map(|work| work as Micros);
     let message = Rc::new(Message::Http(request));
-    Ok(Transaction { own, class, tenant, key, once, hint, arrived, time_left, whole, message })
+    Ok(Transaction {
+        client_request_id,
+        class,
+        tenant,
+        key,
+        once,
+        hint,
+        arrived,
+        time_left,
+        upload_complete,
+        message,
+    })
 }
 
 /// The cookie `user` of a cookie header.
--- a/daemon/tests/fleet/book.rs
+++ b/daemon/tests/fleet/book.rs
@@ -3,7 +3,7 @@
 
 use std::path::PathBuf;
 
-use gradepaddle_book::frame::{Key, Seal, Session};
+use gradepaddle_book::frame::{ClusterKeys, Key, Session};
 use gradepaddle_standins::council::{Council, SERVER};
 use gradepaddle_standins::on_one_thread;
 use serde_json::Value;
@@ -252,17 +252,17 @@
         let council = council(4, 3).await;
         let seal = |cluster: &str, byte| {
             let keys = vec![Key { id: 1, secret: [byte; 32] }];
-            Seal { cluster: cluster.into(), keys }
+            ClusterKeys { cluster: cluster.into(), keys }
         };
         let framed = |bytes: Vec<u8>| {
             let length = u32::try_from(bytes.len()).expect("a short frame").to_be_bytes();
             [&length[..], &bytes].concat()
         };
-        let greets = |seal| framed(Session::new(seal, "b1", 7).greet().expect("a frame"));
+        let greets = |seal| framed(Session::new(seal, "b1", 7).handshake().expect("a frame"));
         // One that has the key, and plays again what was said on another connection.
         let mut first = Session::new(seal("rig", 0x5a), "b3", 7);
-        let greeting = framed(first.greet().expect("a frame"));
-        let again = [&greeting[..], &framed(first.pack(&3u8).expect("a frame"))].concat();
+        let greeting = framed(first.handshake().expect("a frame"));
+        let again = [&greeting[..], &framed(first.encode(&3u8).expect("a frame"))].concat();
         let strangers = [
             b"GET / HTTP/1.1\r\n\r\n".to_vec(),
             vec![0xff; 64],
--- a/dispatch/benches/dispatch.rs
+++ b/dispatch/benches/dispatch.rs
@@ -47,7 +47,7 @@
             started: None,
         };
         let servers = (0..10).map(server).collect();
-        bench.dispatch.handle(1, Input::List { kind: ListKind::Full, servers }, &mut bench.out);
+        bench.dispatch.handle(1, Input::ServerList { kind: ListKind::Full, servers }, &mut bench.out);
         // The decisions hold a class back that has much more out than was ever answered.
         (0..2_000).for_each(|_| bench.whole());
         bench
@@ -57,7 +57,7 @@
         self.now += 50;
         self.ticket += 1;
         let transaction = Transaction {
-            own: self.ticket.to_be_bytes()[..].into(),
+            client_request_id: self.ticket.to_be_bytes()[..].into(),
             class: 0,
             tenant: None,
             key: Some(format!("key{}", self.ticket % 500)),
@@ -65,11 +65,11 @@
             once: false,
             arrived: self.now,
             time_left: 24 * HOUR,
-            whole: true,
+            upload_complete: true,
             message: self.ticket,
         };
         self.out.clear();
-        self.dispatch.handle(self.now, Input::Taken { ticket: self.ticket, transaction }, &mut self.out);
+        self.dispatch.handle(self.now, Input::Accepted { ticket: self.ticket, transaction }, &mut self.out);
         assert!(self.out.iter().any(|output| matches!(output, Output::Start { .. })), "it is sent");
         self.ticket
     }
@@ -86,7 +86,7 @@
         self.now += 50;
         self.out.clear();
         let (extent, cause, reply) = (Extent::Whole, Cause::Served, Some(ticket));
-        let ended = Input::Ended { ticket, attempt: 0, extent, cause, reply, report: None };
+        let ended = Input::AttemptEnded { ticket, attempt: 0, extent, cause, reply, report: None };
         self.dispatch.handle(self.now, ended, &mut self.out);
         black_box(&self.out);
     }
--- a/dispatch/src/dispatch.rs
+++ b/dispatch/src/dispatch.rs
@@ -13,24 +13,29 @@
 use crate::fleet::Fleet;
 use crate::guard::{Defect, Defects, Guard, Rulebook, Rules};
 use crate::io::{FinalAnswer, Input, Output, Ticket, Transaction};
-use crate::transaction::{Open, View};
+use crate::transaction::{Open, TransactionView};
 
 /// Spans that hold for a whole installation. All in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Limits {
     /// So long after it was told that an app server drains or is gone, nothing new may be sent to it.
-    pub grace: Micros,
+    pub drain_grace: Micros,
     /// So long past its deadline a transaction may stay unanswered before it fails by itself.
-    pub backstop: Micros,
+    pub answer_overrun: Micros,
     /// So long past its deadline an answered transaction waits for the ends of its attempts.
-    pub reap: Micros,
+    pub attempt_end_overrun: Micros,
     /// An app server that has left the table is forgotten after this.
-    pub forget: Micros,
+    pub server_retention: Micros,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { grace: 1_000_000, backstop: 10_000, reap: 5_000_000, forget: 120_000_000 }
+        Limits {
+            drain_grace: 1_000_000,
+            answer_overrun: 10_000,
+            attempt_end_overrun: 5_000_000,
+            server_retention: 120_000_000,
+        }
     }
 }
 
@@ -60,7 +65,7 @@
     fleet: Fleet,
     open: BTreeMap<Ticket, Open<M, R>>,
     /// The clients' ids of those that are open.
-    own: BTreeSet<Arc<[u8]>>,
+    client_request_ids: BTreeSet<Arc<[u8]>>,
     /// When the chooser wants to be woken.
     wakes: BTreeSet<Micros>,
     /// When each open transaction is to be looked at, whatever the chooser does.
@@ -75,13 +80,13 @@
 impl<C: Chooser, M: Clone, R> Dispatch<C, M, R> {
     /// Nothing open, no app server known. `name` is this balancer's and goes into the transactions' ids.
     pub fn new(chooser: C, settings: &Settings, name: &str, limits: Limits) -> Self {
-        Dispatch::guarded(chooser, Rules, settings, name, limits)
+        Dispatch::with_guard(chooser, Rules, settings, name, limits)
     }
 }
 
 impl<C: Chooser, M: Clone, R, G: Guard> Dispatch<C, M, R, G> {
     /// The same with another guard, for the exhaustive check.
-    pub fn guarded(chooser: C, guard: G, settings: &Settings, name: &str, limits: Limits) -> Self {
+    pub fn with_guard(chooser: C, guard: G, settings: &Settings, name: &str, limits: Limits) -> Self {
         Dispatch {
             chooser,
             guard,
@@ -90,7 +95,7 @@
             name: name.into(),
             fleet: Fleet::new(settings.only_draining_binds),
             open: BTreeMap::new(),
-            own: BTreeSet::new(),
+            client_request_ids: BTreeSet::new(),
             wakes: BTreeSet::new(),
             dues: BTreeSet::new(),
             probes: BTreeMap::new(),
@@ -103,16 +108,16 @@
     pub fn handle(&mut self, now: Micros, input: Input<M, R>, out: &mut Vec<Output<M, R>>) {
         let mut echoes = VecDeque::new();
         match input {
-            Input::Taken { ticket, transaction } => self.taken(now, ticket, transaction, &mut echoes, out),
-            Input::Left { ticket } => {
-                if let Some(open) = self.open.get_mut(&ticket).filter(|open| open.owed) {
-                    open.owed = false;
+            Input::Accepted { ticket, transaction } => self.taken(now, ticket, transaction, &mut echoes, out),
+            Input::ClientDisconnected { ticket } => {
+                if let Some(open) = self.open.get_mut(&ticket).filter(|open| open.answer_pending) {
+                    open.answer_pending = false;
                     self.told_left(now, ticket, &mut echoes, out);
                     self.hold(ticket, out);
                 }
             }
             Input::Uploaded { ticket } => self.uploaded(now, ticket),
-            Input::Spent { ticket, attempt } => {
+            Input::BodyConsumed { ticket, attempt } => {
                 if let Some(open) = self.open.get_mut(&ticket).filter(|open| open.spent.is_none()) {
                     open.spent = Some(attempt);
                     let id = open.id.clone();
@@ -125,10 +130,10 @@
                     of.extent = of.extent.max(extent);
                 }
             }
-            Input::Ended { ticket, attempt, extent, cause, reply, report } => {
+            Input::AttemptEnded { ticket, attempt, extent, cause, reply, report } => {
                 self.ended(now, ticket, attempt, extent, cause, (reply, report), &mut echoes, out);
             }
-            Input::Probed { server, cause, report } => {
+            Input::ProbeEnded { server, cause, report } => {
                 // Told twice, or of none that was sent: it says nothing.
                 if let Some(since) = self.probes.remove(&server) {
                     let took = now.saturating_sub(since);
@@ -136,7 +141,7 @@
                     self.decide(now, event, &mut echoes, out);
                 }
             }
-            Input::List { kind, servers } => self.list(now, kind, servers, &mut echoes, out),
+            Input::ServerList { kind, servers } => self.list(now, kind, servers, &mut echoes, out),
             Input::Ban { server, since } => self.ban(now, server, since, &mut echoes, out),
             Input::Tick => self.tick(now, &mut echoes, out),
         }
@@ -146,7 +151,7 @@
                 Echo::Left { ticket } => self.told_left(now, ticket, &mut echoes, out),
                 Echo::Moot { ticket, attempt } => {
                     let Some(open) = self.open.get(&ticket) else { continue };
-                    let (id, closed) = (open.id.clone(), !open.owed);
+                    let (id, closed) = (open.id.clone(), !open.answer_pending);
                     let (outcome, took) = (Outcome::Moot, 0);
                     let ended = Ended { request: &id, attempt, outcome, took, closed, report: None };
                     self.decide(now, Event::Ended(ended), &mut echoes, out);
@@ -162,12 +167,12 @@
     }
 
     /// When the next [`Input::Tick`] is due, if nothing else comes first.
-    pub fn due(&self) -> Option<Micros> {
+    pub fn next_tick_at(&self) -> Option<Micros> {
         let due = self.dues.first().map(|(at, _)| *at);
         self.wakes.first().copied().into_iter().chain(due).min()
     }
 
-    /// How many transactions are open: unanswered, or with an attempt out.
+    /// How many transactions are open: not answered yet, or with an attempt in flight.
     pub fn len(&self) -> usize {
         self.open.len()
     }
@@ -178,7 +183,7 @@
     }
 
     /// The open transactions, in the order of their tickets.
-    pub fn views(&self) -> impl Iterator<Item = View<'_>> {
+    pub fn views(&self) -> impl Iterator<Item = TransactionView<'_>> {
         self.open.iter().map(|(ticket, open)| open.view(*ticket))
     }
 
@@ -220,30 +225,40 @@
         echoes: &mut VecDeque<Echo>,
         out: &mut Vec<Output<M, R>>,
     ) {
-        let Transaction { own, class, tenant, key, once, hint, arrived, time_left, whole, message } =
-            transaction;
-        if !self.own.insert(own.clone()) {
+        let Transaction {
+            client_request_id,
+            class,
+            tenant,
+            key,
+            once,
+            hint,
+            arrived,
+            time_left,
+            upload_complete,
+            message,
+        } = transaction;
+        if !self.client_request_ids.insert(client_request_id.clone()) {
             // App servers know requests by their clients' ids: two at once could get each other's answers,
             // and the second would look like a copy of the first.
-            out.push(Output::Answer { ticket, answer: FinalAnswer::Known });
+            out.push(Output::Answer { ticket, answer: FinalAnswer::DuplicateId });
             return;
         }
         let id: Id = format!("{}-{ticket}", self.name).into();
-        let ends = if whole { arrived.saturating_add(time_left) } else { Micros::MAX };
-        let due = ends.saturating_add(self.limits.backstop);
+        let deadline = if upload_complete { arrived.saturating_add(time_left) } else { Micros::MAX };
+        let due = deadline.saturating_add(self.limits.answer_overrun);
         let open = Open {
             id: id.clone(),
-            own,
+            client_request_id,
             class,
             once,
             message,
-            ends,
+            deadline,
             time_left,
-            whole: whole.then_some(arrived),
+            uploaded_at: upload_complete.then_some(arrived),
             spent: None,
-            owed: true,
+            answer_pending: true,
             attempts: Vec::new(),
-            late: false,
+            last_timed_out: false,
             reply: None,
             due,
         };
@@ -259,11 +274,11 @@
 
     /// The client's time begins, and with it the deadline.
     fn uploaded(&mut self, now: Micros, ticket: Ticket) {
-        let Some(open) = self.open.get_mut(&ticket).filter(|open| open.whole.is_none()) else { return };
+        let Some(open) = self.open.get_mut(&ticket).filter(|open| open.uploaded_at.is_none()) else { return };
         self.dues.remove(&(open.due, ticket));
-        open.whole = Some(now);
-        open.ends = now.saturating_add(open.time_left);
-        open.due = open.ends.saturating_add(self.limits.backstop);
+        open.uploaded_at = Some(now);
+        open.deadline = now.saturating_add(open.time_left);
+        open.due = open.deadline.saturating_add(self.limits.answer_overrun);
         self.dues.insert((open.due, ticket));
     }
 
@@ -279,7 +294,7 @@
         echoes: &mut VecDeque<Echo>,
         out: &mut Vec<Output<M, R>>,
     ) {
-        let forbids = self.guard.forbids(Defect::SecondAnswer);
+        let forbids = self.guard.enforces(Defect::SecondAnswer);
         // Told of a transaction that is forgotten, or twice: it changes nothing.
         let Some(open) = self.open.get_mut(&ticket) else { return };
         let Some(of) = open.attempts.get_mut(attempt as usize).filter(|of| of.is_out()) else { return };
@@ -292,18 +307,18 @@
         };
         of.outcome = Some(outcome);
         // How fast its client sends says nothing about an app server.
-        let took = now.saturating_sub(of.sent.max(open.whole.unwrap_or(now)));
-        open.late = outcome == Outcome::TimedOut;
+        let took = now.saturating_sub(of.sent.max(open.uploaded_at.unwrap_or(now)));
+        open.last_timed_out = outcome == Outcome::TimedOut;
         match (outcome, reply) {
             (Outcome::Ok, Some(reply)) => {
-                if open.owed || !forbids {
-                    open.owed = false;
+                if open.answer_pending || !forbids {
+                    open.answer_pending = false;
                     out.push(Output::Answer { ticket, answer: FinalAnswer::Served(reply) });
                 }
             }
             (_, reply) => open.reply = reply,
         }
-        let (id, closed) = (open.id.clone(), !open.owed);
+        let (id, closed) = (open.id.clone(), !open.answer_pending);
         let ended = Ended { request: &id, attempt, outcome, took, closed, report };
         self.decide(now, Event::Ended(ended), echoes, out);
         self.settle(ticket);
@@ -317,10 +332,10 @@
         echoes: &mut VecDeque<Echo>,
         out: &mut Vec<Output<M, R>>,
     ) {
-        let changes = self.fleet.take(now, kind, &servers, self.limits.forget);
+        let changes = self.fleet.take(now, kind, &servers, self.limits.server_retention);
         // Before the chooser is asked, so that what is not yet on its way to a closed one stays here.
         for (server, open) in changes.standing {
-            out.push(Output::Standing { server, open });
+            out.push(Output::Availability { server, open });
         }
         // To the chooser a banned one drains, as long as the ban lasts.
         for server in servers.iter_mut().filter(|server| server.state == State::Ready) {
@@ -331,7 +346,7 @@
         self.decide(now, Event::List { kind, servers }, echoes, out);
         for server in changes.forgotten {
             self.probes.remove(&server);
-            out.push(Output::Forgotten { server });
+            out.push(Output::ServerRemoved { server });
         }
     }
 
@@ -349,7 +364,7 @@
             None => self.fleet.lift(now, &server),
         };
         let Some(told) = told else { return };
-        out.push(Output::Standing { server, open: since.is_none() });
+        out.push(Output::Availability { server, open: since.is_none() });
         let (kind, servers) = (ListKind::Delta, vec![told]);
         self.decide(now, Event::List { kind, servers }, echoes, out);
     }
@@ -381,8 +396,8 @@
         out: &mut Vec<Output<M, R>>,
     ) {
         let Some(open) = self.open.get_mut(&ticket) else { return };
-        if open.owed {
-            if self.guard.has_backstop() {
+        if open.answer_pending {
+            if self.guard.fails_overdue() {
                 // The chooser has no deadline for what streams: that one is kept here.
                 if open.spent.is_none() {
                     let id = open.id.clone();
@@ -393,12 +408,12 @@
             }
             // What is still out then has until the next look.
             if let Some(open) = self.open.get_mut(&ticket) {
-                open.due = now.saturating_add(self.limits.reap);
+                open.due = now.saturating_add(self.limits.attempt_end_overrun);
                 self.dues.insert((open.due, ticket));
             }
             return;
         }
-        let until = open.ends.saturating_add(self.limits.reap);
+        let until = open.deadline.saturating_add(self.limits.attempt_end_overrun);
         if now < until {
             open.due = until;
             self.dues.insert((until, ticket));
@@ -440,22 +455,22 @@
 
     /// Of a client that has gone nothing new begins, whatever the chooser may or may not withdraw.
     fn hold(&mut self, ticket: Ticket, out: &mut Vec<Output<M, R>>) {
-        let Some(open) = self.open.get(&ticket).filter(|_| self.guard.holds()) else { return };
+        let Some(open) = self.open.get(&ticket).filter(|_| self.guard.cancels_unstarted()) else { return };
         for (at, attempt) in open.attempts.iter().enumerate() {
             if attempt.is_out() && !attempt.withdrawn && attempt.extent == Extent::Nothing {
-                out.push(Output::Hold { ticket, attempt: at as u32 });
+                out.push(Output::CancelUnstarted { ticket, attempt: at as u32 });
             }
         }
     }
 
     /// Forgets a transaction that is answered and has no attempt out.
     fn settle(&mut self, ticket: Ticket) {
-        if self.guard.forgets()
+        if self.guard.removes_finished()
             && self.open.get(&ticket).is_some_and(Open::is_done)
             && let Some(open) = self.open.remove(&ticket)
         {
             self.dues.remove(&(open.due, ticket));
-            self.own.remove(&open.own);
+            self.client_request_ids.remove(&open.client_request_id);
         }
     }
 
@@ -492,7 +507,7 @@
                 self.wakes.insert(at);
             }
             Action::DropIdle { server } => out.push(Output::DropIdle { server }),
-            Action::Subscribe => out.push(Output::Watch),
+            Action::Subscribe => out.push(Output::WatchServerList),
             Action::Log { text } => out.push(Output::Log { text }),
             Action::Probe { server } => self.probe(now, server, echoes, out),
         }
@@ -517,7 +532,7 @@
         let place = self.fleet.place(&server);
         let known = self.fleet.standing(&server).zip(place);
         let attempt = open.attempts.len() as u32;
-        let defect = self.rulebook.send(now, open, known).filter(|defect| self.guard.forbids(*defect));
+        let defect = self.rulebook.send(now, open, known).filter(|defect| self.guard.enforces(*defect));
         open.attempts.push(Attempt {
             server: server.clone(),
             place: place.unwrap_or_default(),
@@ -529,7 +544,7 @@
         });
         let Some(defect) = defect else {
             // Nothing is waited for once the client has given up.
-            let (message, until) = (open.message.clone(), until.min(open.ends));
+            let (message, until) = (open.message.clone(), until.min(open.deadline));
             out.push(Output::Start { ticket, attempt, server, message, until });
             return;
         };
@@ -544,9 +559,10 @@
     /// One probe at a time goes to an app server. One whose end the shell never tells counts for as long as an
     /// attempt would.
     fn probe(&mut self, now: Micros, server: Id, echoes: &mut VecDeque<Echo>, out: &mut Vec<Output<M, R>>) {
-        let out_now = self.probes.get(&server).is_some_and(|since| now < since + self.limits.reap);
+        let out_now =
+            self.probes.get(&server).is_some_and(|since| now < since + self.limits.attempt_end_overrun);
         let defect = self.rulebook.probe(self.fleet.standing(&server));
-        let defect = defect.filter(|defect| self.guard.forbids(*defect));
+        let defect = defect.filter(|defect| self.guard.enforces(*defect));
         if let Some(defect) = defect {
             self.found(defect, server.clone(), out);
         }
@@ -567,13 +583,13 @@
     ) {
         let Some(ticket) = self.owed(&request, out) else { return };
         let lies = self.open.get(&ticket).is_some_and(|open| self.rulebook.refusal_lies(open));
-        if lies && self.guard.forbids(Defect::RefusedAfterRun) {
+        if lies && self.guard.enforces(Defect::RefusedAfterRun) {
             self.found(Defect::RefusedAfterRun, request, out);
             self.end_safely(ticket, echoes, out);
             return;
         }
         if let Some(open) = self.open.get_mut(&ticket) {
-            open.owed = false;
+            open.answer_pending = false;
         }
         out.push(Output::Answer { ticket, answer: FinalAnswer::Refused { pause } });
         self.settle(ticket);
@@ -581,16 +597,17 @@
 
     fn give_up(&mut self, request: Id, out: &mut Vec<Output<M, R>>) {
         let Some(ticket) = self.owed(&request, out) else { return };
-        let late = self.open.get(&ticket).is_some_and(Open::is_late);
-        self.fail(ticket, late, out);
+        let timed_out = self.open.get(&ticket).is_some_and(Open::is_timed_out);
+        self.fail(ticket, timed_out, out);
         self.settle(ticket);
     }
 
     /// The ticket of a transaction that may be answered.
     fn owed(&mut self, request: &Id, out: &mut Vec<Output<M, R>>) -> Option<Ticket> {
         let ticket = self.ticket(request);
-        let owed = ticket.is_some_and(|ticket| self.open.get(&ticket).is_some_and(|open| open.owed));
-        if !owed && self.guard.forbids(Defect::SecondAnswer) {
+        let owed =
+            ticket.is_some_and(|ticket| self.open.get(&ticket).is_some_and(|open| open.answer_pending));
+        if !owed && self.guard.enforces(Defect::SecondAnswer) {
             self.found(Defect::SecondAnswer, request.clone(), out);
             return None;
         }
@@ -598,18 +615,18 @@
     }
 
     /// Answers with a failure that claims nothing.
-    fn fail(&mut self, ticket: Ticket, late: bool, out: &mut Vec<Output<M, R>>) {
+    fn fail(&mut self, ticket: Ticket, timed_out: bool, out: &mut Vec<Output<M, R>>) {
         let mut reply = None;
         if let Some(open) = self.open.get_mut(&ticket) {
-            open.owed = false;
-            reply = open.reply.take().filter(|_| !late);
+            open.answer_pending = false;
+            reply = open.reply.take().filter(|_| !timed_out);
         }
-        out.push(Output::Answer { ticket, answer: FinalAnswer::Failed { late, reply } });
+        out.push(Output::Answer { ticket, answer: FinalAnswer::Failed { timed_out, reply } });
     }
 
     /// Ends a transaction that the chooser was about to break a rule with.
     fn end_safely(&mut self, ticket: Ticket, echoes: &mut VecDeque<Echo>, out: &mut Vec<Output<M, R>>) {
-        let Some(open) = self.open.get_mut(&ticket).filter(|open| open.owed) else { return };
+        let Some(open) = self.open.get_mut(&ticket).filter(|open| open.answer_pending) else { return };
         if self.rulebook.cancel {
             for (at, attempt) in open.attempts.iter_mut().enumerate() {
                 if attempt.is_out() && !attempt.withdrawn {
@@ -636,7 +653,7 @@
         self.chooser == other.chooser
             && self.fleet == other.fleet
             && self.open == other.open
-            && self.own == other.own
+            && self.client_request_ids == other.client_request_ids
             && self.wakes == other.wakes
             && self.dues == other.dues
             && self.probes == other.probes
@@ -650,7 +667,7 @@
         self.chooser.hash(state);
         self.fleet.hash(state);
         self.open.hash(state);
-        self.own.hash(state);
+        self.client_request_ids.hash(state);
         self.wakes.hash(state);
         self.dues.hash(state);
         self.probes.hash(state);
--- a/dispatch/src/fleet.rs
+++ b/dispatch/src/fleet.rs
@@ -92,7 +92,7 @@
     }
 
     /// How many may be sent to. Looks at each.
-    pub fn open(&self) -> usize {
+    pub fn open_count(&self) -> usize {
         self.entries.iter().filter(|(id, entry)| self.judge(id, entry) == Standing::Open).count()
     }
 
@@ -160,13 +160,13 @@
         Some(entry.server(id, state, Some(started)))
     }
 
-    /// Takes in a list. One that has been gone for `forget` is forgotten.
+    /// Takes in a list. One that has been gone for `server_retention` is forgotten.
     pub(crate) fn take(
         &mut self,
         now: Micros,
         kind: ListKind,
         servers: &[Server],
-        forget: Micros,
+        server_retention: Micros,
     ) -> Changes {
         let mut changes = Changes::default();
         if kind == ListKind::Failed {
@@ -203,7 +203,7 @@
             }
         }
         while let Some((at, _)) = self.leaving.first()
-            && now > at.saturating_add(forget)
+            && now > at.saturating_add(server_retention)
         {
             let Some((_, id)) = self.leaving.pop_first() else { break };
             self.entries.remove(&id);
--- a/dispatch/src/guard.rs
+++ b/dispatch/src/guard.rs
@@ -24,11 +24,11 @@
     /// A send to an app server that the service table does not name.
     SentToUnknown,
     /// A send to an app server that is not open to the class.
-    Misplaced,
+    SentOutsideClass,
     /// A send for a transaction that has its final answer.
     SentAfterAnswer,
     /// A send of what an earlier attempt has used up.
-    SentSpent,
+    SentAfterBodyConsumed,
     /// A refusal of a transaction that may have run, where that is not harmless.
     RefusedAfterRun,
     /// A final answer to a transaction that has one, or that nobody waits for.
@@ -38,7 +38,7 @@
     /// An attempt whose end was not told long after its time.
     NeverEnded,
     /// A probe of an app server that may be sent nothing, or where the settings allow none.
-    Unprobeable,
+    ProbeNotAllowed,
 }
 
 impl Defect {
@@ -49,14 +49,14 @@
         Defect::TooManyAttempts,
         Defect::SentToClosed,
         Defect::SentToUnknown,
-        Defect::Misplaced,
+        Defect::SentOutsideClass,
         Defect::SentAfterAnswer,
-        Defect::SentSpent,
+        Defect::SentAfterBodyConsumed,
         Defect::RefusedAfterRun,
         Defect::SecondAnswer,
         Defect::Unanswered,
         Defect::NeverEnded,
-        Defect::Unprobeable,
+        Defect::ProbeNotAllowed,
     ];
 }
 
@@ -68,14 +68,14 @@
             Defect::TooManyAttempts => "more attempts than are allowed",
             Defect::SentToClosed => "a send to an app server that drains or is gone",
             Defect::SentToUnknown => "a send to an app server that is not in the table",
-            Defect::Misplaced => "a send to an app server that is not open to the class",
+            Defect::SentOutsideClass => "a send to an app server that is not open to the class",
             Defect::SentAfterAnswer => "a send after the final answer",
-            Defect::SentSpent => "a send of what is kept no more",
+            Defect::SentAfterBodyConsumed => "a send of what is kept no more",
             Defect::RefusedAfterRun => "a refusal of what may have run",
             Defect::SecondAnswer => "a second final answer",
             Defect::Unanswered => "no final answer by the deadline",
             Defect::NeverEnded => "an attempt that never ended",
-            Defect::Unprobeable => "a probe where none may be sent",
+            Defect::ProbeNotAllowed => "a probe where none may be sent",
         })
     }
 }
@@ -106,7 +106,7 @@
 /// against. [`Rules`] is the only one for service and overrides nothing.
 pub trait Guard {
     /// Is this kept from being carried out?
-    fn forbids(&self, _defect: Defect) -> bool {
+    fn enforces(&self, _defect: Defect) -> bool {
         true
     }
 
@@ -116,17 +116,17 @@
     }
 
     /// Is a transaction forgotten once it is answered and its last attempt has ended?
-    fn forgets(&self) -> bool {
+    fn removes_finished(&self) -> bool {
         true
     }
 
     /// Is what was not begun held back once its client has gone?
-    fn holds(&self) -> bool {
+    fn cancels_unstarted(&self) -> bool {
         true
     }
 
     /// Does a transaction that the decisions forget fail by itself past its deadline?
-    fn has_backstop(&self) -> bool {
+    fn fails_overdue(&self) -> bool {
         true
     }
 }
@@ -157,7 +157,7 @@
             second_copies: settings.second_copies,
             cancel: settings.cancel,
             probes: settings.probes,
-            grace: limits.grace,
+            grace: limits.drain_grace,
         }
     }
 
@@ -168,23 +168,23 @@
         open: &Open<M, R>,
         server: Option<(Standing, Place)>,
     ) -> Option<Defect> {
-        if !open.owed {
+        if !open.answer_pending {
             return Some(Defect::SentAfterAnswer);
         }
         if open.attempts.len() >= self.max_attempts {
             return Some(Defect::TooManyAttempts);
         }
         if open.spent.is_some() {
-            return Some(Defect::SentSpent);
+            return Some(Defect::SentAfterBodyConsumed);
         }
         let Some((standing, place)) = server else { return Some(Defect::SentToUnknown) };
         if standing.closed().is_some_and(|at| now > at.saturating_add(self.grace)) {
             return Some(Defect::SentToClosed);
         }
         // A class that is not in the settings has nothing that it may do.
-        let Some(class) = self.classes.get(open.class) else { return Some(Defect::Misplaced) };
+        let Some(class) = self.classes.get(open.class) else { return Some(Defect::SentOutsideClass) };
         if !class.open_to(place.zone, place.kind) {
-            return Some(Defect::Misplaced);
+            return Some(Defect::SentOutsideClass);
         }
         if let Some(first) = open.attempts.iter().find(|attempt| attempt.may_have_run()) {
             let allowed = match effect(class, open) {
@@ -208,7 +208,7 @@
     /// The rule that a probe of this app server would break, if any. Unlike an attempt it has no grace: nobody
     /// waits for it.
     pub fn probe(&self, standing: Option<Standing>) -> Option<Defect> {
-        (!self.probes || standing != Some(Standing::Open)).then_some(Defect::Unprobeable)
+        (!self.probes || standing != Some(Standing::Open)).then_some(Defect::ProbeNotAllowed)
     }
 
     /// True if a refusal would promise what is not known.
--- a/dispatch/src/io.rs
+++ b/dispatch/src/io.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Transaction<M> {
     /// The client's own id for it.
-    pub own: Arc<[u8]>,
+    pub client_request_id: Arc<[u8]>,
     /// Position of its class in the settings.
     pub class: usize,
     /// Position of its tenant in the settings.
@@ -31,7 +31,7 @@
     /// How long the client waits from its last byte on.
     pub time_left: Micros,
     /// Its last byte has come; else [`Input::Uploaded`] tells of that.
-    pub whole: bool,
+    pub upload_complete: bool,
     /// What goes to the app server; cloned for each attempt.
     pub message: M,
 }
@@ -47,11 +47,11 @@
         pause: Micros,
     },
     /// Turned down: a transaction with the same id of its client's is open.
-    Known,
+    DuplicateId,
     /// Failed, and nothing is said about what has happened.
     Failed {
         /// No app server answered in time.
-        late: bool,
+        timed_out: bool,
         /// The last app server's own words, if it said any that may be passed on.
         reply: Option<R>,
     },
@@ -63,7 +63,7 @@
         match self {
             FinalAnswer::Served(_) => "served",
             FinalAnswer::Refused { .. } => "refused",
-            FinalAnswer::Known => "known",
+            FinalAnswer::DuplicateId => "known",
             FinalAnswer::Failed { .. } => "failed",
         }
     }
@@ -73,14 +73,14 @@
 #[derive(Clone, Debug)]
 pub enum Input<M, R> {
     /// A transaction has been taken. From here on it is owed one final answer.
-    Taken {
+    Accepted {
         /// Its name, never used before.
         ticket: Ticket,
         /// What it is.
         transaction: Transaction<M>,
     },
     /// The client has left; nothing is owed to it any more. Says nothing new after the final answer.
-    Left {
+    ClientDisconnected {
         /// The transaction.
         ticket: Ticket,
     },
@@ -90,7 +90,7 @@
         ticket: Ticket,
     },
     /// What this attempt passes on is kept no more, so no other attempt can be made.
-    Spent {
+    BodyConsumed {
         /// The transaction.
         ticket: Ticket,
         /// The attempt, counted from 0.
@@ -106,7 +106,7 @@
         extent: Extent,
     },
     /// An attempt has ended. Each one that was started is to end exactly once.
-    Ended {
+    AttemptEnded {
         /// The transaction.
         ticket: Ticket,
         /// The attempt, counted from 0.
@@ -121,7 +121,7 @@
         report: Option<LoadReport>,
     },
     /// A probe has ended. Each one that was started is to end exactly once.
-    Probed {
+    ProbeEnded {
         /// The app server.
         server: Id,
         /// What ended it; [`Cause::Denied`] if the app server has nothing to be probed at.
@@ -130,7 +130,7 @@
         report: Option<LoadReport>,
     },
     /// The service table, or changes of it.
-    List {
+    ServerList {
         /// What the entries stand for.
         kind: ListKind,
         /// The entries.
@@ -172,7 +172,7 @@
     },
     /// Do not begin this attempt: its client has gone. One of which a byte is written goes on; the other ends as if it
     /// were withdrawn, also where running attempts may not be.
-    Hold {
+    CancelUnstarted {
         /// The transaction.
         ticket: Ticket,
         /// The attempt, counted from 0.
@@ -187,14 +187,14 @@
     },
     /// From now on an app server may, or may not, be sent anything new. An attempt whose first byte has
     /// not been written by then ends with [`Cause::Closed`]. New app servers come with one of these.
-    Standing {
+    Availability {
         /// The app server.
         server: Id,
         /// May it be sent anything new?
         open: bool,
     },
     /// The app server left the service table long ago: nothing names it any more.
-    Forgotten {
+    ServerRemoved {
         /// The app server.
         server: Id,
     },
@@ -204,7 +204,7 @@
         server: Id,
     },
     /// Watch the service table's source.
-    Watch,
+    WatchServerList,
     /// Probe an app server. One is out at each at most.
     Probe {
         /// The app server.
--- a/dispatch/src/lib.rs
+++ b/dispatch/src/lib.rs
@@ -19,16 +19,16 @@
 //! let server = Server {
 //!     id: "a".into(), zone: 0, kind: 0, cell: 0, state: State::Ready, weight: 1.0, started: None,
 //! };
-//! dispatch.handle(0, Input::List { kind: ListKind::Full, servers: vec![server] }, &mut out);
+//! dispatch.handle(0, Input::ServerList { kind: ListKind::Full, servers: vec![server] }, &mut out);
 //! let transaction = Transaction {
-//!     own: (*b"c1").into(), class: 0, tenant: None, key: None, once: false, hint: None, arrived: 10, time_left: 500_000, whole: true,
+//!     client_request_id: (*b"c1").into(), class: 0, tenant: None, key: None, once: false, hint: None, arrived: 10, time_left: 500_000, upload_complete: true,
 //!     message: "GET /",
 //! };
 //! out.clear();
-//! dispatch.handle(10, Input::Taken { ticket: 1, transaction }, &mut out);
+//! dispatch.handle(10, Input::Accepted { ticket: 1, transaction }, &mut out);
 //! assert!(out.iter().any(|o| matches!(o, Output::Start { ticket: 1, attempt: 0, message: "GET /", .. })));
 //! out.clear();
-//! let ended = Input::Ended {
+//! let ended = Input::AttemptEnded {
 //!     ticket: 1, attempt: 0, extent: Extent::Whole, cause: Cause::Served, reply: Some("yes"), report: None,
 //! };
 //! dispatch.handle(900, ended, &mut out);
@@ -52,5 +52,7 @@
 pub use fleet::{Fleet, Place, Standing};
 pub use guard::{Defect, Defects, Guard, Rules};
 pub use io::{FinalAnswer, Input, Output, Ticket, Transaction};
-pub use listing::{BEAT, Failure, KNOCK, ListClock, RECALL, TOLD};
-pub use transaction::{Standpoint, View};
+pub use listing::{
+    DELIVERY_BOUND, Failure, HEARTBEAT_INTERVAL, ListClock, RECONNECT_INTERVAL, RETRY_INTERVALS,
+};
+pub use transaction::{AttemptView, TransactionView};
--- a/dispatch/src/listing.rs
+++ b/dispatch/src/listing.rs
@@ -7,22 +7,22 @@
 use gradepaddle::Micros;
 
 /// An empty line comes this often as long as nothing changes.
-pub const BEAT: Micros = 2_000_000;
+pub const HEARTBEAT_INTERVAL: Micros = 2_000_000;
 /// What is missed counts as told so long after discovery had it and could be reached.
-pub const TOLD: Micros = 6_000_000;
+pub const DELIVERY_BOUND: Micros = 6_000_000;
 /// What the discovery that was moved to has to tell counts as told so long after the move.
-pub const MOVED: Micros = 4_000_000;
-/// The longest silence of a watch that is waited out: behind it two calls still fit before [`TOLD`].
+pub const DELIVERY_BOUND_AFTER_MOVE: Micros = 4_000_000;
+/// The longest silence of a watch that is waited out: behind it two calls still fit before [`DELIVERY_BOUND`].
 const LONGEST: Micros = 4_000_000;
 /// The longest and the shortest wait for the list that a call brings. Discovery may be busy, and a call that is given up
 /// and made again costs it twice.
 const PATIENCE: [Micros; 2] = [3_000_000, 1_000_000];
 /// A discovery that does not let us connect is knocked at this often at least: that costs it nothing, and it may be back
 /// at any moment without a word.
-pub const KNOCK: Micros = 1_000_000;
+pub const RECONNECT_INTERVAL: Micros = 1_000_000;
 /// One that turned a call down, or broke it off, is called again within the first of these, and where many processes
-/// call, within the second: three calls then fit before [`TOLD`] in a small fleet, two in a large one.
-pub const RECALL: [Micros; 2] = [1_000_000, 2_500_000];
+/// call, within the second: three calls then fit before [`DELIVERY_BOUND`] in a small fleet, two in a large one.
+pub const RETRY_INTERVALS: [Micros; 2] = [1_000_000, 2_500_000];
 /// Discovery serves calls in turn, and one takes about this long.
 const TURN: Micros = 60_000;
 
@@ -71,38 +71,38 @@
     /// The clock of one of so many processes. Seeds that differ spread their calls.
     pub fn new(processes: u32, seed: u64) -> Self {
         let round = Micros::from(processes) * TURN;
-        ListClock { stage: Stage::Idle, beat: BEAT, told_by: None, busy: false, round, seed }
+        ListClock { stage: Stage::Idle, beat: HEARTBEAT_INTERVAL, told_by: None, busy: false, round, seed }
     }
 
     /// A call goes out.
-    pub fn called(&mut self, now: Micros) {
+    pub fn call_started(&mut self, now: Micros) {
         self.stage = Stage::Called(now);
     }
 
     /// A list, or changes of it, came whole.
-    pub fn told(&mut self, now: Micros) {
+    pub fn list_received(&mut self, now: Micros) {
         (self.told_by, self.busy) = (None, false);
         match self.stage {
-            Stage::Watching(_) => self.beats(now),
+            Stage::Watching(_) => self.heartbeat_received(now),
             Stage::Called(_) | Stage::Idle => self.stage = Stage::Watching(now),
         }
     }
 
     /// An empty line came. Before the list it proves nothing: what the call asked for is still owed.
-    pub fn beats(&mut self, now: Micros) {
+    pub fn heartbeat_received(&mut self, now: Micros) {
         if let Stage::Watching(heard) = self.stage {
-            self.beat = (now - heard).max(self.beat - self.beat / 8).max(BEAT);
+            self.beat = (now - heard).max(self.beat - self.beat / 8).max(HEARTBEAT_INTERVAL);
             self.stage = Stage::Watching(now);
         }
     }
 
     /// Until when what is open may go on without a word; none if nothing is open.
-    pub fn silent_at(&self) -> Option<Micros> {
+    pub fn silence_deadline(&self) -> Option<Micros> {
         match self.stage {
             Stage::Idle => None,
             Stage::Watching(heard) => Some(heard + (self.beat + self.beat / 4).min(LONGEST)),
             Stage::Called(at) => {
-                let by = self.told_by.unwrap_or(at + TOLD);
+                let by = self.told_by.unwrap_or(at + DELIVERY_BOUND);
                 let [longest, shortest] = PATIENCE;
                 // One that has much to do is waited for until all others may have had their turn.
                 let shortest = if self.busy { self.round.clamp(shortest, longest) } else { shortest };
@@ -113,18 +113,18 @@
     }
 
     /// What was open has said nothing for too long and is given up; it is asked anew at once.
-    pub fn fell_silent(&mut self) {
+    pub fn silence_timed_out(&mut self) {
         let since = match self.stage {
             Stage::Idle => return,
             Stage::Called(at) | Stage::Watching(at) => at,
         };
-        self.told_by = Some(self.told_by.unwrap_or(since + TOLD));
+        self.told_by = Some(self.told_by.unwrap_or(since + DELIVERY_BOUND));
         self.stage = Stage::Idle;
     }
 
     /// A call failed, or a watch broke, with a word. Gives back by when to ask again at the latest: discovery may be back
-    /// at any moment, and from then on the time to [`TOLD`] runs.
-    pub fn failed(&mut self, now: Micros, how: Failure) -> Micros {
+    /// at any moment, and from then on the time to [`DELIVERY_BOUND`] runs.
+    pub fn call_failed(&mut self, now: Micros, how: Failure) -> Micros {
         let since = match self.stage {
             Stage::Called(at) => at,
             Stage::Idle | Stage::Watching(_) => now,
@@ -133,14 +133,14 @@
         let within = match how {
             Failure::Unreachable => {
                 // Nothing that came before now can still be owed, unless it was before the outage.
-                self.told_by = Some(self.told_by.filter(|by| *by > now).unwrap_or(now + TOLD));
+                self.told_by = Some(self.told_by.filter(|by| *by > now).unwrap_or(now + DELIVERY_BOUND));
                 self.busy = false;
-                KNOCK
+                RECONNECT_INTERVAL
             }
             Failure::TurnedDown => {
-                self.told_by = Some(self.told_by.unwrap_or(since + TOLD));
+                self.told_by = Some(self.told_by.unwrap_or(since + DELIVERY_BOUND));
                 self.busy = true;
-                let [least, most] = RECALL;
+                let [least, most] = RETRY_INTERVALS;
                 (self.round / 8).clamp(least, most)
             }
         };
@@ -148,9 +148,12 @@
     }
 
     /// Discovery is elsewhere from now on.
-    pub fn moved(&mut self, now: Micros) {
+    pub fn discovery_moved(&mut self, now: Micros) {
         (self.stage, self.busy) = (Stage::Idle, false);
-        self.told_by = Some(self.told_by.map_or(now + MOVED, |by| by.min(now + MOVED)));
+        self.told_by = Some(
+            self.told_by
+                .map_or(now + DELIVERY_BOUND_AFTER_MOVE, |by| by.min(now + DELIVERY_BOUND_AFTER_MOVE)),
+        );
     }
 
     /// True if changes may count as told that did not come.
--- a/dispatch/src/transaction.rs
+++ b/dispatch/src/transaction.rs
@@ -13,24 +13,24 @@
     /// Its id towards the decisions.
     pub id: Id,
     /// Its client's id, which no other may use meanwhile.
-    pub own: Arc<[u8]>,
+    pub client_request_id: Arc<[u8]>,
     pub class: usize,
     /// Whatever its class says, it may run once only.
     pub once: bool,
     pub message: M,
     /// When its client gives up; far off while the client still sends.
-    pub ends: Micros,
+    pub deadline: Micros,
     /// How long the client waits from its last byte on.
     pub time_left: Micros,
     /// When its last byte had come.
-    pub whole: Option<Micros>,
+    pub uploaded_at: Option<Micros>,
     /// The attempt that has used up what cannot be had again.
     pub spent: Option<u32>,
     /// Its final answer is still to be given.
-    pub owed: bool,
+    pub answer_pending: bool,
     pub attempts: Vec<Attempt>,
     /// The last outcome was a time-out.
-    pub late: bool,
+    pub last_timed_out: bool,
     /// What came with the last outcome, if that is no success.
     pub reply: Option<R>,
     /// Where it stands among the deadlines.
@@ -39,37 +39,37 @@
 
 impl<M, R> Open<M, R> {
     /// True if it is for want of an answer that it fails, not for an answer that was bad.
-    pub fn is_late(&self) -> bool {
-        self.late || self.reply.is_none() && self.attempts.iter().any(Attempt::is_out)
+    pub fn is_timed_out(&self) -> bool {
+        self.last_timed_out || self.reply.is_none() && self.attempts.iter().any(Attempt::is_out)
     }
 
     pub fn is_done(&self) -> bool {
-        !self.owed && self.attempts.iter().all(|attempt| !attempt.is_out())
+        !self.answer_pending && self.attempts.iter().all(|attempt| !attempt.is_out())
     }
 }
 
 /// What a shell may look at of an open transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct View<'a> {
+pub struct TransactionView<'a> {
     /// Its name.
     pub ticket: Ticket,
     /// Its id towards the decisions.
     pub id: &'a str,
     /// Its client's id.
-    pub own: &'a [u8],
+    pub client_request_id: &'a [u8],
     /// Position of its class in the settings.
     pub class: usize,
     /// When its client gives up.
-    pub ends: Micros,
+    pub deadline: Micros,
     /// Its final answer is still to be given.
-    pub owed: bool,
+    pub answer_pending: bool,
     /// Its attempts so far.
-    pub attempts: Vec<Standpoint>,
+    pub attempts: Vec<AttemptView>,
 }
 
 /// Where one attempt stands.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Standpoint {
+pub struct AttemptView {
     /// The app server.
     pub server: Id,
     /// When it was started.
@@ -81,20 +81,20 @@
 }
 
 impl<M, R> Open<M, R> {
-    pub fn view(&self, ticket: Ticket) -> View<'_> {
-        let attempts = self.attempts.iter().map(|attempt| Standpoint {
+    pub fn view(&self, ticket: Ticket) -> TransactionView<'_> {
+        let attempts = self.attempts.iter().map(|attempt| AttemptView {
             server: attempt.server.clone(),
             sent: attempt.sent,
             extent: attempt.extent,
             outcome: attempt.outcome,
         });
-        View {
+        TransactionView {
             ticket,
             id: &self.id,
-            own: &self.own,
+            client_request_id: &self.client_request_id,
             class: self.class,
-            ends: self.ends,
-            owed: self.owed,
+            deadline: self.deadline,
+            answer_pending: self.answer_pending,
             attempts: attempts.collect(),
         }
     }
--- a/dispatch/tests/hard_cases.rs
+++ b/dispatch/tests/hard_cases.rs
@@ -53,7 +53,12 @@
     }
 
     fn with(settings: Settings) -> Bench {
-        let limits = Limits { grace: GRACE, backstop: 10, reap: 50, forget: 10_000 };
+        let limits = Limits {
+            drain_grace: GRACE,
+            answer_overrun: 10,
+            attempt_end_overrun: 50,
+            server_retention: 10_000,
+        };
         let mut bench = Bench { dispatch: Dispatch::new(Script::default(), &settings, "n", limits), now: 0 };
         bench.list(ListKind::Cached, vec![server("a", State::Ready), server("b", State::Ready)]);
         bench
@@ -66,13 +71,13 @@
     }
 
     fn list(&mut self, kind: ListKind, servers: Vec<Server>) -> Outputs {
-        self.tell(Input::List { kind, servers })
+        self.tell(Input::ServerList { kind, servers })
     }
 
     fn take(&mut self, ticket: Ticket, own: &[u8], class: usize) -> Outputs {
         let (arrived, time_left) = (self.now, DEADLINE);
         let transaction = Transaction {
-            own: own.into(),
+            client_request_id: own.into(),
             class,
             tenant: None,
             key: None,
@@ -80,10 +85,10 @@
             once: false,
             arrived,
             time_left,
-            whole: true,
+            upload_complete: true,
             message: "m",
         };
-        self.tell(Input::Taken { ticket, transaction })
+        self.tell(Input::Accepted { ticket, transaction })
     }
 
     /// Has the chooser ask for this, at an event that changes nothing.
@@ -99,7 +104,7 @@
 
     fn end(&mut self, ticket: Ticket, attempt: u32, extent: Extent, cause: Cause) -> Outputs {
         let reply = matches!(cause, Cause::Served | Cause::Failed).then_some("r");
-        self.tell(Input::Ended { ticket, attempt, extent, cause, reply, report: None })
+        self.tell(Input::AttemptEnded { ticket, attempt, extent, cause, reply, report: None })
     }
 
     fn told(&mut self) -> Vec<(u32, Outcome, bool)> {
@@ -119,8 +124,8 @@
     out.iter().filter(|output| matches!(output, Output::Start { .. })).count()
 }
 
-const LATE: FinalAnswer<&str> = FinalAnswer::Failed { late: true, reply: None };
-const FAILED: FinalAnswer<&str> = FinalAnswer::Failed { late: false, reply: None };
+const LATE: FinalAnswer<&str> = FinalAnswer::Failed { timed_out: true, reply: None };
+const FAILED: FinalAnswer<&str> = FinalAnswer::Failed { timed_out: false, reply: None };
 
 #[test]
 fn a_reply_and_the_time_out_in_one_step_make_one_answer() {
@@ -139,7 +144,7 @@
         }
         let answer = if reply_first { FinalAnswer::Served("r") } else { LATE };
         assert_eq!(answers(&out), [(1, answer)]);
-        assert!(bench.dispatch.is_empty() && bench.dispatch.due().is_none());
+        assert!(bench.dispatch.is_empty() && bench.dispatch.next_tick_at().is_none());
     }
 }
 
@@ -164,7 +169,7 @@
     bench.send("n-1", "a");
     bench.send("n-1", "b");
     assert_eq!(answers(&bench.end(1, 0, Extent::Whole, Cause::Served)), [(1, FinalAnswer::Served("r"))]);
-    assert!(answers(&bench.tell(Input::Left { ticket: 1 })).is_empty());
+    assert!(answers(&bench.tell(Input::ClientDisconnected { ticket: 1 })).is_empty());
     assert_eq!(bench.dispatch.chooser().left, 0, "the chooser was told by the answer");
     assert_eq!(bench.dispatch.len(), 1, "its second copy is still out");
     assert!(answers(&bench.end(1, 1, Extent::Whole, Cause::Served)).is_empty());
@@ -177,7 +182,7 @@
     bench.take(1, b"c", UNSAFE);
     bench.send("n-1", "a");
     let out = bench.list(ListKind::Delta, vec![server("a", State::Draining)]);
-    assert_eq!(out, [Output::Standing { server: "a".into(), open: false }]);
+    assert_eq!(out, [Output::Availability { server: "a".into(), open: false }]);
     bench.end(1, 0, Extent::Nothing, Cause::Closed);
     assert_eq!(bench.told(), [(0, Outcome::ConnectFailed, false)], "it never ran");
     assert_eq!(starts(&bench.send("n-1", "b")), 1);
@@ -202,7 +207,7 @@
     bench.send("n-1", "a");
     bench.now = 5;
     let out = bench.list(ListKind::Delta, vec![server("a", State::Gone), server("a2", State::Ready)]);
-    let standing = |id: &str, open| Output::Standing { server: id.into(), open };
+    let standing = |id: &str, open| Output::Availability { server: id.into(), open };
     assert_eq!(out, [standing("a", false), standing("a2", true)]);
     assert_eq!(bench.dispatch.fleet().standing("a"), Some(Standing::Gone(5)));
     bench.take(2, b"d", UNSAFE);
@@ -218,10 +223,10 @@
     bench.send("n-1", "a");
     bench.take(2, b"c2", UNSAFE);
     assert_eq!(starts(&bench.send("n-2", "a")), 1, "the first may still run: that is its client's to know");
-    assert_eq!(answers(&bench.take(3, b"c", UNSAFE)), [(3, FinalAnswer::Known)]);
+    assert_eq!(answers(&bench.take(3, b"c", UNSAFE)), [(3, FinalAnswer::DuplicateId)]);
     assert_eq!(bench.dispatch.len(), 2);
-    bench.tell(Input::Left { ticket: 1 });
-    assert_eq!(answers(&bench.take(4, b"c", UNSAFE)), [(4, FinalAnswer::Known)], "it may still run");
+    bench.tell(Input::ClientDisconnected { ticket: 1 });
+    assert_eq!(answers(&bench.take(4, b"c", UNSAFE)), [(4, FinalAnswer::DuplicateId)], "it may still run");
     bench.end(1, 0, Extent::Whole, Cause::Withdrawn);
     assert!(answers(&bench.take(5, b"c", UNSAFE)).is_empty(), "now it is free");
 }
@@ -293,7 +298,7 @@
             }),
         ),
         (Defect::SentToClosed, SAFE, true, Box::new(drained)),
-        (Defect::Misplaced, 2, true, Box::new(|_| {})),
+        (Defect::SentOutsideClass, 2, true, Box::new(|_| {})),
     ];
     for (defect, class, second_copies, before) in cases {
         let mut bench = Bench::with(Settings { second_copies, ..settings() });
@@ -349,7 +354,7 @@
     let mut bench = Bench::new();
     bench.take(1, b"c", UNSAFE);
     bench.send("n-1", "a");
-    assert_eq!(bench.dispatch.due(), Some(DEADLINE + 10));
+    assert_eq!(bench.dispatch.next_tick_at(), Some(DEADLINE + 10));
     bench.now = DEADLINE + 9;
     assert!(bench.tell(Input::Tick).is_empty(), "not before its time");
     bench.now = DEADLINE + 10;
@@ -357,12 +362,12 @@
     assert_eq!(answers(&out), [(1, LATE)]);
     assert_eq!(bench.dispatch.chooser().left, 1);
     // The attempt's end is never told.
-    assert_eq!((bench.dispatch.len(), bench.dispatch.due()), (1, Some(DEADLINE + 60)));
+    assert_eq!((bench.dispatch.len(), bench.dispatch.next_tick_at()), (1, Some(DEADLINE + 60)));
     bench.now = DEADLINE + 60;
     bench.tell(Input::Tick);
     assert_eq!(bench.told(), [(0, Outcome::TimedOut, true)]);
     assert_eq!(bench.dispatch.defects().count(Defect::NeverEnded), 1);
-    assert!(bench.dispatch.is_empty() && bench.dispatch.due().is_none());
+    assert!(bench.dispatch.is_empty() && bench.dispatch.next_tick_at().is_none());
 }
 
 /// Guards against a balancer that grows with the transactions it has ever seen, round the decisions in
@@ -371,7 +376,7 @@
 fn nothing_is_kept_of_transactions_and_app_servers_that_are_over() {
     let settings = Settings::default();
     let balancer = Balancer::new(settings.clone(), 3).expect("settings");
-    let limits = Limits { forget: 1_000, ..Limits::default() };
+    let limits = Limits { server_retention: 1_000, ..Limits::default() };
     let mut dispatch: Dispatch<_, u64, u64> = Dispatch::new(balancer, &settings, "n", limits);
     let (mut out, mut served) = (Vec::new(), 0);
     for ticket in 0..5_000u64 {
@@ -379,10 +384,10 @@
         if ticket % 100 == 0 {
             let servers =
                 vec![server(&format!("s{}", ticket / 100), State::Ready), server("s", State::Ready)];
-            dispatch.handle(now, Input::List { kind: ListKind::Full, servers }, &mut out);
+            dispatch.handle(now, Input::ServerList { kind: ListKind::Full, servers }, &mut out);
         }
         let transaction = Transaction {
-            own: ticket.to_be_bytes()[..].into(),
+            client_request_id: ticket.to_be_bytes()[..].into(),
             class: 0,
             tenant: None,
             key: None,
@@ -390,17 +395,17 @@
             once: false,
             arrived: now,
             time_left: 4_000_000,
-            whole: true,
+            upload_complete: true,
             message: ticket,
         };
         out.clear();
-        dispatch.handle(now, Input::Taken { ticket, transaction }, &mut out);
+        dispatch.handle(now, Input::Accepted { ticket, transaction }, &mut out);
         let started = out.iter().any(|output| matches!(output, Output::Start { .. }));
         if started {
             let (extent, cause, reply) = (Extent::Whole, Cause::Served, Some(ticket));
             dispatch.handle(
                 now + 900,
-                Input::Ended { ticket, attempt: 0, extent, cause, reply, report: None },
+                Input::AttemptEnded { ticket, attempt: 0, extent, cause, reply, report: None },
                 &mut out,
             );
         }
@@ -432,7 +437,7 @@
         out.contains(&Output::Probe { server: "a".into() })
     };
     let ended = |bench: &mut Bench, cause| {
-        bench.tell(Input::Probed { server: "a".into(), cause, report: None });
+        bench.tell(Input::ProbeEnded { server: "a".into(), cause, report: None });
         std::mem::take(&mut bench.dispatch.chooser_mut().probed)
     };
     assert!(probe(&mut bench) && !probe(&mut bench), "one is out");
@@ -456,14 +461,14 @@
     let mut forbidden = Bench::new();
     assert!(!probe(&mut forbidden) && forbidden.dispatch.chooser().probed == [(Outcome::Moot, 0)]);
     for (bench, defects) in [(bench, 2), (forbidden, 1)] {
-        assert_eq!(bench.dispatch.defects().count(Defect::Unprobeable), defects);
+        assert_eq!(bench.dispatch.defects().count(Defect::ProbeNotAllowed), defects);
     }
 }
 
 /// An unsafe transaction whose client still sends.
 fn flowing() -> Transaction<&'static str> {
     Transaction {
-        own: (*b"c").into(),
+        client_request_id: (*b"c").into(),
         class: UNSAFE,
         tenant: None,
         key: None,
@@ -471,7 +476,7 @@
         hint: None,
         arrived: 0,
         time_left: DEADLINE,
-        whole: false,
+        upload_complete: false,
         message: "m",
     }
 }
@@ -485,10 +490,10 @@
     let send =
         |server: &str| Action::Send { request: "n-1".into(), server: server.into(), until: 9 * DEADLINE };
     bench.dispatch.chooser_mut().planned.push(send("a"));
-    bench.tell(Input::Taken { ticket: 1, transaction });
+    bench.tell(Input::Accepted { ticket: 1, transaction });
     bench.now = 5 * DEADLINE;
     assert!(bench.tell(Input::Tick).is_empty(), "its client still sends");
-    let ended = |attempt, extent, cause| Input::Ended {
+    let ended = |attempt, extent, cause| Input::AttemptEnded {
         ticket: 1,
         attempt,
         extent,
@@ -499,12 +504,12 @@
     bench.dispatch.chooser_mut().planned.push(send("b"));
     let out = bench.tell(ended(0, Extent::Part, Cause::Broke));
     assert!(matches!(out[..], [Output::Start { attempt: 1, .. }]), "nothing of it was used up: {out:?}");
-    bench.tell(Input::Spent { ticket: 1, attempt: 1 });
+    bench.tell(Input::BodyConsumed { ticket: 1, attempt: 1 });
     bench.tell(Input::Uploaded { ticket: 1 });
-    assert_eq!(bench.dispatch.due(), Some(6 * DEADLINE + 10));
+    assert_eq!(bench.dispatch.next_tick_at(), Some(6 * DEADLINE + 10));
     bench.now = 6 * DEADLINE + 10;
     let out = bench.tell(Input::Tick);
-    let late = FinalAnswer::Failed { late: true, reply: None };
+    let late = FinalAnswer::Failed { timed_out: true, reply: None };
     assert!(out.contains(&Output::Answer { ticket: 1, answer: late }), "{out:?}");
     assert_eq!(bench.dispatch.defects().total(), 0, "{out:?}");
 }
@@ -516,10 +521,10 @@
     let send = |server: &str| Action::Send { request: "n-1".into(), server: server.into(), until: DEADLINE };
     bench.dispatch.chooser_mut().planned.push(send("a"));
     let transaction = flowing();
-    bench.tell(Input::Taken { ticket: 1, transaction });
-    bench.tell(Input::Spent { ticket: 1, attempt: 0 });
+    bench.tell(Input::Accepted { ticket: 1, transaction });
+    bench.tell(Input::BodyConsumed { ticket: 1, attempt: 0 });
     bench.dispatch.chooser_mut().planned.push(send("b"));
-    let out = bench.tell(Input::Ended {
+    let out = bench.tell(Input::AttemptEnded {
         ticket: 1,
         attempt: 0,
         extent: Extent::Part,
@@ -528,5 +533,5 @@
         report: None,
     });
     assert!(!out.iter().any(|o| matches!(o, Output::Start { .. })), "{out:?}");
-    assert_eq!(bench.dispatch.defects().count(Defect::SentSpent), 1);
+    assert_eq!(bench.dispatch.defects().count(Defect::SentAfterBodyConsumed), 1);
 }
--- a/dispatch/tests/listing.rs
+++ b/dispatch/tests/listing.rs
@@ -1,7 +1,9 @@
 //! The list's clock by its figures.
 
 use gradepaddle::Micros;
-use gradepaddle_dispatch::{BEAT, Failure, KNOCK, ListClock, RECALL, TOLD};
+use gradepaddle_dispatch::{
+    DELIVERY_BOUND, Failure, HEARTBEAT_INTERVAL, ListClock, RECONNECT_INTERVAL, RETRY_INTERVALS,
+};
 
 const S: Micros = 1_000_000;
 
@@ -10,23 +12,23 @@
 #[test]
 fn a_silence_leaves_time_for_two_calls() {
     let mut clock = ListClock::default();
-    clock.called(0);
-    assert_eq!(clock.silent_at(), Some(3 * S));
-    clock.told(S);
-    clock.beats(3 * S);
-    assert_eq!(clock.silent_at(), Some(3 * S + BEAT + BEAT / 4));
+    clock.call_started(0);
+    assert_eq!(clock.silence_deadline(), Some(3 * S));
+    clock.list_received(S);
+    clock.heartbeat_received(3 * S);
+    assert_eq!(clock.silence_deadline(), Some(3 * S + HEARTBEAT_INTERVAL + HEARTBEAT_INTERVAL / 4));
     let mut calls = Vec::new();
     for _ in 0..4 {
-        let now = clock.silent_at().expect("it is open");
-        clock.fell_silent();
-        clock.called(now);
+        let now = clock.silence_deadline().expect("it is open");
+        clock.silence_timed_out();
+        clock.call_started(now);
         calls.push(now);
     }
     assert_eq!(calls, [5_500_000, 7_250_000, 8_250_000, 9_250_000]);
-    assert!(calls[1] < 3 * S + TOLD && clock.is_behind(3 * S + TOLD));
+    assert!(calls[1] < 3 * S + DELIVERY_BOUND && clock.is_behind(3 * S + DELIVERY_BOUND));
     // Behind that moment a busy discovery is not asked every second.
-    assert_eq!(clock.silent_at(), Some(9_250_000 + 3 * S));
-    clock.told(10 * S);
+    assert_eq!(clock.silence_deadline(), Some(9_250_000 + 3 * S));
+    clock.list_received(10 * S);
     assert!(!clock.is_behind(20 * S));
 }
 
@@ -35,37 +37,40 @@
 #[test]
 fn a_slow_beat_is_no_silence_and_is_forgotten() {
     let mut clock = ListClock::default();
-    clock.called(0);
-    clock.told(0);
-    clock.beats(2_400_000);
-    assert_eq!(clock.silent_at(), Some(2_400_000 + 3 * S));
+    clock.call_started(0);
+    clock.list_received(0);
+    clock.heartbeat_received(2_400_000);
+    assert_eq!(clock.silence_deadline(), Some(2_400_000 + 3 * S));
     let mut now = 2_400_000;
     for _ in 0..8 {
-        now += BEAT;
-        clock.beats(now);
+        now += HEARTBEAT_INTERVAL;
+        clock.heartbeat_received(now);
     }
-    assert_eq!(clock.silent_at(), Some(now + BEAT + BEAT / 4));
+    assert_eq!(clock.silence_deadline(), Some(now + HEARTBEAT_INTERVAL + HEARTBEAT_INTERVAL / 4));
 }
 
 /// Guards the time that runs from the moment at which discovery is back, unseen by us: whatever failed, and however
 /// often, the next call comes soon; and those of a fleet that failed together come apart.
 #[test]
 fn failed_calls_are_followed_up_in_time_however_many_there_were() {
-    for (how, within) in [(Failure::Unreachable, KNOCK), (Failure::TurnedDown, RECALL[0])] {
+    for (how, within) in
+        [(Failure::Unreachable, RECONNECT_INTERVAL), (Failure::TurnedDown, RETRY_INTERVALS[0])]
+    {
         let mut clock = ListClock::new(3, 1);
         let mut now = 0;
         for _ in 0..40 {
-            clock.called(now);
-            let by = clock.failed(now, how);
+            clock.call_started(now);
+            let by = clock.call_failed(now, how);
             assert!(by >= now + within / 2 && by <= now + within, "{how:?}: {by} after {now}");
             now = by;
         }
     }
     for processes in [3u32, 300] {
-        let mut calls: Vec<_> =
-            (0..300).map(|seed| ListClock::new(processes, seed).failed(S, Failure::TurnedDown)).collect();
+        let mut calls: Vec<_> = (0..300)
+            .map(|seed| ListClock::new(processes, seed).call_failed(S, Failure::TurnedDown))
+            .collect();
         calls.sort_unstable();
-        let within = RECALL[usize::from(processes > 100)];
+        let within = RETRY_INTERVALS[usize::from(processes > 100)];
         let most = calls.windows(61).map(|some| some[60] - some[0]).min().expect("many calls");
         assert!(calls[299] <= S + within, "{processes} processes: the last call at {}", calls[299]);
         assert!(most > within / 20, "{processes} processes: 60 of 300 calls within {most} us");
@@ -77,18 +82,18 @@
 #[test]
 fn a_busy_discovery_is_waited_for_and_one_that_was_away_is_not() {
     let mut clock = ListClock::new(300, 7);
-    clock.called(0);
-    clock.failed(3 * S, Failure::TurnedDown);
-    clock.called(4 * S);
-    assert_eq!(clock.silent_at(), Some(7 * S));
-    clock.failed(5 * S, Failure::Unreachable);
+    clock.call_started(0);
+    clock.call_failed(3 * S, Failure::TurnedDown);
+    clock.call_started(4 * S);
+    assert_eq!(clock.silence_deadline(), Some(7 * S));
+    clock.call_failed(5 * S, Failure::Unreachable);
     assert!(!clock.is_behind(6 * S - 1) && clock.is_behind(6 * S), "what the first call missed");
-    clock.failed(20 * S, Failure::Unreachable);
+    clock.call_failed(20 * S, Failure::Unreachable);
     assert!(!clock.is_behind(25 * S));
-    clock.called(21 * S);
-    assert_eq!(clock.silent_at(), Some(21 * S + 5 * S / 2));
+    clock.call_started(21 * S);
+    assert_eq!(clock.silence_deadline(), Some(21 * S + 5 * S / 2));
     let mut moved = ListClock::default();
-    moved.moved(10 * S);
-    moved.called(10 * S);
-    assert_eq!(moved.silent_at(), Some(12 * S));
+    moved.discovery_moved(10 * S);
+    moved.call_started(10 * S);
+    assert_eq!(moved.silence_deadline(), Some(12 * S));
 }
--- a/emulator/src/balancer.rs
+++ b/emulator/src/balancer.rs
@@ -22,11 +22,11 @@
 }
 
 impl Guard for Watch {
-    fn forbids(&self, _: Defect) -> bool {
+    fn enforces(&self, _: Defect) -> bool {
         !self.unguarded
     }
 
-    fn has_backstop(&self) -> bool {
+    fn fails_overdue(&self) -> bool {
         !self.unguarded
     }
 }
@@ -184,12 +184,12 @@
         let chooser = (self.player.make)(&settings, stream.any(), &self.board);
         // Settings come from a scenario that was checked.
         let Ok(chooser) = chooser else { return };
-        let limits = Limits { grace: millis(self.scenario.rules.drain_grace_ms), ..Limits::default() };
+        let limits = Limits { drain_grace: millis(self.scenario.rules.drain_grace_ms), ..Limits::default() };
         let name = format!("b{number}");
         let (first, version) = (of.life == 0, self.version());
         let of = &mut self.balancers[number as usize];
         let watch = Watch { unguarded: self.player.unguarded };
-        of.dispatch = Some(Dispatch::guarded(chooser, watch, &settings, &name, limits));
+        of.dispatch = Some(Dispatch::with_guard(chooser, watch, &settings, &name, limits));
         (of.alive, of.leaving, of.armed) = (true, false, Micros::MAX);
         (of.watching, of.calls, of.listed) = (false, false, false);
         if first {
@@ -287,7 +287,7 @@
         let Some(quest) = self.quests.get(quest) else { return };
         self.judge.note(serial, now, || format!("balancer b{number} takes it"));
         let transaction = Transaction {
-            own: serial.to_be_bytes()[..].into(),
+            client_request_id: serial.to_be_bytes()[..].into(),
             class: quest.counted.class as usize,
             tenant: Some(quest.counted.branch as usize),
             key: Some(format!("k{}", quest.key)),
@@ -295,17 +295,17 @@
             once: false,
             arrived: now,
             time_left: gives_up.saturating_sub(now),
-            whole: true,
+            upload_complete: true,
             message: key,
         };
-        self.tell(number, Input::Taken { ticket: key.data().as_ffi(), transaction });
+        self.tell(number, Input::Accepted { ticket: key.data().as_ffi(), transaction });
     }
 
     /// Its client has left.
     pub fn left(&mut self, key: TryKey) {
         if let Some(one) = self.tries.get(key) {
             let number = one.balancer;
-            self.tell(number, Input::Left { ticket: key.data().as_ffi() });
+            self.tell(number, Input::ClientDisconnected { ticket: key.data().as_ffi() });
             // Nothing is owed any more: an answer from now on would be one too many.
             if let Some(one) = self.tries.get_mut(key) {
                 one.answered = true;
@@ -325,7 +325,7 @@
             of.ask_at = Micros::MAX;
             self.call(number);
         }
-        let due = self.balancers[number as usize].dispatch.as_ref().and_then(Dispatched::due);
+        let due = self.balancers[number as usize].dispatch.as_ref().and_then(Dispatched::next_tick_at);
         if due.is_some_and(|at| at <= self.now) {
             self.tell(number, Input::Tick);
         } else {
@@ -336,7 +336,8 @@
     /// Puts its next timer into the queue.
     pub fn arm(&mut self, number: u32) {
         let of = &mut self.balancers[number as usize];
-        let due = of.dispatch.as_ref().and_then(Dispatched::due).unwrap_or(Micros::MAX).min(of.ask_at);
+        let due =
+            of.dispatch.as_ref().and_then(Dispatched::next_tick_at).unwrap_or(Micros::MAX).min(of.ask_at);
         if due < of.armed {
             of.armed = due;
             let event = Event::Timer { balancer: number, life: of.life };
@@ -364,7 +365,7 @@
         }
         let servers =
             entries.iter().map(|entry| listed(entry, &self.servers[entry.server as usize])).collect();
-        self.tell(number, Input::List { kind, servers });
+        self.tell(number, Input::ServerList { kind, servers });
     }
 
     /// Hands it an input and carries out what comes of it.
@@ -411,20 +412,27 @@
                 // So far behind that it is not even begun.
                 let (extent, cause, ticket) = (Extent::Nothing, Cause::NotTried, key.data().as_ffi());
                 let _ = server;
-                inputs.push(Input::Ended { ticket, attempt, extent, cause, reply: None, report: None });
+                inputs.push(Input::AttemptEnded {
+                    ticket,
+                    attempt,
+                    extent,
+                    cause,
+                    reply: None,
+                    report: None,
+                });
             }
             Output::Start { attempt, server, message, until, .. } => {
                 let server = crate::policy::number(&server).unwrap_or(u32::MAX);
                 self.start(number, message, attempt, server, until, late);
             }
-            Output::Withdraw { ticket, attempt } | Output::Hold { ticket, attempt } => {
+            Output::Withdraw { ticket, attempt } | Output::CancelUnstarted { ticket, attempt } => {
                 let key = TryKey::from(KeyData::from_ffi(ticket));
                 let begun = |flight| self.extent(flight) != Extent::Nothing;
-                let held = matches!(output, Output::Hold { .. });
+                let held = matches!(output, Output::CancelUnstarted { .. });
                 if let Some(flight) = self.flight_of(key, attempt).filter(|flight| !held || !begun(*flight)) {
                     let extent = self.extent(flight);
                     self.give_over(flight);
-                    inputs.push(Input::Ended {
+                    inputs.push(Input::AttemptEnded {
                         ticket,
                         attempt,
                         extent,
@@ -439,12 +447,12 @@
                 let answer = match answer {
                     FinalAnswer::Served(()) => Answer::Served,
                     FinalAnswer::Refused { pause } => Answer::Refused { pause },
-                    FinalAnswer::Known | FinalAnswer::Failed { .. } => Answer::Failed,
+                    FinalAnswer::DuplicateId | FinalAnswer::Failed { .. } => Answer::Failed,
                 };
                 self.judge_answer(number, key, answer);
                 self.reply_to(key, answer, self.now + late);
             }
-            Output::Standing { server, open: false } => {
+            Output::Availability { server, open: false } => {
                 let server = crate::policy::number(&server).unwrap_or(u32::MAX);
                 // Attempts whose first byte is not written yet stay here.
                 let unwritten = self.flights.iter().filter(|(_, f)| {
@@ -458,7 +466,14 @@
                         continue;
                     }
                     let (extent, cause) = (Extent::Nothing, Cause::Closed);
-                    inputs.push(Input::Ended { ticket, attempt, extent, cause, reply: None, report: None });
+                    inputs.push(Input::AttemptEnded {
+                        ticket,
+                        attempt,
+                        extent,
+                        cause,
+                        reply: None,
+                        report: None,
+                    });
                 }
             }
             Output::DropIdle { server } => {
@@ -466,14 +481,14 @@
                     self.servers[server as usize].drop_idle(number as usize);
                 }
             }
-            Output::Watch => self.call(number),
+            Output::WatchServerList => self.call(number),
             Output::Probe { server } => {
                 if let Some(server) = crate::policy::number(&server) {
                     self.probe(number, server, late);
                 }
             }
-            Output::Standing { .. }
-            | Output::Forgotten { .. }
+            Output::Availability { .. }
+            | Output::ServerRemoved { .. }
             | Output::Log { .. }
             | Output::Defect { .. } => {}
         }
@@ -714,10 +729,10 @@
         self.remove(key);
         if probe {
             let server = self.servers[server as usize].id.clone();
-            return self.tell(number, Input::Probed { server, cause, report });
+            return self.tell(number, Input::ProbeEnded { server, cause, report });
         }
         let reply = (cause == Cause::Served).then_some(());
-        self.tell(number, Input::Ended { ticket, attempt, extent, cause, reply, report });
+        self.tell(number, Input::AttemptEnded { ticket, attempt, extent, cause, reply, report });
     }
 
     /// An attempt's time is up.
@@ -728,14 +743,14 @@
         if probe {
             self.give_over(key);
             let (server, cause) = (self.servers[server as usize].id.clone(), Cause::OutOfTime);
-            return self.tell(number, Input::Probed { server, cause, report: None });
+            return self.tell(number, Input::ProbeEnded { server, cause, report: None });
         }
         let extent = self.extent(key);
         self.judge
             .note(serial, self.now, || format!("b{number} gives attempt {attempt} up, written: {extent:?}"));
         self.give_over(key);
         let (cause, reply) = (Cause::OutOfTime, None);
-        self.tell(number, Input::Ended { ticket, attempt, extent, cause, reply, report: None });
+        self.tell(number, Input::AttemptEnded { ticket, attempt, extent, cause, reply, report: None });
     }
 
     /// Its balancer has no more use for an attempt. Its connection closes; the app server may work on.
