--- a/daemon/src/attempt.rs
+++ b/daemon/src/attempt.rs
@@ -258,7 +258,7 @@
             // A refusal tells the client that a retry is harmless, whoever words it. An app server's refusal is never
             // forwarded, because here the request may have run.
             let forwarded = cause != Cause::Unprocessed && !matches!(head.status(), Ok(429 | 503));
-            let load = head.get("x-backend-load").filter(|_| context.reports).and_then(LoadReport::read);
+            let load = head.get("x-backend-load").filter(|_| context.reports).and_then(LoadReport::parse);
             match rest {
                 None => {
                     let connection = Some(connection).filter(|one| reusable && !one.has_input());
--- a/daemon/src/dispatch_actor.rs
+++ b/daemon/src/dispatch_actor.rs
@@ -76,7 +76,7 @@
     /// Handles commands until the process ends.
     pub async fn run(mut self, mut commands: CommandReceiver) {
         loop {
-            let due = self.dispatch.due();
+            let due = self.dispatch.next_tick_at();
             let at = due.map_or_else(Instant::now, |at| self.context.clock.instant(at));
             tokio::select! {
                 biased;
@@ -95,15 +95,15 @@
                 let channels = Channels { answer: Some(answer), intents: Vec::new() };
                 self.channels.insert(ticket, channels);
                 debug!(ticket, class = transaction.class, key = transaction.key, "taken");
-                self.dispatch_input(Input::Taken { ticket, transaction });
+                self.dispatch_input(Input::Accepted { ticket, transaction });
             }
             Command::Input(input) => {
                 match &input {
-                    Input::Left { ticket } => {
+                    Input::ClientDisconnected { ticket } => {
                         self.update_channels(*ticket, |channels| drop(channels.answer.take()));
                     }
-                    Input::Probed { server, cause, report } => debug!(%server, ?cause, ?report, "probed"),
-                    Input::Ended { ticket, attempt, extent, cause, .. } => {
+                    Input::ProbeEnded { server, cause, report } => debug!(%server, ?cause, ?report, "probed"),
+                    Input::AttemptEnded { ticket, attempt, extent, cause, .. } => {
                         debug!(ticket, attempt, ?extent, ?cause, "ended");
                         let attempt = *attempt as usize;
                         self.update_channels(*ticket, |channels| {
@@ -148,8 +148,8 @@
             }
             servers.push(server);
         }
-        self.dispatch_input(Input::List { kind, servers });
-        let up = self.dispatch.fleet().open();
+        self.dispatch_input(Input::ServerList { kind, servers });
+        let up = self.dispatch.fleet().open_count();
         info!(seq, ?kind, entries = count, up, "service table");
         let from_discovery = matches!(kind, ListKind::Full | ListKind::Delta);
         self.table_status.send_modify(|status| {
@@ -189,7 +189,7 @@
                 // The attempt may have ended already.
                 let _ = intent.map(|intent| intent.send(AttemptIntent::Cancel));
             }),
-            Output::Hold { ticket, attempt } => {
+            Output::CancelUnstarted { ticket, attempt } => {
                 let channels = self.channels.get(&ticket);
                 let intent = channels.and_then(|channels| channels.intents.get(attempt as usize)?.as_ref());
                 let _ = intent.map(|intent| intent.send(AttemptIntent::CancelIfUnsent));
@@ -203,10 +203,10 @@
                     }
                 });
             }
-            Output::Standing { server, open } => send(&server, app_server::Command::SetOpen(open)),
+            Output::Availability { server, open } => send(&server, app_server::Command::SetOpen(open)),
             Output::DropIdle { server } => send(&server, app_server::Command::DropIdle),
-            Output::Forgotten { server } => drop(self.app_servers.remove(&server)),
-            Output::Watch => {
+            Output::ServerRemoved { server } => drop(self.app_servers.remove(&server)),
+            Output::WatchServerList => {
                 let _ = self.table.send(service_table::Command::Watch);
             }
             Output::Log { text } => info!("decisions: {text}"),
--- a/daemon/src/dispatch_handle.rs
+++ b/daemon/src/dispatch_handle.rs
@@ -75,17 +75,17 @@
         cause: Cause,
         (reply, report): (Option<Reply>, Option<LoadReport>),
     ) {
-        self.send(Command::Input(Input::Ended { ticket, attempt, extent, cause, reply, report }));
+        self.send(Command::Input(Input::AttemptEnded { ticket, attempt, extent, cause, reply, report }));
     }
 
     /// Reports how a probe ended.
     pub fn probe_ended(&self, server: Id, cause: Cause, report: Option<LoadReport>) {
-        self.send(Command::Input(Input::Probed { server, cause, report }));
+        self.send(Command::Input(Input::ProbeEnded { server, cause, report }));
     }
 
     /// Reports that an attempt has consumed a part of the request body that can't be replayed.
     pub fn body_consumed(&self, ticket: Ticket, attempt: u32) {
-        self.send(Command::Input(Input::Spent { ticket, attempt }));
+        self.send(Command::Input(Input::BodyConsumed { ticket, attempt }));
     }
 
     /// Passes on the service table or changes to it.
@@ -131,14 +131,14 @@
     pub async fn answer(&mut self) -> FinalAnswer {
         let answer = (&mut self.receiver).await;
         self.done = true;
-        answer.unwrap_or(FinalAnswer::Failed { late: false, reply: None })
+        answer.unwrap_or(FinalAnswer::Failed { timed_out: false, reply: None })
     }
 }
 
 impl Drop for PendingAnswer {
     fn drop(&mut self) {
         if !self.done {
-            self.dispatch.send(Command::Input(Input::Left { ticket: self.ticket }));
+            self.dispatch.send(Command::Input(Input::ClientDisconnected { ticket: self.ticket }));
         }
     }
 }
--- a/daemon/src/fleet/file.rs
+++ b/daemon/src/fleet/file.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use gradepaddle_book::frame::{Key, Seal};
+use gradepaddle_book::frame::{ClusterKeys, Key};
 use serde::Deserialize;
 use thiserror::Error;
 
@@ -67,7 +67,7 @@
 #[derive(Clone, Debug)]
 pub struct FleetFile {
     /// The cluster's name and its keys.
-    pub seal: Seal,
+    pub seal: ClusterKeys,
     /// All keepers.
     pub keepers: Vec<KeeperAddress>,
     /// If this balancer is a keeper: where it listens, and the file of its disk.
@@ -134,7 +134,7 @@
                 return invalid("disk", what, "name a file in a folder that outlives the process");
             }
         };
-        let seal = Seal { cluster: text.cluster, keys };
+        let seal = ClusterKeys { cluster: text.cluster, keys };
         Ok(FleetFile { seal, keepers: text.keeper, own_keeper })
     }
 }
--- a/daemon/src/fleet/keeper.rs
+++ b/daemon/src/fleet/keeper.rs
@@ -9,7 +9,8 @@
 
 use gradepaddle_book::store::{Batch, Disk, StoreError};
 use gradepaddle_book::{
-    Hello, Keeper, KeeperId, Kept, LedgerError, Message, MessageError, Output, Timing, Write, founding,
+    Hello, Keeper, KeeperId, LedgerError, Message, MessageError, Output, PersistentState, Timing, Write,
+    initial_batch,
 };
 use thiserror::Error;
 use tokio::net::{TcpListener, TcpStream};
@@ -88,7 +89,7 @@
 /// Runs the keeper until it steps down; does not return otherwise.
 pub async fn run(
     listener: TcpListener,
-    disk: (Disk, Kept),
+    disk: (Disk, PersistentState),
     shared: Rc<Shared>,
     writes: &mut mpsc::Receiver<(Write, Answers)>,
 ) -> StepDown {
@@ -102,13 +103,13 @@
 /// # Errors
 ///
 /// [`StoreError`] if the disk fails, or what is on it can't be read.
-pub fn open(path: &Path, new_id: KeeperId) -> Result<(Disk, Kept), StoreError> {
+pub fn open(path: &Path, new_id: KeeperId) -> Result<(Disk, PersistentState), StoreError> {
     Disk::open(path, new_id)
 }
 
 async fn run_actor(
     listener: TcpListener,
-    (disk, kept): (Disk, Kept),
+    (disk, kept): (Disk, PersistentState),
     shared: Rc<Shared>,
     writes: &mut mpsc::Receiver<(Write, Answers)>,
 ) -> StepDown {
@@ -210,9 +211,9 @@
 impl Actor {
     fn tick(&mut self) -> Result<(), StepDown> {
         self.keeper.tick();
-        let stand = self.keeper.stand();
-        self.has_leader.set(stand.leads || stand.leader.is_some());
-        self.shared.update_view(|view| view.update_from_keeper(&stand, self.has_leader.get()));
+        let status = self.keeper.status();
+        self.has_leader.set(status.is_leader || status.leader.is_some());
+        self.shared.update_view(|view| view.update_from_keeper(&status, self.has_leader.get()));
         self.bootstrap_if_due();
         Ok(())
     }
@@ -231,9 +232,9 @@
             return;
         }
         let id = self.keeper.id();
-        let batch = founding(id, &self.shared.name, self.shared.contents());
-        let mut kept = Kept { id, ..Kept::default() };
-        kept.take(&batch);
+        let batch = initial_batch(id, &self.shared.name, self.shared.contents());
+        let mut kept = PersistentState { id, ..PersistentState::default() };
+        kept.apply(&batch);
         let names = keepers.iter().map(|keeper| keeper.name.clone()).collect();
         // The founding batch is written before anything else, so no other keeper can learn of a book that is not on the disk.
         let keeper =
@@ -249,7 +250,7 @@
     fn handle_event(&mut self, event: Event) -> Result<(), StepDown> {
         match event {
             Event::Heard(hello) => {
-                if self.keeper.heard_of(&hello) {
+                if self.keeper.peer_seen(&hello) {
                     self.ids.insert(hello.id, hello.name.clone());
                     self.hellos.insert(hello.name.clone(), hello);
                 } else {
@@ -266,7 +267,7 @@
             },
             Event::Kept(Ok(number)) => {
                 self.reach_crash_point("after-disk");
-                self.keeper.kept(number);
+                self.keeper.persisted(number);
             }
             Event::Kept(Err(why)) => return Err(why.into()),
             Event::Write(write, answers) => self.write(write, answers),
@@ -291,7 +292,7 @@
     }
 
     fn reach_crash_point(&self, point: &str) {
-        if self.keeper.stand().leads {
+        if self.keeper.status().is_leader {
             self.crash_point.reached(point);
         }
     }
@@ -310,20 +311,20 @@
                     // Dropped if the queue is full: Raft sends it again.
                     let _ = peer.map(|peer| peer.try_send(Packet::Consensus(Box::new(message))));
                 }
-                Output::Keep(batch) => self.store(batch),
+                Output::Persist(batch) => self.store(batch),
                 Output::Applied { index, write } => {
                     let applied = Packet::Applied { index, write };
                     self.readers.retain(|reader| try_send(reader, applied.clone()));
                     self.shared.notify_changed();
                 }
-                Output::Done { session, number, outcome } => {
+                Output::WriteDone { session, number, outcome } => {
                     // The keeper that received the write answers, whether it leads or not.
                     self.crash_point.reached("before-answer");
                     if let Some(answers) = self.waiting.remove(&(session, number)) {
                         try_send(&answers, Packet::Done { number, outcome });
                     }
                 }
-                Output::Replaced => {
+                Output::LedgerReplaced => {
                     let whole = Packet::Whole(self.keeper.ledger().save());
                     self.readers.retain(|reader| try_send(reader, whole.clone()));
                     self.shared.notify_changed();
--- a/daemon/src/fleet/mod.rs
+++ b/daemon/src/fleet/mod.rs
@@ -14,8 +14,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use gradepaddle_book::bans::{self, Ban, Bans, Held, Shown};
-use gradepaddle_book::{Content, Outcome, Stand, Write};
+use gradepaddle_book::bans::{self, ActiveBans, Ban, Bans, SharedBans};
+use gradepaddle_book::{Content, Outcome, Status, Write};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::Serialize;
@@ -96,10 +96,11 @@
 }
 
 impl View {
-    fn update_from_keeper(&mut self, stand: &Stand, fresh: bool) {
-        (self.leads, self.from, self.revision) = (stand.leads, stand.leader.clone(), stand.applied);
-        (self.voters, self.learners) = (stand.voters.clone(), stand.learners.clone());
-        self.changing = stand.changing;
+    fn update_from_keeper(&mut self, status: &Status, fresh: bool) {
+        (self.leads, self.from, self.revision) =
+            (status.is_leader, status.leader.clone(), status.applied_index);
+        (self.voters, self.learners) = (status.voters.clone(), status.learners.clone());
+        self.changing = status.in_membership_change;
         if fresh {
             self.last_contact = Some(Instant::now());
         }
@@ -117,7 +118,7 @@
 struct Shared {
     name: String,
     file: FleetFile,
-    bans: Shown,
+    bans: SharedBans,
     /// The number of changes of the content so far.
     changes: watch::Sender<u64>,
     view: RefCell<View>,
@@ -127,7 +128,7 @@
 
 impl Shared {
     fn contents(&self) -> Vec<Box<dyn Content>> {
-        vec![Box::new(Bans::shown_at(self.bans.clone()))]
+        vec![Box::new(Bans::sharing(self.bans.clone()))]
     }
 
     fn random_u64(&self) -> u64 {
@@ -218,7 +219,7 @@
         let shared = Rc::new(Shared {
             name: name.to_owned(),
             file,
-            bans: Shown::default(),
+            bans: SharedBans::default(),
             changes,
             view: RefCell::new(view),
             random: RefCell::new(Pcg64Mcg::seed_from_u64(random)),
@@ -274,7 +275,7 @@
 
     /// Calls `each` at each change of the bans, until the process ends.
     pub async fn follow(self, mut each: impl FnMut(&str, Option<u64>)) {
-        let mut previous = Held::new();
+        let mut previous = ActiveBans::new();
         let mut changes = self.changes.clone();
         // The sender is held here, so the channel stays open.
         while changes.changed().await.is_ok() {
--- a/daemon/src/fleet/peer_connection.rs
+++ b/daemon/src/fleet/peer_connection.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
-use gradepaddle_book::frame::{FrameError, LONGEST, Seal, Session};
+use gradepaddle_book::frame::{ClusterKeys, FrameError, MAX_FRAME_BYTES, Session};
 use gradepaddle_book::{Hello, Message, Outcome, Write};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -99,18 +99,18 @@
     /// [`LineError`] if the connection fails, the other side is silent, or it uses another cluster name or key.
     pub async fn handshake(
         stream: TcpStream,
-        seal: Seal,
+        seal: ClusterKeys,
         own_name: &str,
         nonce: u64,
     ) -> Result<PeerConnection, LineError> {
         stream.set_nodelay(true)?;
-        let codec = LengthDelimitedCodec::builder().max_frame_length(LONGEST).new_codec();
+        let codec = LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec();
         let mut framed = Framed::new(stream, codec);
         let mut session = Session::new(seal, own_name, nonce);
-        framed.send(Bytes::from(session.greet()?)).await?;
+        framed.send(Bytes::from(session.handshake()?)).await?;
         let first = timeout(HANDSHAKE_TIMEOUT, framed.next()).await.map_err(|_| LineError::Silent)?;
         let first = first.ok_or(LineError::Ended)??;
-        let name = session.meet(&first)?;
+        let name = session.accept_handshake(&first)?;
         Ok(PeerConnection { framed, session, last_received: Instant::now(), name })
     }
 
@@ -120,7 +120,7 @@
     ///
     /// [`LineError`] if the connection fails or the other side does not read for too long.
     pub async fn send(&mut self, packet: &Packet) -> Result<(), LineError> {
-        let bytes = self.session.pack(packet)?;
+        let bytes = self.session.encode(packet)?;
         Ok(timeout(RECEIVE_TIMEOUT, self.framed.send(Bytes::from(bytes)))
             .await
             .map_err(|_| LineError::Silent)??)
@@ -137,6 +137,6 @@
         let next = timeout_at(self.last_received + RECEIVE_TIMEOUT, self.framed.next());
         let bytes = next.await.map_err(|_| LineError::Silent)?.ok_or(LineError::Ended)??;
         self.last_received = Instant::now();
-        Ok(self.session.unpack(&bytes)?)
+        Ok(self.session.decode(&bytes)?)
     }
 }
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -168,12 +168,12 @@
         pool: pool.clone(),
         clock,
         budget: budget.clone(),
-        dial_timeout: Duration::from_micros(config.deployment.dial_timeout),
-        conn_idle: config.deployment.conn_idle,
+        dial_timeout: Duration::from_micros(config.deployment.connect_timeout),
+        conn_idle: config.deployment.connection_idle_timeout,
         reports: config.deployment.reports,
         idle_reuse: IdleReuse::new(Instant::now()),
     });
-    let limits = Limits { grace: config.deployment.drain_grace, ..Limits::default() };
+    let limits = Limits { drain_grace: config.deployment.drain_grace, ..Limits::default() };
     let dispatch = Dispatch::new(balancer, &config.deployment.settings, &config.name, limits);
     let dispatch_actor = DispatchActor::new(
         dispatch,
@@ -239,7 +239,7 @@
     }
     debug!(settings = ?config.deployment, sockets = config.descriptors, "configuration");
     // A pushed list counts from the start, so it is waited for before anything is served.
-    let pushed = !config.deployment.settings.ask_discovery;
+    let pushed = !config.deployment.settings.poll_discovery;
     spawn_local(reload(hangup, config, table_sender));
 
     let ready_handover = handover.clone();
--- a/daemon/src/service_table.rs
+++ b/daemon/src/service_table.rs
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use gradepaddle::settings::{Deployment, micros, place};
-use gradepaddle::{ListKind, Micros, Server, State};
+use gradepaddle::settings::{Deployment, intern_name, micros_from_ms};
+use gradepaddle::{ListKind, Micros, Server, ServerState};
 use gradepaddle_dispatch::{Failure, ListClock};
 use serde::Deserialize;
 use serde_json::Value;
@@ -168,7 +168,8 @@
         handover: Option<Rc<Handover>>,
     ) -> Self {
         let handover = handover.map(|handover| (handover, BTreeMap::new()));
-        let clock = ListClock::new(deployment.settings.gateways, u64::from(deployment.settings.me));
+        let clock =
+            ListClock::new(deployment.settings.gateway_count, u64::from(deployment.settings.gateway_index));
         ServiceTable { discovery, deployment, dispatch, context, seq: 0, clock, handover }
     }
 
@@ -177,7 +178,7 @@
         self.apply(initial, ListKind::Cached);
         // Where discovery is asked on request, the dispatch actor says when. Where lists are pushed, they count from the
         // start, so the first watch is opened at once.
-        let mut retry_at = (!self.deployment.settings.ask_discovery).then(|| self.now());
+        let mut retry_at = (!self.deployment.settings.poll_discovery).then(|| self.now());
         loop {
             let command = tokio::select! {
                 biased;
@@ -202,14 +203,14 @@
                         WatchEnd::Unreachable(why) => break (why, Failure::Unreachable),
                         WatchEnd::Failed(why) => break (why, Failure::TurnedDown),
                         WatchEnd::Silent(what) => {
-                            self.clock.fell_silent();
+                            self.clock.silence_timed_out();
                             let behind = self.clock.is_behind(self.now());
                             warn!(discovery = %self.discovery, seq = self.seq, behind, "{what}; opening a new watch");
                         }
                     },
                 }
             };
-            retry_at = Some(self.clock.failed(self.now(), how));
+            retry_at = Some(self.clock.call_failed(self.now(), how));
             warn!(discovery = %self.discovery, seq = self.seq, "watch broken: {why}");
             self.dispatch.update_table(TableUpdate {
                 seq: self.seq,
@@ -232,7 +233,7 @@
     fn set_discovery(&mut self, to: SocketAddr) {
         info!(from = %self.discovery, %to, "discovery has moved");
         (self.discovery, self.seq) = (to, 0);
-        self.clock.moved(self.now());
+        self.clock.discovery_moved(self.now());
     }
 
     /// Opens a watch, reads it until it ends, and returns how it did.
@@ -241,7 +242,7 @@
         let Some(permit) = self.context.budget.take(Side::Discovery) else {
             return WatchEnd::Unreachable("no descriptor left".into());
         };
-        self.clock.called(self.now());
+        self.clock.call_started(self.now());
         let mut connection = match timeout(CONNECT_TIMEOUT, TcpStream::connect(self.discovery)).await {
             Ok(Ok(stream)) => Connection::new(stream, &self.context.pool, permit),
             Ok(Err(e)) => return WatchEnd::Unreachable(e.to_string()),
@@ -253,7 +254,7 @@
             self.seq, self.discovery
         );
         request.push(text.as_bytes());
-        let head = timeout_at(self.instant(self.clock.silent_at()), async {
+        let head = timeout_at(self.instant(self.clock.silence_deadline()), async {
             connection.write(&[&request]).await.map_err(|e| e.to_string())?;
             connection.read_head().await.map_err(|error| error.to_string())
         });
@@ -274,7 +275,7 @@
             (ChunkedDecoder::new(), self.context.pool.chain(), ListDecoder::default());
         loop {
             let read = connection.read_chunks(&mut chunks, &mut received, MAX_LIST);
-            let ended = match timeout_at(self.instant(self.clock.silent_at()), read).await {
+            let ended = match timeout_at(self.instant(self.clock.silence_deadline()), read).await {
                 Ok(Ok(ended)) => ended,
                 Ok(Err(error)) => return error.to_string().into(),
                 Err(_) if decoder.has_partial_list() => {
@@ -287,7 +288,7 @@
             match decoder.decode(&text) {
                 Ok(lists) => {
                     for list in lists {
-                        self.clock.told(self.now());
+                        self.clock.list_received(self.now());
                         self.apply_received(list);
                     }
                 }
@@ -295,7 +296,7 @@
             }
             // A part of a list is no sign of life: the list is still owed.
             if !decoder.has_partial_list() {
-                self.clock.beats(self.now());
+                self.clock.heartbeat_received(self.now());
             }
             if ended {
                 return "discovery ended it".into();
@@ -357,13 +358,13 @@
     /// An entry in dispatch's terms, with its address unless it is removed.
     fn entry(&mut self, host: Host) -> Option<(Server, Option<SocketAddr>)> {
         let state = match host.health.as_str() {
-            "up" => State::Ready,
-            "removed" => State::Gone,
+            "up" => ServerState::Ready,
+            "removed" => ServerState::Gone,
             // An unknown state is at least not `up`, so the app server gets no new requests.
-            _ => State::Draining,
+            _ => ServerState::Draining,
         };
         let mut address = None;
-        if state != State::Gone {
+        if state != ServerState::Gone {
             let dial = host.dial.as_deref().unwrap_or_default();
             address = dial.parse().ok();
             if address.is_none() {
@@ -373,12 +374,12 @@
         }
         let server = Server {
             id: host.host.into(),
-            zone: place(&mut self.deployment.zones, &host.site),
-            kind: place(&mut self.deployment.kinds, &host.class),
+            zone: intern_name(&mut self.deployment.zones, &host.site),
+            kind: intern_name(&mut self.deployment.kinds, &host.class),
             cell: host.block,
             state,
             weight: host.share,
-            started: (host.born_ms > 0.0).then(|| micros(host.born_ms)),
+            started: (host.born_ms > 0.0).then(|| micros_from_ms(host.born_ms)),
         };
         Some((server, address))
     }
--- a/dispatch/benches/dispatch.rs
+++ b/dispatch/benches/dispatch.rs
@@ -7,7 +7,7 @@
 use std::hint::black_box;
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use gradepaddle::{Action, Balancer, Class, Event, ListKind, Micros, Server, Settings, State};
+use gradepaddle::{Action, Balancer, Class, Event, ListKind, Micros, Server, ServerState, Settings};
 use gradepaddle_dispatch::{Cause, Chooser, Dispatch, Extent, Input, Limits, Output, Transaction};
 
 const HOUR: Micros = 3_600_000_000;
@@ -18,7 +18,7 @@
 impl Chooser for First {
     fn handle(&mut self, _: Micros, event: Event<'_>, out: &mut Vec<Action>) {
         if let Event::Request(arrival) = event {
-            out.push(Action::Send { request: arrival.id, server: "s0".into(), until: Micros::MAX });
+            out.push(Action::Send { request: arrival.id, server: "s0".into(), deadline: Micros::MAX });
         }
     }
 }
@@ -33,7 +33,8 @@
 impl<C: Chooser> Bench<C> {
     /// Ten app servers, and nothing that ends by itself while a bench runs.
     fn new(chooser: impl Fn(&Settings) -> C) -> Self {
-        let class = Class { aim: HOUR, deadline: 24 * HOUR, ..Settings::default().classes.remove(0) };
+        let class =
+            Class { latency_target: HOUR, deadline: 24 * HOUR, ..Settings::default().classes.remove(0) };
         let settings = Settings { classes: vec![class], ..Settings::default() };
         let dispatch = Dispatch::new(chooser(&settings), &settings, "n1", Limits::default());
         let mut bench = Bench { dispatch, out: Vec::new(), now: 1, ticket: 0 };
@@ -42,12 +43,12 @@
             zone: i % 3,
             kind: 0,
             cell: i,
-            state: State::Ready,
+            state: ServerState::Ready,
             weight: 1.0,
             started: None,
         };
         let servers = (0..10).map(server).collect();
-        bench.dispatch.handle(1, Input::List { kind: ListKind::Full, servers }, &mut bench.out);
+        bench.dispatch.handle(1, Input::ServerList { kind: ListKind::Full, servers }, &mut bench.out);
         // The decisions hold a class back that has much more out than was ever answered.
         (0..2_000).for_each(|_| bench.whole());
         bench
@@ -57,7 +58,7 @@
         self.now += 50;
         self.ticket += 1;
         let transaction = Transaction {
-            own: self.ticket.to_be_bytes()[..].into(),
+            client_request_id: self.ticket.to_be_bytes()[..].into(),
             class: 0,
             tenant: None,
             key: Some(format!("key{}", self.ticket % 500)),
@@ -65,11 +66,11 @@
             once: false,
             arrived: self.now,
             time_left: 24 * HOUR,
-            whole: true,
+            upload_complete: true,
             message: self.ticket,
         };
         self.out.clear();
-        self.dispatch.handle(self.now, Input::Taken { ticket: self.ticket, transaction }, &mut self.out);
+        self.dispatch.handle(self.now, Input::Accepted { ticket: self.ticket, transaction }, &mut self.out);
         assert!(self.out.iter().any(|output| matches!(output, Output::Start { .. })), "it is sent");
         self.ticket
     }
@@ -86,7 +87,7 @@
         self.now += 50;
         self.out.clear();
         let (extent, cause, reply) = (Extent::Whole, Cause::Served, Some(ticket));
-        let ended = Input::Ended { ticket, attempt: 0, extent, cause, reply, report: None };
+        let ended = Input::AttemptEnded { ticket, attempt: 0, extent, cause, reply, report: None };
         self.dispatch.handle(self.now, ended, &mut self.out);
         black_box(&self.out);
     }
