--- a/daemon/examples/cost.rs
+++ b/daemon/examples/cost.rs
@@ -29,7 +29,7 @@
     "limits":{"cancel":true,"secondCopies":true,"connIdleMs":5000,"dialTimeoutMs":250,"tryLimit":6},
     "rules":{}}"#;
 
-/// Reads a head and the body that it announces; false at the end of the connection.
+/// Reads a head and the body that it announces; false once the connection is closed.
 fn message(stream: &mut BufReader<TcpStream>) -> bool {
     let (mut length, mut line) = (0usize, String::new());
     loop {
@@ -46,7 +46,7 @@
     }
 }
 
-/// An app server that answers everything at once.
+/// Starts an app server that answers every request at once.
 fn app_server() -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
@@ -104,7 +104,7 @@
         let listen =
             line.split("listen=").nth(1).and_then(|rest| rest.split(' ').next()).ok_or("no address")?;
         let address = listen.parse()?;
-        // What it logs later is read, or it would wait for a reader.
+        // Drains the log, or the daemon would block on a full pipe.
         std::thread::spawn(move || lines.for_each(drop));
         Ok(Daemon { child, address, folder })
     }
@@ -112,7 +112,7 @@
     /// User and system time so far, in seconds.
     fn cpu(&self) -> Fallible<f64> {
         let text = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id()))?;
-        // Behind the name in brackets, which may hold anything: the 14th and 15th field of all.
+        // Fields 14 and 15 of the file, counted after the name in brackets, which may contain anything.
         let fields: Vec<&str> = text.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
         let ticks =
             |at: usize| fields.get(at).and_then(|text| text.parse::<f64>().ok()).ok_or("no such field");
--- a/daemon/tests/fleet/book.rs
+++ b/daemon/tests/fleet/book.rs
@@ -1,5 +1,5 @@
-//! The book of the fleet, kept by real processes while they are killed, lose their disks and are cut off. Each step waits for
-//! what the processes say of themselves.
+//! The fleet's book, kept by real processes while they are killed, lose their disks and are partitioned. Each step waits for the
+//! status that the processes report.
 
 use std::path::PathBuf;
 
@@ -22,27 +22,27 @@
     council
 }
 
-fn out(view: &Value, server: &str) -> bool {
-    view["out"].as_array().is_some_and(|out| out.iter().any(|id| id == server))
+fn is_banned(view: &Value, server: &str) -> bool {
+    view["out"].as_array().is_some_and(|ids| ids.iter().any(|id| id == server))
 }
 
 async fn disable(council: &Council, place: usize) {
     council.succeeds(place, &format!("disable-server {SERVER}")).await;
 }
 
-async fn all_hold(council: &Council, places: &[usize]) {
-    council.until("the ban", places, |view| out(view, SERVER)).await;
+async fn wait_until_banned(council: &Council, places: &[usize]) {
+    council.until("the ban", places, |view| is_banned(view, SERVER)).await;
 }
 
-/// Guards a ban that holds at one balancer only: told at a reader it holds at keepers and readers, by what they answer,
-/// and so does its end.
+/// Guards against a ban that applies at one balancer only: a ban made at a reader applies at all keepers and readers, as their
+/// responses to clients show, and so does its end.
 #[test]
-fn a_ban_told_at_one_holds_at_all_and_so_does_its_end() {
+fn a_ban_and_its_end_apply_at_all_balancers() {
     on_one_thread(async {
         let council = council(5, 3).await;
         assert_eq!(council.asks(0, 1).await.expect("an answer"), 200);
         disable(&council, 4).await;
-        all_hold(&council, &[0, 1, 2, 3, 4]).await;
+        wait_until_banned(&council, &[0, 1, 2, 3, 4]).await;
         for place in 0..5 {
             council.answers(place, 503).await;
         }
@@ -51,15 +51,14 @@
             format!("SUCCESS {SERVER} was out already")
         );
         council.succeeds(1, &format!("enable-server {SERVER}")).await;
-        council.until("the end of the ban", &[0, 1, 2, 3, 4], |view| !out(view, SERVER)).await;
+        council.until("the end of the ban", &[0, 1, 2, 3, 4], |view| !is_banned(view, SERVER)).await;
         for place in 0..5 {
             council.answers(place, 200).await;
         }
     });
 }
 
-/// Guards what was acknowledged against the loss of every machine that was there at first, one after the other, each with
-/// its disk.
+/// Guards an acknowledged ban against the loss of all original keepers with their disks, one after the other.
 #[test]
 fn all_machines_are_lost_with_their_disks_one_after_the_other() {
     on_one_thread(async {
@@ -70,7 +69,7 @@
             council.kill(place).await.expect("it ends");
             council.empty(place).expect("a disk");
             council.start_places(&[place]).await.expect("it starts");
-            // Amid the change the one that is replaced counts too, and no other may be missing.
+            // During the membership change the replaced keeper still counts as a voter, so no other one may be lost.
             let back = |view: &Value| {
                 let voters = view["voters"].as_array().map(Vec::len);
                 let learners = view["learners"].as_array().map(Vec::len);
@@ -78,15 +77,15 @@
             };
             council.until("its place among the voters", &[place], back).await;
             council.until("its place among the voters", &others, back).await;
-            all_hold(&council, &[0, 1, 2, 3]).await;
+            wait_until_banned(&council, &[0, 1, 2, 3]).await;
         }
-        // And the book still takes what is written.
+        // The book still accepts writes.
         council.succeeds(0, &format!("enable-server {SERVER}")).await;
-        council.until("the end of the ban", &[0, 1, 2, 3], |view| !out(view, SERVER)).await;
+        council.until("the end of the ban", &[0, 1, 2, 3], |view| !is_banned(view, SERVER)).await;
     });
 }
 
-/// Guards against a leader that is lost with what it has acknowledged, and one that comes back with less.
+/// Guards acknowledged writes against the loss of the leader, and against a leader that comes back without them.
 #[test]
 fn the_leader_is_killed_again_and_again() {
     on_one_thread(async {
@@ -98,33 +97,37 @@
             council.kill(leader).await.expect("it ends");
             let others: Vec<usize> = (0..3).filter(|other| *other != leader).collect();
             council.leader(&others).await;
-            council.until("what was acknowledged", &others, |view| out(view, SERVER) == holds).await;
+            council.until("what was acknowledged", &others, |view| is_banned(view, SERVER) == holds).await;
             council.start_places(&[leader]).await.expect("it starts");
             council
                 .until("what was acknowledged", &[leader], |view| {
-                    view["revision"].as_u64() > Some(0) && out(view, SERVER) == holds
+                    view["revision"].as_u64() > Some(0) && is_banned(view, SERVER) == holds
                 })
                 .await;
         }
     });
 }
 
-/// Guards against two books: with the leader cut off in the minority its side confirms nothing, the other side does, and
-/// once healed all hold the same.
+/// Guards against a split brain: a leader that is partitioned with a minority confirms nothing, the majority does, and after the
+/// partition is healed all agree.
 #[test]
 fn a_leader_in_the_minority_confirms_nothing() {
     on_one_thread(async {
         let council = council(5, 5).await;
         let leader = council.leader(&[0, 1, 2, 3, 4]).await;
-        let few = [leader, (leader + 1) % 5];
-        let many: Vec<usize> = (0..5).filter(|place| !few.contains(place)).collect();
-        council.part(&few, &many);
-        council.leader(&many).await;
+        let minority = [leader, (leader + 1) % 5];
+        let majority: Vec<usize> = (0..5).filter(|place| !minority.contains(place)).collect();
+        council.part(&minority, &majority);
+        council.leader(&majority).await;
         let said = council.call(leader, &format!("disable-server {SERVER}")).await.expect("an answer");
         assert!(said.starts_with(&format!("FAILURE {SERVER} is out at this balancer")), "{said}");
-        assert_eq!(council.asks(leader, 1).await.expect("an answer"), 503, "it holds where it was told");
-        let said = council.acknowledged(many[0], &format!("disable-server {SERVER}")).await;
-        // A call that was repeated may find that its first copy took effect, though its answer came too late.
+        assert_eq!(
+            council.asks(leader, 1).await.expect("an answer"),
+            503,
+            "the ban applies where it was made"
+        );
+        let said = council.acknowledged(majority[0], &format!("disable-server {SERVER}")).await;
+        // A repeated command may find that its first copy took effect, though its answer came too late.
         match said.attempts {
             1 => assert_eq!(said.answer, format!("SUCCESS {SERVER} is out")),
             _ => assert!(
@@ -133,17 +136,17 @@
                 "{said:?}"
             ),
         }
-        all_hold(&council, &many).await;
-        assert!(!out(&council.view(few[1]).await, SERVER), "nothing has passed");
+        wait_until_banned(&council, &majority).await;
+        assert!(!is_banned(&council.view(minority[1]).await, SERVER), "nothing has crossed the partition");
         council.heal();
-        all_hold(&council, &[0, 1, 2, 3, 4]).await;
+        wait_until_banned(&council, &[0, 1, 2, 3, 4]).await;
     });
 }
 
-/// Guards what was acknowledged against the end of all keepers at once, and a leader that is paused for longer than the
-/// others wait against a second book.
+/// Guards an acknowledged ban against the end of all keepers at once; and guards against a split brain with a leader that is
+/// paused for longer than the election timeout of the others.
 #[test]
-fn all_keepers_end_at_once_and_a_paused_leader_follows_when_it_is_let_go() {
+fn all_keepers_end_at_once_and_a_paused_leader_follows_when_resumed() {
     on_one_thread(async {
         let mut council = council(4, 3).await;
         disable(&council, 3).await;
@@ -153,30 +156,30 @@
         assert_eq!(
             council.asks(3, 1).await.expect("an answer"),
             503,
-            "a reader that is cut off keeps what it knew"
+            "a reader without keepers keeps the bans that it knows"
         );
         council.start_places(&[0, 1, 2]).await.expect("they start");
         let leader = council.leader(&[0, 1, 2]).await;
-        all_hold(&council, &[0, 1, 2]).await;
+        wait_until_banned(&council, &[0, 1, 2]).await;
         council.process(leader).pause().expect("a process");
         let others: Vec<usize> = (0..3).filter(|other| *other != leader).collect();
         council.leader(&others).await;
         council.succeeds(others[0], &format!("enable-server {SERVER}")).await;
         council.process(leader).resume().expect("a process");
-        council.until("the end of the ban", &[0, 1, 2, 3], |view| !out(view, SERVER)).await;
-        // It may take itself for the leader until it hears of the other.
+        council.until("the end of the ban", &[0, 1, 2, 3], |view| !is_banned(view, SERVER)).await;
+        // The resumed keeper may take itself for the leader until it hears of the other one.
         council.until("a leader that gives way", &[leader], |view| view["leads"] == false).await;
     });
 }
 
-/// Guards what was acknowledged against a leader that ends at any point between proposal, disk and answer: bans are made
-/// and ended while leaders end there one after the other, and what was last acknowledged holds at all.
+/// Guards acknowledged writes against a leader that crashes at any point between proposal, disk and answer: bans are made and
+/// lifted while leaders crash there one after the other, and the last acknowledged write applies at all processes.
 #[test]
 fn leaders_end_at_each_point_between_disk_and_answer() {
     for point in ["before-disk", "after-disk", "before-answer"] {
         on_one_thread(async {
             let program = PathBuf::from(env!("CARGO_BIN_EXE_gradepaddle"));
-            // Behind the founding, which is some twenty of them.
+            // After the founding of the book, which passes the points of the disk some twenty times.
             let count = if point == "before-answer" { 2 } else { 30 };
             let more = [("GRADEPADDLE_CRASH", format!("{point}:{count}"))];
             let mut council = Council::start_with(program, 4, 3, &more).await.expect("they start");
@@ -185,7 +188,7 @@
             for _ in 0..200 {
                 holds = !holds;
                 let verb = if holds { "disable" } else { "enable" };
-                // Two may end on the way of one write: they come back before it is asked for again.
+                // Two leaders may crash during one write: they are restarted before the write is repeated.
                 let mut confirmed = false;
                 while !confirmed {
                     let line = format!("{verb}-server {SERVER}");
@@ -202,13 +205,13 @@
                 }
             }
             assert!(ended > 0, "no leader ended {point}");
-            all_hold(&council, &[0, 1, 2, 3]).await;
+            wait_until_banned(&council, &[0, 1, 2, 3]).await;
         });
     }
 }
 
-/// Guards the book against a keeper whose disk is not what it was: an old copy that is put back, or a file that is none. It
-/// says so and takes no part, but its balancer serves, reads the book, and comes back with an empty disk.
+/// Guards the book against a keeper whose disk was replaced by an old copy or by a file that is not a disk. It reports the fault
+/// and takes no part, but its balancer serves and reads the book, and it rejoins with an empty disk.
 #[test]
 fn a_keeper_with_a_disk_that_is_old_or_broken_steps_down_and_reads() {
     on_one_thread(async {
@@ -221,7 +224,7 @@
         disable(&council, 3).await;
         council.succeeds(3, &format!("enable-server {SERVER}")).await;
         disable(&council, 3).await;
-        all_hold(&council, &[0, 1, 2, 3]).await;
+        wait_until_banned(&council, &[0, 1, 2, 3]).await;
         for (disk, says) in [(&old[..], "an old copy"), (b"no disk of ours", "can not be opened")] {
             council.kill(place).await.expect("it ends");
             council.put_back(place, disk).expect("a folder");
@@ -229,7 +232,9 @@
             let told = |view: &Value| view["fault"].as_str().is_some_and(|fault| fault.contains(says));
             council.until("its fault", &[place], told).await;
             council
-                .until("what others tell", &[place], |view| view["role"] == "reader" && out(view, SERVER))
+                .until("what others tell", &[place], |view| {
+                    view["role"] == "reader" && is_banned(view, SERVER)
+                })
                 .await;
             council.answers(place, 503).await;
         }
@@ -244,10 +249,10 @@
     });
 }
 
-/// Guards keepers against strangers: noise, a length without end, another key, another cluster, a frame of an earlier
-/// connection. Each is hung up on, nothing of it takes effect, and the book goes on.
+/// Guards keepers against invalid connections: noise, an oversized length, another key, another cluster, a frame of an earlier
+/// connection. Each connection is closed without effect, and the book keeps working.
 #[test]
-fn strangers_are_hung_up_on_and_nothing_of_theirs_takes_effect() {
+fn invalid_connections_are_closed_without_effect() {
     on_one_thread(async {
         let council = council(4, 3).await;
         let seal = |cluster: &str, byte| {
@@ -259,11 +264,11 @@
             [&length[..], &bytes].concat()
         };
         let greets = |seal| framed(Session::new(seal, "b1", 7).handshake().expect("a frame"));
-        // One that has the key, and plays again what was said on another connection.
+        // One that replays frames of another connection that had the key.
         let mut first = Session::new(seal("rig", 0x5a), "b3", 7);
         let greeting = framed(first.handshake().expect("a frame"));
         let again = [&greeting[..], &framed(first.encode(&3u8).expect("a frame"))].concat();
-        let strangers = [
+        let invalid_connections = [
             b"GET / HTTP/1.1\r\n\r\n".to_vec(),
             vec![0xff; 64],
             framed(vec![1; 200]),
@@ -271,18 +276,18 @@
             greets(seal("other", 0x5a)),
             again,
         ];
-        for (at, said) in strangers.iter().enumerate() {
+        for (at, said) in invalid_connections.iter().enumerate() {
             for place in 0..3 {
                 let fleet = council.process(place).fleet.expect("a keeper");
                 let mut stream = TcpStream::connect(fleet).await.expect("it listens");
                 stream.write_all(said).await.expect("it reads");
                 let mut heard = Vec::new();
-                // It says who it is, and no more, and hangs up.
+                // The keeper sends its greeting, nothing more, and closes the connection.
                 let end = stream.read_to_end(&mut heard).await;
                 assert!(end.is_err() || heard.len() < 200, "stranger {at} heard {} bytes", heard.len());
             }
         }
         disable(&council, 3).await;
-        all_hold(&council, &[0, 1, 2, 3]).await;
+        wait_until_banned(&council, &[0, 1, 2, 3]).await;
     });
 }
--- a/daemon/tests/network/flow.rs
+++ b/daemon/tests/network/flow.rs
@@ -1,25 +1,25 @@
-//! Bodies of any size, slow sides and odd framing, on the daemon as a process.
+//! Bodies of any size, slow clients and app servers, and unusual framing, with the daemon as a process.
 
 use std::io::{Read, Write};
 use std::net::Shutdown;
 
-use crate::rig::{End, Rig};
+use crate::rig::{Peer, Rig};
 
-/// A body that shows where a byte is lost or doubled.
+/// A body in which a lost or duplicated byte shows.
 fn body(length: usize) -> Vec<u8> {
     (0..length).map(|i| (i % 251) as u8).collect()
 }
 
 const LONG: usize = 3_000_000;
 
-/// More than all buffers between two sockets hold.
+/// More than all buffers between client and app server hold.
 const VERY_LONG: usize = 30_000_000;
 
 fn order(id: &str, framing: &str) -> String {
     format!("POST /order HTTP/1.1\r\nX-Correlation-Id: {id}\r\n{framing}\r\n\r\n")
 }
 
-impl End {
+impl Peer {
     fn head(&mut self) -> String {
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
@@ -54,12 +54,12 @@
         }
     }
 
-    fn send(&mut self, bytes: &[u8]) {
+    fn send_bytes(&mut self, bytes: &[u8]) {
         self.0.write_all(bytes).expect("the other end reads");
     }
 }
 
-/// Guards long bodies against loss, and both framings of them: each side is told how the other framed its own.
+/// Guards long bodies against loss, in both framings: each side gets the body in the framing that the other side used.
 #[test]
 fn long_bodies_flow_both_ways_unchanged() {
     let rig = Rig::start(1);
@@ -68,7 +68,7 @@
     for (id, chunked) in [("c1", false), ("c2", true)] {
         let framing =
             if chunked { "Transfer-Encoding: chunked".into() } else { format!("Content-Length: {LONG}") };
-        client.say(&order(id, &framing));
+        client.send(&order(id, &framing));
         let mut text = Vec::new();
         for part in sent.chunks(70_001).filter(|_| chunked) {
             text.extend(format!("{:x};odd=\"x\"\r\n", part.len()).bytes());
@@ -77,16 +77,16 @@
         }
         text.extend(if chunked { b"0\r\nTrailer: t\r\n\r\n" } else { &sent[..] });
         let mut server = std::thread::scope(|scope| {
-            scope.spawn(|| client.send(&text));
+            scope.spawn(|| client.send_bytes(&text));
             let (_, mut server) = rig.accept(&[0]);
             let head = server.head();
             assert!(head.contains(&framing), "{head}");
             assert!(if chunked { server.chunks() } else { server.bytes(LONG) } == sent);
             server
         });
-        server.say(&format!("HTTP/1.1 200 OK\r\nConnection: close\r\n{framing}\r\n\r\n"));
+        server.send(&format!("HTTP/1.1 200 OK\r\nConnection: close\r\n{framing}\r\n\r\n"));
         std::thread::scope(|scope| {
-            scope.spawn(|| server.send(&text));
+            scope.spawn(|| server.send_bytes(&text));
             let head = client.head();
             assert!(head.starts_with("HTTP/1.1 200 OK") && head.contains(&framing), "{head}");
             assert!(!head.contains("Connection: close"), "{head}");
@@ -95,16 +95,16 @@
     }
 }
 
-/// Guards memory and time: what a client does not read stays with the app server, and what the app server has
-/// begun to answer is neither cut at the deadline nor held back.
+/// Guards memory and deadlines: a body that the client does not read is not read from the app server, and a response that has
+/// begun is neither truncated at the deadline nor held back.
 #[test]
 fn a_slow_reader_slows_its_app_server_and_is_not_cut_off() {
     let rig = Rig::start(1);
     let mut client = rig.client();
-    client.say(&format!("GET /look HTTP/1.1\r\nX-Correlation-Id: c1\r\nX-Time-Left: {}\r\n\r\n", 0.5));
+    client.send(&format!("GET /look HTTP/1.1\r\nX-Correlation-Id: c1\r\nX-Time-Left: {}\r\n\r\n", 0.5));
     let (_, mut server) = rig.accept(&[0]);
     server.head();
-    server.say(&format!("HTTP/1.1 200 OK\r\nContent-Length: {VERY_LONG}\r\n\r\n"));
+    server.send(&format!("HTTP/1.1 200 OK\r\nContent-Length: {VERY_LONG}\r\n\r\n"));
     let sent = body(VERY_LONG);
     server.0.set_write_timeout(Some(std::time::Duration::from_millis(700))).expect("a socket");
     let mut written = 0;
@@ -114,13 +114,13 @@
     assert!(written < VERY_LONG, "the client has read nothing, so this waits for it");
     server.0.set_write_timeout(None).expect("a socket");
     std::thread::scope(|scope| {
-        scope.spawn(|| server.send(&sent[written..]));
+        scope.spawn(|| server.send_bytes(&sent[written..]));
         assert!(client.head().contains("200 OK"));
         assert!(client.bytes(VERY_LONG) == sent, "long past its time");
     });
 }
 
-/// Guards the first bytes of an answer whose end is not known: they are not kept until it comes.
+/// Guards against a response without a known length that is held back until its end.
 #[test]
 fn an_answer_without_length_is_passed_on_as_it_comes() {
     let rig = Rig::start(1);
@@ -128,19 +128,19 @@
     client.look("c1");
     let (_, mut server) = rig.accept(&[0]);
     server.head();
-    server.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n");
+    server.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n");
     assert!(client.head().contains("Transfer-Encoding: chunked"));
     assert_eq!(client.bytes(10), b"5\r\nfirst\r\n");
-    server.say("4\r\nlast\r\n0\r\n\r\n");
+    server.send("4\r\nlast\r\n0\r\n\r\n");
     assert_eq!(client.chunks(), b"last");
-    // The connection is of further use on both sides.
+    // Both connections are reused.
     client.look("c2");
     assert!(server.head().contains("c2"));
-    server.ok("");
-    assert_eq!(client.status(), "200 OK");
+    server.respond_ok("");
+    assert_eq!(client.read_status(), "200 OK");
 }
 
-/// Guards clients against an answer that looks whole and is not, in each framing.
+/// Guards clients against a truncated response that looks complete, in each framing.
 #[test]
 fn an_answer_that_breaks_off_amid_its_flow_shows_as_broken() {
     let rig = Rig::start(1);
@@ -150,15 +150,15 @@
         ("1.0", "Transfer-Encoding: chunked".to_owned()),
     ] {
         let mut client = rig.client();
-        client.say(&format!("GET /look HTTP/{version}\r\nX-Correlation-Id: c1\r\n\r\n"));
+        client.send(&format!("GET /look HTTP/{version}\r\nX-Correlation-Id: c1\r\n\r\n"));
         let (_, mut server) = rig.accept(&[0]);
         server.head();
-        server.say(&format!("HTTP/1.1 200 OK\r\n{framing}\r\n\r\n"));
+        server.send(&format!("HTTP/1.1 200 OK\r\n{framing}\r\n\r\n"));
         let part = body(100_000);
         if framing.starts_with("Transfer") {
-            server.say(&format!("{:x}\r\n", part.len()));
+            server.send(&format!("{:x}\r\n", part.len()));
         }
-        server.send(&part);
+        server.send_bytes(&part);
         let head = client.head();
         assert_eq!(
             head.contains("Transfer-Encoding"),
@@ -174,54 +174,54 @@
     }
 }
 
-/// Guards against a second run of what flowed to an app server in part, and against claims about it: it never
-/// ran, so it is refused, and the next app server gets nothing of it.
+/// Guards against a second run of a request whose body was streamed to an app server in part. It never ran, so it is refused
+/// rather than failed, and no other app server gets any of it.
 #[test]
-fn a_body_that_is_used_up_is_sent_to_nobody_else() {
+fn a_consumed_body_is_sent_to_no_other_app_server() {
     let rig = Rig::start(2);
     let mut client = rig.client();
-    client.say(&order("c1", &format!("Content-Length: {LONG}")));
-    client.send(&body(200_000));
+    client.send(&order("c1", &format!("Content-Length: {LONG}")));
+    client.send_bytes(&body(200_000));
     let (at, mut server) = rig.accept(&[0, 1]);
     server.head();
     server.bytes(150_000);
     drop(server);
-    assert_eq!(client.status(), "503 Service Unavailable");
+    assert_eq!(client.read_status(), "503 Service Unavailable");
     assert!(rig.try_accept(1 - at).is_none() && rig.try_accept(at).is_none());
 }
 
-/// Guards the other side of that: what is kept of it can be sent again where the first attempt never ran.
+/// Guards the opposite case: while the body is still buffered, it can be sent again if the first attempt never ran.
 #[test]
 fn a_long_body_begins_anew_where_nothing_of_it_is_lost() {
     let rig = Rig::start(2);
     let mut client = rig.client();
     let sent = body(LONG);
-    client.say(&order("c1", &format!("Content-Length: {LONG}")));
-    client.send(&sent[..64 * 1024]);
+    client.send(&order("c1", &format!("Content-Length: {LONG}")));
+    client.send_bytes(&sent[..64 * 1024]);
     let (at, mut server) = rig.accept(&[0, 1]);
     server.head();
-    server.say("HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
+    server.send("HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
     let (_, mut other) = rig.accept(&[1 - at]);
     other.head();
     std::thread::scope(|scope| {
-        scope.spawn(|| client.send(&sent[64 * 1024..]));
+        scope.spawn(|| client.send_bytes(&sent[64 * 1024..]));
         assert!(other.bytes(LONG) == sent);
     });
-    other.ok("done");
-    assert!(client.message().ends_with("done"));
+    other.respond_ok("done");
+    assert!(client.read_message().ends_with("done"));
 }
 
-/// Guards the time of a client that sends slowly: it begins with the last byte. And the final answer of an app
-/// server that has heard enough: it is passed on at once.
+/// Guards the deadline of a client that sends slowly: the time counts from its last byte. Also guards the final response that
+/// an app server sends before the end of the body: it is forwarded at once.
 #[test]
 fn time_begins_with_the_last_byte_and_an_early_answer_ends_it() {
     let rig = Rig::start(1);
     let mut client = rig.client();
     let sent = body(300_000);
-    client.say(&order("c1", "X-Time-Left: 0.4\r\nContent-Length: 300000"));
+    client.send(&order("c1", "X-Time-Left: 0.4\r\nContent-Length: 300000"));
     let (mut server, mut taken) = (None, 0);
     for part in sent.chunks(30_000) {
-        client.send(part);
+        client.send_bytes(part);
         std::thread::sleep(std::time::Duration::from_millis(100));
         server = server.or_else(|| rig.try_accept(0));
         if let Some(server) = &mut server {
@@ -234,18 +234,18 @@
     }
     let mut server = server.expect("begun before the end");
     server.bytes(300_000 - taken);
-    server.ok("in time");
-    assert!(client.message().ends_with("in time"));
-    client.say(&order("c2", &format!("Content-Length: {LONG}")));
-    client.send(&sent);
+    server.respond_ok("in time");
+    assert!(client.read_message().ends_with("in time"));
+    client.send(&order("c2", &format!("Content-Length: {LONG}")));
+    client.send_bytes(&sent);
     assert!(server.head().contains("c2"));
-    server.say("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 413 Too Long\r\nContent-Length: 5\r\n\r\nenoug");
-    let answer = client.message();
+    server.send("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 413 Too Long\r\nContent-Length: 5\r\n\r\nenoug");
+    let answer = client.read_message();
     assert!(answer.starts_with("HTTP/1.1 413 Too Long") && answer.contains("Connection: close"), "{answer}");
-    assert!(answer.ends_with("enoug") && client.ended());
+    assert!(answer.ends_with("enoug") && client.wait_closed());
 }
 
-/// Guards app servers against half a request that looks whole, and their places against a client that has gone.
+/// Guards app servers against a truncated request that looks complete, and against work for a client that has disconnected.
 #[test]
 fn a_client_that_stops_amid_its_body_leaves_nothing_behind() {
     for (stop, chunked) in [("leave", false), ("leave", true), ("end", false), ("wait", true)] {
@@ -253,20 +253,20 @@
         let mut client = rig.client();
         let framing =
             if chunked { "Transfer-Encoding: chunked".into() } else { format!("Content-Length: {LONG}") };
-        client.say(&order("c1", &framing));
+        client.send(&order("c1", &framing));
         if chunked {
-            client.say(&format!("{LONG:x}\r\n"));
+            client.send(&format!("{LONG:x}\r\n"));
         }
-        client.send(&body(100_000));
+        client.send_bytes(&body(100_000));
         let (_, mut server) = rig.accept(&[0]);
         server.head();
         match stop {
             "leave" => drop(client),
             "end" => {
                 client.0.shutdown(Shutdown::Write).expect("a socket");
-                assert!(client.ended());
+                assert!(client.wait_closed());
             }
-            _ => assert_eq!(client.status(), "408 Request Timeout"),
+            _ => assert_eq!(client.read_status(), "408 Request Timeout"),
         }
         let mut rest = Vec::new();
         let _ = server.0.read_to_end(&mut rest);
@@ -274,47 +274,47 @@
     }
 }
 
-/// Guards heads and chunk sizes against the network that cuts them at every byte, and honest clients that take
-/// their time against being cut off.
+/// Guards against a head or chunk size that is misread when the network splits it at every byte, and against disconnecting
+/// clients that send slowly but steadily.
 #[test]
 fn a_request_cut_at_every_byte_is_read_as_it_was_meant() {
     let rig = Rig::start(1);
     let text = order("c1", "Transfer-Encoding: chunked") + "3;a=b\r\nabc\r\n2\r\nde\r\n0\r\nT: u\r\n\r\n";
     let mut client = rig.client();
     for byte in text.as_bytes() {
-        client.send(&[*byte]);
+        client.send_bytes(&[*byte]);
         std::thread::sleep(std::time::Duration::from_millis(10));
     }
     let (_, mut server) = rig.accept(&[0]);
-    assert!(server.message().ends_with("\nabcde"));
+    assert!(server.read_message().ends_with("\nabcde"));
     for byte in b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok" {
-        server.send(&[*byte]);
+        server.send_bytes(&[*byte]);
     }
-    assert!(client.message().ends_with("\nok"));
+    assert!(client.read_message().ends_with("\nok"));
 }
 
-/// Guards the odd forms: 1xx in front, an expectation, HEAD, answers without body, and HTTP/1.0.
+/// Guards the unusual forms: interim responses, `Expect`, HEAD, responses without a body, and HTTP/1.0.
 #[test]
 fn all_forms_of_http_are_understood() {
     let rig = Rig::start(1);
     let mut client = rig.client();
-    client.say(&order("c1", "Expect: 100-continue\r\nContent-Length: 100000"));
-    assert_eq!(client.status(), "100 Continue");
-    client.send(&body(100_000));
+    client.send(&order("c1", "Expect: 100-continue\r\nContent-Length: 100000"));
+    assert_eq!(client.read_status(), "100 Continue");
+    client.send_bytes(&body(100_000));
     let (_, mut server) = rig.accept(&[0]);
     assert!(!server.head().contains("Expect"));
     assert!(server.bytes(100_000) == body(100_000));
-    server.say("HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 204 No Content\r\nContent-Length: 9\r\n\r\n");
+    server.send("HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 204 No Content\r\nContent-Length: 9\r\n\r\n");
     let head = client.head();
     assert!(head.starts_with("HTTP/1.1 204 No Content") && !head.contains("Content-Length"), "{head}");
     let mut old = rig.client();
-    old.say("GET /look HTTP/1.0\r\nX-Correlation-Id: c2\r\n\r\n");
+    old.send("GET /look HTTP/1.0\r\nX-Correlation-Id: c2\r\n\r\n");
     assert!(server.head().contains("c2"));
-    server.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+    server.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     let sent = body(200_000);
-    server.say(&format!("{:x}\r\n", sent.len()));
-    server.send(&sent);
-    server.say("\r\n0\r\n\r\n");
+    server.send(&format!("{:x}\r\n", sent.len()));
+    server.send_bytes(&sent);
+    server.send("\r\n0\r\n\r\n");
     let head = old.head();
     assert!(head.contains("Connection: close") && !head.contains("Transfer-Encoding"), "{head}");
     let mut got = Vec::new();
@@ -323,8 +323,8 @@
     let mut client = rig.client();
     client.look("c3");
     assert!(server.head().contains("c3"));
-    server.say("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
-    server.send(&sent);
+    server.send("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
+    server.send_bytes(&sent);
     drop(server);
     assert!(client.head().contains("Transfer-Encoding: chunked"));
     assert!(client.chunks() == sent, "the close was announced, so it ends the body");
--- a/daemon/tests/network/keyed.rs
+++ b/daemon/tests/network/keyed.rs
@@ -1,8 +1,8 @@
-//! Keyed requests: what names them to app servers goes on unchanged, and decides whether they are repeated.
+//! Keyed requests: the idempotency key is forwarded unchanged, and decides whether a request is retried.
 
-use crate::rig::{Rig, SETTINGS, host, local, request};
+use crate::rig::{Rig, SETTINGS, host, local_address, request};
 
-/// The usual settings with a class whose repeats the app servers of one zone drop.
+/// The usual settings, with a class whose repeated requests are dropped by the app servers of the same zone.
 fn settings() -> String {
     let report = r#"{"name":"report","aimMs":1200,"deadlineMs":5000,"effect":"keyed","group":"zone","windowMs":6000},"#;
     SETTINGS.replace(r#"{"name":"order""#, &format!("{report}{{\"name\":\"order\""))
@@ -12,31 +12,31 @@
     request("POST", "report", id, "door stuck").replace("X-Account", &format!("{headers}X-Account"))
 }
 
-/// Guards a key that gets lost or changed on its way: every attempt carries it, also when the client says that it
-/// has asked before, and the first one's break is mended by a repeat in the zone.
+/// Guards against a key that is lost or changed on its way: every attempt carries it, also if the client marks the request as a
+/// repeat, and a first attempt that breaks is retried in its zone.
 #[test]
 fn a_keyed_request_is_repeated_in_its_zone_under_its_key() {
-    let rig = Rig::under(2, &settings());
+    let rig = Rig::with_settings(2, &settings());
     let mut client = rig.client();
     for (id, headers) in
         [("c1", "Idempotency-Key: 5c0f6e1a\r\n"), ("c2", "X-Repeat: 1\r\nIdempotency-Key: 5c0f6e1a\r\n")]
     {
-        client.say(&report(id, headers));
+        client.send(&report(id, headers));
         let (_, mut first) = rig.accept(&[0, 1]);
-        let told = first.message();
+        let told = first.read_message();
         drop(first);
         let (_, mut second) = rig.accept(&[0, 1]);
-        let again = second.message();
+        let again = second.read_message();
         for line in headers.lines() {
             assert!(told.contains(line) && again.contains(line), "{id}: {line:?} of {told} and {again}");
         }
-        second.say("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\nsent");
-        assert!(client.message().ends_with("sent"), "{id}");
+        second.send("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\nsent");
+        assert!(client.read_message().ends_with("sent"), "{id}");
     }
 }
 
-/// Guards against a repeat that nobody can drop: without a key, with an empty one or with two it would run again. It
-/// fails, and is not refused: it may have run.
+/// Guards against a retry that app servers can't recognize: a request without a key, with an empty one or with two would run
+/// again. It fails and is not refused, because it may have run.
 #[test]
 fn a_keyed_request_that_nothing_names_is_not_repeated() {
     let key = "Idempotency-Key: 5c0f6e1a\r\n";
@@ -45,33 +45,33 @@
         ("c2", "Idempotency-Key:  \r\n".into()),
         ("c3", format!("{key}Idempotency-Key: other\r\n")),
     ] {
-        let rig = Rig::under(2, &settings());
+        let rig = Rig::with_settings(2, &settings());
         let mut client = rig.client();
-        client.say(&report(id, &headers));
+        client.send(&report(id, &headers));
         let (_, mut server) = rig.accept(&[0, 1]);
-        assert!(server.message().contains(id));
+        assert!(server.read_message().contains(id));
         drop(server);
-        assert_eq!(client.status(), "500 Internal Server Error", "{id}");
+        assert_eq!(client.read_status(), "500 Internal Server Error", "{id}");
         assert!((0..2).all(|at| rig.try_accept(at).is_none()), "{id} was sent again");
     }
 }
 
-/// Guards against a repeat in a zone that does not know of the first: what breaks in one is tried again there only.
+/// Guards against a retry in a zone that does not know of the first attempt: a request that breaks is retried in its zone only.
 #[test]
 fn a_keyed_request_is_not_repeated_in_another_zone() {
-    let rig = Rig::under(2, &settings());
+    let rig = Rig::with_settings(2, &settings());
     let (_, mut watch) = rig.watch(r#"{"seq":8,"whole":false,"hosts":[]}"#);
-    let far = host("b", local(&rig.servers[1]), "up").replace("north", "south");
+    let far = host("b", local_address(&rig.servers[1]), "up").replace("north", "south");
     watch.chunk(&format!(r#"{{"seq":9,"whole":false,"hosts":[{far}]}}"#));
-    rig.logged("seq=9");
+    rig.wait_for_log("seq=9");
     let mut client = rig.client();
-    client.say(&report("c1", "Idempotency-Key: 5c0f6e1a\r\n"));
+    client.send(&report("c1", "Idempotency-Key: 5c0f6e1a\r\n"));
     let (at, mut first) = rig.accept(&[0, 1]);
-    assert!(first.message().contains("c1"));
+    assert!(first.read_message().contains("c1"));
     drop(first);
     let (_, mut again) = rig.accept(&[at]);
-    again.message();
-    again.ok("dropped as a repeat");
-    assert!(client.message().ends_with("dropped as a repeat"));
+    again.read_message();
+    again.respond_ok("dropped as a repeat");
+    assert!(client.read_message().ends_with("dropped as a repeat"));
     assert!(rig.try_accept(1 - at).is_none(), "it was sent to the other zone");
 }
--- a/daemon/tests/network/main.rs
+++ b/daemon/tests/network/main.rs
@@ -1,4 +1,4 @@
-//! The daemon as a process on real sockets: each test is its clients, its app servers and discovery.
+//! Runs the daemon as a process on real sockets: each test plays its clients, its app servers and discovery.
 
 mod crossings;
 mod flow;
@@ -10,18 +10,18 @@
 mod rig;
 
 use insta::assert_snapshot;
-use rig::{End, Rig, host, local, program, request};
+use rig::{Peer, Rig, host, local_address, program, request};
 
-/// Guards the ordinary path: what is passed on, unchanged, both ways, and connections used again.
+/// Guards the ordinary path: request and response are forwarded unchanged, and connections are reused.
 #[test]
 fn a_request_is_passed_on_and_its_answer_back() {
     let rig = Rig::start(1);
     let mut client = rig.client();
-    client.say(
+    client.send(
         &request("POST", "order", "c1", "two beams").replace("X-Account", "X-Time-Left: 0.5\r\nX-Account"),
     );
     let (_, mut server) = rig.accept(&[0]);
-    assert_snapshot!(server.message(), @r"
+    assert_snapshot!(server.read_message(), @r"
     POST /order?q=1 HTTP/1.1
     Host: origin.svc
     X-Correlation-Id: c1
@@ -33,11 +33,11 @@
 
     two beams
     ");
-    server.say(
+    server.send(
         "HTTP/1.1 200 Fine\r\nContent-Type: text/x\r\nKeep-Alive: 5\r\nTransfer-Encoding: chunked\r\n\r\n",
     );
-    server.say("3\r\nyes\r\n1;x=y\r\n!\r\n0\r\nTrailer: t\r\n\r\n");
-    assert_snapshot!(client.message(), @r"
+    server.send("3\r\nyes\r\n1;x=y\r\n!\r\n0\r\nTrailer: t\r\n\r\n");
+    assert_snapshot!(client.read_message(), @r"
     HTTP/1.1 200 Fine
     Content-Type: text/x
     Content-Length: 4
@@ -45,26 +45,26 @@
     yes!
     ");
     client.look("c2");
-    assert!(server.message().starts_with("GET /look?q=1 "), "on the same connection");
-    server.ok("again");
-    assert!(client.message().ends_with("\nagain"));
+    assert!(server.read_message().starts_with("GET /look?q=1 "), "on the same connection");
+    server.respond_ok("again");
+    assert!(client.read_message().ends_with("\nagain"));
 }
 
-/// Guards against a body that no longer fits: 64 KiB and its head cross many buffers.
+/// Guards the longest body that is buffered: 64 KiB and its head span many buffers.
 #[test]
 fn the_longest_bodies_pass_both_ways_unchanged() {
     let rig = Rig::start(1);
     let body: String = (0..64 * 1024).map(|i| char::from(b'a' + (i % 23) as u8)).collect();
     let mut client = rig.client();
-    client.say(&request("POST", "order", "c1", &body));
+    client.send(&request("POST", "order", "c1", &body));
     let (_, mut server) = rig.accept(&[0]);
-    assert!(server.message().ends_with(&body));
-    server.ok(&body);
-    assert!(client.message().ends_with(&body));
+    assert!(server.read_message().ends_with(&body));
+    server.respond_ok(&body);
+    assert!(client.read_message().ends_with(&body));
 }
 
-/// Guards against an unsafe request that runs twice: behind its last byte anything may have run, so a
-/// break, an error or a refusal without the proof ends it, and never as a refusal.
+/// Guards against an unsafe request that runs twice: after its last byte it may have run, so a broken connection, an error or a
+/// refusal without proof that it was not processed ends it, as a failure and never as a refusal.
 #[test]
 fn an_unsafe_request_that_may_have_run_is_not_sent_again() {
     for (id, answer) in [
@@ -80,24 +80,24 @@
         let mut client = rig.client();
         client.order(id);
         let (_, mut server) = rig.accept(&[0, 1]);
-        assert!(server.message().contains(id));
-        server.say(answer);
+        assert!(server.read_message().contains(id));
+        server.send(answer);
         drop(server);
-        assert_eq!(client.status(), "500 Internal Server Error", "{id}");
+        assert_eq!(client.read_status(), "500 Internal Server Error", "{id}");
         assert!((0..2).all(|at| rig.try_accept(at).is_none()), "{id} was not sent again");
     }
 }
 
-/// Guards against an app server's own words that get lost: what is wrong with an order, its client reads.
+/// Guards against an app server's error response that is lost: the client reads what is wrong with its order.
 #[test]
 fn an_app_servers_error_is_passed_on_as_the_failure() {
     let rig = Rig::start(1);
     let mut client = rig.client();
     client.order("c1");
     let (_, mut server) = rig.accept(&[0]);
-    server.message();
-    server.say("HTTP/1.1 422 No Such Beam\r\nX-Why: length\r\nContent-Length: 5\r\n\r\n9.9 m");
-    assert_snapshot!(client.message(), @r"
+    server.read_message();
+    server.send("HTTP/1.1 422 No Such Beam\r\nX-Why: length\r\nContent-Length: 5\r\n\r\n9.9 m");
+    assert_snapshot!(client.read_message(), @r"
     HTTP/1.1 422 No Such Beam
     X-Why: length
     Content-Length: 5
@@ -106,21 +106,20 @@
     ");
 }
 
-/// Guards the answers that the close may end, since they say so.
+/// Guards responses that end with the close of their connection, if they announce it.
 #[test]
 fn an_answer_without_length_is_whole_at_an_announced_close() {
     let rig = Rig::start(1);
     let mut client = rig.client();
     client.order("c1");
     let (_, mut server) = rig.accept(&[0]);
-    server.message();
-    server.say("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nto the end");
+    server.read_message();
+    server.send("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nto the end");
     drop(server);
-    assert!(client.message().ends_with("\nto the end"));
+    assert!(client.read_message().ends_with("\nto the end"));
 }
 
-/// Guards against an app server that never comes to its answer: some 1xx answers may stand before it, but
-/// not without end.
+/// Guards against an app server that never sends its final response: some 1xx responses may precede it, but not without end.
 #[test]
 fn interim_answers_are_passed_over_up_to_a_bound() {
     let rig = Rig::start(1);
@@ -129,32 +128,31 @@
     for (id, count, status) in [("c1", 5, "200 OK"), ("c2", 40, "500 Internal Server Error")] {
         client.order(id);
         let (_, mut server) = rig.accept(&[0]);
-        assert!(server.message().contains(id));
-        server.say(&early.repeat(count));
-        server.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
-        assert_eq!(client.status(), status);
+        assert!(server.read_message().contains(id));
+        server.send(&early.repeat(count));
+        server.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
+        assert_eq!(client.read_status(), status);
     }
 }
 
-/// Guards against a client's own fault that is tried at every app server: one of them has said what it is.
+/// Guards against a client's error that is retried at every app server: the first one has rejected the request.
 #[test]
 fn a_request_that_an_app_server_denies_is_tried_once() {
     let rig = Rig::start(2);
     let mut client = rig.client();
     client.look("c1");
     let (at, mut server) = rig.accept(&[0, 1]);
-    server.message();
-    server.say("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
-    assert_eq!(client.status(), "404 Not Found");
+    server.read_message();
+    server.send("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
+    assert_eq!(client.read_status(), "404 Not Found");
     assert!(rig.try_accept(1 - at).is_none());
     client.look("c2");
-    assert!(server.message().contains("c2"), "the app server is in no trouble");
+    assert!(server.read_message().contains("c2"), "the app server still gets requests");
 }
 
-/// Guards the other side of that rule: what provably never ran is tried elsewhere, and so is what may
-/// be repeated.
+/// Guards the opposite of that rule: a request that provably never ran is retried at another app server, and so is a safe one.
 #[test]
-fn what_never_ran_or_is_safe_is_tried_elsewhere() {
+fn requests_that_never_ran_or_are_safe_are_retried_elsewhere() {
     let rig = Rig::start(2);
     for (id, safe, answer) in [
         (
@@ -171,37 +169,37 @@
             client.order(id);
         }
         let (at, mut server) = rig.accept(&[0, 1]);
-        server.message();
-        server.say(answer);
+        server.read_message();
+        server.send(answer);
         drop(server);
         let (_, mut other) = rig.accept(&[1 - at]);
-        assert!(other.message().contains(id));
-        other.say("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nConnection: close\r\n\r\ndone");
-        assert!(client.message().ends_with("done"), "{id}");
+        assert!(other.read_message().contains(id));
+        other.send("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nConnection: close\r\n\r\ndone");
+        assert!(client.read_message().ends_with("done"), "{id}");
     }
 }
 
-/// Guards against a request written to a connection that the app server has closed meanwhile: the daemon
-/// closes its side as soon as it learns, and opens a new one for the next request.
+/// Guards against a request that is written to a connection which the app server has closed meanwhile: the daemon closes its
+/// side as soon as it notices, and opens a new connection for the next request.
 #[test]
 fn a_closed_idle_connection_is_not_used() {
     let rig = Rig::start(1);
     let mut client = rig.client();
     client.order("c1");
     let (_, mut server) = rig.accept(&[0]);
-    server.message();
-    server.ok("one");
-    client.message();
+    server.read_message();
+    server.respond_ok("one");
+    client.read_message();
     server.0.shutdown(std::net::Shutdown::Write).expect("a socket");
-    assert!(server.ended());
+    assert!(server.wait_closed());
     client.order("c2");
     let (_, mut server) = rig.accept(&[0]);
-    assert!(server.message().contains("c2"));
-    server.ok("two");
-    assert!(client.message().ends_with("two"));
+    assert!(server.read_message().contains("c2"));
+    server.respond_ok("two");
+    assert!(client.read_message().ends_with("two"));
 }
 
-/// Guards against input that hangs, panics or is let through: each gets its definite answer.
+/// Guards against invalid input that hangs or crashes the daemon or is forwarded: each case gets its definite response.
 #[test]
 fn what_cannot_be_read_gets_a_definite_answer() {
     let rig = Rig::start(1);
@@ -238,45 +236,45 @@
         .iter()
         .map(|(name, text)| {
             let mut client = rig.client();
-            client.say(text);
-            format!("{name}: {}", client.status())
+            client.send(text);
+            format!("{name}: {}", client.read_status())
         })
         .collect();
     assert!(rig.try_accept(0).is_none(), "none was passed on");
     assert_snapshot!(answers.join("\n"));
 }
 
-/// Guards against requests that get mixed up: pipelined ones, and two with one id at the same time, of which
-/// app servers would take the second for a copy of the first.
+/// Guards against requests that are mixed up: pipelined ones, and two with the same id at the same time, of which app servers
+/// would take the second for a copy of the first.
 #[test]
 fn pipelined_requests_get_their_own_answers_and_an_open_id_is_taken_once() {
     let rig = Rig::start(1);
     let (mut client, mut twin) = (rig.client(), rig.client());
     let chunked = "POST /order HTTP/1.1\r\nX-Correlation-Id: c1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n";
-    client.say(&(chunked.to_owned() + &request("POST", "order", "c2", "second")));
+    client.send(&(chunked.to_owned() + &request("POST", "order", "c2", "second")));
     let (_, mut first) = rig.accept(&[0]);
-    assert!(first.message().ends_with("\nhi"));
-    twin.say(chunked);
-    assert_eq!(twin.status(), "409 Conflict");
-    first.ok("to the first");
-    assert!(client.message().ends_with("to the first"));
-    // The pipelined one goes out on the connection that was used last.
-    let text = first.message();
+    assert!(first.read_message().ends_with("\nhi"));
+    twin.send(chunked);
+    assert_eq!(twin.read_status(), "409 Conflict");
+    first.respond_ok("to the first");
+    assert!(client.read_message().ends_with("to the first"));
+    // The pipelined request is sent on the connection that was used last.
+    let text = first.read_message();
     assert!(text.ends_with("second"), "{text}");
-    first.ok("to the second");
-    assert!(client.message().ends_with("to the second"));
-    twin.say(chunked);
-    assert!(first.message().ends_with("\nhi"), "the id is free again");
-    first.ok("to the twin");
-    assert!(twin.message().ends_with("to the twin"));
+    first.respond_ok("to the second");
+    assert!(client.read_message().ends_with("to the second"));
+    twin.send(chunked);
+    assert!(first.read_message().ends_with("\nhi"), "the id is free again");
+    first.respond_ok("to the twin");
+    assert!(twin.read_message().ends_with("to the twin"));
 }
 
-/// Guards against sends to an app server that drains, and against a list that is misread: changes come
-/// over the watch, in order, and unknown fields and states are tolerated.
+/// Guards against requests to an app server that drains, and against a list that is misread: changes arrive over the watch in
+/// order, and unknown fields and states are tolerated.
 #[test]
 fn a_drain_told_by_the_watch_binds() {
     let rig = Rig::start(2);
-    let (a, b) = (local(&rig.servers[0]), local(&rig.servers[1]));
+    let (a, b) = (local_address(&rig.servers[0]), local_address(&rig.servers[1]));
     let (asked, mut watch) = rig.watch(r#"{"seq":7,"whole":false,"hosts":[]}"#);
     assert_eq!(asked.lines().next(), Some("GET /registry/instances?stream=1&index=7 HTTP/1.1"));
     watch.chunk("");
@@ -284,26 +282,26 @@
         r#"{{"seq":9,"whole":false,"hosts":[{},{{"odd":1}}],"x":0}}"#,
         host("a", a, "draining")
     ));
-    rig.logged("seq=9");
-    // Older than what is held: passed over.
+    rig.wait_for_log("seq=9");
+    // Older than the table, so skipped.
     watch.chunk(&format!(r#"{{"seq":8,"whole":false,"hosts":[{}]}}"#, host("a", a, "up")));
-    rig.logged("older");
+    rig.wait_for_log("older");
     let mut client = rig.client();
     for id in ["c1", "c2", "c3"] {
         client.order(id);
         let (_, mut server) = rig.accept(&[1]);
-        server.message();
-        server.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
-        assert_eq!(client.status(), "200 OK");
+        server.read_message();
+        server.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
+        assert_eq!(client.read_status(), "200 OK");
     }
     watch.chunk(&format!(
         r#"{{"seq":10,"whole":false,"hosts":[{},{}]}}"#,
         host("b", b, "dreaming"),
         host("a", a, "removed")
     ));
-    rig.logged("seq=10");
+    rig.wait_for_log("seq=10");
     client.order("c4");
-    assert_snapshot!(client.message(), @r"
+    assert_snapshot!(client.read_message(), @r"
     HTTP/1.1 503 Service Unavailable
     Content-Type: text/plain
     Retry-After: 1.500
@@ -311,56 +309,55 @@
 
     short on capacity
     ");
-    // A watch that ends is opened anew from where the table stands.
+    // After a watch has ended, the next one starts from the version of the table.
     drop(watch);
-    rig.logged("watch broken");
+    rig.wait_for_log("watch broken");
     let (asked, _watch) =
         rig.watch(&format!(r#"{{"seq":12,"whole":true,"hosts":[{}]}}"#, host("b", b, "up")));
     assert_eq!(asked.lines().next(), Some("GET /registry/instances?stream=1&index=10 HTTP/1.1"));
-    rig.logged("seq=12");
+    rig.wait_for_log("seq=12");
     client.order("c5");
     let (_, mut server) = rig.accept(&[1]);
-    server.message();
-    server.ok("");
-    assert_eq!(client.status(), "200 OK");
+    server.read_message();
+    server.respond_ok("");
+    assert_eq!(client.read_status(), "200 OK");
 }
 
-/// Guards against a client left without an answer: an app server that says nothing costs 504 in time.
+/// Guards against a client that is left without a response: if an app server sends nothing, the client gets a 504 in time.
 #[test]
 fn a_silent_app_server_costs_a_failure_by_the_deadline() {
     let rig = Rig::start(1);
     let mut client = rig.client();
     let begun = std::time::Instant::now();
-    client.say(&request("POST", "order", "c1", "x").replace("X-Account", "X-Time-Left: 0.3\r\nX-Account"));
+    client.send(&request("POST", "order", "c1", "x").replace("X-Account", "X-Time-Left: 0.3\r\nX-Account"));
     let (_, mut server) = rig.accept(&[0]);
-    server.message();
-    assert_eq!(client.status(), "504 Gateway Timeout");
+    server.read_message();
+    assert_eq!(client.read_status(), "504 Gateway Timeout");
     assert!(begun.elapsed().as_millis() >= 300, "the client's whole time was used");
-    assert!(server.ended(), "the attempt was given up");
+    assert!(server.wait_closed(), "the attempt was given up");
 }
 
-/// Guards against work for clients that have left.
+/// Guards against work for clients that have disconnected.
 #[test]
 fn an_attempt_is_withdrawn_when_its_client_leaves() {
     let rig = Rig::start(1);
     let mut client = rig.client();
     client.look("c1");
     let (_, mut server) = rig.accept(&[0]);
-    server.message();
+    server.read_message();
     drop(client);
-    assert!(server.ended());
+    assert!(server.wait_closed());
 }
 
-/// Guards against connections that use the descriptors up: what is beyond the budget is refused, with a
-/// pause.
+/// Guards against clients that use up the descriptors: requests beyond the budget are refused with a `Retry-After`.
 #[test]
 fn beyond_the_descriptor_budget_clients_are_refused() {
     let rig = Rig::with(1, 64);
-    // A watch holds a descriptor of the app servers' side; all of those are wanted here.
-    rig.reload(&local(&rig.discovery).to_string(), "127.0.0.1:1");
-    rig.logged("watch broken");
+    // A watch holds a descriptor of the app servers' side, and this test needs all of those.
+    rig.reload(&local_address(&rig.discovery).to_string(), "127.0.0.1:1");
+    rig.wait_for_log("watch broken");
     let (mut busy, mut open) = (Vec::new(), Vec::new());
-    // What has been served lately tells the decisions that the fleet bears so many at once.
+    // The first round teaches dispatch that the fleet can serve this many requests at once.
     for round in ["served", "open"] {
         busy = (0..18).map(|_| rig.client()).collect();
         open.clear();
@@ -372,17 +369,17 @@
                 client.order(&id);
             }
             let (_, mut server) = rig.accept(&[0]);
-            server.message();
+            server.read_message();
             if round == "served" {
-                server.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
-                assert_eq!(client.status(), "200 OK");
+                server.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
+                assert_eq!(client.read_status(), "200 OK");
             }
             open.push(server);
         }
     }
     let mut beyond = rig.client();
     beyond.order("beyond");
-    assert_snapshot!(beyond.message(), @r"
+    assert_snapshot!(beyond.read_message(), @r"
     HTTP/1.1 503 Service Unavailable
     Content-Type: text/plain
     Retry-After: 0.500
@@ -392,68 +389,67 @@
     no connection to spare
     ");
     for (server, client) in open.iter_mut().zip(&mut busy) {
-        server.ok("done");
-        assert!(client.message().ends_with("done"));
+        server.respond_ok("done");
+        assert!(client.read_message().ends_with("done"));
     }
 }
 
-/// Guards against a crowd of clients that each ask once in a long while: kept between requests, their
-/// connections would leave no place for the next client. And clients against being sent away before that: at a
-/// restart they may have no other balancer to go to.
+/// Guards against a crowd of clients that each send a request only once in a long while: if their connections were kept between
+/// requests, they would leave no room for the next client. Also guards clients against being disconnected before that: during a
+/// restart they may have no other balancer.
 #[test]
-fn in_a_crowd_answers_end_connections_once_few_are_left() {
+fn in_a_crowd_responses_close_connections_once_few_descriptors_are_left() {
     let rig = Rig::with(1, 64);
     let live = "GET /health/live HTTP/1.1\r\n\r\n";
     let mut kept = Vec::new();
     for _ in 0..25 {
         let mut client = rig.client();
-        client.say(live);
-        assert!(!client.message().contains("Connection: close"));
+        client.send(live);
+        assert!(!client.read_message().contains("Connection: close"));
         kept.push(client);
     }
     for _ in 0..100 {
         let mut client = rig.client();
-        client.say(live);
-        assert!(client.message().contains("Connection: close") && client.ended());
+        client.send(live);
+        assert!(client.read_message().contains("Connection: close") && client.wait_closed());
     }
-    kept[24].say(live);
-    assert!(kept[24].message().starts_with("HTTP/1.1 200 OK"), "one that was kept is served as before");
+    kept[24].send(live);
+    assert!(kept[24].read_message().starts_with("HTTP/1.1 200 OK"), "one that was kept is served as before");
 }
 
-/// Guards an honest client that sends slowly in a crowd against those that stand still, or wait between requests:
-/// it is not the one that makes room.
+/// Guards a client that sends slowly in a crowd: stalled clients and clients that wait between requests are disconnected to
+/// make room, and it is not.
 #[test]
 fn a_slow_sender_is_kept_while_others_make_room() {
     let rig = Rig::with(1, 64);
     let mut slow = rig.client();
-    slow.say("POST /order HTTP/1.1\r\n");
+    slow.send("POST /order HTTP/1.1\r\n");
     let mut idle: Vec<_> = (0..12).map(|_| rig.client()).collect();
     for client in &mut idle {
-        client.say("GET /health/live HTTP/1.1\r\n\r\n");
-        assert_eq!(client.status(), "200 OK");
+        client.send("GET /health/live HTTP/1.1\r\n\r\n");
+        assert_eq!(client.read_status(), "200 OK");
     }
-    // Each of these holds its place until another wants it.
+    // Each of these holds its descriptor until another client needs it.
     let still: Vec<_> = (0..60)
         .map(|_| {
-            slow.say("X");
+            slow.send("X");
             let mut client = rig.client();
-            client.say("POST /order HTTP/1.1\r\nX");
+            client.send("POST /order HTTP/1.1\r\nX");
             std::thread::sleep(std::time::Duration::from_millis(30));
             client
         })
         .collect();
-    slow.say(": y\r\nX-Correlation-Id: c1\r\nContent-Length: 1\r\n\r\nz");
+    slow.send(": y\r\nX-Correlation-Id: c1\r\nContent-Length: 1\r\n\r\nz");
     let (_, mut server) = rig.accept(&[0]);
-    assert!(server.message().ends_with("\nz"));
-    server.ok("served");
-    assert!(slow.message().ends_with("served"));
+    assert!(server.read_message().ends_with("\nz"));
+    server.respond_ok("served");
+    assert!(slow.read_message().ends_with("served"));
     idle[0].0.set_read_timeout(Some(std::time::Duration::from_secs(5))).expect("a socket");
-    assert!(idle[0].ended(), "long before it is closed in any case");
+    assert!(idle[0].wait_closed(), "closed long before its idle timeout");
     drop(still);
 }
 
-/// Guards usual clients against connections by the hundred that say nothing: those make room, and each is
-/// closed within 3 s in any case.
+/// Guards clients against many silent connections: those are closed to make room, and each within 3 s in any case.
 #[test]
 fn silent_connections_do_not_shut_clients_out() {
     let rig = Rig::with(1, 64);
@@ -462,89 +458,89 @@
     let mut client = rig.client();
     client.order("c1");
     let (_, mut server) = rig.accept(&[0]);
-    server.message();
-    server.ok("served");
-    assert!(client.message().ends_with("served"));
+    server.read_message();
+    server.respond_ok("served");
+    assert!(client.read_message().ends_with("served"));
     let mut half = rig.client();
-    half.say("POST /order HTTP/1.1\r\nContent-Le");
-    assert_eq!(half.status(), "408 Request Timeout");
-    assert!(half.ended() && silent.iter_mut().all(End::ended));
-    assert!(begun.elapsed().as_secs_f64() < 6.0, "twice the time that each has, since half came later");
+    half.send("POST /order HTTP/1.1\r\nContent-Le");
+    assert_eq!(half.read_status(), "408 Request Timeout");
+    assert!(half.wait_closed() && silent.iter_mut().all(Peer::wait_closed));
+    assert!(begun.elapsed().as_secs_f64() < 6.0, "twice the head timeout, since `half` connected later");
 }
 
-/// Guards planned restarts: not ready, but answering all that comes, on connections that stay until the
-/// daemon closes, and gone once that is done.
+/// Guards planned restarts: after SIGTERM the daemon is not ready but answers all requests, keeps connections open until it
+/// closes them, and ends once all is answered.
 #[test]
 fn sigterm_answers_what_has_come_and_ends() {
     let mut rig = Rig::start(1);
     let (mut client, mut idle, mut asker) = (rig.client(), rig.client(), rig.client());
     let ready = "GET /health/ready HTTP/1.1\r\n\r\n";
-    asker.say(ready);
-    assert_eq!(asker.status(), "200 OK");
+    asker.send(ready);
+    assert_eq!(asker.read_status(), "200 OK");
     client.order("c1");
     let (_, mut server) = rig.accept(&[0]);
-    server.message();
+    server.read_message();
     rig.terminate();
-    rig.logged("SIGTERM");
-    asker.say(ready);
-    assert_eq!(asker.status(), "503 Service Unavailable");
+    rig.wait_for_log("SIGTERM");
+    asker.send(ready);
+    assert_eq!(asker.read_status(), "503 Service Unavailable");
     let mut late = rig.client();
     late.order("c2");
     let (_, mut other) = rig.accept(&[0]);
-    other.message();
-    other.ok("late");
-    assert!(late.message().ends_with("late"));
+    other.read_message();
+    other.respond_ok("late");
+    assert!(late.read_message().ends_with("late"));
     late.order("c3");
-    other.message();
-    other.ok("later");
-    assert!(late.message().ends_with("later"), "on the same connection");
-    rig.logged("closing");
-    assert!(idle.ended() && late.ended(), "an idle connection is closed");
-    server.ok("done");
-    let answer = client.message();
+    other.read_message();
+    other.respond_ok("later");
+    assert!(late.read_message().ends_with("later"), "on the same connection");
+    rig.wait_for_log("closing");
+    assert!(idle.wait_closed() && late.wait_closed(), "an idle connection is closed");
+    server.respond_ok("done");
+    let answer = client.read_message();
     assert!(answer.contains("Connection: close") && answer.ends_with("done"), "{answer}");
     assert_eq!(rig.exit(), Some(0));
 }
 
-/// Guards against a daemon that ends at SIGHUP, or stays with a discovery that has gone: the watch moves at
-/// once, asks from the beginning since versions may not carry over, and the table holds meanwhile.
+/// Guards against a daemon that ends at SIGHUP, or stays with a discovery that is gone: the watch moves at once and starts from
+/// version 0, since versions of another discovery can't be compared, and the table stays meanwhile.
 #[test]
 fn sighup_moves_the_watch_and_a_bad_file_changes_nothing() {
     let rig = Rig::start(2);
-    let (a, b) = (local(&rig.servers[0]), local(&rig.servers[1]));
+    let (a, b) = (local_address(&rig.servers[0]), local_address(&rig.servers[1]));
     let (asked, mut watch) = rig.watch(r#"{"seq":9,"whole":false,"hosts":[]}"#);
     assert_eq!(asked.lines().next(), Some("GET /registry/instances?stream=1&index=7 HTTP/1.1"));
-    let old = format!("\"discovery\":\"{}\"", local(&rig.discovery));
+    let old = format!("\"discovery\":\"{}\"", local_address(&rig.discovery));
     rig.reload(&old, "\"discovery\":\"nowhere\"");
-    let line = rig.logged("the configuration in use is kept");
+    let line = rig.wait_for_log("the configuration in use is kept");
     assert!(line.contains("field discovery: \"nowhere\""), "{line}");
     watch.chunk(r#"{"seq":10,"whole":false,"hosts":[]}"#);
-    rig.logged("seq=10");
+    rig.wait_for_log("seq=10");
     let new = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    rig.reload("\"discovery\":\"nowhere\"", &format!("\"discovery\":\"{}\"", local(&new)));
-    rig.logged("discovery has moved");
-    assert!(watch.ended(), "the old watch is given up");
+    rig.reload("\"discovery\":\"nowhere\"", &format!("\"discovery\":\"{}\"", local_address(&new)));
+    rig.wait_for_log("discovery has moved");
+    assert!(watch.wait_closed(), "the old watch is given up");
     let mut client = rig.client();
     client.look("c1");
     let (_, mut server) = rig.accept(&[0, 1]);
-    server.message();
-    server.ok("held");
-    assert!(client.message().ends_with("held"));
+    server.read_message();
+    server.respond_ok("held");
+    assert!(client.read_message().ends_with("held"));
     let list =
         format!(r#"{{"seq":3,"whole":true,"hosts":[{},{}]}}"#, host("a", a, "draining"), host("b", b, "up"));
     let (asked, mut watch) = Rig::watch_at(&new, &list);
     assert_eq!(asked.lines().next(), Some("GET /registry/instances?stream=1&index=0 HTTP/1.1"));
-    rig.logged("seq=3 kind=Full");
+    rig.wait_for_log("seq=3 kind=Full");
     watch.chunk(r#"{"seq":4,"whole":false,"hosts":[]}"#);
-    rig.logged("seq=4");
-    // What only a start heeds is said, and the watch stays as it is.
+    rig.wait_for_log("seq=4");
+    // A change that takes effect only at the next start is logged, and the watch stays open.
     rig.reload("\"aimMs\":1200", "\"aimMs\":1300");
-    rig.logged("field settings has changed");
+    rig.wait_for_log("field settings has changed");
     watch.chunk(r#"{"seq":5,"whole":false,"hosts":[]}"#);
-    rig.logged("seq=5");
+    rig.wait_for_log("seq=5");
 }
 
-/// Guards operators against a daemon that starts on nonsense: it names the field and does not start.
+/// Guards operators against a daemon that starts with an invalid configuration: it names the field and does not start.
 #[test]
 fn a_bad_configuration_is_named_and_ends_the_program() {
     let good = format!(
@@ -564,12 +560,13 @@
     ];
     let mut faults = Vec::new();
     for case in cases {
-        let (mut command, folder) = program(&case);
+        let (mut command, temporary_directory) = program(&case);
         let output = command.output().expect("the daemon");
         assert_eq!(output.status.code(), Some(1));
-        let text = String::from_utf8_lossy(&output.stdout).replace(&folder.display().to_string(), "");
+        let text =
+            String::from_utf8_lossy(&output.stdout).replace(&temporary_directory.display().to_string(), "");
         faults.push(text.split("ERROR ").nth(1).unwrap_or(&text).trim().to_owned());
-        std::fs::remove_dir_all(folder).expect("the folder");
+        std::fs::remove_dir_all(temporary_directory).expect("the folder");
     }
     assert_snapshot!(faults.join("\n"));
 }
--- a/daemon/tests/network/operators.rs
+++ b/daemon/tests/network/operators.rs
@@ -1,27 +1,27 @@
-//! The operators' door, bans and drains, on the daemon as a process.
+//! The operators' admin listener, bans and drains, with the daemon as a process.
 
 use insta::assert_snapshot;
 
-use crate::rig::{End, Rig, host, local, request};
+use crate::rig::{Peer, Rig, host, local_address, request};
 
-/// Serves one request of this client's at whichever of these app servers it comes to.
-fn served(rig: &Rig, client: &mut End, id: &str, among: &[usize]) -> usize {
-    client.say(&request("POST", "order", id, "two beams").replace("u1", id));
+/// Sends a request of this client, serves it at whichever of these app servers gets it, and returns which one did.
+fn served(rig: &Rig, client: &mut Peer, id: &str, among: &[usize]) -> usize {
+    client.send(&request("POST", "order", id, "two beams").replace("u1", id));
     let (at, mut server) = rig.accept(among);
-    assert!(server.message().contains(id));
-    server.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
-    assert_eq!(client.status(), "200 OK");
+    assert!(server.read_message().contains(id));
+    server.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
+    assert_eq!(client.read_status(), "200 OK");
     at
 }
 
-/// Guards operators against calls that are guessed at, and against callers that say nothing: each call gets
-/// its one line, whoever else holds the door, and what is no call changes nothing and forges no log line.
+/// Guards operators against commands that are guessed at, and against connections that send nothing: each command gets its one
+/// line, however many others are connected, and an invalid one changes nothing and forges no log line.
 #[test]
-fn each_call_gets_its_answer_whoever_holds_the_door() {
-    let rig = Rig::with_door(1);
-    let silent: Vec<_> = (0..60).map(|_| rig.caller()).collect();
-    let mut half = rig.caller();
-    half.say("dra");
+fn each_command_is_answered_whoever_else_is_connected() {
+    let rig = Rig::with_admin(1);
+    let silent: Vec<_> = (0..60).map(|_| rig.admin_connection()).collect();
+    let mut half = rig.admin_connection();
+    half.send("dra");
     let lines = [
         "ready",
         "READY",
@@ -36,27 +36,28 @@
         "\u{1b}[2J",
         &"x".repeat(300),
     ];
-    let answers: Vec<_> = lines.iter().map(|line| format!("{line:.20?}: {}", rig.call(line))).collect();
+    let answers: Vec<_> =
+        lines.iter().map(|line| format!("{line:.20?}: {}", rig.admin_command(line))).collect();
     assert_snapshot!(answers.concat());
-    let mut latin = rig.caller();
+    let mut latin = rig.admin_connection();
     std::io::Write::write_all(&mut latin.0, b"drain\xfc\n").expect("the door reads");
-    assert_eq!(latin.rest(), "FAILURE the line is not UTF-8\n");
+    assert_eq!(latin.read_to_close(), "FAILURE the line is not UTF-8\n");
     half.0.shutdown(std::net::Shutdown::Write).expect("a socket");
-    // It may have made room for others by then.
-    assert!(matches!(&half.rest()[..], "" | "FAILURE the line has no end\n"));
-    assert_eq!(rig.call("ready"), "SUCCESS ready\n", "nothing of all that drained it");
+    // It may have been closed by then to make room for others.
+    assert!(matches!(&half.read_to_close()[..], "" | "FAILURE the line has no end\n"));
+    assert_eq!(rig.admin_command("ready"), "SUCCESS ready\n", "nothing of all that drained it");
     drop(silent);
 }
 
-/// Guards a ban against the list, and an app server that is called back against being left out.
+/// Guards a ban against being undone by a list, and an app server whose ban was lifted against getting no requests.
 #[test]
-fn a_banned_app_server_gets_nothing_whatever_the_list_says_until_it_is_called_back() {
-    let rig = Rig::with_door(2);
-    let (a, b) = (local(&rig.servers[0]), local(&rig.servers[1]));
+fn a_banned_app_server_gets_no_request_whatever_the_list_says_until_its_ban_is_lifted() {
+    let rig = Rig::with_admin(2);
+    let (a, b) = (local_address(&rig.servers[0]), local_address(&rig.servers[1]));
     let (_, mut watch) = rig.watch(r#"{"seq":7,"whole":false,"hosts":[]}"#);
     let mut client = rig.client();
-    assert_eq!(rig.call("disable-server a"), "SUCCESS a is out\n");
-    assert_eq!(rig.call("disable-server a"), "SUCCESS a was out already\n");
+    assert_eq!(rig.admin_command("disable-server a"), "SUCCESS a is out\n");
+    assert_eq!(rig.admin_command("disable-server a"), "SUCCESS a was out already\n");
     let lists = [
         (8, false, vec![host("a", a, "removed")]),
         (9, false, vec![host("a", a, "up")]),
@@ -65,86 +66,89 @@
     ];
     for (seq, whole, hosts) in lists {
         watch.chunk(&format!(r#"{{"seq":{seq},"whole":{whole},"hosts":[{}]}}"#, hosts.join(",")));
-        rig.logged(&format!("seq={seq}"));
+        rig.wait_for_log(&format!("seq={seq}"));
         served(&rig, &mut client, &format!("c{seq}"), &[1]);
     }
     assert!(rig.try_accept(0).is_none());
-    assert_eq!(rig.call("enable-server a"), "SUCCESS a may serve\n");
-    assert_eq!(rig.call("enable-server a"), "SUCCESS a was not out\n");
-    // It is cold, so it gets its part, of one key or another, not all that comes.
+    assert_eq!(rig.admin_command("enable-server a"), "SUCCESS a may serve\n");
+    assert_eq!(rig.admin_command("enable-server a"), "SUCCESS a was not out\n");
+    // The app server is cold, so it gets only the requests of some keys.
     let mut ids = (0..).map(|n| format!("k{n}"));
     while ids.next().is_some_and(|id| served(&rig, &mut client, &id, &[0, 1]) != 0) {}
-    assert_eq!(rig.call("disable-server b"), "SUCCESS b is out\n");
-    // The last one taken out: the ban is kept, and clients are told that trying again is harmless.
-    assert_eq!(rig.call("disable-server a"), "SUCCESS a is out\n");
+    assert_eq!(rig.admin_command("disable-server b"), "SUCCESS b is out\n");
+    // The last app server is banned too: the ban applies, and clients are told that a retry is harmless.
+    assert_eq!(rig.admin_command("disable-server a"), "SUCCESS a is out\n");
     client.order("none");
-    assert_eq!(client.status(), "503 Service Unavailable");
+    assert_eq!(client.read_status(), "503 Service Unavailable");
     assert!((0..2).all(|at| rig.try_accept(at).is_none()));
 }
 
-/// Guards a drain: not ready at once, clients are kept until the front has stopped and sent away with their
-/// answers, the rest is closed, and a call back ends it at any moment.
+/// Guards a drain: the process is not ready at once, connections are kept until the front has stopped sending, then closed with
+/// their responses, idle ones are closed last, and `resume` ends the drain at any moment.
 #[test]
-fn a_drain_sends_clients_away_and_a_call_back_ends_it() {
-    let rig = Rig::with_door(1);
+fn a_drain_disconnects_clients_and_resume_ends_it() {
+    let rig = Rig::with_admin(1);
     let ready = "GET /health/ready HTTP/1.1\r\n\r\n";
     let (mut idle, mut busy, mut early) = (rig.client(), rig.client(), rig.client());
     for client in [&mut idle, &mut busy] {
-        client.say(ready);
-        assert_eq!(client.status(), "200 OK");
+        client.send(ready);
+        assert_eq!(client.read_status(), "200 OK");
     }
     served(&rig, &mut early, "first", &[0]);
     busy.order("busy");
     let (_, mut server) = rig.accept(&[0]);
-    server.message();
-    assert_eq!(rig.call("drain"), "SUCCESS draining\n");
-    early.say(ready);
-    assert_eq!(early.status(), "503 Service Unavailable");
-    assert_eq!(rig.call("ready"), "FAILURE not ready: drained\n");
-    assert_eq!(rig.call("drain"), "SUCCESS draining already\n");
-    assert!(idle.ended() && early.ended(), "those that wait are closed");
+    server.read_message();
+    assert_eq!(rig.admin_command("drain"), "SUCCESS draining\n");
+    early.send(ready);
+    assert_eq!(early.read_status(), "503 Service Unavailable");
+    assert_eq!(rig.admin_command("ready"), "FAILURE not ready: drained\n");
+    assert_eq!(rig.admin_command("drain"), "SUCCESS draining already\n");
+    assert!(idle.wait_closed() && early.wait_closed(), "idle connections are closed");
     let mut late = rig.client();
     late.order("late");
-    let answer = late.message();
+    let answer = late.read_message();
     assert!(answer.starts_with("HTTP/1.1 503") && answer.contains("Connection: close"), "{answer}");
-    server.ok("done");
-    let answer = busy.message();
+    server.respond_ok("done");
+    let answer = busy.read_message();
     assert!(answer.contains("Connection: close") && answer.ends_with("done"), "{answer}");
-    assert!(busy.ended() && rig.client().ended(), "and one that says nothing goes soon");
-    assert_eq!(rig.call("resume"), "SUCCESS in service\n");
+    assert!(
+        busy.wait_closed() && rig.client().wait_closed(),
+        "a connection that sends nothing is closed soon"
+    );
+    assert_eq!(rig.admin_command("resume"), "SUCCESS in service\n");
     let mut client = rig.client();
-    client.say(ready);
-    let answer = client.message();
+    client.send(ready);
+    let answer = client.read_message();
     assert!(answer.starts_with("HTTP/1.1 200 OK") && !answer.contains("Connection: close"), "{answer}");
-    // Taken back amid the drain, it has sent nobody away.
-    assert_eq!(rig.call("drain"), "SUCCESS draining\n");
-    assert_eq!(rig.call("resume"), "SUCCESS in service\n");
-    client.say(ready);
-    assert_eq!(client.status(), "200 OK");
+    // A drain that is resumed at once disconnects nobody.
+    assert_eq!(rig.admin_command("drain"), "SUCCESS draining\n");
+    assert_eq!(rig.admin_command("resume"), "SUCCESS in service\n");
+    client.send(ready);
+    assert_eq!(client.read_status(), "200 OK");
 }
 
-/// Guards the mixes of drain and SIGTERM: the process ends as ever, and nothing calls it back.
+/// Guards combinations of drain and SIGTERM: the process ends in any case, and `resume` does not revert a termination.
 #[test]
-fn a_drained_balancer_ends_at_sigterm_and_one_that_leaves_is_not_called_back() {
+fn a_drained_balancer_ends_at_sigterm_and_a_terminating_one_can_not_resume() {
     for drained in [true, false] {
-        let mut rig = Rig::with_door(1);
+        let mut rig = Rig::with_admin(1);
         if drained {
-            assert_eq!(rig.call("drain"), "SUCCESS draining\n");
+            assert_eq!(rig.admin_command("drain"), "SUCCESS draining\n");
         }
         let mut client = rig.client();
         client.order("c1");
         let (_, mut server) = rig.accept(&[0]);
-        server.message();
+        server.read_message();
         rig.terminate();
-        rig.logged("SIGTERM");
-        assert_eq!(rig.call("resume"), "FAILURE leaving after SIGTERM\n");
-        assert_eq!(rig.call("ready"), "FAILURE not ready: leaving after SIGTERM\n");
+        rig.wait_for_log("SIGTERM");
+        assert_eq!(rig.admin_command("resume"), "FAILURE leaving after SIGTERM\n");
+        assert_eq!(rig.admin_command("ready"), "FAILURE not ready: leaving after SIGTERM\n");
         if !drained {
-            assert_eq!(rig.call("drain"), "SUCCESS draining\n");
+            assert_eq!(rig.admin_command("drain"), "SUCCESS draining\n");
         }
-        rig.logged("closing");
-        server.ok("done");
-        assert!(client.message().ends_with("done"));
+        rig.wait_for_log("closing");
+        server.respond_ok("done");
+        assert!(client.read_message().ends_with("done"));
         assert_eq!(rig.exit(), Some(0));
     }
 }
--- a/daemon/tests/network/rig.rs
+++ b/daemon/tests/network/rig.rs
@@ -12,29 +12,29 @@
 
 use command_fds::{CommandFdExt, FdMapping};
 
-/// Nothing here takes this long unless it never comes.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// The timeout of every wait; nothing takes this long unless it never happens.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 static SERIAL: AtomicU32 = AtomicU32::new(0);
 
-/// One process.
+/// A daemon process.
 pub struct Daemon {
     child: Child,
     log: Receiver<String>,
     pub address: SocketAddr,
-    /// Where operators call; nowhere unless it was asked for.
-    pub door: Option<SocketAddr>,
-    folder: PathBuf,
+    /// The address of the admin listener, if it was requested.
+    pub admin_address: Option<SocketAddr>,
+    temporary_directory: PathBuf,
 }
 
-/// A process with all that is round it.
+/// A daemon process with its app servers and discovery.
 pub struct Rig {
     daemon: Daemon,
     pub servers: Vec<TcpListener>,
     pub discovery: TcpListener,
     sockets: u32,
     settings: String,
-    /// The clients' socket, where the platform holds it, and the folder that all processes share.
+    /// The clients' listening socket, if the platform holds it, and the directory that all processes share.
     pub socket: Option<TcpListener>,
     pub shared: PathBuf,
 }
@@ -53,8 +53,8 @@
     }
 }
 
-/// One end of a connection: of a client, an app server or discovery.
-pub struct End(pub TcpStream);
+/// The test's end of a connection: as a client, an app server or discovery.
+pub struct Peer(pub TcpStream);
 
 pub const SETTINGS: &str = r#"{"categories":[
     {"name":"look","aimMs":1200,"deadlineMs":5000,"effect":"safe"},
@@ -64,14 +64,14 @@
     "limits":{"cancel":true,"secondCopies":true,"connIdleMs":5000,"dialTimeoutMs":250,"tryLimit":6,
     "maxRetryAfterMs":2000,"ever":"more"},"rules":{},"someday":[1]}"#;
 
-/// Runs the program with this configuration.
+/// A command that runs the program with this configuration, and the directory of the configuration file.
 pub fn program(config: &str) -> (Command, PathBuf) {
-    let folder = folder();
-    let path = folder.join("config.json");
+    let temporary_directory = temporary_directory();
+    let path = temporary_directory.join("config.json");
     std::fs::write(&path, config).expect("the configuration");
     let mut command = Command::new(env!("CARGO_BIN_EXE_gradepaddle"));
     command.env_clear().env("RELAY_CONFIG", path).stdout(Stdio::piped()).stdin(Stdio::null());
-    (command, folder)
+    (command, temporary_directory)
 }
 
 pub fn host(id: &str, dial: SocketAddr, health: &str) -> String {
@@ -81,33 +81,33 @@
 }
 
 impl Daemon {
-    /// Starts it and waits until it listens.
-    pub fn start(mut command: Command, folder: PathBuf, has_door: bool) -> Daemon {
+    /// Starts the process and waits until it listens.
+    pub fn start(mut command: Command, temporary_directory: PathBuf, has_admin: bool) -> Daemon {
         let mut child = command.spawn().expect("the daemon");
         let output = BufReader::new(child.stdout.take().expect("its output"));
         let (lines, log) = channel();
         std::thread::spawn(move || output.lines().map_while(Result::ok).all(|l| lines.send(l).is_ok()));
         let address = SocketAddr::from(([127, 0, 0, 1], 0));
-        let mut daemon = Daemon { child, log, address, door: None, folder };
+        let mut daemon = Daemon { child, log, address, admin_address: None, temporary_directory };
         let named = |line: &str, field: &str| {
             let text = line.split(field).nth(1).and_then(|rest| rest.split(' ').next());
             text.and_then(|text| text.parse().ok()).expect("the address in the log")
         };
-        daemon.address = named(&daemon.logged("started"), "listen=");
-        if has_door {
-            daemon.door = Some(named(&daemon.logged("admin listener open"), "admin_addr="));
+        daemon.address = named(&daemon.wait_for_log("started"), "listen=");
+        if has_admin {
+            daemon.admin_address = Some(named(&daemon.wait_for_log("admin listener open"), "admin_addr="));
         }
         daemon
     }
 
     /// Waits for a log line with this text.
-    pub fn logged(&self, text: &str) -> String {
-        self.logged_before(text, "\n")
+    pub fn wait_for_log(&self, text: &str) -> String {
+        self.wait_for_log_before(text, "\n")
     }
 
-    /// Waits for a log line with this text; none with the other may come before it.
-    pub fn logged_before(&self, text: &str, other: &str) -> String {
-        let end = std::time::Instant::now() + PATIENCE;
+    /// Waits for a log line with this text; no line with the other text may precede it.
+    pub fn wait_for_log_before(&self, text: &str, other: &str) -> String {
+        let end = std::time::Instant::now() + TEST_TIMEOUT;
         loop {
             let left = end.saturating_duration_since(std::time::Instant::now());
             let line = self.log.recv_timeout(left).unwrap_or_else(|_| panic!("{text:?} in the log"));
@@ -118,19 +118,19 @@
         }
     }
 
-    pub fn client(&self) -> End {
-        End::new(TcpStream::connect(self.address).expect("the daemon accepts"))
+    pub fn client(&self) -> Peer {
+        Peer::new(TcpStream::connect(self.address).expect("the daemon accepts"))
     }
 
-    pub fn caller(&self) -> End {
-        End::new(TcpStream::connect(self.door.expect("a door")).expect("the door accepts"))
+    pub fn admin_connection(&self) -> Peer {
+        Peer::new(TcpStream::connect(self.admin_address.expect("a door")).expect("the door accepts"))
     }
 
-    /// One operator's call and its answer.
-    pub fn call(&self, line: &str) -> String {
-        let mut caller = self.caller();
-        caller.say(&format!("{line}\r\n"));
-        caller.rest()
+    /// Sends an operator's command and returns the answer.
+    pub fn admin_command(&self, line: &str) -> String {
+        let mut admin_connection = self.admin_connection();
+        admin_connection.send(&format!("{line}\r\n"));
+        admin_connection.read_to_close()
     }
 
     pub fn terminate(&self) {
@@ -139,7 +139,7 @@
 
     /// Replaces this text in the configuration and sends SIGHUP.
     pub fn reload(&self, old: &str, new: &str) {
-        let path = self.folder.join("config.json");
+        let path = self.temporary_directory.join("config.json");
         let text = std::fs::read_to_string(&path).expect("the configuration");
         assert!(text.contains(old));
         std::fs::write(path, text.replace(old, new)).expect("the configuration");
@@ -152,8 +152,8 @@
     }
 
     pub fn exit(&mut self) -> Option<i32> {
-        // Its output ends with it.
-        let end = std::time::Instant::now() + PATIENCE;
+        // The log ends with the process.
+        let end = std::time::Instant::now() + TEST_TIMEOUT;
         loop {
             let left = end.saturating_duration_since(std::time::Instant::now());
             match self.log.recv_timeout(left) {
@@ -168,15 +168,15 @@
 
 impl Drop for Daemon {
     fn drop(&mut self) {
-        // It may have ended already; the folder is temporary either way.
+        // The process may have ended already; the directory is temporary either way.
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.temporary_directory);
     }
 }
 
 impl Rig {
-    /// The daemon with app servers a, b ...; ready, its watch not yet accepted.
+    /// A ready daemon with app servers a, b, ...; its watch is not accepted yet.
     pub fn start(count: u8) -> Rig {
         Self::with(count, 1024)
     }
@@ -185,90 +185,96 @@
         Self::new(count, sockets, false, false, SETTINGS)
     }
 
-    /// Under other settings, with each attempt and probe in the log.
-    pub fn under(count: u8, settings: &str) -> Rig {
+    /// With other settings, and with each attempt and probe in the log.
+    pub fn with_settings(count: u8, settings: &str) -> Rig {
         Self::new(count, 1024, false, false, settings)
     }
 
-    /// With an operators' door.
-    pub fn with_door(count: u8) -> Rig {
+    /// With an admin listener.
+    pub fn with_admin(count: u8) -> Rig {
         Self::new(count, 1024, true, false, SETTINGS)
     }
 
-    /// With a door, and the clients' socket held by the platform.
-    pub fn on_platform(count: u8, sockets: u32) -> Rig {
+    /// With an admin listener, and the clients' listening socket held by the platform.
+    pub fn with_inherited_listener(count: u8, sockets: u32) -> Rig {
         Self::new(count, sockets, true, true, SETTINGS)
     }
 
-    /// Under other settings, and not waited for: it may have to be told before it is ready.
-    pub fn asked_at_start(settings: &str) -> Rig {
-        Self::unready(1, 1024, false, false, settings)
+    /// With other settings, and not waited for: it may need a list from discovery to become ready.
+    pub fn start_without_waiting(settings: &str) -> Rig {
+        Self::start_unready(1, 1024, false, false, settings)
     }
 
-    fn new(count: u8, sockets: u32, has_door: bool, inherits: bool, settings: &str) -> Rig {
-        let rig = Self::unready(count, sockets, has_door, inherits, settings);
+    fn new(count: u8, sockets: u32, has_admin: bool, inherits_listener: bool, settings: &str) -> Rig {
+        let rig = Self::start_unready(count, sockets, has_admin, inherits_listener, settings);
         if count > 0 {
-            rig.logged(" ready ");
+            rig.wait_for_log(" ready ");
         }
         rig
     }
 
-    fn unready(count: u8, sockets: u32, has_door: bool, inherits: bool, settings: &str) -> Rig {
+    fn start_unready(
+        count: u8,
+        sockets: u32,
+        has_admin: bool,
+        inherits_listener: bool,
+        settings: &str,
+    ) -> Rig {
         let bind = || TcpListener::bind("127.0.0.1:0").expect("a port");
         let servers: Vec<_> = (0..count).map(|_| bind()).collect();
         let discovery = bind();
-        let socket = inherits.then(bind);
-        let shared = folder();
-        let (command, folder) =
-            Self::command(&servers, &discovery, sockets, has_door, socket.as_ref(), &shared, settings);
-        let daemon = Daemon::start(command, folder, has_door);
+        let socket = inherits_listener.then(bind);
+        let shared = temporary_directory();
+        let (command, temporary_directory) =
+            Self::command(&servers, &discovery, sockets, has_admin, socket.as_ref(), &shared, settings);
+        let daemon = Daemon::start(command, temporary_directory, has_admin);
         Rig { daemon, servers, discovery, sockets, settings: settings.to_owned(), socket, shared }
     }
 
-    /// One more process of the same balancer; it listens, but may not be ready.
-    pub fn beside(&self) -> Daemon {
+    /// Starts one more process of the same balancer; it listens, but may not be ready.
+    pub fn start_successor(&self) -> Daemon {
         let Rig { servers, discovery, sockets, socket, shared, settings, .. } = self;
-        let (command, folder) =
+        let (command, temporary_directory) =
             Self::command(servers, discovery, *sockets, true, socket.as_ref(), shared, settings);
-        Daemon::start(command, folder, true)
+        Daemon::start(command, temporary_directory, true)
     }
 
     fn command(
         servers: &[TcpListener],
         discovery: &TcpListener,
         sockets: u32,
-        has_door: bool,
+        has_admin: bool,
         socket: Option<&TcpListener>,
         shared: &Path,
         settings: &str,
     ) -> (Command, PathBuf) {
         let hosts: Vec<_> =
-            servers.iter().zip('a'..).map(|(s, id)| host(&id.to_string(), local(s), "up")).collect();
-        let listen = socket.map_or("127.0.0.1:0".to_owned(), |socket| local(socket).to_string());
+            servers.iter().zip('a'..).map(|(s, id)| host(&id.to_string(), local_address(s), "up")).collect();
+        let listen = socket.map_or("127.0.0.1:0".to_owned(), |socket| local_address(socket).to_string());
         let config = format!(
             r#"{{"name":"n","listen":"{listen}","discovery":"{}","seed":"1f","limits":{{"sockets":{sockets}}},
             "known":{{"seq":7,"whole":true,"hosts":[{}]}},"settings":{settings}}}"#,
-            local(discovery),
+            local_address(discovery),
             hosts.join(",")
         );
-        let (mut command, folder) = program(&config);
-        // As on the platform, the variable says at the start what the file says.
-        command.env("RELAY_DISCOVERY", local(discovery).to_string()).env("TMPDIR", shared);
+        let (mut command, temporary_directory) = program(&config);
+        // As on the platform, the variable has the same value as the file at the start.
+        command.env("RELAY_DISCOVERY", local_address(discovery).to_string()).env("TMPDIR", shared);
         if settings != SETTINGS {
             command.env("GRADEPADDLE_LOG", "debug");
         }
-        if has_door {
+        if has_admin {
             command.env("RELAY_ADMIN_ADDR", "127.0.0.1:0");
         }
         if let Some(socket) = socket {
             inherit(&mut command, socket.try_clone().expect("a socket").into());
         }
-        (command, folder)
+        (command, temporary_directory)
     }
 
-    /// The next connection at an app server, whichever it is of these.
-    pub fn accept(&self, among: &[usize]) -> (usize, End) {
-        let end = std::time::Instant::now() + PATIENCE;
+    /// Accepts the next connection at any of these app servers, and returns which one it is.
+    pub fn accept(&self, among: &[usize]) -> (usize, Peer) {
+        let end = std::time::Instant::now() + TEST_TIMEOUT;
         while std::time::Instant::now() < end {
             for at in among {
                 if let Some(stream) = self.try_accept(*at) {
@@ -280,17 +286,17 @@
         panic!("a connection to one of {among:?}");
     }
 
-    pub fn try_accept(&self, at: usize) -> Option<End> {
+    pub fn try_accept(&self, at: usize) -> Option<Peer> {
         self.servers[at].set_nonblocking(true).expect("a socket");
         self.servers[at].accept().ok().map(|(stream, _)| {
             stream.set_nonblocking(false).expect("a socket");
-            End::new(stream)
+            Peer::new(stream)
         })
     }
 
-    /// Orders until this app server gets one, and serves that: a cold one is not sent all that comes.
-    pub fn served_at(&self, at: usize) {
-        let end = std::time::Instant::now() + PATIENCE;
+    /// Sends orders until this app server gets one, and serves that one. A cold app server gets only a part of the orders.
+    pub fn serve_order_at(&self, at: usize) {
+        let end = std::time::Instant::now() + TEST_TIMEOUT;
         for serial in 0.. {
             assert!(std::time::Instant::now() < end, "a connection to {at}");
             let mut client = self.client();
@@ -299,9 +305,9 @@
             while client.0.peek(&mut [0]).is_err() && std::time::Instant::now() < end {
                 if let Some(mut server) = self.try_accept(at) {
                     client.0.set_nonblocking(false).expect("a socket");
-                    server.message();
-                    server.ok("served");
-                    assert!(client.message().ends_with("served"));
+                    server.read_message();
+                    server.respond_ok("served");
+                    assert!(client.read_message().ends_with("served"));
                     return;
                 }
                 std::thread::yield_now();
@@ -309,14 +315,14 @@
         }
     }
 
-    /// Accepts the next watch, and answers its head and this list.
-    pub fn watch(&self, list: &str) -> (String, End) {
+    /// Accepts the next watch, and responds with a head and this list.
+    pub fn watch(&self, list: &str) -> (String, Peer) {
         Self::watch_at(&self.discovery, list)
     }
 
-    pub fn watch_at(discovery: &TcpListener, list: &str) -> (String, End) {
+    pub fn watch_at(discovery: &TcpListener, list: &str) -> (String, Peer) {
         discovery.set_nonblocking(true).expect("a socket");
-        let until = std::time::Instant::now() + PATIENCE;
+        let until = std::time::Instant::now() + TEST_TIMEOUT;
         let stream = loop {
             match discovery.accept() {
                 Ok((stream, _)) => break stream,
@@ -326,9 +332,9 @@
         };
         stream.set_nonblocking(false).expect("a socket");
         discovery.set_nonblocking(false).expect("a socket");
-        let mut end = End::new(stream);
-        let request = end.message();
-        end.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        let mut end = Peer::new(stream);
+        let request = end.read_message();
+        end.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         end.chunk(list);
         (request, end)
     }
@@ -340,42 +346,43 @@
     }
 }
 
-/// Hands the descriptor down as number 4.
+/// Passes the descriptor to the process as number 4.
 pub fn inherit(command: &mut Command, fd: OwnedFd) {
     let mapping = FdMapping { parent_fd: fd, child_fd: 4 };
     command.fd_mappings(vec![mapping]).expect("one descriptor").env("RELAY_INHERITED_FD", "4");
 }
 
-/// A folder of the test's own.
-pub fn folder() -> PathBuf {
+/// A temporary directory of its own.
+pub fn temporary_directory() -> PathBuf {
     let serial = SERIAL.fetch_add(1, Ordering::Relaxed);
-    let folder = std::env::temp_dir().join(format!("gradepaddle-{}-{serial}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    folder
+    let temporary_directory =
+        std::env::temp_dir().join(format!("gradepaddle-{}-{serial}", std::process::id()));
+    std::fs::create_dir_all(&temporary_directory).expect("a folder");
+    temporary_directory
 }
 
-pub fn local(listener: &TcpListener) -> SocketAddr {
+pub fn local_address(listener: &TcpListener) -> SocketAddr {
     listener.local_addr().expect("an address")
 }
 
-impl End {
-    pub fn new(stream: TcpStream) -> End {
-        stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+impl Peer {
+    pub fn new(stream: TcpStream) -> Peer {
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a socket");
         stream.set_nodelay(true).expect("a socket");
-        End(stream)
+        Peer(stream)
     }
 
-    pub fn say(&mut self, text: &str) {
+    pub fn send(&mut self, text: &str) {
         self.0.write_all(text.as_bytes()).expect("the other end reads");
     }
 
     pub fn chunk(&mut self, line: &str) {
-        self.say(&format!("{:x}\r\n{line}\n\r\n", line.len() + 1));
+        self.send(&format!("{:x}\r\n{line}\n\r\n", line.len() + 1));
     }
 
-    /// One message with the body that its length announces, as text without carriage returns. What
-    /// the clock decides is made the same.
-    pub fn message(&mut self) -> String {
+    /// Reads one message with the body that its length announces, as text without carriage returns. Times that depend on the
+    /// clock are replaced by a constant text.
+    pub fn read_message(&mut self) -> String {
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
             let mut byte = [0];
@@ -394,23 +401,23 @@
         lines.join("\n") + "\n" + &String::from_utf8_lossy(&body)
     }
 
-    pub fn status(&mut self) -> String {
-        self.message().lines().next().unwrap_or_default().replace("HTTP/1.1 ", "")
+    pub fn read_status(&mut self) -> String {
+        self.read_message().lines().next().unwrap_or_default().replace("HTTP/1.1 ", "")
     }
 
-    pub fn ok(&mut self, body: &str) {
-        self.say(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()));
+    pub fn respond_ok(&mut self, body: &str) {
+        self.send(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()));
     }
 
-    /// All that comes until the other side ends the connection.
-    pub fn rest(&mut self) -> String {
+    /// Reads until the other side closes the connection.
+    pub fn read_to_close(&mut self) -> String {
         let mut text = String::new();
         self.0.read_to_string(&mut text).expect("the end");
         text
     }
 
-    /// Waits until the other side has ended the connection.
-    pub fn ended(&mut self) -> bool {
+    /// Waits until the other side closes or resets the connection; true if nothing was received before a close.
+    pub fn wait_closed(&mut self) -> bool {
         let mut rest = Vec::new();
         match self.0.read_to_end(&mut rest) {
             Ok(_) => rest.is_empty(),
@@ -419,11 +426,11 @@
     }
 
     pub fn look(&mut self, id: &str) {
-        self.say(&request("GET", "look", id, ""));
+        self.send(&request("GET", "look", id, ""));
     }
 
     pub fn order(&mut self, id: &str) {
-        self.say(&request("POST", "order", id, "two beams"));
+        self.send(&request("POST", "order", id, "two beams"));
     }
 }
 
