--- a/daemon/examples/cost.rs
+++ b/daemon/examples/cost.rs
@@ -15,9 +15,9 @@
 const CLIENTS: usize = 4;
 const REQUESTS: usize = 5_000;
 const ROUNDS: usize = 25;
-const SERVERS: usize = 10;
+const APP_SERVERS: usize = 10;
 /// The kernel's ticks in a second.
-const TICKS: f64 = 100.0;
+const TICKS_PER_SECOND: f64 = 100.0;
 
 type Fallible<T> = Result<T, Box<dyn Error>>;
 
@@ -30,7 +30,7 @@
     "rules":{}}"#;
 
 /// Reads a head and the body that it announces; false once the connection is closed.
-fn message(stream: &mut BufReader<TcpStream>) -> bool {
+fn read_message(stream: &mut BufReader<TcpStream>) -> bool {
     let (mut length, mut line) = (0usize, String::new());
     loop {
         line.clear();
@@ -47,7 +47,7 @@
 }
 
 /// Starts an app server that answers every request at once.
-fn app_server() -> std::io::Result<SocketAddr> {
+fn start_app_server() -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
     std::thread::spawn(move || {
@@ -56,7 +56,7 @@
                 let Ok(mut back) = stream.try_clone() else { return };
                 let _ = stream.set_nodelay(true);
                 let mut reader = BufReader::new(stream);
-                while message(&mut reader) {
+                while read_message(&mut reader) {
                     let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\nhello there\n";
                     if back.write_all(answer).is_err() {
                         return;
@@ -71,13 +71,14 @@
 struct Daemon {
     child: Child,
     address: SocketAddr,
-    folder: PathBuf,
+    directory: PathBuf,
 }
 
 impl Daemon {
     fn start(program: &Path, servers: &[SocketAddr], serial: usize) -> Fallible<Daemon> {
-        let folder = std::env::temp_dir().join(format!("gradepaddle-cost-{}-{serial}", std::process::id()));
-        std::fs::create_dir_all(&folder)?;
+        let directory =
+            std::env::temp_dir().join(format!("gradepaddle-cost-{}-{serial}", std::process::id()));
+        std::fs::create_dir_all(&directory)?;
         let hosts: Vec<String> = servers
             .iter()
             .enumerate()
@@ -90,7 +91,7 @@
             "known":{{"seq":7,"whole":true,"hosts":[{}]}},"settings":{SETTINGS}}}"#,
             hosts.join(",")
         );
-        let path = folder.join("config.json");
+        let path = directory.join("config.json");
         std::fs::write(&path, config)?;
         let mut child = Command::new(program)
             .env_clear()
@@ -106,7 +107,7 @@
         let address = listen.parse()?;
         // Drains the log, or the daemon would block on a full pipe.
         std::thread::spawn(move || lines.for_each(drop));
-        Ok(Daemon { child, address, folder })
+        Ok(Daemon { child, address, directory })
     }
 
     /// User and system time so far, in seconds.
@@ -116,7 +117,7 @@
         let fields: Vec<&str> = text.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
         let ticks =
             |at: usize| fields.get(at).and_then(|text| text.parse::<f64>().ok()).ok_or("no such field");
-        Ok((ticks(11)? + ticks(12)?) / TICKS)
+        Ok((ticks(11)? + ticks(12)?) / TICKS_PER_SECOND)
     }
 
     /// CPU time per request in microseconds, and requests a second.
@@ -135,7 +136,7 @@
                         n % 50
                     );
                     stream.write_all(request.as_bytes())?;
-                    if !message(&mut reader) {
+                    if !read_message(&mut reader) {
                         return Err(std::io::ErrorKind::UnexpectedEof.into());
                     }
                 }
@@ -154,7 +155,7 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
 
@@ -163,7 +164,7 @@
     if programs.is_empty() {
         return Err("name one or two builds of the daemon".into());
     }
-    let servers = (0..SERVERS).map(|_| app_server()).collect::<std::io::Result<Vec<_>>>()?;
+    let servers = (0..APP_SERVERS).map(|_| start_app_server()).collect::<std::io::Result<Vec<_>>>()?;
     let daemons = programs
         .iter()
         .enumerate()
--- a/daemon/src/descriptor_budget.rs
+++ b/daemon/src/descriptor_budget.rs
@@ -43,7 +43,7 @@
     /// Connections with app servers.
     AppServer,
     /// Connections with discovery. They have a part of their own: while discovery is down, idle clients and app servers may
-    /// take all other descriptors, and without a list the daemon could not recover.
+    /// take all other descriptors, and without a list those could not be served.
     Discovery,
 }
 
--- a/daemon/src/drain_state.rs
+++ b/daemon/src/drain_state.rs
@@ -12,9 +12,9 @@
 /// and connections of clients that only wait are kept. It is as long as possible, but ends before requests count that could
 /// be found unanswered when the process ends.
 const TERMINATE_CLOSE_AFTER: Micros = 650_000;
-/// The process ends no sooner after SIGTERM than the longest deadline, counted as at most this, plus 0.7 s.
+/// SIGKILL follows SIGTERM no sooner than after the longest deadline, counted as at most this, plus 0.7 s.
 const MAX_COUNTED_DEADLINE: Micros = 3_000_000;
-/// A request accepted after SIGTERM is answered within the counted deadline plus this, before that end.
+/// A request accepted after SIGTERM is answered within the counted deadline plus this, before SIGKILL.
 const TERMINATE_ANSWER_MARGIN: Micros = 600_000;
 
 /// How clients are treated at some moment.
--- a/daemon/src/fleet/keeper.rs
+++ b/daemon/src/fleet/keeper.rs
@@ -36,7 +36,7 @@
 /// An event for the actor.
 enum Event {
     /// Another keeper has sent its hello.
-    Heard(Hello),
+    PeerHello(Hello),
     /// A Raft message.
     Message(Box<Message>),
     /// The disk has written all batches up to this number, or has failed.
@@ -249,7 +249,7 @@
 
     fn handle_event(&mut self, event: Event) -> Result<(), StepDown> {
         match event {
-            Event::Heard(hello) => {
+            Event::PeerHello(hello) => {
                 if self.keeper.peer_seen(&hello) {
                     self.ids.insert(hello.id, hello.name.clone());
                     self.hellos.insert(hello.name.clone(), hello);
@@ -385,7 +385,7 @@
 /// Passes on a hello, if the keeper at the other end speaks for itself.
 async fn handle_hello(name: &str, hello: Hello, events: &mpsc::Sender<Event>) {
     if hello.name == name {
-        let _ = events.send(Event::Heard(hello)).await;
+        let _ = events.send(Event::PeerHello(hello)).await;
     }
 }
 
--- a/daemon/src/service_table.rs
+++ b/daemon/src/service_table.rs
@@ -82,8 +82,7 @@
     fn decode(&mut self, received: &[u8]) -> Result<Vec<HostList>, String> {
         self.buffer.extend_from_slice(received);
         let (mut complete, mut used) = (Vec::new(), 0);
-        // Every list ends with a brace. Parsing only then keeps a list that arrives in many pieces from being parsed anew
-        // at each of them.
+        // Every list ends with a brace. Until one arrives, there is nothing to parse, however many pieces a list comes in.
         if received.contains(&b'}') {
             let mut values = serde_json::Deserializer::from_slice(&self.buffer).into_iter();
             while let Some(value) = values.next() {
--- a/daemon/tests/fleet/book.rs
+++ b/daemon/tests/fleet/book.rs
@@ -225,12 +225,13 @@
         council.succeeds(3, &format!("enable-server {SERVER}")).await;
         disable(&council, 3).await;
         wait_until_banned(&council, &[0, 1, 2, 3]).await;
-        for (disk, says) in [(&old[..], "an old copy"), (b"no disk of ours", "can not be opened")] {
+        for (disk, expected) in [(&old[..], "an old copy"), (b"no disk of ours", "can not be opened")] {
             council.kill(place).await.expect("it ends");
             council.put_back(place, disk).expect("a folder");
             council.start_places(&[place]).await.expect("it starts");
-            let told = |view: &Value| view["fault"].as_str().is_some_and(|fault| fault.contains(says));
-            council.until("its fault", &[place], told).await;
+            let has_fault =
+                |view: &Value| view["fault"].as_str().is_some_and(|fault| fault.contains(expected));
+            council.until("its fault", &[place], has_fault).await;
             council
                 .until("what others tell", &[place], |view| {
                     view["role"] == "reader" && is_banned(view, SERVER)
@@ -281,10 +282,14 @@
                 let fleet = council.process(place).fleet.expect("a keeper");
                 let mut stream = TcpStream::connect(fleet).await.expect("it listens");
                 stream.write_all(said).await.expect("it reads");
-                let mut heard = Vec::new();
+                let mut received = Vec::new();
                 // The keeper sends its greeting, nothing more, and closes the connection.
-                let end = stream.read_to_end(&mut heard).await;
-                assert!(end.is_err() || heard.len() < 200, "stranger {at} heard {} bytes", heard.len());
+                let end = stream.read_to_end(&mut received).await;
+                assert!(
+                    end.is_err() || received.len() < 200,
+                    "invalid connection {at} received {} bytes",
+                    received.len()
+                );
             }
         }
         disable(&council, 3).await;
--- a/daemon/tests/fleet/main.rs
+++ b/daemon/tests/fleet/main.rs
@@ -41,8 +41,8 @@
 /// Waits until discovery has sent the drain of this app server to every process.
 async fn wait_until_drain_known(fleet: &Fleet, server: usize) {
     for process in fleet.processes.iter().flatten() {
-        let told = |books: &Books| books.last_told(process.number, server) == Some(Health::Draining);
-        fleet.ledger.until("what discovery tells", told).await;
+        let is_known = |books: &Books| books.last_told(process.number, server) == Some(Health::Draining);
+        fleet.ledger.until("what discovery tells", is_known).await;
     }
 }
 
--- a/daemon/tests/network/keyed.rs
+++ b/daemon/tests/network/keyed.rs
@@ -23,12 +23,15 @@
     {
         client.send(&report(id, headers));
         let (_, mut first) = rig.accept(&[0, 1]);
-        let told = first.read_message();
+        let first_request = first.read_message();
         drop(first);
         let (_, mut second) = rig.accept(&[0, 1]);
-        let again = second.read_message();
+        let second_request = second.read_message();
         for line in headers.lines() {
-            assert!(told.contains(line) && again.contains(line), "{id}: {line:?} of {told} and {again}");
+            assert!(
+                first_request.contains(line) && second_request.contains(line),
+                "{id}: {line:?} of {first_request} and {second_request}"
+            );
         }
         second.send("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\nsent");
         assert!(client.read_message().ends_with("sent"), "{id}");
@@ -69,9 +72,9 @@
     let (at, mut first) = rig.accept(&[0, 1]);
     assert!(first.read_message().contains("c1"));
     drop(first);
-    let (_, mut again) = rig.accept(&[at]);
-    again.read_message();
-    again.respond_ok("dropped as a repeat");
+    let (_, mut second_request) = rig.accept(&[at]);
+    second_request.read_message();
+    second_request.respond_ok("dropped as a repeat");
     assert!(client.read_message().ends_with("dropped as a repeat"));
     assert!(rig.try_accept(1 - at).is_none(), "it was sent to the other zone");
 }
--- a/daemon/tests/network/operators.rs
+++ b/daemon/tests/network/operators.rs
@@ -40,7 +40,7 @@
         lines.iter().map(|line| format!("{line:.20?}: {}", rig.admin_command(line))).collect();
     assert_snapshot!(answers.concat());
     let mut latin = rig.admin_connection();
-    std::io::Write::write_all(&mut latin.0, b"drain\xfc\n").expect("the door reads");
+    std::io::Write::write_all(&mut latin.0, b"drain\xfc\n").expect("the admin listener reads");
     assert_eq!(latin.read_to_close(), "FAILURE the line is not UTF-8\n");
     half.0.shutdown(std::net::Shutdown::Write).expect("a socket");
     // It may have been closed by then to make room for others.
--- a/daemon/tests/network/replaced.rs
+++ b/daemon/tests/network/replaced.rs
@@ -114,7 +114,7 @@
 fn files_that_are_torn_or_foreign_are_named_and_stop_nothing() {
     let rig = Rig::with_inherited_listener(2, 1024);
     let (_, _watch) = rig.watch(r#"{"seq":7,"whole":false,"hosts":[]}"#);
-    let temporary_directory = rig.shared.join("gradepaddle-n");
+    let shared_directory = rig.shared.join("gradepaddle-n");
     assert_eq!(rig.admin_command("disable-server a"), "SUCCESS a is out\n");
     for (name, text) in [
         ("ban-b", "{\"version\":1,\"ser"),
@@ -124,9 +124,9 @@
         ("process-1-1", "not one of ours"),
         ("core", "\u{0}"),
     ] {
-        std::fs::write(temporary_directory.join(name), text).expect("the folder");
+        std::fs::write(shared_directory.join(name), text).expect("the folder");
     }
-    std::fs::create_dir(temporary_directory.join("ban-d")).expect("the folder");
+    std::fs::create_dir(shared_directory.join("ban-d")).expect("the folder");
     rig.wait_for_log("file=\"ban-b\"");
     let successor = rig.start_successor();
     ready(&successor);
@@ -210,20 +210,20 @@
         ("listens at", two.into()),
     ];
     for (why, fd) in cases {
-        let (mut command, temporary_directory) = program(&config(&local_address(&one).to_string()));
+        let (mut command, directory) = program(&config(&local_address(&one).to_string()));
         inherit(&mut command, fd);
         let output = command.output().expect("the daemon");
         let text = String::from_utf8_lossy(&output.stdout);
         assert_eq!(output.status.code(), Some(1), "{text}");
         assert!(text.contains("RELAY_INHERITED_FD: descriptor 4: ") && text.contains(why), "{why}: {text}");
-        std::fs::remove_dir_all(temporary_directory).expect("the folder");
+        std::fs::remove_dir_all(directory).expect("the folder");
     }
     for fd in ["77", "four", "-1"] {
-        let (mut command, temporary_directory) = program(&config("127.0.0.1:0"));
+        let (mut command, directory) = program(&config("127.0.0.1:0"));
         let output = command.env("RELAY_INHERITED_FD", fd).output().expect("the daemon");
         assert_eq!(output.status.code(), Some(1));
         assert!(String::from_utf8_lossy(&output.stdout).contains("RELAY_INHERITED_FD: "));
-        std::fs::remove_dir_all(temporary_directory).expect("the folder");
+        std::fs::remove_dir_all(directory).expect("the folder");
     }
     std::fs::remove_dir_all(temporary_directory()).expect("the folder");
 }
--- a/daemon/tests/network/rig.rs
+++ b/daemon/tests/network/rig.rs
@@ -1,4 +1,4 @@
-//! The daemon as a process, with the test as its clients, app servers and discovery.
+//! Starts the daemon as a process; the test plays its clients, app servers and discovery.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -123,7 +123,10 @@
     }
 
     pub fn admin_connection(&self) -> Peer {
-        Peer::new(TcpStream::connect(self.admin_address.expect("a door")).expect("the door accepts"))
+        Peer::new(
+            TcpStream::connect(self.admin_address.expect("an admin address"))
+                .expect("the admin listener accepts"),
+        )
     }
 
     /// Sends an operator's command and returns the answer.
