--- a/daemon/src/fleet/keeper.rs
+++ b/daemon/src/fleet/keeper.rs
@@ -213,7 +213,7 @@
         self.keeper.tick();
         let status = self.keeper.status();
         self.has_leader.set(status.is_leader || status.leader.is_some());
-        self.shared.update_view(|view| view.update_from_keeper(&status, self.has_leader.get()));
+        self.shared.update_view(|view| view.update_as_keeper(&status, self.has_leader.get()));
         self.bootstrap_if_due();
         Ok(())
     }
--- a/daemon/src/fleet/mod.rs
+++ b/daemon/src/fleet/mod.rs
@@ -96,7 +96,7 @@
 }
 
 impl View {
-    fn update_from_keeper(&mut self, status: &Status, fresh: bool) {
+    fn update_as_keeper(&mut self, status: &Status, fresh: bool) {
         (self.leads, self.from, self.revision) =
             (status.is_leader, status.leader.clone(), status.applied_index);
         (self.voters, self.learners) = (status.voters.clone(), status.learners.clone());
@@ -106,7 +106,7 @@
         }
     }
 
-    fn update_from_reader(&mut self, from: &str, revision: u64, fresh: bool) {
+    fn update_as_reader(&mut self, from: &str, revision: u64, fresh: bool) {
         (self.from, self.revision) = (Some(from.to_owned()), revision);
         if fresh {
             self.last_contact = Some(Instant::now());
--- a/daemon/src/fleet/reader.rs
+++ b/daemon/src/fleet/reader.rs
@@ -57,15 +57,15 @@
             received = connection.receive() => match received? {
                 Packet::Whole(saved) => {
                     ledger.load(&saved)?;
-                    shared.update_view(|view| view.update_from_reader(&connection.name, ledger.index(), true));
+                    shared.update_view(|view| view.update_as_reader(&connection.name, ledger.index(), true));
                     shared.notify_changed();
                 }
                 Packet::Applied { index, write } => {
                     ledger.apply(index, &write);
-                    shared.update_view(|view| view.update_from_reader(&connection.name, ledger.index(), true));
+                    shared.update_view(|view| view.update_as_reader(&connection.name, ledger.index(), true));
                     shared.notify_changed();
                 }
-                Packet::Pulse { fresh } => shared.update_view(|view| view.update_from_reader(&connection.name, ledger.index(), fresh)),
+                Packet::Pulse { fresh } => shared.update_view(|view| view.update_as_reader(&connection.name, ledger.index(), fresh)),
                 packet @ (Packet::Done { number, .. } | Packet::Turned { number, .. }) => {
                     if let Some((_, answers)) = pending.take_if(|(pending, _)| *pending == number) {
                         // The receiver may be gone.
