--- a/placement/src/attempt.rs
+++ b/placement/src/attempt.rs
@@ -12,7 +12,7 @@
     pub(crate) service: u32,
     pub(crate) sent_at: Micros,
     pub(crate) work: RequestWork,
-    /// The expected time to its first event, where nothing else delays it, in milliseconds.
+    /// The expected time to its first event in milliseconds; `None` if a transfer or another request delays it.
     pub(crate) predicted_ms: Option<f64>,
     pub(crate) first_event_at: Option<Micros>,
     pub(crate) model: Option<u32>,
--- a/placement/src/cache_event.rs
+++ b/placement/src/cache_event.rs
@@ -1,4 +1,4 @@
-//! Changes of what servers and stores have in their caches.
+//! Changes in the caches of servers and stores.
 
 use gradepaddle::cost::{hash, mix};
 
@@ -29,7 +29,7 @@
     },
 }
 
-/// A chunk of which a store has another number of tokens than before.
+/// A change in the number of tokens of a chunk that a store has cached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CachedTokens {
     /// The chunk under its salt, as [`chunk_key`] gives it.
@@ -38,13 +38,13 @@
     pub tokens: u32,
 }
 
-/// What changed at a store since the last update. A store accepts only a few subscribers to its events; these forward the
-/// changes to the other balancers.
+/// The changes of a store's cache since the last update. A store accepts only a few subscribers to its events; these forward
+/// the changes to the other balancers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreUpdate {
     /// A hash of the store's name, the same at all nodes.
     pub store: u64,
-    /// The store restarted, or its events have a gap: nothing cached earlier is known to be left.
+    /// The store restarted, or its events have a gap: no chunk cached before is known to be cached still.
     pub reset: bool,
     /// The chunks, in the order of their changes.
     pub chunks: Vec<CachedTokens>,
@@ -55,12 +55,12 @@
     salted_chunk_key(hash(salt), chunk)
 }
 
-/// The same, from the hash of the salt.
+/// The same as [`chunk_key`], from the hash of the salt.
 pub(crate) fn salted_chunk_key(salt_hash: u64, chunk: u64) -> u64 {
     mix(salt_hash ^ mix(chunk))
 }
 
-/// The hash that names a server or store to other nodes.
+/// The hash that identifies a server or store in messages between nodes.
 pub fn holder_hash(name: &str) -> u64 {
     hash(name)
 }
--- a/placement/src/cache_holder.rs
+++ b/placement/src/cache_holder.rs
@@ -1,6 +1,6 @@
-//! Compact numbers of those that hold cached chunks.
+//! Compact ids of the servers and stores that hold cached chunks.
 
-/// The most cache stores that are used; further ones of a configuration are ignored.
+/// The maximum number of cache stores; further ones of a configuration are ignored.
 pub(crate) const MAX_STORES: u32 = 16;
 
 /// A cache store or a model server as a holder of cached chunks. Stores come first, so that one table holds both.
@@ -16,7 +16,7 @@
         CacheHolder(index + MAX_STORES)
     }
 
-    /// All numbers that stores can have.
+    /// The ids of all stores that can exist.
     pub(crate) fn all_stores() -> impl Iterator<Item = CacheHolder> {
         (0..MAX_STORES).map(CacheHolder)
     }
@@ -29,7 +29,7 @@
         self.0.checked_sub(MAX_STORES)
     }
 
-    /// Its place in a table of all holders.
+    /// Its index in a table of all holders.
     pub(crate) fn table_index(self) -> usize {
         self.0 as usize
     }
--- a/placement/src/cache_salt.rs
+++ b/placement/src/cache_salt.rs
@@ -1,5 +1,5 @@
-//! Salts (`Cache-Salt`): texts under which servers cache chunks, so that chunks of another model version or beyond an
-//! isolation boundary are never found.
+//! Cache salts (`Cache-Salt`): servers reuse a cached chunk only for requests with the same salt, so that chunks of another
+//! model version or beyond an isolation boundary are never reused.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,9 +8,9 @@
 
 use crate::request::CacheIsolation;
 
-/// Keeps the hashes of isolated tenants apart from those of the shared sets.
+/// Separates the hashes of isolated tenants from those of the shared sets: the bytes of `tenant::`.
 const TENANT_DOMAIN: u64 = 0x7465_6e61_6e74_3a3a;
-/// Salts that are remembered; all are forgotten, and made anew, when there are more.
+/// The maximum number of salts that are kept; when it is reached, all are dropped and are computed again.
 const MAX_SALTS: usize = 4_096;
 
 pub(crate) fn isolation_hash(isolation: &CacheIsolation) -> u64 {
@@ -27,14 +27,14 @@
     isolation_hash: u64,
 }
 
-/// The salts in use.
+/// The salts that were computed so far.
 #[derive(Debug, Default)]
 pub(crate) struct CacheSalts {
     known: HashMap<SaltKey, Arc<str>>,
 }
 
 impl CacheSalts {
-    /// The salt of a model version within an isolation boundary: the same text at every node.
+    /// Returns the salt of a model version within an isolation boundary, which is the same at every node.
     pub(crate) fn salt(&mut self, model: &str, version: u64, isolation: &CacheIsolation) -> Arc<str> {
         let (model, isolation) = (hash(model), isolation_hash(isolation));
         if self.known.len() >= MAX_SALTS {
@@ -46,7 +46,7 @@
     }
 }
 
-/// A salt that no other request gets: nothing that is cached under it is ever found again.
+/// Returns a salt that no other request gets, so that nothing cached under it is ever reused.
 pub(crate) fn single_use_salt(seed: u64, number: u64) -> Arc<str> {
     Arc::from(format!("u{:016x}-{number:x}", mix(seed)))
 }
--- a/placement/src/cache_store.rs
+++ b/placement/src/cache_store.rs
@@ -4,10 +4,10 @@
 use crate::save_tracker::SaveTracker;
 use crate::time::Micros;
 
-/// A store is a source for this long after its last answer.
+/// A store is used for this long after its last answer to a call for its events.
 const CONTACT_TIMEOUT: Micros = 3_000_000;
 /// A store that failed is not used for this long.
-const FAILURE_PAUSE: Micros = 2_000_000;
+const FAILURE_BACKOFF: Micros = 2_000_000;
 
 /// A cache store.
 #[derive(Debug)]
@@ -16,7 +16,7 @@
     pub(crate) zone: u16,
     pub(crate) last_contact: Option<Micros>,
     failed_until: Micros,
-    /// When its link is done with the transfers that this node caused.
+    /// When its link is expected to have completed the transfers that this node started.
     pub(crate) link_busy_until: Micros,
     pub(crate) saves: SaveTracker,
 }
@@ -38,6 +38,6 @@
     }
 
     pub(crate) fn record_failure(&mut self, now: Micros) {
-        self.failed_until = now + FAILURE_PAUSE;
+        self.failed_until = now + FAILURE_BACKOFF;
     }
 }
--- a/placement/src/candidate.rs
+++ b/placement/src/candidate.rs
@@ -6,18 +6,19 @@
 use crate::server_load::ServiceAverages;
 use crate::time::Micros;
 
-/// A server without evidence counts at the mean Load of the others for this long after it became known. Not for longer:
-/// among jammed servers it would never be selected.
+/// A server without load data counts at the mean Load of the others for this long after it became known. The period is
+/// limited because such a server would never be selected among overloaded ones.
 const UNKNOWN_LOAD_PERIOD: Micros = 1_000_000;
-/// Stands for the first model of a server that has none.
+/// The `model` of a candidate whose server has no model loaded.
 const NO_MODEL: u32 = u32::MAX;
 
-/// What a selection reads of a server. Times are in milliseconds; single precision keeps the scan within few cache lines.
+/// What a selection reads of a server. Times are in milliseconds. Single precision keeps the record small, so that the scan
+/// of all candidates touches few cache lines.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Candidate {
     pub(crate) hash: u64,
     pub(crate) ejected_until: Micros,
-    /// Of the first model; the others are looked up.
+    /// The version of `model`, the server's first model; the versions of others are looked up in the server.
     pub(crate) version: Option<u64>,
     pub(crate) model: u32,
     pub(crate) server: u32,
@@ -32,7 +33,7 @@
 }
 
 impl Candidate {
-    /// The record of the server with this index.
+    /// Creates the record of the server with this index.
     pub(crate) fn new(
         now: Micros,
         index: u32,
@@ -41,8 +42,8 @@
         mean_load_ms: f64,
     ) -> Candidate {
         let estimate = server.load.estimate(now, server.slots, averages);
-        let is_unknown = !server.has_evidence && now < server.known_since + UNKNOWN_LOAD_PERIOD;
-        let load_ms = if is_unknown { mean_load_ms } else { estimate.load_ms };
+        let is_load_unknown = !server.has_load_data && now < server.known_since + UNKNOWN_LOAD_PERIOD;
+        let load_ms = if is_load_unknown { mean_load_ms } else { estimate.load_ms };
         let first = server.loaded_versions.first();
         let is_lost = server.state != ServerState::Ready;
         Candidate {
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Why the server is left out at this time.
+    /// Why the server is ejected at this time.
     pub(crate) fn ejection_reason(&self, now: Micros) -> EjectionReason {
         if self.ejected_until > now { self.ejection } else { EjectionReason::None }
     }
--- a/placement/src/ejection.rs
+++ b/placement/src/ejection.rs
@@ -8,14 +8,14 @@
 const FAILURE_EJECTION: Micros = 200_000;
 const MAX_FAILURE_EJECTION: Micros = 2_000_000;
 const MAX_FAILURE_DOUBLINGS: u32 = 4;
-/// The shortest ejection after a rejection; it is up to twice as long, by a hash of the node, and doubles with each further
-/// rejection up to so many times.
+/// The shortest ejection after a rejection. Jitter by a hash of the node makes it up to twice as long, and it doubles with
+/// each consecutive rejection, up to `MAX_REJECTION_DOUBLINGS` times.
 const REJECTION_EJECTION: Micros = 150_000;
 const MAX_REJECTION_DOUBLINGS: u32 = 3;
-/// Failures that a server counts as having at least, once another one answered at its address.
+/// The number of consecutive failures that a server counts with at least after another one answered at its address.
 const MISDIRECTED_FAILURES: u32 = 3;
 
-/// Why a server is left out; in the order in which ejected servers are resorted to when no other one is left.
+/// Why a server is ejected. If only ejected servers are left, those with the lowest reason in this order are selected first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum EjectionReason {
     /// It is not ejected.
@@ -28,7 +28,7 @@
     Lost,
 }
 
-/// Whether a server is ejected, and what it did to get there.
+/// The ejection of a server, and the failures and rejections that it results from.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EjectionState {
     pub(crate) reason: EjectionReason,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Why the server is left out at this time.
+    /// Why the server is ejected at this time.
     pub(crate) fn reason_at(&self, now: Micros) -> EjectionReason {
         if self.until > now { self.reason } else { EjectionReason::None }
     }
@@ -62,26 +62,26 @@
         }
     }
 
-    /// It rejected a request. The ejection is jittered by node, so that not all nodes come back at once. A server that
-    /// loads weights rejects everything until it is done: it is asked again at growing intervals.
+    /// Records that the server rejected a request. The ejection is jittered by node, so that not all nodes retry the server
+    /// at once. A server that loads weights rejects everything until it is done, so it is retried at growing intervals.
     pub(crate) fn record_rejection(&mut self, now: Micros, jitter_seed: u64) {
         let span = REJECTION_EJECTION << self.consecutive_rejections.min(MAX_REJECTION_DOUBLINGS);
         self.consecutive_rejections += 1;
         self.eject_unless_failing(now, now + span + mix(jitter_seed ^ now) % span);
     }
 
-    /// It started a request.
+    /// Records that the server started a request.
     pub(crate) fn record_start(&mut self) {
         self.consecutive_rejections = 0;
     }
 
-    /// It is about to load weights: it is left out for this long, 0 ends that.
+    /// Ejects a server that is about to load weights for this long; 0 ends the ejection.
     pub(crate) fn pause(&mut self, now: Micros, span: Micros) {
         self.eject_unless_failing(now, now + span);
     }
 
-    /// An attempt that was sent at `sent` failed. Failures of attempts that were sent before the last counted failure do
-    /// not count again: they have one cause.
+    /// Records the failure of an attempt that was sent at `sent`. Failures of attempts that were sent before the last counted
+    /// failure are not counted: they are assumed to have the same cause.
     pub(crate) fn record_failure(&mut self, now: Micros, sent: Micros) {
         if self.consecutive_failures > 0 && sent < self.last_failure {
             return;
@@ -93,7 +93,7 @@
         self.until = now + span.min(MAX_FAILURE_EJECTION);
     }
 
-    /// It answered an attempt that was sent at this time.
+    /// Records that the server answered an attempt that was sent at `sent`, which ends an ejection for earlier failures.
     pub(crate) fn record_answer(&mut self, sent: Micros) {
         if self.consecutive_failures > 0 && sent >= self.last_failure {
             self.consecutive_failures = 0;
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Another server answered at its address.
+    /// Records that another server answered at the server's address.
     pub(crate) fn record_misdirection(&mut self, now: Micros) {
         self.consecutive_failures = self.consecutive_failures.max(MISDIRECTED_FAILURES);
         self.record_failure(now, now);
--- a/placement/src/endpoint.rs
+++ b/placement/src/endpoint.rs
@@ -82,7 +82,7 @@
     /// Its name, by which it also appears as a holder of cached chunks.
     #[builder(setter(into))]
     pub name: Arc<str>,
-    /// The address that it is called at.
+    /// Its address.
     pub address: SocketAddrV4,
     /// Its zone.
     #[builder(setter(into))]
--- a/placement/src/fleet.rs
+++ b/placement/src/fleet.rs
@@ -18,9 +18,9 @@
 use crate::time::Micros;
 use crate::workload::Workload;
 
-/// How often Load and the recent means are updated for all servers of a service.
+/// The interval at which Load and the recent means are updated for all servers of a service.
 const UPDATE_INTERVAL: Micros = 20_000;
-/// For each so many servers the interval is longer by as much.
+/// The interval is extended by `UPDATE_INTERVAL` for every this many servers of the service.
 const SERVERS_PER_INTERVAL: u64 = 1_000;
 
 /// The parameters of each service's retry budget.
@@ -50,7 +50,7 @@
     pub(crate) zones: Interner,
     pub(crate) models: Interner,
     balancers: usize,
-    /// The latest time that was seen, for what is set without one.
+    /// The latest time of any call, for changes that come without a time.
     latest_time: Micros,
     retry_budget: RetryBudgetParams,
 }
@@ -65,7 +65,7 @@
         Fleet { balancers: 1, retry_budget, ..Fleet::default() }
     }
 
-    /// Notes the time of a call.
+    /// Records the time of a call.
     pub(crate) fn observe_time(&mut self, now: Micros) {
         self.latest_time = self.latest_time.max(now);
     }
@@ -88,7 +88,7 @@
         ServerRef { index, generation: self.servers[index as usize].generation }
     }
 
-    /// The server, unless its entry was reused since.
+    /// The server, unless it was removed since.
     pub(crate) fn server_mut(&mut self, server: ServerRef) -> Option<&mut Server> {
         self.servers.get_mut(server.index as usize).filter(|known| known.generation == server.generation)
     }
@@ -153,7 +153,7 @@
         server.zone = zone;
         server.slots = entry.slots;
         server.state = entry.state;
-        server.warm_at = now + entry.warmup_left;
+        server.slow_start_until = now + entry.warmup_left;
         for loaded in &entry.models {
             let model = self.models.intern(&loaded.model);
             self.record_version(index, model, loaded.version);
@@ -175,7 +175,7 @@
         index
     }
 
-    /// Removes a server; its former index.
+    /// Removes a server, and returns its former index.
     pub(crate) fn remove_server(&mut self, id: &str) -> Option<u32> {
         let index = self.indices_by_id.remove(id)?;
         self.indices_by_hash.remove(&hash(id));
@@ -187,7 +187,7 @@
         Some(index)
     }
 
-    /// A server has this version of a model.
+    /// Records that a server has this version of a model.
     pub(crate) fn record_version(&mut self, index: u32, model: u32, version: u64) {
         let server = &mut self.servers[index as usize];
         let changed = match server.loaded_versions.iter_mut().find(|loaded| loaded.model == model) {
@@ -202,7 +202,7 @@
         }
     }
 
-    /// A server said that it does not have this version of a model.
+    /// Records that a server denied having this version of a model.
     pub(crate) fn record_version_denial(&mut self, index: u32, model: u32, version: u64) {
         let server = &mut self.servers[index as usize];
         for loaded in server.loaded_versions.iter_mut().filter(|loaded| loaded.model == model) {
@@ -222,7 +222,7 @@
         }
     }
 
-    /// Makes a server a candidate if it may be selected at all, or removes it, and updates its record.
+    /// Updates the candidate record of a server, which exists only while the server may be selected at all.
     pub(crate) fn refresh_candidate(&mut self, now: Micros, index: u32) {
         let server = &mut self.servers[index as usize];
         if !server.is_selectable() {
@@ -240,18 +240,18 @@
         }
     }
 
-    /// The place of a server among the candidates of its service.
+    /// The index of a server among the candidates of its service.
     pub(crate) fn candidate_index(&self, server: u32) -> Option<usize> {
         self.servers[server as usize].candidate.map(|candidate| candidate as usize)
     }
 
-    /// Updates what changes with time for all servers of a service, if that is due.
+    /// Updates what changes with time for all servers of a service, if the update interval has passed.
     pub(crate) fn refresh_service(&mut self, now: Micros, service: usize) {
         let pool = &self.services[service];
         let servers = pool.candidates.len() as u64;
         let due = pool.updated_at + UPDATE_INTERVAL * (1 + servers / SERVERS_PER_INTERVAL);
         if pool.versions_stale {
-            self.list_versions(service);
+            self.rebuild_versions(service);
         }
         if now >= due {
             self.update_means(now, service);
@@ -267,7 +267,7 @@
         for candidate in &service.candidates {
             let server = &mut self.servers[candidate.server as usize];
             own_work = own_work.plus(server.load.update_means(now, decay));
-            if server.has_evidence {
+            if server.has_load_data {
                 load_sum += f64::from(candidate.load_ms);
                 load_count += 1.0;
             }
@@ -281,7 +281,7 @@
         }
     }
 
-    fn list_versions(&mut self, service: usize) {
+    fn rebuild_versions(&mut self, service: usize) {
         let service = &mut self.services[service];
         service.versions_stale = false;
         service.versions.clear();
--- a/placement/src/interner.rs
+++ b/placement/src/interner.rs
@@ -1,9 +1,9 @@
-//! Small numbers for names that come up often.
+//! Interning of names as small numbers.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Numbers names in the order in which they first come up.
+/// Numbers names in the order in which they are first interned.
 #[derive(Debug, Default)]
 pub(crate) struct Interner {
     numbers: HashMap<Arc<str>, u32>,
@@ -11,7 +11,7 @@
 }
 
 impl Interner {
-    /// The number of a name; a new one for a new name.
+    /// Returns the number of a name, and assigns one to a new name.
     pub(crate) fn intern(&mut self, name: &str) -> u32 {
         if let Some(number) = self.numbers.get(name) {
             return *number;
@@ -23,7 +23,7 @@
         number
     }
 
-    /// The number of a name that came up before.
+    /// The number of a name that was interned before.
     pub(crate) fn find(&self, name: &str) -> Option<u32> {
         self.numbers.get(name).copied()
     }
--- a/placement/src/key_table.rs
+++ b/placement/src/key_table.rs
@@ -1,12 +1,12 @@
 //! The key table of LARD: which servers are believed to have the prefix of a key cached. It learns from this node's own
-//! placements and from other nodes' reports, and is bounded by two generations: keys that do not come back while the young
-//! generation fills are forgotten.
+//! placements and from other nodes' reports, and is bounded by two generations: keys that are not used again while the
+//! young generation fills are dropped.
 
 use crate::premixed_map::PremixedMap;
 use crate::server::ServerRef;
 use crate::time::Micros;
 
-/// Servers in the set of one key; the least recently used is replaced.
+/// The maximum number of servers in the set of one key; the least recently used is replaced.
 const MAX_SERVERS_PER_KEY: usize = 12;
 
 /// A server in the set of a key.
@@ -33,7 +33,7 @@
     pub(crate) last_save: Option<OrderedSave>,
 }
 
-/// Keys with their servers.
+/// Keys with the servers that served them.
 #[derive(Debug)]
 pub(crate) struct KeyTable {
     young: PremixedMap<KeyEntry>,
@@ -42,7 +42,7 @@
 }
 
 impl KeyTable {
-    /// An empty table with at most so many keys in each of its two generations.
+    /// Creates an empty table with at most this many keys in each of its two generations.
     pub(crate) fn new(generation_size: usize) -> KeyTable {
         KeyTable {
             young: PremixedMap::default(),
--- a/placement/src/kv_transfer.rs
+++ b/placement/src/kv_transfer.rs
@@ -10,32 +10,32 @@
 use crate::server_load::PREFILL_TOKENS_PER_MS;
 use crate::time::{Micros, from_ms, to_ms};
 
-/// Set-up of a transfer in milliseconds.
+/// The set-up time of a transfer in milliseconds.
 const SETUP_MS: f64 = 2.0;
 /// The factor by which a transfer between zones takes longer.
 const CROSS_ZONE_FACTOR: f64 = 2.0;
-/// The cost of a transfer beside its duration: transfers are priced, and delay others of the same source.
+/// The factor between the cost of a transfer and its duration: transfers are charged for, and delay others of the same source.
 const PRICE_FACTOR: f64 = 1.5;
-/// What a transferred prefix evicts at its destination is computed again in part: the cost of that as a share of the prefill
-/// of the transferred prefix.
+/// The cost of chunks that a transferred prefix evicts at its destination, some of which are computed again, as a share of
+/// the prefill time of the transferred prefix.
 const EVICTION_COST_SHARE: f64 = 0.2;
-/// Fewer tokens than this are not worth a transfer.
+/// A transfer or save of fewer tokens than this is not worthwhile.
 pub(crate) const MIN_TOKENS: u32 = 64;
-/// A transfer that would wait longer than this for its source's link is not begun.
+/// A transfer that would wait longer than this for its source's link is not started.
 const MAX_LINK_WAIT_MS: f64 = 1_000.0;
 const BITS_PER_BYTE: f64 = 8.0;
 /// Bits that a link of one Mbit/s carries in a millisecond.
 const BITS_PER_MS_OF_MBPS: f64 = 1_000.0;
-/// No miss costs less than this, in milliseconds.
+/// The lowest cost of a miss, in milliseconds.
 const MIN_MISS_MS: f64 = 1.0;
 
-/// The prefill of tokens at standard speed, in milliseconds.
+/// The prefill time of tokens at standard speed, in milliseconds.
 pub(crate) fn prefill_ms(tokens: u32) -> f64 {
     f64::from(tokens) / PREFILL_TOKENS_PER_MS
 }
 
-/// The transfer of tokens within a zone, in milliseconds, by the slower of the server's link and one of `link_mbps`; 0 stands
-/// for no other link.
+/// The transfer time of tokens within a zone, in milliseconds, over the slower of the server's link and one of `link_mbps`; 0
+/// stands for no other link.
 fn transfer_ms(spec: &ModelService, link_mbps: f64, tokens: u32) -> f64 {
     let slowest = if link_mbps > 0.0 { spec.link_mbps.min(link_mbps) } else { spec.link_mbps };
     if spec.token_bytes == 0 || slowest <= 0.0 {
@@ -45,7 +45,7 @@
     SETUP_MS + bits / (slowest * BITS_PER_MS_OF_MBPS)
 }
 
-/// LARD's cost of a miss: the prefill of the shared tokens, or their transfer if somebody has them.
+/// LARD's cost of a miss: the prefill of the shared tokens, or their transfer if that is cheaper and a holder has them.
 pub(crate) fn miss_ms(spec: &ModelService, shared_tokens: u32, has_source: bool) -> f64 {
     let prefill = prefill_ms(shared_tokens);
     let transfer = PRICE_FACTOR * transfer_ms(spec, 0.0, shared_tokens) + EVICTION_COST_SHARE * prefill;
@@ -75,12 +75,12 @@
 pub(crate) struct TransferSource {
     pub(crate) holder: CacheHolder,
     pub(crate) address: SocketAddrV4,
-    /// Tokens that it has beyond those of the server; 0 where it was only guessed to have them.
+    /// Tokens that it has beyond those of the server; 0 if it is not known to have the prefix.
     pub(crate) gained_tokens: u32,
     pub(crate) duration_ms: f64,
 }
 
-/// A holder that may be asked for chunks now.
+/// A holder that chunks can be fetched from now.
 struct ReachableHolder {
     address: SocketAddrV4,
     zone: u16,
@@ -109,7 +109,7 @@
         })
     }
 
-    /// Counts a transfer: later ones from the same source wait for it.
+    /// Records a transfer, for which later ones from the same source wait.
     pub(crate) fn record_transfer(&mut self, now: Micros, source: &TransferSource) {
         let busy_until = match (source.holder.as_store(), source.holder.as_server()) {
             (Some(store), _) => &mut self.stores[store as usize].link_busy_until,
@@ -119,7 +119,7 @@
         *busy_until = (*busy_until).max(now) + from_ms(source.duration_ms);
     }
 
-    /// The best of the holders that are believed to have more of the prefix than the server.
+    /// The source that saves the most time, of the holders that are believed to have more of the prefix than the server.
     pub(crate) fn best_source(
         &self,
         now: Micros,
@@ -149,7 +149,7 @@
         (saved_ms > 0.0 && wait_ms < MAX_LINK_WAIT_MS).then_some(RatedSource { source, saved_ms })
     }
 
-    /// A holder that may well have the prefix, though nothing is known: asking in vain costs it a millisecond.
+    /// A holder as a source though it is not known to have the prefix: a fetch that finds nothing costs a millisecond.
     pub(crate) fn guessed_source(
         &self,
         now: Micros,
@@ -163,7 +163,7 @@
         Some(TransferSource { holder, address, gained_tokens: 0, duration_ms: 0.0 })
     }
 
-    /// The index of the store that caches the chunks of a key: all nodes agree on it, among the stores that can be asked.
+    /// The index of the store that caches the chunks of a key. Nodes for which the same stores are usable agree on it.
     pub(crate) fn store_for_key(&self, now: Micros, key: u64) -> Option<u32> {
         let mut usable =
             (0..self.stores.len() as u32).filter(|index| self.stores[*index as usize].is_usable(now));
@@ -172,7 +172,7 @@
     }
 }
 
-/// A source with the milliseconds that fetching from it saves.
+/// A source with the milliseconds that a fetch from it saves.
 struct RatedSource {
     source: TransferSource,
     saved_ms: f64,
--- a/placement/src/lib.rs
+++ b/placement/src/lib.rs
@@ -1,10 +1,10 @@
 //! Placement of requests on model servers: locality-aware request distribution (LARD) with an index of the fleet's prefix
 //! caches and a model of each server's load, without I/O or clock.
 //!
-//! The data plane tells a [`Placer`] of servers, configuration, versions and cached chunks, asks it to
-//! [`place`](Placer::place) each attempt, and reports what came of it. The package is apart from the data plane so that its
-//! decisions can be tested, simulated and repeated: equal settings and calls give equal placements. `docs/placement.md`
-//! has the mechanism, its reasons and its figures.
+//! The data plane informs a [`Placer`] of servers, configuration, versions and cached chunks, asks it to
+//! [`place`](Placer::place) each attempt, and reports the attempt's outcome. The package is separate from the data plane so
+//! that its decisions can be tested, simulated and reproduced: equal settings and calls give equal placements.
+//! `docs/placement.md` describes the mechanism, its reasons and its measurements.
 //!
 //! Source of the three costs: Aron, Druschel and Zwaenepoel, "Efficient Support for P-HTTP in Cluster-Based Web Servers",
 //! section 4.1; they are in `gradepaddle::cost`, which the balancer in service uses too.
--- a/placement/src/loaded_version.rs
+++ b/placement/src/loaded_version.rs
@@ -6,7 +6,7 @@
     pub(crate) model: u32,
     /// Unknown after the server denied having the one that it was believed to have.
     pub(crate) version: Option<u64>,
-    /// The lowest version that a report can still name.
+    /// Reports of lower versions than this are ignored.
     lowest: u64,
 }
 
@@ -15,7 +15,7 @@
         LoadedVersion { model, version: Some(version), lowest: version }
     }
 
-    /// Takes in a report; true if it changes anything.
+    /// Applies a report, and returns whether it changes the version.
     pub(crate) fn record_report(&mut self, version: u64) -> bool {
         let changed = version >= self.lowest && self.version != Some(version);
         if changed {
@@ -25,7 +25,7 @@
         changed
     }
 
-    /// The server said that it does not have this version.
+    /// Records that the server denied having this version.
     pub(crate) fn record_denial(&mut self, version: u64) {
         if self.version == Some(version) {
             self.version = None;
--- a/placement/src/outcome.rs
+++ b/placement/src/outcome.rs
@@ -5,14 +5,14 @@
 
 use crate::time::Micros;
 
-/// Names one attempt, from its placement until its end.
+/// The id of one attempt, from its placement until its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptId(pub u64);
 
 /// The server that was selected for a request, and the fields that the request carries to it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Placement {
-    /// Names the attempt; it counts as in flight until [`Placer::record_end`](crate::Placer::record_end).
+    /// The id of the attempt, which counts as in flight until [`Placer::record_end`](crate::Placer::record_end).
     pub attempt: AttemptId,
     /// The id of the selected server (`X-Target-Server`).
     pub server: Arc<str>,
--- a/placement/src/peer_loads.rs
+++ b/placement/src/peer_loads.rs
@@ -1,14 +1,14 @@
-//! What other balancers report to have in flight, which takes the place of an estimate from this node's own part.
+//! The load in flight that other balancers report. It replaces the estimate that is derived from this node's own load.
 
 use std::collections::HashMap;
 
 use crate::time::{Micros, from_ms, to_ms};
 use crate::workload::Workload;
 
-/// A peer whose last report is older than this is estimated instead.
+/// If the last report of a peer is older than this, its load is estimated instead.
 pub(crate) const REPORT_LIFETIME: Micros = 2_000_000;
 
-/// What one balancer has in flight at one server.
+/// The load that one balancer has in flight at one server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LocalLoad {
     /// A hash of the server's id, the same at all nodes.
@@ -17,11 +17,11 @@
     pub backlog_ms: f64,
     /// Running requests.
     pub running: u32,
-    /// Their tokens.
+    /// The tokens of these requests.
     pub tokens: u64,
 }
 
-/// What one peer has in flight at a server.
+/// The load that one peer has in flight at a server.
 #[derive(Clone, Copy, Debug)]
 struct PeerLoad {
     peer: u64,
@@ -30,12 +30,12 @@
     tokens: f64,
 }
 
-/// What all peers report to have in flight at one server.
+/// The load that all peers report to have in flight at one server.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PeerLoads(Vec<PeerLoad>);
 
 impl PeerLoads {
-    /// Takes the place of what this peer reported before.
+    /// Replaces the last report of this peer.
     pub(crate) fn set(&mut self, now: Micros, peer: u64, load: &LocalLoad) {
         self.remove(peer);
         self.0.push(PeerLoad {
@@ -58,16 +58,16 @@
     }
 }
 
-/// A balancer that reports.
+/// A balancer that reports its load.
 #[derive(Debug)]
 struct ReportingPeer {
     sequence: u64,
     last_report: Micros,
-    /// Indices of the servers that it has something in flight at.
+    /// Indices of the servers where it has requests in flight.
     servers: Vec<u32>,
 }
 
-/// The balancers that report.
+/// The balancers that report their load.
 #[derive(Debug, Default)]
 pub(crate) struct ReportingPeers {
     peers: HashMap<u64, ReportingPeer>,
@@ -79,9 +79,9 @@
         self.peers.len()
     }
 
-    /// Whether a report was overtaken by a later one of the same process. A lower number long after the last report is
-    /// that of a new process at the same address.
-    pub(crate) fn is_overtaken(&self, now: Micros, peer: u64, sequence: u64) -> bool {
+    /// Whether a report is stale, since a later one of the same process arrived before it. A lower sequence number after the
+    /// last report has expired is that of a new process at the same address.
+    pub(crate) fn is_stale(&self, now: Micros, peer: u64, sequence: u64) -> bool {
         let known = self.peers.get(&peer);
         known.is_some_and(|known| known.sequence >= sequence && now < known.last_report + REPORT_LIFETIME)
     }
@@ -90,12 +90,12 @@
         self.peers.insert(peer, ReportingPeer { sequence, last_report: now, servers });
     }
 
-    /// Forgets a peer; the servers that it had something in flight at.
+    /// Removes a peer, and returns the servers where it had requests in flight.
     pub(crate) fn remove(&mut self, peer: u64) -> Vec<u32> {
         self.peers.remove(&peer).map(|peer| peer.servers).unwrap_or_default()
     }
 
-    /// The peers whose reports have expired, if it is time to look for them.
+    /// The peers whose reports have expired; `None` if they were checked a short time ago.
     pub(crate) fn expired(&mut self, now: Micros) -> Option<Vec<u64>> {
         if now < self.last_expiry + REPORT_LIFETIME / 4 {
             return None;
--- a/placement/src/placer.rs
+++ b/placement/src/placer.rs
@@ -1,4 +1,4 @@
-//! The placer: what the data plane calls. Each file below it has one kind of calls; none of them calls another's.
+//! The [`Placer`], the interface that the data plane calls. Each submodule implements one group of its methods.
 
 mod attempts;
 mod cache_events;
@@ -36,11 +36,11 @@
 
 /// A server with more than this share of a prefix counts as having it cached.
 const CACHED_SHARE: f64 = 0.5;
-/// When to retry where no server is ready.
-const NO_SERVER_PAUSE: Micros = 300_000;
-/// The shortest and the longest time until a retry where all servers are full.
-const MIN_OVERLOAD_PAUSE: Micros = 50_000;
-const MAX_OVERLOAD_PAUSE: Micros = 2_000_000;
+/// The `retry_after` of a rejection if no server is ready.
+const NO_SERVER_RETRY_AFTER: Micros = 300_000;
+/// The bounds of the `retry_after` of a rejection if all servers are full.
+const MIN_OVERLOAD_RETRY_AFTER: Micros = 50_000;
+const MAX_OVERLOAD_RETRY_AFTER: Micros = 2_000_000;
 
 /// Selects the model server of each request.
 #[derive(Debug)]
@@ -56,17 +56,18 @@
     peers: ReportingPeers,
     prefill_reports: PendingPrefillReports,
     store_updates: Vec<StoreUpdate>,
-    /// Attempts so far, which also numbers them.
+    /// The number of attempts so far, which is also the id of the latest one.
     attempt_count: u64,
-    /// For each candidate, the share of the shared prefix that it is believed to have cached; kept to reuse its memory.
+    /// For each candidate, the share of the shared prefix that it is believed to have cached. A field only so that selections
+    /// reuse its memory.
     cached_shares: Vec<f32>,
     counters: Counters,
 }
 
-/// What a selection is made from.
-struct PlacementQuery {
+/// The inputs of a selection.
+struct SelectionInputs {
     terms: CostTerms,
-    /// Who has how much of the prompt cached, for each version that may be used.
+    /// The prefixes of the prompt that holders have cached, for each version that may be used.
     prefixes: Vec<VersionPrefixes>,
 }
 
@@ -83,13 +84,13 @@
     request: &'a PlacementRequest<'a>,
     selection: &'a Selection,
     plan: PrefillPlan,
-    /// How long the transfer takes that precedes its prefill, if there is one.
+    /// The duration of the KV transfer that precedes its prefill, if there is one.
     transfer_ms: Option<f64>,
     key: u64,
     salt_hash: u64,
 }
 
-/// A prompt at the server that was selected for it.
+/// How the selected server obtains the tokens of a prompt.
 #[derive(Clone, Copy, Debug)]
 struct PrefillPlan {
     /// Tokens of the shared prefix.
@@ -122,7 +123,7 @@
 }
 
 impl Placer {
-    /// A placer that knows no server yet.
+    /// Creates a placer without servers.
     pub fn new(config: PlacementConfig) -> Placer {
         let mut fleet = Fleet::new(&config);
         let own_zone = fleet.zones.intern(&config.own_zone) as u16;
@@ -144,8 +145,8 @@
         }
     }
 
-    /// Selects a server and counts the attempt as in flight. Servers that were `tried` before are selected again only if no
-    /// other one is left and they are not ejected.
+    /// Selects a server and counts the attempt as in flight. Servers in `tried`, which earlier attempts of the request were
+    /// sent to, are selected again only if no other one is left and they are not ejected.
     ///
     /// # Errors
     ///
@@ -163,25 +164,27 @@
         self.expire_peers(now);
         self.fleet.refresh_service(now, service);
         let tried: Vec<u32> = tried.iter().filter_map(|id| self.fleet.server_index(id)).collect();
-        let query = self.query(now, service, request);
+        let inputs = self.selection_inputs(now, service, request);
         let candidates = &self.fleet.services[service].candidates;
-        let selection = select(&query.terms, candidates, &self.cached_shares, &self.fleet.servers, &tried);
+        let selection = select(&inputs.terms, candidates, &self.cached_shares, &self.fleet.servers, &tried);
         let Some(selection) = selection else { return Err(self.reject_without_server()) };
         if selection.all_full && selection.least_load_ms * MICROS_PER_MS > request.time_left as f64 {
             return Err(self.reject_overloaded(&selection));
         }
-        Ok(self.place_at(now, service, request, &query, selection))
+        Ok(self.place_at(now, service, request, &inputs, selection))
     }
 
     fn reject_without_server(&mut self) -> Rejection {
         self.counters.rejected_without_server += 1;
-        Rejection::NoServer { retry_after: NO_SERVER_PAUSE }
+        Rejection::NoServer { retry_after: NO_SERVER_RETRY_AFTER }
     }
 
     fn reject_overloaded(&mut self, selection: &Selection) -> Rejection {
         self.counters.rejected_overloaded += 1;
         let half_wait = from_ms(selection.least_load_ms) / 2;
-        Rejection::Overloaded { retry_after: half_wait.clamp(MIN_OVERLOAD_PAUSE, MAX_OVERLOAD_PAUSE) }
+        Rejection::Overloaded {
+            retry_after: half_wait.clamp(MIN_OVERLOAD_RETRY_AFTER, MAX_OVERLOAD_RETRY_AFTER),
+        }
     }
 
     /// Decides on transfers for the selected server, and registers the attempt.
@@ -190,19 +193,19 @@
         now: Micros,
         service: usize,
         request: &PlacementRequest<'_>,
-        query: &PlacementQuery,
+        inputs: &SelectionInputs,
         selection: Selection,
     ) -> Placement {
         let server = self.fleet.services[service].candidates[selection.candidate].server;
         let salt = self.salt_for(request, selection.version);
         let need = self.transfer_need(server, request, &selection, hash(&salt.text));
         let source =
-            if salt.is_reusable { self.find_source(now, service, query, &selection, need) } else { None };
+            if salt.is_reusable { self.find_source(now, service, inputs, &selection, need) } else { None };
         if let Some(source) = &source {
             self.fleet.record_transfer(now, source);
         }
         let plan = PrefillPlan::new(request, &need, source.as_ref(), &salt.text);
-        let save = if salt.is_reusable { self.plan_save(now, query, selection.version, plan) } else { None };
+        let save = if salt.is_reusable { self.plan_save(now, inputs, selection.version, plan) } else { None };
         self.count_placement(&selection, &salt, source.as_ref(), save.is_some());
         let attempt = self.begin_attempt(
             now,
@@ -212,12 +215,12 @@
                 selection: &selection,
                 plan,
                 transfer_ms: source.map(|source| source.duration_ms),
-                key: query.terms.key,
+                key: inputs.terms.key,
                 salt_hash: hash(&salt.text),
             },
         );
         let server = self.fleet.server_ref(server);
-        self.keys.insert(query.terms.key, KeyServer { server, version: selection.version, last_used: now });
+        self.keys.insert(inputs.terms.key, KeyServer { server, version: selection.version, last_used: now });
         let selected = &self.fleet.servers[server.index as usize];
         Placement {
             attempt,
@@ -230,7 +233,8 @@
         }
     }
 
-    /// Where the model version is unknown, a salt for a single use: what is cached under it is never found again.
+    /// Returns the salt for the model and version. If either is unknown, the salt is used only once, so that chunks cached
+    /// under it are never reused.
     fn salt_for(&mut self, request: &PlacementRequest<'_>, version: Option<u64>) -> SelectedSalt {
         match (request.model, version) {
             (Some(model), Some(version)) => {
@@ -262,7 +266,7 @@
         selection: &Selection,
         salt: &SelectedSalt,
         source: Option<&TransferSource>,
-        saves: bool,
+        is_saved: bool,
     ) {
         let counters = &mut self.counters;
         counters.placements += 1;
@@ -271,6 +275,6 @@
         counters.unknown_versions += u64::from(!salt.is_reusable);
         counters.fetches += u64::from(source.is_some());
         counters.guessed_fetches += u64::from(source.is_some_and(|source| source.gained_tokens == 0));
-        counters.saves += u64::from(saves);
+        counters.saves += u64::from(is_saved);
     }
 }
--- a/placement/src/placer/attempts.rs
+++ b/placement/src/placer/attempts.rs
@@ -1,4 +1,5 @@
-//! The life of an attempt: it counts as in flight from its placement to its end, and what it shows is learned.
+//! The lifecycle of an attempt: it counts as in flight from its placement to its end. Its first event and its outcome update
+//! the load, the health and the cached chunks of its server.
 
 use super::{NewAttempt, Placer};
 use crate::attempt::Attempt;
@@ -24,8 +25,8 @@
         let tokens = u64::from(request.prompt_tokens) + u64::from(request.max_output_tokens);
         let work = RequestWork { prefill_ms: prefill, tokens };
         selected.load.record_sent(now, work, load_ms + prefill + new.transfer_ms.unwrap_or(0.0));
-        selected.has_evidence = true;
-        // A first event tells of the server's speed only where no transfer and no other request delayed it.
+        selected.has_load_data = true;
+        // The time to the first event measures the server's speed only if no transfer and no other request delays it.
         let is_undisturbed = is_alone && new.transfer_ms.is_none();
         let version = new.selection.version;
         let attempt = Attempt {
@@ -47,8 +48,8 @@
         AttemptId(self.attempt_count)
     }
 
-    /// Whether an attempt whose first event arrives now started on an older version than the binding one. `reported` is
-    /// the version that its response states, if any.
+    /// Checks whether an attempt whose first event arrives now started on an older version than the binding one. `reported`
+    /// is the version that its response states, if any.
     pub fn outdated_start(
         &mut self,
         now: Micros,
@@ -64,7 +65,7 @@
         outdated
     }
 
-    /// The first event of an attempt arrived: its prefill is complete, and its chunks are cached there.
+    /// Records the first event of an attempt: its prefill is complete, and its chunks are cached at its server.
     pub fn record_first_event(&mut self, now: Micros, attempt: AttemptId) {
         let Some(attempt) = self.attempts.get_mut(&attempt.0) else { return };
         if attempt.first_event_at.is_some() {
@@ -95,8 +96,8 @@
         self.fleet.refresh_candidate(now, index);
     }
 
-    /// An attempt ended. `load` and `versions` are what its response stated, unless that was recorded before; the load is
-    /// taken to be as old as the first event.
+    /// Records the end of an attempt. `load` and `versions` are what its response stated, unless that was recorded before;
+    /// the load is assumed to be as old as the first event.
     pub fn record_end(
         &mut self,
         now: Micros,
@@ -133,16 +134,16 @@
         self.fleet.refresh_candidate(now, index);
     }
 
-    /// Takes in the `X-Server-Load` of a server, as soon as the head of its response is there.
+    /// Records the `X-Server-Load` of a server, as soon as the head of its response has arrived.
     pub fn observe_server_load(&mut self, now: Micros, server: &str, load: ServerLoadReport) {
         let Some(index) = self.fleet.server_index(server) else { return };
         let server = &mut self.fleet.servers[index as usize];
-        server.has_evidence = true;
+        server.has_load_data = true;
         server.load.record_report(now, load);
         self.fleet.refresh_candidate(now, index);
     }
 
-    /// A server failed outside of any attempt: it is ejected for a short, growing time.
+    /// Records a failure of a server outside of any attempt: it is ejected for a time that grows with each failure.
     pub fn record_server_failure(&mut self, now: Micros, server: &str) {
         let Some(index) = self.fleet.server_index(server) else { return };
         self.fleet.servers[index as usize].ejection.record_failure(now, now);
@@ -150,7 +151,7 @@
     }
 }
 
-/// What the end of an attempt says of its server's health.
+/// Updates the health of a server after an attempt.
 fn record_outcome(
     server: &mut Server,
     now: Micros,
--- a/placement/src/placer/cache_events.rs
+++ b/placement/src/placer/cache_events.rs
@@ -1,4 +1,4 @@
-//! What servers and stores report of their caches, and what balancers forward of it to each other.
+//! Cache events of servers and stores, and the store updates that balancers forward to each other.
 
 use gradepaddle::cost::hash;
 
@@ -7,7 +7,8 @@
 use crate::cache_holder::CacheHolder;
 use crate::time::Micros;
 
-/// Updates of stores that wait to be sent; further ones are dropped, which costs a prefill or a save at most.
+/// The maximum number of store updates that wait to be sent; further ones are dropped, which costs a prefill or a save each
+/// at most.
 const MAX_PENDING_UPDATES: usize = 256;
 
 impl Placer {
@@ -17,7 +18,8 @@
         store.or_else(|| self.fleet.server_index(name).map(CacheHolder::server))
     }
 
-    /// A server or store answered a call for its events, with or without any. A store without contact is no source.
+    /// Records that a server or store answered a call for its events, with or without any. A store without recent contact is
+    /// not used as a source of transfers.
     pub fn record_cache_contact(&mut self, now: Micros, holder: &str) {
         let Some(holder) = self.cache_holder(holder) else { return };
         if let Some(store) = holder.as_store() {
@@ -27,7 +29,7 @@
         }
     }
 
-    /// A server or store reported a change of its cache.
+    /// Applies a cache event of a server or store.
     pub fn apply_cache_event(&mut self, now: Micros, holder: &str, event: CacheEvent<'_>) {
         self.record_cache_contact(now, holder);
         let Some(holder) = self.cache_holder(holder) else { return };
@@ -39,7 +41,7 @@
         }
     }
 
-    /// A server or store restarted, or its events have a gap: nothing is known of its cache.
+    /// Removes the cached chunks of a server or store from the index, since it restarted or its events have a gap.
     pub fn reset_cache_holder(&mut self, now: Micros, holder: &str) {
         self.record_cache_contact(now, holder);
         if let Some(holder) = self.cache_holder(holder) {
@@ -47,7 +49,7 @@
         }
     }
 
-    /// A call to a server or store failed: a store is no source for a while, a server is ejected.
+    /// Records a failed call to a server or store: a store is not used as a source for a while, a server is ejected.
     pub fn record_source_failure(&mut self, now: Micros, holder: &str) {
         let Some(known) = self.cache_holder(holder) else { return };
         match known.as_store() {
@@ -56,7 +58,7 @@
         }
     }
 
-    /// Queues what changed at a store for the other balancers.
+    /// Queues an update of a store's cache for the other balancers.
     pub fn queue_store_update(&mut self, update: StoreUpdate) {
         if self.store_updates.len() < MAX_PENDING_UPDATES {
             self.store_updates.push(update);
@@ -68,7 +70,7 @@
         std::mem::take(&mut self.store_updates)
     }
 
-    /// Takes in what another balancer received from a store.
+    /// Applies an update of a store's cache that another balancer forwarded.
     pub fn apply_peer_store_update(&mut self, now: Micros, update: &StoreUpdate) {
         let Some(store) = self.fleet.store_index_by_hash(update.store) else { return };
         if update.reset {
@@ -79,7 +81,7 @@
         }
     }
 
-    /// A store has this many tokens of a chunk now.
+    /// Sets how many tokens of a chunk a store has cached.
     fn set_stored_tokens(&mut self, now: Micros, store: u32, key: u64, tokens: u32) {
         self.prefix_index.set_by_key(now, CacheHolder::store(store), key, tokens);
         if tokens > 0 {
--- a/placement/src/placer/peers.rs
+++ b/placement/src/placer/peers.rs
@@ -1,4 +1,4 @@
-//! What balancers report to each other: what they have in flight, and which prefills they saw.
+//! Reports that balancers exchange: their load in flight, and the prefills that completed for their requests.
 
 use super::Placer;
 use crate::cache_holder::CacheHolder;
@@ -8,7 +8,7 @@
 use crate::time::Micros;
 
 impl Placer {
-    /// What this node has in flight, by server, in a fixed order; servers with nothing are left out.
+    /// This node's load in flight by server, in a fixed order. Servers without requests of this node are left out.
     pub fn local_loads(&self, now: Micros) -> Vec<LocalLoad> {
         let servers = self.fleet.servers.iter().filter(|server| server.load.in_flight > 0);
         let load = |server: &crate::server::Server| {
@@ -23,9 +23,9 @@
         servers.map(load).collect()
     }
 
-    /// Takes in what another balancer has in flight. False for a report that was overtaken, which changes nothing.
+    /// Applies another balancer's report of its load in flight. Returns false for a stale report, which changes nothing.
     pub fn apply_peer_loads(&mut self, now: Micros, peer: u64, sequence: u64, loads: Vec<LocalLoad>) -> bool {
-        if self.peers.is_overtaken(now, peer, sequence) {
+        if self.peers.is_stale(now, peer, sequence) {
             return false;
         }
         self.forget_peer(peer);
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Peers that have reported nothing for a while are estimated again.
+    /// Removes peers whose last report has expired; their load is estimated again.
     pub(super) fn expire_peers(&mut self, now: Micros) {
         let Some(expired) = self.peers.expired(now) else { return };
         for peer in expired {
@@ -56,12 +56,12 @@
         self.fleet.set_reporting_peers(self.peers.len());
     }
 
-    /// Takes the prefills that this node saw since the last call.
+    /// Takes the reports of prefills that completed for this node's requests since the last call.
     pub fn take_prefill_reports(&mut self) -> Vec<PrefillReport> {
         self.prefill_reports.take()
     }
 
-    /// Takes in the prefills that another balancer saw.
+    /// Applies another balancer's reports of completed prefills.
     pub fn apply_peer_prefill_reports(&mut self, now: Micros, reports: &[PrefillReport]) {
         for report in reports {
             let Some(index) = self.fleet.server_index_by_hash(report.server) else { continue };
--- a/placement/src/placer/registry.rs
+++ b/placement/src/placer/registry.rs
@@ -1,4 +1,4 @@
-//! Servers, services and stores: what the registry and the configuration say of them.
+//! Updates of servers, services and stores from the registry and the configuration.
 
 use super::Placer;
 use crate::cache_holder::{CacheHolder, MAX_STORES};
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Takes over the services and stores of the configuration in force.
+    /// Applies the services and stores of the configuration in force.
     pub fn set_services(&mut self, now: Micros, services: Vec<ServiceSpec>) {
         let mut stores = Vec::new();
         for service in services {
@@ -51,13 +51,13 @@
         self.fleet.set_balancer_count(count);
     }
 
-    /// Whether a request that was placed a moment ago may still be sent to its server.
+    /// Whether a request that was placed on this server shortly before may still be sent to it.
     pub fn accepts_requests(&self, server: &str) -> bool {
         let index = self.fleet.server_index(server);
         index.is_some_and(|index| self.fleet.servers[index as usize].is_selectable())
     }
 
-    /// Keeps new requests away from a server for this long, as long as others are left; 0 ends that.
+    /// Leaves a server out of selections for this long, as long as others are left; 0 ends the pause.
     pub fn pause_server(&mut self, now: Micros, server: &str, span: Micros) {
         let Some(index) = self.fleet.server_index(server) else { return };
         self.fleet.servers[index as usize].ejection.pause(now, span);
@@ -70,7 +70,8 @@
         self.prefix_index.set_capacity(now, CacheHolder::server(index), capacity);
     }
 
-    /// Stores are numbered by their order. Where that changes, what was known of their caches is forgotten.
+    /// Replaces the stores. They are identified by their index: if the list changes, the index entries of all stores are
+    /// removed.
     fn set_stores(&mut self, now: Micros, specs: Vec<CacheStoreService>) {
         let is_same = |store: &CacheStore, spec: &CacheStoreService| {
             store.spec.name == spec.name && store.spec.address == spec.address
--- a/placement/src/placer/retries.rs
+++ b/placement/src/placer/retries.rs
@@ -1,4 +1,4 @@
-//! The retry budget of each service, and what its streams show.
+//! The retry budget of each service, and observations of the pauses in its streams.
 
 use super::Placer;
 use crate::request::StreamPause;
@@ -25,7 +25,7 @@
         self.fleet.services[service].retry_budget.record_retry(now);
     }
 
-    /// Takes in the longest gap of a stream that was received completely.
+    /// Records the longest pause of a stream that was received completely.
     pub fn observe_stream_pause(&mut self, pause: StreamPause<'_>) {
         if let Some(service) = self.fleet.service_index(pause.service) {
             self.fleet.services[service].pauses.learn_pause(to_ms(pause.longest));
--- a/placement/src/placer/status.rs
+++ b/placement/src/placer/status.rs
@@ -1,4 +1,4 @@
-//! What operators see of a placer.
+//! The status of a placer, as operators see it.
 
 use super::Placer;
 use crate::cache_holder::CacheHolder;
@@ -8,7 +8,7 @@
 use crate::time::Micros;
 
 impl Placer {
-    /// What was done so far.
+    /// Counts of the placements and rejections so far.
     pub fn counters(&self) -> Counters {
         self.counters
     }
--- a/placement/src/placer/versions.rs
+++ b/placement/src/placer/versions.rs
@@ -1,4 +1,4 @@
-//! Announced model versions, and what servers report to have.
+//! Announced model versions, and the versions that servers report.
 
 use super::Placer;
 use crate::outcome::AttemptId;
@@ -6,19 +6,20 @@
 
 impl Placer {
     /// A newer version was announced: from `binds_at` on, no request may start on an older one. Servers that have it are
-    /// preferred from now on; those that do not are left out where a request could not be sure to start in time.
+    /// preferred from now on; the others are left out if a request is not expected to start there in time.
     pub fn announce_version(&mut self, binds_at: Micros, model: &str, version: u64) {
         self.versions.announce(model, version, binds_at);
     }
 
-    /// An announced version becomes binding at this time, if that is later: the core was not stable, so the time that the
-    /// fleet has for it began anew. A version that is binding already stays so.
+    /// Postpones the deadline of an announced version to this time, if that is later: the core was not stable, so the time
+    /// that the fleet has to load the version started again. A version that is binding already stays binding.
     pub fn extend_version_deadline(&mut self, binds_at: Micros, model: &str, version: u64) {
         self.versions.extend(model, version, binds_at);
     }
 
-    /// The time by which an attempt has to have started, since its server's version is outdated from then on; `None` if it
-    /// has started, or nothing newer was announced. Its owner withdraws it then.
+    /// The time by which an attempt has to have started, which is `start_margin` before its server's version is outdated. An
+    /// attempt that has not started by then is to be withdrawn by the caller. `None` if it has started, or if no newer
+    /// version was announced.
     pub fn start_deadline(&self, attempt: AttemptId) -> Option<Micros> {
         let attempt = self.attempts.get(&attempt.0).filter(|attempt| attempt.first_event_at.is_none())?;
         let model = self.fleet.models.name(attempt.model?);
@@ -27,7 +28,7 @@
         Some(outdated_at.saturating_sub(self.config.start_margin))
     }
 
-    /// A server reported which version of a model it has.
+    /// Records the version of a model that a server reported.
     pub fn observe_version(&mut self, now: Micros, server: &str, model: &str, version: u64) {
         let Some(index) = self.fleet.server_index(server) else { return };
         let model = self.fleet.models.intern(model);
--- a/placement/src/prefill_report.rs
+++ b/placement/src/prefill_report.rs
@@ -1,8 +1,8 @@
-//! Reports of completed prefills, which balancers exchange: together they give each one an index of the fleet's prefix caches.
+//! Reports of completed prefills, which balancers exchange so that each one has an index of the whole fleet's prefix caches.
 
 use crate::request::PromptChunk;
 
-/// Reports that wait to be sent; further ones are dropped, which costs a cache miss at most.
+/// The maximum number of reports that wait to be sent; further ones are dropped, which costs a cache miss each at most.
 const MAX_PENDING: usize = 512;
 
 /// A server completed the prefill of a prompt, and so has its chunks cached.
--- a/placement/src/prefix_index.rs
+++ b/placement/src/prefix_index.rs
@@ -1,7 +1,7 @@
 //! The index of cached prefixes: which servers and stores have a chunk cached under a salt. It is fed by the events of
-//! stores, and by the prefills that all balancers see. It is bounded by each holder's capacity: what is prefilled there, the
-//! unshared chunks of each request included, evicts the least recently used chunks in the index as it does at the server.
-//! Each holder is bounded by its share of the index, too.
+//! stores, and by the prefills that all balancers see. It is bounded by each holder's capacity: prefills, including the
+//! unshared chunks of each request, evict the least recently used chunks in the index as they do at the server. Each holder
+//! is also bounded by its share of the index.
 
 mod chunk_copies;
 mod holder_state;
@@ -18,18 +18,18 @@
 use chunk_copies::{ChunkCopies, ChunkCopy};
 use holder_state::{HolderState, QueuedUse};
 
-/// So many of the holders of each earlier chunk are looked at as sources.
+/// The number of holders of each chunk before the last that are considered as sources.
 const MAX_PARTIAL_HOLDERS: usize = 16;
-/// The fewest chunks that a holder may have in the index.
-const MIN_SHARE: usize = 64;
+/// The lowest bound on the chunks of one holder in the index.
+const MIN_CHUNKS_PER_HOLDER: usize = 64;
 const MICROS_PER_MS: Micros = 1_000;
 
-/// What a holder has of a prompt: tokens from its start, without a gap.
+/// The prefix of a prompt that a holder has cached without a gap.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct CachedPrefix {
     pub(crate) holder: CacheHolder,
     pub(crate) tokens: u32,
-    /// How likely they are still there: servers evict without notice what was not used for long.
+    /// How likely they are still cached: servers evict chunks that were not used for long, and do not report it.
     pub(crate) confidence: f32,
 }
 
@@ -40,21 +40,21 @@
     pub(crate) prefixes: Vec<CachedPrefix>,
 }
 
-/// The index.
+/// An index of the holders of each cached chunk.
 #[derive(Debug, Default)]
 pub(crate) struct PrefixCacheIndex {
     chunks: PremixedMap<ChunkCopies>,
     holders: Vec<HolderState>,
-    /// Holders with any chunk.
+    /// The number of holders with any chunk.
     active_holders: usize,
     max_entries: usize,
-    next_stamp: u32,
+    last_stamp: u32,
 }
 
 /// The part of a chain of chunks that a holder has without a gap.
 struct ChainPrefix {
     tokens: u32,
-    /// When the last chunk of it was used.
+    /// When its last chunk was last used.
     used_ms: u32,
 }
 
@@ -77,17 +77,17 @@
 }
 
 impl PrefixCacheIndex {
-    /// An empty index of at most so many pairs of chunk and holder.
+    /// Creates an empty index of at most this many pairs of chunk and holder.
     pub(crate) fn new(max_entries: usize) -> PrefixCacheIndex {
         PrefixCacheIndex { max_entries, ..PrefixCacheIndex::default() }
     }
 
-    /// Pairs of chunk and holder.
+    /// The number of pairs of chunk and holder.
     pub(crate) fn len(&self) -> usize {
         self.holders.iter().map(|holder| holder.chunks).sum()
     }
 
-    /// Chunks that a holder is believed to have cached.
+    /// The number of chunks that a holder is believed to have cached.
     pub(crate) fn chunks_of(&self, holder: CacheHolder) -> usize {
         self.holders.get(holder.table_index()).map_or(0, |holder| holder.chunks)
     }
@@ -106,18 +106,18 @@
         self.evict(now, holder);
     }
 
-    /// A holder has this many tokens of a chunk cached now; 0 for none.
+    /// Sets how many tokens of a chunk a holder has cached; 0 for none.
     pub(crate) fn set(&mut self, now: Micros, holder: CacheHolder, salt_hash: u64, chunk: u64, tokens: u32) {
         self.set_by_key(now, holder, salted_chunk_key(salt_hash, chunk), tokens);
     }
 
-    /// The same, for the chunk with this key.
+    /// The same as [`Self::set`], for the chunk with this key.
     pub(crate) fn set_by_key(&mut self, now: Micros, holder: CacheHolder, key: u64, tokens: u32) {
         if tokens == 0 {
             return self.remove(holder, key);
         }
-        self.next_stamp = self.next_stamp.wrapping_add(1);
-        let copy = ChunkCopy { holder, tokens, stamp: self.next_stamp, used_ms: milliseconds(now) };
+        self.last_stamp = self.last_stamp.wrapping_add(1);
+        let copy = ChunkCopy { holder, tokens, stamp: self.last_stamp, used_ms: milliseconds(now) };
         if let Some(known) = self.chunks.get_mut(&key).and_then(|copies| copies.find_mut(holder)) {
             let before = std::mem::replace(known, copy).tokens;
             let state = self.holder_mut(holder);
@@ -151,12 +151,12 @@
         state.chunks -= 1;
         state.tokens -= u64::from(copy.tokens);
         self.active_holders -= usize::from(state.chunks == 0);
-        if state.queue.len() > 2 * state.chunks + MIN_SHARE {
+        if state.queue.len() > 2 * state.chunks + MIN_CHUNKS_PER_HOLDER {
             self.compact_queue(holder);
         }
     }
 
-    /// Drops from a holder's queue what it no longer has.
+    /// Removes the chunks from a holder's queue that it no longer has.
     fn compact_queue(&mut self, holder: CacheHolder) {
         let mut queue = std::mem::take(&mut self.holders[holder.table_index()].queue);
         let stamp = |key: u64| Some(self.chunks.get(&key)?.find(holder)?.stamp);
@@ -172,9 +172,9 @@
         self.holders[holder.table_index()].queue = queue;
     }
 
-    /// Evicts the least recently used chunks of a holder that has more than it may have.
+    /// Evicts the least recently used chunks of a holder that exceeds its capacity or its share of the index.
     fn evict(&mut self, now: Micros, holder: CacheHolder) {
-        let share = (self.max_entries / self.active_holders.max(1)).max(MIN_SHARE);
+        let share = (self.max_entries / self.active_holders.max(1)).max(MIN_CHUNKS_PER_HOLDER);
         let index = holder.table_index();
         loop {
             let state = &self.holders[index];
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Nothing is known of a holder's cache any more.
+    /// Removes all chunks of a holder, since its cache is no longer known.
     pub(crate) fn forget_holder(&mut self, holder: CacheHolder) {
         let Some(state) = self.holders.get_mut(holder.table_index()) else { return };
         for queued in std::mem::take(&mut state.queue) {
@@ -219,13 +219,13 @@
         chunks.iter().map(|chunk| self.chunks.get(&salted_chunk_key(salt_hash, chunk.id))).collect()
     }
 
-    /// Tokens that a holder has of a chain of chunks under a salt, from the first chunk on.
+    /// The number of tokens that a holder has of a chain of chunks under a salt, from the first chunk on.
     pub(crate) fn prefix_tokens(&self, holder: CacheHolder, salt_hash: u64, chunks: &[PromptChunk]) -> u32 {
         chain_prefix(holder, chunks, &self.chain(salt_hash, chunks)).tokens
     }
 
-    /// Who has how much of a chain cached, in the order of holders: all holders of its last chunk, and some of the holders
-    /// of each earlier one, which differ by chain.
+    /// The prefixes of a chain that holders have cached, in the order of holders. All holders of its last chunk are
+    /// considered, and up to `MAX_PARTIAL_HOLDERS` of each earlier one, starting from a holder that differs by chain.
     pub(crate) fn prefixes(&self, now: Micros, salt_hash: u64, chunks: &[PromptChunk]) -> Vec<CachedPrefix> {
         let chain = self.chain(salt_hash, chunks);
         let Some((last, earlier)) = chain.split_last() else { return Vec::new() };
--- a/placement/src/prefix_index/chunk_copies.rs
+++ b/placement/src/prefix_index/chunk_copies.rs
@@ -7,7 +7,7 @@
 pub(super) struct ChunkCopy {
     pub(super) holder: CacheHolder,
     pub(super) tokens: u32,
-    /// Tells the latest use apart from earlier ones in the holder's queue.
+    /// Distinguishes the latest use from earlier ones in the holder's queue.
     pub(super) stamp: u32,
     /// When it was last used, in milliseconds.
     pub(super) used_ms: u32,
--- a/placement/src/premixed_map.rs
+++ b/placement/src/premixed_map.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::hash::{BuildHasherDefault, Hasher};
 
-/// Passes a key through unchanged: keys were mixed when they were made.
+/// Passes a key through unchanged: keys are uniformly mixed hashes already.
 #[derive(Clone, Default)]
 pub(crate) struct PremixedHasher(u64);
 
@@ -23,5 +23,5 @@
     }
 }
 
-/// A map by keys that were mixed already.
+/// A map whose keys are mixed hashes.
 pub(crate) type PremixedMap<V> = HashMap<u64, V, BuildHasherDefault<PremixedHasher>>;
--- a/placement/src/prompt.rs
+++ b/placement/src/prompt.rs
@@ -30,7 +30,7 @@
     request.chunks.split_last().map_or(&[], |(_, prefix)| prefix)
 }
 
-/// Tokens of some chunks.
+/// The total number of tokens of the chunks.
 pub(crate) fn token_count(chunks: &[PromptChunk]) -> u32 {
     chunks.iter().map(|chunk| chunk.tokens).sum()
 }
--- a/placement/src/request.rs
+++ b/placement/src/request.rs
@@ -1,4 +1,4 @@
-//! What the data plane says of a request that is to be placed.
+//! A request as the data plane passes it to the placer.
 
 use std::sync::Arc;
 
@@ -23,7 +23,7 @@
     Tenant(Arc<str>),
 }
 
-/// What the choice of a server depends on.
+/// The properties of a request that the selection of a server depends on.
 #[derive(Clone, Debug)]
 pub struct PlacementRequest<'a> {
     /// The service that its route leads to.
@@ -42,7 +42,7 @@
     pub latency_target: Micros,
     /// The target for the gaps between its events in microseconds; 0 if there is none.
     pub event_gap_target: Micros,
-    /// The time left of its deadline in microseconds.
+    /// The time until its deadline in microseconds.
     pub time_left: Micros,
     /// Whose cached chunks it may reuse.
     pub isolation: CacheIsolation,
--- a/placement/src/retry_budget.rs
+++ b/placement/src/retry_budget.rs
@@ -1,29 +1,35 @@
-//! The retry budget. Each node keeps to a share of its own: if each one does, the sum over all nodes stays within the bound,
-//! however uneven their shares of the requests are. No message between nodes is needed.
+//! The retry budget. Each node limits its own retries to its share of the bound, so that the sum over all nodes stays within
+//! the bound, however unevenly requests are distributed over them. Nodes exchange no messages for this.
 
 use crate::time::Micros;
 
-/// The part of its share that a node uses. The rest covers that nodes cut time into windows differently.
+/// The part of its share that a node uses. The rest is a margin, since the windows of different nodes are not aligned.
 const USED_SHARE: f64 = 0.8;
-/// Slices that a window is counted in.
+/// The number of slices that a window is divided into.
 const SLICES: usize = 100;
-/// A larger number of balancers is remembered for so many windows: those that fell silent may still retry.
-const REMEMBERED_WINDOWS: u64 = 3;
+/// A decrease of the number of balancers takes effect after this many windows: balancers that are no longer counted may still
+/// retry.
+const DECREASE_DELAY_WINDOWS: u64 = 3;
 
 /// Counts events within a sliding window, in slices.
 #[derive(Clone, Debug)]
 struct SlidingWindow {
-    slice: Micros,
-    /// The last slice that was counted in.
-    last: u64,
-    /// The counts of one window, and of the slice that its far end cuts.
+    slice_length: Micros,
+    /// The number of the latest slice.
+    last_slice: u64,
+    /// The counts of one window, and of the slice that the start of the window divides.
     counts: [u32; SLICES + 1],
     sum: u64,
 }
 
 impl SlidingWindow {
     fn new(length: Micros) -> SlidingWindow {
-        SlidingWindow { slice: (length / SLICES as u64).max(1), last: 0, counts: [0; SLICES + 1], sum: 0 }
+        SlidingWindow {
+            slice_length: (length / SLICES as u64).max(1),
+            last_slice: 0,
+            counts: [0; SLICES + 1],
+            sum: 0,
+        }
     }
 
     fn index(&self, slice: u64) -> usize {
@@ -31,23 +37,23 @@
     }
 
     fn advance(&mut self, now: Micros) {
-        let slice = now / self.slice;
-        let steps = slice.saturating_sub(self.last).min(self.counts.len() as u64);
+        let slice = now / self.slice_length;
+        let steps = slice.saturating_sub(self.last_slice).min(self.counts.len() as u64);
         for step in 0..steps {
             let index = self.index(slice - step);
             self.sum -= u64::from(std::mem::take(&mut self.counts[index]));
         }
-        self.last = self.last.max(slice);
+        self.last_slice = self.last_slice.max(slice);
     }
 
     fn record(&mut self, now: Micros) {
         self.advance(now);
-        let index = self.index(self.last);
+        let index = self.index(self.last_slice);
         self.counts[index] += 1;
         self.sum += 1;
     }
 
-    /// All events of the window and of the slice that its far end cuts.
+    /// All events of the window and of the slice that the start of the window divides.
     fn upper_bound(&mut self, now: Micros) -> u64 {
         self.advance(now);
         self.sum
@@ -56,7 +62,7 @@
     /// The events of the slices that lie within the window completely.
     fn lower_bound(&mut self, now: Micros) -> u64 {
         self.advance(now);
-        self.sum - u64::from(self.counts[self.index(self.last + 1)])
+        self.sum - u64::from(self.counts[self.index(self.last_slice + 1)])
     }
 }
 
@@ -69,12 +75,12 @@
     requests: SlidingWindow,
     retries: SlidingWindow,
     balancers: usize,
-    /// When the number of balancers was last taken over.
+    /// When the number of balancers was last set.
     balancers_set_at: Micros,
 }
 
 impl RetryBudget {
-    /// A budget of `ratio` times the requests in a window of this length (in microseconds) plus `slack`, over all
+    /// Creates a budget of `ratio` times the requests in a window of this length (in microseconds) plus `slack`, over all
     /// balancers.
     pub fn new(ratio: f64, slack: f64, window: Micros) -> RetryBudget {
         RetryBudget {
@@ -88,10 +94,10 @@
         }
     }
 
-    /// Sets how many balancers share the slack. A larger number counts at once, a smaller one only after some windows.
+    /// Sets how many balancers share the slack. An increase takes effect at once, a decrease only after some windows.
     pub fn set_balancer_count(&mut self, now: Micros, count: usize) {
         let count = count.max(1);
-        if count >= self.balancers || now >= self.balancers_set_at + REMEMBERED_WINDOWS * self.window {
+        if count >= self.balancers || now >= self.balancers_set_at + DECREASE_DELAY_WINDOWS * self.window {
             self.balancers = count;
             self.balancers_set_at = now;
         }
--- a/placement/src/save_tracker.rs
+++ b/placement/src/save_tracker.rs
@@ -1,17 +1,18 @@
-//! Whether the saves that servers are asked for arrive at a cache store. Its link carries only so much, and transfers that
-//! would wait there too long are dropped by the servers; only the store's events show that.
+//! Tracks whether the saves that servers are asked for arrive at a cache store. The bandwidth of
+//! the store's link is limited, and servers drop saves that would wait too long for it; only the store's events show which
+//! saves arrived.
 
 use std::collections::VecDeque;
 
 use crate::time::Micros;
 
-/// A save that no event has shown after this is taken to be lost.
+/// A save counts as lost if the store has not reported it after this long.
 const ARRIVAL_TIMEOUT: Micros = 2_500_000;
-/// Weight of one save in the moving average of arrivals.
+/// The weight of one save in the moving average of arrivals.
 const LEARNING_RATE: f64 = 1.0 / 8.0;
-/// From this share of arrivals on, the link is taken to have capacity left.
+/// From this share of arrivals on, the store's link is assumed to have free capacity.
 const HEALTHY_SHARE: f64 = 0.75;
-/// Saves that are tracked at once; further ones count for nothing.
+/// The maximum number of saves that are tracked at once; further ones are not tracked.
 const MAX_PENDING: usize = 64;
 
 #[derive(Clone, Copy, Debug)]
@@ -35,14 +36,14 @@
 }
 
 impl SaveTracker {
-    /// A server was asked to save a prompt whose last shared chunk has this key.
+    /// Records that a server was asked to save a prompt whose last shared chunk has this key.
     pub(crate) fn record_order(&mut self, now: Micros, chunk_key: u64) {
         if self.pending.len() < MAX_PENDING {
             self.pending.push_back(PendingSave { deadline: now + ARRIVAL_TIMEOUT, chunk_key });
         }
     }
 
-    /// The store reported a chunk.
+    /// Records that the store reported a chunk.
     pub(crate) fn record_arrival(&mut self, chunk_key: u64) {
         let before = self.pending.len();
         self.pending.retain(|save| save.chunk_key != chunk_key);
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Whether saves arrive, as far as is known by now.
+    /// Whether most recent saves arrived. Counts saves whose timeout has passed as lost.
     pub(crate) fn saves_arrive(&mut self, now: Micros) -> bool {
         while self.pending.front().is_some_and(|save| save.deadline <= now) {
             self.pending.pop_front();
--- a/placement/src/server_load.rs
+++ b/placement/src/server_load.rs
@@ -1,10 +1,10 @@
-//! Load of a server, the quantity that LARD balances: the estimated milliseconds until a new request there would get its
-//! first token.
+//! The Load of a server, which is the quantity that LARD balances: the estimated milliseconds until a new request there would
+//! get its first token.
 //!
-//! It starts from what this node has in flight there. Other balancers count by what they report
-//! ([`crate::peer_loads`]); those that report nothing are estimated by the recent mean of this node's own work, drawn
-//! towards the mean over the fleet as far as there were few requests to tell from. Where no peer reports, the figures of
-//! the server's own answers (`X-Server-Load`) take the place of that estimate, less so as they age.
+//! It is computed from the work that this node has in flight there, the work that other balancers report
+//! ([`crate::peer_loads`]), and an estimate for the balancers that do not report. The estimate is the recent mean of this
+//! node's own work, shrunk towards the mean over the fleet the more, the fewer requests it is based on. If no peer reports, the load that
+//! the server states in its responses (`X-Server-Load`) replaces that estimate, with a weight that declines with its age.
 
 use crate::outcome::ServerLoadReport;
 use crate::peer_loads::PeerLoads;
@@ -16,39 +16,39 @@
 /// Duration of a decode step in milliseconds, and what each running request adds to it (deployment pages, "Engines").
 pub(crate) const DECODE_STEP_MS: f64 = 5.5;
 const DECODE_STEP_PER_REQUEST_MS: f64 = 0.012;
-/// The age at which a load report counts no more.
+/// The age from which on a load report no longer counts.
 const LOAD_REPORT_LIFETIME: Micros = 1_000_000;
 /// Time constant of the recent means, in microseconds.
 const MEAN_TIME_CONSTANT_US: f64 = 4e6;
-/// Time constant of what was observed of a server's speed, in microseconds.
+/// Time constant of the observations of a server's speed, in microseconds.
 const SLOWNESS_TIME_CONSTANT_US: f64 = 15e6;
-/// Requests that the mean over the fleet counts for beside a server's own.
+/// The weight of the mean over the fleet beside a server's own mean, in requests.
 const FLEET_MEAN_WEIGHT: f64 = 8.0;
-/// Milliseconds at standard speed that count beside what was observed of a server.
+/// The weight of the prior assumption of standard speed beside the observations of a server, in milliseconds of prefill.
 const SLOWNESS_PRIOR_MS: f64 = 300.0;
-/// The range of slowness that is believed.
+/// The range that the estimated slowness is clamped to.
 const SLOWNESS_RANGE: [f64; 2] = [0.5, 4.0];
-/// One observation counts up to this many times its prediction.
+/// An observed prefill time is capped at this many times its prediction at standard speed.
 const MAX_OBSERVED_FACTOR: f64 = 4.0;
-/// Network time of a response in milliseconds, whatever the server does.
+/// The part of each observed time to the first event that the network takes, in milliseconds.
 const NETWORK_MS: f64 = 2.0;
-/// A server is never taken to prefill for more than this share of its time.
+/// The upper bound of the share of time in which a server is assumed to prefill.
 const MAX_PREFILL_SHARE: f64 = 0.8;
-/// A server with at least this backlog, in milliseconds, is taken to prefill at this moment.
+/// A server with at least this backlog, in milliseconds, is assumed to prefill at this time; with less, in proportion.
 const PREFILLING_BACKLOG_MS: f64 = 20.0;
-/// Only predictions of at least this many milliseconds tell of a server's speed.
+/// Only predictions of at least this many milliseconds are used to learn a server's speed.
 const MIN_PREDICTION_MS: f64 = 15.0;
 
 /// Means over the servers and requests of a service.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ServiceAverages {
-    /// Other balancers.
+    /// The number of other balancers.
     pub(crate) other_balancers: f64,
-    /// Those of them that report what they have in flight.
+    /// The number of them that report their load in flight.
     pub(crate) reporting_peers: f64,
     /// The mean of this node's own work per server.
     pub(crate) own_work: Workload,
-    /// Prefill of a request in milliseconds.
+    /// The prefill time of a request in milliseconds.
     pub(crate) prefill_ms: f64,
     /// How long a request occupies a slot, in milliseconds.
     pub(crate) occupancy_ms: f64,
@@ -65,12 +65,12 @@
 
 impl Decay {
     pub(crate) fn over(span: Micros) -> Decay {
-        let kept = |time_constant: f64| (-(span as f64) / time_constant).exp();
-        Decay { mean: kept(MEAN_TIME_CONSTANT_US), slowness: kept(SLOWNESS_TIME_CONSTANT_US) }
+        let factor = |time_constant: f64| (-(span as f64) / time_constant).exp();
+        Decay { mean: factor(MEAN_TIME_CONSTANT_US), slowness: factor(SLOWNESS_TIME_CONSTANT_US) }
     }
 }
 
-/// A server's own figures, without this node's part.
+/// The load that a server reported, without this node's own requests.
 #[derive(Clone, Copy, Debug)]
 struct OthersReport {
     at: Micros,
@@ -78,7 +78,7 @@
     waiting: f64,
 }
 
-/// What a request adds to a server's work.
+/// The work that a request adds to a server.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RequestWork {
     /// Prefill of what is not cached, in milliseconds at this server.
@@ -96,12 +96,12 @@
     waiting: u32,
     /// Their tokens.
     tokens: u64,
-    /// When the server should be done with the prefill of all own requests.
+    /// When the server is expected to have completed the prefills of all own requests.
     backlog_until: Micros,
-    /// When the last first event of own requests is expected.
+    /// When all waiting own requests are expected to have had their first event.
     first_event_expected_by: Micros,
     mean_own_work: Workload,
-    /// Own requests behind that mean, decayed.
+    /// The number of own requests that the mean is based on, decayed.
     mean_weight: f64,
     others_report: Option<OthersReport>,
     /// Observed and predicted prefill, decayed; their ratio is the slowness.
@@ -109,7 +109,7 @@
     predicted_ms: f64,
     /// The recent share of time in which the server prefilled.
     pub(crate) prefill_share: f64,
-    /// What other balancers report.
+    /// The load that other balancers report.
     pub(crate) peers: PeerLoads,
 }
 
@@ -120,7 +120,7 @@
     pub(crate) load_ms: f64,
     /// Requests of all balancers.
     pub(crate) running: f64,
-    /// By which share a decode step takes longer because of prefills.
+    /// The share by which a decode step takes longer because of prefills.
     pub(crate) decode_slowdown: f64,
     /// Tokens of the requests.
     pub(crate) tokens: f64,
@@ -133,7 +133,7 @@
         ((self.observed_ms + SLOWNESS_PRIOR_MS) / (self.predicted_ms + SLOWNESS_PRIOR_MS)).clamp(low, high)
     }
 
-    /// A request was sent there, whose first event is expected in so many milliseconds.
+    /// Records that a request was sent there, whose first event is expected after this many milliseconds.
     pub(crate) fn record_sent(&mut self, now: Micros, work: RequestWork, expected_ms: f64) {
         self.in_flight += 1;
         self.waiting += 1;
@@ -143,7 +143,7 @@
         self.first_event_expected_by = self.first_event_expected_by.max(now + from_ms(expected_ms));
     }
 
-    /// The prefill of a request is complete, or will not be done any more.
+    /// Records that the prefill of a request is complete, or was abandoned if `complete` is false.
     pub(crate) fn record_prefill_end(&mut self, now: Micros, work: RequestWork, complete: bool) {
         self.waiting = self.waiting.saturating_sub(1);
         if self.waiting == 0 {
@@ -154,13 +154,13 @@
         }
     }
 
-    /// A request ended.
+    /// Records the end of a request.
     pub(crate) fn record_end(&mut self, work: RequestWork) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.tokens = self.tokens.saturating_sub(work.tokens);
     }
 
-    /// Compares the time to a first event with its prediction, where nothing else delayed it.
+    /// Learns the server's speed from the time to a first event and its prediction, if nothing else delayed the event.
     pub(crate) fn learn_slowness(&mut self, observed_ms: f64, predicted_ms: f64) {
         if predicted_ms < MIN_PREDICTION_MS {
             return;
@@ -170,7 +170,7 @@
         self.predicted_ms += standard_ms;
     }
 
-    /// Takes in the server's own figures of this time.
+    /// Records the load that the server reported for this time.
     pub(crate) fn record_report(&mut self, at: Micros, report: ServerLoadReport) {
         if self.others_report.is_some_and(|last| at < last.at) {
             return;
@@ -187,7 +187,7 @@
         Workload { backlog_ms, running: f64::from(self.in_flight), tokens: self.tokens as f64 }
     }
 
-    /// Moves the recent means on; the mean of this node's own work.
+    /// Updates the recent means, and returns the mean of this node's own work.
     pub(crate) fn update_means(&mut self, now: Micros, decay: Decay) -> Workload {
         let own = self.own_work(now);
         self.mean_own_work = self.mean_own_work.combine(own, |mean, now| now + (mean - now) * decay.mean);
@@ -200,28 +200,28 @@
         self.mean_own_work
     }
 
-    /// The work of the other balancers there.
+    /// The estimated work of the other balancers there.
     fn others_work(&self, now: Micros, averages: &ServiceAverages) -> Workload {
-        let drawn = |own: f64, fleet: f64| {
+        let shrunk = |own: f64, fleet: f64| {
             (own * self.mean_weight + fleet * FLEET_MEAN_WEIGHT) / (self.mean_weight + FLEET_MEAN_WEIGHT)
         };
-        let silent = (averages.other_balancers - averages.reporting_peers).max(0.0);
-        let expected = self.mean_own_work.combine(averages.own_work, drawn).times(silent);
+        let not_reporting = (averages.other_balancers - averages.reporting_peers).max(0.0);
+        let expected = self.mean_own_work.combine(averages.own_work, shrunk).times(not_reporting);
         if averages.reporting_peers > 0.0 {
             return self.peers.sum(now).plus(expected);
         }
         let Some(report) = self.others_report else { return expected };
         let age = now.saturating_sub(report.at) as f64;
-        let fresh = (1.0 - age / LOAD_REPORT_LIFETIME as f64).max(0.0);
+        let freshness = (1.0 - age / LOAD_REPORT_LIFETIME as f64).max(0.0);
         let reported = Workload {
             backlog_ms: report.waiting * averages.prefill_ms,
             running: report.running,
             tokens: report.running * averages.tokens,
         };
-        reported.times(fresh).plus(expected.times(1.0 - fresh))
+        reported.times(freshness).plus(expected.times(1.0 - freshness))
     }
 
-    /// The estimate for a server with so many slots.
+    /// Estimates the work and the Load of a server with this many slots.
     pub(crate) fn estimate(&self, now: Micros, slots: u32, averages: &ServiceAverages) -> LoadEstimate {
         let own = self.own_work(now);
         let others = self.others_work(now, averages);
--- a/placement/src/service_pool.rs
+++ b/placement/src/service_pool.rs
@@ -9,11 +9,11 @@
 use crate::stream_pauses::StreamPauses;
 use crate::time::Micros;
 
-/// Weight of a new request in the means of its service.
+/// The weight of a new request in the moving averages of its service.
 const LEARNING_RATE: f64 = 1.0 / 32.0;
-/// The tightest target is forgotten this many times more slowly than means move.
-const TARGET_FORGETTING: f64 = 8.0;
-/// Assumed prefill and occupancy of a request, in milliseconds, before any was seen.
+/// The tightest latency target relaxes this many times more slowly than the averages move.
+const TARGET_RELAXATION_FACTOR: f64 = 8.0;
+/// The assumed prefill time and slot occupancy of a request, in milliseconds, before the first one.
 const INITIAL_PREFILL_MS: f64 = 30.0;
 const INITIAL_OCCUPANCY_MS: f64 = 500.0;
 
@@ -32,14 +32,14 @@
     /// One for each server that is ready or lost.
     pub(crate) candidates: Vec<Candidate>,
     pub(crate) averages: ServiceAverages,
-    /// Mean Load of the servers with evidence, in milliseconds.
+    /// Mean Load of the servers with load data, in milliseconds.
     pub(crate) mean_load_ms: f64,
     /// The tightest recent latency target, in milliseconds.
     pub(crate) tightest_target_ms: f64,
     pub(crate) pauses: StreamPauses,
     /// The versions that its servers have loaded.
     pub(crate) versions: Vec<ServedVersion>,
-    /// Whether `versions` has to be listed anew.
+    /// Whether `versions` has to be rebuilt.
     pub(crate) versions_stale: bool,
     /// When the means were last updated.
     pub(crate) updated_at: Micros,
@@ -69,18 +69,18 @@
         }
     }
 
-    /// Takes a request into the means.
+    /// Adds a request to the averages.
     pub(crate) fn learn_request(&mut self, target_ms: f64, prefill_ms: f64, tokens: f64) {
         let learn = |mean: &mut f64, value: f64| *mean += (value - *mean) * LEARNING_RATE;
         learn(&mut self.averages.prefill_ms, prefill_ms);
         learn(&mut self.averages.tokens, tokens);
-        // A tighter target counts at once, and is forgotten slowly.
+        // A tighter target applies at once, and relaxes slowly.
         let looser = (target_ms - self.tightest_target_ms).max(0.0);
         self.tightest_target_ms =
-            target_ms.min(self.tightest_target_ms + looser * LEARNING_RATE / TARGET_FORGETTING);
+            target_ms.min(self.tightest_target_ms + looser * LEARNING_RATE / TARGET_RELAXATION_FACTOR);
     }
 
-    /// Takes in how long a request occupied its slot.
+    /// Adds the time for which a request occupied its slot to the average.
     pub(crate) fn learn_occupancy(&mut self, occupancy_ms: f64) {
         self.averages.occupancy_ms += (occupancy_ms - self.averages.occupancy_ms) * LEARNING_RATE;
     }
--- a/placement/src/status.rs
+++ b/placement/src/status.rs
@@ -1,10 +1,10 @@
-//! What operators see of a placer.
+//! The status of a placer, as operators see it.
 
 use std::sync::Arc;
 
 use crate::endpoint::{ModelVersion, ServerState};
 
-/// What a placer has done so far.
+/// Counts of the placements and rejections of a placer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Placements.
@@ -13,9 +13,9 @@
     pub cached: u64,
     /// Placements where every sum of costs was infinite.
     pub all_overloaded: u64,
-    /// Placements with a holder to fetch from, known or guessed.
+    /// Placements with a holder to fetch from, whether or not it is known to have the prefix.
     pub fetches: u64,
-    /// Placements with a holder to fetch from that was only guessed.
+    /// Placements with a holder to fetch from that is not known to have the prefix.
     pub guessed_fetches: u64,
     /// Placements whose server was asked to save to a store.
     pub saves: u64,
@@ -57,9 +57,9 @@
 /// The sizes of a placer's tables.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TableSizes {
-    /// Keys in the key table.
+    /// The number of keys in the key table.
     pub keys: usize,
-    /// Pairs of chunk and holder in the index of cached prefixes.
+    /// The number of pairs of chunk and holder in the prefix index.
     pub index_entries: usize,
     /// Bytes that the index occupies.
     pub index_bytes: usize,
--- a/placement/src/stream_pauses.rs
+++ b/placement/src/stream_pauses.rs
@@ -1,25 +1,25 @@
-//! Gaps in streams: while a server prefills a long prompt, the tokens of all streams that run there come more slowly.
+//! Pauses in streams: while a server prefills a long prompt, it generates the tokens of its running streams more slowly.
 //!
-//! How long such a gap gets depends on the inference engine (its chunk size of prefill, the tokens of an event), which no
-//! page tells in full. It is learned from the longest gap of each stream that was received completely: a high quantile of
-//! these is what a stream beside a long prefill sees. Placement takes it into account only where it is near the streams'
-//! target.
+//! The length of such a pause depends on the inference engine (the chunk size of its prefill, the tokens of an event), which
+//! the deployment pages do not describe completely. It is learned from the longest gap between events of each stream that
+//! was received completely: a high quantile of these is what a stream beside a long prefill sees. Placement considers it only
+//! if it is near the event gap target of the streams.
 
 use crate::time::{Micros, to_ms};
 
-/// The share of streams that see no longer gap than the learned one.
+/// The learned pause is this quantile of the longest gaps of streams.
 const QUANTILE: f64 = 0.97;
-/// How far one stream moves the learned gap, in milliseconds.
+/// The step of the quantile estimation for one stream, in milliseconds.
 const STEP_MS: f64 = 30.0;
-/// Gaps below this share of the target are no risk; at the target a violation is certain.
+/// Pauses below this share of the target are no risk; from there to the target, the risk of a violation grows to 1.
 const HARMLESS_SHARE: f64 = 0.85;
 
-/// What is known of gaps at the servers of a service.
+/// The pauses of streams at the servers of a service.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StreamPauses {
-    /// The gap that a stream beside a long prefill sees, in milliseconds; 0 before the first observation.
+    /// The pause that a stream beside a long prefill sees, in milliseconds; 0 before the first observation.
     pub(crate) beside_prefill_ms: f64,
-    /// The tightest target of its streams, in milliseconds.
+    /// The tightest event gap target of the streams, in milliseconds.
     target_ms: f64,
 }
 
@@ -30,14 +30,14 @@
 }
 
 impl StreamPauses {
-    /// Takes in the target of a stream; 0 stands for none.
+    /// Records the event gap target of a stream; 0 stands for none.
     pub(crate) fn learn_target(&mut self, target: Micros) {
         if target > 0 {
             self.target_ms = self.target_ms.min(to_ms(target));
         }
     }
 
-    /// Takes in the longest gap of a stream: one step of stochastic quantile estimation.
+    /// Records the longest gap of a stream, by one step of stochastic quantile estimation.
     pub(crate) fn learn_pause(&mut self, longest_ms: f64) {
         let share = if longest_ms > self.beside_prefill_ms { QUANTILE } else { QUANTILE - 1.0 };
         self.beside_prefill_ms = (self.beside_prefill_ms + share * STEP_MS).max(0.0);
--- a/placement/src/version_deadline.rs
+++ b/placement/src/version_deadline.rs
@@ -55,7 +55,7 @@
 }
 
 impl VersionDeadlines {
-    /// A version was announced; from `binds_at` on it is binding.
+    /// Records the announcement of a version, which is binding from `binds_at` on.
     pub(crate) fn announce(&mut self, model: &str, version: u64, binds_at: Micros) {
         let announced = self.models.entry(Arc::from(model)).or_default();
         let implies = |other: &VersionDeadline| other.version >= version && other.at <= binds_at;
@@ -65,7 +65,7 @@
         announced.newest = announced.newest.max(version);
     }
 
-    /// A version becomes binding later than announced, unless requests are no longer placed on older ones already.
+    /// Postpones the deadline of a version, unless requests are no longer placed on older versions already.
     pub(crate) fn extend(&mut self, model: &str, version: u64, binds_at: Micros) {
         let Some(announced) = self.models.get_mut(model) else { return };
         let lowest_placed = announced.lowest_placed;
