--- a/placement/examples/decision_cost.rs
+++ b/placement/examples/decision_cost.rs
@@ -1,11 +1,11 @@
-//! Measures what one decision costs, and what an attempt costs in all, over fleets of several sizes.
+//! Measures the duration of one placement and of a complete attempt for fleets of several sizes.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
 
 use std::time::Instant;
 
-use common::{MS, STORE, added, chunk, long, place, placer_of, request, serve};
+use common::{MS, STORE, added, chunk, long_prompt, place, placer_of, request, serve};
 use gradepaddle_placement::{PlacementConfig, TableSizes};
 
 const ROUNDS: u64 = 20_000;
@@ -26,29 +26,29 @@
         }
         let subjects = u64::from(servers) * 30;
         let mut times = Vec::new();
-        let begun = Instant::now();
+        let started = Instant::now();
         for round in 0..ROUNDS {
-            // 100 requests a second; each 30 in flight.
+            // 100 requests per second.
             let now = 2_000 * MS + round * 10 * MS;
             node.record_cache_contact(now, STORE);
-            let chunks = long(gradepaddle::cost::mix(round) % subjects, round);
+            let chunks = long_prompt(gradepaddle::cost::mix(round) % subjects, round);
             let before = Instant::now();
-            let choice = node.place(now, &request(&chunks), &[]).expect("ready");
+            let placement = node.place(now, &request(&chunks), &[]).expect("ready");
             times.push(before.elapsed().as_nanos() as u64);
-            serve(&mut node, now, &choice);
+            serve(&mut node, now, &placement);
         }
-        let whole = begun.elapsed().as_nanos() as u64 / ROUNDS;
+        let attempt_cost = started.elapsed().as_nanos() as u64 / ROUNDS;
         times.sort_unstable();
         let mean = times.iter().sum::<u64>() / ROUNDS;
         let percentile = |share: f64| times[(ROUNDS as f64 * share) as usize] as f64 / 1e3;
-        let TableSizes { keys, index_entries: kept, index_bytes: bytes } = node.table_sizes();
+        let TableSizes { keys, index_entries: entries, index_bytes: bytes } = node.table_sizes();
         println!(
-            "{servers} servers: choice mean {:.1} us, p50 {:.1}, p99 {:.1}; whole attempt {:.1} us; \
-             {keys} keys, {kept} kept chunks in {} KB",
+            "{servers} servers: placement mean {:.1} us, p50 {:.1}, p99 {:.1}; complete attempt {:.1} us; \
+             {keys} keys, {entries} index entries in {} KB",
             mean as f64 / 1e3,
             percentile(0.5),
             percentile(0.99),
-            whole as f64 / 1e3,
+            attempt_cost as f64 / 1e3,
             bytes / 1024
         );
     }
--- a/placement/src/server_load.rs
+++ b/placement/src/server_load.rs
@@ -3,8 +3,9 @@
 //!
 //! It is computed from the work that this node has in flight there, the work that other balancers report
 //! ([`crate::peer_loads`]), and an estimate for the balancers that do not report. The estimate is the recent mean of this
-//! node's own work, shrunk towards the mean over the fleet the more, the fewer requests it is based on. If no peer reports, the load that
-//! the server states in its responses (`X-Server-Load`) replaces that estimate, with a weight that declines with its age.
+//! node's own work, shrunk towards the mean over the fleet the more, the fewer requests it is based on. If no peer reports,
+//! the load that the server states in its responses (`X-Server-Load`) replaces that estimate, with a weight that declines
+//! with its age.
 
 use crate::outcome::ServerLoadReport;
 use crate::peer_loads::PeerLoads;
--- a/placement/tests/cache_store_saves.rs
+++ b/placement/tests/cache_store_saves.rs
@@ -1,4 +1,4 @@
-//! Saves to a cache store whose link is full, and the cost of transfers beside their duration.
+//! Saves to a cache store whose link is saturated, and the cost of transfers in addition to their duration.
 
 mod common;
 
@@ -7,44 +7,49 @@
 use gradepaddle_placement::*;
 
 const NOW: Micros = 20_000 * MS;
-/// After this a save has arrived or is lost.
-const ARRIVED: Micros = 3_000 * MS;
+/// After this time a save has arrived or counts as lost.
+const SAVE_TIMEOUT: Micros = 3_000 * MS;
 
-/// Places a prompt of a subject with this many own tokens; whether it is saved to the store.
+/// Places a prompt of a subject with this many own tokens, and returns whether it is saved to the store.
 fn is_saved(node: &mut Placer, now: Micros, subject: u64, own: u32) -> bool {
     node.record_cache_contact(now, STORE);
-    let mut chunks = long(subject, subject);
+    let mut chunks = long_prompt(subject, subject);
     chunks[2].tokens = own;
-    let choice = node.place(now, &request(&chunks), &[]).expect("a server is ready");
-    serve(node, now, &choice);
-    choice.save.is_some()
+    let placement = node.place(now, &request(&chunks), &[]).expect("a server is ready");
+    serve(node, now, &placement);
+    placement.save.is_some()
 }
 
-/// Orders a save for each subject, one after the other; `arrive` tells whether the store reports them.
-fn save_some(node: &mut Placer, from: Micros, subjects: std::ops::Range<u64>, arrive: bool) -> Micros {
+/// Causes a save for each subject, one after the other; if `saves_arrive`, the store reports them.
+fn request_saves(
+    node: &mut Placer,
+    from: Micros,
+    subjects: std::ops::Range<u64>,
+    saves_arrive: bool,
+) -> Micros {
     let salt = place(&mut placer(6), NOW, 1, 1).salt.expect("version known").to_string();
     let mut now = from;
     for subject in subjects {
         expect_that!(is_saved(node, now, subject, 1_000), eq(true), "{subject}");
-        if arrive {
-            long(subject, subject)[..2]
+        if saves_arrive {
+            long_prompt(subject, subject)[..2]
                 .iter()
                 .for_each(|chunk| node.apply_cache_event(now, STORE, added(&salt, chunk)));
         }
         now += 100 * MS;
     }
-    now + ARRIVED
+    now + SAVE_TIMEOUT
 }
 
 #[gtest]
 fn mostly_unshared_prompts_are_saved_only_while_saves_arrive() {
     let mut node = placer(6);
     expect_that!(is_saved(&mut node, NOW, 1, 20_000), eq(true));
-    let now = save_some(&mut node, NOW + 100 * MS, 2..12, false);
+    let now = request_saves(&mut node, NOW + 100 * MS, 2..12, false);
     // Mostly shared prompts are still saved, which shows when the link has capacity again.
     expect_that!(is_saved(&mut node, now, 20, 1_000), eq(true));
     expect_that!(is_saved(&mut node, now, 21, 20_000), eq(false));
-    let now = save_some(&mut node, now, 30..50, true);
+    let now = request_saves(&mut node, now, 30..50, true);
     expect_that!(is_saved(&mut node, now, 60, 1_000), eq(true));
     expect_that!(is_saved(&mut node, now, 61, 20_000), eq(true));
 }
@@ -54,12 +59,12 @@
     let salt = place(&mut placer(6), NOW, 1, 1).salt.expect("version known").to_string();
     let mut node = placer(6);
     // Another server has only the common chunk cached.
-    node.apply_cache_event(NOW - MS, "i-1", added(&salt, &long(1, 1)[0]));
+    node.apply_cache_event(NOW - MS, "i-1", added(&salt, &long_prompt(1, 1)[0]));
     node.observe_server_load(NOW - MS, "i-1", ServerLoadReport { running: 40, waiting: 40, slots: 48 });
     node.record_cache_contact(NOW, STORE);
-    let choice = place(&mut node, NOW, 1, 1);
-    expect_that!(choice.fetch, some(eq(address(1))));
-    expect_that!(choice.save, some(eq(store_address())));
+    let placement = place(&mut node, NOW, 1, 1);
+    expect_that!(placement.fetch, some(eq(address(1))));
+    expect_that!(placement.save, some(eq(store_address())));
 }
 
 /// A transfer evicts other prompts at its destination, so a short wait at the holder is better.
--- a/placement/tests/common/mod.rs
+++ b/placement/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests share: entries, services, requests and a placer over a few servers.
-#![allow(dead_code, reason = "each test file uses its own chunk")]
+//! Helpers of the tests: server entries, services, requests and a placer with a few servers.
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::sync::Arc;
@@ -35,7 +35,7 @@
     }
 }
 
-pub fn pool() -> ModelService {
+pub fn model_service() -> ModelService {
     ModelService::builder()
         .name(SERVICE)
         .slots(48)
@@ -51,7 +51,7 @@
     SocketAddrV4::new(Ipv4Addr::new(172, 20, 0, 2), 8080)
 }
 
-pub fn shelf() -> CacheStoreService {
+pub fn cache_store() -> CacheStoreService {
     CacheStoreService::builder()
         .name(STORE)
         .address(store_address())
@@ -61,14 +61,14 @@
         .build()
 }
 
-/// A placer over `count` servers of version 1, in zone a.
+/// A placer in zone a with `count` servers of version 1.
 pub fn placer(count: u16) -> Placer {
     placer_of(PlacementConfig::builder().own_zone("a").seed(7).build(), count)
 }
 
 pub fn placer_of(config: PlacementConfig, count: u16) -> Placer {
     let mut placer = Placer::new(config);
-    placer.set_services(0, vec![ServiceSpec::Model(pool()), ServiceSpec::Store(shelf())]);
+    placer.set_services(0, vec![ServiceSpec::Model(model_service()), ServiceSpec::Store(cache_store())]);
     (0..count).for_each(|number| placer.update_server(0, entry(number, 1)));
     placer
 }
@@ -78,7 +78,7 @@
 }
 
 /// A long prompt: two shared chunks of 2,520 and 3,780 tokens and 2,890 of its own.
-pub fn long(subject: u64, own: u64) -> Vec<PromptChunk> {
+pub fn long_prompt(subject: u64, own: u64) -> Vec<PromptChunk> {
     vec![chunk(1 + subject % 4, 2_520), chunk(1_000 + subject, 3_780), chunk(1_000_000 + own, 2_890)]
 }
 
@@ -100,13 +100,13 @@
 
 /// Places a long prompt.
 pub fn place(placer: &mut Placer, now: Micros, subject: u64, own: u64) -> Placement {
-    placer.place(now, &request(&long(subject, own)), &[]).expect("a server is ready")
+    placer.place(now, &request(&long_prompt(subject, own)), &[]).expect("a server is ready")
 }
 
-/// Runs an attempt to its end within 100 ms.
-pub fn serve(placer: &mut Placer, now: Micros, choice: &Placement) {
-    placer.record_first_event(now + 60 * MS, choice.attempt);
-    placer.record_end(now + 100 * MS, choice.attempt, AttemptOutcome::Served, None, None);
+/// Reports the first event of an attempt after 60 ms and its end after 100 ms.
+pub fn serve(placer: &mut Placer, now: Micros, placement: &Placement) {
+    placer.record_first_event(now + 60 * MS, placement.attempt);
+    placer.record_end(now + 100 * MS, placement.attempt, AttemptOutcome::Served, None, None);
 }
 
 pub fn added<'a>(salt: &'a str, chunk: &PromptChunk) -> CacheEvent<'a> {
--- a/placement/tests/golden.rs
+++ b/placement/tests/golden.rs
@@ -1,13 +1,13 @@
-//! Pinned placements: two placers that exchange reports are driven by seeded random calls, and everything
-//! that they return goes into a digest. The digests were taken from commit 4552024: a change of names or of structure
-//! leaves them as they are, a change of a decision does not.
+//! Golden test of placements: two placers that exchange reports are driven by seeded random calls, and everything that they
+//! return goes into a digest. The expected digests were recorded at commit 4552024. Renaming and restructuring code does not
+//! change them; a change of any decision does.
 
 mod common;
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-use common::{MODEL, MS, STORE, ZONES, entry, pool, shelf};
+use common::{MODEL, MS, STORE, ZONES, cache_store, entry, model_service};
 use googletest::prelude::*;
 use gradepaddle::cost::{hash, mix};
 use gradepaddle_placement::{
@@ -70,18 +70,18 @@
         self.text(&address.map_or_else(String::new, |address| address.to_string()));
     }
 
-    fn choice(&mut self, choice: &Placement) {
-        self.number(choice.attempt.0);
-        self.text(&choice.server);
-        self.address(Some(choice.address));
-        self.address(choice.fetch);
-        self.address(choice.save);
-        self.number(choice.expect_version.map_or(u64::MAX, |version| version));
-        self.text(choice.salt.as_deref().unwrap_or_default());
+    fn placement(&mut self, placement: &Placement) {
+        self.number(placement.attempt.0);
+        self.text(&placement.server);
+        self.address(Some(placement.address));
+        self.address(placement.fetch);
+        self.address(placement.save);
+        self.number(placement.expect_version.map_or(u64::MAX, |version| version));
+        self.text(placement.salt.as_deref().unwrap_or_default());
     }
 
-    fn refusal(&mut self, refusal: Rejection) {
-        let (kind, retry_after) = match refusal {
+    fn rejection(&mut self, rejection: Rejection) {
+        let (kind, retry_after) = match rejection {
             Rejection::NoServer { retry_after } => (1, retry_after),
             Rejection::Overloaded { retry_after } => (2, retry_after),
         };
@@ -115,7 +115,7 @@
 }
 
 fn services(cache_tokens: u64) -> Vec<ServiceSpec> {
-    let annex = ModelService::builder()
+    let second_service = ModelService::builder()
         .name(SECOND_SERVICE)
         .slots(2)
         .cache_tokens(30_000)
@@ -123,33 +123,33 @@
         .link_mbps(9_000.0)
         .models(vec![Arc::from(SECOND_MODEL)])
         .build();
-    let cellar = CacheStoreService::builder()
+    let second_store = CacheStoreService::builder()
         .name(SECOND_STORE)
         .address(SocketAddrV4::new([172, 20, 0, 3].into(), 8080))
         .zone("c")
         .cache_tokens(90_000)
         .link_mbps(2_000.0)
         .build();
-    let first = ModelService { cache_tokens, ..pool() };
+    let first = ModelService { cache_tokens, ..model_service() };
     vec![
         ServiceSpec::Model(first),
-        ServiceSpec::Model(annex),
-        ServiceSpec::Store(shelf()),
-        ServiceSpec::Store(cellar),
+        ServiceSpec::Model(second_service),
+        ServiceSpec::Store(cache_store()),
+        ServiceSpec::Store(second_store),
     ]
 }
 
 fn server(number: u16, version: u64, state: ServerState) -> ServerEntry {
-    let known = ServerEntry { state, ..entry(number, version) };
+    let server = ServerEntry { state, ..entry(number, version) };
     if number % 5 != 4 {
-        return known;
+        return server;
     }
     ServerEntry {
         service: Arc::from(SECOND_SERVICE),
         slots: 2,
         warmup_left: 900 * MS,
         models: vec![ModelVersion { model: Arc::from(SECOND_MODEL), version }],
-        ..known
+        ..server
     }
 }
 
@@ -220,12 +220,12 @@
     let tried: Vec<Arc<str>> = (0..random.below(3)).map(|_| Arc::from(server_id(random))).collect();
     node.placer.record_request(now, request.service);
     match node.placer.place(now, &request, &tried) {
-        Ok(choice) => {
-            digest.choice(&choice);
-            digest.number(node.placer.start_deadline(choice.attempt).unwrap_or(u64::MAX));
-            node.attempts.push((choice.attempt, choice.server));
+        Ok(placement) => {
+            digest.placement(&placement);
+            digest.number(node.placer.start_deadline(placement.attempt).unwrap_or(u64::MAX));
+            node.attempts.push((placement.attempt, placement.server));
         }
-        Err(refusal) => digest.refusal(refusal),
+        Err(rejection) => digest.rejection(rejection),
     }
 }
 
@@ -236,9 +236,9 @@
     let at = random.below(node.attempts.len() as u64) as usize;
     let (attempt, server) = node.attempts[at].clone();
     if random.chance(55) {
-        let told = random.chance(50).then(|| random.below(4));
-        let begun = node.placer.outdated_start(now, attempt, told);
-        digest.number(begun.map_or(0, |begun| mix(begun.version ^ (begun.binding << 8)) ^ begun.waited));
+        let reported = random.chance(50).then(|| random.below(4));
+        let outdated = node.placer.outdated_start(now, attempt, reported);
+        digest.number(outdated.map_or(0, |start| mix(start.version ^ (start.binding << 8)) ^ start.waited));
         node.placer.record_first_event(now, attempt);
         return;
     }
@@ -252,7 +252,7 @@
 }
 
 fn change_server(node: &mut Node, now: Micros, random: &mut Random) {
-    let (id, span) = (server_id(random), random.below(400) * MS);
+    let (id, pause) = (server_id(random), random.below(400) * MS);
     match random.below(12) {
         0 => node.placer.remove_server(now, &id),
         1..=4 => {
@@ -262,7 +262,7 @@
             let number = random.below(u64::from(SERVERS)) as u16;
             node.placer.update_server(now, server(number, 1 + random.below(3), state));
         }
-        5 => node.placer.pause_server(now, &id, span),
+        5 => node.placer.pause_server(now, &id, pause),
         6 => node.placer.record_server_failure(now, &id),
         7 => node.placer.observe_version(now, &id, model(random), 1 + random.below(3)),
         8..=10 => {
@@ -284,7 +284,7 @@
     }
 }
 
-fn holder_event(node: &mut Node, now: Micros, random: &mut Random) {
+fn apply_holder_event(node: &mut Node, now: Micros, random: &mut Random) {
     let stores = [STORE, SECOND_STORE];
     let holder =
         if random.chance(60) { stores[random.below(2) as usize].to_owned() } else { server_id(random) };
@@ -306,8 +306,8 @@
     }
     if random.chance(30) {
         let chunks = vec![CachedTokens { key: chunk_key(&salt, id), tokens }];
-        let changes = StoreUpdate { store: holder_hash(&holder), reset: random.chance(4), chunks };
-        node.placer.queue_store_update(changes);
+        let update = StoreUpdate { store: holder_hash(&holder), reset: random.chance(4), chunks };
+        node.placer.queue_store_update(update);
     }
 }
 
@@ -320,23 +320,23 @@
         digest.number(load.server ^ u64::from(load.running) ^ load.tokens);
         digest.float(load.backlog_ms);
     }
-    let sightings = sender.placer.take_prefill_reports();
-    for sighting in &sightings {
-        digest.number(sighting.server ^ sighting.key ^ sighting.version ^ sighting.salt);
-        sighting.chunks.iter().for_each(|chunk| digest.number(chunk.id ^ u64::from(chunk.tokens)));
+    let prefill_reports = sender.placer.take_prefill_reports();
+    for report in &prefill_reports {
+        digest.number(report.server ^ report.key ^ report.version ^ report.salt);
+        report.chunks.iter().for_each(|chunk| digest.number(chunk.id ^ u64::from(chunk.tokens)));
     }
-    let changes = sender.placer.take_store_updates();
+    let store_updates = sender.placer.take_store_updates();
     let receiver = &mut nodes[1 - from].placer;
     digest.number(u64::from(receiver.apply_peer_loads(now, from as u64, sequence, loads)));
-    receiver.apply_peer_prefill_reports(now, &sightings);
-    for change in &changes {
-        digest.number(change.store ^ u64::from(change.reset));
-        change.chunks.iter().for_each(|chunk| digest.number(chunk.key ^ u64::from(chunk.tokens)));
-        receiver.apply_peer_store_update(now, change);
+    receiver.apply_peer_prefill_reports(now, &prefill_reports);
+    for update in &store_updates {
+        digest.number(update.store ^ u64::from(update.reset));
+        update.chunks.iter().for_each(|chunk| digest.number(chunk.key ^ u64::from(chunk.tokens)));
+        receiver.apply_peer_store_update(now, update);
     }
 }
 
-fn look(node: &Node, now: Micros, digest: &mut Digest) {
+fn digest_status(node: &Node, now: Micros, digest: &mut Digest) {
     let mut servers: Vec<_> = node.placer.server_statuses(now).collect();
     servers.sort_by(|a, b| a.id.cmp(&b.id));
     for server in servers {
@@ -372,7 +372,7 @@
     [keys, index_entries].into_iter().for_each(|size| digest.number(size as u64));
 }
 
-fn count_repeats(node: &mut Node, now: Micros, random: &mut Random, digest: &mut Digest) {
+fn count_retries(node: &mut Node, now: Micros, random: &mut Random, digest: &mut Digest) {
     let service = if random.chance(70) { common::SERVICE } else { SECOND_SERVICE };
     let allowed = node.placer.may_retry(now, service);
     digest.number(u64::from(allowed));
@@ -383,7 +383,7 @@
     node.placer.observe_stream_pause(StreamPause { service, longest });
 }
 
-fn play(seed: u64) -> u64 {
+fn run(seed: u64) -> u64 {
     let mut random = Random(seed);
     let mut digest = Digest(seed);
     let mut nodes = [Node::new(ZONES[0], 7 + seed), Node::new(ZONES[1], 8 + seed)];
@@ -397,12 +397,12 @@
             42..=82 => advance_attempt(node, now, &mut random, &mut digest),
             83..=84 => change_server(node, now, &mut random),
             85 if random.chance(20) => change_versions(node, now, &mut random),
-            85..=92 => holder_event(node, now, &mut random),
-            93..=95 => count_repeats(node, now, &mut random, &mut digest),
+            85..=92 => apply_holder_event(node, now, &mut random),
+            93..=95 => count_retries(node, now, &mut random, &mut digest),
             _ => exchange(&mut nodes, at, now, &mut digest),
         }
         if step % 500 == 499 {
-            nodes.iter().for_each(|node| look(node, now, &mut digest));
+            nodes.iter().for_each(|node| digest_status(node, now, &mut digest));
         }
         if step == STEPS / 2 {
             nodes.iter_mut().for_each(|node| node.placer.set_services(now, services(60_000)));
@@ -413,6 +413,6 @@
 
 #[gtest]
 fn placements_match_the_recorded_digests() {
-    let digests: Vec<String> = (1..=6).map(|seed| format!("{:016x}", play(seed))).collect();
+    let digests: Vec<String> = (1..=6).map(|seed| format!("{:016x}", run(seed))).collect();
     expect_that!(digests, eq(&DIGESTS));
 }
--- a/placement/tests/kv_transfers.rs
+++ b/placement/tests/kv_transfers.rs
@@ -1,4 +1,4 @@
-//! Sources of KV transfers, saves, and the index of cached chunks.
+//! Sources of KV transfers, saves to the cache store, and the prefix index.
 
 mod common;
 
@@ -8,10 +8,10 @@
 
 const NOW: Micros = 20_000 * MS;
 
-/// The home of a subject, the salt, and a node that knows nothing of either.
-fn fresh(subject: u64, servers: u16) -> (std::sync::Arc<str>, String, Placer) {
-    let choice = place(&mut placer(servers), NOW, subject, 1);
-    (choice.server, choice.salt.expect("version known").to_string(), placer(servers))
+/// The home of a subject, the salt of its requests, and a node that has not placed any request.
+fn new_node(subject: u64, servers: u16) -> (std::sync::Arc<str>, String, Placer) {
+    let placement = place(&mut placer(servers), NOW, subject, 1);
+    (placement.server, placement.salt.expect("version known").to_string(), placer(servers))
 }
 
 fn cache_chunks(node: &mut Placer, holder: &str, salt: &str, chunks: &[PromptChunk]) {
@@ -24,39 +24,39 @@
 
 #[gtest]
 fn a_busy_holder_is_the_source_for_another_server() {
-    let (_, salt, mut node) = fresh(1, 3);
-    cache_chunks(&mut node, "i-1", &salt, &long(1, 1)[..2]);
+    let (_, salt, mut node) = new_node(1, 3);
+    cache_chunks(&mut node, "i-1", &salt, &long_prompt(1, 1)[..2]);
     let report = ServerLoadReport { running: 30, waiting: 10, slots: 48 };
     node.observe_server_load(NOW - MS, "i-1", report);
-    let choice = place(&mut node, NOW, 1, 2);
-    expect_that!(&*choice.server, not(eq("i-1")));
-    expect_that!(choice.fetch, some(eq(address_of("i-1"))));
-    expect_that!(choice.save, none());
+    let placement = place(&mut node, NOW, 1, 2);
+    expect_that!(&*placement.server, not(eq("i-1")));
+    expect_that!(placement.fetch, some(eq(address_of("i-1"))));
+    expect_that!(placement.save, none());
 }
 
 #[gtest]
 fn the_holder_of_the_longest_prefix_is_the_source_and_of_equals_the_nearest() {
     // i-0 and i-3 are in zone a, i-1 and i-4 in b, i-2 and i-5 in c.
-    for (holders, chosen, source) in [
+    for (holders, selected, source) in [
         (vec![("i-1", 2), ("i-2", 1)], "i-0", "i-1"),
         (vec![("i-1", 2), ("i-3", 2)], "i-0", "i-3"),
         (vec![("i-3", 2), ("i-4", 2)], "i-0", "i-3"),
         (vec![("i-5", 2), ("i-3", 2), ("i-4", 2)], "i-2", "i-5"),
     ] {
-        let (_, salt, mut node) = fresh(1, 6);
+        let (_, salt, mut node) = new_node(1, 6);
         for (holder, count) in &holders {
-            cache_chunks(&mut node, holder, &salt, &long(1, 1)[..*count]);
+            cache_chunks(&mut node, holder, &salt, &long_prompt(1, 1)[..*count]);
         }
         let busy = ServerLoadReport { running: 40, waiting: 40, slots: 48 };
         for number in 0..6 {
             let id = format!("i-{number}");
-            if id != chosen {
+            if id != selected {
                 node.observe_server_load(NOW - MS, &id, busy);
             }
         }
-        let choice = place(&mut node, NOW, 1, 2);
-        expect_that!(&*choice.server, eq(chosen));
-        expect_that!(choice.fetch, some(eq(address_of(source))));
+        let placement = place(&mut node, NOW, 1, 2);
+        expect_that!(&*placement.server, eq(selected));
+        expect_that!(placement.fetch, some(eq(address_of(source))));
     }
 }
 
@@ -72,13 +72,13 @@
         |node| node.reset_cache_holder(NOW - 10 * MS, "i-1"),
     ];
     for change in changes {
-        let (_, salt, mut node) = fresh(1, 3);
-        cache_chunks(&mut node, "i-1", &salt, &long(1, 1)[..2]);
+        let (_, salt, mut node) = new_node(1, 3);
+        cache_chunks(&mut node, "i-1", &salt, &long_prompt(1, 1)[..2]);
         change(&mut node);
         let tried = ["i-1".into()];
-        let choice = node.place(NOW, &request(&long(1, 2)), &tried).expect("two are left");
+        let placement = node.place(NOW, &request(&long_prompt(1, 2)), &tried).expect("two are left");
         expect_that!(
-            choice.fetch == Some(address_of("i-1")) && node.counters().guessed_fetches == 0,
+            placement.fetch == Some(address_of("i-1")) && node.counters().guessed_fetches == 0,
             eq(false)
         );
     }
@@ -87,28 +87,28 @@
 #[gtest]
 fn the_store_is_a_source_while_it_has_contact() {
     type Change = (fn(&mut Placer), Micros);
-    let (home, salt, mut node) = fresh(1, 3);
-    cache_chunks(&mut node, STORE, &salt, &long(1, 1)[..2]);
-    let choice = place(&mut node, NOW, 1, 2);
-    expect_that!(choice.server, eq(&home));
-    expect_that!(choice.fetch, some(eq(store_address())));
-    expect_that!(choice.save, none());
+    let (home, salt, mut node) = new_node(1, 3);
+    cache_chunks(&mut node, STORE, &salt, &long_prompt(1, 1)[..2]);
+    let placement = place(&mut node, NOW, 1, 2);
+    expect_that!(placement.server, eq(&home));
+    expect_that!(placement.fetch, some(eq(store_address())));
+    expect_that!(placement.save, none());
     expect_that!(node.counters().guessed_fetches, eq(0));
-    // Failed, without contact or emptied, it is no source.
+    // A store that failed, has no recent contact or was reset is not a source.
     let changes: [Change; 2] =
         [(|node| node.record_source_failure(NOW - 10 * MS, STORE), NOW), (|_| {}, NOW + 3_000 * MS)];
     for (change, at) in changes {
-        let (_, salt, mut node) = fresh(1, 3);
-        cache_chunks(&mut node, STORE, &salt, &long(1, 1)[..2]);
+        let (_, salt, mut node) = new_node(1, 3);
+        cache_chunks(&mut node, STORE, &salt, &long_prompt(1, 1)[..2]);
         change(&mut node);
-        let choice = place(&mut node, at, 1, 2);
-        expect_that!((choice.fetch, choice.save), eq((None, None)));
+        let placement = place(&mut node, at, 1, 2);
+        expect_that!((placement.fetch, placement.save), eq((None, None)));
     }
-    let (_, salt, mut node) = fresh(1, 3);
-    cache_chunks(&mut node, STORE, &salt, &long(1, 1)[..2]);
+    let (_, salt, mut node) = new_node(1, 3);
+    cache_chunks(&mut node, STORE, &salt, &long_prompt(1, 1)[..2]);
     node.reset_cache_holder(NOW - 10 * MS, STORE);
-    let choice = place(&mut node, NOW, 1, 2);
-    expect_that!(choice.save, some(eq(store_address())));
+    let placement = place(&mut node, NOW, 1, 2);
+    expect_that!(placement.save, some(eq(store_address())));
 }
 
 #[gtest]
@@ -117,16 +117,17 @@
     node.record_cache_contact(NOW, STORE);
     let first = place(&mut node, NOW, 1, 1);
     expect_that!(first.save, some(eq(store_address())));
-    // Another server that computes them meanwhile does not save them, too.
-    let meanwhile = node.place(NOW, &request(&long(1, 9)), std::slice::from_ref(&first.server));
+    // Another server that computes them at the same time does not save them as well.
+    let meanwhile = node.place(NOW, &request(&long_prompt(1, 9)), std::slice::from_ref(&first.server));
     let meanwhile = meanwhile.expect("others are ready");
     expect_that!(meanwhile.save, none());
     node.record_end(NOW, meanwhile.attempt, AttemptOutcome::ClientGone, None, None);
     serve(&mut node, NOW, &first);
     node.record_cache_contact(NOW + 200 * MS, STORE);
     expect_that!(place(&mut node, NOW + 200 * MS, 1, 2).save, none());
-    // Not again elsewhere either, before the store has reported them.
-    let elsewhere = node.place(NOW + 210 * MS, &request(&long(1, 3)), std::slice::from_ref(&first.server));
+    // Nor does another server later, before the store has reported them.
+    let elsewhere =
+        node.place(NOW + 210 * MS, &request(&long_prompt(1, 3)), std::slice::from_ref(&first.server));
     expect_that!(elsewhere.expect("others are ready").save, none());
 }
 
@@ -135,20 +136,20 @@
     let mut node = placer(3);
     node.record_cache_contact(NOW, STORE);
     let chunks = [chunk(1, 20), chunk(2, 40), chunk(3, 600)];
-    let choice = node.place(NOW, &request(&chunks), &[]).expect("ready");
-    expect_that!((choice.fetch, choice.save), eq((None, None)));
+    let placement = node.place(NOW, &request(&chunks), &[]).expect("ready");
+    expect_that!((placement.fetch, placement.save), eq((None, None)));
 }
 
 #[gtest]
 fn chunks_count_as_cached_after_the_first_event() {
     let mut node = placer(3);
-    let choice = place(&mut node, NOW, 1, 1);
+    let placement = place(&mut node, NOW, 1, 1);
     expect_that!(node.table_sizes().index_entries, eq(0));
-    node.record_first_event(NOW + 200 * MS, choice.attempt);
+    node.record_first_event(NOW + 200 * MS, placement.attempt);
     expect_that!(node.table_sizes().index_entries, eq(3));
-    node.record_first_event(NOW + 300 * MS, choice.attempt);
+    node.record_first_event(NOW + 300 * MS, placement.attempt);
     expect_that!(node.table_sizes().index_entries, eq(3));
-    node.reset_cache_holder(NOW + 400 * MS, &choice.server);
+    node.reset_cache_holder(NOW + 400 * MS, &placement.server);
     expect_that!(node.table_sizes().index_entries, eq(0));
 }
 
@@ -158,7 +159,8 @@
     for id in 0..1_000 {
         node.apply_cache_event(NOW, "i-0", added("s", &chunk(id, 3_000)));
     }
-    // 105,065 tokens: the prefills that all balancers see count, so nothing beyond the capacity can still be cached.
+    // 35 chunks are within the capacity of 105,065 tokens. The index has the prefills of all balancers, so that nothing beyond
+    // the capacity can still be cached.
     expect_that!(node.table_sizes().index_entries, eq(35));
     // The least recently used was evicted.
     let before = node.table_sizes().index_entries;
@@ -236,24 +238,24 @@
     }
 }
 
-/// Seen on kctc-grown: of the chunks that an older holder was asked for, nine in ten were evicted, since more is cached there
-/// than other nodes know of. The store retains them for longer.
+/// Seen on kctc-grown: of the chunks that were fetched from a holder which had not used them for long, nine in ten were evicted
+/// there, since a holder caches more chunks than other nodes know of. The store retains them for longer.
 #[gtest]
 fn a_holder_with_long_unused_chunks_comes_after_the_store() {
     for (unused, source) in [(100 * MS, address_of("i-1")), (5_000 * MS, store_address())] {
-        let (_, salt, mut node) = fresh(1, 3);
-        // Evictions by new prefills: ten prompts a second, each of a sixteenth of its memory.
+        let (_, salt, mut node) = new_node(1, 3);
+        // Prefills that evict other chunks: ten prompts per second, each of a sixteenth of the server's memory.
         for number in 0..100 {
             let event = chunk(5_000 + number, 6_500);
             node.apply_cache_event(number * 100 * MS, "i-1", added(&salt, &event));
         }
-        for chunk in &long(1, 1)[..2] {
+        for chunk in &long_prompt(1, 1)[..2] {
             node.apply_cache_event(NOW - unused, "i-1", added(&salt, chunk));
         }
         node.record_cache_contact(NOW, STORE);
         let busy = ServerLoadReport { running: 40, waiting: 40, slots: 48 };
         node.observe_server_load(NOW - MS, "i-1", busy);
-        let choice = place(&mut node, NOW, 1, 2);
-        expect_that!(choice.fetch, some(eq(source)), "unused for {unused}");
+        let placement = place(&mut node, NOW, 1, 2);
+        expect_that!(placement.fetch, some(eq(source)), "unused for {unused}");
     }
 }
--- a/placement/tests/peer_loads.rs
+++ b/placement/tests/peer_loads.rs
@@ -1,4 +1,5 @@
-//! Reports between balancers: loads in flight and completed prefills; and what the control plane says of single servers.
+//! Reports between balancers: loads in flight and completed prefills. Also pauses of servers and extended deadlines, which the
+//! control plane orders.
 
 mod common;
 
@@ -10,7 +11,7 @@
 const NOW: Micros = 20_000 * MS;
 const PEER: u64 = 99;
 /// The time from an announcement to its deadline.
-const WITHIN: Micros = 8_000 * MS;
+const TIME_TO_DEADLINE: Micros = 8_000 * MS;
 
 fn load(server: &str, backlog_ms: f64) -> LocalLoad {
     LocalLoad { server: hash(server), backlog_ms, running: 1, tokens: 9_000 }
@@ -39,15 +40,15 @@
 #[gtest]
 fn reported_loads_count_down_and_expire() {
     let home = home(3, 1);
-    for (told_ago, what) in [(1_000 * MS, "read meanwhile"), (3_000 * MS, "too old")] {
+    for (reported_ago, case) in [(1_000 * MS, "prefilled meanwhile"), (3_000 * MS, "expired")] {
         let mut node = pair(3);
-        node.apply_peer_loads(NOW - told_ago, PEER, 1, vec![load(&home, 900.0)]);
-        expect_that!(&*place(&mut node, NOW, 1, 1).server, eq(&*home), "{what}");
+        node.apply_peer_loads(NOW - reported_ago, PEER, 1, vec![load(&home, 900.0)]);
+        expect_that!(&*place(&mut node, NOW, 1, 1).server, eq(&*home), "{case}");
     }
 }
 
 #[gtest]
-fn an_overtaken_report_changes_nothing() {
+fn a_stale_report_changes_nothing() {
     let home = home(3, 1);
     let mut node = pair(3);
     node.apply_peer_loads(NOW - 2 * MS, PEER, 5, vec![load(&home, 900.0)]);
@@ -62,12 +63,12 @@
 #[gtest]
 fn local_loads_are_reported_until_they_end() {
     let mut node = pair(3);
-    let choice = place(&mut node, NOW, 1, 1);
-    let told = node.local_loads(NOW);
-    expect_that!(told.len(), eq(1));
-    expect_that!((told[0].server, told[0].running), eq((hash(&choice.server), 1)));
-    expect_that!(told[0].backlog_ms, gt(100.0));
-    serve(&mut node, NOW, &choice);
+    let placement = place(&mut node, NOW, 1, 1);
+    let reported = node.local_loads(NOW);
+    expect_that!(reported.len(), eq(1));
+    expect_that!((reported[0].server, reported[0].running), eq((hash(&placement.server), 1)));
+    expect_that!(reported[0].backlog_ms, gt(100.0));
+    serve(&mut node, NOW, &placement);
     expect_that!(node.local_loads(NOW + 200 * MS), is_empty());
 }
 
@@ -106,8 +107,8 @@
     let mut node = pair(2);
     let streams = LocalLoad { server: hash(&home), backlog_ms: 0.0, running: 20, tokens: 20_000 };
     node.apply_peer_loads(NOW - MS, PEER, 1, vec![streams]);
-    let choice = node.place(NOW, &request(&chunks), &[]).expect("a server is ready");
-    expect_that!(&*choice.server, not(eq(&*home)));
+    let placement = node.place(NOW, &request(&chunks), &[]).expect("a server is ready");
+    expect_that!(&*placement.server, not(eq(&*home)));
     // A short prefill stays at its key's home.
     let mut node = pair(2);
     node.apply_peer_loads(NOW - MS, PEER, 1, vec![streams]);
@@ -133,11 +134,12 @@
 #[gtest]
 fn an_extended_deadline_counts_unless_the_version_is_binding_already() {
     let mut node = pair(2);
-    node.announce_version(NOW + WITHIN, MODEL, 2);
-    node.extend_version_deadline(NOW + WITHIN + 6_000 * MS, MODEL, 2);
-    // 8 s less the margin of 1.5 s: it would have been binding for placements at 6.5 s, and is at 12.5 s.
-    expect_that!(node.place(NOW + 12_000 * MS, &request(&long(1, 1)), &[]).is_ok(), eq(true));
-    expect_that!(node.place(NOW + 13_000 * MS, &request(&long(1, 2)), &[]).is_err(), eq(true));
-    node.extend_version_deadline(NOW + WITHIN + 13_000 * MS, MODEL, 2);
-    expect_that!(node.place(NOW + 14_000 * MS, &request(&long(1, 3)), &[]).is_err(), eq(true));
+    node.announce_version(NOW + TIME_TO_DEADLINE, MODEL, 2);
+    node.extend_version_deadline(NOW + TIME_TO_DEADLINE + 6_000 * MS, MODEL, 2);
+    // 8 s less the margin of 1.5 s: without the extension, placements would need the new version from 6.5 s on, and now do from
+    // 12.5 s on.
+    expect_that!(node.place(NOW + 12_000 * MS, &request(&long_prompt(1, 1)), &[]).is_ok(), eq(true));
+    expect_that!(node.place(NOW + 13_000 * MS, &request(&long_prompt(1, 2)), &[]).is_err(), eq(true));
+    node.extend_version_deadline(NOW + TIME_TO_DEADLINE + 13_000 * MS, MODEL, 2);
+    expect_that!(node.place(NOW + 14_000 * MS, &request(&long_prompt(1, 3)), &[]).is_err(), eq(true));
 }
