--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -161,12 +161,12 @@
         pool: pool.clone(),
         clock,
         budget: budget.clone(),
-        dial_timeout: Duration::from_micros(config.deployment.dial_timeout),
-        conn_idle: config.deployment.conn_idle,
+        dial_timeout: Duration::from_micros(config.deployment.connect_timeout),
+        conn_idle: config.deployment.connection_idle_timeout,
         reports: config.deployment.reports,
         idle_reuse: IdleReuse::new(Instant::now()),
     });
-    let limits = Limits { grace: config.deployment.drain_grace, ..Limits::default() };
+    let limits = Limits { drain_grace: config.deployment.drain_grace, ..Limits::default() };
     let dispatch = Dispatch::new(balancer, &config.deployment.settings, &config.name, limits);
     let deciding = Decision::new(dispatch, decision.clone(), table.clone(), routing.clone(), table_known);
     let mut deciding = spawn_local(deciding.run(mails));
@@ -223,7 +223,7 @@
     }
     debug!(settings = ?config.deployment, sockets = config.sockets, "told");
     // What an agent has counts from the first moment on, so that is heard before anything is served.
-    let pushed = !config.deployment.settings.ask_discovery;
+    let pushed = !config.deployment.settings.poll_discovery;
     spawn_local(reload(hangup, config, table));
 
     let entered = handover.clone();
--- a/daemon/src/service_table.rs
+++ b/daemon/src/service_table.rs
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use gradepaddle::settings::{Deployment, micros, place};
-use gradepaddle::{ListKind, Micros, Server, State};
+use gradepaddle::settings::{Deployment, intern_name, micros_from_ms};
+use gradepaddle::{ListKind, Micros, Server, ServerState};
 use gradepaddle_dispatch::{Failure, ListClock};
 use serde::Deserialize;
 use serde_json::Value;
@@ -166,7 +166,8 @@
         handover: Option<Rc<Handover>>,
     ) -> Self {
         let left = handover.map(|handover| (handover, BTreeMap::new()));
-        let clock = ListClock::new(deployment.settings.gateways, u64::from(deployment.settings.me));
+        let clock =
+            ListClock::new(deployment.settings.gateway_count, u64::from(deployment.settings.gateway_index));
         ServiceTable { discovery, deployment, decision, context, seq: 0, clock, left }
     }
 
@@ -175,7 +176,7 @@
         self.apply(known, ListKind::Cached);
         // Lists that have to be asked for are asked for in turn, as the decisions say. Pushed ones count from the first
         // moment on.
-        let mut again = (!self.deployment.settings.ask_discovery).then(|| self.now());
+        let mut again = (!self.deployment.settings.poll_discovery).then(|| self.now());
         loop {
             let ask = tokio::select! {
                 biased;
@@ -200,14 +201,14 @@
                         End::Unreached(why) => break (why, Failure::Unreachable),
                         End::Failed(why) => break (why, Failure::TurnedDown),
                         End::Silent(what) => {
-                            self.clock.fell_silent();
+                            self.clock.silence_timed_out();
                             let behind = self.clock.is_behind(self.now());
                             warn!(discovery = %self.discovery, seq = self.seq, behind, "{what}: asked anew");
                         }
                     },
                 }
             };
-            again = Some(self.clock.failed(self.now(), how));
+            again = Some(self.clock.call_failed(self.now(), how));
             warn!(discovery = %self.discovery, seq = self.seq, "watch broken: {why}");
             self.decision.table(Change { seq: self.seq, kind: ListKind::Failed, entries: Vec::new() });
         }
@@ -226,7 +227,7 @@
     fn moved(&mut self, to: SocketAddr) {
         info!(from = %self.discovery, %to, "discovery has moved");
         (self.discovery, self.seq) = (to, 0);
-        self.clock.moved(self.now());
+        self.clock.discovery_moved(self.now());
     }
 
     /// Watches until the watch ends, and says how it did.
@@ -235,7 +236,7 @@
         let Some(permit) = self.context.budget.take(Side::Discovery) else {
             return End::Unreached("no descriptor left".into());
         };
-        self.clock.called(self.now());
+        self.clock.call_started(self.now());
         let mut connection = match timeout(DIAL, TcpStream::connect(self.discovery)).await {
             Ok(Ok(stream)) => Connection::new(stream, &self.context.pool, permit),
             Ok(Err(e)) => return End::Unreached(e.to_string()),
@@ -247,7 +248,7 @@
             self.seq, self.discovery
         );
         request.push(text.as_bytes());
-        let head = timeout_at(self.instant(self.clock.silent_at()), async {
+        let head = timeout_at(self.instant(self.clock.silence_deadline()), async {
             connection.write(&[&request]).await.map_err(|e| e.to_string())?;
             connection.read_head().await.map_err(|fault| fault.to_string())
         });
@@ -268,7 +269,7 @@
             (ChunkedDecoder::new(), self.context.pool.chain(), Values::default());
         loop {
             let read = connection.read_chunks(&mut chunks, &mut came, MAX_VALUE);
-            let ended = match timeout_at(self.instant(self.clock.silent_at()), read).await {
+            let ended = match timeout_at(self.instant(self.clock.silence_deadline()), read).await {
                 Ok(Ok(ended)) => ended,
                 Ok(Err(fault)) => return fault.to_string().into(),
                 Err(_) if values.is_amid() => return End::Silent("half a list, then silence".into()),
@@ -279,7 +280,7 @@
             match values.take(&text) {
                 Ok(listings) => {
                     for listing in listings {
-                        self.clock.told(self.now());
+                        self.clock.list_received(self.now());
                         self.changed(listing);
                     }
                 }
@@ -287,7 +288,7 @@
             }
             // Half a value is no sign of life: what it would tell is still owed.
             if !values.is_amid() {
-                self.clock.beats(self.now());
+                self.clock.heartbeat_received(self.now());
             }
             if ended {
                 return "discovery ended it".into();
@@ -349,13 +350,13 @@
     /// One entry as the decisions take it, with its address unless it is gone.
     fn entry(&mut self, host: Host) -> Option<(Server, Option<SocketAddr>)> {
         let state = match host.health.as_str() {
-            "up" => State::Ready,
-            "removed" => State::Gone,
+            "up" => ServerState::Ready,
+            "removed" => ServerState::Gone,
             // A state that is not known here is at least not up: it gets nothing new.
-            _ => State::Draining,
+            _ => ServerState::Draining,
         };
         let mut address = None;
-        if state != State::Gone {
+        if state != ServerState::Gone {
             let dial = host.dial.as_deref().unwrap_or_default();
             address = dial.parse().ok();
             if address.is_none() {
@@ -365,12 +366,12 @@
         }
         let server = Server {
             id: host.host.into(),
-            zone: place(&mut self.deployment.zones, &host.site),
-            kind: place(&mut self.deployment.kinds, &host.class),
+            zone: intern_name(&mut self.deployment.zones, &host.site),
+            kind: intern_name(&mut self.deployment.kinds, &host.class),
             cell: host.block,
             state,
             weight: host.share,
-            started: (host.born_ms > 0.0).then(|| micros(host.born_ms)),
+            started: (host.born_ms > 0.0).then(|| micros_from_ms(host.born_ms)),
         };
         Some((server, address))
     }
