--- a/controlplane/src/driver.rs
+++ b/controlplane/src/driver.rs
@@ -43,7 +43,7 @@
     fn server_removed(&self, id: &str);
     /// The other balancers.
     fn peers_changed(&self, peers: Vec<MemberNode>);
-    /// The listener rank of this node.
+    /// The subscriber rank of this node.
     fn rank_changed(&self, rank: usize);
     /// A node reports whether a cache store responds.
     fn cache_store_changed(&self, name: &str, alive: bool);
--- a/controlplane/src/node/messages.rs
+++ b/controlplane/src/node/messages.rs
@@ -119,7 +119,7 @@
     ServerRemoved(Arc<str>),
     /// The other balancers.
     PeersChanged(Vec<MemberNode>),
-    /// This node's listener rank: its place, from 0, in an order on which all nodes agree.
+    /// This node's subscriber rank: its place, from 0, in an order on which all nodes agree.
     RankChanged(usize),
     /// A node reports whether a cache store responds.
     CacheStoreChanged {
--- a/dataplane/src/cache_events/subscriber.rs
+++ b/dataplane/src/cache_events/subscriber.rs
@@ -22,10 +22,10 @@
 /// Of the calls that a store holds at once (`maxInFlight`), so many are left to others than the subscribing nodes.
 const RESERVED_CALLS: usize = 2;
 
-/// Subscribes to the stores of the configuration in force that this node's listener rank is due for, and to no others.
+/// Subscribes to the stores of the configuration in force that this node's subscriber rank is due for, and to no others.
 pub(crate) fn update_subscriptions(plane: &Rc<DataPlane>) {
     let Some(configuration) = plane.configuration() else { return };
-    let due = due_stores(&configuration, plane.cache_stores.listener_rank.get());
+    let due = due_stores(&configuration, plane.cache_stores.subscriber_rank.get());
     let mut running = plane.cache_stores.running.borrow_mut();
     running.retain(|key, task| {
         let stays = due.contains(key);
@@ -50,7 +50,7 @@
     }
 }
 
-/// The stores that a node of this listener rank subscribes to.
+/// The stores that a node of this subscriber rank subscribes to.
 fn due_stores(configuration: &Configuration, rank: usize) -> Vec<CacheStoreKey> {
     let stores = configuration.services.iter().filter_map(|service| match &service.kind {
         ServiceKind::Store { address, max_in_flight, .. } => {
@@ -117,7 +117,7 @@
     /// Has the changes reported to nodes that do not subscribe, where this node is the one to do so: all subscribers see
     /// the same events.
     fn share_changes(&self, events: &[Event], reset: bool) {
-        if self.plane.cache_stores.listener_rank.get() > 0 || (events.is_empty() && !reset) {
+        if self.plane.cache_stores.subscriber_rank.get() > 0 || (events.is_empty() && !reset) {
             return;
         }
         let chunks = events.iter().map(|Event(_, _, salt, chunk, tokens, _)| CachedTokens {
--- a/dataplane/src/cache_events/subscriptions.rs
+++ b/dataplane/src/cache_events/subscriptions.rs
@@ -19,7 +19,7 @@
     /// The tasks that subscribe.
     pub running: RefCell<HashMap<CacheStoreKey, JoinHandle<()>>>,
     /// This node's position in an order of all nodes; the lowest ones subscribe.
-    pub listener_rank: Cell<usize>,
+    pub subscriber_rank: Cell<usize>,
     /// Whether a store answers, as reported last to all nodes.
     reported_alive: RefCell<HashMap<Arc<str>, bool>>,
     health_listener: RefCell<Option<StoreHealthListener>>,
@@ -48,7 +48,7 @@
     /// Has the health of a store reported to all nodes, where this node is the one to do so.
     pub fn report_health(&self, store: &Arc<str>, alive: bool) {
         let reported = self.reported_alive.borrow().get(store).copied();
-        if should_report_health(self.listener_rank.get(), reported, alive)
+        if should_report_health(self.subscriber_rank.get(), reported, alive)
             && let Some(listener) = &*self.health_listener.borrow()
         {
             listener(store, alive);
@@ -56,7 +56,7 @@
     }
 }
 
-/// Whether a node of this listener rank has to report that a store answers or doesn't: the first one, whenever that
+/// Whether a node of this subscriber rank has to report that a store answers or doesn't: the first one, whenever that
 /// differs from what was reported last. A young node that knows few peers takes itself for the first one and may report
 /// what is wrong; this corrects it.
 pub fn should_report_health(rank: usize, reported: Option<bool>, alive: bool) -> bool {
--- a/dataplane/src/control_inputs.rs
+++ b/dataplane/src/control_inputs.rs
@@ -30,9 +30,9 @@
         update_subscriptions(self);
     }
 
-    /// Sets this node's listener rank, its position in an order of all nodes that all agree on.
-    pub fn set_listener_rank(self: &Rc<Self>, rank: usize) {
-        if self.cache_stores.listener_rank.replace(rank) != rank {
+    /// Sets this node's subscriber rank, its position in an order of all nodes that all agree on.
+    pub fn set_subscriber_rank(self: &Rc<Self>, rank: usize) {
+        if self.cache_stores.subscriber_rank.replace(rank) != rank {
             update_subscriptions(self);
         }
     }
--- a/dataplane/tests/cache_events.rs
+++ b/dataplane/tests/cache_events.rs
@@ -72,7 +72,7 @@
     let own = Rc::new(UdpSocket::bind("127.0.0.1:0").await.expect("a port"));
     let other = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
     let peer = Peer { address: v4(other.local_addr().expect("it is bound")), zone: "".into() };
-    harness.plane.set_listener_rank(rank);
+    harness.plane.set_subscriber_rank(rank);
     harness.plane.set_peers(&[peer]);
     tokio::task::spawn_local(send_load_reports(harness.plane.clone(), own));
     (harness, other)
--- a/system/src/effects.rs
+++ b/system/src/effects.rs
@@ -116,7 +116,7 @@
     }
 
     fn rank_changed(&self, rank: usize) {
-        self.plane.set_listener_rank(rank);
+        self.plane.set_subscriber_rank(rank);
     }
 
     fn cache_store_changed(&self, name: &str, alive: bool) {
