--- a/dataplane/src/attempt.rs
+++ b/dataplane/src/attempt.rs
@@ -1,7 +1,7 @@
-//! One attempt: a server is selected, the request is written to it, the head of its response is read.
+//! One attempt: selects a server, writes the request to it and reads the head of its response.
 //!
-//! The placer counts an attempt as in flight from its selection until it is notified of the end; [`AttemptGuard`] sees to that
-//! wherever the attempt is dropped.
+//! The placer counts an attempt as in flight from the selection of its server until its end is reported to the placer.
+//! [`AttemptGuard`] reports the end wherever the attempt's future is dropped.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,20 +17,21 @@
 use crate::upstream_request::upstream_request_head;
 use crate::upstream_response::{ExchangeError, UpstreamResponse, exchange};
 
-/// Statuses by which a client knows that its request was not processed.
+/// Statuses that tell a client that its request was not processed.
 const NOT_PROCESSED_STATUSES: [u16; 4] = [408, 421, 429, 503];
-/// A server is given this much less than the time that is left, so that its own 504 comes before the node's.
+/// The deadline sent to a server is this much earlier than the request's, so that a 504 of the server arrives before the
+/// node generates its own.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(15);
 
 /// How an attempt ended.
 pub(crate) enum AttemptResult {
-    /// The head of a response came. The placer has still to be notified of the attempt's end.
+    /// The head of a response was received. The caller must report the attempt's end to the placer.
     Response(Box<UpstreamResponse>, Placement),
     /// The request was not written.
     NotSent,
-    /// The server rejected it without processing it.
+    /// The server rejected the request without processing it.
     Rejected,
-    /// It failed; the request may have been processed.
+    /// The attempt failed; the request may have been processed.
     Failed,
     /// The request's deadline has passed.
     DeadlineExceeded,
@@ -38,7 +39,7 @@
     ClientGone,
 }
 
-/// How far the request came at its server.
+/// How sending the request to the selected server ended.
 enum SendResult {
     Response(Box<UpstreamResponse>),
     ConnectFailed,
@@ -51,34 +52,34 @@
     ClientGone,
 }
 
-/// Makes one attempt. `last_event` is the last event that the client has.
+/// Makes one attempt. `last_event_id` is the id of the last event that the client has.
 ///
-/// If the future is dropped, the placer is notified that the client has disconnected, and the connection is reset.
+/// If the future is dropped, the attempt is reported to the placer as ended by the client, and the connection is reset.
 ///
 /// # Errors
 ///
-/// The placer's reason for selecting no server.
+/// The placer's reason for not selecting a server.
 pub(crate) async fn attempt(
     request: &ProxiedRequest<'_>,
     client: &Connection,
     history: &mut AttemptHistory,
-    last_event: Option<u64>,
+    last_event_id: Option<u64>,
 ) -> Result<AttemptResult, Rejection> {
     let (plane, deadline) = (request.plane, request.deadline());
     if Instant::now() >= deadline {
         return Ok(AttemptResult::DeadlineExceeded);
     }
-    let placement = request.select_server(last_event, &history.tried_servers)?;
+    let placement = request.select_server(last_event_id, &history.tried_servers)?;
     let guard = AttemptGuard { plane, attempt: placement.attempt, ended: false };
     plane.load_reports.request_placed();
     history.tried_servers.push(placement.server.clone());
     let sent_before = history.sent;
-    // `send` is not cancellation safe, and need not be: where another branch wins, the attempt is over.
+    // `send` is not cancellation safe and need not be: if another branch completes first, the attempt is over.
     let result = tokio::select! {
         biased;
-        // First of all: nothing is sent for a client that has gone.
+        // Polled first: nothing is sent for a client that has disconnected.
         () = client.peer_closed() => SendResult::ClientGone,
-        result = send(request, &placement, history, last_event) => result,
+        result = send(request, &placement, history, last_event_id) => result,
         () = plane.version_deadline_passed(placement.attempt) => SendResult::VersionOutdated,
         () = sleep_until(deadline) => SendResult::DeadlineExceeded,
     };
@@ -91,14 +92,14 @@
     request: &ProxiedRequest<'_>,
     placement: &Placement,
     history: &mut AttemptHistory,
-    last_event: Option<u64>,
+    last_event_id: Option<u64>,
 ) -> SendResult {
     let (plane, deadline) = (request.plane, request.deadline());
     let Some(pooled) = plane.upstreams.connect(&placement.server, placement.address, &plane.pool).await
     else {
         return SendResult::ConnectFailed;
     };
-    // Draining is binding when the request is written, and connecting may have taken its time.
+    // Checked again right before the write: the server may have begun to drain while the connection was set up.
     if !plane.placer.borrow().accepts_requests(&placement.server) {
         return SendResult::ServerDraining;
     }
@@ -107,7 +108,7 @@
         return SendResult::DeadlineExceeded;
     }
     let time_left = deadline.saturating_duration_since(now).saturating_sub(RESPONSE_MARGIN);
-    let head = upstream_request_head(request, placement, time_left, last_event);
+    let head = upstream_request_head(request, placement, time_left, last_event_id);
     history.sent += 1;
     if history.sent > 1 {
         let now = plane.now();
@@ -123,8 +124,8 @@
     }
 }
 
-/// Notifies the placer how the attempt ended, unless a response is yet to be forwarded, and notes whether the request may
-/// have been processed. `sent`: it was written to the server, at least in part.
+/// Reports the end of the attempt to the placer, unless a response is yet to be forwarded, and records whether the request
+/// may have been processed. `sent`: the request was written to the server, at least in part.
 fn conclude(
     mut guard: AttemptGuard<'_>,
     placement: Placement,
@@ -166,6 +167,7 @@
     }
 }
 
+/// Decides whether a response may be forwarded; if not, reports the end of the attempt to the placer.
 fn conclude_response(
     mut guard: AttemptGuard<'_>,
     placement: Placement,
@@ -179,7 +181,7 @@
     }
     history.may_have_run = true;
     if NOT_PROCESSED_STATUSES.contains(&response.status) {
-        // Forwarded, the status would promise the client what the server has not promised.
+        // The status would tell the client that its request was not processed, which the server has not said.
         guard.end(AttemptOutcome::ServerError, response.load());
         return AttemptResult::Failed;
     }
@@ -187,7 +189,7 @@
     AttemptResult::Response(response, placement)
 }
 
-/// What the placer learns from a server that did not process a request.
+/// What is reported to the placer about a server that did not process a request.
 fn not_processed_outcome(response: &UpstreamResponse) -> AttemptOutcome {
     match (response.status, response.version()) {
         (421, Some(_)) => AttemptOutcome::VersionMismatch,
@@ -196,8 +198,8 @@
     }
 }
 
-/// Notifies the placer of an attempt's end, at the latest when it is dropped: the attempt's future may be dropped at any
-/// `await`, and a server's count of requests in flight would never fall again.
+/// Reports the attempt's end to the placer, at the latest when the guard is dropped. The attempt's future may be dropped at
+/// any `await`; without the guard the server's count of requests in flight would then never be decremented.
 struct AttemptGuard<'a> {
     plane: &'a Rc<DataPlane>,
     attempt: AttemptId,
@@ -205,6 +207,7 @@
 }
 
 impl AttemptGuard<'_> {
+    /// Reports the attempt's end, unless that has been done.
     fn end(&mut self, outcome: AttemptOutcome, load: Option<ServerLoadReport>) {
         if !std::mem::replace(&mut self.ended, true) {
             let now = self.plane.now();
@@ -212,7 +215,7 @@
         }
     }
 
-    /// Leaves it to the caller to tell the placer.
+    /// Leaves it to the caller to report the attempt's end to the placer.
     fn release(mut self) {
         self.ended = true;
     }
--- a/dataplane/src/client_connection.rs
+++ b/dataplane/src/client_connection.rs
@@ -1,4 +1,4 @@
-//! Clients' connections: one request after another, each answered before the next is read.
+//! Client connections: reads one request after another, and responds to each before it reads the next.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,19 +17,19 @@
 use crate::proxied_request::ProxiedRequest;
 use crate::proxy::{Proxy, RequestOutcome};
 
-/// Pause after an accept that failed: file descriptors are short then.
+/// Pause after a failed accept, whose usual cause is a lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Limits until there is a configuration.
+/// Limits that apply until there is a configuration.
 const DEFAULT_LIMITS: Limits = Limits {
     max_header_bytes: 16 * 1024,
     max_body_bytes: 4 * 1024 * 1024,
     header_timeout: Duration::from_secs(3),
     idle_timeout: Duration::from_secs(15),
 };
-/// A body has to come to its end within this.
+/// Time-out for reading a complete body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Accepts clients' connections until the last phase. Those not accepted by then are reset unread.
+/// Accepts client connections until the last phase of shutdown. Connections not accepted by then are reset unread.
 pub async fn serve_clients(plane: Rc<DataPlane>, listener: TcpListener) {
     loop {
         // Both branches are cancellation safe.
@@ -50,16 +50,17 @@
     }
 }
 
-/// What came where a request was due.
+/// What a client sent in place of its next request.
 enum NextRequest {
     /// A request, with the guard that counts it as open.
     Complete(Head, Chain, OpenRequestGuard),
-    /// The client has disconnected or has sent nothing: no response is due.
+    /// The client has disconnected or sent nothing: no response is due.
     None,
-    /// A response is due, behind which the connection ends.
+    /// The request is invalid: this response is due, after which the connection is closed.
     Invalid(LocalResponse),
 }
 
+/// Serves a connection until it is closed.
 async fn serve(plane: Rc<DataPlane>, mut client: Connection) {
     loop {
         match next_request(&plane, &mut client).await {
@@ -71,7 +72,7 @@
                 }
                 return;
             }
-            NextRequest::Complete(head, body, open) => {
+            NextRequest::Complete(head, body, open_request) => {
                 let arrived = Instant::now();
                 let close = !head.keeps_alive()
                     || head.is_http_1_0()
@@ -80,7 +81,7 @@
                 match respond(&plane, &mut client, &head, &body, arrived, close).await {
                     RequestOutcome::Responded if !close => {}
                     RequestOutcome::Responded => {
-                        drop(open);
+                        drop(open_request);
                         return client.close_lingering().await;
                     }
                     RequestOutcome::Aborted => return,
@@ -90,7 +91,7 @@
     }
 }
 
-/// Responds to one request.
+/// Admits one request and proxies it, or responds with the reason why it is not admitted.
 async fn respond(
     plane: &Rc<DataPlane>,
     client: &mut Connection,
@@ -126,19 +127,19 @@
     plane.configuration().map_or(DEFAULT_LIMITS, |configuration| configuration.limits)
 }
 
-/// Waits for a request and reads it to its end.
+/// Waits for a request and reads it completely.
 async fn next_request(plane: &Rc<DataPlane>, client: &mut Connection) -> NextRequest {
     if !client.has_input() && !wait_for_bytes(plane, client, limits(plane).idle_timeout).await {
         return NextRequest::None;
     }
-    // Open from its first byte: a process that ends meanwhile waits for the rest, and answers it.
-    let open = plane.track_request();
-    // Those in force by now: the connection may be older than the configuration.
+    // Open from its first byte: graceful shutdown waits until the rest has been read and answered.
+    let open_request = plane.track_request();
+    // The limits in force now: the connection may be older than the configuration.
     let limits = limits(plane);
     client.set_limits(limits.max_header_bytes, limits.max_body_bytes as u64);
     let head = match timeout(limits.header_timeout, client.read_head()).await {
         Ok(Ok(head)) => head,
-        Ok(Err(fault)) => return response_to(&fault),
+        Ok(Err(error)) => return invalid_request(&error),
         Err(_) => return NextRequest::Invalid(LocalResponse::RequestTimeout),
     };
     if head.check_request().is_err() {
@@ -148,23 +149,24 @@
         return NextRequest::Invalid(LocalResponse::BadRequest);
     };
     if head.list_contains("expect", "100-continue") {
-        let mut go_on = plane.pool.chain();
-        go_on.push(b"HTTP/1.1 100 Continue\r\n\r\n");
-        if client.write(&[&go_on]).await.is_err() {
+        let mut interim = plane.pool.chain();
+        interim.push(b"HTTP/1.1 100 Continue\r\n\r\n");
+        if client.write(&[&interim]).await.is_err() {
             return NextRequest::None;
         }
     }
     match timeout(BODY_TIMEOUT, read_body(plane, client, framing, limits.max_body_bytes)).await {
-        Ok(Ok(body)) => NextRequest::Complete(head, body, open),
-        Ok(Err(fault)) => response_to(&fault),
+        Ok(Ok(body)) => NextRequest::Complete(head, body, open_request),
+        Ok(Err(error)) => invalid_request(&error),
         Err(_) => NextRequest::Invalid(LocalResponse::RequestTimeout),
     }
 }
 
-/// True once bytes have come; false if the client has gone, the time-out has passed, or the process closes idle
+/// Waits for the first bytes of a request. False if the client disconnects, the time-out passes, or the process closes idle
 /// connections.
 async fn wait_for_bytes(plane: &DataPlane, client: &mut Connection, idle_timeout: Duration) -> bool {
-    // `fill` is cancellation safe. It comes first: bytes that are there are a request, which is answered.
+    // `fill` is cancellation safe. It is polled first: bytes that have already arrived belong to a request, which must be
+    // answered.
     tokio::select! {
         biased;
         read = timeout(idle_timeout, client.fill()) => matches!(read, Ok(Ok(count)) if count > 0),
@@ -184,8 +186,9 @@
     Ok(bytes)
 }
 
-fn response_to(fault: &ReadError) -> NextRequest {
-    match fault {
+/// The response that is due after a read error, if any.
+fn invalid_request(error: &ReadError) -> NextRequest {
+    match error {
         ReadError::Closed => NextRequest::None,
         ReadError::Malformed { .. } => NextRequest::Invalid(LocalResponse::BadRequest),
         ReadError::HeadTooLong => NextRequest::Invalid(LocalResponse::HeadTooLarge),
--- a/dataplane/src/data_plane.rs
+++ b/dataplane/src/data_plane.rs
@@ -1,4 +1,4 @@
-//! The state that the tasks of the data plane share.
+//! The state shared by the tasks of the data plane.
 //!
 //! Everything runs on one thread, so cells suffice. No `RefCell` is borrowed across an `await`.
 
@@ -28,13 +28,13 @@
     pub placer: Placer,
     /// The failure domain of this node.
     pub zone: Arc<str>,
-    /// How many descriptors the process may open (`openFiles`).
+    /// How many file descriptors the process may open (`openFiles`).
     pub open_files: u64,
-    /// Where to log.
+    /// The logger.
     pub log: Logger,
 }
 
-/// The state that connections, attempts and the inputs of the control plane share.
+/// The state shared by connections, attempts and the inputs of the control plane.
 pub struct DataPlane {
     /// Placement, fed by the control plane and by the results of attempts.
     pub placer: RefCell<Placer>,
@@ -43,7 +43,7 @@
     pub(crate) pool: Pool,
     pub(crate) upstreams: UpstreamPool,
     open_files: u64,
-    /// All nodes, this one included.
+    /// The number of nodes, this one included.
     node_count: Cell<usize>,
     pub(crate) log: Logger,
     pub(crate) lifecycle: Lifecycle,
@@ -51,22 +51,22 @@
     pub(crate) denied_requests: DeniedRequests,
     pub(crate) cache_stores: CacheStoreSubscriptions,
     pub(crate) load_reports: LoadReports,
-    /// Notified when a model version is announced or its deadline postponed.
+    /// Notified when a model version is announced or its deadline is postponed.
     pub(crate) versions_changed: watch::Sender<()>,
     /// The origin of [`DataPlane::now`].
     pub(crate) started: Instant,
     configuration: RefCell<Option<Rc<Configuration>>>,
     /// The version of the configuration in force, 0 before the first.
     version_in_force: watch::Sender<u64>,
-    /// The version of a newer configuration that exists and has not arrived here yet.
+    /// The version of a configuration that is known to exist, and may not have arrived here yet.
     expected_version: Cell<Option<u64>>,
-    /// Hash of the set of isolated tenants.
-    shared_isolation: Cell<u64>,
+    /// See [`DataPlane::isolated_tenants_hash`].
+    isolated_tenants_hash: Cell<u64>,
     control_connected: Cell<bool>,
 }
 
 impl DataPlane {
-    /// A data plane without a configuration, which is not ready.
+    /// Creates a data plane without a configuration, which is not ready.
     pub fn new(setup: Setup) -> Rc<Self> {
         Rc::new(DataPlane {
             placer: RefCell::new(setup.placer),
@@ -86,7 +86,7 @@
             configuration: RefCell::new(None),
             version_in_force: watch::Sender::new(0),
             expected_version: Cell::new(None),
-            shared_isolation: Cell::new(0),
+            isolated_tenants_hash: Cell::new(0),
             control_connected: Cell::new(false),
         })
     }
@@ -101,7 +101,7 @@
         self.configuration.borrow().clone()
     }
 
-    /// The configuration in force, waited for at most this long if there is none yet. Cancellation safe.
+    /// The configuration in force. If there is none yet, waits for one, at most for `limit`. Cancellation safe.
     pub(crate) async fn wait_for_configuration(&self, limit: Duration) -> Option<Rc<Configuration>> {
         if self.configuration.borrow().is_none() {
             self.wait_for_version(1, limit).await;
@@ -109,26 +109,26 @@
         self.configuration()
     }
 
-    /// Waits until a configuration of this version or a newer one is in force, at most this long. Cancellation safe.
+    /// Waits until a configuration of this version or a newer one is in force, at most for `limit`. Cancellation safe.
     pub(crate) async fn wait_for_version(&self, version: u64, limit: Duration) {
         let mut in_force = self.version_in_force.subscribe();
-        // After a time-out the caller finds an older one in force, or none.
+        // After a time-out the caller finds an older configuration in force, or none.
         let _ = timeout(limit, in_force.wait_for(|in_force| *in_force >= version)).await;
     }
 
-    /// Says which newer configuration exists that has not arrived here yet, if there is one.
+    /// Sets the version of a newer configuration that is known to exist and has not arrived here yet, if there is one.
     pub fn set_expected_configuration(&self, version: Option<u64>) {
         self.expected_version.set(version);
     }
 
-    /// The version of a newer configuration than the one in force that is known to exist.
-    pub(crate) fn newer_configuration(&self) -> Option<u64> {
+    /// The version of a configuration that is known to exist and is newer than the one in force.
+    pub(crate) fn newer_configuration_version(&self) -> Option<u64> {
         self.expected_version.get().filter(|expected| *expected > *self.version_in_force.borrow())
     }
 
-    /// Replaces the configuration in force. `shared_isolation`: see [`DataPlane::shared_isolation`].
-    pub(crate) fn replace_configuration(&self, configuration: Rc<Configuration>, shared_isolation: u64) {
-        self.shared_isolation.set(shared_isolation);
+    /// Replaces the configuration in force. `isolated_tenants_hash`: see [`DataPlane::isolated_tenants_hash`].
+    pub(crate) fn replace_configuration(&self, configuration: Rc<Configuration>, isolated_tenants_hash: u64) {
+        self.isolated_tenants_hash.set(isolated_tenants_hash);
         let version = configuration.version;
         *self.configuration.borrow_mut() = Some(configuration);
         self.version_in_force.send_replace(version);
@@ -140,7 +140,8 @@
         self.update_idle_limits();
     }
 
-    /// Divides the connections that servers accept, and this process's descriptors.
+    /// Recomputes this node's limits on idle connections to servers: its share of the connections that servers accept from
+    /// all nodes, and of the file descriptors of the process.
     pub(crate) fn update_idle_limits(&self) {
         let configuration = self.configuration.borrow();
         let services = configuration.iter().flat_map(|configuration| &configuration.services);
@@ -151,24 +152,24 @@
         self.upstreams.set_limits(IdleLimits::new(self.open_files, self.node_count.get(), max_connections));
     }
 
-    /// The hash of the set of isolated tenants. It salts the cached prefixes of all other tenants, so that none that was
-    /// made while a tenant was not yet isolated is reused.
-    pub(crate) fn shared_isolation(&self) -> u64 {
-        self.shared_isolation.get()
+    /// The hash of the set of isolated tenants. It is part of the cache salt of all other tenants, so that they reuse no
+    /// prefix that was cached while one of the isolated tenants was not isolated yet.
+    pub(crate) fn isolated_tenants_hash(&self) -> u64 {
+        self.isolated_tenants_hash.get()
     }
 
-    /// Says whether this node has been connected to the control plane.
+    /// Sets whether this node is connected to the control plane.
     pub fn set_control_connected(&self, connected: bool) {
         self.control_connected.set(connected);
     }
 
-    /// Takes the deadline of keys from the control plane. Without this call keys are valid for ever.
+    /// Sets until when the control plane vouches for the API keys. Without this call keys are valid for ever.
     pub fn set_key_validity(&self, validity: KeyValidity) {
         self.key_validity.set(validity);
         self.log_key_validity();
     }
 
-    /// Logs when keys expire and when they are valid again.
+    /// Logs once when keys expire and once when they are valid again.
     pub(crate) fn log_key_validity(&self) {
         let expired = self.keys_expired();
         if self.key_validity.note_expired(expired) {
@@ -176,17 +177,19 @@
         }
     }
 
-    /// True if it is not known whether keys are still valid.
+    /// True if it is unknown whether API keys are still valid.
     pub(crate) fn keys_expired(&self) -> bool {
         let version = self.configuration.borrow().as_ref().map(|configuration| configuration.version);
         self.key_validity.has_expired(self.now(), version)
     }
 
-    /// True if new connections should come to this node.
+    /// True if new connections should be sent to this node.
     pub fn is_ready(&self) -> bool {
         let configuration = self.configuration.borrow();
-        let serves = configuration.as_ref().is_some_and(|one| !one.needs_key() || !self.keys_expired());
-        self.lifecycle.phase() == Phase::Serving && self.control_connected.get() && serves
+        let can_serve = configuration
+            .as_ref()
+            .is_some_and(|configuration| !configuration.needs_key() || !self.keys_expired());
+        self.lifecycle.phase() == Phase::Serving && self.control_connected.get() && can_serve
     }
 
     /// Moves on to a later phase of shutdown.
@@ -194,22 +197,22 @@
         self.lifecycle.set_phase(phase);
     }
 
-    /// Ready once the process is in this phase or a later one. Cancellation safe.
+    /// Waits until the process is in this phase or a later one. Cancellation safe.
     pub async fn phase_reached(&self, reached: Phase) {
         self.lifecycle.phase_reached(reached).await;
     }
 
-    /// True while requests that come are begun.
+    /// True while new requests are admitted.
     pub(crate) fn accepts_requests(&self) -> bool {
         self.lifecycle.phase() < Phase::Closing
     }
 
-    /// True if each response closes its connection.
+    /// True if connections are closed after their next response.
     pub(crate) fn closes_connections(&self) -> bool {
         self.lifecycle.phase() != Phase::Serving
     }
 
-    /// Requests of which at least one byte was read and the response is not yet written to its end.
+    /// The number of requests of which at least one byte was read and whose response has not been written completely.
     pub fn open_requests(&self) -> usize {
         self.lifecycle.open_requests()
     }
@@ -219,12 +222,12 @@
         self.lifecycle.track_request()
     }
 
-    /// Closes idle connections to a server that takes nothing new.
+    /// Closes the idle connections to a server that accepts no new requests.
     pub fn close_idle_connections(&self, server: &str) {
         self.upstreams.close_idle(server);
     }
 
-    /// Counts of the load reports that nodes send each other.
+    /// Counters of the load reports that nodes send each other.
     pub fn load_report_counters(&self) -> &LoadReportCounters {
         &self.load_reports.counters
     }
--- a/dataplane/src/lifecycle.rs
+++ b/dataplane/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! How far the process is from its end, and the requests that are open meanwhile.
+//! The shutdown phase of the process, and the number of open requests.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -12,9 +12,10 @@
     Serving,
     /// Shutdown is announced: requests are still served, and each response closes its connection.
     Draining,
-    /// No request is begun: idle connections are closed, and a request that still comes is rejected. Open requests go on.
+    /// No new request is processed: idle connections are closed, and requests that still arrive are rejected. Open requests
+    /// continue.
     Closing,
-    /// No connection is accepted any more.
+    /// Connections are no longer accepted.
     Closed,
 }
 
@@ -25,7 +26,7 @@
 }
 
 impl Lifecycle {
-    /// Of a process that serves.
+    /// Creates the lifecycle of a process in [`Phase::Serving`].
     pub fn new() -> Self {
         Lifecycle { phase: watch::Sender::new(Phase::Serving), open_requests: Rc::default() }
     }
@@ -38,7 +39,7 @@
         self.phase.send_replace(phase);
     }
 
-    /// Ready once the process is in this phase or a later one. Cancellation safe: it only reads.
+    /// Waits until the process is in this phase or a later one. Cancellation safe: it only reads.
     pub async fn phase_reached(&self, reached: Phase) {
         // An error would mean that the sender is gone; it lives as long as `self`.
         let _ = self.phase.subscribe().wait_for(|phase| *phase >= reached).await;
@@ -56,7 +57,7 @@
     }
 }
 
-/// Counts one open request, for as long as it lives.
+/// Counts one request as open until it is dropped.
 pub(crate) struct OpenRequestGuard(Rc<Cell<usize>>);
 
 impl Drop for OpenRequestGuard {
--- a/dataplane/src/proxied_request.rs
+++ b/dataplane/src/proxied_request.rs
@@ -1,4 +1,4 @@
-//! An admitted request, as its attempts see it.
+//! An admitted request: what its attempts need to know of it.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -11,13 +11,13 @@
 use crate::data_plane::DataPlane;
 use crate::routing::RoutedRequest;
 
-/// A request that was read to its end and admitted.
+/// A completely read and admitted request.
 pub(crate) struct ProxiedRequest<'a> {
     pub plane: &'a Rc<DataPlane>,
     pub head: &'a Head,
     pub body: &'a Chain,
     pub routed: RoutedRequest,
-    /// When its last byte had been read.
+    /// When its last byte was read.
     pub arrived: Instant,
 }
 
@@ -27,19 +27,19 @@
         self.arrived + self.routed.timeout
     }
 
-    /// Has the placer select a server that is none of `tried_servers`. `last_event` is the last event that the client
-    /// has. The attempt counts as in flight until the placer is notified of its end.
+    /// Has the placer select a server that is not among `tried_servers`. `last_event_id` is the id of the last event that
+    /// the client has. The placer counts the attempt as in flight until its end is reported.
     ///
     /// # Errors
     ///
-    /// Why no server can be selected.
+    /// The placer's reason for not selecting a server.
     pub fn select_server(
         &self,
-        last_event: Option<u64>,
+        last_event_id: Option<u64>,
         tried_servers: &[Arc<str>],
     ) -> Result<Placement, Rejection> {
         let now = self.plane.now();
-        self.plane.placer.borrow_mut().place(now, &self.placement_request(last_event), tried_servers)
+        self.plane.placer.borrow_mut().place(now, &self.placement_request(last_event_id), tried_servers)
     }
 
     fn placement_request(&self, resumed_from: Option<u64>) -> PlacementRequest<'_> {
--- a/dataplane/src/proxy.rs
+++ b/dataplane/src/proxy.rs
@@ -1,8 +1,8 @@
-//! Carries an admitted request out: attempts until one brings a response, then the response to its client.
+//! Proxies an admitted request: makes attempts until one yields a response, and forwards that response to the client.
 //!
-//! Invariants, whichever servers are selected: a request is processed at most once unless its route allows more; 429 and
-//! 503 are given only if no attempt can have been processed; a server that drains gets nothing; the client gets one
-//! response, complete or visibly truncated.
+//! Invariants, whichever servers are selected: a request is processed at most once unless its route allows more; the
+//! client gets a 429 or 503 only if no attempt can have been processed; nothing is sent to a draining server; the client
+//! gets one response, either complete or visibly truncated.
 
 use std::time::Duration;
 
@@ -18,44 +18,44 @@
 use crate::retry::AttemptHistory;
 use crate::upstream_response::UpstreamResponse;
 
-/// `Retry-After` of a rejected request if nothing better is known.
+/// `Retry-After` of a rejected request for which the placer gives no time.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(150);
 /// `Retry-After` of a request that its server rejected.
 const REJECTED_RETRY_AFTER: Duration = Duration::from_millis(60);
 
-/// How a request left its client's connection.
+/// How the proxying of a request ended, seen from the client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-#[must_use = "an aborted connection bears no other request"]
+#[must_use = "an aborted connection can't be used for another request"]
 pub(crate) enum RequestOutcome {
-    /// A response has been written to its end.
+    /// A complete response has been written.
     Responded,
-    /// The connection is of no more use: the client has gone, or its response was truncated.
+    /// The connection is unusable: the client disconnected, or its response was truncated.
     Aborted,
 }
 
-/// A request on its way through attempts.
+/// A request that is being proxied, with the history of its attempts.
 pub(crate) struct Proxy<'a> {
     request: &'a ProxiedRequest<'a>,
     history: AttemptHistory,
-    /// The client's connection ends behind the response.
+    /// Whether the client's connection is closed after the response.
     close: bool,
 }
 
 impl<'a> Proxy<'a> {
-    /// Of a request that has not been sent to any server.
+    /// Creates the proxy for a request that has not been sent to any server.
     pub fn new(request: &'a ProxiedRequest<'a>, close: bool) -> Self {
         Proxy { request, history: AttemptHistory::default(), close }
     }
 
-    /// Carries the request out and responds to its client.
+    /// Makes attempts until one yields a response or no more are allowed, and responds to the client.
     pub async fn run(mut self, client: &mut Connection) -> RequestOutcome {
         let (plane, routed) = (self.request.plane, &self.request.routed);
         let now = plane.now();
         plane.placer.borrow_mut().record_request(now, &routed.service);
         loop {
             let result = attempt(self.request, client, &mut self.history, routed.last_event_id).await;
-            let (otherwise, retry_after) = match result {
-                Err(refusal) => (LocalResponse::BadGateway, retry_after(refusal)),
+            let (failure_response, retry_after) = match result {
+                Err(rejection) => (LocalResponse::BadGateway, retry_after(rejection)),
                 Ok(AttemptResult::Response(response, placement)) => {
                     if self.history.should_retry(self.request, &response) {
                         self.discard_response(&response, &placement);
@@ -74,16 +74,16 @@
                 Ok(AttemptResult::DeadlineExceeded) => (LocalResponse::GatewayTimeout, DEFAULT_RETRY_AFTER),
                 Ok(AttemptResult::ClientGone) => return RequestOutcome::Aborted,
             };
-            // 503 says that the request was not processed.
+            // A 503 tells the client that its request was not processed.
             let response = match self.history.may_have_run {
-                true => otherwise,
+                true => failure_response,
                 false => LocalResponse::Unavailable { retry_after },
             };
             return self.respond_locally(client, response).await;
         }
     }
 
-    /// Notifies the placer of a failed attempt whose response is not forwarded.
+    /// Reports an attempt to the placer as failed; its response is not forwarded.
     fn discard_response(&self, response: &UpstreamResponse, placement: &Placement) {
         let plane = self.request.plane;
         let (now, load) = (plane.now(), response.load());
@@ -122,18 +122,19 @@
         }
     }
 
-    /// Has another server resume a stream behind the event `from`, which is `None` where the response can't be resumed.
+    /// Resumes a stream at another server, after the last event that the client has. `resume_point` is what
+    /// [`ResponseForwarding::resume_from`] returned: `None` if the response can't be resumed.
     async fn resume(
         &mut self,
         client: &Connection,
-        from: Option<Option<u64>>,
+        resume_point: Option<Option<u64>>,
     ) -> Option<(UpstreamResponse, Placement)> {
-        let from = from?;
+        let last_event_id = resume_point?;
         loop {
             if !self.history.may_send(self.request) || Instant::now() >= self.request.deadline() {
                 return None;
             }
-            match attempt(self.request, client, &mut self.history, from).await {
+            match attempt(self.request, client, &mut self.history, last_event_id).await {
                 Ok(AttemptResult::Response(response, placement)) if response.status == 200 => {
                     return Some((*response, placement));
                 }
@@ -148,6 +149,7 @@
         }
     }
 
+    /// Writes a response of the node's own to the client, and counts the request as rejected or failed.
     async fn respond_locally(&self, client: &Connection, response: LocalResponse) -> RequestOutcome {
         let plane = self.request.plane;
         let not_processed = matches!(response, LocalResponse::Unavailable { .. });
@@ -160,8 +162,8 @@
     }
 }
 
-/// When a client may come back for which no server could be selected.
-fn retry_after(refusal: Rejection) -> Duration {
-    let (Rejection::NoServer { retry_after } | Rejection::Overloaded { retry_after }) = refusal;
+/// The `Retry-After` of a request for which no server could be selected.
+fn retry_after(rejection: Rejection) -> Duration {
+    let (Rejection::NoServer { retry_after } | Rejection::Overloaded { retry_after }) = rejection;
     Duration::from_micros(retry_after)
 }
--- a/dataplane/src/response_forwarding.rs
+++ b/dataplane/src/response_forwarding.rs
@@ -1,6 +1,6 @@
-//! Forwards a response to its client: head, body, events. A stream that breaks may be resumed at another server.
+//! Forwards a response to its client: head, body, events. An interrupted stream may be resumed at another server.
 //!
-//! A stream is forwarded event by event, so that what the client has always ends behind an event.
+//! Only complete events of a stream are forwarded, so that what the client has received always ends at an event boundary.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,43 +17,43 @@
 use crate::routing::RoutedRequest;
 use crate::upstream_response::UpstreamResponse;
 
-/// Fields of a response that the node sets itself.
+/// Header fields of a response that the node sets itself.
 const NODE_FIELDS: [&str; 1] = ["connection"];
 /// Microseconds in a millisecond.
 const MICROS_PER_MS: u64 = 1_000;
 
-/// How far a response came.
+/// How the forwarding of a response ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ForwardingOutcome {
-    /// To its end.
+    /// The response was forwarded to its end.
     Complete,
-    /// Its server broke off, or the deadline has passed.
+    /// The server's connection failed, its response was invalid, or a deadline has passed.
     Interrupted,
-    /// Its client has closed the connection.
+    /// The client has closed its connection.
     ClientGone,
 }
 
 /// A response that is being forwarded.
 ///
-/// If it is dropped, the placer is notified that the client has disconnected.
+/// If it is dropped before the response has ended, the attempt is reported to the placer as ended by the client.
 pub(crate) struct ResponseForwarding<'a> {
     plane: &'a Rc<DataPlane>,
     routed: &'a RoutedRequest,
-    /// The response; none once its connection has been given back or closed.
+    /// The response; none once its connection has been released or closed.
     upstream: Option<UpstreamResponse>,
     placement: Placement,
     deadline: Instant,
-    /// The client's connection ends behind the response.
+    /// Whether the client's connection is closed after the response.
     close: bool,
     /// The client speaks HTTP/1.0, which has no chunked coding.
     http_1_0: bool,
     /// Splits a stream into events; none for any other response.
     events: Option<EventSplitter>,
-    /// How the client's body is framed, once its head has been written.
+    /// How the body sent to the client is framed; none until the head has been written.
     framing: Option<Framing>,
-    /// The first bytes of the body have come from this server.
+    /// Whether any bytes of the body have been received from this server.
     started: bool,
-    /// The placer has been notified of the attempt's end.
+    /// Whether the attempt's end has been reported to the placer.
     attempt_ended: bool,
     gaps: EventGaps,
 }
@@ -61,20 +61,20 @@
 /// The gaps between the events of one stream from one server.
 #[derive(Default)]
 struct EventGaps {
-    last_event: Option<Instant>,
+    last_event_at: Option<Instant>,
     longest: Option<Duration>,
 }
 
 impl EventGaps {
     fn record_event(&mut self, now: Instant) {
-        if let Some(last) = self.last_event.replace(now) {
+        if let Some(last) = self.last_event_at.replace(now) {
             self.longest = self.longest.max(Some(now - last));
         }
     }
 }
 
 impl<'a> ResponseForwarding<'a> {
-    /// Of a response of which nothing has been written.
+    /// Creates the forwarding of a response of which nothing has been written to the client.
     pub fn new(
         request: &'a ProxiedRequest<'a>,
         upstream: UpstreamResponse,
@@ -99,7 +99,7 @@
         }
     }
 
-    /// The event behind which another server may resume, `Some(None)` for the stream's beginning; `None` if this
+    /// The id of the event after which another server may resume the stream, `Some(None)` for its beginning; `None` if this
     /// response can't be resumed.
     pub fn resume_from(&self) -> Option<Option<u64>> {
         let events = self.events.as_ref()?;
@@ -108,20 +108,20 @@
         (resumable && Instant::now() < self.deadline).then(|| events.last_id())
     }
 
-    /// Goes on with another server's response, whose head is not forwarded.
+    /// Continues with the response of another server, whose head is not forwarded.
     pub fn resume_with(&mut self, upstream: UpstreamResponse, placement: Placement) {
         self.upstream = Some(upstream);
         self.placement = placement;
         self.started = false;
         self.attempt_ended = false;
-        // The time to reach another server is no gap of a service.
+        // The time taken to reach another server says nothing about how the service paces its events.
         self.gaps = EventGaps::default();
         if let Some(events) = &mut self.events {
             events.discard_partial();
         }
     }
 
-    /// Forwards what comes, to its end.
+    /// Forwards the response until it ends or is interrupted.
     pub async fn run(&mut self, client: &mut Connection) -> ForwardingOutcome {
         if self.framing.is_none() {
             let head = self.client_head();
@@ -131,14 +131,14 @@
         }
         loop {
             let mut bytes = self.plane.pool.chain();
-            let most = self.plane.pool.part_size();
+            let max_bytes = self.plane.pool.part_size();
             let awaits_first_event = self.events.is_some() && !self.started;
             let Some(upstream) = &mut self.upstream else { return ForwardingOutcome::Complete };
-            // `read_piece` is cancellation safe: what it has read is in `bytes`, the rest in the connection's buffer.
-            // Where another branch wins, forwarding ends.
+            // `read_body` is cancellation safe: what it has read is in `bytes`, the rest in the connection's buffer. If
+            // another branch completes first, forwarding ends.
             let read = tokio::select! {
                 biased;
-                read = upstream.connection.read_body(&mut upstream.body, &mut bytes, most) => read,
+                read = upstream.connection.read_body(&mut upstream.body, &mut bytes, max_bytes) => read,
                 () = client.peer_closed() => {
                     return self.abort(ForwardingOutcome::ClientGone, AttemptOutcome::ClientGone);
                 }
@@ -150,7 +150,7 @@
                     return self.abort(ForwardingOutcome::Interrupted, AttemptOutcome::TimedOut);
                 }
             };
-            // What came before a connection was lost is forwarded: a stream is resumed behind it.
+            // What was received before the connection was lost is still forwarded: a stream is resumed after it.
             let last = matches!(read, Ok(true));
             let out = self.complete_part(bytes, last);
             if (last || !out.is_empty())
@@ -170,7 +170,7 @@
         }
     }
 
-    /// The head that the client gets. Decides how its body is framed.
+    /// The head that is sent to the client. Decides how the body is framed.
     fn client_head(&mut self) -> Chain {
         let mut out = self.plane.pool.chain();
         let Some(upstream) = &self.upstream else { return out };
@@ -195,7 +195,8 @@
         out
     }
 
-    /// What of these bytes and those before can be forwarded now: of a stream, complete events only.
+    /// What can be forwarded now of these bytes and those still buffered: all of them, or the complete events of a stream.
+    /// `last`: the response ends with these bytes.
     fn complete_part(&mut self, bytes: Chain, last: bool) -> Chain {
         if !self.started && !bytes.is_empty() {
             self.started = true;
@@ -219,7 +220,7 @@
         out
     }
 
-    /// Notifies the placer that the server has begun, and on which model version.
+    /// Reports to the placer that the server has begun to respond, and on which model version.
     fn report_first_bytes(&self) {
         let (now, attempt) = (self.plane.now(), self.placement.attempt);
         let version = self.upstream.as_ref().and_then(UpstreamResponse::version);
@@ -230,7 +231,7 @@
         placer.record_first_event(now, attempt);
     }
 
-    /// A stream came to its end from one server: its longest gap shows how the service does.
+    /// Reports the longest gap between the events of a complete stream to the placer, as a measure of how the service performs.
     fn report_longest_gap(&self) {
         if let Some(longest) = self.gaps.longest {
             let longest = longest.as_micros() as u64;
@@ -239,11 +240,13 @@
         }
     }
 
-    fn warn_outdated(&self, begin: OutdatedStart) {
+    /// Logs that a request was started on a model version after a newer one had become binding.
+    fn warn_outdated(&self, start: OutdatedStart) {
         warn!(self.plane.log, "request started on outdated version"; "server" => &*self.placement.server,
-            "version" => begin.version, "required_version" => begin.binding, "waited_ms" => begin.waited / MICROS_PER_MS);
+            "version" => start.version, "required_version" => start.binding, "waited_ms" => start.waited / MICROS_PER_MS);
     }
 
+    /// Writes a part of the body to the client, framed as its head announces.
     async fn write_body(
         &self,
         client: &Connection,
@@ -259,12 +262,12 @@
         }
     }
 
-    /// Writes to the client, who may read slowly or leave meanwhile.
+    /// Writes to the client, until the deadline or until the client disconnects.
     ///
     /// # Errors
     ///
-    /// How forwarding ends instead. The client may have a part of the bytes then, so nothing else may follow them:
-    /// `write` is not cancellation safe.
+    /// How forwarding ends instead. The client may have received a part of the bytes, so nothing else may be written after
+    /// an error: `write` is not cancellation safe.
     async fn write(&self, client: &Connection, chains: &[&Chain]) -> Result<(), ForwardingOutcome> {
         tokio::select! {
             biased;
@@ -274,7 +277,8 @@
         }
     }
 
-    /// Notifies the placer, and resets the server's connection, so that it does not work on.
+    /// Reports the attempt's end to the placer and resets the server's connection, so that the server stops working on the
+    /// request.
     fn abort(&mut self, forwarding: ForwardingOutcome, attempt: AttemptOutcome) -> ForwardingOutcome {
         self.end_attempt(attempt);
         if let Some(upstream) = self.upstream.take() {
@@ -283,7 +287,7 @@
         forwarding
     }
 
-    /// Notifies the placer of the attempt's end, once.
+    /// Reports the attempt's end to the placer, once.
     fn end_attempt(&mut self, outcome: AttemptOutcome) {
         if std::mem::replace(&mut self.attempt_ended, true) {
             return;
@@ -299,7 +303,7 @@
         placer.record_end(now, self.placement.attempt, outcome, load, None);
     }
 
-    /// Gives the server's connection back for another request, unless it has ended with the response.
+    /// Releases the server's connection to the pool, unless the end of the connection was the end of the response.
     fn release_connection(&mut self) {
         let Some(UpstreamResponse { connection, head, framing, .. }) = self.upstream.take() else { return };
         if framing != Framing::UntilClose {
--- a/dataplane/src/routing.rs
+++ b/dataplane/src/routing.rs
@@ -1,4 +1,4 @@
-//! From a request's head to where it goes and within which bounds: its route, tenant, service and prompt. No I/O.
+//! Routes a request by its head: finds its route, tenant, service, limits and prompt. Does no I/O.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::Arc;
@@ -10,22 +10,22 @@
 
 use crate::local_response::LocalResponse;
 
-/// The priority of a request whose route and tenant set none; it is not sent to servers.
+/// The priority of a request whose route and tenant set none. Servers assume it, so it is not sent to them.
 const DEFAULT_PRIORITY: u8 = 5;
 /// The lowest priority; 0 is the highest.
 const LOWEST_PRIORITY: u8 = 9;
-/// The deadline of a request without `X-Deadline-Ms`, from its arrival.
+/// Time allowed for a request without `X-Deadline-Ms`, from its arrival.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 /// The longest deadline that a client can ask for: a day, in milliseconds.
 const MAX_DEADLINE_MS: f64 = 86_400_000.0;
 
-/// A request that the configuration allows.
+/// A request that the configuration allows, with what follows from its route and head.
 pub(crate) struct RoutedRequest {
     /// The client's `X-Request-Id`; empty if there is none.
     pub id: Vec<u8>,
-    /// The service that gets it.
+    /// The service that it is sent to.
     pub service: Arc<str>,
-    /// The tenant whose key it bears.
+    /// The tenant that its API key belongs to.
     pub tenant: Option<Arc<str>>,
     /// Which cached prefixes it may reuse.
     pub isolation: CacheIsolation,
@@ -35,9 +35,9 @@
     pub timeout: Duration,
     /// Latency target (SLO): a response within it has its full value.
     pub latency_target: Duration,
-    /// Target of the gaps between the events of its stream, if its route sets one.
+    /// Target for the gaps between the events of its stream, if its route sets one.
     pub event_gap_target: Option<Duration>,
-    /// The most servers that it may be sent to.
+    /// The maximum number of servers that it may be sent to.
     pub max_attempts: u32,
     /// It may be processed more than once.
     pub idempotent: bool,
@@ -45,19 +45,19 @@
     pub streaming: bool,
     /// Its stream may be resumed at another server.
     pub resumable: bool,
-    /// The last event that its client has (`Last-Event-Id`).
+    /// The id of the last event that its client has (`Last-Event-Id`).
     pub last_event_id: Option<u64>,
-    /// The model that is asked for (`X-Model`).
+    /// The requested model (`X-Model`).
     pub model: Option<String>,
     /// The chunks of its prompt, in order (`X-Prompt-Prefix`).
     pub prompt: Vec<PromptChunk>,
-    /// Tokens of its prompt (`X-Token-Count`, first number).
+    /// The number of tokens in its prompt (`X-Token-Count`, first number).
     pub prompt_tokens: u32,
-    /// The most tokens generated for it (`X-Token-Count`, second number).
+    /// The maximum number of tokens generated for it (`X-Token-Count`, second number).
     pub max_output_tokens: u32,
 }
 
-/// Finds the route, tenant and service of a request. `shared_isolation` is the hash of the set of isolated tenants.
+/// Finds the route, tenant and service of a request. `isolated_tenants_hash` is the hash of the set of isolated tenants.
 ///
 /// # Errors
 ///
@@ -65,12 +65,12 @@
 pub(crate) fn route_request(
     configuration: &Configuration,
     head: &Head,
-    shared_isolation: u64,
+    isolated_tenants_hash: u64,
 ) -> Result<RoutedRequest, LocalResponse> {
     let host =
         head.get("host").filter(|_| head.get_all("host").count() == 1).ok_or(LocalResponse::BadRequest)?;
     let route = configuration.route(host, head.path()).ok_or(LocalResponse::NotFound)?;
-    let tenant = tenant(configuration, route, head)?;
+    let tenant = authenticate_tenant(configuration, route, head)?;
     let id = head.get_all("x-request-id").next().unwrap_or_default().to_vec();
     let service = select_service(route, &id).ok_or(LocalResponse::NotFound)?;
     let (prompt_tokens, max_output_tokens) = head.get("x-token-count").map(token_counts).unwrap_or_default();
@@ -78,7 +78,7 @@
         service,
         isolation: match tenant {
             Some(tenant) if tenant.isolated => CacheIsolation::Tenant(tenant.name.clone()),
-            _ => CacheIsolation::Shared(shared_isolation),
+            _ => CacheIsolation::Shared(isolated_tenants_hash),
         },
         priority: tenant.and_then(|tenant| tenant.priority).unwrap_or(route.priority).min(LOWEST_PRIORITY),
         tenant: tenant.map(|tenant| tenant.name.clone()),
@@ -98,29 +98,33 @@
     })
 }
 
-/// The time that the client gives in `X-Deadline-Ms`. What is no time counts as absent.
+/// The time that the client allows in `X-Deadline-Ms`. A value that is not a valid time counts as absent.
 fn requested_timeout(head: &Head) -> Duration {
     let milliseconds = head.get("x-deadline-ms").and_then(|text| text.trim().parse::<f64>().ok());
     let milliseconds = milliseconds.filter(|ms| ms.is_finite() && *ms >= 0.0);
     milliseconds.map_or(DEFAULT_TIMEOUT, |ms| Duration::from_secs_f64(ms.min(MAX_DEADLINE_MS) / 1000.0))
 }
 
-/// The tenant whose key a request bears; none where no key is required.
-fn tenant<'a>(
+/// The tenant that the request's API key belongs to; none for a request without a known key where none is required.
+///
+/// # Errors
+///
+/// 401 if the route requires a key and the request has no known one.
+fn authenticate_tenant<'a>(
     configuration: &'a Configuration,
     route: &Route,
     head: &Head,
 ) -> Result<Option<&'a Tenant>, LocalResponse> {
-    let known = head.get("x-api-key").and_then(|key| configuration.tenant_by_key(key.trim()));
+    let tenant = head.get("x-api-key").and_then(|key| configuration.tenant_by_key(key.trim()));
     let required = !route.public && !configuration.tenants.is_empty();
-    match known {
+    match tenant {
         None if required => Err(LocalResponse::Unauthorized),
-        known => Ok(known),
+        tenant => Ok(tenant),
     }
 }
 
-/// One of the route's services, by weight. It depends on the id alone, so that a request that a client sends again goes
-/// to the same service whichever node gets it.
+/// Selects one of the route's services by weight. The selection depends on the request id only, so that a request that a
+/// client sends again goes to the same service, whichever node receives it.
 fn select_service(route: &Route, id: &[u8]) -> Option<Arc<str>> {
     if let [only] = &route.split[..] {
         return Some(only.service.clone());
@@ -128,7 +132,7 @@
     let total: f64 = route.split.iter().map(|target| target.weight).sum();
     let mut hasher = DefaultHasher::new();
     id.hash(&mut hasher);
-    // The upper 53 bits as a fraction of 1: an `f64` holds no more.
+    // The upper 53 bits as a fraction of 1: the mantissa of an `f64` has 53 bits.
     let mut point = (hasher.finish() >> 11) as f64 / (1u64 << 53) as f64 * total;
     for target in route.split.iter().filter(|target| target.weight > 0.0) {
         if point < target.weight {
@@ -140,13 +144,13 @@
     route.split.iter().rfind(|target| target.weight > 0.0).map(|target| target.service.clone())
 }
 
-/// Tokens of the prompt, and the most that are generated.
+/// Parses the number of tokens in the prompt and the maximum number generated.
 fn token_counts(text: &str) -> (u32, u32) {
     let mut numbers = text.split(',').map(|number| number.trim().parse().unwrap_or(0));
     (numbers.next().unwrap_or(0), numbers.next().unwrap_or(0))
 }
 
-/// The chunks of a prompt; one that can't be parsed ends the list, since a prefix is only known up to there.
+/// Parses the chunks of a prompt. One that can't be parsed ends the list, since the prefix is only known up to there.
 fn prompt_chunks(text: &str) -> Vec<PromptChunk> {
     text.split(',').map_while(prompt_chunk).collect()
 }
@@ -156,7 +160,7 @@
     Some(PromptChunk { id: chunk_id(id), tokens: tokens.trim().parse().ok()? })
 }
 
-/// A chunk's id as a number; one that is no hexadecimal number of 64 bits is hashed.
+/// A chunk's id as a number. An id that is not a 64-bit hexadecimal number is hashed.
 pub(crate) fn chunk_id(text: &str) -> u64 {
     u64::from_str_radix(text, 16).unwrap_or_else(|_| {
         let mut hasher = DefaultHasher::new();
@@ -165,7 +169,7 @@
     })
 }
 
-/// The value of the `Priority` field; absent for the default.
+/// The value of the `Priority` field; none for the default priority, which is not sent.
 pub(crate) fn priority_field(priority: u8) -> Option<u8> {
     (priority != DEFAULT_PRIORITY).then_some(priority)
 }
--- a/dataplane/src/shutdown.rs
+++ b/dataplane/src/shutdown.rs
@@ -1,4 +1,5 @@
-//! Graceful shutdown: requests are served, then rejected; open ones are answered; then no connection is accepted.
+//! Graceful shutdown: new requests are first served, then rejected while open ones are completed; finally no more connections
+//! are accepted.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,24 +9,24 @@
 use crate::data_plane::DataPlane;
 use crate::lifecycle::Phase;
 
-/// How often a process that ends looks for open requests.
+/// How often shutdown checks for open requests.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Time for the tasks of connections to see a new phase and close what is idle.
+/// Time for the connection tasks to notice a new phase and close idle connections.
 const PHASE_SETTLING: Duration = Duration::from_millis(60);
 
-/// How long graceful shutdown takes, from its announcement.
+/// Durations of graceful shutdown, measured from its announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownTimes {
-    /// Requests that come are begun for this long. It covers the time until the platform sends nothing new.
+    /// New requests are accepted for this long. It covers the time until the platform stops sending new requests.
     pub accepts_requests_for: Duration,
-    /// Open requests may go on for this long.
+    /// Open requests may continue for this long.
     pub grace_period: Duration,
 }
 
 /// Shuts the data plane down. Returns once no request is open, at the latest after the grace period.
 ///
-/// `hand_over` is what else has to be done before the process may end; it goes on beside the first phase, and limits
-/// itself.
+/// `hand_over` is what else has to be done before the process may exit. It runs concurrently with the first phase, which
+/// lasts at least until it is done, and has its own time limit.
 pub async fn shut_down(plane: &Rc<DataPlane>, times: ShutdownTimes, hand_over: impl Future<Output = ()>) {
     let announced = Instant::now();
     let deadline = announced + times.grace_period;
@@ -35,13 +36,13 @@
     plane.set_phase(Phase::Closing);
     sleep(PHASE_SETTLING).await;
     wait_for_requests(plane, deadline).await;
-    // What has been accepted by now is still answered. What waits to be accepted is reset unread.
+    // Connections accepted by now are still served. Those waiting to be accepted are reset unread.
     plane.set_phase(Phase::Closed);
     sleep(PHASE_SETTLING).await;
     wait_for_requests(plane, deadline).await;
 }
 
-/// Waits until no request is open, until the deadline.
+/// Waits until no request is open, at most until the deadline.
 async fn wait_for_requests(plane: &DataPlane, deadline: Instant) {
     while plane.open_requests() > 0 && Instant::now() < deadline {
         sleep(POLL_INTERVAL).await;
--- a/dataplane/src/upstream_request.rs
+++ b/dataplane/src/upstream_request.rs
@@ -1,5 +1,5 @@
-//! The head of a request as a model server gets it: the client's fields, less those of one connection and those that
-//! only the node may set, and the node's own.
+//! The head of a request as it is sent to a model server: the client's header fields without the hop-by-hop ones and those
+//! that only the node may set, and the fields that the node adds.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use crate::proxied_request::ProxiedRequest;
 use crate::routing::priority_field;
 
-/// Fields that the node sets itself, whatever the client sent.
+/// Header fields that only the node may set: the client's values are not forwarded.
 const NODE_FIELDS: [&str; 12] = [
     "x-api-key",
     "x-tenant",
@@ -25,21 +25,22 @@
     "x-not-run",
     "accept-encoding",
 ];
-/// Fields that a server needs as the client sent them, also where the client's `Connection` lists them as its own.
+/// Header fields that a server needs as the client sent them. They are forwarded even if the client's `Connection` field lists
+/// them as hop-by-hop.
 const END_TO_END_FIELDS: [&str; 5] = ["host", "x-request-id", "x-model", "x-token-count", "x-prompt-prefix"];
-/// The least value of `X-Deadline-Ms`, in milliseconds.
+/// The lowest value of `X-Deadline-Ms` that is sent, in milliseconds.
 const MIN_DEADLINE_MS: u64 = 1;
 
-/// The head of the request for the chosen server. `time_left` is what the server is given to respond in, `last_event` the
-/// last event that the client has.
+/// The head of the request for the selected server. `time_left` is the time that the server has to respond, `last_event_id`
+/// the id of the last event that the client has.
 pub(crate) fn upstream_request_head(
     request: &ProxiedRequest<'_>,
     placement: &Placement,
     time_left: Duration,
-    last_event: Option<u64>,
+    last_event_id: Option<u64>,
 ) -> Chain {
     let head = request.head;
-    let mut out = client_part(&request.plane.pool, head);
+    let mut out = forwarded_client_head(&request.plane.pool, head);
     let mut field = |name: &str, value: &str| push_field(&mut out, name, value.as_bytes());
     let deadline_ms = (time_left.as_millis() as u64).max(MIN_DEADLINE_MS);
     field("X-Deadline-Ms", &deadline_ms.to_string());
@@ -62,8 +63,8 @@
     if let Some(store) = placement.save {
         field("Kv-Save", &store.to_string());
     }
-    if let Some(last) = last_event {
-        field("Last-Event-Id", &last.to_string());
+    if let Some(id) = last_event_id {
+        field("Last-Event-Id", &id.to_string());
     }
     let length = request.body.len();
     if length > 0 || !matches!(head.method(), "GET" | "HEAD") {
@@ -73,8 +74,8 @@
     out
 }
 
-/// The request line and the fields of the client that are forwarded.
-fn client_part(pool: &Pool, head: &Head) -> Chain {
+/// The request line and the client's header fields that are forwarded.
+fn forwarded_client_head(pool: &Pool, head: &Head) -> Chain {
     let mut out = pool.chain();
     for text in [head.method(), " ", head.target(), " HTTP/1.1\r\n"] {
         out.push(text.as_bytes());
