--- a/dataplane/src/cache_events/calls.rs
+++ b/dataplane/src/cache_events/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to a cache store: for its contents, and for its events.
+//! Calls to a cache store for its contents and its events.
 
 use std::io;
 use std::net::SocketAddrV4;
@@ -11,42 +11,42 @@
 use tokio::net::TcpSocket;
 use tokio::time::timeout;
 
-/// The store holds a call for events this long unless something happens (`Wait-Ms`), in milliseconds.
+/// How long the store waits for an event before it responds to a long poll (`Wait-Ms`), in milliseconds.
 const WAIT_MS: u64 = 900;
-/// A call is answered within this, or the store is down. Longer than [`WAIT_MS`].
+/// Time-out for a response, after which the store counts as down. Longer than [`WAIT_MS`].
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1300);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// The longest response that is read, in bytes.
+/// Maximum length of a response body, in bytes.
 const MAX_RESPONSE_BYTES: u64 = 8 * 1024 * 1024;
 
 /// Why a call to a cache store failed.
 #[derive(Debug, Snafu)]
 pub(super) enum CallError {
-    #[snafu(display("the connection did not come up within {} ms", CONNECT_TIMEOUT.as_millis()))]
+    #[snafu(display("connect timed out after {} ms", CONNECT_TIMEOUT.as_millis()))]
     ConnectTimeout,
-    #[snafu(display("the connection did not come up: {source}"))]
+    #[snafu(display("connect failed: {source}"))]
     Connect { source: io::Error },
-    #[snafu(display("the request could not be written: {source}"))]
+    #[snafu(display("failed to write the request: {source}"))]
     Write { source: io::Error },
-    #[snafu(display("no response came within {} ms", RESPONSE_TIMEOUT.as_millis()))]
+    #[snafu(display("no response within {} ms", RESPONSE_TIMEOUT.as_millis()))]
     ResponseTimeout,
-    #[snafu(display("the response could not be read: {source}"))]
+    #[snafu(display("failed to read the response: {source}"))]
     Read { source: ReadError },
-    #[snafu(display("the response is not a success"))]
+    #[snafu(display("the response status is not 200"))]
     Status,
-    #[snafu(display("the response can't be parsed: {source}"))]
+    #[snafu(display("failed to parse the response: {source}"))]
     Parse { source: serde_json::Error },
 }
 
-/// What changed since the event that was asked from.
+/// The events of a store since a given one.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(super) struct Events {
-    /// Another one after each restart of the store.
+    /// Changes with each restart of the store.
     pub epoch: u64,
-    /// The event to ask from next.
+    /// The token to pass to the next call.
     pub next_token: u64,
-    /// Whether there is a gap before these events.
+    /// Whether events before these were lost.
     #[serde(default)]
     pub lost: bool,
     /// In the order in which they happened.
@@ -54,7 +54,7 @@
     pub events: Vec<Event>,
 }
 
-/// On the wire a list: number, `+` or `-`, salt, chunk, tokens held now, model.
+/// One change. On the wire a list: number, `+` (added) or `-` (dropped), salt, chunk, tokens held now, model.
 #[derive(Deserialize)]
 pub(super) struct Event(
     #[expect(dead_code, reason = "position in the list")] pub u64,
@@ -65,22 +65,23 @@
     pub String,
 );
 
-/// What a store holds now.
+/// The current contents of a store.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(super) struct CacheContents {
+    /// Changes with each restart of the store.
     pub epoch: u64,
-    /// The event to ask from next.
+    /// The token to pass to the first call for events.
     pub next_token: u64,
     #[serde(default, rename = "held")]
     pub chunks: Vec<CachedChunk>,
 }
 
-/// On the wire a list: salt, chunk, tokens, model.
+/// A chunk in the cache. On the wire a list: salt, chunk, tokens, model.
 #[derive(Deserialize)]
 pub(super) struct CachedChunk(pub String, pub String, pub u32, pub String);
 
-/// A connection to a store for such calls.
+/// A connection to a store.
 pub(super) struct EventClient<'a> {
     address: SocketAddrV4,
     connection: Connection,
@@ -88,11 +89,11 @@
 }
 
 impl<'a> EventClient<'a> {
-    /// Connects.
+    /// Connects to a store.
     ///
     /// # Errors
     ///
-    /// The connection did not come up in time.
+    /// Connecting failed or timed out.
     pub async fn connect(address: SocketAddrV4, pool: &'a Pool) -> Result<Self, CallError> {
         let connecting = TcpSocket::new_v4().context(ConnectSnafu)?.connect(address.into());
         let connected = timeout(CONNECT_TIMEOUT, connecting).await.map_err(|_| CallError::ConnectTimeout)?;
@@ -100,24 +101,25 @@
         Ok(EventClient { address, connection: Connection::new(stream, pool, ()), pool })
     }
 
-    /// Asks for what the store holds.
+    /// Fetches the contents of the store.
     ///
     /// # Errors
     ///
-    /// As [`CallError`] says; the connection is of no more use.
+    /// See [`CallError`]; the connection is unusable afterwards.
     pub async fn contents(&mut self) -> Result<CacheContents, CallError> {
         self.call("/v1/kv-list", None).await
     }
 
-    /// Asks for the events after this one, in a long poll.
+    /// Fetches the events since this token by a long poll.
     ///
     /// # Errors
     ///
-    /// As [`CallError`] says; the connection is of no more use.
+    /// See [`CallError`]; the connection is unusable afterwards.
     pub async fn events(&mut self, since: u64) -> Result<Events, CallError> {
         self.call(&format!("/v1/kv-events?since={since}"), Some(WAIT_MS)).await
     }
 
+    /// Makes a call and parses its response. `wait_ms` makes it a long poll.
     async fn call<T: for<'d> Deserialize<'d>>(
         &mut self,
         path: &str,
--- a/dataplane/src/cache_events/mod.rs
+++ b/dataplane/src/cache_events/mod.rs
@@ -1,8 +1,9 @@
-//! What cache stores hold, by their events.
+//! Tracks the contents of cache stores by their events.
 //!
-//! A node asks a store for its contents once, then for events by long polls. A store holds only so many of these calls at
-//! once, so in a large fleet only the nodes of the lowest subscriber ranks ask; the others learn from them, by the control
-//! plane, whether a store answers at all, and by load reports what changed.
+//! A node fetches the contents of a store once, and then its events by long polling. A store accepts only a limited
+//! number of concurrent long polls. In a large fleet, therefore, only the nodes with the lowest subscriber ranks poll
+//! it. The other nodes learn from them whether a store responds at all (through the control plane), and what changed
+//! (through load reports).
 
 mod calls;
 pub mod subscriber;
--- a/dataplane/src/cache_events/subscriber.rs
+++ b/dataplane/src/cache_events/subscriber.rs
@@ -1,4 +1,4 @@
-//! One task for each cache store that this node subscribes to.
+//! Subscriptions to cache stores, each run by a task of its own.
 
 use std::convert::Infallible;
 use std::net::SocketAddrV4;
@@ -15,26 +15,27 @@
 use crate::data_plane::DataPlane;
 use crate::routing::chunk_id;
 
-/// A store that did not answer is called again after this.
+/// Pause after a failed call to a store.
 const RETRY_PAUSE: Duration = Duration::from_millis(400);
-/// Calls for events begin at least this far apart, so that one answer holds several.
+/// Minimum time between the starts of two event polls, so that one response holds several events.
 const MIN_CALL_INTERVAL: Duration = Duration::from_millis(250);
-/// Of the calls that a store holds at once (`maxInFlight`), so many are left to others than the subscribing nodes.
+/// The number of concurrent calls of a store (`maxInFlight`) that are reserved for callers other than subscribing nodes.
 const RESERVED_CALLS: usize = 2;
 
-/// Subscribes to the stores of the configuration in force that this node's subscriber rank is due for, and to no others.
+/// Starts and stops subscriptions so that this node subscribes to exactly those stores of the configuration in force
+/// that its subscriber rank selects.
 pub(crate) fn update_subscriptions(plane: &Rc<DataPlane>) {
     let Some(configuration) = plane.configuration() else { return };
-    let due = due_stores(&configuration, plane.cache_stores.subscriber_rank.get());
+    let stores = stores_to_subscribe(&configuration, plane.cache_stores.subscriber_rank.get());
     let mut running = plane.cache_stores.running.borrow_mut();
     running.retain(|key, task| {
-        let stays = due.contains(key);
-        if !stays {
+        let keep = stores.contains(key);
+        if !keep {
             task.abort();
         }
-        stays
+        keep
     });
-    for key in due {
+    for key in stores {
         running.entry(key.clone()).or_insert_with(|| {
             let subscription = Subscription { plane: plane.clone(), store: key.0, address: key.1 };
             tokio::task::spawn_local(subscription.run())
@@ -42,7 +43,8 @@
     }
 }
 
-/// Has the placer count stores that this node does not subscribe to as alive while other nodes say so.
+/// Renews the placer's contact time of the stores that this node does not subscribe to and that other nodes report as
+/// responding.
 pub(crate) fn renew_reported_stores(plane: &DataPlane) {
     let now = plane.now();
     for store in plane.cache_stores.reported_without_subscription() {
@@ -51,7 +53,7 @@
 }
 
 /// The stores that a node of this subscriber rank subscribes to.
-fn due_stores(configuration: &Configuration, rank: usize) -> Vec<CacheStoreKey> {
+fn stores_to_subscribe(configuration: &Configuration, rank: usize) -> Vec<CacheStoreKey> {
     let stores = configuration.services.iter().filter_map(|service| match &service.kind {
         ServiceKind::Store { address, max_in_flight, .. } => {
             let subscribers = (*max_in_flight as usize).saturating_sub(RESERVED_CALLS).max(1);
@@ -62,7 +64,7 @@
     stores.collect()
 }
 
-/// The subscription to one store. Its task may be aborted at any `await`: nothing is left half done there.
+/// The subscription to one store. Its task may be aborted at any `await`: no update is applied partially then.
 struct Subscription {
     plane: Rc<DataPlane>,
     store: Arc<str>,
@@ -70,9 +72,10 @@
 }
 
 impl Subscription {
+    /// Follows the store, and starts over after each failure.
     async fn run(self) {
         loop {
-            // What failed is not logged: a store that is down would fill the log. Its health is reported.
+            // The error is not logged: a store that is down would fill the log. Its health is reported instead.
             let Err(_) = self.follow().await;
             self.plane.cache_stores.report_health(&self.store, false);
             let now = self.plane.now();
@@ -81,7 +84,7 @@
         }
     }
 
-    /// Takes in what the store holds, and then its events, until a call fails.
+    /// Fetches the contents of the store, and then its events until a call fails.
     async fn follow(&self) -> Result<Infallible, CallError> {
         let mut client = EventClient::connect(self.address, &self.plane.pool).await?;
         let contents = client.contents().await?;
@@ -114,8 +117,8 @@
         }
     }
 
-    /// Has the changes reported to nodes that do not subscribe, where this node is the one to do so: all subscribers see
-    /// the same events.
+    /// Queues the changes for the load reports to the nodes that do not subscribe. Only the node of rank 0 does so,
+    /// since all subscribers see the same events.
     fn share_changes(&self, events: &[Event], reset: bool) {
         if self.plane.cache_stores.subscriber_rank.get() > 0 || (events.is_empty() && !reset) {
             return;
@@ -124,15 +127,17 @@
             key: chunk_key(salt, chunk_id(chunk)),
             tokens: *tokens,
         });
-        let changes = StoreUpdate { store: holder_hash(&self.store), reset, chunks: chunks.collect() };
-        self.plane.placer.borrow_mut().queue_store_update(changes);
+        let update = StoreUpdate { store: holder_hash(&self.store), reset, chunks: chunks.collect() };
+        self.plane.placer.borrow_mut().queue_store_update(update);
     }
 
+    /// Removes everything that the placer knows of the store's contents.
     fn reset(&self) {
         let now = self.plane.now();
         self.plane.placer.borrow_mut().reset_cache_holder(now, &self.store);
     }
 
+    /// Applies one change of the store's contents to the placer.
     fn apply(&self, change: CacheEvent<'_>) {
         let now = self.plane.now();
         self.plane.placer.borrow_mut().apply_cache_event(now, &self.store, change);
--- a/dataplane/src/denied_requests.rs
+++ b/dataplane/src/denied_requests.rs
@@ -1,6 +1,8 @@
-//! Requests that the configuration in force does not allow: counted, and logged once in a while with its version.
+//! Requests that the configuration in force does not allow: counts them, and logs the count at most once a second with the
+//! version of the configuration.
 //!
-//! A node that lacks a newer configuration denies what that one allows; the log shows it beside the versions of other nodes.
+//! A node that has not received a newer configuration denies requests which that one allows. Comparing the logged
+//! version with those of other nodes shows such a node.
 
 use std::cell::Cell;
 
@@ -13,7 +15,7 @@
 /// The shortest time between two log lines.
 const LOG_INTERVAL: Micros = 1_000_000;
 
-/// Counts denied requests between two log lines.
+/// The number of denied requests since the last log line.
 #[derive(Debug, Default)]
 pub(crate) struct DeniedRequests {
     unlogged: Cell<u64>,
--- a/dataplane/src/event_splitter.rs
+++ b/dataplane/src/event_splitter.rs
@@ -1,5 +1,5 @@
-//! Server-sent events (WHATWG HTML, section 9.2): where an event ends, its id, and the model version that it names. No
-//! I/O.
+//! Splits server-sent events (WHATWG HTML, section 9.2): finds where an event ends, its id, and the model version that it
+//! names. Does no I/O.
 
 /// The field with an event's id.
 const ID: &[u8] = b"id:";
@@ -10,18 +10,20 @@
 
 /// Splits a stream into complete events.
 ///
-/// Only complete events are forwarded, so that a stream that breaks can be resumed at the end of one.
+/// Only complete events are forwarded, so that an interrupted stream can be resumed after the last one.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
+    /// Bytes after the last complete event.
     pending: Vec<u8>,
     last_id: Option<u64>,
-    /// The last event had no id.
+    /// Whether the last complete event had no id.
     last_without_id: bool,
+    /// The last model version named since the last [`EventSplitter::take_version`].
     version: Option<u64>,
 }
 
 impl EventSplitter {
-    /// A splitter for a stream that resumes behind this id, if there is one.
+    /// Creates a splitter for a stream that starts after the event with this id, if there is one.
     pub fn after(last_id: Option<u64>) -> Self {
         EventSplitter { last_id, ..EventSplitter::default() }
     }
@@ -31,25 +33,26 @@
         self.last_id
     }
 
-    /// True if the last complete event is the one that [`EventSplitter::last_id`] names: behind one without an id, no
-    /// server could resume without a repeat.
+    /// True if the last complete event is the one that [`EventSplitter::last_id`] names. After an event without an id, no
+    /// server could resume the stream without repeating it.
     pub fn last_event_has_id(&self) -> bool {
         !self.last_without_id
     }
 
-    /// The model version that the last event with one named; this call resets it.
+    /// The model version most recently named by an event. The call resets it.
     pub fn take_version(&mut self) -> Option<u64> {
         self.version.take()
     }
 
-    /// Takes in bytes of the stream and appends the events that are complete by now to `complete`.
+    /// Adds bytes of the stream, and appends the events that they complete to `complete`.
     pub fn push(&mut self, bytes: &[u8], complete: &mut Vec<u8>) {
-        let searched = self.pending.len().saturating_sub(3);
+        // The line ends that complete an event may be split between two calls.
+        let search_from = self.pending.len().saturating_sub(3);
         self.pending.extend_from_slice(bytes);
         let mut start = 0;
-        let mut at = searched;
+        let mut at = search_from;
         while let Some(end) = event_end(&self.pending, at) {
-            self.read(start..end);
+            self.parse_event(start..end);
             start = end;
             at = end;
         }
@@ -59,25 +62,26 @@
         }
     }
 
-    /// Bytes behind the last complete event, to be forwarded at the end of a stream that was not truncated.
+    /// Takes the bytes after the last complete event. They are forwarded at the end of a stream that was not truncated.
     pub fn take_remainder(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.pending)
     }
 
-    /// Drops the beginning of an event that will not be completed.
+    /// Discards the beginning of an event that will not be completed.
     pub fn discard_partial(&mut self) {
         self.pending.clear();
     }
 
-    fn read(&mut self, event: std::ops::Range<usize>) {
+    /// Reads the id and the model version of a complete event.
+    fn parse_event(&mut self, event: std::ops::Range<usize>) {
         let (mut id, mut has_data) = (None, false);
         for line in self.pending[event].split(|byte| *byte == b'\n') {
             if let Some(value) = line.strip_prefix(ID) {
-                id = number(value);
+                id = parse_number(value);
             } else if line.starts_with(DATA) {
                 has_data = true;
             } else if line.len() >= VERSIONS.len() && line[..VERSIONS.len()].eq_ignore_ascii_case(VERSIONS) {
-                self.version = number(&line[VERSIONS.len()..]).or(self.version);
+                self.version = parse_number(&line[VERSIONS.len()..]).or(self.version);
             }
         }
         self.last_id = id.or(self.last_id);
@@ -87,11 +91,11 @@
     }
 }
 
-fn number(value: &[u8]) -> Option<u64> {
+fn parse_number(value: &[u8]) -> Option<u64> {
     std::str::from_utf8(value.trim_ascii()).ok()?.parse().ok()
 }
 
-/// Where the event that is open at `from` ends: behind an empty line.
+/// Where the event that has begun before `from` ends: after an empty line.
 fn event_end(bytes: &[u8], from: usize) -> Option<usize> {
     let mut at = from;
     while let Some(newline) = bytes[at..].iter().position(|byte| *byte == b'\n') {
--- a/dataplane/src/lib.rs
+++ b/dataplane/src/lib.rs
@@ -1,25 +1,26 @@
-//! The data plane of a node: everything between a client's connection and a model server's.
+//! The data plane of a node: everything between a client connection and a connection to a model server.
 //!
-//! It is a package of its own because it alone owns these sockets: decisions come from `gradepaddle-placement`, which does no
-//! I/O, the configuration from `gradepaddle-config`, and membership, deadlines and orders from the control plane, which
-//! calls [`DataPlane`]. No other process is asked for an ordinary request. Everything runs on one thread.
+//! It is a package of its own because it alone owns these sockets. Placement decisions come from `gradepaddle-placement`,
+//! which does no I/O, the configuration from `gradepaddle-config`, and membership, deadlines and orders from the control
+//! plane, which calls [`DataPlane`]. An ordinary request involves no process other than this one and the model server.
+//! Everything runs on one thread.
 //!
-//! # The way of a request
+//! # The path of a request
 //!
 //! | step | module | what it decides |
 //! | --- | --- | --- |
 //! | 1 | `client_connection` ([`serve_clients`]) | accepts, reads the request within the limits, writes after the response |
-//! | 2 | `admission` | may a request begin now: draining, configuration, key validity |
+//! | 2 | `admission` | whether a request may be processed now: draining, configuration, key validity |
 //! | 3 | `routing` | route, tenant, service, priority, deadline, prompt |
-//! | 4 | `proxy`, `proxied_request` | attempts until one brings a response; the node's own response if none does |
-//! | 5 | `attempt` | a server from the placer, a connection from `upstream_pool`, the end reported to the placer |
-//! | 6 | `upstream_request`, `upstream_response` | the bytes to the server; the head of its response, if it is this request's |
+//! | 4 | `proxy`, `proxied_request` | attempts until one yields a response; the node's own response if none does |
+//! | 5 | `attempt` | a server from the placer, a connection from `upstream_pool`, the report of the end to the placer |
+//! | 6 | `upstream_request`, `upstream_response` | the bytes sent to the server; which response belongs to this request |
 //! | 7 | `retry` | whether one more attempt is allowed |
-//! | 8 | `response_forwarding`, `event_splitter` | head, body and events to the client; where a stream may be resumed |
+//! | 8 | `response_forwarding`, `event_splitter` | head, body and events sent to the client; where a stream may be resumed |
 //!
-//! Beside that: `load_reports` (datagrams between nodes), `cache_events` (what cache stores hold), `version_deadlines`
+//! Other modules: `load_reports` (datagrams between nodes), `cache_events` (contents of cache stores), `version_deadlines`
 //! (model versions that become binding), `key_validity`, `lifecycle` and `shutdown`, `readiness`, and `control_inputs`
-//! (what the control plane puts in force).
+//! (inputs of the control plane).
 
 mod admission;
 mod attempt;
--- a/dataplane/src/load_reports/receiver.rs
+++ b/dataplane/src/load_reports/receiver.rs
@@ -1,4 +1,4 @@
-//! Receives the load reports of peers, and forwards those that are meant for all nodes of the zone.
+//! Receives the load reports of peers, and forwards those that are addressed to all nodes of the zone.
 
 use std::net::{SocketAddr, SocketAddrV4};
 use std::rc::Rc;
@@ -6,11 +6,11 @@
 use gradepaddle_proto::{Decode, Encode, PeerLoadReport};
 use tokio::net::UdpSocket;
 
-use super::content::{is_plausible, local_load, prefill_report, store_changes};
+use super::content::{is_plausible, local_load, prefill_report, store_update};
 use crate::counters::increment;
 use crate::data_plane::DataPlane;
 
-/// The longest datagram that is read, in bytes.
+/// Maximum size of a datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
 
 /// A report that is to be forwarded to the other nodes of this zone.
@@ -18,7 +18,7 @@
 pub struct ForwardedReport {
     /// The datagram.
     pub bytes: Vec<u8>,
-    /// Whom it goes to.
+    /// The nodes that it is to be sent to.
     pub recipients: Vec<SocketAddrV4>,
 }
 
@@ -35,19 +35,19 @@
 }
 
 impl DataPlane {
-    /// Takes a datagram in, and gives what is to be forwarded. One that is undecodable, of an unknown node, outdated or
-    /// implausible is only counted.
-    #[must_use = "the other nodes of the zone get the report through this one"]
+    /// Applies a received datagram, and returns the report to be forwarded, if any. A datagram that is undecodable, from an
+    /// unknown node, outdated or implausible is only counted.
+    #[must_use = "the other nodes of the zone receive the report only through this node"]
     pub fn receive_load_report(&self, from: SocketAddrV4, bytes: &[u8]) -> Option<ForwardedReport> {
         let counters = &self.load_reports.counters;
         let Ok(report) = PeerLoadReport::from_bytes(bytes) else {
             increment(&counters.unreadable);
             return None;
         };
-        // Reports of older builds name no origin; none of those was forwarded.
+        // Older builds send reports without an origin and never forward them, so the sender is the origin.
         let origin = report.origin.unwrap_or(from);
-        let known = self.load_reports.recipients.borrow();
-        if !known.contains(from) || !known.contains(origin) {
+        let members = self.load_reports.recipients.borrow();
+        if !members.contains(from) || !members.contains(origin) {
             increment(&counters.unknown_senders);
             return None;
         }
@@ -63,13 +63,13 @@
         if !report.relay {
             return None;
         }
-        let recipients = known.zone_peers().filter(|peer| *peer != from && *peer != origin).collect();
+        let recipients = members.zone_peers().filter(|peer| *peer != from && *peer != origin).collect();
         let bytes = PeerLoadReport { relay: false, origin: Some(origin), ..report }.to_bytes();
         Some(ForwardedReport { bytes, recipients })
     }
 }
 
-/// Has the placer apply a report. False if a later one of the same node came first.
+/// Applies a report to the placer. False if a later report of the same node was applied before.
 fn apply(plane: &DataPlane, origin: SocketAddrV4, report: &PeerLoadReport) -> bool {
     let peer = u64::from(u32::from(*origin.ip())) << 16 | u64::from(origin.port());
     let now = plane.now();
@@ -82,7 +82,7 @@
         report
             .cache_store_reports
             .iter()
-            .for_each(|changes| placer.apply_peer_store_update(now, &store_changes(changes)));
+            .for_each(|update| placer.apply_peer_store_update(now, &store_update(update)));
     }
     is_latest
 }
--- a/dataplane/src/load_reports/recipients.rs
+++ b/dataplane/src/load_reports/recipients.rs
@@ -1,8 +1,9 @@
-//! Who gets a load report: all nodes as long as the byte budget suffices, otherwise some of them, round robin. No I/O.
+//! Selects the recipients of a load report: all nodes as long as the byte budget suffices, otherwise some of them, round
+//! robin. Does no I/O.
 //!
-//! Another zone gets one copy, at a node that forwards it to its zone; a different one each time, so that a node that has
-//! failed loses a few reports only. The budget of a node is bounded, the more so the larger the fleet is: each node
-//! receives from all others.
+//! Each other zone gets one copy, sent to a node that forwards it within its zone. A different node is selected each
+//! time, so that a failed node loses only a few reports. A node's budget decreases with the size of the fleet, since
+//! each node receives reports from all others.
 
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddrV4;
@@ -10,17 +11,17 @@
 
 use gradepaddle_placement::Micros;
 
-/// Budget of a node in a fleet of up to [`SMALL_FLEET`] nodes, in bytes a second: a sixth of the smallest machine's link.
+/// Budget of a node in a fleet of up to [`SMALL_FLEET`] nodes, in bytes per second: a sixth of the smallest machine's link.
 const MAX_BYTES_PER_S: f64 = 200_000.0;
-/// Budget of a node in a fleet of [`LARGE_FLEET`] nodes and more. Between the two it falls evenly.
+/// Budget of a node in a fleet of [`LARGE_FLEET`] nodes and more, in bytes per second. In between it decreases linearly.
 const MIN_BYTES_PER_S: f64 = 8_000.0;
-/// Nodes.
+/// Up to this number of nodes, a node's budget is [`MAX_BYTES_PER_S`].
 const SMALL_FLEET: f64 = 100.0;
-/// Nodes.
+/// From this number of nodes on, a node's budget is [`MIN_BYTES_PER_S`].
 const LARGE_FLEET: f64 = 400.0;
 /// Headers of UDP and IPv4 for each datagram, in bytes (RFC 768, RFC 791).
 const HEADER_BYTES: usize = 28;
-/// A node that sent nothing may spend the budget of so many seconds at once.
+/// A node that has sent nothing may spend the budget of this many seconds at once.
 const BURST_S: f64 = 1.0;
 const MICROS_PER_S: f64 = 1e6;
 
@@ -33,40 +34,41 @@
     pub zone: Arc<str>,
 }
 
-/// Where one copy of a report goes.
+/// The recipient of one copy of a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Recipient {
-    /// To this node.
+    /// The address of the node.
     pub address: SocketAddrV4,
-    /// It forwards the report to the other nodes of its zone.
+    /// Whether it forwards the report to the other nodes of its zone.
     pub forwards: bool,
 }
 
-/// The other nodes, and the byte budget for reports to them: a token bucket.
+/// The other nodes, and a token bucket with the byte budget for reports to them.
 #[derive(Debug)]
 pub struct Recipients {
     own_zone: Arc<str>,
-    /// All others, sorted.
+    /// All other nodes, sorted.
     all: Vec<SocketAddrV4>,
+    /// The same addresses as a set.
     members: HashSet<SocketAddrV4>,
-    /// Those of this node's zone.
+    /// The other nodes of this node's zone.
     own_zone_peers: Vec<SocketAddrV4>,
-    /// Those of each other zone.
+    /// The nodes of each other zone.
     other_zones: Vec<Vec<SocketAddrV4>>,
-    /// Counts reports, so that another node of each zone forwards each time.
+    /// Counts reports, so that a different node of each zone forwards each time.
     report_number: usize,
-    /// Index in `all` of the next recipient, where not all are reached.
-    next: usize,
+    /// Index in `all` of the next recipient while reports don't reach all nodes.
+    next_index: usize,
     /// Bytes that may be sent now.
     budget_bytes: f64,
     /// When the budget was last refilled.
     refilled: Micros,
-    /// How many peers the last report reached, directly or forwarded.
+    /// The number of peers that the last report reached, directly or forwarded.
     reached: usize,
 }
 
 impl Recipients {
-    /// Of a node in this zone that knows no peer yet.
+    /// Creates the recipients of a node in this zone that knows no peers yet.
     pub fn new(own_zone: Arc<str>) -> Self {
         Recipients {
             own_zone,
@@ -75,7 +77,7 @@
             own_zone_peers: Vec::new(),
             other_zones: Vec::new(),
             report_number: 0,
-            next: 0,
+            next_index: 0,
             budget_bytes: 0.0,
             refilled: 0,
             reached: 0,
@@ -107,22 +109,23 @@
         self.own_zone_peers.iter().copied()
     }
 
-    /// How many reports it takes to reach all peers once, by what the last one reached.
+    /// The number of reports it takes to reach each peer once, if each reaches as many as the last one.
     pub fn rounds_to_reach_all(&self) -> usize {
         self.all.len().div_ceil(self.reached.max(1)).max(1)
     }
 
-    /// Who gets a report of so many bytes now. Charges the budget.
+    /// Selects the recipients of a report of `bytes` bytes, and charges the budget.
     pub fn select(&mut self, now: Micros, bytes: usize) -> Vec<Recipient> {
         self.refill(now);
         self.report_number = self.report_number.wrapping_add(1);
-        let each = (bytes + HEADER_BYTES) as f64;
-        let affordable = (self.budget_bytes / each) as usize;
+        let datagram_bytes = (bytes + HEADER_BYTES) as f64;
+        let affordable = (self.budget_bytes / datagram_bytes) as usize;
         self.reached = affordable.min(self.all.len());
-        self.budget_bytes -= each * self.reached as f64;
+        self.budget_bytes -= datagram_bytes * self.reached as f64;
         if self.reached == self.all.len() { self.all_by_zone() } else { self.round_robin() }
     }
 
+    /// Adds the budget earned since the last refill.
     fn refill(&mut self, now: Micros) {
         let rate = bytes_per_s(self.all.len() + 1);
         let elapsed_s = now.saturating_sub(self.refilled) as f64 / MICROS_PER_S;
@@ -130,25 +133,28 @@
         self.budget_bytes = (self.budget_bytes + elapsed_s * rate).min(rate * BURST_S);
     }
 
+    /// All peers of the own zone, and one node of each other zone that forwards the report there.
     fn all_by_zone(&self) -> Vec<Recipient> {
-        let near = self.own_zone_peers.iter().map(|address| Recipient { address: *address, forwards: false });
-        let far = self.other_zones.iter().map(|zone| Recipient {
+        let own_zone =
+            self.own_zone_peers.iter().map(|address| Recipient { address: *address, forwards: false });
+        let other_zones = self.other_zones.iter().map(|zone| Recipient {
             address: zone[self.report_number % zone.len()],
             forwards: zone.len() > 1,
         });
-        near.chain(far).collect()
+        own_zone.chain(other_zones).collect()
     }
 
     /// The next peers in order, each reached directly.
     fn round_robin(&mut self) -> Vec<Recipient> {
-        let recipients = (0..self.reached).map(|at| self.all[(self.next + at) % self.all.len()]);
+        let recipients =
+            (0..self.reached).map(|offset| self.all[(self.next_index + offset) % self.all.len()]);
         let recipients = recipients.map(|address| Recipient { address, forwards: false }).collect();
-        self.next = (self.next + self.reached) % self.all.len();
+        self.next_index = (self.next_index + self.reached) % self.all.len();
         recipients
     }
 }
 
-/// Budget of one of so many nodes, in bytes a second.
+/// The budget of one of `nodes` nodes, in bytes per second.
 fn bytes_per_s(nodes: usize) -> f64 {
     let share = (nodes as f64 - SMALL_FLEET) / (LARGE_FLEET - SMALL_FLEET);
     MAX_BYTES_PER_S + (MIN_BYTES_PER_S - MAX_BYTES_PER_S) * share.clamp(0.0, 1.0)
--- a/dataplane/src/load_reports/state.rs
+++ b/dataplane/src/load_reports/state.rs
@@ -1,4 +1,4 @@
-//! What sending and receiving of load reports share.
+//! The state shared by the sender and the receiver of load reports.
 
 use std::cell::{Cell, RefCell};
 use std::net::{SocketAddr, SocketAddrV4};
@@ -10,12 +10,12 @@
 use super::recipients::Recipients;
 use crate::counters::increment;
 
-/// Datagrams with load reports since the start.
+/// Counters of datagrams with load reports since the start.
 #[derive(Debug, Default)]
 pub struct LoadReportCounters {
-    /// Sent: this node's own reports and those that it forwarded.
+    /// Sent, including forwarded reports of other nodes.
     pub sent: Cell<u64>,
-    /// Bytes of their payload.
+    /// Bytes of payload sent.
     pub sent_bytes: Cell<u64>,
     /// Received and accepted.
     pub received: Cell<u64>,
@@ -39,7 +39,7 @@
 }
 
 impl LoadReports {
-    /// Of a node in this zone.
+    /// Creates the state of a node in this zone.
     pub fn new(zone: Arc<str>) -> Self {
         LoadReports {
             recipients: RefCell::new(Recipients::new(zone)),
@@ -49,12 +49,12 @@
         }
     }
 
-    /// A request was placed: a report is sent soon.
+    /// Notes that a request was placed, so that a report is sent soon.
     pub fn request_placed(&self) {
         self.request_placed.notify_one();
     }
 
-    /// The sequence number of the next report, from 1.
+    /// Returns the sequence number of the next report, starting with 1.
     pub fn next_sequence(&self) -> u64 {
         self.sequence.set(self.sequence.get() + 1);
         self.sequence.get()
@@ -65,7 +65,7 @@
         increment(&self.counters.sent);
         let sent_bytes = &self.counters.sent_bytes;
         sent_bytes.set(sent_bytes.get() + bytes.len() as u64);
-        // A datagram may be lost in any case, and the next report makes up for it.
+        // An error is ignored: datagrams may be lost in any case, and the next report makes up for it.
         let _ = socket.try_send_to(bytes, SocketAddr::V4(to));
     }
 }
--- a/dataplane/src/readiness.rs
+++ b/dataplane/src/readiness.rs
@@ -9,12 +9,12 @@
 
 use crate::data_plane::DataPlane;
 
-/// Pause after an accept that failed: file descriptors are short then.
+/// Pause after a failed accept, whose usual cause is a lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 /// A connection without a request is closed after this.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Answers readiness checks for as long as the process runs.
+/// Responds to readiness checks for as long as the process runs.
 pub async fn serve_readiness(plane: Rc<DataPlane>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -27,9 +27,10 @@
     }
 }
 
+/// Serves a connection until it is closed.
 async fn serve(plane: Rc<DataPlane>, mut connection: Connection) {
     while let Ok(Ok(head)) = timeout(IDLE_TIMEOUT, connection.read_head()).await {
-        // A check has no body; behind one that has, the connection is closed.
+        // A readiness check has no body. After a request with one, the connection is closed, since the body is not read.
         let has_no_body = head.framing(Framing::Length(0)) == Ok(Framing::Length(0));
         let status = match (head.path(), plane.is_ready()) {
             ("/v1/ready", true) => "200 OK",
--- a/dataplane/src/response_forwarding.rs
+++ b/dataplane/src/response_forwarding.rs
@@ -231,7 +231,8 @@
         placer.record_first_event(now, attempt);
     }
 
-    /// Reports the longest gap between the events of a complete stream to the placer, as a measure of how the service performs.
+    /// Reports the longest gap between the events of a complete stream to the placer, as a measure of how the service
+    /// performs.
     fn report_longest_gap(&self) {
         if let Some(longest) = self.gaps.longest {
             let longest = longest.as_micros() as u64;
--- a/dataplane/src/retry.rs
+++ b/dataplane/src/retry.rs
@@ -1,34 +1,34 @@
-//! What was tried for a request, and whether one more attempt is allowed.
+//! The attempts made for a request, and whether one more is allowed.
 
 use std::sync::Arc;
 
 use crate::proxied_request::ProxiedRequest;
 use crate::upstream_response::UpstreamResponse;
 
-/// Connections that may fail to come up before a request is rejected.
+/// Failed connects after which a request is rejected.
 const MAX_FAILED_CONNECTS: usize = 3;
 
-/// What has been done for a request so far.
+/// The attempts made for a request so far.
 #[derive(Default)]
 pub(crate) struct AttemptHistory {
-    /// Servers that the request was written to.
+    /// The number of servers that the request was written to.
     pub sent: u32,
-    /// An attempt may have been processed: 503 would be a lie from now on.
+    /// Whether an attempt may have been processed. If so, the request must no longer get a 503, which says that it was not.
     pub may_have_run: bool,
-    /// Servers that were selected; none is selected again.
+    /// Servers that have been selected; none of them is selected again.
     pub tried_servers: Vec<Arc<str>>,
-    /// Connections that did not come up.
+    /// The number of failed connects.
     pub failed_connects: usize,
 }
 
 impl AttemptHistory {
-    /// True if another connection may be tried after one that did not come up.
+    /// True if another connect may be tried after a failed one.
     pub fn may_connect_again(&self) -> bool {
         self.failed_connects < MAX_FAILED_CONNECTS
     }
 
-    /// True if the request may be sent to one more server: by its route, and by the fleet's retry
-    /// budget, which is charged when the request is written.
+    /// True if the route and the fleet's retry budget allow sending the request to one more server. The budget is charged
+    /// when the request is written.
     pub fn may_send(&self, request: &ProxiedRequest<'_>) -> bool {
         if self.sent == 0 {
             return true;
@@ -43,7 +43,7 @@
         request.routed.idempotent && self.may_send(request)
     }
 
-    /// True if a server's 5xx is better retried at another server than forwarded.
+    /// True if a server's 5xx response is to be retried at another server instead of being forwarded.
     pub fn should_retry(&self, request: &ProxiedRequest<'_>, response: &UpstreamResponse) -> bool {
         response.status >= 500 && self.may_retry(request)
     }
--- a/dataplane/src/service_specs.rs
+++ b/dataplane/src/service_specs.rs
@@ -1,9 +1,9 @@
-//! From the services of a configuration to the specifications that the placer takes.
+//! Converts the services of a configuration to the placer's service specifications.
 
 use gradepaddle_config::{Configuration, Service, ServiceKind};
 use gradepaddle_placement::{CacheStoreService, ModelService, ServiceSpec};
 
-/// The services of a configuration, as the placer places requests on them.
+/// The placer's specifications of all services of a configuration.
 pub(crate) fn service_specs(configuration: &Configuration) -> Vec<ServiceSpec> {
     configuration.services.iter().map(service_spec).collect()
 }
--- a/dataplane/src/shutdown.rs
+++ b/dataplane/src/shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown: new requests are first served, then rejected while open ones are completed; finally no more connections
-//! are accepted.
+//! Graceful shutdown: new requests are first served, then rejected while open ones are completed; finally no more
+//! connections are accepted.
 
 use std::rc::Rc;
 use std::time::Duration;
--- a/dataplane/src/upstream_pool.rs
+++ b/dataplane/src/upstream_pool.rs
@@ -1,5 +1,5 @@
-//! Connection pool for servers: keeps idle connections by server and opens new ones. The idle time up to which connections are
-//! reused is learned from the outcomes of requests.
+//! Connection pool for servers: keeps idle connections by server and opens new ones. The idle time up to which
+//! connections are reused is learned from the outcomes of requests.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -140,8 +140,8 @@
         }
     }
 
-    /// Records whether a request was lost on a connection that had been idle for `idle` (none for a new one). The longest idle
-    /// time up to which connections are reused is learned from this.
+    /// Records whether a request was lost on a connection that had been idle for `idle` (none for a new one). The
+    /// longest idle time up to which connections are reused is learned from this.
     pub fn record_outcome(&self, idle: Option<Duration>, lost: bool) {
         self.idle_reuse.record(Instant::now(), idle, lost);
     }
--- a/dataplane/src/upstream_request.rs
+++ b/dataplane/src/upstream_request.rs
@@ -25,8 +25,8 @@
     "x-not-run",
     "accept-encoding",
 ];
-/// Header fields that a server needs as the client sent them. They are forwarded even if the client's `Connection` field lists
-/// them as hop-by-hop.
+/// Header fields that a server needs as the client sent them. They are forwarded even if the client's `Connection`
+/// field lists them as hop-by-hop.
 const END_TO_END_FIELDS: [&str; 5] = ["host", "x-request-id", "x-model", "x-token-count", "x-prompt-prefix"];
 /// The lowest value of `X-Deadline-Ms` that is sent, in milliseconds.
 const MIN_DEADLINE_MS: u64 = 1;
--- a/dataplane/src/upstream_response.rs
+++ b/dataplane/src/upstream_response.rs
@@ -73,9 +73,9 @@
     }
 }
 
-/// A connection with a request that has no response yet. If this is dropped, the connection is reset, which discards what is
-/// still in the socket's send buffer. After a plain close the kernel would go on delivering the request, and the server would
-/// begin work that nobody waits for.
+/// A connection with a request that has no response yet. If this is dropped, the connection is reset, which discards
+/// what is still in the socket's send buffer. After a plain close the kernel would go on delivering the request, and
+/// the server would begin work that nobody waits for.
 struct AbortOnDrop(Option<Connection>);
 
 impl Drop for AbortOnDrop {
--- a/dataplane/src/version_deadlines.rs
+++ b/dataplane/src/version_deadlines.rs
@@ -1,6 +1,6 @@
-//! Deadlines from which a newer model version is binding, and attempts that miss them.
+//! Deadlines from which a newer model version is binding, and the withdrawal of attempts that miss them.
 //!
-//! An attempt that has not begun at its server by the deadline is withdrawn: it would run on a version that is too old.
+//! An attempt that has not begun at its server by the deadline is withdrawn: it would run on an outdated version.
 
 use std::time::Duration;
 
@@ -12,23 +12,23 @@
 use crate::data_plane::DataPlane;
 
 impl DataPlane {
-    /// A newer version of a model was announced: no request may begin on an older one from `binds_in` microseconds after
-    /// now.
+    /// Takes in the announcement of a newer version of a model: from `binds_in` microseconds after now, no request may begin
+    /// on an older one.
     pub fn announce_version(&self, model: &str, version: u64, binds_in: Micros) {
         let binds_at = self.now() + binds_in;
         self.placer.borrow_mut().announce_version(binds_at, model, version);
         self.versions_changed.send_replace(());
     }
 
-    /// The deadline of an announced version was postponed: it is now `binds_in` microseconds after now.
+    /// Postpones the deadline of an announced version to `binds_in` microseconds after now.
     pub fn postpone_version(&self, model: &str, version: u64, binds_in: Micros) {
         let binds_at = self.now() + binds_in;
         self.placer.borrow_mut().extend_version_deadline(binds_at, model, version);
         self.versions_changed.send_replace(());
     }
 
-    /// Ready once an attempt has to be withdrawn: it has not begun, and its server's model version is about to become
-    /// too old. Cancellation safe: it only reads.
+    /// Waits until an attempt has to be withdrawn, since it has not begun and its server's model version is about to become
+    /// outdated. Cancellation safe: it only reads.
     pub(crate) async fn version_deadline_passed(&self, attempt: AttemptId) {
         let mut changes = self.versions_changed.subscribe();
         loop {
