--- a/dataplane/tests/regressions.rs
+++ b/dataplane/tests/regressions.rs
@@ -1,4 +1,4 @@
-//! Regression tests for faults found by load tests or by other tests.
+//! Regression tests for faults found by benchmark runs or by tests.
 
 mod common;
 
