--- a/dispatch/src/fleet.rs
+++ b/dispatch/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use gradepaddle::{Id, ListKind, Micros, Server, State};
+use gradepaddle::{Id, ListKind, Micros, Server, ServerState};
 
 /// Where an app server stands among the others.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
@@ -92,7 +92,7 @@
     }
 
     /// How many may be sent to. Looks at each.
-    pub fn open(&self) -> usize {
+    pub fn open_count(&self) -> usize {
         self.entries.iter().filter(|(id, entry)| self.judge(id, entry) == Standing::Open).count()
     }
 
@@ -145,7 +145,7 @@
         let open = self.standing(id) == Some(Standing::Open);
         self.banned.entry(id.clone()).or_insert(since);
         let entry = self.entries.get(id).filter(|_| open)?;
-        Some(entry.server(id, State::Draining, entry.started))
+        Some(entry.server(id, ServerState::Draining, entry.started))
     }
 
     /// Ends a ban; gives back what the chooser is to be told, if the app server is open by that. It was
@@ -155,18 +155,18 @@
         let open = self.standing(id) == Some(Standing::Open);
         let entry = self.entries.get(id).filter(|_| open)?;
         // One that the list calls gone, and that only a drain would bind, has to be listed again.
-        let state = if entry.gone.is_some() { State::Gone } else { State::Ready };
+        let state = if entry.gone.is_some() { ServerState::Gone } else { ServerState::Ready };
         let started = entry.started.filter(|at| *at > since).unwrap_or(now);
         Some(entry.server(id, state, Some(started)))
     }
 
-    /// Takes in a list. One that has been gone for `forget` is forgotten.
+    /// Takes in a list. One that has been gone for `server_retention` is forgotten.
     pub(crate) fn take(
         &mut self,
         now: Micros,
         kind: ListKind,
         servers: &[Server],
-        forget: Micros,
+        server_retention: Micros,
     ) -> Changes {
         let mut changes = Changes::default();
         if kind == ListKind::Failed {
@@ -175,7 +175,7 @@
         for server in servers {
             let place = Place { zone: server.zone, kind: server.kind, cell: server.cell };
             let known = self.standing(&server.id).map(|standing| standing == Standing::Open);
-            if server.state == State::Gone {
+            if server.state == ServerState::Gone {
                 self.leave(now, &server.id, &mut changes);
                 continue;
             }
@@ -184,7 +184,7 @@
             entry.weight = server.weight.to_bits();
             entry.started = server.started.or(entry.started);
             entry.drains = match server.state {
-                State::Draining => entry.drains.or(Some(now)),
+                ServerState::Draining => entry.drains.or(Some(now)),
                 _ => None,
             };
             if let Some(at) = entry.gone.take() {
@@ -203,7 +203,7 @@
             }
         }
         while let Some((at, _)) = self.leaving.first()
-            && now > at.saturating_add(forget)
+            && now > at.saturating_add(server_retention)
         {
             let Some((_, id)) = self.leaving.pop_first() else { break };
             self.entries.remove(&id);
@@ -231,7 +231,7 @@
 }
 
 impl Entry {
-    fn server(&self, id: &Id, state: State, started: Option<Micros>) -> Server {
+    fn server(&self, id: &Id, state: ServerState, started: Option<Micros>) -> Server {
         let Place { zone, kind, cell } = self.place;
         Server { id: id.clone(), zone, kind, cell, state, weight: f64::from_bits(self.weight), started }
     }
