--- a/dispatch/benches/dispatch.rs
+++ b/dispatch/benches/dispatch.rs
@@ -1,5 +1,5 @@
-//! What a whole transaction costs: taken, sent, ended, with so many others open. Once round a chooser that
-//! only ever names the first app server, which is the cost of dispatch itself, and once round the decisions.
+//! The cost of a complete transaction (accepted, sent, ended) while a number of others are open: once with a chooser that
+//! always names the first app server, which is the cost of dispatch itself, and once with the production chooser.
 
 // The macros below make functions of their own.
 #![allow(missing_docs)]
@@ -31,7 +31,7 @@
 }
 
 impl<C: Chooser> Bench<C> {
-    /// Ten app servers, and nothing that ends by itself while a bench runs.
+    /// Ten app servers, and deadlines that no benchmark run reaches.
     fn new(chooser: impl Fn(&Settings) -> C) -> Self {
         let class = Class { aim: HOUR, deadline: 24 * HOUR, ..Settings::default().classes.remove(0) };
         let settings = Settings { classes: vec![class], ..Settings::default() };
@@ -48,7 +48,7 @@
         };
         let servers = (0..10).map(server).collect();
         bench.dispatch.handle(1, Input::ServerList { kind: ListKind::Full, servers }, &mut bench.out);
-        // The decisions hold a class back that has much more out than was ever answered.
+        // The production chooser throttles a class with many more requests in flight than were ever answered.
         (0..2_000).for_each(|_| bench.whole());
         bench
     }
@@ -74,8 +74,8 @@
         self.ticket
     }
 
-    /// One that stays open. Others are answered meanwhile, as they would be in service: with many out and none
-    /// answered the decisions take the fleet for jammed.
+    /// Opens a transaction that stays open. Others are answered meanwhile, as in production: with many in flight and none
+    /// answered, the chooser takes the fleet for overloaded.
     fn open(&mut self) {
         (0..20).for_each(|_| self.whole());
         self.take();
--- a/dispatch/src/attempt.rs
+++ b/dispatch/src/attempt.rs
@@ -1,51 +1,51 @@
-//! One attempt: how far it was written, what ended it, and what follows from the two.
+//! One attempt: how much of it was written, what ended it, and the outcome that follows from the two.
 
 use gradepaddle::{Id, Micros, Outcome};
 
-use crate::fleet::Place;
+use crate::fleet::Location;
 
-/// How far an attempt's message has been written to the app server.
+/// How much of an attempt's message has been written to the app server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Extent {
-    /// No byte of it: nothing new has been sent.
+    /// No byte was written.
     #[default]
     Nothing,
-    /// Some bytes, not the last: the app server has not begun it.
+    /// Some bytes were written, but not the last: the app server has not begun to process the request.
     Part,
-    /// The last byte too: it may have run, or may yet.
+    /// The last byte was written: the request may have run, or may still run.
     Whole,
 }
 
 /// What ended an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Cause {
-    /// The app server's answer is good and whole.
+    /// The app server sent a complete, successful response.
     Served,
-    /// The app server found the request itself at fault.
+    /// The app server rejected the request itself as invalid.
     Denied,
     /// The app server answered with an error.
     Failed,
-    /// The app server turned it away and says that it did not run.
+    /// The app server rejected the request and states that it did not run.
     Unprocessed,
-    /// What came back is no answer.
+    /// The app server sent an invalid response.
     Spoilt,
-    /// No connection came up.
+    /// No connection could be established.
     NoConnection,
-    /// The app server was closed to anything new before the first byte.
+    /// The app server was closed to new requests before the first byte was written.
     Closed,
-    /// It was not even tried: no descriptor to spare, or no such app server.
+    /// No connection was attempted: no file descriptor was free, or the app server is unknown.
     NotTried,
-    /// The connection broke or ended.
+    /// The connection was reset or closed.
     Broke,
-    /// Its time ran out.
+    /// It timed out.
     OutOfTime,
     /// It was withdrawn.
     Withdrawn,
 }
 
-/// What the decisions are told of a probe that ended. It asks for nothing that could run twice, so how far it was
-/// written does not matter; an answer of any kind shows that the process is there.
-pub fn probed(cause: Cause) -> Outcome {
+/// The outcome reported to the chooser for a probe that ended. A probe causes nothing that could run twice, so how much
+/// of it was written does not matter; a response of any kind shows that the process is alive.
+pub fn probe_outcome(cause: Cause) -> Outcome {
     match cause {
         Cause::Served => Outcome::Ok,
         Cause::Denied => Outcome::Denied,
@@ -59,9 +59,9 @@
     }
 }
 
-/// What the decisions are told of an attempt that ended: whether it can have run follows from how far it
-/// was written, never from the cause alone. Causes that claim an earlier end than the extent allows are
-/// taken for a break, which is the worst that fits.
+/// The outcome reported to the chooser for an attempt that ended. Whether it can have run follows from how much of it was
+/// written, never from the cause alone. A cause that implies less written than the extent says counts as a reset, the
+/// worst outcome consistent with both.
 pub fn outcome(extent: Extent, cause: Cause) -> Outcome {
     match (cause, extent) {
         (Cause::Served, _) => Outcome::Ok,
@@ -74,30 +74,30 @@
         (Cause::Broke | Cause::NoConnection | Cause::Closed | Cause::NotTried, Extent::Whole) => {
             Outcome::Reset
         }
-        // Before the last byte an app server has not begun it.
+        // An app server does not begin to process a request before its last byte.
         (_, Extent::Nothing | Extent::Part) => Outcome::ConnectFailed,
     }
 }
 
-/// An attempt as dispatch keeps it.
+/// The record of one attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Attempt {
     pub server: Id,
-    /// Where that server stands, for what may be repeated only near it.
-    pub place: Place,
+    /// Where that app server is: some keyed requests may be repeated only in its zone or cell.
+    pub location: Location,
     pub sent: Micros,
     pub extent: Extent,
     pub withdrawn: bool,
-    /// None while it is out.
+    /// None while it is in flight.
     pub outcome: Option<Outcome>,
 }
 
 impl Attempt {
-    pub fn is_out(&self) -> bool {
+    pub fn is_in_flight(&self) -> bool {
         self.outcome.is_none()
     }
 
-    /// True unless it is proven that it never ran: one that is out may run at any moment.
+    /// True unless the outcome proves that the attempt never ran. One that is in flight may run at any moment.
     pub fn may_have_run(&self) -> bool {
         !self.outcome.is_some_and(Outcome::never_ran)
     }
--- a/dispatch/src/attempt/tests.rs
+++ b/dispatch/src/attempt/tests.rs
@@ -14,19 +14,19 @@
     Cause::Withdrawn,
 ];
 
-/// Guards the line that everything unsafe rests on: written whole, only the app server's own word
-/// proves that it never ran.
+/// Guards against repeating an unsafe request: once it was written completely, only the app server's own statement proves
+/// that it never ran.
 #[test]
-fn what_was_written_whole_may_have_run_whatever_ended_it() {
+fn a_completely_written_attempt_may_have_run_unless_the_server_says_unprocessed() {
     for cause in CAUSES {
         let never = outcome(Extent::Whole, cause).never_ran();
         assert_eq!(never, cause == Cause::Unprocessed, "{cause:?}");
     }
 }
 
-/// Guards repeats that are free: a break or a time-out before the last byte proves that it never ran.
+/// Guards safe retries: a reset or a time-out before the last byte proves that the attempt never ran.
 #[test]
-fn what_was_not_written_whole_never_ran_unless_it_was_answered_or_withdrawn() {
+fn an_incompletely_written_attempt_never_ran_unless_answered_or_withdrawn() {
     let open = [Cause::Served, Cause::Denied, Cause::Failed, Cause::Spoilt, Cause::Withdrawn];
     for extent in [Extent::Nothing, Extent::Part] {
         for cause in CAUSES {
--- a/dispatch/src/fleet.rs
+++ b/dispatch/src/fleet.rs
@@ -1,167 +1,172 @@
-//! Which app servers may be sent to at this moment.
+//! Which app servers may receive new requests at this moment.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use gradepaddle::{Id, ListKind, Micros, Server, State};
 
-/// Where an app server stands among the others.
+/// Where an app server is located.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Place {
+pub struct Location {
     /// Its zone.
     pub zone: u32,
     /// Its machine type.
     pub kind: u32,
-    /// Those that know of each other's keyed requests.
+    /// Its cell: app servers of one cell know each other's keyed requests.
     pub cell: u32,
 }
 
-/// May an app server be sent anything new?
+/// Whether an app server may be sent new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Standing {
-    /// It may.
+pub enum Availability {
+    /// It may be sent new requests.
     Open,
-    /// It was told to be draining at this time.
+    /// It was reported draining at this time.
     Draining(Micros),
-    /// It was told to be gone, or left out of a full list, at this time.
+    /// It was reported gone, or was missing from a full list, at this time.
     Gone(Micros),
-    /// The operators took it out at this time, whatever the list says.
+    /// The operators banned it at this time, whatever the list says.
     Banned(Micros),
 }
 
-impl Standing {
-    /// Since when it may be sent nothing new.
-    pub fn closed(self) -> Option<Micros> {
+impl Availability {
+    /// Since when it has been closed to new requests; none if it is open.
+    pub fn closed_since(self) -> Option<Micros> {
         match self {
-            Standing::Open => None,
-            Standing::Draining(at) | Standing::Gone(at) | Standing::Banned(at) => Some(at),
+            Availability::Open => None,
+            Availability::Draining(at) | Availability::Gone(at) | Availability::Banned(at) => Some(at),
         }
     }
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Entry {
-    place: Place,
-    /// Its size as listed, by its bits, and its last start: what the chooser is told again after a ban.
+    location: Location,
+    /// Its listed weight, as the bits of an `f64`. The chooser is told it and `started` again after a ban.
     weight: u64,
     started: Option<Micros>,
-    /// Since when the list has called it draining; goes once it is called ready again.
-    drains: Option<Micros>,
-    /// Since when the list has called it gone, or left it out.
-    gone: Option<Micros>,
+    /// Since when the list has reported it draining; reset when it is reported ready again.
+    draining_since: Option<Micros>,
+    /// Since when the list has reported it gone or has not named it.
+    gone_since: Option<Micros>,
 }
 
-/// The app servers that the service table has named. Holds nothing but what was told, and when.
+/// The app servers that the service table has named, with what was reported of each and when.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Fleet {
     entries: BTreeMap<Id, Entry>,
-    /// Those that are gone, by when: what is to be forgotten stands first.
-    leaving: BTreeSet<(Micros, Id)>,
-    /// Those that the operators took out, since when. A set over the list: nothing the list says lifts one.
+    /// The app servers that are gone, ordered by when they left, so that the next to be removed is first.
+    gone_by_time: BTreeSet<(Micros, Id)>,
+    /// The app servers that the operators have banned, and since when. Nothing that the list reports lifts a ban.
     banned: BTreeMap<Id, Micros>,
-    /// Some of those that are forgotten: an operator may still name them.
-    past: BTreeSet<Id>,
+    /// Ids of app servers that were removed, up to [`MAX_PAST_IDS`]: an operator may still name them.
+    past_ids: BTreeSet<Id>,
     only_draining_binds: bool,
 }
 
-/// So many forgotten ids are remembered as ones that were listed once.
-const PAST: usize = 100_000;
+/// How many ids of removed app servers are remembered.
+const MAX_PAST_IDS: usize = 100_000;
 
-/// What a list has changed.
+/// What applying a list changed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Changes {
-    /// App servers that are new, or may now be sent to, or no longer.
-    pub standing: Vec<(Id, bool)>,
-    pub forgotten: Vec<Id>,
+    /// App servers that are new, were opened or were closed; true if the app server is open.
+    pub availability: Vec<(Id, bool)>,
+    /// App servers removed after the retention time.
+    pub removed: Vec<Id>,
 }
 
 impl Fleet {
-    /// Knows nobody yet. Where only a drain binds, one that is called gone without that stays open while
-    /// it answers.
+    /// Creates an empty fleet. With `only_draining_binds`, an app server that is reported gone without having drained
+    /// stays open.
     pub fn new(only_draining_binds: bool) -> Self {
         Fleet { only_draining_binds, ..Fleet::default() }
     }
 
-    /// How many are known, those that left a while ago included.
+    /// How many app servers are known, including those that left and are not removed yet.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// True if none is known.
+    /// True if no app server is known.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// How many may be sent to. Looks at each.
+    /// How many app servers are open. Takes time linear in their number.
     pub fn open_count(&self) -> usize {
-        self.entries.iter().filter(|(id, entry)| self.judge(id, entry) == Standing::Open).count()
+        self.entries
+            .iter()
+            .filter(|(id, entry)| self.availability_of(id, entry) == Availability::Open)
+            .count()
     }
 
-    /// What was told of this app server; none if it is not known.
-    pub fn standing(&self, id: &str) -> Option<Standing> {
-        self.entries.get(id).map(|entry| self.judge(id, entry))
+    /// Whether this app server may be sent new requests; none if it is not known.
+    pub fn availability(&self, id: &str) -> Option<Availability> {
+        self.entries.get(id).map(|entry| self.availability_of(id, entry))
     }
 
-    /// True if the list has ever named it, or the operators have taken it out.
+    /// True if the list has ever named the app server, or the operators have banned it.
     pub fn knows(&self, id: &str) -> bool {
-        self.entries.contains_key(id) || self.past.contains(id) || self.banned.contains_key(id)
+        self.entries.contains_key(id) || self.past_ids.contains(id) || self.banned.contains_key(id)
     }
 
-    /// True if the operators have taken it out.
+    /// True if the operators have banned it.
     pub fn is_banned(&self, id: &str) -> bool {
         self.banned.contains_key(id)
     }
 
-    /// Those that the operators have taken out.
+    /// The app servers that the operators have banned.
     pub fn banned(&self) -> impl Iterator<Item = &Id> {
         self.banned.keys()
     }
 
-    /// Where it stands; none if it is not known.
-    pub fn place(&self, id: &str) -> Option<Place> {
-        self.entries.get(id).map(|entry| entry.place)
+    /// Where the app server is located; none if it is not known.
+    pub fn location(&self, id: &str) -> Option<Location> {
+        self.entries.get(id).map(|entry| entry.location)
     }
 
-    fn judge(&self, id: &str, entry: &Entry) -> Standing {
-        let listed = self.listed(entry);
+    fn availability_of(&self, id: &str, entry: &Entry) -> Availability {
+        let listed = self.listed_availability(entry);
         match self.banned.get(id) {
-            // The earlier of the two is what the grace counts from.
-            Some(at) if listed.closed().is_none_or(|since| since > *at) => Standing::Banned(*at),
+            // The drain grace counts from the earlier of the two.
+            Some(at) if listed.closed_since().is_none_or(|since| since > *at) => Availability::Banned(*at),
             _ => listed,
         }
     }
 
-    /// What the list alone says.
-    fn listed(&self, entry: &Entry) -> Standing {
-        match (entry.drains, entry.gone) {
-            // The earlier of the two is what the grace counts from.
-            (Some(drains), _) => Standing::Draining(drains),
-            (None, Some(gone)) if !self.only_draining_binds => Standing::Gone(gone),
-            _ => Standing::Open,
+    /// The availability that the list alone gives.
+    fn listed_availability(&self, entry: &Entry) -> Availability {
+        match (entry.draining_since, entry.gone_since) {
+            // The drain grace counts from the earlier of the two.
+            (Some(since), _) => Availability::Draining(since),
+            (None, Some(since)) if !self.only_draining_binds => Availability::Gone(since),
+            _ => Availability::Open,
         }
     }
 
-    /// Takes one out; gives back what the chooser is to be told of it, if it was open.
+    /// Bans an app server. Returns the update for the chooser if the app server was open.
     pub(crate) fn ban(&mut self, since: Micros, id: &Id) -> Option<Server> {
-        let open = self.standing(id) == Some(Standing::Open);
+        let open = self.availability(id) == Some(Availability::Open);
         self.banned.entry(id.clone()).or_insert(since);
         let entry = self.entries.get(id).filter(|_| open)?;
         Some(entry.server(id, State::Draining, entry.started))
     }
 
-    /// Ends a ban; gives back what the chooser is to be told, if the app server is open by that. It was
-    /// restarted meanwhile, so far as is known just now: it is cold.
-    pub(crate) fn lift(&mut self, now: Micros, id: &Id) -> Option<Server> {
+    /// Ends a ban. Returns the update for the chooser if this opens the app server. Without a reported start during the
+    /// ban, the app server counts as restarted now, which means that its caches are cold.
+    pub(crate) fn lift_ban(&mut self, now: Micros, id: &Id) -> Option<Server> {
         let since = self.banned.remove(id)?;
-        let open = self.standing(id) == Some(Standing::Open);
+        let open = self.availability(id) == Some(Availability::Open);
         let entry = self.entries.get(id).filter(|_| open)?;
-        // One that the list calls gone, and that only a drain would bind, has to be listed again.
-        let state = if entry.gone.is_some() { State::Gone } else { State::Ready };
+        // It is open although the list reports it gone (`only_draining_binds`). The chooser is told that it is gone, and
+        // uses it again once it is listed again.
+        let state = if entry.gone_since.is_some() { State::Gone } else { State::Ready };
         let started = entry.started.filter(|at| *at > since).unwrap_or(now);
         Some(entry.server(id, state, Some(started)))
     }
 
-    /// Takes in a list. One that has been gone for `server_retention` is forgotten.
-    pub(crate) fn take(
+    /// Applies a list. An app server that has been gone for longer than `server_retention` is removed.
+    pub(crate) fn apply_list(
         &mut self,
         now: Micros,
         kind: ListKind,
@@ -173,66 +178,67 @@
             return changes;
         }
         for server in servers {
-            let place = Place { zone: server.zone, kind: server.kind, cell: server.cell };
-            let known = self.standing(&server.id).map(|standing| standing == Standing::Open);
+            let location = Location { zone: server.zone, kind: server.kind, cell: server.cell };
+            let was_open =
+                self.availability(&server.id).map(|availability| availability == Availability::Open);
             if server.state == State::Gone {
-                self.leave(now, &server.id, &mut changes);
+                self.mark_gone(now, &server.id, &mut changes);
                 continue;
             }
             let entry = self.entries.entry(server.id.clone()).or_default();
-            entry.place = place;
+            entry.location = location;
             entry.weight = server.weight.to_bits();
             entry.started = server.started.or(entry.started);
-            entry.drains = match server.state {
-                State::Draining => entry.drains.or(Some(now)),
+            entry.draining_since = match server.state {
+                State::Draining => entry.draining_since.or(Some(now)),
                 _ => None,
             };
-            if let Some(at) = entry.gone.take() {
-                self.leaving.remove(&(at, server.id.clone()));
+            if let Some(at) = entry.gone_since.take() {
+                self.gone_by_time.remove(&(at, server.id.clone()));
             }
-            let open = self.standing(&server.id) == Some(Standing::Open);
-            if known != Some(open) {
-                changes.standing.push((server.id.clone(), open));
+            let open = self.availability(&server.id) == Some(Availability::Open);
+            if was_open != Some(open) {
+                changes.availability.push((server.id.clone(), open));
             }
         }
         if kind != ListKind::Delta {
             let named: BTreeSet<&Id> = servers.iter().map(|server| &server.id).collect();
             let missing: Vec<Id> = self.entries.keys().filter(|id| !named.contains(id)).cloned().collect();
             for id in &missing {
-                self.leave(now, id, &mut changes);
+                self.mark_gone(now, id, &mut changes);
             }
         }
-        while let Some((at, _)) = self.leaving.first()
+        while let Some((at, _)) = self.gone_by_time.first()
             && now > at.saturating_add(server_retention)
         {
-            let Some((_, id)) = self.leaving.pop_first() else { break };
+            let Some((_, id)) = self.gone_by_time.pop_first() else { break };
             self.entries.remove(&id);
-            self.past.insert(id.clone());
-            if self.past.len() > PAST {
-                self.past.pop_first();
+            self.past_ids.insert(id.clone());
+            if self.past_ids.len() > MAX_PAST_IDS {
+                self.past_ids.pop_first();
             }
-            changes.forgotten.push(id);
+            changes.removed.push(id);
         }
         changes
     }
 
-    fn leave(&mut self, now: Micros, id: &Id, changes: &mut Changes) {
-        let binds = !self.only_draining_binds && !self.banned.contains_key(id);
+    fn mark_gone(&mut self, now: Micros, id: &Id, changes: &mut Changes) {
+        let closes = !self.only_draining_binds && !self.banned.contains_key(id);
         let Some(entry) = self.entries.get_mut(id) else { return };
-        if entry.gone.is_some() {
+        if entry.gone_since.is_some() {
             return;
         }
-        entry.gone = Some(now);
-        self.leaving.insert((now, id.clone()));
-        if binds && entry.drains.is_none() {
-            changes.standing.push((id.clone(), false));
+        entry.gone_since = Some(now);
+        self.gone_by_time.insert((now, id.clone()));
+        if closes && entry.draining_since.is_none() {
+            changes.availability.push((id.clone(), false));
         }
     }
 }
 
 impl Entry {
     fn server(&self, id: &Id, state: State, started: Option<Micros>) -> Server {
-        let Place { zone, kind, cell } = self.place;
+        let Location { zone, kind, cell } = self.location;
         Server { id: id.clone(), zone, kind, cell, state, weight: f64::from_bits(self.weight), started }
     }
 }
--- a/dispatch/src/fleet/tests.rs
+++ b/dispatch/src/fleet/tests.rs
@@ -1,59 +1,64 @@
 use super::*;
 
-const FORGET: Micros = 100;
+const RETENTION: Micros = 100;
 
 fn server(id: &str, state: State) -> Server {
     Server { id: id.into(), zone: 0, kind: 0, cell: 0, state, weight: 1.0, started: None }
 }
 
 fn names(changes: &Changes) -> Vec<(&str, bool)> {
-    changes.standing.iter().map(|(id, open)| (&**id, *open)).collect()
+    changes.availability.iter().map(|(id, open)| (&**id, *open)).collect()
 }
 
-/// Guards the grace against a clock that starts anew: a drain told twice counts from the first time,
-/// also where the app server is called gone in between.
+/// Guards against a drain grace that restarts: a drain that is reported again counts from the first report, also after
+/// the app server was reported gone.
 #[test]
-fn a_drain_counts_from_when_it_was_first_told() {
+fn a_drain_counts_from_its_first_report() {
     let mut fleet = Fleet::new(false);
-    fleet.take(1, ListKind::Full, &[server("a", State::Ready)], FORGET);
-    assert_eq!(fleet.standing("a"), Some(Standing::Open));
-    let told = fleet.take(5, ListKind::Delta, &[server("a", State::Draining)], FORGET);
+    fleet.apply_list(1, ListKind::Full, &[server("a", State::Ready)], RETENTION);
+    assert_eq!(fleet.availability("a"), Some(Availability::Open));
+    let told = fleet.apply_list(5, ListKind::Delta, &[server("a", State::Draining)], RETENTION);
     assert_eq!(names(&told), [("a", false)]);
-    let again = fleet.take(9, ListKind::Full, &[server("a", State::Draining)], FORGET);
-    assert_eq!((names(&again).len(), fleet.standing("a")), (0, Some(Standing::Draining(5))));
-    fleet.take(11, ListKind::Full, &[], FORGET);
-    assert_eq!(fleet.standing("a"), Some(Standing::Draining(5)));
-    let back = fleet.take(12, ListKind::Delta, &[server("a", State::Ready)], FORGET);
-    assert_eq!((names(&back), fleet.standing("a")), (vec![("a", true)], Some(Standing::Open)));
+    let again = fleet.apply_list(9, ListKind::Full, &[server("a", State::Draining)], RETENTION);
+    assert_eq!((names(&again).len(), fleet.availability("a")), (0, Some(Availability::Draining(5))));
+    fleet.apply_list(11, ListKind::Full, &[], RETENTION);
+    assert_eq!(fleet.availability("a"), Some(Availability::Draining(5)));
+    let back = fleet.apply_list(12, ListKind::Delta, &[server("a", State::Ready)], RETENTION);
+    assert_eq!((names(&back), fleet.availability("a")), (vec![("a", true)], Some(Availability::Open)));
 }
 
-/// Guards against an empty fleet for want of a list, and against one that only grows: gone stays
-/// usable where only a drain binds, and is forgotten in time.
+/// Guards against an empty fleet after a failed list, and against one that only grows: with `only_draining_binds` an app
+/// server that is gone stays open, and it is removed after the retention time.
 #[test]
-fn gone_binds_unless_the_settings_say_otherwise_and_is_forgotten() {
+fn a_gone_server_is_closed_unless_only_draining_binds_and_is_removed_in_time() {
     for only in [false, true] {
         let mut fleet = Fleet::new(only);
-        fleet.take(1, ListKind::Cached, &[server("a", State::Ready), server("b", State::Draining)], FORGET);
-        fleet.take(2, ListKind::Failed, &[], FORGET);
-        assert_eq!(fleet.standing("a"), Some(Standing::Open));
-        let left = fleet.take(3, ListKind::Full, &[], FORGET);
+        fleet.apply_list(
+            1,
+            ListKind::Cached,
+            &[server("a", State::Ready), server("b", State::Draining)],
+            RETENTION,
+        );
+        fleet.apply_list(2, ListKind::Failed, &[], RETENTION);
+        assert_eq!(fleet.availability("a"), Some(Availability::Open));
+        let left = fleet.apply_list(3, ListKind::Full, &[], RETENTION);
         assert_eq!(names(&left), if only { vec![] } else { vec![("a", false)] });
-        let standing = if only { Standing::Open } else { Standing::Gone(3) };
-        assert_eq!(fleet.standing("a"), Some(standing));
-        assert_eq!(fleet.standing("b"), Some(Standing::Draining(1)));
-        assert!(fleet.take(3 + FORGET, ListKind::Delta, &[], FORGET).forgotten.is_empty());
-        let gone = fleet.take(4 + FORGET, ListKind::Delta, &[], FORGET);
-        assert_eq!((gone.forgotten.len(), fleet.len()), (2, 0));
+        let availability = if only { Availability::Open } else { Availability::Gone(3) };
+        assert_eq!(fleet.availability("a"), Some(availability));
+        assert_eq!(fleet.availability("b"), Some(Availability::Draining(1)));
+        assert!(fleet.apply_list(3 + RETENTION, ListKind::Delta, &[], RETENTION).removed.is_empty());
+        let gone = fleet.apply_list(4 + RETENTION, ListKind::Delta, &[], RETENTION);
+        assert_eq!((gone.removed.len(), fleet.len()), (2, 0));
     }
 }
 
-/// Guards a ban against the list: nothing that it says brings the app server back, and at the end of
-/// the ban what the list says then holds, cold since that moment or since a start that it has told.
+/// Guards against a list that lifts a ban. When the ban ends, the current state of the list applies, and the app server
+/// counts as started at that moment or at the start that the list has reported.
 #[test]
-fn a_ban_holds_whatever_the_list_says() {
+fn a_ban_holds_whatever_the_list_reports() {
     let mut fleet = Fleet::new(false);
     let ready = server("a", State::Ready);
-    fleet.take(1, ListKind::Full, std::slice::from_ref(&ready), FORGET);
+    fleet.apply_list(1, ListKind::Full, std::slice::from_ref(&ready), RETENTION);
     assert!(fleet.knows("a") && !fleet.knows("b"));
     let told = fleet.ban(5, &"a".into()).expect("it was open");
     assert_eq!((told.state, told.weight), (State::Draining, 1.0));
@@ -65,34 +70,34 @@
         (ListKind::Full, vec![]),
         (ListKind::Full, vec![ready.clone()]),
     ] {
-        assert!(fleet.take(9, kind, &list, FORGET).standing.iter().all(|(_, open)| !open));
-        assert_eq!(fleet.standing("a"), Some(Standing::Banned(5)));
+        assert!(fleet.apply_list(9, kind, &list, RETENTION).availability.iter().all(|(_, open)| !open));
+        assert_eq!(fleet.availability("a"), Some(Availability::Banned(5)));
     }
-    let back = fleet.lift(20, &"a".into()).expect("it is open");
+    let back = fleet.lift_ban(20, &"a".into()).expect("it is open");
     assert_eq!((back.state, back.started), (State::Ready, Some(20)));
-    assert!(fleet.lift(21, &"a".into()).is_none());
+    assert!(fleet.lift_ban(21, &"a".into()).is_none());
     fleet.ban(30, &"a".into());
     let started = Server { started: Some(33), ..ready };
-    fleet.take(34, ListKind::Delta, &[started], FORGET);
-    assert_eq!(fleet.lift(40, &"a".into()).expect("open").started, Some(33));
-    // A drain told before the ban, and one that lasts beyond it.
-    fleet.take(50, ListKind::Delta, &[server("a", State::Draining)], FORGET);
+    fleet.apply_list(34, ListKind::Delta, &[started], RETENTION);
+    assert_eq!(fleet.lift_ban(40, &"a".into()).expect("open").started, Some(33));
+    // A drain that was reported before the ban and lasts beyond it.
+    fleet.apply_list(50, ListKind::Delta, &[server("a", State::Draining)], RETENTION);
     assert!(fleet.ban(60, &"a".into()).is_none());
-    assert_eq!(fleet.standing("a"), Some(Standing::Draining(50)));
-    assert!(fleet.lift(70, &"a".into()).is_none());
-    assert_eq!(fleet.standing("a"), Some(Standing::Draining(50)));
+    assert_eq!(fleet.availability("a"), Some(Availability::Draining(50)));
+    assert!(fleet.lift_ban(70, &"a".into()).is_none());
+    assert_eq!(fleet.availability("a"), Some(Availability::Draining(50)));
 }
 
-/// Guards an operator who names one that has left long ago, and a ban told before the list is.
+/// Guards operators who name an app server that left long ago, and a ban that arrives before the first list.
 #[test]
-fn ids_once_listed_stay_known_and_a_ban_may_come_before_the_list() {
+fn removed_ids_stay_known_and_a_ban_may_precede_the_list() {
     let mut fleet = Fleet::new(false);
-    fleet.take(1, ListKind::Full, &[server("a", State::Ready)], FORGET);
-    fleet.take(2, ListKind::Full, &[], FORGET);
-    fleet.take(3 + FORGET, ListKind::Full, &[], FORGET);
-    assert!(fleet.is_empty() && fleet.knows("a") && fleet.standing("a").is_none());
+    fleet.apply_list(1, ListKind::Full, &[server("a", State::Ready)], RETENTION);
+    fleet.apply_list(2, ListKind::Full, &[], RETENTION);
+    fleet.apply_list(3 + RETENTION, ListKind::Full, &[], RETENTION);
+    assert!(fleet.is_empty() && fleet.knows("a") && fleet.availability("a").is_none());
     fleet.ban(200, &"b".into());
-    let told = fleet.take(201, ListKind::Full, &[server("b", State::Ready)], FORGET);
+    let told = fleet.apply_list(201, ListKind::Full, &[server("b", State::Ready)], RETENTION);
     assert_eq!(names(&told), [("b", false)]);
-    assert_eq!(fleet.standing("b"), Some(Standing::Banned(200)));
+    assert_eq!(fleet.availability("b"), Some(Availability::Banned(200)));
 }
--- a/dispatch/src/guard.rs
+++ b/dispatch/src/guard.rs
@@ -1,5 +1,5 @@
-//! The rules that hold whatever is chosen, each with a name. The guard never picks: it only keeps an action
-//! that would break one from being carried out.
+//! The rules that hold whatever the chooser decides, each with a name. The guard makes no decisions of its own: it
+//! only stops actions that would break a rule.
 
 use std::fmt;
 
@@ -7,19 +7,19 @@
 
 use crate::attempt::{Attempt, Cause, Extent, outcome};
 use crate::dispatch::Limits;
-use crate::fleet::{Place, Standing};
-use crate::transaction::Open;
+use crate::fleet::{Availability, Location};
+use crate::transaction::OpenTransaction;
 
 /// A rule that an action would have broken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Defect {
-    /// Another attempt of a transaction that may have run, beyond what its class allows.
+    /// Another attempt of a transaction that may have run, where its class does not allow a repeat.
     RepeatedUnsafe,
-    /// A second attempt while one is out, where the settings allow none.
+    /// A second attempt while one is in flight, where the settings do not allow it.
     SecondCopy,
     /// More attempts than the settings allow.
     TooManyAttempts,
-    /// A send to an app server that was told draining or gone longer ago than the grace.
+    /// A send to an app server that was reported draining or gone longer ago than the drain grace.
     SentToClosed,
     /// A send to an app server that the service table does not name.
     SentToUnknown,
@@ -27,22 +27,22 @@
     SentOutsideClass,
     /// A send for a transaction that has its final answer.
     SentAfterAnswer,
-    /// A send of what an earlier attempt has used up.
+    /// A send after an earlier attempt consumed the request body, which cannot be replayed.
     SentAfterBodyConsumed,
-    /// A refusal of a transaction that may have run, where that is not harmless.
+    /// A refusal, which invites a retry, of a transaction that may have run and is unsafe to repeat.
     RefusedAfterRun,
-    /// A final answer to a transaction that has one, or that nobody waits for.
+    /// A final answer to a transaction that already has one or whose client has disconnected.
     SecondAnswer,
     /// No final answer by the deadline.
     Unanswered,
-    /// An attempt whose end was not told long after its time.
+    /// An attempt whose end was not reported long after its deadline.
     NeverEnded,
-    /// A probe of an app server that may be sent nothing, or where the settings allow none.
+    /// A probe of an app server that is not open, or where the settings allow no probes.
     ProbeNotAllowed,
 }
 
 impl Defect {
-    /// All kinds, in the order of their counts.
+    /// All defects, in the order in which [`Defects`] counts them.
     pub const ALL: [Defect; 13] = [
         Defect::RepeatedUnsafe,
         Defect::SecondCopy,
@@ -63,110 +63,110 @@
 impl fmt::Display for Defect {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Defect::RepeatedUnsafe => "another attempt of what may have run",
-            Defect::SecondCopy => "a second copy where none is allowed",
-            Defect::TooManyAttempts => "more attempts than are allowed",
-            Defect::SentToClosed => "a send to an app server that drains or is gone",
-            Defect::SentToUnknown => "a send to an app server that is not in the table",
+            Defect::RepeatedUnsafe => "another attempt of a transaction that may have run",
+            Defect::SecondCopy => "a second concurrent attempt, which the settings do not allow",
+            Defect::TooManyAttempts => "more attempts than the settings allow",
+            Defect::SentToClosed => "a send to an app server that is draining or gone",
+            Defect::SentToUnknown => "a send to an app server that is not in the service table",
             Defect::SentOutsideClass => "a send to an app server that is not open to the class",
             Defect::SentAfterAnswer => "a send after the final answer",
-            Defect::SentAfterBodyConsumed => "a send of what is kept no more",
-            Defect::RefusedAfterRun => "a refusal of what may have run",
+            Defect::SentAfterBodyConsumed => "a send after the request body was consumed",
+            Defect::RefusedAfterRun => "a refusal of a transaction that may have run",
             Defect::SecondAnswer => "a second final answer",
             Defect::Unanswered => "no final answer by the deadline",
             Defect::NeverEnded => "an attempt that never ended",
-            Defect::ProbeNotAllowed => "a probe where none may be sent",
+            Defect::ProbeNotAllowed => "a probe that is not allowed",
         })
     }
 }
 
-/// How often each rule was about to be broken.
+/// How often an action would have broken each rule.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Defects([u64; Defect::ALL.len()]);
 
 impl Defects {
-    /// How often this one.
+    /// How often this rule would have been broken.
     pub fn count(&self, defect: Defect) -> u64 {
         self.0[defect as usize]
     }
 
-    /// All of them.
+    /// The sum over all rules.
     pub fn total(&self) -> u64 {
         self.0.iter().sum()
     }
 
-    /// Counts one more; true at the first of its kind.
+    /// Counts one defect; true if it is the first of its kind.
     pub(crate) fn add(&mut self, defect: Defect) -> bool {
         self.0[defect as usize] += 1;
         self.0[defect as usize] == 1
     }
 }
 
-/// Where the rules can be replaced, so that the exhaustive check can show that it catches what they guard
-/// against. [`Rules`] is the only one for service and overrides nothing.
+/// Lets the exhaustive check switch off single rules, to show that it catches what they guard against. Production uses
+/// [`Rules`], which overrides nothing.
 pub trait Guard {
-    /// Is this kept from being carried out?
+    /// True if actions with this defect are stopped.
     fn enforces(&self, _defect: Defect) -> bool {
         true
     }
 
-    /// Whether an attempt that ended can have run, and how the decisions are to take it.
+    /// The outcome reported to the chooser for an attempt that ended; it says whether the attempt can have run.
     fn outcome(&self, extent: Extent, cause: Cause) -> Outcome {
         outcome(extent, cause)
     }
 
-    /// Is a transaction forgotten once it is answered and its last attempt has ended?
+    /// True if a transaction is removed once it is answered and its last attempt has ended.
     fn removes_finished(&self) -> bool {
         true
     }
 
-    /// Is what was not begun held back once its client has gone?
+    /// True if attempts that have not begun are cancelled when their client disconnects.
     fn cancels_unstarted(&self) -> bool {
         true
     }
 
-    /// Does a transaction that the decisions forget fail by itself past its deadline?
+    /// True if a transaction that the chooser leaves unanswered past its deadline fails by itself.
     fn fails_overdue(&self) -> bool {
         true
     }
 }
 
-/// The rules, all of them.
+/// Enforces every rule.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Rules;
 
 impl Guard for Rules {}
 
-/// What of the settings the guard goes by.
+/// Checks actions against the rules, with the settings that the rules depend on.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Rulebook {
+pub(crate) struct RuleChecker {
     classes: Vec<Class>,
     max_attempts: usize,
     second_copies: bool,
     /// Running attempts may be withdrawn.
     pub cancel: bool,
     probes: bool,
-    grace: Micros,
+    drain_grace: Micros,
 }
 
-impl Rulebook {
+impl RuleChecker {
     pub fn new(settings: &Settings, limits: &Limits) -> Self {
-        Rulebook {
+        RuleChecker {
             classes: settings.classes.clone(),
             max_attempts: settings.max_attempts as usize,
             second_copies: settings.second_copies,
             cancel: settings.cancel,
             probes: settings.probes,
-            grace: limits.drain_grace,
+            drain_grace: limits.drain_grace,
         }
     }
 
     /// The rule that another attempt at this app server would break, if any.
-    pub fn send<M, R>(
+    pub fn check_send<M, R>(
         &self,
         now: Micros,
-        open: &Open<M, R>,
-        server: Option<(Standing, Place)>,
+        open: &OpenTransaction<M, R>,
+        server: Option<(Availability, Location)>,
     ) -> Option<Defect> {
         if !open.answer_pending {
             return Some(Defect::SentAfterAnswer);
@@ -174,16 +174,16 @@
         if open.attempts.len() >= self.max_attempts {
             return Some(Defect::TooManyAttempts);
         }
-        if open.spent.is_some() {
+        if open.consumed_by.is_some() {
             return Some(Defect::SentAfterBodyConsumed);
         }
-        let Some((standing, place)) = server else { return Some(Defect::SentToUnknown) };
-        if standing.closed().is_some_and(|at| now > at.saturating_add(self.grace)) {
+        let Some((availability, location)) = server else { return Some(Defect::SentToUnknown) };
+        if availability.closed_since().is_some_and(|at| now > at.saturating_add(self.drain_grace)) {
             return Some(Defect::SentToClosed);
         }
-        // A class that is not in the settings has nothing that it may do.
+        // A class that is not in the settings may be sent nowhere.
         let Some(class) = self.classes.get(open.class) else { return Some(Defect::SentOutsideClass) };
-        if !class.open_to(place.zone, place.kind) {
+        if !class.open_to(location.zone, location.kind) {
             return Some(Defect::SentOutsideClass);
         }
         if let Some(first) = open.attempts.iter().find(|attempt| attempt.may_have_run()) {
@@ -192,27 +192,27 @@
                 Effect::Unsafe => false,
                 Effect::Keyed { window, .. } if now > first.sent.saturating_add(window) => false,
                 Effect::Keyed { group: Group::All, .. } => true,
-                Effect::Keyed { group: Group::Zone, .. } => first.place.zone == place.zone,
-                Effect::Keyed { group: Group::Cell, .. } => first.place.cell == place.cell,
+                Effect::Keyed { group: Group::Zone, .. } => first.location.zone == location.zone,
+                Effect::Keyed { group: Group::Cell, .. } => first.location.cell == location.cell,
             };
             if !allowed {
                 return Some(Defect::RepeatedUnsafe);
             }
         }
-        if !self.second_copies && open.attempts.iter().any(Attempt::is_out) {
+        if !self.second_copies && open.attempts.iter().any(Attempt::is_in_flight) {
             return Some(Defect::SecondCopy);
         }
         None
     }
 
-    /// The rule that a probe of this app server would break, if any. Unlike an attempt it has no grace: nobody
-    /// waits for it.
-    pub fn probe(&self, standing: Option<Standing>) -> Option<Defect> {
-        (!self.probes || standing != Some(Standing::Open)).then_some(Defect::ProbeNotAllowed)
+    /// The rule that a probe of this app server would break, if any. Unlike an attempt, a probe has no drain grace: no
+    /// client waits for it.
+    pub fn check_probe(&self, availability: Option<Availability>) -> Option<Defect> {
+        (!self.probes || availability != Some(Availability::Open)).then_some(Defect::ProbeNotAllowed)
     }
 
-    /// True if a refusal would promise what is not known.
-    pub fn refusal_lies<M, R>(&self, open: &Open<M, R>) -> bool {
+    /// True if a refusal would claim that the request can be retried safely although an attempt may have run.
+    pub fn refusal_would_mislead<M, R>(&self, open: &OpenTransaction<M, R>) -> bool {
         let harmless = matches!(
             self.classes.get(open.class).map(|class| effect(class, open)),
             Some(Effect::Safe | Effect::Keyed { group: Group::All, .. })
@@ -221,7 +221,8 @@
     }
 }
 
-/// What its class allows, unless nothing names it to those that would drop a repeat.
-fn effect<M, R>(class: &Class, open: &Open<M, R>) -> Effect {
+/// The repeats that the transaction's class allows. Without an idempotency key (`once`) app servers cannot drop repeats,
+/// so only safe classes may be repeated.
+fn effect<M, R>(class: &Class, open: &OpenTransaction<M, R>) -> Effect {
     if open.once && class.effect != Effect::Safe { Effect::Unsafe } else { class.effect }
 }
--- a/dispatch/src/io.rs
+++ b/dispatch/src/io.rs
@@ -1,4 +1,4 @@
-//! What goes into dispatch and what comes out of it.
+//! The inputs and outputs of dispatch.
 
 use std::sync::Arc;
 
@@ -7,58 +7,58 @@
 use crate::attempt::{Cause, Extent};
 use crate::guard::Defect;
 
-/// Names a transaction within one dispatch. The shell hands them out and never uses one again; clients'
-/// own ids may repeat, these may not.
+/// Identifies a transaction within one dispatch. The caller assigns tickets and never reuses one; client request ids, in
+/// contrast, may repeat.
 pub type Ticket = u64;
 
-/// A client's request, as far as decisions need it, and the message to hand on.
+/// A client's request: what the decisions need of it, and the message to forward.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Transaction<M> {
-    /// The client's own id for it.
+    /// The id that the client gave it.
     pub client_request_id: Arc<[u8]>,
     /// Position of its class in the settings.
     pub class: usize,
     /// Position of its tenant in the settings.
     pub tenant: Option<usize>,
-    /// What it is about.
+    /// The key that the request is about, such as a user; requests with the same key are best served by the same app server.
     pub key: Option<String>,
-    /// Nothing names it to app servers that drop repeats: whatever its class says, it may run once only.
+    /// It may run only once, whatever its class allows: it has no idempotency key by which app servers could drop repeats.
     pub once: bool,
-    /// Its client's guess at the work, on a standard core.
+    /// The client's estimate of the work, in microseconds on a standard core.
     pub hint: Option<Micros>,
-    /// When its last byte had come, or when it was taken.
+    /// When its last byte arrived; if the upload is not complete, when it was accepted.
     pub arrived: Micros,
-    /// How long the client waits from its last byte on.
+    /// How long the client waits after the last byte of its upload.
     pub time_left: Micros,
-    /// Its last byte has come; else [`Input::Uploaded`] tells of that.
+    /// Its last byte has arrived. Otherwise [`Input::Uploaded`] follows when it does.
     pub upload_complete: bool,
     /// What goes to the app server; cloned for each attempt.
     pub message: M,
 }
 
-/// The one final answer that a transaction gets.
+/// The one final answer of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum FinalAnswer<R> {
-    /// Served: an app server's answer.
+    /// The response of an app server.
     Served(R),
-    /// A short-on-capacity reply: trying again after this pause is harmless.
+    /// Refused for lack of capacity: the client can retry safely after this pause.
     Refused {
-        /// How long the client should stay away.
+        /// How long the client should wait before it retries.
         pause: Micros,
     },
-    /// Turned down: a transaction with the same id of its client's is open.
+    /// Rejected: a transaction with the same client request id is open.
     DuplicateId,
-    /// Failed, and nothing is said about what has happened.
+    /// Failed, without a claim whether the request ran.
     Failed {
         /// No app server answered in time.
         timed_out: bool,
-        /// The last app server's own words, if it said any that may be passed on.
+        /// The last app server's reply, if there is one that may be forwarded.
         reply: Option<R>,
     },
 }
 
 impl<R> FinalAnswer<R> {
-    /// Its kind in one word, for logs.
+    /// The kind of answer in one word, for logs.
     pub fn name(&self) -> &'static str {
         match self {
             FinalAnswer::Served(_) => "served",
@@ -69,34 +69,34 @@
     }
 }
 
-/// What dispatch is told. Inputs come in the order in which they happened, with times that never go back.
+/// An input to dispatch. Inputs are passed in the order in which they happened, with times that never go back.
 #[derive(Clone, Debug)]
 pub enum Input<M, R> {
-    /// A transaction has been taken. From here on it is owed one final answer.
+    /// A transaction was accepted. From here on it must get exactly one final answer.
     Accepted {
-        /// Its name, never used before.
+        /// Its ticket, never used before.
         ticket: Ticket,
-        /// What it is.
+        /// The transaction.
         transaction: Transaction<M>,
     },
-    /// The client has left; nothing is owed to it any more. Says nothing new after the final answer.
+    /// The client has disconnected and needs no answer any more. Ignored after the final answer.
     ClientDisconnected {
         /// The transaction.
         ticket: Ticket,
     },
-    /// The last byte of a transaction has come that was taken before that: its client's time begins.
+    /// The last byte arrived of a transaction that was accepted during its upload. The client's waiting time starts.
     Uploaded {
         /// The transaction.
         ticket: Ticket,
     },
-    /// What this attempt passes on is kept no more, so no other attempt can be made.
+    /// This attempt has consumed the request body. It cannot be replayed, so no other attempt can be made.
     BodyConsumed {
         /// The transaction.
         ticket: Ticket,
         /// The attempt, counted from 0.
         attempt: u32,
     },
-    /// How far an attempt has been written by now. A shell may leave this out and say it at the end.
+    /// How much of an attempt has been written so far. The caller may omit this and report it with the end only.
     Written {
         /// The transaction.
         ticket: Ticket,
@@ -105,49 +105,50 @@
         /// How far.
         extent: Extent,
     },
-    /// An attempt has ended. Each one that was started is to end exactly once.
+    /// An attempt has ended. The caller reports this exactly once for each attempt started.
     AttemptEnded {
         /// The transaction.
         ticket: Ticket,
         /// The attempt, counted from 0.
         attempt: u32,
-        /// How far it was written.
+        /// How much of it was written.
         extent: Extent,
         /// What ended it.
         cause: Cause,
-        /// What the app server said, as far as it may be passed on.
+        /// The app server's reply, if it may be forwarded.
         reply: Option<R>,
-        /// The load report that came along.
+        /// The load report in the response.
         report: Option<LoadReport>,
     },
-    /// A probe has ended. Each one that was started is to end exactly once.
+    /// A probe has ended. The caller reports this exactly once for each probe started.
     ProbeEnded {
         /// The app server.
         server: Id,
-        /// What ended it; [`Cause::Denied`] if the app server has nothing to be probed at.
+        /// What ended it; [`Cause::Denied`] if the app server has no probe endpoint.
         cause: Cause,
-        /// The load report that came along.
+        /// The load report in the response.
         report: Option<LoadReport>,
     },
-    /// The service table, or changes of it.
+    /// The service table, or changes to it.
     ServerList {
-        /// What the entries stand for.
+        /// Whether the entries are changes or the full list, and where they come from.
         kind: ListKind,
         /// The entries.
         servers: Vec<Server>,
     },
-    /// The operators take an app server out, or call it back. Twice the same changes nothing.
+    /// The operators ban an app server or end its ban. Repeating either changes nothing.
     Ban {
         /// The app server, listed or not.
         server: Id,
-        /// Since when it is out; none if it is called back. A ban of a process before this one has had its grace.
+        /// Since when it is banned; none to end the ban. The drain grace counts from this time, also for a ban made before
+        /// this process started.
         since: Option<Micros>,
     },
-    /// The time that [`crate::Dispatch::due`] named has come.
+    /// The time returned by [`crate::Dispatch::next_tick_at`] has come.
     Tick,
 }
 
-/// What the shell is to do, in this order.
+/// What the caller has to do, in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output<M, R> {
     /// Start an attempt.
@@ -156,22 +157,22 @@
         ticket: Ticket,
         /// The attempt, counted from 0.
         attempt: u32,
-        /// Where.
+        /// The app server to send it to.
         server: Id,
-        /// What is sent.
+        /// The message to send.
         message: M,
-        /// When to give it up.
+        /// When to give it up as timed out.
         until: Micros,
     },
-    /// Withdraw an attempt. It still ends, by this or by what came first.
+    /// Withdraw an attempt. Its end is still reported, whether this ended it or something earlier.
     Withdraw {
         /// The transaction.
         ticket: Ticket,
         /// The attempt, counted from 0.
         attempt: u32,
     },
-    /// Do not begin this attempt: its client has gone. One of which a byte is written goes on; the other ends as if it
-    /// were withdrawn, also where running attempts may not be.
+    /// Cancel this attempt if no byte of it has been written, as its client has disconnected. It then ends as if withdrawn,
+    /// even where the settings forbid withdrawing running attempts. If a byte has been written it continues.
     CancelUnstarted {
         /// The transaction.
         ticket: Ticket,
@@ -182,18 +183,18 @@
     Answer {
         /// The transaction.
         ticket: Ticket,
-        /// What it hears.
+        /// The answer.
         answer: FinalAnswer<R>,
     },
-    /// From now on an app server may, or may not, be sent anything new. An attempt whose first byte has
-    /// not been written by then ends with [`Cause::Closed`]. New app servers come with one of these.
+    /// An app server is now open or closed to new requests. An attempt whose first byte has not been written when the app
+    /// server is closed ends with [`Cause::Closed`]. Also emitted for each new app server.
     Availability {
         /// The app server.
         server: Id,
-        /// May it be sent anything new?
+        /// True if it may be sent new requests.
         open: bool,
     },
-    /// The app server left the service table long ago: nothing names it any more.
+    /// The app server left the service table long enough ago to be removed; no later output names it unless it returns.
     ServerRemoved {
         /// The app server.
         server: Id,
@@ -203,24 +204,24 @@
         /// The app server.
         server: Id,
     },
-    /// Watch the service table's source.
+    /// Subscribe to the service table at discovery.
     WatchServerList,
-    /// Probe an app server. One is out at each at most.
+    /// Probe an app server. At most one probe per app server is in flight.
     Probe {
         /// The app server.
         server: Id,
     },
-    /// A line of the decisions' for the operators.
+    /// A log line from the chooser for the operators.
     Log {
         /// The text.
         text: String,
     },
-    /// An action that would have broken a rule was not carried out. Comes at the first of each kind;
+    /// An action that would have broken a rule was not carried out. Emitted for the first defect of each kind only;
     /// [`crate::Dispatch::defects`] has the counts.
     Defect {
-        /// Which rule.
+        /// The rule.
         defect: Defect,
-        /// The transaction's id towards the decisions.
+        /// The id of the transaction, as the chooser knows it; for a probe, that of the app server.
         request: Id,
     },
 }
--- a/dispatch/src/lib.rs
+++ b/dispatch/src/lib.rs
@@ -1,12 +1,12 @@
-//! The life of a transaction, from the moment it is taken until its final answer is out and its last
-//! attempt has ended. There is no I/O, no clock and no protocol in here: a shell (the daemon, an emulator,
-//! a plug-in, the exhaustive check) hands over every [`Input`] with the time and carries out the
-//! [`Output`]s that it gets back. Messages and replies are opaque.
+//! The life of a transaction, from its acceptance until its final answer has been given and its last attempt has ended.
+//! The crate does no I/O and contains no clock and no protocol: the caller (the daemon, the emulator, a plug-in, the
+//! exhaustive check) passes every [`Input`] with the time and carries out the [`Output`]s that it gets back. Messages and
+//! replies are opaque.
 //!
-//! The decisions stay in the [`Chooser`], of which [`gradepaddle::Balancer`] is the one in service. What
-//! [`Dispatch`] adds is what must hold *whatever* is chosen (`docs/properties.md` names it and the code
-//! that keeps it): an action that would break a rule is not carried out, it is counted as a [`Defect`],
-//! and its transaction ends in the safe way, which is a failure that claims nothing.
+//! The decisions are made by the [`Chooser`]; production uses [`gradepaddle::Balancer`]. [`Dispatch`] enforces what must
+//! hold *whatever* the chooser decides (`docs/properties.md` lists these properties and the code that ensures them): an
+//! action that would break a rule is not carried out but counted as a [`Defect`], and its transaction ends with a failure
+//! that does not claim whether the request ran.
 //!
 //! ```
 //! use gradepaddle::{Balancer, ListKind, Server, Settings, State};
@@ -43,16 +43,16 @@
 mod fleet;
 mod guard;
 mod io;
-mod listing;
+mod list_clock;
 mod transaction;
 
 pub use attempt::{Cause, Extent, outcome};
 pub use chooser::Chooser;
 pub use dispatch::{Dispatch, Limits};
-pub use fleet::{Fleet, Place, Standing};
+pub use fleet::{Availability, Fleet, Location};
 pub use guard::{Defect, Defects, Guard, Rules};
 pub use io::{FinalAnswer, Input, Output, Ticket, Transaction};
-pub use listing::{
+pub use list_clock::{
     DELIVERY_BOUND, Failure, HEARTBEAT_INTERVAL, ListClock, RECONNECT_INTERVAL, RETRY_INTERVALS,
 };
 pub use transaction::{AttemptView, TransactionView};
--- a/dispatch/src/transaction.rs
+++ b/dispatch/src/transaction.rs
@@ -1,4 +1,4 @@
-//! A transaction while it is open: until it is answered and its last attempt has ended.
+//! An open transaction: one that is not answered yet or has an attempt in flight.
 
 use std::sync::Arc;
 
@@ -7,80 +7,80 @@
 use crate::attempt::{Attempt, Extent};
 use crate::io::Ticket;
 
-/// A transaction as dispatch keeps it.
+/// The record of an open transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Open<M, R> {
-    /// Its id towards the decisions.
+pub(crate) struct OpenTransaction<M, R> {
+    /// Its id, as the chooser knows it.
     pub id: Id,
-    /// Its client's id, which no other may use meanwhile.
+    /// The id that the client gave it. No other transaction may use it while this one is open.
     pub client_request_id: Arc<[u8]>,
     pub class: usize,
-    /// Whatever its class says, it may run once only.
+    /// It may run only once, whatever its class allows.
     pub once: bool,
     pub message: M,
-    /// When its client gives up; far off while the client still sends.
+    /// When its client gives up; `Micros::MAX` while the client still uploads.
     pub deadline: Micros,
-    /// How long the client waits from its last byte on.
+    /// How long the client waits after the last byte of its upload.
     pub time_left: Micros,
-    /// When its last byte had come.
+    /// When the last byte of the upload arrived.
     pub uploaded_at: Option<Micros>,
-    /// The attempt that has used up what cannot be had again.
-    pub spent: Option<u32>,
-    /// Its final answer is still to be given.
+    /// The attempt that consumed the request body, which cannot be replayed.
+    pub consumed_by: Option<u32>,
+    /// Its final answer has not been given, and its client still waits for it.
     pub answer_pending: bool,
     pub attempts: Vec<Attempt>,
-    /// The last outcome was a time-out.
+    /// The last attempt that ended timed out.
     pub last_timed_out: bool,
-    /// What came with the last outcome, if that is no success.
+    /// The reply of the last attempt that ended, if it was not successful.
     pub reply: Option<R>,
-    /// Where it stands among the deadlines.
-    pub due: Micros,
+    /// When it is next checked for being overdue.
+    pub check_at: Micros,
 }
 
-impl<M, R> Open<M, R> {
-    /// True if it is for want of an answer that it fails, not for an answer that was bad.
+impl<M, R> OpenTransaction<M, R> {
+    /// True if a failure now is due to a missing response, not to an error response.
     pub fn is_timed_out(&self) -> bool {
-        self.last_timed_out || self.reply.is_none() && self.attempts.iter().any(Attempt::is_out)
+        self.last_timed_out || self.reply.is_none() && self.attempts.iter().any(Attempt::is_in_flight)
     }
 
     pub fn is_done(&self) -> bool {
-        !self.answer_pending && self.attempts.iter().all(|attempt| !attempt.is_out())
+        !self.answer_pending && self.attempts.iter().all(|attempt| !attempt.is_in_flight())
     }
 }
 
-/// What a shell may look at of an open transaction.
+/// A read-only view of an open transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct TransactionView<'a> {
-    /// Its name.
+    /// Its ticket.
     pub ticket: Ticket,
-    /// Its id towards the decisions.
+    /// Its id, as the chooser knows it.
     pub id: &'a str,
-    /// Its client's id.
+    /// The id that the client gave it.
     pub client_request_id: &'a [u8],
     /// Position of its class in the settings.
     pub class: usize,
-    /// When its client gives up.
+    /// When its client gives up; `Micros::MAX` while the client still uploads.
     pub deadline: Micros,
-    /// Its final answer is still to be given.
+    /// Its final answer has not been given, and its client still waits for it.
     pub answer_pending: bool,
     /// Its attempts so far.
     pub attempts: Vec<AttemptView>,
 }
 
-/// Where one attempt stands.
+/// A read-only view of one attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct AttemptView {
     /// The app server.
     pub server: Id,
     /// When it was started.
     pub sent: Micros,
-    /// How far it was written, as far as was told.
+    /// How much of it was written, as last reported.
     pub extent: Extent,
-    /// How it ended; none while it is out.
+    /// How it ended; none while it is in flight.
     pub outcome: Option<Outcome>,
 }
 
-impl<M, R> Open<M, R> {
+impl<M, R> OpenTransaction<M, R> {
     pub fn view(&self, ticket: Ticket) -> TransactionView<'_> {
         let attempts = self.attempts.iter().map(|attempt| AttemptView {
             server: attempt.server.clone(),
--- a/dispatch/tests/hard_cases.rs
+++ b/dispatch/tests/hard_cases.rs
@@ -1,9 +1,9 @@
-//! The hard cases of a transaction's life, each by itself. `gradepaddle-check` tries them in every order.
+//! The difficult cases in the life of a transaction, one test each. `gradepaddle-check` tries them in every order.
 
 use gradepaddle::*;
 use gradepaddle_dispatch::*;
 
-/// Asks for what a test has planned, at the next event, and notes what it is told of attempts.
+/// A chooser that returns the planned actions at the next event and records what it is told.
 #[derive(Default)]
 struct Script {
     planned: Vec<Action>,
@@ -91,7 +91,7 @@
         self.tell(Input::Accepted { ticket, transaction })
     }
 
-    /// Has the chooser ask for this, at an event that changes nothing.
+    /// Makes the chooser return this action, at an event that changes nothing.
     fn choose(&mut self, action: Action) -> Outputs {
         self.dispatch.chooser_mut().planned.push(action);
         self.list(ListKind::Failed, Vec::new())
@@ -149,21 +149,24 @@
 }
 
 #[test]
-fn after_a_crash_the_old_life_is_unknown_and_the_cached_list_serves() {
+fn after_a_crash_earlier_attempts_are_unknown_and_the_cached_list_is_used() {
     let mut bench = Bench::new();
     bench.take(1, b"c", UNSAFE);
     bench.send("n-1", "a");
-    // The last byte is written, nobody has said so, and the process dies: this is its next life.
+    // The last byte is written but not reported when the process dies. This dispatch is that of the restarted process.
     let mut bench = Bench::new();
     let out = bench.end(1, 0, Extent::Whole, Cause::Served);
-    assert!(out.is_empty() && bench.told().is_empty(), "nothing is made of an end from before");
-    assert_eq!(starts(&bench.send("n-1", "b")), 0, "and nothing of it is sent again");
+    assert!(
+        out.is_empty() && bench.told().is_empty(),
+        "the end of an attempt from before the crash is ignored"
+    );
+    assert_eq!(starts(&bench.send("n-1", "b")), 0, "its transaction is not sent again");
     bench.take(0, b"retry", UNSAFE);
     assert_eq!(starts(&bench.send("n-0", "a")), 1);
 }
 
 #[test]
-fn a_client_that_leaves_while_its_answer_is_under_way_changes_nothing() {
+fn a_client_that_disconnects_after_its_answer_was_given_changes_nothing() {
     let mut bench = Bench::new();
     bench.take(1, b"c", SAFE);
     bench.send("n-1", "a");
@@ -171,13 +174,13 @@
     assert_eq!(answers(&bench.end(1, 0, Extent::Whole, Cause::Served)), [(1, FinalAnswer::Served("r"))]);
     assert!(answers(&bench.tell(Input::ClientDisconnected { ticket: 1 })).is_empty());
     assert_eq!(bench.dispatch.chooser().left, 0, "the chooser was told by the answer");
-    assert_eq!(bench.dispatch.len(), 1, "its second copy is still out");
+    assert_eq!(bench.dispatch.len(), 1, "its second attempt is still in flight");
     assert!(answers(&bench.end(1, 1, Extent::Whole, Cause::Served)).is_empty());
     assert!(bench.dispatch.is_empty());
 }
 
 #[test]
-fn a_drain_before_the_first_byte_leaves_the_transaction_free_to_go_elsewhere() {
+fn a_drain_before_the_first_byte_lets_the_transaction_go_to_another_server() {
     let mut bench = Bench::new();
     bench.take(1, b"c", UNSAFE);
     bench.send("n-1", "a");
@@ -188,9 +191,9 @@
     assert_eq!(starts(&bench.send("n-1", "b")), 1);
 }
 
-/// The other side of it: what has begun before the drain was told is finished there.
+/// The opposite case: an attempt that began before the drain was reported finishes there.
 #[test]
-fn a_drain_behind_the_first_byte_lets_the_attempt_end() {
+fn a_drain_after_the_first_byte_lets_the_attempt_finish() {
     let mut bench = Bench::new();
     bench.take(1, b"c", UNSAFE);
     bench.send("n-1", "a");
@@ -209,7 +212,7 @@
     let out = bench.list(ListKind::Delta, vec![server("a", State::Gone), server("a2", State::Ready)]);
     let standing = |id: &str, open| Output::Availability { server: id.into(), open };
     assert_eq!(out, [standing("a", false), standing("a2", true)]);
-    assert_eq!(bench.dispatch.fleet().standing("a"), Some(Standing::Gone(5)));
+    assert_eq!(bench.dispatch.fleet().availability("a"), Some(Availability::Gone(5)));
     bench.take(2, b"d", UNSAFE);
     assert_eq!(starts(&bench.send("n-2", "a2")), 1);
     assert_eq!(answers(&bench.end(1, 0, Extent::Whole, Cause::Served)), [(1, FinalAnswer::Served("r"))]);
@@ -217,12 +220,16 @@
 }
 
 #[test]
-fn a_retry_under_a_new_id_is_another_transaction_and_an_open_id_is_taken_once() {
+fn a_retry_under_a_new_id_is_another_transaction_and_a_duplicate_id_is_rejected() {
     let mut bench = Bench::new();
     bench.take(1, b"c", UNSAFE);
     bench.send("n-1", "a");
     bench.take(2, b"c2", UNSAFE);
-    assert_eq!(starts(&bench.send("n-2", "a")), 1, "the first may still run: that is its client's to know");
+    assert_eq!(
+        starts(&bench.send("n-2", "a")),
+        1,
+        "the first may still run, which the client that retries has to accept"
+    );
     assert_eq!(answers(&bench.take(3, b"c", UNSAFE)), [(3, FinalAnswer::DuplicateId)]);
     assert_eq!(bench.dispatch.len(), 2);
     bench.tell(Input::ClientDisconnected { ticket: 1 });
@@ -232,7 +239,7 @@
 }
 
 #[test]
-fn a_failed_list_holds_and_an_old_one_counts_as_told() {
+fn a_failed_list_changes_nothing_and_an_outdated_one_applies() {
     let mut bench = Bench::new();
     bench.list(ListKind::Delta, vec![server("a", State::Draining)]);
     assert!(bench.list(ListKind::Failed, Vec::new()).is_empty());
@@ -246,22 +253,22 @@
 }
 
 #[test]
-fn an_end_of_a_forgotten_transaction_or_told_twice_changes_nothing() {
+fn an_end_reported_twice_or_for_a_removed_transaction_changes_nothing() {
     let mut bench = Bench::new();
     bench.take(1, b"c", SAFE);
     bench.send("n-1", "a");
     bench.end(1, 0, Extent::Whole, Cause::Failed);
     bench.told();
-    assert!(bench.end(1, 0, Extent::Whole, Cause::Served).is_empty(), "told twice");
+    assert!(bench.end(1, 0, Extent::Whole, Cause::Served).is_empty(), "reported twice");
     bench.choose(Action::Fail { request: "n-1".into() });
     assert!(bench.dispatch.is_empty());
-    assert!(bench.end(1, 0, Extent::Whole, Cause::Served).is_empty(), "forgotten");
+    assert!(bench.end(1, 0, Extent::Whole, Cause::Served).is_empty(), "removed");
     assert!(bench.told().is_empty());
 }
 
-/// Guards against an end that claims less than was recorded: written whole stays written whole.
+/// Guards against an end that reports less written than before: a completely written attempt stays so.
 #[test]
-fn what_was_recorded_as_written_counts_whatever_the_end_claims() {
+fn an_end_cannot_reduce_the_recorded_extent() {
     let mut bench = Bench::new();
     bench.take(1, b"c", UNSAFE);
     bench.send("n-1", "a");
@@ -270,8 +277,8 @@
     assert_eq!(bench.told(), [(0, Outcome::Reset, false)]);
 }
 
-/// Each action that would break a rule: nothing starts, its kind is counted and named once, and the
-/// transaction fails at once, the chooser told of the attempt that was not made and of the end.
+/// For each action that would break a rule: no attempt starts, the defect is counted and reported once, and the
+/// transaction fails at once. The chooser is told of the attempt that was not made and of the end of the request.
 #[test]
 fn an_action_that_breaks_a_rule_is_not_carried_out_and_ends_its_transaction() {
     type Before = Box<dyn Fn(&mut Bench)>;
@@ -314,14 +321,14 @@
         let [(1, FinalAnswer::Failed { .. })] = answers(&out)[..] else { panic!("{defect:?}: {out:?}") };
         let told = bench.told();
         assert!(matches!(told[..], [(_, Outcome::Moot, true)]), "{defect:?}: {told:?}");
-        // With nothing out, the end of the attempt that was not made says it all.
+        // Without an attempt in flight, the end of the attempt that was not made also closes the request.
         let left = usize::from(open > 0);
         assert_eq!((bench.dispatch.chooser().left, bench.dispatch.defects().count(defect)), (left, 1));
     }
 }
 
 #[test]
-fn a_refusal_of_what_may_have_run_becomes_a_failure() {
+fn a_refusal_of_a_transaction_that_may_have_run_becomes_a_failure() {
     let refuse = || Action::Refuse { request: "n-1".into(), pause: 7 };
     for (class, cause, honest) in
         [(UNSAFE, Cause::Broke, false), (UNSAFE, Cause::Unprocessed, true), (SAFE, Cause::Broke, true)]
@@ -350,7 +357,7 @@
 }
 
 #[test]
-fn what_is_forgotten_by_chooser_or_shell_ends_by_itself() {
+fn a_transaction_that_chooser_or_caller_forgets_ends_by_itself() {
     let mut bench = Bench::new();
     bench.take(1, b"c", UNSAFE);
     bench.send("n-1", "a");
@@ -361,7 +368,7 @@
     let out = bench.tell(Input::Tick);
     assert_eq!(answers(&out), [(1, LATE)]);
     assert_eq!(bench.dispatch.chooser().left, 1);
-    // The attempt's end is never told.
+    // The end of the attempt is never reported.
     assert_eq!((bench.dispatch.len(), bench.dispatch.next_tick_at()), (1, Some(DEADLINE + 60)));
     bench.now = DEADLINE + 60;
     bench.tell(Input::Tick);
@@ -370,10 +377,10 @@
     assert!(bench.dispatch.is_empty() && bench.dispatch.next_tick_at().is_none());
 }
 
-/// Guards against a balancer that grows with the transactions it has ever seen, round the decisions in
-/// service and over many app servers that come and go.
+/// Guards against memory that grows with the number of transactions served, with the production chooser and many app
+/// servers that come and go.
 #[test]
-fn nothing_is_kept_of_transactions_and_app_servers_that_are_over() {
+fn finished_transactions_and_departed_app_servers_are_removed() {
     let settings = Settings::default();
     let balancer = Balancer::new(settings.clone(), 3).expect("settings");
     let limits = Limits { server_retention: 1_000, ..Limits::default() };
@@ -418,7 +425,7 @@
 }
 
 #[test]
-fn a_defect_is_counted_each_time_and_named_once() {
+fn a_defect_is_counted_each_time_and_reported_once() {
     let mut bench = Bench::new();
     let named: usize = (0..3)
         .map(|_| bench.choose(Action::Fail { request: "n-9".into() }))
@@ -427,8 +434,8 @@
     assert_eq!((named, bench.dispatch.defects().count(Defect::SecondAnswer)), (1, 3));
 }
 
-/// Guards app servers against probes that nobody may send them, or more than one at a time, and the chooser
-/// against a probe of which it never hears again.
+/// Guards app servers against forbidden and concurrent probes, and the chooser against a probe whose end it is never
+/// told of.
 #[test]
 fn a_probe_goes_only_to_an_open_server_one_at_a_time_and_always_ends() {
     let mut bench = Bench::with(Settings { probes: true, ..settings() });
@@ -440,22 +447,22 @@
         bench.tell(Input::ProbeEnded { server: "a".into(), cause, report: None });
         std::mem::take(&mut bench.dispatch.chooser_mut().probed)
     };
-    assert!(probe(&mut bench) && !probe(&mut bench), "one is out");
+    assert!(probe(&mut bench) && !probe(&mut bench), "one is in flight");
     bench.now = 7;
     assert_eq!(ended(&mut bench, Cause::Denied), [(Outcome::Moot, 0), (Outcome::Denied, 7)]);
-    assert!(ended(&mut bench, Cause::Served).is_empty(), "it has ended already");
+    assert!(ended(&mut bench, Cause::Served).is_empty(), "it has already ended");
     assert!(probe(&mut bench));
     bench.now = 7 + 50;
-    assert!(probe(&mut bench), "one whose end was never told does not stay out for ever");
+    assert!(probe(&mut bench), "a probe whose end is never reported does not stay in flight for ever");
     ended(&mut bench, Cause::OutOfTime);
     assert_eq!(bench.dispatch.defects().total(), 0);
     let told = |state| vec![server("a", state)];
     bench.list(ListKind::Delta, told(State::Draining));
-    assert!(!probe(&mut bench), "it drains, and the grace is not for probes");
+    assert!(!probe(&mut bench), "it drains, and probes have no drain grace");
     bench.list(ListKind::Delta, told(State::Ready));
     let since = Some(bench.now);
     bench.tell(Input::Ban { server: "a".into(), since });
-    assert!(!probe(&mut bench), "it is out");
+    assert!(!probe(&mut bench), "it is banned");
     bench.tell(Input::Ban { server: "a".into(), since: None });
     assert!(probe(&mut bench));
     let mut forbidden = Bench::new();
@@ -465,8 +472,8 @@
     }
 }
 
-/// An unsafe transaction whose client still sends.
-fn flowing() -> Transaction<&'static str> {
+/// An unsafe transaction whose client still uploads.
+fn uploading() -> Transaction<&'static str> {
     Transaction {
         client_request_id: (*b"c").into(),
         class: UNSAFE,
@@ -481,18 +488,18 @@
     }
 }
 
-/// Guards a transaction that is taken while its client still sends: its time begins with the last byte, nothing
-/// is sent again of what is used up, and its deadline is kept although the chooser keeps none for it.
+/// Guards a transaction that is accepted during its upload: its time starts with the last byte, a consumed body is not sent
+/// again, and its deadline is kept although the chooser keeps none for it.
 #[test]
-fn what_flows_has_its_time_from_the_last_byte_and_is_sent_once() {
+fn an_upload_has_its_deadline_from_the_last_byte_and_its_consumed_body_is_not_resent() {
     let mut bench = Bench::new();
-    let transaction = flowing();
+    let transaction = uploading();
     let send =
         |server: &str| Action::Send { request: "n-1".into(), server: server.into(), until: 9 * DEADLINE };
     bench.dispatch.chooser_mut().planned.push(send("a"));
     bench.tell(Input::Accepted { ticket: 1, transaction });
     bench.now = 5 * DEADLINE;
-    assert!(bench.tell(Input::Tick).is_empty(), "its client still sends");
+    assert!(bench.tell(Input::Tick).is_empty(), "its client still uploads");
     let ended = |attempt, extent, cause| Input::AttemptEnded {
         ticket: 1,
         attempt,
@@ -503,7 +510,7 @@
     };
     bench.dispatch.chooser_mut().planned.push(send("b"));
     let out = bench.tell(ended(0, Extent::Part, Cause::Broke));
-    assert!(matches!(out[..], [Output::Start { attempt: 1, .. }]), "nothing of it was used up: {out:?}");
+    assert!(matches!(out[..], [Output::Start { attempt: 1, .. }]), "its body was not consumed: {out:?}");
     bench.tell(Input::BodyConsumed { ticket: 1, attempt: 1 });
     bench.tell(Input::Uploaded { ticket: 1 });
     assert_eq!(bench.dispatch.next_tick_at(), Some(6 * DEADLINE + 10));
@@ -514,13 +521,13 @@
     assert_eq!(bench.dispatch.defects().total(), 0, "{out:?}");
 }
 
-/// Guards against a guard that is asked for nothing: a chooser that sends what is used up is stopped.
+/// Guards against a chooser that sends a request again whose body was consumed.
 #[test]
-fn what_is_used_up_is_not_sent_again_whatever_the_chooser_asks_for() {
+fn a_consumed_body_is_not_sent_again_whatever_the_chooser_asks_for() {
     let mut bench = Bench::new();
     let send = |server: &str| Action::Send { request: "n-1".into(), server: server.into(), until: DEADLINE };
     bench.dispatch.chooser_mut().planned.push(send("a"));
-    let transaction = flowing();
+    let transaction = uploading();
     bench.tell(Input::Accepted { ticket: 1, transaction });
     bench.tell(Input::BodyConsumed { ticket: 1, attempt: 0 });
     bench.dispatch.chooser_mut().planned.push(send("b"));
--- a/dispatch/tests/listing.rs
+++ b/dispatch/tests/list_clock.rs
@@ -1,4 +1,4 @@
-//! The list's clock by its figures.
+//! The times at which the list clock asks for calls, waits and counts changes as delivered.
 
 use gradepaddle::Micros;
 use gradepaddle_dispatch::{
@@ -7,8 +7,8 @@
 
 const S: Micros = 1_000_000;
 
-/// Guards the times that the fleet trial counts by: a watch that falls silent is asked anew with time for two calls
-/// before what it missed counts as told, and a call that says nothing likewise.
+/// Guards the times that the fleet trial relies on: a silent watch is replaced by a call while there is time for two calls
+/// before the missed changes count as delivered, and so is a silent call.
 #[test]
 fn a_silence_leaves_time_for_two_calls() {
     let mut clock = ListClock::default();
@@ -26,16 +26,15 @@
     }
     assert_eq!(calls, [5_500_000, 7_250_000, 8_250_000, 9_250_000]);
     assert!(calls[1] < 3 * S + DELIVERY_BOUND && clock.is_behind(3 * S + DELIVERY_BOUND));
-    // Behind that moment a busy discovery is not asked every second.
+    // After that moment a busy discovery is not called every second.
     assert_eq!(clock.silence_deadline(), Some(9_250_000 + 3 * S));
     clock.list_received(10 * S);
     assert!(!clock.is_behind(20 * S));
 }
 
-/// Guards a discovery that is slow against calls that it does not need, and the limit against one slow beat that
-/// would stretch it for ever.
+/// Guards a slow discovery against needless calls, and the silence limit against staying long after one late heartbeat.
 #[test]
-fn a_slow_beat_is_no_silence_and_is_forgotten() {
+fn a_late_heartbeat_extends_the_silence_limit_for_a_while() {
     let mut clock = ListClock::default();
     clock.call_started(0);
     clock.list_received(0);
@@ -49,8 +48,8 @@
     assert_eq!(clock.silence_deadline(), Some(now + HEARTBEAT_INTERVAL + HEARTBEAT_INTERVAL / 4));
 }
 
-/// Guards the time that runs from the moment at which discovery is back, unseen by us: whatever failed, and however
-/// often, the next call comes soon; and those of a fleet that failed together come apart.
+/// Guards the delivery bound, which counts from the unobserved moment at which discovery is back: whatever failed, and
+/// however often, the next call is made soon, and the calls of processes that failed together are spread.
 #[test]
 fn failed_calls_are_followed_up_in_time_however_many_there_were() {
     for (how, within) in
@@ -77,10 +76,10 @@
     }
 }
 
-/// Guards both kinds of wait: one that is busy is waited for until all others may have had their turn, and what was
-/// missed in an outage counts from its end, which is after the last call that failed.
+/// Guards both kinds of wait: an overloaded discovery gets time to serve all other processes, and changes missed in an
+/// outage count from its end, which is after the last failed call.
 #[test]
-fn a_busy_discovery_is_waited_for_and_one_that_was_away_is_not() {
+fn a_busy_discovery_gets_a_longer_wait_and_one_after_an_outage_does_not() {
     let mut clock = ListClock::new(300, 7);
     clock.call_started(0);
     clock.call_failed(3 * S, Failure::TurnedDown);
