--- a/book/src/bans.rs
+++ b/book/src/bans.rs
@@ -1,4 +1,4 @@
-//! The first content: app servers that the operators have taken out.
+//! The first kind of content: app servers that the operators have banned.
 
 use std::cell::{Ref, RefCell};
 use std::collections::BTreeMap;
@@ -8,71 +8,71 @@
 
 use crate::ledger::Content;
 
-/// The number of this kind.
+/// The number of this kind of content.
 pub const KIND: u16 = 1;
-/// The longest id of an app server that is taken down, in bytes.
-const LONGEST_ID: usize = 256;
-/// So many bans are held.
-const MOST: usize = 10_000;
+/// The longest app server id that can be banned, in bytes.
+const MAX_ID_BYTES: usize = 256;
+/// So many bans are bans.
+const MAX_BANS: usize = 10_000;
 
 /// A ban.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Ban {
-    /// Since when, in microseconds of Unix time, as the balancer that was told had it.
+    /// Since when, in microseconds of Unix time, by the clock of the balancer that received the command.
     pub since: u64,
-    /// The balancer that was told.
+    /// The balancer that received the command.
     pub by: String,
 }
 
-/// What is written.
+/// A change to the bans: the body of a write.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Change {
-    /// Take it out. One that is out stays so since the first time.
+    /// Ban an app server. If it is banned already, the first ban stays.
     Ban {
         /// The app server's id.
         server: String,
-        /// Since when, and by whom.
+        /// The ban.
         ban: Ban,
     },
-    /// Let it serve.
+    /// End the ban of an app server.
     Lift {
         /// The app server's id.
         server: String,
     },
 }
 
-/// The body of a write.
+/// Encodes a change as the body of a write.
 pub fn body(change: &Change) -> Vec<u8> {
-    // Only a value that refuses to be serialized could fail, and these are plain.
+    // Cannot fail: only custom serializers return errors, and these types derive theirs.
     postcard::to_stdvec(change).unwrap_or_default()
 }
 
-/// The bans that hold, by app server.
+/// The bans in force, by app server.
 pub type ActiveBans = BTreeMap<String, Ban>;
 
-/// What is shown of the bans to those who act on them.
+/// Shared read access to the bans in force.
 #[derive(Clone, Default)]
 pub struct SharedBans(Rc<RefCell<ActiveBans>>);
 
 impl SharedBans {
-    /// The bans that hold now.
+    /// The bans in force now.
     pub fn borrow(&self) -> Ref<'_, ActiveBans> {
         self.0.borrow()
     }
 }
 
-/// The content.
+/// The content that applies changes to the bans.
 #[derive(Default)]
 pub struct Bans(SharedBans);
 
 impl Bans {
-    /// None yet, and where they will be shown.
+    /// Creates it without bans, and returns read access to them.
     pub fn new() -> (Self, SharedBans) {
         let shown = SharedBans::default();
         (Bans(shown.clone()), shown)
     }
 
-    /// None yet, to be shown there.
+    /// Creates it without bans, on existing shared access, which is cleared.
     pub fn sharing(shown: SharedBans) -> Self {
         shown.0.borrow_mut().clear();
         Bans(shown)
@@ -86,15 +86,17 @@
 
     fn apply(&mut self, body: &[u8]) -> Result<bool, String> {
         let change = postcard::from_bytes(body).map_err(|e| format!("no ban can be read from it: {e}"))?;
-        let mut held = self.0.0.borrow_mut();
+        let mut bans = self.0.0.borrow_mut();
         match change {
-            Change::Ban { server, .. } if server.len() > LONGEST_ID => {
-                Err(format!("the id has over {LONGEST_ID} bytes"))
+            Change::Ban { server, .. } if server.len() > MAX_ID_BYTES => {
+                Err(format!("the id has over {MAX_ID_BYTES} bytes"))
             }
-            Change::Ban { server, .. } if held.contains_key(&server) => Ok(false),
-            Change::Ban { .. } if held.len() >= MOST => Err(format!("{MOST} app servers are out already")),
-            Change::Ban { server, ban } => Ok(held.insert(server, ban).is_none()),
-            Change::Lift { server } => Ok(held.remove(&server).is_some()),
+            Change::Ban { server, .. } if bans.contains_key(&server) => Ok(false),
+            Change::Ban { .. } if bans.len() >= MAX_BANS => {
+                Err(format!("{MAX_BANS} app servers are out already"))
+            }
+            Change::Ban { server, ban } => Ok(bans.insert(server, ban).is_none()),
+            Change::Lift { server } => Ok(bans.remove(&server).is_some()),
         }
     }
 
--- a/book/src/keeper/tests.rs
+++ b/book/src/keeper/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 use crate::bans::{Bans, KIND};
 
-/// Guards the book against a keeper that vouches for what it can not read: a snapshot with content of a newer
-/// version is neither kept nor acknowledged.
+/// Guards against a keeper that acknowledges what it can not read: a snapshot with content of a newer version is neither
+/// persisted nor acknowledged.
 #[test]
-fn a_snapshot_that_can_not_be_read_is_not_vouched_for() {
+fn a_snapshot_with_unknown_content_is_not_acknowledged() {
     let founded = initial_batch(1, "a", vec![Box::new(Bans::new().0)]).snapshot.expect("it founds");
-    let members = Membership { voters: vec![1], learners: vec![2], ..Membership::default() };
-    let snapshot = Some(Snapshot { members, index: 5, ..founded });
+    let membership = Membership { voters: vec![1], learners: vec![2], ..Membership::default() };
+    let snapshot = Some(Snapshot { membership, index: 5, ..founded });
     let named = ["a", "b", "c"].map(str::to_owned).to_vec();
     let kept = PersistentState { id: 2, ..PersistentState::default() };
     let older = Keeper::new(named, kept, Vec::new(), Timing::default(), 7);
--- a/book/src/ledger/tests.rs
+++ b/book/src/ledger/tests.rs
@@ -9,10 +9,10 @@
     bans::Change::Ban { server: server.into(), ban: Ban { since: 5, by: "n1".into() } }
 }
 
-/// Guards a write whose answer was lost against a second effect, also over a snapshot, and against an index that
-/// comes twice.
+/// Guards against a second effect of a write that is retried because its answer was lost, also after a snapshot, and of an
+/// index that is applied twice.
 #[test]
-fn a_write_takes_effect_once_however_often_it_is_tried() {
+fn a_write_takes_effect_once_however_often_it_is_retried() {
     let lift = bans::Change::Lift { server: "a".into() };
     let (bans, shown) = Bans::new();
     let mut ledger = Ledger::new(vec![Box::new(bans)]);
@@ -29,9 +29,9 @@
     assert_eq!(other.outcome(2, 1), Some(&Outcome::Changed));
 }
 
-/// Guards against content that an older version would drop without a word.
+/// Guards against content that an older version would drop silently.
 #[test]
-fn what_is_not_known_is_refused_by_its_kind() {
+fn unknown_content_is_refused_with_its_kind() {
     let mut ledger = Ledger::new(vec![Box::new(Bans::new().0)]);
     ledger.apply(1, &write(1, 1, &ban("a")));
     let mut older = Ledger::new(Vec::new());
--- a/book/src/lib.rs
+++ b/book/src/lib.rs
@@ -1,8 +1,8 @@
-//! What balancers hold in common: a log that keepers replicate among themselves, and the state that follows from it. The
-//! design and the ways weighed are in `docs/fleet-book.md`.
+//! The book: state that all balancers share. It is the result of applying a log that the keepers replicate with Raft. A
+//! keeper is a Raft member that stores the log on its disk. The design and its alternatives are in `docs/fleet-book.md`.
 //!
-//! No sockets and no clock: [`Keeper`] takes ticks, messages and what the disk has kept, and gives back what is to be
-//! sent, kept and told. The consensus is the `raft` library's. The one edge that touches a disk is [`store::Disk`].
+//! The crate uses no sockets and no clock: [`Keeper`] takes ticks, messages and the disk's acknowledgements, and returns
+//! what to send, persist and report. Consensus is implemented by the `raft` library. Only [`store::Disk`] does I/O.
 
 pub mod bans;
 pub mod frame;
@@ -17,5 +17,6 @@
 pub use log::{Entry, HardState, Membership, PersistentState, Snapshot};
 pub use message::{Message, MessageError};
 
-/// Names a keeper's disk: drawn when the disk is made, so that one that was emptied is another keeper.
+/// Identifies a keeper by its disk. The id is drawn at random when the disk file is created, so a keeper whose disk was
+/// emptied counts as another member.
 pub type KeeperId = u64;
--- a/book/src/log.rs
+++ b/book/src/log.rs
@@ -1,5 +1,5 @@
-//! The log as the consensus library reads it: what is kept or about to be, in memory. What of it is on the disk is told
-//! to the library separately.
+//! The in-memory log that the Raft library reads. It holds entries that are persisted or about to be; the library is told
+//! separately which of them are on the disk.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -12,75 +12,75 @@
 use crate::KeeperId;
 use crate::store::Batch;
 
-/// One entry.
+/// One log entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
-    /// The library's number of what it is: 0 a write, 2 a change of members.
+    /// The library's number of the entry type: 0 for a write, 2 for a membership change.
     pub kind: i32,
-    /// The term of the leader that made it.
+    /// The term of the leader that created it.
     pub term: u64,
-    /// Its place, from 1.
+    /// Its index, counted from 1.
     pub index: u64,
-    /// What it carries.
+    /// Its payload.
     pub data: Vec<u8>,
-    /// What comes with a change of members.
+    /// The context of a membership change.
     pub context: Vec<u8>,
 }
 
-/// What a keeper must not forget beside the log.
+/// The Raft hard state: what a keeper must persist besides the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct HardState {
     /// The latest term that it knows.
     pub term: u64,
-    /// Whom it has voted for in it; 0 for nobody.
+    /// The keeper that it voted for in that term; 0 for none.
     pub vote: KeeperId,
     /// Up to where it knows the log to be committed.
     pub commit: u64,
 }
 
-/// Who takes part.
+/// The Raft configuration: which keepers are members.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Membership {
-    /// Those that count.
+    /// The voters.
     pub voters: Vec<KeeperId>,
-    /// Those that are caught up first.
+    /// Members without a vote that are still catching up.
     pub learners: Vec<KeeperId>,
-    /// Amid a change: those that counted before it.
+    /// During a joint change: the voters before it.
     pub outgoing: Vec<KeeperId>,
-    /// Amid a change: those that become learners behind it.
+    /// During a joint change: voters that become learners when it ends.
     pub learners_next: Vec<KeeperId>,
-    /// The change ends by itself.
+    /// True if the leader ends the joint change automatically.
     pub auto_leave: bool,
 }
 
-/// The applied state at an index, in place of the log up to there.
+/// The applied state at an index, which replaces the log up to there.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Up to here.
+    /// The index of the last entry that it includes.
     pub index: u64,
-    /// The term of the entry there.
+    /// The term of that entry.
     pub term: u64,
-    /// Who takes part at that index.
-    pub members: Membership,
-    /// The ledger and the names of its keepers.
+    /// The members at that index.
+    pub membership: Membership,
+    /// The serialized ledger, with the id of the book and the names of its keepers.
     pub state: Vec<u8>,
 }
 
-/// All that a disk holds.
+/// Everything that a keeper has on its disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PersistentState {
-    /// Whose disk it is.
+    /// The id of the keeper.
     pub id: KeeperId,
-    /// Its promises.
+    /// The Raft hard state.
     pub hard: HardState,
-    /// Where the log begins.
+    /// The snapshot before the log.
     pub snapshot: Snapshot,
-    /// The log behind that, without a gap.
+    /// The log entries after the snapshot, without a gap.
     pub entries: Vec<Entry>,
 }
 
 impl PersistentState {
-    /// Takes in a batch, as a disk does.
+    /// Applies a batch, with the same effect as writing it to the disk.
     pub fn apply(&mut self, batch: &Batch) {
         if let Some(snapshot) = &batch.snapshot {
             self.entries.retain(|entry| batch.first.is_some() && entry.index > snapshot.index);
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Nothing was ever kept: it is no member of any book.
+    /// True if nothing was ever persisted: the keeper belongs to no book yet.
     pub fn is_empty(&self) -> bool {
         self.snapshot.index == 0 && self.entries.is_empty() && self.hard.term == 0
     }
@@ -163,7 +163,7 @@
         Snapshot {
             index: meta.index,
             term: meta.term,
-            members: meta.get_conf_state().into(),
+            membership: meta.get_conf_state().into(),
             state: snapshot.data.to_vec(),
         }
     }
@@ -174,32 +174,32 @@
         let mut out = eraftpb::Snapshot::default();
         let meta = out.mut_metadata();
         (meta.index, meta.term) = (snapshot.index, snapshot.term);
-        meta.set_conf_state((&snapshot.members).into());
+        meta.set_conf_state((&snapshot.membership).into());
         out.data = snapshot.state.clone().into();
         out
     }
 }
 
 #[derive(Debug)]
-struct Inner {
+struct LogState {
     hard: HardState,
     snapshot: Snapshot,
     entries: Vec<Entry>,
-    /// The log up to here is left out once it is in the snapshot and the others have it.
+    /// The index of the first entry. Earlier ones were compacted into the snapshot.
     first: u64,
-    /// A newer snapshot is wanted: the one there is was made before somebody came in who needs it.
-    wanted: bool,
+    /// True if a newer snapshot is needed: the current one predates the joining of a member that is to receive it.
+    snapshot_requested: bool,
 }
 
 /// The log in memory, shared with the library.
 #[derive(Clone, Debug)]
-pub(crate) struct Log(Rc<RefCell<Inner>>);
+pub(crate) struct Log(Rc<RefCell<LogState>>);
 
 impl Log {
-    pub fn new(kept: PersistentState) -> Self {
-        let first = kept.snapshot.index + 1;
-        let PersistentState { hard, snapshot, entries, .. } = kept;
-        Log(Rc::new(RefCell::new(Inner { hard, snapshot, entries, first, wanted: false })))
+    pub fn new(persisted: PersistentState) -> Self {
+        let first = persisted.snapshot.index + 1;
+        let PersistentState { hard, snapshot, entries, .. } = persisted;
+        Log(Rc::new(RefCell::new(LogState { hard, snapshot, entries, first, snapshot_requested: false })))
     }
 
     pub fn set_hard(&self, hard: &HardState) {
@@ -208,64 +208,64 @@
 
     pub fn append(&self, entries: &[Entry]) {
         let Some(first) = entries.first() else { return };
-        let inner = &mut *self.0.borrow_mut();
-        let keep = first.index.saturating_sub(inner.first) as usize;
-        inner.entries.truncate(keep);
-        inner.entries.extend_from_slice(entries);
+        let state = &mut *self.0.borrow_mut();
+        let keep = first.index.saturating_sub(state.first) as usize;
+        state.entries.truncate(keep);
+        state.entries.extend_from_slice(entries);
     }
 
-    /// A snapshot from elsewhere takes the place of all.
+    /// Replaces the whole log by a snapshot from another keeper.
     pub fn restore(&self, snapshot: Snapshot) {
-        let inner = &mut *self.0.borrow_mut();
-        inner.first = snapshot.index + 1;
-        inner.hard.commit = inner.hard.commit.max(snapshot.index);
-        inner.entries.clear();
-        inner.snapshot = snapshot;
+        let state = &mut *self.0.borrow_mut();
+        state.first = snapshot.index + 1;
+        state.hard.commit = state.hard.commit.max(snapshot.index);
+        state.entries.clear();
+        state.snapshot = snapshot;
     }
 
-    /// Our own snapshot takes the place of the log before it, but for the last `spare` entries: those that lag a
-    /// little are caught up by them.
-    pub fn compact(&self, snapshot: Snapshot, spare: u64) -> u64 {
-        let inner = &mut *self.0.borrow_mut();
-        let first = (snapshot.index + 1).saturating_sub(spare).max(inner.first);
-        inner.entries.drain(..(first - inner.first) as usize);
-        (inner.first, inner.snapshot, inner.wanted) = (first, snapshot, false);
+    /// Replaces the log before our own snapshot, except for the last `retained_entries` entries, which bring members that
+    /// lag a little up to date. Returns the index of the first entry left.
+    pub fn compact(&self, snapshot: Snapshot, retained_entries: u64) -> u64 {
+        let state = &mut *self.0.borrow_mut();
+        let first = (snapshot.index + 1).saturating_sub(retained_entries).max(state.first);
+        state.entries.drain(..(first - state.first) as usize);
+        (state.first, state.snapshot, state.snapshot_requested) = (first, snapshot, false);
         first
     }
 
-    pub fn wants_snapshot(&self) -> bool {
-        self.0.borrow().wanted
+    pub fn is_snapshot_requested(&self) -> bool {
+        self.0.borrow().snapshot_requested
     }
 
     pub fn snapshot_index(&self) -> u64 {
         self.0.borrow().snapshot.index
     }
 
-    pub fn last(&self) -> u64 {
-        let inner = self.0.borrow();
-        inner.first + inner.entries.len() as u64 - 1
+    pub fn last_index(&self) -> u64 {
+        let state = self.0.borrow();
+        state.first + state.entries.len() as u64 - 1
     }
 
     pub fn term_at(&self, index: u64) -> Option<u64> {
-        let inner = self.0.borrow();
-        if index == inner.snapshot.index {
-            return Some(inner.snapshot.term);
+        let state = self.0.borrow();
+        if index == state.snapshot.index {
+            return Some(state.snapshot.term);
         }
-        let at = index.checked_sub(inner.first)? as usize;
-        inner.entries.get(at).map(|entry| entry.term)
+        let at = index.checked_sub(state.first)? as usize;
+        state.entries.get(at).map(|entry| entry.term)
     }
 }
 
 impl Storage for Log {
     fn initial_state(&self) -> raft::Result<RaftState> {
-        let inner = self.0.borrow();
+        let state = self.0.borrow();
         let hard = eraftpb::HardState {
-            term: inner.hard.term,
-            vote: inner.hard.vote,
-            commit: inner.hard.commit,
+            term: state.hard.term,
+            vote: state.hard.vote,
+            commit: state.hard.commit,
             ..Default::default()
         };
-        Ok(RaftState { hard_state: hard, conf_state: (&inner.snapshot.members).into() })
+        Ok(RaftState { hard_state: hard, conf_state: (&state.snapshot.membership).into() })
     }
 
     fn entries(
@@ -275,20 +275,20 @@
         max_size: impl Into<Option<u64>>,
         _context: GetEntriesContext,
     ) -> raft::Result<Vec<eraftpb::Entry>> {
-        let inner = self.0.borrow();
-        if low < inner.first {
+        let state = self.0.borrow();
+        if low < state.first {
             return Err(StorageError::Compacted.into());
         }
-        let (from, to) = ((low - inner.first) as usize, (high - inner.first) as usize);
-        let some = inner.entries.get(from..to).ok_or(StorageError::Unavailable)?;
+        let (from, to) = ((low - state.first) as usize, (high - state.first) as usize);
+        let some = state.entries.get(from..to).ok_or(StorageError::Unavailable)?;
         let mut entries: Vec<eraftpb::Entry> = some.iter().map(Into::into).collect();
         let (most, mut size) = (max_size.into().unwrap_or(u64::MAX), 0);
         let fits = |entry: &eraftpb::Entry| {
             size += u64::from(entry.compute_size());
             size <= most
         };
-        // At least one, however long it is.
-        let count = entries.iter().map_while(fits_once(fits)).count().max(1);
+        // At least one entry, however large it is.
+        let count = entries.iter().map_while(filter_to_option(fits)).count().max(1);
         entries.truncate(count);
         Ok(entries)
     }
@@ -306,23 +306,23 @@
     }
 
     fn last_index(&self) -> raft::Result<u64> {
-        Ok(self.last())
+        Ok(Log::last_index(self))
     }
 
     fn snapshot(&self, request_index: u64, to: u64) -> raft::Result<eraftpb::Snapshot> {
-        let mut inner = self.0.borrow_mut();
-        let Membership { voters, learners, outgoing, .. } = &inner.snapshot.members;
-        // One that does not find itself in a snapshot passes it over.
+        let mut state = self.0.borrow_mut();
+        let Membership { voters, learners, outgoing, .. } = &state.snapshot.membership;
+        // A keeper ignores a snapshot whose membership does not include it.
         let is_in = [voters, learners, outgoing].iter().any(|ids| ids.contains(&to));
-        if is_in && inner.snapshot.index >= request_index {
-            return Ok((&inner.snapshot).into());
+        if is_in && state.snapshot.index >= request_index {
+            return Ok((&state.snapshot).into());
         }
-        inner.wanted = true;
+        state.snapshot_requested = true;
         Err(StorageError::SnapshotTemporarilyUnavailable.into())
     }
 }
 
-/// Turns a test into what `map_while` takes.
-fn fits_once<T>(mut test: impl FnMut(&T) -> bool) -> impl FnMut(&T) -> Option<()> {
+/// Adapts a predicate for `map_while`.
+fn filter_to_option<T>(mut test: impl FnMut(&T) -> bool) -> impl FnMut(&T) -> Option<()> {
     move |it| test(it).then_some(())
 }
--- a/book/src/message.rs
+++ b/book/src/message.rs
@@ -1,4 +1,5 @@
-//! What keepers say to each other, in types of our own: the library's own coding never reads what came from elsewhere.
+//! Raft messages between keepers, in types of this crate: the library's protobuf decoder never reads input from the
+//! network.
 
 use protobuf::ProtobufEnum;
 use raft::eraftpb;
@@ -8,63 +9,63 @@
 use crate::KeeperId;
 use crate::log::{Entry, Snapshot};
 
-/// A message of the consensus.
+/// A Raft message.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Message {
-    /// The library's number of what it is.
+    /// The library's number of the message type.
     pub kind: i32,
-    /// For whom.
+    /// The recipient.
     pub to: KeeperId,
-    /// By whom.
+    /// The sender.
     pub from: KeeperId,
     /// The sender's term.
     pub term: u64,
-    /// The term of the entry before `entries`, or of the sender's last.
+    /// The term of the entry before `entries`, or of the sender's last entry.
     pub log_term: u64,
-    /// The place of that entry.
+    /// The index of that entry.
     pub index: u64,
-    /// Entries to be appended.
+    /// Entries to append.
     pub entries: Vec<Entry>,
-    /// Up to where the sender knows the log to be committed.
+    /// The sender's commit index.
     pub commit: u64,
     /// The term of the entry there.
     pub commit_term: u64,
-    /// In place of entries that the sender no longer has.
+    /// A snapshot in place of entries that the sender has compacted.
     pub snapshot: Option<Snapshot>,
     /// The index from which a snapshot is asked for.
     pub request_snapshot: u64,
-    /// It is a refusal.
+    /// True if the request was rejected.
     pub reject: bool,
-    /// Where the sender's log ends, with a refusal.
+    /// In a rejection, the last index of the sender's log.
     pub reject_hint: u64,
-    /// Carried along.
+    /// Opaque context of the library.
     pub context: Vec<u8>,
-    /// The sender's priority at an election.
+    /// The sender's election priority.
     pub priority: i64,
 }
 
-/// Why a message is not taken.
+/// Why a message is not accepted.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum MessageError {
-    /// It is none that this version knows.
+    /// This version does not know the message type.
     #[error(
         "a message of kind {0}, which this version does not know; finish the roll-out, one keeper at a time"
     )]
     UnknownKind(i32),
-    /// It is meant for another keeper.
+    /// It is addressed to another keeper.
     #[error("a message for keeper {0:x}; a disk was emptied or exchanged, and the sender will learn of it")]
     ForAnother(KeeperId),
-    /// The others remember more of this keeper's log than its disk holds.
+    /// Another keeper knows of more acknowledged log than this keeper's disk holds: the disk is an old copy.
     #[error(
         "this keeper's disk holds the log up to {here}, but others had its word up to {known}; it is an old copy and has to be emptied"
     )]
     OldDisk {
-        /// Where its log ends.
+        /// The last index of its log.
         here: u64,
-        /// What it has told once.
+        /// The commit index in the message, which this keeper must once have acknowledged.
         known: u64,
     },
-    /// The library turns it down.
+    /// The Raft library rejected it.
     #[error("the consensus turned a message down ({0}); nothing has to be done unless it goes on")]
     TurnedDown(String),
 }
@@ -92,7 +93,7 @@
 }
 
 impl Message {
-    pub(crate) fn of_library(&self) -> Result<eraftpb::Message, MessageError> {
+    pub(crate) fn to_raft_message(&self) -> Result<eraftpb::Message, MessageError> {
         let mut out = eraftpb::Message {
             msg_type: eraftpb::MessageType::from_i32(self.kind)
                 .ok_or(MessageError::UnknownKind(self.kind))?,
--- a/book/tests/disk.rs
+++ b/book/tests/disk.rs
@@ -1,4 +1,4 @@
-//! The disk: what it holds after each step, and that no write that is cut, and no bit that rots, passes for the truth.
+//! The disk: what it holds after each batch, and that truncated writes and flipped bits are never taken for valid state.
 
 use std::io;
 use std::sync::{Arc, Mutex};
@@ -7,7 +7,7 @@
 use gradepaddle_book::{Entry, HardState, Membership, PersistentState, Snapshot};
 use redb::{Builder, StorageBackend};
 
-/// A file in memory that writes down what is done to it.
+/// An in-memory file that records its operations.
 #[derive(Clone, Debug, Default)]
 struct Recorded(Arc<Mutex<Inner>>);
 
@@ -27,7 +27,7 @@
 }
 
 impl Step {
-    /// Done to a file, but for what lies behind the first `most` bytes of a write.
+    /// Applies the step to a file, but only the first `most` bytes of a write.
     fn on(&self, bytes: &mut Vec<u8>, most: usize) {
         match self {
             Step::Write(at, data) => {
@@ -85,19 +85,19 @@
 
 fn open(file: Recorded, id: u64) -> Result<(Disk, PersistentState), StoreError> {
     let file = Builder::new().create_with_backend(file).map_err(|e| StoreError::Open(e.to_string()))?;
-    Disk::with(file, id)
+    Disk::with_database(file, id)
 }
 
 fn entry(index: u64, term: u64) -> Entry {
     Entry { index, term, data: vec![index as u8; 40], ..Entry::default() }
 }
 
-/// A life of a disk: founding, a log that grows, a tail that is replaced, snapshots of one's own and from elsewhere.
-fn life() -> Vec<Batch> {
+/// The batches of one disk: initial batch, a growing log, a replaced tail, own snapshots and snapshots from other keepers.
+fn disk_history() -> Vec<Batch> {
     let hard = |term, commit| Some(HardState { term, vote: 3, commit });
     let snapshot = |index| {
-        let members = Membership { voters: vec![1, 2, 3], ..Membership::default() };
-        Some(Snapshot { index, term: 1, members, state: vec![7; 100] })
+        let membership = Membership { voters: vec![1, 2, 3], ..Membership::default() };
+        Some(Snapshot { index, term: 1, membership, state: vec![7; 100] })
     };
     vec![
         Batch { hard: hard(1, 1), snapshot: snapshot(1), ..Batch::default() },
@@ -110,13 +110,13 @@
     ]
 }
 
-/// Guards what was said to be kept: it is there after a restart, and it is what the keeper takes it for.
+/// Guards acknowledged batches: after a restart the disk holds exactly the state that the keeper assumes.
 #[test]
-fn what_was_kept_is_there_after_a_restart() {
+fn acknowledged_batches_survive_a_restart() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("book.redb");
     let mut expected = PersistentState { id: 77, ..PersistentState::default() };
-    for batch in life() {
+    for batch in disk_history() {
         let (mut disk, kept) = Disk::open(&path, 77).expect("the disk");
         assert_eq!(kept, expected);
         disk.write(&batch).expect("room");
@@ -126,14 +126,14 @@
     assert_eq!(kept, expected, "and its number stays");
 }
 
-/// Guards a keeper against half a batch: cut anywhere, the disk holds all of a batch or nothing, and never less than
-/// what a sync has promised. Cuts go through each write at its ends and within.
+/// Guards against a partial batch after a crash: truncated anywhere, the disk holds all of a batch or nothing of it, and
+/// never less than was synced. Each write is cut at its ends and within.
 #[test]
-fn a_write_that_is_cut_anywhere_leaves_the_whole_batch_or_nothing() {
+fn a_write_cut_anywhere_leaves_the_whole_batch_or_nothing() {
     let file = Recorded::default();
     let (mut disk, fresh) = open(file.clone(), 9).expect("a fresh disk");
     let mut states = vec![(0, fresh)];
-    for batch in life() {
+    for batch in disk_history() {
         disk.write(&batch).expect("room");
         let mut next = states.last().expect("the first").1.clone();
         next.apply(&batch);
@@ -168,26 +168,26 @@
     assert!(cuts > 300, "{cuts} cuts");
 }
 
-/// Guards against a disk that has no room: the keeper is told, and the same disk holds what it held.
+/// Guards against a full disk: the keeper gets an error, and the disk keeps what it held.
 #[test]
-fn a_full_disk_is_said_and_keeps_what_it_held() {
+fn a_full_disk_is_reported_and_keeps_what_it_held() {
     let file = Recorded::default();
     let (mut disk, _) = open(file.clone(), 9).expect("a fresh disk");
-    disk.write(&life()[0]).expect("room");
+    disk.write(&disk_history()[0]).expect("room");
     file.0.lock().expect("no panic while it is held").full = true;
-    assert!(matches!(disk.write(&life()[1]), Err(StoreError::Write(_))));
+    assert!(matches!(disk.write(&disk_history()[1]), Err(StoreError::Write(_))));
     drop(disk);
     let bytes = file.0.lock().expect("no panic while it is held").bytes.clone();
     let (_, kept) = open(Recorded::of(bytes), 9).expect("the disk");
     assert!(kept.snapshot.index == 1 && kept.entries.is_empty(), "{kept:?}");
 }
 
-/// Guards against bits that rot: any flipped bit of what is kept is noticed, or changes nothing that is read.
+/// Guards against corruption on the disk: any flipped bit is detected or changes nothing that is read.
 #[test]
-fn a_flipped_bit_is_noticed_or_changes_nothing() {
+fn a_flipped_bit_is_detected_or_changes_nothing() {
     let file = Recorded::default();
     let (mut disk, _) = open(file.clone(), 9).expect("a fresh disk");
-    life()[..3].iter().for_each(|batch| disk.write(batch).expect("room"));
+    disk_history()[..3].iter().for_each(|batch| disk.write(batch).expect("room"));
     drop(disk);
     let bytes = file.0.lock().expect("no panic while it is held").bytes.clone();
     let (_, good) = open(Recorded::of(bytes.clone()), 9).expect("the disk");
@@ -196,7 +196,7 @@
     for at in used.iter().step_by(83) {
         let mut rotten = bytes.clone();
         rotten[*at] ^= 1 << (at % 8);
-        // The store itself may end over what it finds; that is noticed too.
+        // The database itself may panic over what it finds; that counts as detected.
         let opened = std::panic::catch_unwind(|| open(Recorded::of(rotten), 9).map(|(_, kept)| kept));
         match opened {
             Ok(Ok(kept)) => assert_eq!(kept, good, "byte {at}"),
--- a/book/tests/errors.rs
+++ b/book/tests/errors.rs
@@ -1,10 +1,10 @@
-//! Every error of the book says what an operator can do, and stands in the operators' page.
+//! Every error of the book tells the operator what to do and is listed on the operators' page.
 
 use gradepaddle_book::frame::FrameError;
 use gradepaddle_book::store::StoreError;
 use gradepaddle_book::{LedgerError, MessageError, Refused};
 
-/// The name under which the page has it; a variant that is added has to be named here to compile.
+/// The name under which the page lists the error. A new variant does not compile until it is named here.
 fn names(frame: &FrameError) -> &'static str {
     match frame {
         FrameError::Unreadable => "FrameError::Unreadable",
@@ -52,9 +52,9 @@
     }
 }
 
-/// Guards operators against an error without a remedy, and the page against one that it does not have.
+/// Guards against errors without a remedy and errors that are missing on the page.
 #[test]
-fn every_error_has_its_remedy_and_its_place_in_the_page() {
+fn every_error_has_a_remedy_and_is_on_the_page() {
     let text = || "x".to_owned();
     let frames = [
         FrameError::Unreadable,
