--- a/dispatch/src/dispatch.rs
+++ b/dispatch/src/dispatch.rs
@@ -6,7 +6,8 @@
 use std::sync::Arc;
 
 use gradepaddle::{
-    Action, Arrival, Ended, Event, Id, ListKind, LoadReport, Micros, Outcome, Server, Settings, State,
+    Action, Arrival, AttemptEnd, Event, Id, ListKind, LoadReport, Micros, Outcome, Server, ServerState,
+    Settings,
 };
 
 use crate::attempt::{Attempt, Cause, Extent, probe_outcome};
@@ -97,7 +98,7 @@
             rule_checker: Arc::new(RuleChecker::new(settings, &limits)),
             limits,
             name: name.into(),
-            fleet: Fleet::new(settings.only_draining_binds),
+            fleet: Fleet::new(settings.keep_gone_servers),
             open: BTreeMap::new(),
             client_request_ids: BTreeSet::new(),
             wake_times: BTreeSet::new(),
@@ -153,7 +154,7 @@
                 if let Some(since) = self.probes.remove(&server) {
                     let took = now.saturating_sub(since);
                     let event =
-                        Event::Probed { server: &server, outcome: probe_outcome(cause), took, report };
+                        Event::ProbeEnded { server: &server, outcome: probe_outcome(cause), took, report };
                     self.ask_chooser(now, event, &mut follow_ups, out);
                 }
             }
@@ -170,14 +171,21 @@
                 FollowUp::AttemptNotMade { ticket, attempt } => {
                     let Some(open) = self.open.get(&ticket) else { continue };
                     let (id, closed) = (open.id.clone(), !open.answer_pending);
-                    let (outcome, took) = (Outcome::Moot, 0);
-                    let ended = Ended { request: &id, attempt, outcome, took, closed, report: None };
-                    self.ask_chooser(now, Event::Ended(ended), &mut follow_ups, out);
+                    let (outcome, took) = (Outcome::NotSent, 0);
+                    let ended = AttemptEnd {
+                        request: &id,
+                        attempt,
+                        outcome,
+                        took,
+                        request_finished: closed,
+                        report: None,
+                    };
+                    self.ask_chooser(now, Event::AttemptEnded(ended), &mut follow_ups, out);
                     self.remove_if_finished(ticket);
                 }
                 FollowUp::ProbeNotMade { server } => {
-                    let (outcome, took) = (Outcome::Moot, 0);
-                    let event = Event::Probed { server: &server, outcome, took, report: None };
+                    let (outcome, took) = (Outcome::NotSent, 0);
+                    let event = Event::ProbeEnded { server: &server, outcome, took, report: None };
                     self.ask_chooser(now, event, &mut follow_ups, out);
                 }
             }
@@ -285,7 +293,8 @@
         // The rest of an upload is expected soon; the caller reports a client that stops partway.
         let ttl = arrived.saturating_add(time_left).saturating_sub(now);
         let hint = hint.map(|work| work as f64);
-        let arrival = Arrival { id, class, tenant, ttl, hint, key: key.as_deref(), once };
+        let arrival =
+            Arrival { id, class, tenant, ttl, work_hint: hint, key: key.as_deref(), run_once: once };
         self.ask_chooser(now, Event::Request(arrival), follow_ups, out);
         self.remove_if_finished(ticket);
     }
@@ -340,8 +349,8 @@
             (_, reply) => open.reply = reply,
         }
         let (id, closed) = (open.id.clone(), !open.answer_pending);
-        let ended = Ended { request: &id, attempt, outcome, took, closed, report };
-        self.ask_chooser(now, Event::Ended(ended), follow_ups, out);
+        let ended = AttemptEnd { request: &id, attempt, outcome, took, request_finished: closed, report };
+        self.ask_chooser(now, Event::AttemptEnded(ended), follow_ups, out);
         self.remove_if_finished(ticket);
     }
 
@@ -359,9 +368,9 @@
             out.push(Output::Availability { server, open });
         }
         // The chooser sees a banned app server as draining for as long as the ban lasts.
-        for server in servers.iter_mut().filter(|server| server.state == State::Ready) {
+        for server in servers.iter_mut().filter(|server| server.state == ServerState::Ready) {
             if self.fleet.is_banned(&server.id) {
-                server.state = State::Draining;
+                server.state = ServerState::Draining;
             }
         }
         self.ask_chooser(now, Event::List { kind, servers }, follow_ups, out);
@@ -454,8 +463,9 @@
         for (attempt, took) in in_flight {
             self.record_defect(Defect::NeverEnded, id.clone(), out);
             let outcome = Outcome::TimedOut;
-            let ended = Ended { request: &id, attempt, outcome, took, closed: true, report: None };
-            self.ask_chooser(now, Event::Ended(ended), follow_ups, out);
+            let ended =
+                AttemptEnd { request: &id, attempt, outcome, took, request_finished: true, report: None };
+            self.ask_chooser(now, Event::AttemptEnded(ended), follow_ups, out);
         }
         self.remove_if_finished(ticket);
     }
@@ -470,7 +480,7 @@
     ) {
         let Some(open) = self.open.get(&ticket) else { return };
         let id = open.id.clone();
-        self.ask_chooser(now, Event::Left { request: &id }, follow_ups, out);
+        self.ask_chooser(now, Event::ClientDisconnected { request: &id }, follow_ups, out);
         self.remove_if_finished(ticket);
     }
 
@@ -519,10 +529,10 @@
         out: &mut Vec<Output<M, R>>,
     ) {
         match action {
-            Action::Send { request, server, until } => {
+            Action::Send { request, server, deadline: until } => {
                 self.send(now, request, server, until, follow_ups, out);
             }
-            Action::Refuse { request, pause } => self.refuse(request, pause, follow_ups, out),
+            Action::Reject { request, retry_after: pause } => self.refuse(request, pause, follow_ups, out),
             Action::Fail { request } => self.fail_request(request, out),
             Action::Cancel { request, attempt } => {
                 if let Some(ticket) = self.ticket_of(&request)
@@ -536,7 +546,7 @@
             Action::Wake { at } => {
                 self.wake_times.insert(at);
             }
-            Action::DropIdle { server } => out.push(Output::DropIdle { server }),
+            Action::CloseIdleConnections { server } => out.push(Output::DropIdle { server }),
             Action::Subscribe => out.push(Output::WatchServerList),
             Action::Log { text } => out.push(Output::Log { text }),
             Action::Probe { server } => self.probe(now, server, follow_ups, out),
@@ -571,7 +581,7 @@
             extent: Extent::Nothing,
             withdrawn: false,
             // Recorded even if it is not sent: the chooser counts this attempt, and attempt numbers must agree.
-            outcome: defect.map(|_| Outcome::Moot),
+            outcome: defect.map(|_| Outcome::NotSent),
         });
         let Some(defect) = defect else {
             // An attempt never outlasts the client's deadline.
--- a/dispatch/src/fleet.rs
+++ b/dispatch/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use gradepaddle::{Id, ListKind, Micros, Server, State};
+use gradepaddle::{Id, ListKind, Micros, Server, ServerState};
 
 /// Where an app server is located.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
@@ -60,7 +60,7 @@
     banned: BTreeMap<Id, Micros>,
     /// Ids of app servers that were removed, up to [`MAX_PAST_IDS`]: an operator may still name them.
     past_ids: BTreeSet<Id>,
-    only_draining_binds: bool,
+    keep_gone_servers: bool,
 }
 
 /// How many ids of removed app servers are remembered.
@@ -76,10 +76,10 @@
 }
 
 impl Fleet {
-    /// Creates an empty fleet. With `only_draining_binds`, an app server that is reported gone without having drained
+    /// Creates an empty fleet. With `keep_gone_servers`, an app server that is reported gone without having drained
     /// stays open.
-    pub fn new(only_draining_binds: bool) -> Self {
-        Fleet { only_draining_binds, ..Fleet::default() }
+    pub fn new(keep_gone_servers: bool) -> Self {
+        Fleet { keep_gone_servers, ..Fleet::default() }
     }
 
     /// How many app servers are known, including those that left and are not removed yet.
@@ -139,7 +139,7 @@
         match (entry.draining_since, entry.gone_since) {
             // The drain grace counts from the earlier of the two.
             (Some(since), _) => Availability::Draining(since),
-            (None, Some(since)) if !self.only_draining_binds => Availability::Gone(since),
+            (None, Some(since)) if !self.keep_gone_servers => Availability::Gone(since),
             _ => Availability::Open,
         }
     }
@@ -149,7 +149,7 @@
         let open = self.availability(id) == Some(Availability::Open);
         self.banned.entry(id.clone()).or_insert(since);
         let entry = self.entries.get(id).filter(|_| open)?;
-        Some(entry.server(id, State::Draining, entry.started))
+        Some(entry.server(id, ServerState::Draining, entry.started))
     }
 
     /// Ends a ban. Returns the update for the chooser if this opens the app server. Without a reported start during the
@@ -158,9 +158,9 @@
         let since = self.banned.remove(id)?;
         let open = self.availability(id) == Some(Availability::Open);
         let entry = self.entries.get(id).filter(|_| open)?;
-        // It is open although the list reports it gone (`only_draining_binds`). The chooser is told that it is gone, and
+        // It is open although the list reports it gone (`keep_gone_servers`). The chooser is told that it is gone, and
         // uses it again once it is listed again.
-        let state = if entry.gone_since.is_some() { State::Gone } else { State::Ready };
+        let state = if entry.gone_since.is_some() { ServerState::Gone } else { ServerState::Ready };
         let started = entry.started.filter(|at| *at > since).unwrap_or(now);
         Some(entry.server(id, state, Some(started)))
     }
@@ -181,7 +181,7 @@
             let location = Location { zone: server.zone, kind: server.kind, cell: server.cell };
             let was_open =
                 self.availability(&server.id).map(|availability| availability == Availability::Open);
-            if server.state == State::Gone {
+            if server.state == ServerState::Gone {
                 self.mark_gone(now, &server.id, &mut changes);
                 continue;
             }
@@ -190,7 +190,7 @@
             entry.weight = server.weight.to_bits();
             entry.started = server.started.or(entry.started);
             entry.draining_since = match server.state {
-                State::Draining => entry.draining_since.or(Some(now)),
+                ServerState::Draining => entry.draining_since.or(Some(now)),
                 _ => None,
             };
             if let Some(at) = entry.gone_since.take() {
@@ -223,7 +223,7 @@
     }
 
     fn mark_gone(&mut self, now: Micros, id: &Id, changes: &mut Changes) {
-        let closes = !self.only_draining_binds && !self.banned.contains_key(id);
+        let closes = !self.keep_gone_servers && !self.banned.contains_key(id);
         let Some(entry) = self.entries.get_mut(id) else { return };
         if entry.gone_since.is_some() {
             return;
@@ -237,7 +237,7 @@
 }
 
 impl Entry {
-    fn server(&self, id: &Id, state: State, started: Option<Micros>) -> Server {
+    fn server(&self, id: &Id, state: ServerState, started: Option<Micros>) -> Server {
         let Location { zone, kind, cell } = self.location;
         Server { id: id.clone(), zone, kind, cell, state, weight: f64::from_bits(self.weight), started }
     }
--- a/dispatch/src/guard.rs
+++ b/dispatch/src/guard.rs
@@ -3,7 +3,7 @@
 
 use std::fmt;
 
-use gradepaddle::{Class, Effect, Group, Micros, Outcome, Settings};
+use gradepaddle::{Class, DeduplicationScope, Idempotency, Micros, Outcome, Settings};
 
 use crate::attempt::{Attempt, Cause, Extent, outcome};
 use crate::dispatch::Limits;
@@ -142,7 +142,7 @@
 pub(crate) struct RuleChecker {
     classes: Vec<Class>,
     max_attempts: usize,
-    second_copies: bool,
+    hedging: bool,
     /// Running attempts may be withdrawn.
     pub cancel: bool,
     probes: bool,
@@ -154,7 +154,7 @@
         RuleChecker {
             classes: settings.classes.clone(),
             max_attempts: settings.max_attempts as usize,
-            second_copies: settings.second_copies,
+            hedging: settings.hedging,
             cancel: settings.cancel,
             probes: settings.probes,
             drain_grace: limits.drain_grace,
@@ -187,19 +187,23 @@
             return Some(Defect::SentOutsideClass);
         }
         if let Some(first) = open.attempts.iter().find(|attempt| attempt.may_have_run()) {
-            let allowed = match effect(class, open) {
-                Effect::Safe => true,
-                Effect::Unsafe => false,
-                Effect::Keyed { window, .. } if now > first.sent.saturating_add(window) => false,
-                Effect::Keyed { group: Group::All, .. } => true,
-                Effect::Keyed { group: Group::Zone, .. } => first.location.zone == location.zone,
-                Effect::Keyed { group: Group::Cell, .. } => first.location.cell == location.cell,
+            let allowed = match idempotency(class, open) {
+                Idempotency::Safe => true,
+                Idempotency::Unsafe => false,
+                Idempotency::Keyed { window, .. } if now > first.sent.saturating_add(window) => false,
+                Idempotency::Keyed { scope: DeduplicationScope::All, .. } => true,
+                Idempotency::Keyed { scope: DeduplicationScope::Zone, .. } => {
+                    first.location.zone == location.zone
+                }
+                Idempotency::Keyed { scope: DeduplicationScope::Cell, .. } => {
+                    first.location.cell == location.cell
+                }
             };
             if !allowed {
                 return Some(Defect::RepeatedUnsafe);
             }
         }
-        if !self.second_copies && open.attempts.iter().any(Attempt::is_in_flight) {
+        if !self.hedging && open.attempts.iter().any(Attempt::is_in_flight) {
             return Some(Defect::SecondCopy);
         }
         None
@@ -214,8 +218,8 @@
     /// True if a refusal would claim that the request can be retried safely although an attempt may have run.
     pub fn refusal_would_mislead<M, R>(&self, open: &OpenTransaction<M, R>) -> bool {
         let harmless = matches!(
-            self.classes.get(open.class).map(|class| effect(class, open)),
-            Some(Effect::Safe | Effect::Keyed { group: Group::All, .. })
+            self.classes.get(open.class).map(|class| idempotency(class, open)),
+            Some(Idempotency::Safe | Idempotency::Keyed { scope: DeduplicationScope::All, .. })
         );
         !harmless && open.attempts.iter().any(Attempt::may_have_run)
     }
@@ -223,6 +227,6 @@
 
 /// The repeats that the transaction's class allows. Without an idempotency key (`once`) app servers cannot drop repeats,
 /// so only safe classes may be repeated.
-fn effect<M, R>(class: &Class, open: &OpenTransaction<M, R>) -> Effect {
-    if open.once && class.effect != Effect::Safe { Effect::Unsafe } else { class.effect }
+fn idempotency<M, R>(class: &Class, open: &OpenTransaction<M, R>) -> Idempotency {
+    if open.once && class.idempotency != Idempotency::Safe { Idempotency::Unsafe } else { class.idempotency }
 }
