--- a/book/src/keeper.rs
+++ b/book/src/keeper.rs
@@ -387,7 +387,7 @@
         if message.to != self.id {
             return Err(MessageError::ForAnother(message.to));
         }
-        let here = self.log.last_index();
+        let here = self.log.last_entry_index();
         // The library would panic on this. A leader only sends commit indexes that this keeper has acknowledged, so its
         // disk must be an old copy.
         let known = match MessageType::from_i32(message.kind) {
--- a/book/src/log.rs
+++ b/book/src/log.rs
@@ -241,7 +241,7 @@
         self.0.borrow().snapshot.index
     }
 
-    pub fn last_index(&self) -> u64 {
+    pub fn last_entry_index(&self) -> u64 {
         let state = self.0.borrow();
         state.first + state.entries.len() as u64 - 1
     }
@@ -306,7 +306,7 @@
     }
 
     fn last_index(&self) -> raft::Result<u64> {
-        Ok(Log::last_index(self))
+        Ok(self.last_entry_index())
     }
 
     fn snapshot(&self, request_index: u64, to: u64) -> raft::Result<eraftpb::Snapshot> {
