--- a/book/src/keeper.rs
+++ b/book/src/keeper.rs
@@ -130,7 +130,7 @@
     pub term: u64,
     /// The index up to which its ledger is applied.
     pub applied_index: u64,
-    /// Those that count, by name.
+    /// The names of the voters.
     pub voters: Vec<String>,
     /// The names of the learners, which are still catching up.
     pub learners: Vec<String>,
@@ -289,7 +289,7 @@
         Hello { name: name.to_owned(), id: self.id, book: (self.book != 0).then_some(self.book) }
     }
 
-    /// The name of a current or recent member.
+    /// The name of a keeper, if it is known from the membership.
     pub fn name(&self, id: KeeperId) -> Option<&str> {
         self.names.get(&id).map(String::as_str)
     }
--- a/dispatch/src/dispatch.rs
+++ b/dispatch/src/dispatch.rs
@@ -428,7 +428,7 @@
         let Some(open) = self.open.get_mut(&ticket) else { return };
         if open.answer_pending {
             if self.guard.fails_overdue() {
-                // The chooser keeps no deadline once a request body is consumed by an attempt, so this is no defect of its.
+                // The chooser keeps no deadline once an attempt has consumed the request body, so this is not its defect.
                 if open.consumed_by.is_none() {
                     let id = open.id.clone();
                     self.record_defect(Defect::Unanswered, id, out);
