--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -22,11 +22,11 @@
 use std::cmp::Reverse;
 
 use crate::api::{Action, Event, Micros, Settings, SettingsError};
-use crate::state::{Balancer, Seen, Tally, mix};
-use retries::MAX_SAVED_RETRIES;
+use crate::state::{Balancer, ClassStats, FleetStats, mix};
+use retries::MAX_RETRY_BUDGET;
 
 /// The share of a miss that a hit costs, before any has been measured.
-const INITIAL_WARM_SHARE: f64 = 0.5;
+const INITIAL_HIT_COST_RATIO: f64 = 0.5;
 
 impl Balancer {
     /// A balancer with no state but these settings. Equal seeds and events give equal actions.
@@ -40,21 +40,21 @@
         let primer = settings.classes.iter().map(|c| c.latency_target as f64).sum::<f64>()
             / settings.classes.len() as f64;
         Ok(Balancer {
-            tally: Tally { primer, ..Tally::default() },
-            random: mix(seed) | 1,
-            open: vec![Vec::new(); settings.classes.len()],
-            armed: Micros::MAX,
-            ask_at: Micros::MAX,
-            classes: settings
+            fleet: FleetStats { prior_work: primer, ..FleetStats::default() },
+            rng_state: mix(seed) | 1,
+            eligible: vec![Vec::new(); settings.classes.len()],
+            next_wake: Micros::MAX,
+            next_poll: Micros::MAX,
+            class_stats: settings
                 .classes
                 .iter()
-                .map(|c| Seen { aim: c.latency_target as f64, ..Seen::default() })
+                .map(|c| ClassStats { latency_target: c.latency_target as f64, ..ClassStats::default() })
                 .collect(),
-            tokens: settings.tenants.iter().map(|_| (1.0, 0)).collect(),
-            top_worth: settings.classes.iter().map(|c| c.worth).fold(0.0, f64::max),
-            warm_share: INITIAL_WARM_SHARE,
-            retries: MAX_SAVED_RETRIES,
-            drain: 1.0,
+            tenant_tokens: settings.tenants.iter().map(|_| (1.0, 0)).collect(),
+            max_worth: settings.classes.iter().map(|c| c.worth).fold(0.0, f64::max),
+            hit_cost_ratio: INITIAL_HIT_COST_RATIO,
+            retry_budget: MAX_RETRY_BUDGET,
+            mean_rate: 1.0,
             mean_wait: vec![0.0; settings.classes.len()],
             settings,
             ..Balancer::default()
@@ -63,7 +63,7 @@
 
     /// How many servers are remembered: those listed, and those gone that requests may still name.
     pub fn known_servers(&self) -> usize {
-        self.names.len()
+        self.server_slots.len()
     }
 
     /// Takes in one event and appends what is to be done, in order.
@@ -75,24 +75,24 @@
             Event::AttemptEnded(ended) => self.handle_attempt_end(now, ended, out),
             Event::ClientDisconnected { request } => self.handle_client_left(request, out),
             Event::Wake => self.handle_wake(now, out),
-            Event::ProbeEnded { server, outcome, .. } => self.probed(now, server, outcome),
+            Event::ProbeEnded { server, outcome, .. } => self.handle_probe_end(now, server, outcome),
         }
-        if self.ask_at <= now {
+        if self.next_poll <= now {
             out.push(Action::Subscribe);
-            self.ask_at = Micros::MAX;
+            self.next_poll = Micros::MAX;
         }
-        let next = self.reviews.peek().map_or(Micros::MAX, |Reverse((at, ..))| *at).min(self.ask_at);
-        if next < self.armed {
-            self.armed = next;
+        let next = self.reviews.peek().map_or(Micros::MAX, |Reverse((at, ..))| *at).min(self.next_poll);
+        if next < self.next_wake {
+            self.next_wake = next;
             out.push(Action::Wake { at: next.max(now) });
         }
     }
 
     /// The next number of a xorshift generator.
     fn next_random(&mut self) -> u64 {
-        self.random ^= self.random << 13;
-        self.random ^= self.random >> 7;
-        self.random ^= self.random << 17;
-        self.random
+        self.rng_state ^= self.rng_state << 13;
+        self.rng_state ^= self.rng_state >> 7;
+        self.rng_state ^= self.rng_state << 17;
+        self.rng_state
     }
 }
--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -1,21 +1,21 @@
 //! Admission: whether a request is sent at all, or rejected at once so that it queues nowhere in vain.
 
 use crate::api::{Action, Arrival, Micros};
-use crate::balancer::learning::{LEARNING_RATE, fade_class};
-use crate::balancer::retries::{MAX_SAVED_RETRIES, RETRIES_PER_REQUEST};
+use crate::balancer::learning::{LEARNING_RATE, decay_class};
+use crate::balancer::retries::{MAX_RETRY_BUDGET, RETRIES_PER_REQUEST};
 use crate::balancer::selection::SelectionMode;
-use crate::state::{Balancer, Pick, Repeat, Request, hash};
+use crate::state::{Balancer, Request, RetryScope, Selection, hash};
 
 /// The share of the tightest slack that a request may wait: at least, and more by its worth.
-const MIN_PATIENCE: f64 = 0.2;
-const PATIENCE_BY_WORTH: f64 = 0.6;
+const MIN_WAIT_SHARE: f64 = 0.2;
+const WAIT_SHARE_BY_WORTH: f64 = 0.6;
 /// Requests that any class may have out; before the first answer of a class, so many times that.
-const SPARE_REQUESTS: f64 = 4.0;
-const SPARE_FACTOR_AT_START: f64 = 4.0;
+const FREE_REQUESTS: f64 = 4.0;
+const FREE_FACTOR_AT_START: f64 = 4.0;
 /// The work of a request without a hint, as a share of its latency target.
 const UNHINTED_WORK_SHARE: f64 = 1.0 / 8.0;
 /// The shortest pause that a rejected client is asked for.
-const MIN_PAUSE: Micros = 50_000;
+const MIN_RETRY_AFTER: Micros = 50_000;
 
 impl Balancer {
     /// Sends a new request to a server, or rejects it.
@@ -29,14 +29,14 @@
         }
         let (r, aim) = self.new_request(now, &arrival, out);
         self.touch_key(now, r.key);
-        let picked = self.select_server(now, &r, self.may_repeat(&r, now), SelectionMode::default());
+        let picked = self.select_server(now, &r, self.retry_scope(&r, now), SelectionMode::default());
         let Some(pick) = picked else { return self.reject(id, ttl / 4, out) };
         // Early rejection: an answer that would come too late is not begun, and none queues for so long that a class of more
         // worth, with a shorter target, finds no slot: the less worth, the shorter the queue.
-        let span = (r.useful.min(now + aim) - now) as f64;
+        let span = (r.useful_until.min(now + aim) - now) as f64;
         let (pick, limit) = self.prefer_idle(now, &r, pick);
         // What an answer takes varies by itself: half its low is no queue, unless there is pressure.
-        let low = self.classes[class].floor / 2.0;
+        let low = self.class_stats[class].min_latency / 2.0;
         let free = 1.0 - (2.0 * (self.mean_wait[class] - low) / self.slack(class)).clamp(0.0, 1.0);
         let over = (pick.wait - limit - low * free).max(pick.expected - span);
         let crowd = self.is_crowded(now, class);
@@ -63,7 +63,7 @@
             (c.latency_target as f64 + c.latency_target_per_work * work).min(c.deadline as f64) as Micros;
         let ends = now.saturating_add(arrival.ttl);
         let useful = if c.late_worth > 0.0 { ends } else { ends.min(now.saturating_add(aim)) };
-        let mut value = c.worth / self.top_worth.max(1e-9);
+        let mut value = c.worth / self.max_worth.max(1e-9);
         let mean = self.learn_offered_work(now, class, work);
         if !self.settings.worth_by_work {
             value *= (mean / work).min(1.0);
@@ -71,50 +71,50 @@
         if arrival.tenant.is_some_and(|tenant| self.is_over_share(tenant, now)) {
             value *= self.settings.over_quota_worth;
         }
-        self.retries = (self.retries + RETRIES_PER_REQUEST).min(MAX_SAVED_RETRIES);
+        self.retry_budget = (self.retry_budget + RETRIES_PER_REQUEST).min(MAX_RETRY_BUDGET);
         self.refresh_estimates(now, out);
         let request = Request {
             class,
             key: hash(arrival.key.unwrap_or(&arrival.id)),
             keyed: arrival.key.is_some() && self.settings.warm_keys,
             work,
-            hinted: hint.is_some(),
-            once: arrival.run_once,
+            has_work_hint: hint.is_some(),
+            run_once: arrival.run_once,
             value,
-            ends,
-            useful,
+            deadline: ends,
+            useful_until: useful,
             attempts: Vec::new(),
             streaming: false,
-            closed: false,
+            finished: false,
         };
         (request, aim)
     }
 
     /// Takes the work of a request into the means; the mean work before it.
     fn learn_offered_work(&mut self, now: Micros, class: usize, work: f64) -> f64 {
-        let mean = if self.tally.mean_work > 0.0 { self.tally.mean_work } else { work };
-        self.tally.mean_work = mean + (work - mean) * LEARNING_RATE / 4.0;
-        let seen = &mut self.classes[class].work;
+        let mean = if self.fleet.mean_work > 0.0 { self.fleet.mean_work } else { work };
+        self.fleet.mean_work = mean + (work - mean) * LEARNING_RATE / 4.0;
+        let seen = &mut self.class_stats[class].mean_work;
         *seen += if *seen > 0.0 { (work - *seen) * LEARNING_RATE / 4.0 } else { work };
         let window = self.settings.cold_overload_time.max(1) as f64;
-        self.tally.offered *= (-(now.saturating_sub(self.tally.came) as f64) / window).exp();
-        self.tally.offered += work / window;
-        self.tally.came = now;
+        self.fleet.offered_rate *= (-(now.saturating_sub(self.fleet.last_arrival) as f64) / window).exp();
+        self.fleet.offered_rate += work / window;
+        self.fleet.last_arrival = now;
         mean
     }
 
     /// Where a request would wait too long at its server while another one idles, the idle one; with how long it may wait.
-    fn prefer_idle(&self, now: Micros, r: &Request, pick: Pick) -> (Pick, f64) {
-        let limit = self.patience(r, pick.warm);
+    fn prefer_idle(&self, now: Micros, r: &Request, pick: Selection) -> (Selection, f64) {
+        let limit = self.wait_limit(r, pick.cached_probability);
         let waits_too_long = pick.wait > limit;
         if !waits_too_long {
             return (pick, limit);
         }
         // Its holders are jammed while a server idles: only below the lower threshold, or misses feed the jam.
         let idle_only = SelectionMode { retry_tried: false, idle_only: true };
-        match self.select_server(now, r, Repeat::Any, idle_only) {
+        match self.select_server(now, r, RetryScope::Any, idle_only) {
             Some(idle) => {
-                let limit = self.patience(r, idle.warm);
+                let limit = self.wait_limit(r, idle.cached_probability);
                 (idle, limit)
             }
             None => (pick, limit),
@@ -125,16 +125,17 @@
     /// one that waits everywhere and takes the slots of the others. Harm: a class whose traffic leaps loses some until its
     /// first answers; before any has come, none tells of a crowd.
     fn is_crowded(&mut self, now: Micros, class: usize) -> bool {
-        let seen = &mut self.classes[class];
-        fade_class(seen, now);
-        let spare = if seen.typical > 0.0 { SPARE_REQUESTS } else { SPARE_FACTOR_AT_START * SPARE_REQUESTS };
-        f64::from(seen.out) > spare + 2.0 * seen.ended
+        let seen = &mut self.class_stats[class];
+        decay_class(seen, now);
+        let allowance =
+            if seen.mean_latency > 0.0 { FREE_REQUESTS } else { FREE_FACTOR_AT_START * FREE_REQUESTS };
+        f64::from(seen.in_flight) > allowance + 2.0 * seen.recently_ended
     }
 
     fn is_over_share(&mut self, tenant: usize, now: Micros) -> bool {
         let Some(t) = self.settings.tenants.get(tenant) else { return false };
         let rate = t.quota / f64::from(self.settings.gateway_count);
-        let (tokens, at) = &mut self.tokens[tenant];
+        let (tokens, at) = &mut self.tenant_tokens[tenant];
         *tokens = (*tokens + rate * now.saturating_sub(*at) as f64 / 1e6).min(rate.max(1.0));
         *at = now;
         let over = *tokens < 1.0;
@@ -144,23 +145,23 @@
 
     /// How long a request may wait: by its worth (for its work: a miss is worth less than a hit), a share of the least slack
     /// among classes worth as much or more, as far as there is pressure.
-    fn patience(&self, r: &Request, warm: f64) -> f64 {
+    fn wait_limit(&self, r: &Request, warm: f64) -> f64 {
         let classes = &self.settings.classes;
         let worthier = (0..classes.len()).filter(|c| classes[*c].worth >= classes[r.class].worth);
         let tightest = worthier.map(|c| self.slack(c)).fold(f64::INFINITY, f64::min);
-        let value = r.value * (self.warm_share + warm * (1.0 - self.warm_share));
-        let waits = self.mean_wait[r.class] - self.classes[r.class].floor / 2.0;
+        let value = r.value * (self.hit_cost_ratio + warm * (1.0 - self.hit_cost_ratio));
+        let waits = self.mean_wait[r.class] - self.class_stats[r.class].min_latency / 2.0;
         let pressure = (2.0 * waits / tightest).clamp(0.0, 1.0);
-        (1.0 - pressure * (1.0 - MIN_PATIENCE - PATIENCE_BY_WORTH * value.sqrt())) * tightest
+        (1.0 - pressure * (1.0 - MIN_WAIT_SHARE - WAIT_SHARE_BY_WORTH * value.sqrt())) * tightest
     }
 
     fn reject(&self, request: crate::api::Id, pause: Micros, out: &mut Vec<Action>) {
-        let pause = self.bounded_pause(pause);
+        let pause = self.bounded_retry_after(pause);
         out.push(Action::Reject { request, retry_after: pause });
     }
 
     /// What a rejected client is asked for: never no pause at all, or it is back while nothing has changed.
-    pub(super) fn bounded_pause(&self, wanted: Micros) -> Micros {
-        wanted.max(MIN_PAUSE).min(self.settings.max_retry_after)
+    pub(super) fn bounded_retry_after(&self, wanted: Micros) -> Micros {
+        wanted.max(MIN_RETRY_AFTER).min(self.settings.max_retry_after)
     }
 }
--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -4,82 +4,85 @@
 
 use crate::api::{Action, AttemptEnd, Id, Micros, Outcome};
 use crate::balancer::retries::OVERDUE_TIMES;
-use crate::state::{Attempt, Balancer, Holder, Pick, Repeat, Request};
+use crate::state::{Attempt, Balancer, CacheHolder, Request, RetryScope, Selection};
 
 impl Balancer {
     /// Sends a request to the server that was selected.
-    pub(super) fn send_attempt(&mut self, now: Micros, id: &Id, pick: &Pick, out: &mut Vec<Action>) {
-        let warm = 1.0 - pick.warm * (1.0 - self.warm_share);
+    pub(super) fn send_attempt(&mut self, now: Micros, id: &Id, pick: &Selection, out: &mut Vec<Action>) {
+        let warm = 1.0 - pick.cached_probability * (1.0 - self.hit_cost_ratio);
         let all = self.work_at(&self.servers[pick.server]);
         let zone = self.servers[pick.server].zone;
         let Some(r) = self.requests.get_mut(id) else { return };
-        let ahead = self.tally.sharing.ahead(all.0, all.1, r.work);
-        let sure = r.work.max(self.classes[r.class].work);
-        let peer = &mut self.servers[pick.server];
+        let ahead = self.fleet.sharing.ahead(all.0, all.1, r.work);
+        let sure = r.work.max(self.class_stats[r.class].mean_work);
+        let upstream = &mut self.servers[pick.server];
         let work = r.work * warm;
         let met = ahead + work;
         r.attempts.push(Attempt {
             server: pick.server,
-            life: peer.life,
-            sent: now,
+            incarnation: upstream.incarnation,
+            sent_at: now,
             work,
-            met,
-            all,
-            gap: peer.idle.map_or(0, |since| now.saturating_sub(since)),
-            hit: [(pick.warm == 0.0, 0), (pick.held, 1)].iter().find(|(is, _)| *is).map(|(_, h)| *h),
+            observed_work: met,
+            work_at_server: all,
+            connection_idle: upstream.idle_since.map_or(0, |since| now.saturating_sub(since)),
+            cache_hit: [(pick.cached_probability == 0.0, 0), (pick.in_key_table, 1)]
+                .iter()
+                .find(|(is, _)| *is)
+                .map(|(_, h)| *h),
             outcome: None,
         });
-        if peer.in_flight == 0 {
-            peer.sign = now;
+        if upstream.in_flight == 0 {
+            upstream.last_response = now;
         }
-        peer.sent = now;
-        peer.in_flight += 1;
-        self.classes[r.class].out += 1;
-        peer.weight += 1.0;
-        peer.work += work;
-        if peer.started.is_some_and(|t| now < t.saturating_add(self.settings.max_warm_up_time)) {
+        upstream.last_sent = now;
+        upstream.in_flight += 1;
+        self.class_stats[r.class].in_flight += 1;
+        upstream.own_samples += 1.0;
+        upstream.own_work += work;
+        if upstream.started_at.is_some_and(|t| now < t.saturating_add(self.settings.max_warm_up_time)) {
             let since = now.saturating_sub(self.settings.cold_overload_time);
-            while peer.spent.front().is_some_and(|(at, _)| *at <= since) {
-                peer.spent.pop_front();
+            while upstream.cold_sends.front().is_some_and(|(at, _)| *at <= since) {
+                upstream.cold_sends.pop_front();
             }
-            peer.spent.push_back((now, sure));
+            upstream.cold_sends.push_back((now, sure));
         }
-        out.push(Action::Send { request: id.clone(), server: peer.id.clone(), deadline: r.useful });
+        out.push(Action::Send { request: id.clone(), server: upstream.id.clone(), deadline: r.useful_until });
         if r.keyed {
-            let set = &mut self.young.entry(r.key).or_default().holders;
+            let set = &mut self.recent_keys.entry(r.key).or_default().holders;
             set.retain(|h| h.server != pick.server);
-            set.push(Holder { server: pick.server, life: peer.life, used: now });
+            set.push(CacheHolder { server: pick.server, incarnation: upstream.incarnation, last_used: now });
         }
         self.postpone_zone_trial(now, zone);
-        self.refresh_brief(pick.server, now);
+        self.refresh_summary(pick.server, now);
         self.schedule_review(now, id);
     }
 
     /// When a request is looked at again: once its answer is overdue, and at its deadline.
     fn schedule_review(&mut self, now: Micros, id: &Id) {
         let Some(r) = self.requests.get(id) else { return };
-        let typical = self.classes[r.class].typical;
-        let sent = r.attempts.last().map_or(0, |a| a.sent);
-        let may = typical > 0.0 && r.attempts.len() == 1 && self.may_repeat(r, now) != Repeat::No;
+        let typical = self.class_stats[r.class].mean_latency;
+        let sent = r.attempts.last().map_or(0, |a| a.sent_at);
+        let may = typical > 0.0 && r.attempts.len() == 1 && self.retry_scope(r, now) != RetryScope::Forbidden;
         let overdue = OVERDUE_TIMES.map(|times| sent + (times * typical) as Micros);
         let hedge = overdue.into_iter().find(|at| *at > now);
-        let at = hedge.filter(|_| may).unwrap_or(r.ends).min(r.ends);
-        self.sequence += 1;
-        self.reviews.push(Reverse((at, self.sequence, id.clone())));
+        let at = hedge.filter(|_| may).unwrap_or(r.deadline).min(r.deadline);
+        self.review_sequence += 1;
+        self.reviews.push(Reverse((at, self.review_sequence, id.clone())));
     }
 
     pub(super) fn handle_wake(&mut self, now: Micros, out: &mut Vec<Action>) {
-        self.armed = Micros::MAX;
+        self.next_wake = Micros::MAX;
         while let Some(Reverse((at, ..))) = self.reviews.peek() {
             if *at > now {
                 break;
             }
             let Some(Reverse((_, _, id))) = self.reviews.pop() else { break };
             let Some(r) = self.requests.get(&id) else { continue };
-            if r.closed || r.streaming {
+            if r.finished || r.streaming {
                 continue;
             }
-            if now >= r.ends {
+            if now >= r.deadline {
                 self.finish_request(&id, 0, out);
                 continue;
             }
@@ -96,15 +99,15 @@
                 a.outcome = Some(outcome);
                 let a = *a;
                 self.learn(now, &r, a, (outcome, took as f64), out);
-                self.refresh_brief(a.server, now);
+                self.refresh_summary(a.server, now);
             }
             _ => {}
         }
-        if closed && !r.closed {
-            r.closed = true;
-            self.withdraw(&id, &r, None, out);
+        if closed && !r.finished {
+            r.finished = true;
+            self.cancel_attempts(&id, &r, None, out);
         }
-        let owed = !r.closed;
+        let owed = !r.finished;
         let waits = outcome != Outcome::Denied && r.attempts.iter().any(|a| a.outcome.is_none());
         self.retain_request(id.clone(), r);
         if owed && !waits {
@@ -115,25 +118,25 @@
     pub(super) fn handle_streaming(&mut self, request: &str, attempt: u32, out: &mut Vec<Action>) {
         let Some((id, mut r)) = self.requests.remove_entry(request) else { return };
         r.streaming = true;
-        self.withdraw(&id, &r, Some(attempt as usize), out);
+        self.cancel_attempts(&id, &r, Some(attempt as usize), out);
         self.retain_request(id, r);
     }
 
     pub(super) fn handle_client_left(&mut self, request: &str, out: &mut Vec<Action>) {
         let Some((id, mut r)) = self.requests.remove_entry(request) else { return };
-        r.closed = true;
-        self.withdraw(&id, &r, None, out);
+        r.finished = true;
+        self.cancel_attempts(&id, &r, None, out);
         self.retain_request(id, r);
     }
 
     /// Gives a request its final answer: a rejection where that is harmless, else a failure.
     pub(super) fn finish_request(&mut self, id: &Id, pause: Micros, out: &mut Vec<Action>) {
         let Some((id, mut r)) = self.requests.remove_entry(id) else { return };
-        if !r.closed {
-            self.withdraw(&id, &r, None, out);
-            r.closed = true;
-            let (request, pause) = (id.clone(), self.bounded_pause(pause));
-            out.push(if self.may_refuse(&r) {
+        if !r.finished {
+            self.cancel_attempts(&id, &r, None, out);
+            r.finished = true;
+            let (request, pause) = (id.clone(), self.bounded_retry_after(pause));
+            out.push(if self.may_reject(&r) {
                 Action::Reject { request, retry_after: pause }
             } else {
                 Action::Fail { request }
@@ -142,7 +145,7 @@
         self.retain_request(id, r);
     }
 
-    fn withdraw(&self, id: &Id, r: &Request, but: Option<usize>, out: &mut Vec<Action>) {
+    fn cancel_attempts(&self, id: &Id, r: &Request, but: Option<usize>, out: &mut Vec<Action>) {
         for (i, a) in r.attempts.iter().enumerate() {
             if self.settings.cancel && a.outcome.is_none() && Some(i) != but {
                 out.push(Action::Cancel { request: id.clone(), attempt: i as u32 });
@@ -152,7 +155,7 @@
 
     /// A request is remembered until it is answered and all its attempts have ended.
     fn retain_request(&mut self, id: Id, r: Request) {
-        if !r.closed || r.attempts.iter().any(|a| a.outcome.is_none()) {
+        if !r.finished || r.attempts.iter().any(|a| a.outcome.is_none()) {
             self.requests.insert(id, r);
         }
     }
--- a/src/balancer/key_table.rs
+++ b/src/balancer/key_table.rs
@@ -10,21 +10,21 @@
 impl Balancer {
     /// Brings a key's set into the young generation of the table; when that is full, the old one is forgotten.
     pub(super) fn touch_key(&mut self, now: Micros, key: u64) {
-        if !self.young.contains_key(&key)
-            && let Some(set) = self.old.remove(&key)
+        if !self.recent_keys.contains_key(&key)
+            && let Some(set) = self.older_keys.remove(&key)
         {
-            self.young.insert(key, set);
+            self.recent_keys.insert(key, set);
         }
-        if self.young.len() >= GENERATION_KEYS {
-            self.old = std::mem::take(&mut self.young);
-            if let Some(set) = self.old.remove(&key) {
-                self.young.insert(key, set);
+        if self.recent_keys.len() >= GENERATION_KEYS {
+            self.older_keys = std::mem::take(&mut self.recent_keys);
+            if let Some(set) = self.older_keys.remove(&key) {
+                self.recent_keys.insert(key, set);
             }
         }
         let fade = |since: Micros| (-(now.saturating_sub(since) as f64) / KEY_HALF_LIFE).exp2();
-        self.tally.arrivals = self.tally.arrivals * fade(self.tally.recalled) + 1.0;
-        self.tally.recalled = now;
-        let entry = self.young.entry(key).or_default();
-        (entry.came, entry.last) = (entry.came * fade(entry.last) + 1.0, now);
+        self.fleet.arrivals = self.fleet.arrivals * fade(self.fleet.arrivals_decayed_at) + 1.0;
+        self.fleet.arrivals_decayed_at = now;
+        let entry = self.recent_keys.entry(key).or_default();
+        (entry.arrivals, entry.last_arrival) = (entry.arrivals * fade(entry.last_arrival) + 1.0, now);
     }
 }
--- a/src/balancer/learning.rs
+++ b/src/balancer/learning.rs
@@ -2,7 +2,7 @@
 
 use crate::api::{Action, Micros, Outcome};
 use crate::balancer::load::KEY_HALF_LIFE;
-use crate::state::{Attempt, Balancer, Request, Seen};
+use crate::state::{Attempt, Balancer, ClassStats, Request};
 
 /// Weight of a new observation in the running estimates.
 pub(super) const LEARNING_RATE: f64 = 1.0 / 16.0;
@@ -31,28 +31,28 @@
     ) {
         let (outcome, took) = ended;
         let server = a.server;
-        let seen = &mut self.classes[r.class];
-        seen.out -= 1;
-        fade_class(seen, now);
-        seen.ended += f64::from(!matches!(outcome, Outcome::TimedOut | Outcome::Cancelled) as u8);
+        let seen = &mut self.class_stats[r.class];
+        seen.in_flight -= 1;
+        decay_class(seen, now);
+        seen.recently_ended += f64::from(!matches!(outcome, Outcome::TimedOut | Outcome::Cancelled) as u8);
         self.decay_server(server, now);
-        let peer = &mut self.servers[server];
-        peer.in_flight = peer.in_flight.saturating_sub(1);
-        peer.work = if peer.in_flight == 0 { 0.0 } else { (peer.work - a.work).max(0.0) };
-        if peer.life != a.life {
+        let upstream = &mut self.servers[server];
+        upstream.in_flight = upstream.in_flight.saturating_sub(1);
+        upstream.own_work = if upstream.in_flight == 0 { 0.0 } else { (upstream.own_work - a.work).max(0.0) };
+        if upstream.incarnation != a.incarnation {
             return;
         }
-        let silent = peer.sign <= a.sent;
+        let silent = upstream.last_response <= a.sent_at;
         self.learn_health(now, r, server, (outcome, took), silent, out);
-        let usual = 2.0 * self.classes[r.class].typical;
-        self.tally.note_gap(a.gap, outcome, took > usual);
+        let usual = 2.0 * self.class_stats[r.class].mean_latency;
+        self.fleet.record_idle_gap(a.connection_idle, outcome, took > usual);
         let Some(blame) = self.learn_failures(r, server, outcome, silent) else { return };
         if outcome == Outcome::Ok {
             self.learn_pace(r, &a, took);
         }
         let counts = match outcome {
             Outcome::Ok | Outcome::TimedOut => true,
-            Outcome::Cancelled => took > self.classes[r.class].typical,
+            Outcome::Cancelled => took > self.class_stats[r.class].mean_latency,
             _ => false,
         };
         if counts {
@@ -76,15 +76,15 @@
                 self.record_zone_answer(zone, true)
             }
             // One that refuses a connection at once speaks for its zone.
-            Outcome::ConnectFailed if took > self.classes[r.class].typical => {
+            Outcome::ConnectFailed if took > self.class_stats[r.class].mean_latency => {
                 self.record_zone_answer(zone, false)
             }
             Outcome::TimedOut if silent => self.record_zone_answer(zone, false),
             _ => false,
         };
         // What is sent on a connection that has gone quiet may have run; a dial that fails has not.
-        for p in self.servers.iter_mut().filter(|p| lost && p.zone == zone && p.idle.is_some()) {
-            p.idle = None;
+        for p in self.servers.iter_mut().filter(|p| lost && p.zone == zone && p.idle_since.is_some()) {
+            p.idle_since = None;
             out.push(Action::CloseIdleConnections { server: p.id.clone() });
         }
         match outcome {
@@ -96,12 +96,12 @@
             Outcome::TimedOut if silent => self.record_health(now, server, false),
             _ => {}
         }
-        let peer = &mut self.servers[server];
+        let upstream = &mut self.servers[server];
         match outcome {
             Outcome::Ok | Outcome::Error | Outcome::Overloaded | Outcome::Denied => {
-                (peer.idle, peer.sign) = (Some(now), now);
+                (upstream.idle_since, upstream.last_response) = (Some(now), now);
             }
-            Outcome::Reset | Outcome::ConnectFailed => peer.idle = None,
+            Outcome::Reset | Outcome::ConnectFailed => upstream.idle_since = None,
             _ => {}
         }
     }
@@ -109,29 +109,32 @@
     /// The failure shares of the server and of the class. The share of a failure that is not the class's own fault; `None`
     /// for an attempt that was never sent.
     fn learn_failures(&mut self, r: &Request, server: usize, outcome: Outcome, silent: bool) -> Option<f64> {
-        let seen = &mut self.classes[r.class];
-        let peer = &mut self.servers[server];
-        peer.faults.resize(self.settings.classes.len(), 0.0);
-        peer.errors.resize(self.settings.classes.len(), 0);
-        let errors = &mut peer.errors[r.class];
+        let seen = &mut self.class_stats[r.class];
+        let upstream = &mut self.servers[server];
+        upstream.failure_shares.resize(self.settings.classes.len(), 0.0);
+        upstream.consecutive_errors.resize(self.settings.classes.len(), 0);
+        let errors = &mut upstream.consecutive_errors[r.class];
         match outcome {
             Outcome::Ok => *errors = 0,
             Outcome::Error => *errors = (*errors + 1).min(MAX_ERRORS),
             _ => {}
         }
         // What fails everywhere is the class's fault and costs no server its good name.
-        let blame = 1.0 - seen.failing;
+        let blame = 1.0 - seen.failure_share;
         // An error tells more, and of all classes, where little else was seen. Harm: a stray one costs traffic.
-        let fresh =
-            if matches!(outcome, Outcome::Ok | Outcome::TimedOut) { 0.0 } else { 1.0 / (1.0 + peer.heard) };
-        peer.heard += 1.0;
+        let fresh = if matches!(outcome, Outcome::Ok | Outcome::TimedOut) {
+            0.0
+        } else {
+            1.0 / (1.0 + upstream.recent_outcomes)
+        };
+        upstream.recent_outcomes += 1.0;
         let mut move_shares = |to: f64, share: f64| {
             let share = if to > 0.0 { share.max(fresh) * blame } else { share };
-            for (class, fault) in peer.faults.iter_mut().enumerate() {
+            for (class, fault) in upstream.failure_shares.iter_mut().enumerate() {
                 let weight = if class == r.class { 1.0 } else { OTHER_CLASS_WEIGHT.max(fresh) };
                 *fault += (to - *fault) * share * weight;
             }
-            seen.failing += (to - seen.failing) * LEARNING_RATE;
+            seen.failure_share += (to - seen.failure_share) * LEARNING_RATE;
         };
         let unanswered = match outcome {
             Outcome::NotSent => return None,
@@ -150,38 +153,38 @@
         };
         if let Some(share) = unanswered {
             move_shares(1.0, share);
-            peer.ghost += r.work;
+            upstream.lost_work += r.work;
         }
         Some(blame)
     }
 
     /// The time to an answer: of the class, of the server's kind, and of hits and misses.
     fn learn_pace(&mut self, r: &Request, a: &Attempt, took: f64) {
-        let seen = &mut self.classes[r.class];
-        let peer = &mut self.servers[a.server];
-        peer.carried += a.work;
-        if seen.typical <= 0.0 {
-            (seen.floor, seen.typical) = (took, took);
+        let seen = &mut self.class_stats[r.class];
+        let upstream = &mut self.servers[a.server];
+        upstream.answered_work += a.work;
+        if seen.mean_latency <= 0.0 {
+            (seen.min_latency, seen.mean_latency) = (took, took);
         }
-        let bounded = took.min(MAX_TYPICAL_TIMES * seen.typical);
-        seen.typical += (bounded - seen.typical) * LEARNING_RATE / 2.0;
-        seen.floor += if took < seen.floor {
-            (took - seen.floor) * 0.3
+        let bounded = took.min(MAX_TYPICAL_TIMES * seen.mean_latency);
+        seen.mean_latency += (bounded - seen.mean_latency) * LEARNING_RATE / 2.0;
+        seen.min_latency += if took < seen.min_latency {
+            (took - seen.min_latency) * 0.3
         } else {
-            (took - seen.floor).min(seen.floor) * 0.005
+            (took - seen.min_latency).min(seen.min_latency) * 0.005
         };
-        let bounded = took.min(MAX_TYPICAL_TIMES * seen.typical);
-        let x = (bounded - FLOOR_SHARE * seen.floor).max(0.0) / a.work;
-        let pace = self.tally.paces.entry(peer.kind).or_default();
+        let bounded = took.min(MAX_TYPICAL_TIMES * seen.mean_latency);
+        let x = (bounded - FLOOR_SHARE * seen.min_latency).max(0.0) / a.work;
+        let pace = self.fleet.kind_paces.entry(upstream.kind).or_default();
         *pace = [pace[0] + x, pace[1] + 1.0].map(|sum| sum * (1.0 - LEARNING_RATE / 16.0));
-        let is_unhindered = a.met <= self.tally.mean_met.max(a.work * 1.5);
-        let Some(hit) = a.hit.filter(|_| is_unhindered) else { return };
-        let pace = &mut self.tally.pace[hit];
-        let x = (took - FLOOR_SHARE * seen.floor - own_wait(seen)).max(0.0) / r.work;
+        let is_unhindered = a.observed_work <= self.fleet.mean_observed_work.max(a.work * 1.5);
+        let Some(hit) = a.cache_hit.filter(|_| is_unhindered) else { return };
+        let pace = &mut self.fleet.pace[hit];
+        let x = (took - FLOOR_SHARE * seen.min_latency - class_delay(seen)).max(0.0) / r.work;
         let step = if x < *pace { 10.0 } else { 1.0 } * LEARNING_RATE / 8.0;
         *pace = if *pace > 0.0 { *pace + (x - *pace) * step } else { x };
-        if self.tally.pace[0] > 0.0 && self.tally.pace[1] > 0.0 {
-            self.warm_share = (self.tally.pace[1] / self.tally.pace[0]).clamp(0.2, 0.9);
+        if self.fleet.pace[0] > 0.0 && self.fleet.pace[1] > 0.0 {
+            self.hit_cost_ratio = (self.fleet.pace[1] / self.fleet.pace[0]).clamp(0.2, 0.9);
         }
     }
 
@@ -189,43 +192,43 @@
     /// or a failing server (`faults`). Guards against rejecting a healthy fleet's work for answers lost on the way. Harm:
     /// the first seconds of a total jam look shorter than they are.
     fn learn_rate(&mut self, r: &Request, a: &Attempt, (outcome, took): (Outcome, f64), blame: f64) {
-        let Attempt { server, work, met, all, .. } = *a;
+        let Attempt { server, work, observed_work: met, work_at_server: all, .. } = *a;
         let lost = outcome == Outcome::TimedOut;
-        self.tally.lost += (f64::from(u8::from(lost)) - self.tally.lost) * LEARNING_RATE;
+        self.fleet.timeout_share += (f64::from(u8::from(lost)) - self.fleet.timeout_share) * LEARNING_RATE;
         let done = if lost { 0.0 } else { met };
         // What a class's answers take beyond what the servers' rates explain, above the class with the least of it, is its
         // own. Guards against one that waits everywhere. No help with one class.
-        let excess = took - FLOOR_SHARE * self.classes[r.class].floor;
-        if !lost && r.hinted {
-            self.tally.sharing.learn(all.0, all.1, work, excess);
+        let excess = took - FLOOR_SHARE * self.class_stats[r.class].min_latency;
+        if !lost && r.has_work_hint {
+            self.fleet.sharing.learn(all.0, all.1, work, excess);
         }
         let expected = met / self.rate(&self.servers[server]);
-        let seen = &mut self.classes[r.class];
-        let beyond = excess - expected - seen.own;
-        seen.own += if lost { beyond.max(0.0) } else { beyond } * LEARNING_RATE;
-        let least = self.classes.iter().map(|c| c.own).fold(f64::INFINITY, f64::min);
-        self.classes.iter_mut().for_each(|c| c.own -= least);
-        let time = (excess - self.classes[r.class].own).max(0.25 * work / self.drain);
-        let time = if lost { time * self.tally.lost * blame } else { time };
-        let peer = &mut self.servers[server];
-        peer.met += done;
-        peer.took += time;
-        self.tally.mean_met += (met - self.tally.mean_met) * LEARNING_RATE / 4.0;
-        self.tally.all[0] += done;
-        self.tally.primer *= 1.0 - LEARNING_RATE;
-        self.tally.all[1] += time;
+        let seen = &mut self.class_stats[r.class];
+        let beyond = excess - expected - seen.own_delay;
+        seen.own_delay += if lost { beyond.max(0.0) } else { beyond } * LEARNING_RATE;
+        let least = self.class_stats.iter().map(|c| c.own_delay).fold(f64::INFINITY, f64::min);
+        self.class_stats.iter_mut().for_each(|c| c.own_delay -= least);
+        let time = (excess - self.class_stats[r.class].own_delay).max(0.25 * work / self.mean_rate);
+        let time = if lost { time * self.fleet.timeout_share * blame } else { time };
+        let upstream = &mut self.servers[server];
+        upstream.observed_work += done;
+        upstream.observed_time += time;
+        self.fleet.mean_observed_work += (met - self.fleet.mean_observed_work) * LEARNING_RATE / 4.0;
+        self.fleet.observed[0] += done;
+        self.fleet.prior_work *= 1.0 - LEARNING_RATE;
+        self.fleet.observed[1] += time;
     }
 }
 
 /// What lies back counts less: ends by the latency target, a class's own wait so that its recovery is found.
-pub(super) fn fade_class(seen: &mut Seen, now: Micros) {
-    let age = now.saturating_sub(seen.faded) as f64;
-    seen.ended *= (-age / seen.aim).exp();
-    seen.own *= (-age / KEY_HALF_LIFE).exp2();
-    seen.faded = now;
+pub(super) fn decay_class(seen: &mut ClassStats, now: Micros) {
+    let age = now.saturating_sub(seen.decayed_at) as f64;
+    seen.recently_ended *= (-age / seen.latency_target).exp();
+    seen.own_delay *= (-age / KEY_HALF_LIFE).exp2();
+    seen.decayed_at = now;
 }
 
 /// A class's own wait counts from half its target on: less is noise among queues.
-pub(super) fn own_wait(seen: &Seen) -> f64 {
-    if seen.own > seen.aim / 2.0 { seen.own } else { 0.0 }
+pub(super) fn class_delay(seen: &ClassStats) -> f64 {
+    if seen.own_delay > seen.latency_target / 2.0 { seen.own_delay } else { 0.0 }
 }
--- a/src/balancer/load.rs
+++ b/src/balancer/load.rs
@@ -3,17 +3,17 @@
 use std::collections::BTreeMap;
 
 use crate::api::{Action, Micros};
-use crate::state::{Balancer, Brief, Peer};
+use crate::state::{Balancer, ServerSummary, Upstream};
 
 /// How many mean observations a server's own stand beside, and how long they count (half-life).
 const PRIOR_OBSERVATIONS: f64 = 2.0;
 const RECENT_HALF_LIFE: f64 = 2e6;
 /// Attempts that a mean reading of others' work counts for, beside a server's own.
-const MEAN_WEIGHT: f64 = 8.0;
+const PRIOR_SAMPLES: f64 = 8.0;
 /// Answers of a kind that count for as much as the mean of all kinds.
-const KIND_PRIOR: f64 = 8.0;
+const KIND_PRIOR_SAMPLES: f64 = 8.0;
 /// Half-life of the most that servers have borne.
-const BORNE_HALF_LIFE: f64 = 3e7;
+const PEAK_RATE_HALF_LIFE: f64 = 3e7;
 /// Half-life of what is known of a key, and of a class's own wait.
 pub(super) const KEY_HALF_LIFE: f64 = 8e6;
 /// How often the estimates of all servers are renewed; the longest span that one renewal stands for.
@@ -26,134 +26,140 @@
     pub(super) fn update_relative_sizes(&mut self) {
         let first = self.ready.first().map_or(1.0, |s| self.servers[*s].size);
         let told_apart = self.ready.iter().any(|s| self.servers[*s].size != first);
-        let sum = |i: usize| self.tally.paces.values().map(|pace| pace[i]).sum::<f64>();
+        let sum = |i: usize| self.fleet.kind_paces.values().map(|pace| pace[i]).sum::<f64>();
         let mean = sum(0) / sum(1).max(1.0);
         let speed = |[x, n]: &[f64; 2]| {
-            let speed = mean * (n + KIND_PRIOR) / (x + mean * KIND_PRIOR);
+            let speed = mean * (n + KIND_PRIOR_SAMPLES) / (x + mean * KIND_PRIOR_SAMPLES);
             ((speed.log2() * 2.0).round() / 2.0).exp2()
         };
         let speeds: BTreeMap<u32, f64> = match !told_apart && mean > 0.0 {
-            true => self.tally.paces.iter().map(|(kind, pace)| (*kind, speed(pace))).collect(),
+            true => self.fleet.kind_paces.iter().map(|(kind, pace)| (*kind, speed(pace))).collect(),
             false => BTreeMap::new(),
         };
-        for s in self.ready.iter().chain(&self.trial) {
-            let peer = &mut self.servers[*s];
-            peer.relative = speeds.get(&peer.kind).copied().unwrap_or(peer.size);
+        for s in self.ready.iter().chain(&self.unproven) {
+            let upstream = &mut self.servers[*s];
+            upstream.relative_size = speeds.get(&upstream.kind).copied().unwrap_or(upstream.size);
         }
         // Those on trial are measured by the mean of the ready ones: they have to have a size as well, or the wait of each
         // class that may try them is no number.
-        let known = if self.ready.is_empty() { &self.trial } else { &self.ready };
-        let sizes: f64 = known.iter().map(|s| self.servers[*s].relative).sum();
+        let known = if self.ready.is_empty() { &self.unproven } else { &self.ready };
+        let sizes: f64 = known.iter().map(|s| self.servers[*s].relative_size).sum();
         let scale = known.len() as f64 / sizes;
-        for s in self.ready.iter().chain(&self.trial) {
-            self.servers[*s].relative *= scale;
+        for s in self.ready.iter().chain(&self.unproven) {
+            self.servers[*s].relative_size *= scale;
         }
-        self.even = self.ready.iter().all(|s| self.servers[*s].relative == 1.0);
+        self.uniform_sizes = self.ready.iter().all(|s| self.servers[*s].relative_size == 1.0);
     }
 
     /// Work done by a server in a microsecond. Beside its own observations stand two mean ones, so that one that looked slow
     /// is seen anew.
-    pub(super) fn rate(&self, peer: &Peer) -> f64 {
-        let prior = PRIOR_OBSERVATIONS * self.tally.mean_met.max(1.0);
-        (peer.met + prior) / (peer.took + prior / (self.drain * peer.relative))
+    pub(super) fn rate(&self, upstream: &Upstream) -> f64 {
+        let prior = PRIOR_OBSERVATIONS * self.fleet.mean_observed_work.max(1.0);
+        (upstream.observed_work + prior)
+            / (upstream.observed_time + prior / (self.mean_rate * upstream.relative_size))
     }
 
     /// All the work at a server, and how many requests that is.
-    pub(super) fn work_at(&self, peer: &Peer) -> (f64, f64) {
-        let count = f64::from(peer.in_flight) + peer.others / self.tally.mean_work.max(1.0);
-        (peer.work + peer.others, count)
+    pub(super) fn work_at(&self, upstream: &Upstream) -> (f64, f64) {
+        let count = f64::from(upstream.in_flight) + upstream.others_work / self.fleet.mean_work.max(1.0);
+        (upstream.own_work + upstream.others_work, count)
     }
 
     /// What of that a request with this work waits for.
-    fn work_ahead(&self, peer: &Peer, work: f64) -> f64 {
-        let (all, count) = self.work_at(peer);
-        self.tally.sharing.ahead(all, count, work)
+    fn work_ahead(&self, upstream: &Upstream, work: f64) -> f64 {
+        let (all, count) = self.work_at(upstream);
+        self.fleet.sharing.ahead(all, count, work)
     }
 
     /// The expected wait of a request with this work.
-    pub(super) fn wait(&self, peer: &Peer, work: f64, now: Micros) -> f64 {
-        let ahead = (self.work_ahead(peer, work) + peer.ghost) / self.rate(peer);
+    pub(super) fn wait(&self, upstream: &Upstream, work: f64, now: Micros) -> f64 {
+        let ahead = (self.work_ahead(upstream, work) + upstream.lost_work) / self.rate(upstream);
         // Attempts are out and no answer has come for longer than usual: the wait is at least as long. Guards against hangs,
         // pauses and lost links alike.
-        let overdue = (now.saturating_sub(peer.sign) as f64 - self.longest_usual_response()).max(0.0);
-        ahead + if peer.in_flight > 0 { overdue } else { 0.0 }
+        let overdue =
+            (now.saturating_sub(upstream.last_response) as f64 - self.longest_usual_response()).max(0.0);
+        ahead + if upstream.in_flight > 0 { overdue } else { 0.0 }
     }
 
     fn longest_usual_response(&self) -> f64 {
-        2.0 * self.classes.iter().map(|c| c.typical).fold(0.0, f64::max)
+        2.0 * self.class_stats.iter().map(|c| c.mean_latency).fold(0.0, f64::max)
     }
 
     /// Lets what is known of a server fade to this time.
     pub(super) fn decay_server(&mut self, server: usize, now: Micros) {
-        let span = now.saturating_sub(self.servers[server].faded);
-        if self.kept.0 != span {
+        let span = now.saturating_sub(self.servers[server].decayed_at);
+        if self.decay_factors.0 != span {
             let window = self.settings.cold_overload_time.max(1) as f64;
-            let half = self.classes.iter().map(|c| c.aim).fold(0.0, f64::max);
-            let again = self.ready.len() as f64 * self.tally.mean_work / self.tally.offered.max(1e-9);
-            let memory = (PRIOR_OBSERVATIONS * self.classes.len() as f64 * again)
+            let half = self.class_stats.iter().map(|c| c.latency_target).fold(0.0, f64::max);
+            let again = self.ready.len() as f64 * self.fleet.mean_work / self.fleet.offered_rate.max(1e-9);
+            let memory = (PRIOR_OBSERVATIONS * self.class_stats.len() as f64 * again)
                 .clamp(half, half.max(2.0 * KEY_HALF_LIFE));
             let halves = [window * std::f64::consts::LN_2, half, memory, RECENT_HALF_LIFE];
-            self.kept = (span, halves.map(|half| (-(span as f64) / half).exp2()));
+            self.decay_factors = (span, halves.map(|half| (-(span as f64) / half).exp2()));
         }
-        let [carried, ghost, fault, recent] = self.kept.1;
-        let peer = &mut self.servers[server];
-        peer.carried *= carried;
-        peer.ghost *= ghost;
-        peer.heard *= fault;
-        peer.faults.resize(self.classes.len(), 0.0);
-        peer.errors.resize(self.classes.len(), 0);
-        for ((share, class), errors) in peer.faults.iter_mut().zip(&self.classes).zip(&peer.errors) {
+        let [carried, ghost, fault, recent] = self.decay_factors.1;
+        let upstream = &mut self.servers[server];
+        upstream.answered_work *= carried;
+        upstream.lost_work *= ghost;
+        upstream.recent_outcomes *= fault;
+        upstream.failure_shares.resize(self.class_stats.len(), 0.0);
+        upstream.consecutive_errors.resize(self.class_stats.len(), 0);
+        for ((share, class), errors) in
+            upstream.failure_shares.iter_mut().zip(&self.class_stats).zip(&upstream.consecutive_errors)
+        {
             // One that meets each trial with an error is tried at growing intervals.
             let keep = if *errors > 1 { fault.powf(1.0 / f64::from(*errors)) } else { fault };
-            *share = class.failing + (*share - class.failing) * keep;
+            *share = class.failure_share + (*share - class.failure_share) * keep;
         }
-        (peer.met, peer.took, peer.faded) = (peer.met * recent, peer.took * recent, now);
+        (upstream.observed_work, upstream.observed_time, upstream.decayed_at) =
+            (upstream.observed_work * recent, upstream.observed_time * recent, now);
     }
 
     /// Renews what a selection reads of a server, kept apart from the rest since it reads them all.
-    pub(crate) fn refresh_brief(&mut self, server: usize, now: Micros) {
-        let peer = &self.servers[server];
-        let wait = self.wait(peer, self.tally.mean_work, now);
-        let plain = peer.proven && self.warmth(peer, now) >= 1.0;
-        let Peer { hash, zone, cell, relative: size, .. } = *peer;
-        let rate = self.rate(peer);
-        self.briefs[server] = Brief { hash, wait, rate, size, zone, cell, plain };
-        let classes = self.classes.len();
-        for (class, seen) in self.classes.iter().enumerate() {
-            self.odds[server * classes + class] =
-                odds(peer.faults.get(class).copied().unwrap_or(seen.failing));
+    pub(crate) fn refresh_summary(&mut self, server: usize, now: Micros) {
+        let upstream = &self.servers[server];
+        let wait = self.wait(upstream, self.fleet.mean_work, now);
+        let plain = upstream.proven && self.sure_capacity_share(upstream, now) >= 1.0;
+        let Upstream { hash, zone, cell, relative_size: size, .. } = *upstream;
+        let rate = self.rate(upstream);
+        self.summaries[server] =
+            ServerSummary { hash, wait, rate, relative_size: size, zone, cell, warm_and_proven: plain };
+        let classes = self.class_stats.len();
+        for (class, seen) in self.class_stats.iter().enumerate() {
+            self.failure_odds[server * classes + class] =
+                odds(upstream.failure_shares.get(class).copied().unwrap_or(seen.failure_share));
         }
     }
 
     /// Renews the estimates of all servers, if that is due.
     pub(super) fn refresh_estimates(&mut self, now: Micros, out: &mut Vec<Action>) {
-        if now < self.refreshed + REFRESH_INTERVAL {
+        if now < self.last_refresh + REFRESH_INTERVAL {
             return;
         }
-        let span = now - self.refreshed.max(now.saturating_sub(MAX_REFRESH_SPAN));
-        self.refreshed = now;
+        let span = now - self.last_refresh.max(now.saturating_sub(MAX_REFRESH_SPAN));
+        self.last_refresh = now;
         let overdue =
             (f64::from(self.settings.gateway_count - 1) * self.longest_usual_response() / 2.0).max(1.0);
         let carried_by_kind = self.update_own_work(now, span, overdue);
         self.estimate_others_work();
         for server in 0..self.servers.len() {
-            self.refresh_brief(server, now);
+            self.refresh_summary(server, now);
         }
         self.update_mean_waits();
         self.update_relative_sizes();
-        self.probe(now, out);
-        self.drop_idle(now, span as f64, out);
+        self.send_due_probes(now, out);
+        self.close_idle_connections(now, span as f64, out);
         self.update_rates(span, &carried_by_kind);
     }
 
     /// The mean wait of each class over its open servers. One on trial is no capacity, so that it counts only where no other
     /// is open.
     fn update_mean_waits(&mut self) {
-        for (mean, open) in self.mean_wait.iter_mut().zip(&self.open) {
+        for (mean, open) in self.mean_wait.iter_mut().zip(&self.eligible) {
             let any_ready = open.iter().any(|s| self.servers[*s].proven);
             let counted = open.iter().filter(|s| !any_ready || self.servers[**s].proven);
             let (sum, count) =
-                counted.fold((0.0, 0.0), |(sum, count), s| (sum + self.briefs[*s].wait, count + 1.0));
+                counted.fold((0.0, 0.0), |(sum, count), s| (sum + self.summaries[*s].wait, count + 1.0));
             *mean = sum / f64::max(count, 1.0);
         }
     }
@@ -165,15 +171,15 @@
         for i in 0..self.ready.len() {
             let server = self.ready[i];
             self.decay_server(server, now);
-            let peer = &mut self.servers[server];
+            let upstream = &mut self.servers[server];
             let keep = (-(span as f64) / overdue).exp2();
-            peer.usual += (peer.work - peer.usual) * (1.0 - keep);
-            peer.weight *= keep;
-            all += peer.work;
-            let peer = &self.servers[server];
-            if self.warmth(peer, now) >= 1.0 {
-                let (carried, n) = kinds.entry(peer.kind).or_default();
-                *carried += peer.carried;
+            upstream.mean_own_work += (upstream.own_work - upstream.mean_own_work) * (1.0 - keep);
+            upstream.own_samples *= keep;
+            all += upstream.own_work;
+            let upstream = &self.servers[server];
+            if self.sure_capacity_share(upstream, now) >= 1.0 {
+                let (carried, n) = kinds.entry(upstream.kind).or_default();
+                *carried += upstream.answered_work;
                 *n += 1.0;
             }
         }
@@ -181,33 +187,34 @@
         // noise, times the gateways. Guards against keys spilled and requests rejected on noise. Harm: a server that others
         // alone overload shows in its answer times only. The mean of all is known as much sooner as there are servers: a
         // jam must be seen while it builds.
-        let half = (MEAN_WEIGHT * overdue / fleet).max(self.longest_usual_response().max(1.0));
+        let half = (PRIOR_SAMPLES * overdue / fleet).max(self.longest_usual_response().max(1.0));
         let keep = (-(span as f64) / half).exp2();
-        self.tally.usual += (all / fleet - self.tally.usual) * (1.0 - keep);
+        self.fleet.mean_own_work += (all / fleet - self.fleet.mean_own_work) * (1.0 - keep);
         kinds
     }
 
     fn estimate_others_work(&mut self) {
         for i in 0..self.ready.len() {
-            let peer = &mut self.servers[self.ready[i]];
-            let expected = self.tally.usual * peer.relative;
-            let mean = (peer.usual * peer.weight + expected * MEAN_WEIGHT) / (peer.weight + MEAN_WEIGHT);
-            peer.others = f64::from(self.settings.gateway_count - 1) * mean;
+            let upstream = &mut self.servers[self.ready[i]];
+            let expected = self.fleet.mean_own_work * upstream.relative_size;
+            let mean = (upstream.mean_own_work * upstream.own_samples + expected * PRIOR_SAMPLES)
+                / (upstream.own_samples + PRIOR_SAMPLES);
+            upstream.others_work = f64::from(self.settings.gateway_count - 1) * mean;
         }
     }
 
     fn update_rates(&mut self, span: Micros, carried_by_kind: &BTreeMap<u32, (f64, f64)>) {
         let recent = (-(span as f64) / RECENT_HALF_LIFE).exp2();
-        if self.tally.all[1] > 0.0 {
-            let [met, took] = self.tally.all;
-            self.drain = (met.max(took * 1e-6) + self.tally.primer) / (took + self.tally.primer);
+        if self.fleet.observed[1] > 0.0 {
+            let [met, took] = self.fleet.observed;
+            self.mean_rate = (met.max(took * 1e-6) + self.fleet.prior_work) / (took + self.fleet.prior_work);
         }
-        self.tally.all = self.tally.all.map(|x| x * recent);
+        self.fleet.observed = self.fleet.observed.map(|x| x * recent);
         let window = self.settings.cold_overload_time.max(1) as f64;
         // What was borne is borne again, also by starting servers in a jam that answers little. Harm: speeds that fell.
-        let kept = (-(span as f64) / BORNE_HALF_LIFE).exp2();
+        let kept = (-(span as f64) / PEAK_RATE_HALF_LIFE).exp2();
         for (kind, (carried, n)) in carried_by_kind {
-            let rate = self.tally.kind_rate.entry(*kind).or_default();
+            let rate = self.fleet.kind_rates.entry(*kind).or_default();
             *rate = (*rate * kept).max(carried / n / window);
         }
     }
--- a/src/balancer/server_list.rs
+++ b/src/balancer/server_list.rs
@@ -3,15 +3,15 @@
 use std::collections::BTreeSet;
 
 use crate::api::{Id, ListKind, Micros, Server, ServerState};
-use crate::probing::UNPROBED;
-use crate::state::{Balancer, Brief, Peer, hash};
+use crate::probing::PROBES_BEFORE_REQUESTS;
+use crate::state::{Balancer, ServerSummary, Upstream, hash};
 
 /// Duration of one call to discovery, which serves all gateways in turn, and how many calls it takes at once.
 const DISCOVERY_CALL: Micros = 60_000;
 const CONCURRENT_CALLS: u32 = 16;
 /// The first pause after a failed call; each further failure doubles it, up to so many.
-const FIRST_CALL_PAUSE: Micros = 250_000;
-const MAX_CALL_FAILURES: u32 = 5;
+const FIRST_POLL_DELAY: Micros = 250_000;
+const MAX_POLL_DOUBLINGS: u32 = 5;
 /// A server that was dropped from the list without draining is forgotten after this.
 const FORGET_AFTER: Micros = 60_000_000;
 
@@ -19,44 +19,44 @@
     /// Takes in a list of servers, or changes of it.
     pub(super) fn handle_list(&mut self, now: Micros, kind: ListKind, entries: Vec<Server>) {
         if kind == ListKind::Failed {
-            return self.schedule_retried_call(now);
+            return self.schedule_poll_retry(now);
         }
         if kind != ListKind::Cached {
-            self.ask_failed = 0;
-        } else if self.settings.poll_discovery && !self.listed {
-            self.ask_at = now
-                + u64::from(self.settings.gateway_index) * self.call_spread()
+            self.failed_polls = 0;
+        } else if self.settings.poll_discovery && !self.list_received {
+            self.next_poll = now
+                + u64::from(self.settings.gateway_index) * self.poll_spread()
                     / u64::from(self.settings.gateway_count);
         }
         if kind != ListKind::Delta {
             self.drop_unlisted(now, &entries);
         }
         for entry in entries {
-            let server = self.server_slot(now, &entry.id);
+            let server = self.slot_of_server(now, &entry.id);
             self.update_server(now, server, &entry);
         }
-        self.listed = true;
+        self.list_received = true;
         self.forget_gone_servers(now);
         self.classify_servers();
-        self.refreshed = 0;
-        self.briefs.resize(self.servers.len(), Brief::default());
-        self.odds.resize(self.servers.len() * self.classes.len(), 0.0);
-        (0..self.servers.len()).for_each(|server| self.refresh_brief(server, now));
+        self.last_refresh = 0;
+        self.summaries.resize(self.servers.len(), ServerSummary::default());
+        self.failure_odds.resize(self.servers.len() * self.class_stats.len(), 0.0);
+        (0..self.servers.len()).for_each(|server| self.refresh_summary(server, now));
     }
 
     /// A discovery outage: the last list holds, and gateways ask again at jittered, growing intervals, or they would
     /// overload it as it returns.
-    fn schedule_retried_call(&mut self, now: Micros) {
-        self.ask_failed = (self.ask_failed + 1).min(MAX_CALL_FAILURES);
-        let spread = self.call_spread();
+    fn schedule_poll_retry(&mut self, now: Micros) {
+        self.failed_polls = (self.failed_polls + 1).min(MAX_POLL_DOUBLINGS);
+        let spread = self.poll_spread();
         let most = (self.settings.max_poll_interval / 4).max(2 * spread).max(1);
-        let wait = ((FIRST_CALL_PAUSE << self.ask_failed) + (spread << (self.ask_failed - 1))).min(most);
-        self.ask_at = now + wait / 2 + self.next_random() % (wait / 2 + 1);
+        let wait = ((FIRST_POLL_DELAY << self.failed_polls) + (spread << (self.failed_polls - 1))).min(most);
+        self.next_poll = now + wait / 2 + self.next_random() % (wait / 2 + 1);
     }
 
     /// Over how long the calls of all gateways are spread, each in its turn. Guards against calls that wait too long, are
     /// made again and keep discovery too busy for any. Harm: one that restarts alone waits too.
-    fn call_spread(&self) -> Micros {
+    fn poll_spread(&self) -> Micros {
         let calls = u64::from(self.settings.gateway_count.saturating_sub(CONCURRENT_CALLS));
         (calls * DISCOVERY_CALL).min(self.settings.max_poll_interval / 2)
     }
@@ -64,70 +64,85 @@
     fn drop_unlisted(&mut self, now: Micros, entries: &[Server]) {
         let binds = !self.settings.keep_gone_servers;
         let named: BTreeSet<&Id> = entries.iter().map(|entry| &entry.id).collect();
-        for peer in self.servers.iter_mut().filter(|peer| !named.contains(&peer.id)) {
-            drop_server(peer, now, binds);
+        for upstream in self.servers.iter_mut().filter(|upstream| !named.contains(&upstream.id)) {
+            drop_server(upstream, now, binds);
         }
     }
 
     /// The place of a server; a new one gets the place of one that was forgotten.
-    fn server_slot(&mut self, now: Micros, id: &Id) -> usize {
-        if let Some(known) = self.names.get(id) {
+    fn slot_of_server(&mut self, now: Micros, id: &Id) -> usize {
+        if let Some(known) = self.server_slots.get(id) {
             return *known;
         }
-        let slot = self.free.pop().unwrap_or(self.servers.len());
+        let slot = self.free_slots.pop().unwrap_or(self.servers.len());
         if slot == self.servers.len() {
-            self.servers.push(Peer::default());
+            self.servers.push(Upstream::default());
         }
-        self.names.insert(id.clone(), slot);
+        self.server_slots.insert(id.clone(), slot);
         // Where probes are allowed a new server first answers one.
-        let proven = !self.settings.probes || !self.listed;
-        let life = self.servers[slot].life;
+        let proven = !self.settings.probes || !self.list_received;
+        let life = self.servers[slot].incarnation;
         let (hash, id) = (hash(id), id.clone());
-        self.servers[slot] = Peer { hash, id, life, proven, faded: now, sign: now, ..Peer::default() };
+        self.servers[slot] = Upstream {
+            hash,
+            id,
+            incarnation: life,
+            proven,
+            decayed_at: now,
+            last_response: now,
+            ..Upstream::default()
+        };
         slot
     }
 
     fn update_server(&mut self, now: Micros, server: usize, entry: &Server) {
         let (binds, probes) = (!self.settings.keep_gone_servers, self.settings.probes);
-        let listed = self.listed;
-        let peer = &mut self.servers[server];
-        (peer.zone, peer.kind, peer.cell) = (entry.zone, entry.kind, entry.cell);
-        peer.size = if entry.weight.is_finite() && entry.weight > 0.0 { entry.weight } else { 1.0 };
+        let listed = self.list_received;
+        let upstream = &mut self.servers[server];
+        (upstream.zone, upstream.kind, upstream.cell) = (entry.zone, entry.kind, entry.cell);
+        upstream.size = if entry.weight.is_finite() && entry.weight > 0.0 { entry.weight } else { 1.0 };
         // Just started: a later start time, or without one a return or a new id after the first list. A list that is
         // old, or was wrong, restarts nothing.
         let fresh = match entry.started {
-            Some(started) => peer.started.is_none_or(|last| started > last),
-            None => listed && peer.state == ServerState::Gone && entry.state == ServerState::Ready,
+            Some(started) => upstream.started_at.is_none_or(|last| started > last),
+            None => listed && upstream.state == ServerState::Gone && entry.state == ServerState::Ready,
         };
         if fresh {
-            peer.started = Some(entry.started.unwrap_or(now));
-            peer.life += 1;
-            (peer.met, peer.took, peer.ghost, peer.carried) = (0.0, 0.0, 0.0, 0.0);
-            peer.faults.clear();
-            peer.errors.clear();
-            self.zones.remove(&peer.zone);
+            upstream.started_at = Some(entry.started.unwrap_or(now));
+            upstream.incarnation += 1;
+            (upstream.observed_work, upstream.observed_time, upstream.lost_work, upstream.answered_work) =
+                (0.0, 0.0, 0.0, 0.0);
+            upstream.failure_shares.clear();
+            upstream.consecutive_errors.clear();
+            self.zone_health.remove(&upstream.zone);
         }
         if entry.state == ServerState::Gone {
-            return drop_server(peer, now, binds);
+            return drop_server(upstream, now, binds);
         }
         // One that drained and is listed again may be a list that is out of date.
-        if peer.state == ServerState::Draining && entry.state == ServerState::Ready && !fresh {
-            (peer.proven, peer.answered) = (!probes, false);
+        if upstream.state == ServerState::Draining && entry.state == ServerState::Ready && !fresh {
+            (upstream.proven, upstream.answered) = (!probes, false);
         }
-        (peer.state, peer.dropped) = (entry.state, None);
+        (upstream.state, upstream.dropped_since) = (entry.state, None);
     }
 
     /// The gone are forgotten once no request can name them; their places are used again.
     fn forget_gone_servers(&mut self, now: Micros) {
         let longest = self.settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
-        for (slot, peer) in self.servers.iter_mut().enumerate() {
-            if peer.dropped.is_some_and(|at| now > at.max(peer.sign).saturating_add(FORGET_AFTER)) {
-                peer.state = ServerState::Gone;
+        for (slot, upstream) in self.servers.iter_mut().enumerate() {
+            if upstream
+                .dropped_since
+                .is_some_and(|at| now > at.max(upstream.last_response).saturating_add(FORGET_AFTER))
+            {
+                upstream.state = ServerState::Gone;
             }
-            let is_unused = peer.in_flight == 0 && now > peer.sent.saturating_add(2 * longest);
-            if peer.state == ServerState::Gone && is_unused && self.names.remove(&peer.id).is_some() {
-                *peer = Peer { life: peer.life + 1, ..Peer::default() };
-                self.free.push(slot);
+            let is_unused = upstream.in_flight == 0 && now > upstream.last_sent.saturating_add(2 * longest);
+            if upstream.state == ServerState::Gone
+                && is_unused
+                && self.server_slots.remove(&upstream.id).is_some()
+            {
+                *upstream = Upstream { incarnation: upstream.incarnation + 1, ..Upstream::default() };
+                self.free_slots.push(slot);
             }
         }
     }
@@ -141,27 +156,28 @@
         let proven =
             |s: &usize| (self.servers[*s].state == ServerState::Ready).then_some(self.servers[*s].proven);
         self.ready = (0..self.servers.len()).filter(|s| proven(s) == Some(true)).collect();
-        self.trial = (0..self.servers.len()).filter(|s| proven(s) == Some(false)).collect();
+        self.unproven = (0..self.servers.len()).filter(|s| proven(s) == Some(false)).collect();
         self.update_relative_sizes();
-        self.spans.clear();
-        self.ready.iter().for_each(|s| *self.spans.entry(self.servers[*s].zone).or_default() += 1);
+        self.zone_sizes.clear();
+        self.ready.iter().for_each(|s| *self.zone_sizes.entry(self.servers[*s].zone).or_default() += 1);
         // Placement binds every attempt: nothing outside a class's open servers is ever looked at.
-        for (open, class) in self.open.iter_mut().zip(&self.settings.classes) {
+        for (open, class) in self.eligible.iter_mut().zip(&self.settings.classes) {
             let fits = |s: &usize| class.open_to(self.servers[*s].zone, self.servers[*s].kind);
             *open = self.ready.iter().copied().filter(fits).collect();
-            let tried = |s: &usize| !self.settings.probes || self.servers[*s].doubt >= UNPROBED;
+            let tried =
+                |s: &usize| !self.settings.probes || self.servers[*s].failed_trials >= PROBES_BEFORE_REQUESTS;
             let all = open.is_empty();
-            open.extend(self.trial.iter().copied().filter(|s| fits(s) && (all || tried(s))));
+            open.extend(self.unproven.iter().copied().filter(|s| fits(s) && (all || tried(s))));
             open.sort_unstable();
         }
     }
 }
 
 /// Gone, or left out of the list. Unless that binds, only one that drained is closed, until it is listed as ready.
-fn drop_server(peer: &mut Peer, now: Micros, binds: bool) {
+fn drop_server(upstream: &mut Upstream, now: Micros, binds: bool) {
     if binds {
-        peer.state = ServerState::Gone;
-    } else if peer.state != ServerState::Gone {
-        peer.dropped = peer.dropped.or(Some(now));
+        upstream.state = ServerState::Gone;
+    } else if upstream.state != ServerState::Gone {
+        upstream.dropped_since = upstream.dropped_since.or(Some(now));
     }
 }
--- a/src/keeping.rs
+++ b/src/idle_connections.rs
@@ -1,25 +1,28 @@
 //! Which idle connections are closed. Nothing here chooses a server, a repeat or a refusal.
 
 use crate::api::{Action, Micros, Outcome};
-use crate::state::{Balancer, Tally};
+use crate::state::{Balancer, FleetStats};
 
 /// The shortest idle time of a connection that is told apart; the next ones double it.
-const GAP: Micros = 100_000;
+const FIRST_IDLE_BUCKET: Micros = 100_000;
 /// Half-life of what is known of connections that were idle.
-const KEPT: f64 = 8e6;
+const IDLE_GAP_HALF_LIFE: f64 = 8e6;
 
-impl Tally {
+impl FleetStats {
     /// Notes how an attempt ended on a connection that had been idle for `gap`; `late`: it was given up after
     /// more than the usual time.
-    pub(crate) fn note_gap(&mut self, gap: Micros, outcome: Outcome, late: bool) {
+    pub(crate) fn record_idle_gap(&mut self, gap: Micros, outcome: Outcome, late: bool) {
         let unanswered = match outcome {
             Outcome::TimedOut | Outcome::Reset => 1,
             Outcome::Cancelled if late => 1,
             Outcome::Ok => 0,
             _ => return,
         };
-        let bucket = (gap / GAP).checked_ilog2().map_or(0, |i| i as usize + 1).min(self.gaps.len() - 1);
-        self.gaps[bucket][unanswered] += 1.0;
+        let bucket = (gap / FIRST_IDLE_BUCKET)
+            .checked_ilog2()
+            .map_or(0, |i| i as usize + 1)
+            .min(self.idle_gaps.len() - 1);
+        self.idle_gaps[bucket][unanswered] += 1.0;
     }
 }
 
@@ -29,23 +32,29 @@
     /// connections that prove dead (what is sent after some gap gets no answer, by and large) are closed
     /// before that gap. Guards against hundreds of gateways that hold one at every server, full tables,
     /// connections dropped unseen. Harm: handshakes, where losses have another cause; it is forgotten.
-    pub(crate) fn drop_idle(&mut self, now: Micros, span: f64, out: &mut Vec<Action>) {
+    pub(crate) fn close_idle_connections(&mut self, now: Micros, span: f64, out: &mut Vec<Action>) {
         let s = &self.settings;
-        let fade = (-span / KEPT).exp2();
-        self.tally.gaps = self.tally.gaps.map(|gap| gap.map(|n| n * fade));
+        let fade = (-span / IDLE_GAP_HALF_LIFE).exp2();
+        self.fleet.idle_gaps = self.fleet.idle_gaps.map(|gap| gap.map(|n| n * fade));
         let dead = |[ok, lost]: &[f64; 2]| *lost >= 2.0 && *lost > *ok;
-        let dead = self.tally.gaps.iter().skip(1).position(dead).map_or(Micros::MAX, |i| GAP << i);
-        let here = self.tally.offered / self.tally.mean_work.max(1.0) * 1e6;
+        let dead = self
+            .fleet
+            .idle_gaps
+            .iter()
+            .skip(1)
+            .position(dead)
+            .map_or(Micros::MAX, |i| FIRST_IDLE_BUCKET << i);
+        let here = self.fleet.offered_rate / self.fleet.mean_work.max(1.0) * 1e6;
         let all = (here * f64::from(s.gateway_count)).max(1e-9);
         let even = 100.0 * self.ready.len() as f64 * s.handshake_price / (s.connection_price * all);
         for &i in &self.ready {
-            let peer = &mut self.servers[i];
-            let Some(since) = peer.idle else { continue };
-            let likely = here * peer.relative / self.ready.len() as f64 * even;
+            let upstream = &mut self.servers[i];
+            let Some(since) = upstream.idle_since else { continue };
+            let likely = here * upstream.relative_size / self.ready.len() as f64 * even;
             let worth = if likely < 1.0 { (likely * even * 1e6) as Micros } else { Micros::MAX };
             if now - since >= worth.min(dead) {
-                peer.idle = None;
-                out.push(Action::CloseIdleConnections { server: peer.id.clone() });
+                upstream.idle_since = None;
+                out.push(Action::CloseIdleConnections { server: upstream.id.clone() });
             }
         }
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -30,11 +30,11 @@
 mod api;
 mod balancer;
 pub mod cost;
-mod keeping;
+mod idle_connections;
+mod load_report;
 mod probing;
-mod report;
+mod processor_sharing;
 pub mod settings;
-mod sharing;
 mod state;
 pub mod wire;
 
--- a/src/probing.rs
+++ b/src/probing.rs
@@ -6,24 +6,24 @@
 
 /// After so many probes without an answer a server on trial is tried by requests: what answers those is up,
 /// though nobody can probe it.
-pub const UNPROBED: u32 = 2;
+pub const PROBES_BEFORE_REQUESTS: u32 = 2;
 
 impl Balancer {
     /// Probes the servers on trial that are due: at growing intervals, and no more once requests try them.
-    pub(crate) fn probe(&mut self, now: Micros, out: &mut Vec<Action>) {
+    pub(crate) fn send_due_probes(&mut self, now: Micros, out: &mut Vec<Action>) {
         if !self.settings.probes {
             return;
         }
         let mut passed_on = false;
-        for &s in &self.trial {
-            let peer = &mut self.servers[s];
-            if peer.trial > now || peer.doubt >= UNPROBED {
+        for &s in &self.unproven {
+            let upstream = &mut self.servers[s];
+            if upstream.next_trial > now || upstream.failed_trials >= PROBES_BEFORE_REQUESTS {
                 continue;
             }
-            peer.trial = now + (TRIAL_INTERVAL << peer.doubt);
-            peer.doubt += 1;
-            passed_on |= peer.doubt >= UNPROBED;
-            out.push(Action::Probe { server: peer.id.clone() });
+            upstream.next_trial = now + (TRIAL_INTERVAL << upstream.failed_trials);
+            upstream.failed_trials += 1;
+            passed_on |= upstream.failed_trials >= PROBES_BEFORE_REQUESTS;
+            out.push(Action::Probe { server: upstream.id.clone() });
         }
         if passed_on {
             self.classify_servers();
@@ -32,9 +32,9 @@
 
     /// An answer of whatever kind shows that the process is there, none shows nothing: the time of the next
     /// trial was set when this one began.
-    pub(crate) fn probed(&mut self, now: Micros, server: &str, outcome: Outcome) {
+    pub(crate) fn handle_probe_end(&mut self, now: Micros, server: &str, outcome: Outcome) {
         let answered = matches!(outcome, Outcome::Ok | Outcome::Overloaded | Outcome::Denied);
-        if let Some(server) = self.names.get(server).copied().filter(|_| answered) {
+        if let Some(server) = self.server_slots.get(server).copied().filter(|_| answered) {
             self.record_health(now, server, true);
         }
     }
--- a/src/sharing/tests.rs
+++ b/src/processor_sharing/tests.rs
@@ -4,7 +4,7 @@
 /// other way round: the rule is found from the times alone, and again when it changes.
 #[test]
 fn the_rule_that_servers_follow_is_found_from_their_times() {
-    let mut sharing = Sharing::default();
+    let mut sharing = ProcessorSharing::default();
     let mut random = 7u64;
     let mut draw = move || {
         random = crate::state::mix(random);
@@ -26,7 +26,7 @@
         assert_eq!(sharing.shares, shares);
     }
     // Without hints all requests weigh the same, and nothing is learned from that.
-    let mut even = Sharing::default();
+    let mut even = ProcessorSharing::default();
     (0..1_000).for_each(|i| even.learn(300.0, 3.0, 100.0, f64::from(i % 7 + 1)));
     assert!(!even.shares && even.light == [0.0; 3]);
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -6,19 +6,19 @@
 use std::hash::{BuildHasherDefault, Hasher};
 
 use crate::api::{Id, Micros, Outcome, ServerState, Settings};
-use crate::sharing::Sharing;
+use crate::processor_sharing::ProcessorSharing;
 
 /// FNV-1a with a final mix: fixed, so that all gateways and all runs agree.
 #[derive(Clone)]
-pub struct Fixed(u64);
+pub struct Fnv1a(u64);
 
-impl Default for Fixed {
+impl Default for Fnv1a {
     fn default() -> Self {
-        Fixed(0xcbf2_9ce4_8422_2325)
+        Fnv1a(0xcbf2_9ce4_8422_2325)
     }
 }
 
-impl Hasher for Fixed {
+impl Hasher for Fnv1a {
     fn write(&mut self, bytes: &[u8]) {
         for byte in bytes {
             self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
@@ -29,7 +29,7 @@
     }
 }
 
-pub type FixedMap<K, V> = HashMap<K, V, BuildHasherDefault<Fixed>>;
+pub type FnvMap<K, V> = HashMap<K, V, BuildHasherDefault<Fnv1a>>;
 
 /// A bijective mix of 64 bits.
 pub fn mix(mut x: u64) -> u64 {
@@ -40,7 +40,7 @@
 
 /// A hash of a text that is the same everywhere and in every version.
 pub fn hash(text: &str) -> u64 {
-    let mut hasher = Fixed::default();
+    let mut hasher = Fnv1a::default();
     hasher.write(text.as_bytes());
     hasher.finish()
 }
@@ -49,46 +49,46 @@
 #[derive(Clone, Debug, Default)]
 pub struct Balancer {
     pub(crate) settings: Settings,
-    pub(crate) random: u64,
-    pub(crate) servers: Vec<Peer>,
-    pub(crate) names: FixedMap<Id, usize>,
+    pub(crate) rng_state: u64,
+    pub(crate) servers: Vec<Upstream>,
+    pub(crate) server_slots: FnvMap<Id, usize>,
     /// Places of servers that are forgotten.
-    pub(crate) free: Vec<usize>,
+    pub(crate) free_slots: Vec<usize>,
     pub(crate) ready: Vec<usize>,
     /// Ready by the list, but not by what they answer.
-    pub(crate) trial: Vec<usize>,
+    pub(crate) unproven: Vec<usize>,
     /// The ready servers that each class may be sent to.
-    pub(crate) open: Vec<Vec<usize>>,
-    pub(crate) listed: bool,
-    pub(crate) requests: FixedMap<Id, Request>,
+    pub(crate) eligible: Vec<Vec<usize>>,
+    pub(crate) list_received: bool,
+    pub(crate) requests: FnvMap<Id, Request>,
     pub(crate) reviews: BinaryHeap<Reverse<(Micros, u64, Id)>>,
-    pub(crate) sequence: u64,
-    pub(crate) armed: Micros,
-    pub(crate) ask_at: Micros,
-    pub(crate) ask_failed: u32,
-    pub(crate) young: FixedMap<u64, Entry>,
-    pub(crate) old: FixedMap<u64, Entry>,
-    pub(crate) classes: Vec<Seen>,
-    pub(crate) tokens: Vec<(f64, Micros)>,
-    pub(crate) top_worth: f64,
-    pub(crate) warm_share: f64,
-    pub(crate) retries: f64,
-    pub(crate) refreshed: Micros,
-    pub(crate) drain: f64,
+    pub(crate) review_sequence: u64,
+    pub(crate) next_wake: Micros,
+    pub(crate) next_poll: Micros,
+    pub(crate) failed_polls: u32,
+    pub(crate) recent_keys: FnvMap<u64, KeyEntry>,
+    pub(crate) older_keys: FnvMap<u64, KeyEntry>,
+    pub(crate) class_stats: Vec<ClassStats>,
+    pub(crate) tenant_tokens: Vec<(f64, Micros)>,
+    pub(crate) max_worth: f64,
+    pub(crate) hit_cost_ratio: f64,
+    pub(crate) retry_budget: f64,
+    pub(crate) last_refresh: Micros,
+    pub(crate) mean_rate: f64,
     /// Mean wait over the servers open to each class.
     pub(crate) mean_wait: Vec<f64>,
     /// All servers are of one size.
-    pub(crate) even: bool,
+    pub(crate) uniform_sizes: bool,
     /// Zones from which nothing was heard since an attempt failed there.
-    pub(crate) zones: BTreeMap<u32, Zone>,
+    pub(crate) zone_health: BTreeMap<u32, ZoneHealth>,
     /// How many servers each zone has.
-    pub(crate) spans: BTreeMap<u32, usize>,
-    pub(crate) briefs: Vec<Brief>,
+    pub(crate) zone_sizes: BTreeMap<u32, usize>,
+    pub(crate) summaries: Vec<ServerSummary>,
     /// Failures by server and class, as odds.
-    pub(crate) odds: Vec<f64>,
+    pub(crate) failure_odds: Vec<f64>,
     /// How much is kept over a time, as last asked for.
-    pub(crate) kept: (Micros, [f64; 4]),
-    pub(crate) tally: Tally,
+    pub(crate) decay_factors: (Micros, [f64; 4]),
+    pub(crate) fleet: FleetStats,
 }
 
 impl Balancer {
@@ -99,52 +99,63 @@
         // Named one by one, so that a new field is not forgotten here.
         let Balancer {
             settings: _,
-            random,
+            rng_state,
             servers,
-            names,
-            free,
+            server_slots,
+            free_slots,
             ready,
-            trial,
-            open,
-            listed,
+            unproven,
+            eligible,
+            list_received,
             requests,
             reviews,
-            sequence,
-            armed,
-            ask_at,
-            ask_failed,
-            young,
-            old,
-            classes,
-            tokens,
-            top_worth,
-            warm_share,
-            retries,
-            refreshed,
-            drain,
+            review_sequence,
+            next_wake,
+            next_poll,
+            failed_polls,
+            recent_keys,
+            older_keys,
+            class_stats,
+            tenant_tokens,
+            max_worth,
+            hit_cost_ratio,
+            retry_budget,
+            last_refresh,
+            mean_rate,
             mean_wait,
-            even,
-            zones,
-            spans,
-            briefs,
-            odds,
-            kept,
-            tally,
+            uniform_sizes,
+            zone_health,
+            zone_sizes,
+            summaries,
+            failure_odds,
+            decay_factors,
+            fleet,
         } = self;
-        let mut text = Text(state);
+        let mut text = HashWriter(state);
         // Hashing text cannot fail.
-        let _ = write!(text, "{random} {servers:?}{names:?}{free:?}{ready:?}{trial:?}{open:?}{listed}");
-        let _ =
-            write!(text, "{requests:?}{reviews:?}{sequence} {armed} {ask_at} {ask_failed} {young:?}{old:?}");
-        let _ = write!(text, "{classes:?}{tokens:?}{top_worth} {warm_share} {retries} {refreshed} {drain} ");
-        let _ = write!(text, "{mean_wait:?}{even}{zones:?}{spans:?}{briefs:?}{odds:?}{kept:?}{tally:?}");
+        let _ = write!(
+            text,
+            "{rng_state} {servers:?}{server_slots:?}{free_slots:?}{ready:?}{unproven:?}{eligible:?}{list_received}"
+        );
+        let _ = write!(
+            text,
+            "{requests:?}{reviews:?}{review_sequence} {next_wake} {next_poll} {failed_polls} {recent_keys:?}{older_keys:?}"
+        );
+        let _ = write!(
+            text,
+            "{class_stats:?}{tenant_tokens:?}{max_worth} {hit_cost_ratio} {retry_budget} {last_refresh} {mean_rate} "
+        );
+        let _ = write!(
+            text,
+            "{mean_wait:?}{uniform_sizes}{zone_health:?}{zone_sizes:?}{summaries:?}{failure_odds:?}{decay_factors:?}{fleet:?}"
+        );
     }
 }
 
 /// Text that is hashed instead of kept.
-struct Text<'a, H>(&'a mut H);
+struct HashWriter<'a, H>(&'a mut H);
 
-impl<H: Hasher> fmt::Write for Text<'_, H> {
+impl<H: Hasher> fmt::Write for HashWriter<'_, H> {
     fn write_str(&mut self, text: &str) -> fmt::Result {
         self.0.write(text.as_bytes());
         Ok(())
@@ -153,7 +164,7 @@
 
 /// What this gateway knows of a server.
 #[derive(Clone, Debug, Default)]
-pub struct Peer {
+pub struct Upstream {
     pub id: Id,
     pub hash: u64,
     pub zone: u32,
@@ -162,75 +173,75 @@
     pub state: ServerState,
     /// Its size, and that in sizes of a mean server.
     pub size: f64,
-    pub relative: f64,
+    pub relative_size: f64,
     /// Not known to be no server: it answers, or nothing has been sent to it yet.
     pub proven: bool,
     /// It has answered this gateway.
     pub answered: bool,
     /// Since when the list calls it gone, or names it no more, without having said that it drains.
-    pub dropped: Option<Micros>,
+    pub dropped_since: Option<Micros>,
     /// When an unproven server may be tried again, and how often in a row it did not answer.
-    pub trial: Micros,
-    pub doubt: u32,
+    pub next_trial: Micros,
+    pub failed_trials: u32,
     /// Counts starts: a key is held by one life of a server.
-    pub life: u32,
-    pub started: Option<Micros>,
+    pub incarnation: u32,
+    pub started_at: Option<Micros>,
     /// The last send.
-    pub sent: Micros,
+    pub last_sent: Micros,
     pub in_flight: u32,
     /// Expected work of my attempts that are out.
-    pub work: f64,
+    pub own_work: f64,
     /// Its mean over about the time of one answer for each other gateway: the reading stands for
     /// so many others that it must be averaged over as many more.
-    pub usual: f64,
+    pub mean_own_work: f64,
     /// How many of my attempts stand behind that mean.
-    pub weight: f64,
+    pub own_samples: f64,
     /// Work that the other gateways are taken to have there.
-    pub others: f64,
+    pub others_work: f64,
     /// Work of attempts that ended without an answer: it may still be there, and it fades.
-    pub ghost: f64,
+    pub lost_work: f64,
     /// Share of failures lately, by class; fades to the class's share everywhere.
-    pub faults: Vec<f64>,
+    pub failure_shares: Vec<f64>,
     /// How many attempts have ended there lately.
-    pub heard: f64,
+    pub recent_outcomes: f64,
     /// Errors in a row lately, by class.
-    pub errors: Vec<u32>,
-    pub faded: Micros,
+    pub consecutive_errors: Vec<u32>,
+    pub decayed_at: Micros,
     /// Sums behind the drain rate: work met and the time it took.
-    pub met: f64,
-    pub took: f64,
+    pub observed_work: f64,
+    pub observed_time: f64,
     /// The last answer, or the first send since nothing was out.
-    pub sign: Micros,
+    pub last_response: Micros,
     /// Since when it may have an idle connection from here.
-    pub idle: Option<Micros>,
+    pub idle_since: Option<Micros>,
     /// Work answered lately, over a fall window.
-    pub carried: f64,
+    pub answered_work: f64,
     /// What a cold server was sent within the fall window.
-    pub spent: VecDeque<(Micros, f64)>,
+    pub cold_sends: VecDeque<(Micros, f64)>,
 }
 
 /// A zone that does not answer.
 #[derive(Clone, Debug, Default)]
-pub struct Zone {
+pub struct ZoneHealth {
     /// Failures in a row, at any of its servers.
-    pub silent: u32,
+    pub failures: u32,
     /// When it may be tried again.
-    pub trial: Micros,
+    pub next_trial: Micros,
 }
 
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
     pub server: usize,
-    pub life: u32,
-    pub sent: Micros,
+    pub incarnation: u32,
+    pub sent_at: Micros,
     pub work: f64,
-    pub met: f64,
+    pub observed_work: f64,
     /// All the work ahead of it, and of how many requests.
-    pub all: (f64, f64),
+    pub work_at_server: (f64, f64),
     /// A miss or a hit for sure.
-    pub hit: Option<usize>,
+    pub cache_hit: Option<usize>,
     /// How long its connection had been idle, if it was.
-    pub gap: Micros,
+    pub connection_idle: Micros,
     pub outcome: Option<Outcome>,
 }
 
@@ -241,127 +252,127 @@
     pub keyed: bool,
     pub work: f64,
     /// That work is its client's guess, not the mean of its class.
-    pub hinted: bool,
+    pub has_work_hint: bool,
     /// It may run once only, unless its class is safe.
-    pub once: bool,
+    pub run_once: bool,
     pub value: f64,
     /// When the client gives up, and when an answer stops being worth anything.
-    pub ends: Micros,
-    pub useful: Micros,
+    pub deadline: Micros,
+    pub useful_until: Micros,
     pub attempts: Vec<Attempt>,
     pub streaming: bool,
-    pub closed: bool,
+    pub finished: bool,
 }
 
 /// Which servers may get another attempt.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Repeat {
+pub enum RetryScope {
     Any,
     Zone(u32),
     Cell(u32),
-    No,
+    Forbidden,
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct ClassStats {
     /// Running low and mean of the time to an answer.
-    pub floor: f64,
-    pub typical: f64,
+    pub min_latency: f64,
+    pub mean_latency: f64,
     /// Share of its attempts that fail lately, at any server.
-    pub failing: f64,
+    pub failure_share: f64,
     /// What its answers take everywhere beyond what other classes' do.
-    pub own: f64,
-    pub aim: f64,
+    pub own_delay: f64,
+    pub latency_target: f64,
     /// Attempts that are out, and those that servers ended lately.
-    pub out: u32,
-    pub ended: f64,
-    pub faded: Micros,
+    pub in_flight: u32,
+    pub recently_ended: f64,
+    pub decayed_at: Micros,
     /// Mean work of its requests, as hinted.
-    pub work: f64,
+    pub mean_work: f64,
 }
 
 #[derive(Clone, Debug)]
-pub struct Holder {
+pub struct CacheHolder {
     pub server: usize,
-    pub life: u32,
-    pub used: Micros,
+    pub incarnation: u32,
+    pub last_used: Micros,
 }
 
 /// What each choice reads of a server.
 #[derive(Clone, Debug, Default)]
-pub struct Brief {
+pub struct ServerSummary {
     pub hash: u64,
     /// Expected wait.
     pub wait: f64,
     /// How fast it works.
     pub rate: f64,
-    pub size: f64,
+    pub relative_size: f64,
     pub zone: u32,
     pub cell: u32,
     /// Neither cold nor unproven.
-    pub plain: bool,
+    pub warm_and_proven: bool,
 }
 
 /// A server that may take the request.
 #[derive(Clone, Debug)]
-pub struct Seat {
+pub struct Candidate {
     pub server: usize,
-    pub order: u64,
+    pub hash_rank: u64,
     pub wait: f64,
-    pub trouble: f64,
+    pub failure_cost: f64,
     pub load: f64,
     /// How likely it holds the key, whether by agreement, and whether in this gateway's table.
-    pub warm: f64,
-    pub home: bool,
-    pub held: bool,
+    pub cached_probability: f64,
+    pub is_home: bool,
+    pub in_key_table: bool,
 }
 
 /// What is known of a key: who holds it, and how often it came here lately.
 #[derive(Clone, Debug, Default)]
-pub struct Entry {
-    pub holders: Vec<Holder>,
-    pub came: f64,
-    pub last: Micros,
+pub struct KeyEntry {
+    pub holders: Vec<CacheHolder>,
+    pub arrivals: f64,
+    pub last_arrival: Micros,
 }
 
-pub struct Pick {
+pub struct Selection {
     pub server: usize,
     /// In this gateway's table for the key.
-    pub held: bool,
+    pub in_key_table: bool,
     /// How likely the server is warm for the key.
-    pub warm: f64,
+    pub cached_probability: f64,
     pub wait: f64,
     /// Expected time to an answer.
     pub expected: f64,
-    pub finite: bool,
+    pub below_overload: bool,
 }
 
 /// Figures over all servers, zero at the start.
 #[derive(Clone, Debug, Default)]
-pub struct Tally {
+pub struct FleetStats {
     pub mean_work: f64,
     /// Mean time by work on an otherwise empty server, for hits and for misses.
     pub pace: [f64; 2],
     /// Sums over all servers like a server's own, and the mean work met.
-    pub all: [f64; 2],
-    pub mean_met: f64,
+    pub observed: [f64; 2],
+    pub mean_observed_work: f64,
     /// How servers share their time among requests.
-    pub sharing: Sharing,
+    pub sharing: ProcessorSharing,
     /// Work that stands for a rate of one until the first answers have told the rate.
-    pub primer: f64,
+    pub prior_work: f64,
     /// Mean of my work at a server, over the time of a few answers.
-    pub usual: f64,
+    pub mean_own_work: f64,
     /// Share of attempts lately that brought no answer in time.
-    pub lost: f64,
+    pub timeout_share: f64,
     /// Work that comes in here, by time.
-    pub offered: f64,
-    pub came: Micros,
+    pub offered_rate: f64,
+    pub last_arrival: Micros,
     /// Arrivals lately, faded as those of each key.
     pub arrivals: f64,
     /// Attempts answered and lost, by how long the connection had been idle.
-    pub gaps: [[f64; 2]; 8],
-    pub recalled: Micros,
-    pub kind_rate: BTreeMap<u32, f64>,
+    pub idle_gaps: [[f64; 2]; 8],
+    pub arrivals_decayed_at: Micros,
+    pub kind_rates: BTreeMap<u32, f64>,
     /// Sum and number of answer times by work, of each kind.
-    pub paces: BTreeMap<u32, [f64; 2]>,
+    pub kind_paces: BTreeMap<u32, [f64; 2]>,
 }
