--- a/src/balancer/learning.rs
+++ b/src/balancer/learning.rs
@@ -1,4 +1,4 @@
-//! What is learned from the end of each attempt: health, failure shares, paces and rates.
+//! Updates the estimates from the end of each attempt: health, failure shares, answer times and service rates.
 
 use crate::api::{Action, Micros, Outcome};
 use crate::balancer::load::KEY_HALF_LIFE;
@@ -8,19 +8,19 @@
 pub(super) const LEARNING_RATE: f64 = 1.0 / 16.0;
 /// A failure moves a server's failure share this far towards 1, a success towards 0.
 const FAILURE_WEIGHT: f64 = 0.3;
-/// A refused connection moves it further.
+/// The same weight for a connection that could not be opened.
 const CONNECT_FAILURE_WEIGHT: f64 = 0.5;
-/// Errors in a row make them be remembered longer, up to this many times.
+/// Consecutive errors slow the decay of a failure share, up to this factor.
 const MAX_ERRORS: u32 = 4;
-/// How much an outcome of one class tells of another.
+/// The weight of an outcome in the failure shares of the other classes.
 const OTHER_CLASS_WEIGHT: f64 = 0.25;
-/// One answer counts up to this many times the typical one.
+/// An answer time counts as at most this many times the class's mean latency.
 const MAX_TYPICAL_TIMES: f64 = 3.0;
-/// The share of the least time to an answer that is not service.
+/// The share of the minimum latency that is not service time.
 const FLOOR_SHARE: f64 = 0.8;
 
 impl Balancer {
-    /// Takes in how an attempt ended, and after how many microseconds.
+    /// Updates the estimates with the outcome of an attempt and its duration in microseconds.
     pub(super) fn learn(
         &mut self,
         now: Micros,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Whether the server and its zone answer, and what that says of idle connections there.
+    /// Records whether the server and its zone answer, and closes idle connections to a zone that has become silent.
     fn learn_health(
         &mut self,
         now: Micros,
@@ -75,20 +75,20 @@
             Outcome::Ok | Outcome::Overloaded | Outcome::Error | Outcome::Denied => {
                 self.record_zone_answer(zone, true)
             }
-            // One that refuses a connection at once speaks for its zone.
+            // A connection that is refused at once shows that the zone is reachable, so it does not count as silence.
             Outcome::ConnectFailed if took > self.class_stats[r.class].mean_latency => {
                 self.record_zone_answer(zone, false)
             }
             Outcome::TimedOut if silent => self.record_zone_answer(zone, false),
             _ => false,
         };
-        // What is sent on a connection that has gone quiet may have run; a dial that fails has not.
+        // A request sent on a dead idle connection may have been executed; one whose connection attempt fails was not.
         for p in self.servers.iter_mut().filter(|p| lost && p.zone == zone && p.idle_since.is_some()) {
             p.idle_since = None;
             out.push(Action::CloseIdleConnections { server: p.id.clone() });
         }
         match outcome {
-            // A request at fault says nothing against the server that turns it down.
+            // A server that denies an invalid request is healthy.
             Outcome::Ok | Outcome::Overloaded | Outcome::Denied => self.record_health(now, server, true),
             Outcome::Error | Outcome::ConnectFailed | Outcome::Reset => {
                 self.record_health(now, server, false);
@@ -106,8 +106,8 @@
         }
     }
 
-    /// The failure shares of the server and of the class. The share of a failure that is not the class's own fault; `None`
-    /// for an attempt that was never sent.
+    /// Updates the failure shares of the server and the class. Returns how much of a failure is attributed to the server rather
+    /// than to the class, or `None` for an attempt that was not sent.
     fn learn_failures(&mut self, r: &Request, server: usize, outcome: Outcome, silent: bool) -> Option<f64> {
         let seen = &mut self.class_stats[r.class];
         let upstream = &mut self.servers[server];
@@ -119,9 +119,10 @@
             Outcome::Error => *errors = (*errors + 1).min(MAX_ERRORS),
             _ => {}
         }
-        // What fails everywhere is the class's fault and costs no server its good name.
+        // Requests of a class that fails at all servers do not count against any server.
         let blame = 1.0 - seen.failure_share;
-        // An error tells more, and of all classes, where little else was seen. Harm: a stray one costs traffic.
+        // With few recent outcomes, an error weighs more and for all classes. The drawback: a single stray error costs the
+        // server traffic.
         let fresh = if matches!(outcome, Outcome::Ok | Outcome::TimedOut) {
             0.0
         } else {
@@ -158,7 +159,7 @@
         Some(blame)
     }
 
-    /// The time to an answer: of the class, of the server's kind, and of hits and misses.
+    /// Updates the answer times of the class, of the server's machine type, and of cache hits and misses.
     fn learn_pace(&mut self, r: &Request, a: &Attempt, took: f64) {
         let seen = &mut self.class_stats[r.class];
         let upstream = &mut self.servers[a.server];
@@ -188,16 +189,19 @@
         }
     }
 
-    /// How fast the server works. A time-out tells of slowness as far as answers stay out everywhere, else of a lost answer
-    /// or a failing server (`faults`). Guards against rejecting a healthy fleet's work for answers lost on the way. Harm:
-    /// the first seconds of a total jam look shorter than they are.
+    /// Updates the service rate of the server.
+    ///
+    /// A time-out counts as slowness only in proportion to the share of time-outs at all servers; otherwise it indicates a lost
+    /// answer or a failing server, which `failure_shares` covers. So answers lost on the network do not lead to rejections in a
+    /// healthy fleet. The drawback: in the first seconds of an overload of the whole fleet, waits are underestimated.
     fn learn_rate(&mut self, r: &Request, a: &Attempt, (outcome, took): (Outcome, f64), blame: f64) {
         let Attempt { server, work, observed_work: met, work_at_server: all, .. } = *a;
         let lost = outcome == Outcome::TimedOut;
         self.fleet.timeout_share += (f64::from(u8::from(lost)) - self.fleet.timeout_share) * LEARNING_RATE;
         let done = if lost { 0.0 } else { met };
-        // What a class's answers take beyond what the servers' rates explain, above the class with the least of it, is its
-        // own. Guards against one that waits everywhere. No help with one class.
+        // The time of a class's answers that the servers' rates do not explain, beyond that of the class with the least of it,
+        // is the class's own delay. It keeps a class that is slow at all servers from making the servers look slow. It has no
+        // effect with a single class.
         let excess = took - FLOOR_SHARE * self.class_stats[r.class].min_latency;
         if !lost && r.has_work_hint {
             self.fleet.sharing.learn(all.0, all.1, work, excess);
@@ -220,7 +224,8 @@
     }
 }
 
-/// What lies back counts less: ends by the latency target, a class's own wait so that its recovery is found.
+/// Decays a class's statistics: the number of ended attempts over its latency target, and its own delay so that a recovery
+/// is noticed.
 pub(super) fn decay_class(seen: &mut ClassStats, now: Micros) {
     let age = now.saturating_sub(seen.decayed_at) as f64;
     seen.recently_ended *= (-age / seen.latency_target).exp();
@@ -228,7 +233,7 @@
     seen.decayed_at = now;
 }
 
-/// A class's own wait counts from half its target on: less is noise among queues.
+/// The delay that a class has at all servers, or 0 below half its latency target, where it is noise beside the queueing.
 pub(super) fn class_delay(seen: &ClassStats) -> f64 {
     if seen.own_delay > seen.latency_target / 2.0 { seen.own_delay } else { 0.0 }
 }
--- a/src/balancer/load.rs
+++ b/src/balancer/load.rs
@@ -1,28 +1,28 @@
-//! Load estimates: the work at each server, how fast it is done, and how long a request would wait.
+//! Load estimates: the work at each server, its service rate, and the expected wait of a request.
 
 use std::collections::BTreeMap;
 
 use crate::api::{Action, Micros};
 use crate::state::{Balancer, ServerSummary, Upstream};
 
-/// How many mean observations a server's own stand beside, and how long they count (half-life).
+/// The number of fleet-mean observations added to a server's own, and the half-life of its own.
 const PRIOR_OBSERVATIONS: f64 = 2.0;
 const RECENT_HALF_LIFE: f64 = 2e6;
-/// Attempts that a mean reading of others' work counts for, beside a server's own.
+/// The number of attempts that the fleet mean weighs as, beside a server's own, in the estimate of other gateways' work.
 const PRIOR_SAMPLES: f64 = 8.0;
-/// Answers of a kind that count for as much as the mean of all kinds.
+/// The number of answers that the mean over all machine types weighs as, beside those of one type.
 const KIND_PRIOR_SAMPLES: f64 = 8.0;
-/// Half-life of the most that servers have borne.
+/// Half-life of the highest rate that servers of a machine type have answered at.
 const PEAK_RATE_HALF_LIFE: f64 = 3e7;
-/// Half-life of what is known of a key, and of a class's own wait.
+/// Half-life of what is known about a key, and of a class's own delay.
 pub(super) const KEY_HALF_LIFE: f64 = 8e6;
-/// How often the estimates of all servers are renewed; the longest span that one renewal stands for.
+/// The interval at which the estimates of all servers are refreshed, and the longest time that one refresh accounts for.
 const REFRESH_INTERVAL: Micros = 50_000;
 const MAX_REFRESH_SPAN: Micros = 1_000_000;
 
 impl Balancer {
-    /// Each server's size beside the mean one's: as listed, or where the list tells none apart, by how fast its kind
-    /// answers, in coarse steps, so that gateways agree in spite of noise.
+    /// Updates each server's size relative to the mean: as listed or, where all listed sizes are equal, by how fast its machine
+    /// type answers, rounded to half powers of 2 so that gateways agree in spite of noise.
     pub(super) fn update_relative_sizes(&mut self) {
         let first = self.ready.first().map_or(1.0, |s| self.servers[*s].size);
         let told_apart = self.ready.iter().any(|s| self.servers[*s].size != first);
@@ -40,8 +40,8 @@
             let upstream = &mut self.servers[*s];
             upstream.relative_size = speeds.get(&upstream.kind).copied().unwrap_or(upstream.size);
         }
-        // Those on trial are measured by the mean of the ready ones: they have to have a size as well, or the wait of each
-        // class that may try them is no number.
+        // Unproven servers are scaled by the mean of the ready ones: without a size, the wait of each class that may try them
+        // would be NaN.
         let known = if self.ready.is_empty() { &self.unproven } else { &self.ready };
         let sizes: f64 = known.iter().map(|s| self.servers[*s].relative_size).sum();
         let scale = known.len() as f64 / sizes;
@@ -51,31 +51,31 @@
         self.uniform_sizes = self.ready.iter().all(|s| self.servers[*s].relative_size == 1.0);
     }
 
-    /// Work done by a server in a microsecond. Beside its own observations stand two mean ones, so that one that looked slow
-    /// is seen anew.
+    /// Work that a server does per microsecond. `PRIOR_OBSERVATIONS` fleet-mean observations are added to its own, so that a
+    /// server that looked slow is measured again.
     pub(super) fn rate(&self, upstream: &Upstream) -> f64 {
         let prior = PRIOR_OBSERVATIONS * self.fleet.mean_observed_work.max(1.0);
         (upstream.observed_work + prior)
             / (upstream.observed_time + prior / (self.mean_rate * upstream.relative_size))
     }
 
-    /// All the work at a server, and how many requests that is.
+    /// The total work at a server over all gateways, and its number of requests.
     pub(super) fn work_at(&self, upstream: &Upstream) -> (f64, f64) {
         let count = f64::from(upstream.in_flight) + upstream.others_work / self.fleet.mean_work.max(1.0);
         (upstream.own_work + upstream.others_work, count)
     }
 
-    /// What of that a request with this work waits for.
+    /// The work at a server that a request with this much work waits for.
     fn work_ahead(&self, upstream: &Upstream, work: f64) -> f64 {
         let (all, count) = self.work_at(upstream);
         self.fleet.sharing.ahead(all, count, work)
     }
 
-    /// The expected wait of a request with this work.
+    /// The expected wait of a request with this much work.
     pub(super) fn wait(&self, upstream: &Upstream, work: f64, now: Micros) -> f64 {
         let ahead = (self.work_ahead(upstream, work) + upstream.lost_work) / self.rate(upstream);
-        // Attempts are out and no answer has come for longer than usual: the wait is at least as long. Guards against hangs,
-        // pauses and lost links alike.
+        // If attempts are in flight and no answer has come for longer than usual, the wait is at least that long. This covers
+        // hangs, pauses and lost connections alike.
         let overdue =
             (now.saturating_sub(upstream.last_response) as f64 - self.longest_usual_response()).max(0.0);
         ahead + if upstream.in_flight > 0 { overdue } else { 0.0 }
@@ -85,7 +85,7 @@
         2.0 * self.class_stats.iter().map(|c| c.mean_latency).fold(0.0, f64::max)
     }
 
-    /// Lets what is known of a server fade to this time.
+    /// Decays the statistics of a server to this time.
     pub(super) fn decay_server(&mut self, server: usize, now: Micros) {
         let span = now.saturating_sub(self.servers[server].decayed_at);
         if self.decay_factors.0 != span {
@@ -107,7 +107,8 @@
         for ((share, class), errors) in
             upstream.failure_shares.iter_mut().zip(&self.class_stats).zip(&upstream.consecutive_errors)
         {
-            // One that meets each trial with an error is tried at growing intervals.
+            // Consecutive errors slow the decay, so that a server that answers each trial with an error is tried at growing
+            // intervals.
             let keep = if *errors > 1 { fault.powf(1.0 / f64::from(*errors)) } else { fault };
             *share = class.failure_share + (*share - class.failure_share) * keep;
         }
@@ -115,7 +116,7 @@
             (upstream.observed_work * recent, upstream.observed_time * recent, now);
     }
 
-    /// Renews what a selection reads of a server, kept apart from the rest since it reads them all.
+    /// Refreshes the summary of a server. Selection reads all summaries, so they are kept small and apart from the rest.
     pub(crate) fn refresh_summary(&mut self, server: usize, now: Micros) {
         let upstream = &self.servers[server];
         let wait = self.wait(upstream, self.fleet.mean_work, now);
@@ -131,7 +132,7 @@
         }
     }
 
-    /// Renews the estimates of all servers, if that is due.
+    /// Refreshes the estimates of all servers, if that is due.
     pub(super) fn refresh_estimates(&mut self, now: Micros, out: &mut Vec<Action>) {
         if now < self.last_refresh + REFRESH_INTERVAL {
             return;
@@ -152,8 +153,8 @@
         self.update_rates(span, &carried_by_kind);
     }
 
-    /// The mean wait of each class over its open servers. One on trial is no capacity, so that it counts only where no other
-    /// is open.
+    /// Updates the mean wait of each class over its eligible servers. Unproven servers are no capacity and count only where
+    /// there are no others.
     fn update_mean_waits(&mut self) {
         for (mean, open) in self.mean_wait.iter_mut().zip(&self.eligible) {
             let any_ready = open.iter().any(|s| self.servers[*s].proven);
@@ -164,7 +165,8 @@
         }
     }
 
-    /// Moves the means of my own work on; what servers of each kind have answered lately, and how many they are.
+    /// Updates the running means of this gateway's own work. Returns, by machine type, the work that servers with full capacity
+    /// have answered recently and the number of those servers.
     fn update_own_work(&mut self, now: Micros, span: Micros, overdue: f64) -> BTreeMap<u32, (f64, f64)> {
         let mut kinds: BTreeMap<u32, (f64, f64)> = BTreeMap::new();
         let (mut all, fleet) = (0.0, self.ready.len().max(1) as f64);
@@ -183,10 +185,10 @@
                 *n += 1.0;
             }
         }
-        // A reading of one server counts by the attempts behind it, beside the mean of all: with few requests a second it is
-        // noise, times the gateways. Guards against keys spilled and requests rejected on noise. Harm: a server that others
-        // alone overload shows in its answer times only. The mean of all is known as much sooner as there are servers: a
-        // jam must be seen while it builds.
+        // The own work at one server weighs by the attempts behind it, beside the fleet mean: with few requests per second it
+        // is noise, multiplied by the number of gateways, and would move keys and reject requests. The drawback: a server that
+        // only other gateways overload shows in its answer times only. The fleet mean is averaged over a time shorter by the
+        // number of servers, since an overload of the fleet has to be detected while it builds up.
         let half = (PRIOR_SAMPLES * overdue / fleet).max(self.longest_usual_response().max(1.0));
         let keep = (-(span as f64) / half).exp2();
         self.fleet.mean_own_work += (all / fleet - self.fleet.mean_own_work) * (1.0 - keep);
@@ -211,7 +213,8 @@
         }
         self.fleet.observed = self.fleet.observed.map(|x| x * recent);
         let window = self.settings.cold_overload_time.max(1) as f64;
-        // What was borne is borne again, also by starting servers in a jam that answers little. Harm: speeds that fell.
+        // Servers are assumed to reach the highest recent rate again, also starting ones during an overload in which little is
+        // answered. The drawback: a rate that has fallen is overestimated.
         let kept = (-(span as f64) / PEAK_RATE_HALF_LIFE).exp2();
         for (kind, (carried, n)) in carried_by_kind {
             let rate = self.fleet.kind_rates.entry(*kind).or_default();
@@ -220,7 +223,7 @@
     }
 }
 
-/// A share as odds; those of a share near 1 are bounded.
+/// Converts a share into odds, with a bound for shares near 1.
 pub(super) fn odds(share: f64) -> f64 {
     share / (1.0 - share).max(0.01)
 }
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -1,4 +1,4 @@
-//! The selection of a server: the least sum of LARD's three costs over the servers open to a request's class.
+//! Server selection: the least sum of LARD's three costs over the servers eligible for a request's class.
 
 use crate::api::{Idempotency, Micros};
 use crate::balancer::learning::class_delay;
@@ -6,46 +6,46 @@
 use crate::cost::{balancing, locality, order, replacement};
 use crate::state::{Balancer, Candidate, KeyEntry, Request, RetryScope, Selection, mix};
 
-/// LARD's lower threshold as a share of the time that a request has for waiting: below it a wait is not felt.
+/// LARD's lower threshold as a share of the time that a request has for waiting: shorter waits cost nothing.
 const IDLE_SHARE: f64 = 0.1;
-/// A miss is charged this many times the service of an uncached request: its own, and the one that its key's return costs.
+/// A cache miss costs this many times the service of an uncached request: its own, and the one when its key returns.
 const MISS_COST_SERVICES: f64 = 1.0;
-/// How much a heavy request's own time weighs beside the waits: hints and rates are rough.
+/// The weight of a heavy request's own service time beside the waits; hints and rates are inexact.
 const OWN_TIME_WEIGHT: f64 = 0.6;
-/// Where the mean wait is this share of the slack, what a miss wastes is lost to others in full.
+/// From this share of the slack as mean wait, the work that a cache miss wastes is lost to other requests in full.
 const SATURATION_SHARE: f64 = 0.25;
-/// A key may give one of its homes this share of a mean server's work.
+/// The most work that a key may bring to one of its home servers, as a share of a mean server's.
 const HOME_SHARE: f64 = 0.5;
-/// Sums within this much of a cached request's service are equal.
+/// Cost sums are rounded to this fraction of a cached request's service time.
 const QUANTUM: f64 = 0.25;
 
-/// How a selection differs from the ordinary one.
+/// Deviations from the default selection.
 #[derive(Clone, Copy, Default)]
 pub(super) struct SelectionMode {
-    /// Servers that were tried before, and suspect ones, may be selected.
+    /// Servers that were tried before, and those in suspect zones, may be selected.
     pub(super) retry_tried: bool,
     /// Only servers below the lower threshold may be selected.
     pub(super) idle_only: bool,
 }
 
-/// What the costs of one selection are made of, in units of a cached request's service.
+/// The terms of the costs in one selection, in units of a cached request's service time (`unit`, in microseconds).
 struct CostTerms {
     unit: f64,
     idle_threshold: f64,
     overload_threshold: f64,
     miss_cost: f64,
-    /// What a failed attempt costs.
+    /// The cost of a failed attempt.
     failure_cost: f64,
-    /// The odds of a failure of the class at any server.
+    /// The odds of a failure of the class over all servers.
     mean_failure_odds: f64,
-    /// The time of a mean request at a mean server.
+    /// The service time of a mean request at a mean server, in microseconds.
     mean_service_time: f64,
-    /// What crossing zones costs.
+    /// The cost of an attempt in another zone.
     cross_zone_cost: f64,
 }
 
 impl Balancer {
-    /// The time that a cached request takes at a mean server.
+    /// The service time of a cached request at a mean server.
     fn cost_unit(&self) -> f64 {
         (self.fleet.mean_work * self.hit_cost_ratio / self.mean_rate).max(1.0)
     }
@@ -62,10 +62,11 @@
         let (idle, overload) = (IDLE_SHARE * slack / unit, slack / unit);
         let miss = MISS_COST_SERVICES / self.hit_cost_ratio
             * (1.0 + (self.mean_wait[r.class] / unit - idle).max(0.0));
-        // Where a failed attempt may not be retried it costs the request besides.
+        // Where a failed attempt may not be retried, the request itself is lost as well.
         let failure = if self.idempotency(r) == Idempotency::Unsafe { 2.0 * miss } else { miss };
-        // Crossing zones costs its price, a miss the work that others then wait for: next to nothing in an idle fleet, all of
-        // it in a jam. So requests keep to their zone while that is free; never at more than a miss.
+        // An attempt in another zone costs its price; a cache miss costs work that other requests wait for, which is almost
+        // nothing in an idle fleet and all of it in a saturated one. So requests stay in their zone while misses are cheap.
+        // Crossing zones never costs more than a miss.
         let wasted =
             (1.0 - self.hit_cost_ratio) * (self.mean_wait[r.class] / (SATURATION_SHARE * slack)).max(1e-6);
         CostTerms {
@@ -115,7 +116,7 @@
         })
     }
 
-    /// A server with its Load, if it may get the attempt.
+    /// The cost terms of a server, or `None` if it may not get the attempt.
     fn candidate(
         &self,
         now: Micros,
@@ -150,15 +151,15 @@
         {
             return None;
         }
-        // Failure is never idleness: the failure share costs misses, as each failed attempt is one more elsewhere. It fades,
-        // so that trial requests find the recovery. Only what lies above or below the class's share everywhere counts: where
-        // many servers fail a class, those that have just served it are preferred; losses everywhere move no key. Harm:
-        // these draw more than their part.
+        // A failing server must not look idle: its failure odds cost as many misses, since each failed attempt causes another
+        // one elsewhere. The failure share decays, so that trial requests detect a recovery. Only the difference from the
+        // class's mean counts: where many servers fail a class, those that have just served it are preferred, and losses
+        // at all servers move no key. The drawback: the preferred servers get more than their share.
         let odds = self.failure_odds[server * self.class_stats.len() + r.class];
         let trouble = terms.failure_cost * (odds - terms.mean_failure_odds);
         let trouble = if trouble.abs() < 1.0 { 0.0 } else { trouble };
         let order = order(mix(summary.hash ^ r.key), summary.relative_size, self.uniform_sizes);
-        // A heavy request takes longer where servers are slow, and whoever follows it waits as long.
+        // A heavy request takes longer at a slow server, and the requests behind it wait as much longer.
         let own = if r.has_work_hint {
             OWN_TIME_WEIGHT * (r.work / summary.rate - terms.mean_service_time).max(0.0)
         } else {
@@ -177,9 +178,12 @@
         })
     }
 
-    /// Marks who is believed to have the key cached. A key's homes, the first in hash order neither failing nor overloaded,
-    /// are mapped by agreement: other gateways send it there too. Guards against tables that stay empty. Each home gets at
-    /// most `HOME_SHARE` of a mean server's work from it: a hot key widens early. Harm: misses for a key that was rare.
+    /// Marks the candidates that are believed to have the key cached.
+    ///
+    /// A key's home servers are the first in rendezvous order that are neither failing nor overloaded. All gateways compute the
+    /// same ones and send the key there, so a key has a home even if this gateway's table is empty. Each home gets at most
+    /// `HOME_SHARE` of a mean server's work from the key, so a hot key is spread over more servers early. The drawback: cache
+    /// misses for a key that was rare before.
     fn mark_key_holders(
         &self,
         now: Micros,
@@ -222,8 +226,9 @@
         }
     }
 
-    /// Lower is better. Above the upper threshold the sum is infinite: only if all are, the lowest finite part wins, since
-    /// least Load sends every key of a jammed fleet to strangers. Close sums are equal, or noise decides.
+    /// The sort key of a candidate; lower is better. Candidates above the overload threshold come last. Among them the sum
+    /// without the balancing cost's infinity decides: selecting by least load would send every key of a saturated fleet to
+    /// servers that do not have it cached. Sums are rounded, so that noise does not decide between close ones.
     fn rank(&self, candidate: &Candidate, terms: &CostTerms) -> (bool, i64, bool, u64) {
         let Candidate { load, failure_cost: trouble, cached_probability: warm, .. } = *candidate;
         let CostTerms { idle_threshold: idle, miss_cost: miss, .. } = *terms;
--- a/src/bin/gradepaddle-simhost.rs
+++ b/src/bin/gradepaddle-simhost.rs
@@ -1,4 +1,4 @@
-//! Hosts instances of the decisions module on the simulator's wire, on standard input and output.
+//! Runs balancer instances over the simulator's wire protocol on standard input and output.
 
 #![forbid(unsafe_code)]
 
--- a/src/idle_connections.rs
+++ b/src/idle_connections.rs
@@ -1,16 +1,16 @@
-//! Which idle connections are closed. Nothing here chooses a server, a repeat or a refusal.
+//! Decides which idle connections are closed. Has no part in selection, retries or admission.
 
 use crate::api::{Action, Micros, Outcome};
 use crate::state::{Balancer, FleetStats};
 
-/// The shortest idle time of a connection that is told apart; the next ones double it.
+/// Upper bound of the first bucket of idle times; each further bucket doubles it.
 const FIRST_IDLE_BUCKET: Micros = 100_000;
-/// Half-life of what is known of connections that were idle.
+/// Half-life of the statistics of idle connections, in microseconds.
 const IDLE_GAP_HALF_LIFE: f64 = 8e6;
 
 impl FleetStats {
-    /// Notes how an attempt ended on a connection that had been idle for `gap`; `late`: it was given up after
-    /// more than the usual time.
+    /// Records the outcome of an attempt on a connection that had been idle for `gap`. `late` means that the attempt
+    /// took more than the usual time, so that a cancelled one counts as unanswered.
     pub(crate) fn record_idle_gap(&mut self, gap: Micros, outcome: Outcome, late: bool) {
         let unanswered = match outcome {
             Outcome::TimedOut | Outcome::Reset => 1,
@@ -27,11 +27,13 @@
 }
 
 impl Balancer {
-    /// Closes connections idle for longer than they are worth. By the prices, keeping one open for `even`
-    /// costs as much as a new one, so it is kept only where the next request is likely to come sooner; and
-    /// connections that prove dead (what is sent after some gap gets no answer, by and large) are closed
-    /// before that gap. Guards against hundreds of gateways that hold one at every server, full tables,
-    /// connections dropped unseen. Harm: handshakes, where losses have another cause; it is forgotten.
+    /// Closes connections that have been idle for too long.
+    ///
+    /// By the configured prices, keeping a connection open for `even` seconds costs as much as opening a new one, so it is
+    /// kept only if the next request is likely to come sooner. If most attempts after some idle time get no answer, connections
+    /// are closed before they reach it. Otherwise hundreds of gateways would each hold a connection to every server and fill
+    /// the servers' tables, and requests would be sent on connections that were dropped unnoticed. The drawback: unneeded
+    /// handshakes where losses have another cause, until the statistics decay.
     pub(crate) fn close_idle_connections(&mut self, now: Micros, span: f64, out: &mut Vec<Action>) {
         let s = &self.settings;
         let fade = (-span / IDLE_GAP_HALF_LIFE).exp2();
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! The decisions of an HTTP load balancer that runs as a small bank of proxies.
+//! The decisions of an HTTP load balancer that runs as a small group of proxies.
 //!
-//! Each proxy embeds one [`Balancer`]: it hands over every [`Event`] with the time and carries
-//! out the [`Action`]s it gets back. There is no I/O, no clock and no shared state inside; the
-//! same events give the same actions. Servers are chosen by locality-aware request distribution.
+//! Each proxy embeds one [`Balancer`]: it passes in every [`Event`] with the time and carries out
+//! the [`Action`]s that it gets back. The library does no I/O, reads no clock and shares no state;
+//! equal events give equal actions. Servers are selected by locality-aware request distribution.
 //!
 //! ```
 //! use gradepaddle::{
--- a/src/load_report.rs
+++ b/src/load_report.rs
@@ -1,14 +1,14 @@
-//! Load reports as app servers write them on sockets. No decisions here.
+//! Parser for the load reports that application servers send.
 
 use crate::api::LoadReport;
 
-/// The most fields that are looked at: a report names four at most, and more is none.
+/// The most fields of a report. A valid one has at most four that are known; one with more than this is rejected.
 const MOST: usize = 32;
 
 impl LoadReport {
-    /// Reads `name=value,name=value`, each name as in the settings or as on the simulator's wire. Names that are
-    /// not known are skipped. A value that is no number, negative or without end makes the whole report
-    /// worthless: nothing tells which of its figures still mean something.
+    /// Parses `name=value,name=value`, with each name as in the settings or on the simulator's wire. Unknown names are
+    /// ignored. A value that is not a finite number of 0 or more invalidates the whole report, since the other values
+    /// cannot be trusted either.
     pub fn parse(text: &str) -> Option<LoadReport> {
         let mut report = LoadReport::default();
         let fields: Vec<&str> = text.split(',').map(str::trim).filter(|field| !field.is_empty()).collect();
--- a/src/probing.rs
+++ b/src/probing.rs
@@ -1,15 +1,15 @@
-//! When servers are probed, and what an answer changes.
+//! Health probes of unproven servers: when they are sent and how answers are processed.
 
 use crate::api::{Action, Micros, Outcome};
 use crate::balancer::TRIAL_INTERVAL;
 use crate::state::Balancer;
 
-/// After so many probes without an answer a server on trial is tried by requests: what answers those is up,
-/// though nobody can probe it.
+/// After this many unanswered probes, an unproven server is tried with requests: it may be up but unable to
+/// answer probes.
 pub const PROBES_BEFORE_REQUESTS: u32 = 2;
 
 impl Balancer {
-    /// Probes the servers on trial that are due: at growing intervals, and no more once requests try them.
+    /// Probes the unproven servers that are due, at growing intervals until requests are tried on them.
     pub(crate) fn send_due_probes(&mut self, now: Micros, out: &mut Vec<Action>) {
         if !self.settings.probes {
             return;
@@ -30,8 +30,8 @@
         }
     }
 
-    /// An answer of whatever kind shows that the process is there, none shows nothing: the time of the next
-    /// trial was set when this one began.
+    /// Marks a server healthy if its process has answered the probe. A missing answer changes nothing, since the
+    /// time of the next trial was set when the probe was sent.
     pub(crate) fn handle_probe_end(&mut self, now: Micros, server: &str, outcome: Outcome) {
         let answered = matches!(outcome, Outcome::Ok | Outcome::Overloaded | Outcome::Denied);
         if let Some(server) = self.server_slots.get(server).copied().filter(|_| answered) {
--- a/src/processor_sharing.rs
+++ b/src/processor_sharing.rs
@@ -1,42 +1,42 @@
-//! Whether servers work on their requests one after the other or on all at once, measured by their answers.
-//! Nothing here chooses a server, a repeat or a refusal.
+//! Detects from answer times whether servers process requests one after the other or concurrently. Has no part in
+//! selection, retries or admission.
 //!
-//! One after the other, a request waits for all the work ahead of it. All at once (processor sharing), it waits
-//! for as much of each other request as it brings itself: a light one passes a heavy one by. So light requests
-//! behind much work tell the two apart: all at once, they come back much sooner than that work could be done at
-//! the pace of the requests that wait alike by either rule.
+//! With sequential processing, a request waits for all the work ahead of it. With processor sharing, it waits for at
+//! most as much of each other request as it brings itself, so a light request overtakes a heavy one. Light requests
+//! behind much work therefore tell the two apart: with processor sharing, they are answered much sooner than that work
+//! could be done at the rate measured on requests whose wait is the same under both.
 
-/// How much of the sums stays at each new answer.
+/// The share of the sums that is kept at each new answer.
 const SUM_RETENTION: f64 = 1.0 - 1.0 / 128.0;
-/// Answers of each sort that must be in the sums before a verdict.
+/// The number of answers of each group that the sums need before a decision.
 const MIN_ANSWERS: f64 = 16.0;
-/// Light requests that seem to be served this many times as fast as others have passed those ahead of them by;
-/// with less than the second, they have not.
+/// If light requests seem to be served faster than others by more than the first ratio, servers share; once they do, that
+/// holds until the ratio falls to the second.
 const SPEED_RATIOS: [f64; 2] = [1.4, 1.0];
-/// Where requests share, one waits for this many times its own work at each other request, as far as that has
-/// as much: more come while it is served, and each of those shares too.
+/// With processor sharing, a request waits for this many times its own work per other request, up to the work that is
+/// there: more requests arrive while it is served, and each of them takes a share too.
 const SHARED_WORK_FACTOR: f64 = 1.3;
 
-/// Sums over answers: work done for them and ahead of them, time, and how many.
+/// Decaying sums over answers: work done for and ahead of them, time, and their number.
 type Sums = [f64; 3];
 
-/// What is known of how servers share.
+/// The evidence for processor sharing.
 #[derive(Clone, Debug, Default)]
 pub struct ProcessorSharing {
-    /// Requests are worked on all at once.
+    /// Whether servers process requests concurrently.
     pub shares: bool,
-    /// Of those that would wait less if requests share, and of those that wait alike by either rule.
+    /// Sums of requests that would wait less with processor sharing, and of those that wait alike either way.
     light: Sums,
     unaffected: Sums,
 }
 
 impl ProcessorSharing {
-    /// What a request with this work waits for, behind so many requests with so much work in all.
+    /// The work that a request with `work` waits for, behind `count` requests with `all` work in total.
     pub fn ahead(&self, all: f64, count: f64, work: f64) -> f64 {
         if self.shares { shared_work_ahead(all, count, work) } else { all }
     }
 
-    /// Takes in an answer: the work and the requests ahead of it, its own work, and the time it took.
+    /// Records an answer: the work and the number of requests ahead of it, its own work, and the time it took.
     pub fn learn(&mut self, all: f64, count: f64, work: f64, time: f64) {
         let (queued, shared) = (all + work, shared_work_ahead(all, count, work) + work);
         let sums = if queued > SPEED_RATIOS[0] * shared { &mut self.light } else { &mut self.unaffected };
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,11 +1,11 @@
-//! The settings object as operators write it, decoded into the module's terms. The adapter gets it
-//! in an instance's first message, the daemon in its configuration file.
+//! The settings object as operators write it, and its conversion into [`Settings`]. The simulator's
+//! adapter gets it in the first message of an instance, the daemon in its configuration file.
 
 use serde::Deserialize;
 
 use crate::api::{Class, DeduplicationScope, Idempotency, Micros, Settings, Tenant};
 
-/// The settings object; unknown fields are skipped.
+/// The settings object; unknown fields are ignored.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Config {
@@ -145,44 +145,44 @@
     dropped_stay_open: bool,
 }
 
-/// Milliseconds as the settings and lists write them.
+/// Converts milliseconds, as settings and server lists give them, into microseconds.
 pub fn micros_from_ms(ms: f64) -> Micros {
     // The cast saturates: negative and non-finite values become 0.
     (ms * 1000.0).round() as Micros
 }
 
-/// The settings with the names that they give to positions.
+/// The settings of a balancer, with the names behind its indices and the settings of its surroundings.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Deployment {
-    /// What a [`crate::Balancer`] is told.
+    /// The settings of the [`crate::Balancer`].
     pub settings: Settings,
-    /// The classes' names, by position.
+    /// Names of the classes, by index.
     pub classes: Vec<String>,
-    /// The tenants' names, by position.
+    /// Names of the tenants, by index.
     pub tenants: Vec<String>,
-    /// The zones' names; lists may add to them.
+    /// Names of the zones, by index; server lists may add to them.
     pub zones: Vec<String>,
-    /// The machine types' names; lists may add to them.
+    /// Names of the machine types, by index; server lists may add to them.
     pub kinds: Vec<String>,
-    /// Servers close a connection idle for this long.
+    /// Servers close a connection that has been idle for this long.
     pub connection_idle_timeout: Micros,
-    /// A connection that is not up by then has failed.
+    /// A connection that is not established within this time has failed.
     pub connect_timeout: Micros,
-    /// So long after it was told that a server drains or is gone, nothing new may be sent to it.
+    /// How long after a server is reported as draining or gone new requests may still be sent to it.
     pub drain_grace: Micros,
-    /// Servers report their load.
+    /// Whether servers report their load.
     pub reports: bool,
-    /// Balancers may talk with each other.
+    /// Whether balancers may communicate with each other.
     pub peers: bool,
 }
 
 impl Config {
-    /// Decodes the object; what makes no sense is named. A zone or kind that only a class names is
-    /// added to the names.
+    /// Validates and converts the object. A zone or machine type that only a class names is added to
+    /// the names.
     ///
     /// # Errors
     ///
-    /// The first field that makes no sense, by its name in the object.
+    /// The first invalid field, by its name in the object.
     pub fn deployment(&self) -> Result<Deployment, String> {
         let (mut zones, mut kinds) = (self.failure_domains.clone(), self.kinds.clone());
         let limits = &self.limits;
@@ -251,7 +251,7 @@
         hedging: limits.second_copies,
         probes: limits.probes,
         max_attempts: limits.try_limit.unwrap_or(base.max_attempts),
-        // Also where clients are not known to heed it: a refusal always says when to come back.
+        // Applies even if clients may not honour it: a rejection always carries a retry delay.
         max_retry_after: limits.max_retry_after_ms.map_or(base.max_retry_after, micros_from_ms),
         initial_capacity_share: rules.cold_from.unwrap_or(base.initial_capacity_share),
         max_warm_up_time: span(rules.warm_within_ms, base.max_warm_up_time),
@@ -265,7 +265,7 @@
     })
 }
 
-/// The position of a name, added if it is new.
+/// The index of a name, which is added if it is new.
 pub fn intern_name(names: &mut Vec<String>, name: &str) -> u32 {
     let at = names.iter().position(|n| n == name).unwrap_or_else(|| {
         names.push(name.to_owned());
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter: the simulator's wire on one side, `crate::api` on the other. No decisions here.
+//! Adapter between the simulator's wire protocol (one JSON object per line) and `crate::api`.
 
 use std::borrow::Cow;
 use std::collections::BTreeMap;
@@ -19,9 +19,9 @@
 pub enum WireError {
     /// Reading or writing failed.
     Io(io::Error),
-    /// A line that makes no sense.
+    /// A line is invalid.
     Line {
-        /// Its number, from 1.
+        /// The line number, from 1.
         number: u64,
         /// What is wrong with it.
         fault: String,
@@ -110,17 +110,17 @@
     boot_time_ms: f64,
 }
 
-/// One instance with the names that its settings gave to positions.
+/// A balancer with the names behind its indices.
 struct Instance {
     balancer: Balancer,
     deployment: Deployment,
 }
 
-/// Serves the wire until the input ends.
+/// Serves the protocol until the input ends.
 ///
 /// # Errors
 ///
-/// Reading or writing fails, a line makes no sense, or the input ends inside a round.
+/// Reading or writing fails, a line is invalid, or the input ends inside a round.
 pub fn serve(mut input: impl BufRead, mut output: impl Write) -> Result<(), WireError> {
     let mut instances: BTreeMap<String, Instance> = BTreeMap::new();
     let (mut line, mut reply, mut actions) = (Vec::new(), Vec::new(), Vec::new());
@@ -191,7 +191,7 @@
     }
 }
 
-/// Runs a decision; a panic in it becomes an `InternalError` of this instance alone, and true.
+/// Runs a decision. A panic is reported as an `InternalError` of this instance alone; returns true in that case.
 fn guarded(reply: &mut Vec<u8>, gateway: &str, run: impl FnOnce()) -> bool {
     let Err(panic) = catch_unwind(AssertUnwindSafe(run)) else { return false };
     let text = panic.downcast_ref::<String>().map(String::as_str);
@@ -202,7 +202,7 @@
     true
 }
 
-/// Names the field that a line fails on.
+/// Describes why a line does not parse, with the path of the field.
 fn explain(text: &str) -> String {
     let mut reader = serde_json::Deserializer::from_str(text);
     match serde_path_to_error::deserialize::<_, Line>(&mut reader) {
@@ -225,7 +225,7 @@
     })
 }
 
-/// The event of a line; `None` for one that this module has no use for.
+/// Converts a line into an event; `None` for a line that the balancer does not use.
 fn event<'a>(line: &'a Line<'_>, instance: &mut Instance) -> Result<Option<Event<'a>>, String> {
     let what = line.what;
     let missing = |field: &str| format!("{what}: field {field} is missing");
