--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -38,10 +38,10 @@
         settings.check()?;
         // A service rate learned from the first few answers alone may be off by a factor of 100, and then all requests
         // are rejected.
-        let primer = settings.classes.iter().map(|c| c.latency_target as f64).sum::<f64>()
+        let prior_work = settings.classes.iter().map(|c| c.latency_target as f64).sum::<f64>()
             / settings.classes.len() as f64;
         Ok(Balancer {
-            fleet: FleetStats { prior_work: primer, ..FleetStats::default() },
+            fleet: FleetStats { prior_work, ..FleetStats::default() },
             rng_state: mix(seed) | 1,
             eligible: vec![Vec::new(); settings.classes.len()],
             next_wake: Micros::MAX,
@@ -82,10 +82,10 @@
             out.push(Action::Subscribe);
             self.next_poll = Micros::MAX;
         }
-        let next = self.reviews.peek().map_or(Micros::MAX, |Reverse((at, ..))| *at).min(self.next_poll);
-        if next < self.next_wake {
-            self.next_wake = next;
-            out.push(Action::Wake { at: next.max(now) });
+        let due = self.reviews.peek().map_or(Micros::MAX, |Reverse((at, ..))| *at).min(self.next_poll);
+        if due < self.next_wake {
+            self.next_wake = due;
+            out.push(Action::Wake { at: due.max(now) });
         }
     }
 
--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -28,22 +28,22 @@
         if class >= self.settings.classes.len() {
             return self.reject(id, 0, out);
         }
-        let (r, aim) = self.new_request(now, &arrival, out);
+        let (r, latency_target) = self.new_request(now, &arrival, out);
         self.touch_key(now, r.key);
         let picked = self.select_server(now, &r, self.retry_scope(&r, now), SelectionMode::default());
         let Some(pick) = picked else { return self.reject(id, ttl / 4, out) };
         // Rejects a request whose answer would be late, and one that would queue so long that a class with more worth and a
         // shorter latency target finds no slot: the lower the worth, the shorter the queue it may join.
-        let span = (r.useful_until.min(now + aim) - now) as f64;
+        let time_left = (r.useful_until.min(now + latency_target) - now) as f64;
         let (pick, limit) = self.prefer_idle(now, &r, pick);
         // Answer times vary without any queue: half the minimum latency does not count as waiting unless there is pressure.
         let low = self.class_stats[class].min_latency / 2.0;
         let free = 1.0 - (2.0 * (self.mean_wait[class] - low) / self.slack(class)).clamp(0.0, 1.0);
-        let over = (pick.wait - limit - low * free).max(pick.expected - span);
-        let crowd = self.is_crowded(now, class);
-        if crowd || over > 0.0 {
-            let pause = (over as Micros).max(if crowd { aim } else { 0 });
-            return self.reject(id, pause, out);
+        let excess = (pick.wait - limit - low * free).max(pick.expected - time_left);
+        let crowded = self.is_crowded(now, class);
+        if crowded || excess > 0.0 {
+            let retry_after = (excess as Micros).max(if crowded { latency_target } else { 0 });
+            return self.reject(id, retry_after, out);
         }
         self.requests.insert(id.clone(), r);
         self.send_attempt(now, &id, &pick, out);
@@ -60,16 +60,17 @@
         let c = &self.settings.classes[class];
         let hint = arrival.work_hint.filter(|h| h.is_finite() && *h > 0.0);
         let work = hint.unwrap_or(c.latency_target as f64 * UNHINTED_WORK_SHARE);
-        let aim =
+        let latency_target =
             (c.latency_target as f64 + c.latency_target_per_work * work).min(c.deadline as f64) as Micros;
-        let ends = now.saturating_add(arrival.ttl);
-        let useful = if c.late_worth > 0.0 { ends } else { ends.min(now.saturating_add(aim)) };
+        let deadline = now.saturating_add(arrival.ttl);
+        let useful_until =
+            if c.late_worth > 0.0 { deadline } else { deadline.min(now.saturating_add(latency_target)) };
         let mut value = c.worth / self.max_worth.max(1e-9);
         let mean = self.learn_offered_work(now, class, work);
         if !self.settings.worth_by_work {
             value *= (mean / work).min(1.0);
         }
-        if arrival.tenant.is_some_and(|tenant| self.is_over_share(tenant, now)) {
+        if arrival.tenant.is_some_and(|tenant| self.is_over_quota(tenant, now)) {
             value *= self.settings.over_quota_worth;
         }
         self.retry_budget = (self.retry_budget + RETRIES_PER_REQUEST).min(MAX_RETRY_BUDGET);
@@ -82,13 +83,13 @@
             has_work_hint: hint.is_some(),
             run_once: arrival.run_once,
             value,
-            deadline: ends,
-            useful_until: useful,
+            deadline,
+            useful_until,
             attempts: Vec::new(),
             streaming: false,
             finished: false,
         };
-        (request, aim)
+        (request, latency_target)
     }
 
     /// Updates the mean work and the offered rate with a request's work; returns the mean work before it.
@@ -135,15 +136,15 @@
         f64::from(seen.in_flight) > allowance + 2.0 * seen.recently_ended
     }
 
-    fn is_over_share(&mut self, tenant: usize, now: Micros) -> bool {
+    fn is_over_quota(&mut self, tenant: usize, now: Micros) -> bool {
         let Some(t) = self.settings.tenants.get(tenant) else { return false };
         let rate = t.quota / f64::from(self.settings.gateway_count);
         let (tokens, at) = &mut self.tenant_tokens[tenant];
         *tokens = (*tokens + rate * now.saturating_sub(*at) as f64 / 1e6).min(rate.max(1.0));
         *at = now;
-        let over = *tokens < 1.0;
-        *tokens -= if over { 0.0 } else { 1.0 };
-        over
+        let over_quota = *tokens < 1.0;
+        *tokens -= if over_quota { 0.0 } else { 1.0 };
+        over_quota
     }
 
     /// The longest wait that a request is admitted with. Without pressure it is the least slack among the classes with as much
@@ -159,9 +160,9 @@
         (1.0 - pressure * (1.0 - MIN_WAIT_SHARE - WAIT_SHARE_BY_WORTH * value.sqrt())) * tightest
     }
 
-    fn reject(&self, request: crate::api::Id, pause: Micros, out: &mut Vec<Action>) {
-        let pause = self.bounded_retry_after(pause);
-        out.push(Action::Reject { request, retry_after: pause });
+    fn reject(&self, request: crate::api::Id, retry_after: Micros, out: &mut Vec<Action>) {
+        let retry_after = self.bounded_retry_after(retry_after);
+        out.push(Action::Reject { request, retry_after });
     }
 
     /// Bounds the delay that a rejected client is asked to wait. It is never 0, or the client would retry before anything
--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -10,21 +10,21 @@
     /// Sends a request to the server that was selected.
     pub(super) fn send_attempt(&mut self, now: Micros, id: &Id, pick: &Selection, out: &mut Vec<Action>) {
         let warm = 1.0 - pick.cached_probability * (1.0 - self.hit_cost_ratio);
-        let all = self.work_at(&self.servers[pick.server]);
+        let work_at_server = self.work_at(&self.servers[pick.server]);
         let zone = self.servers[pick.server].zone;
         let Some(r) = self.requests.get_mut(id) else { return };
-        let ahead = self.fleet.sharing.ahead(all.0, all.1, r.work);
-        let sure = r.work.max(self.class_stats[r.class].mean_work);
+        let ahead = self.fleet.sharing.ahead(work_at_server.0, work_at_server.1, r.work);
+        let budgeted_work = r.work.max(self.class_stats[r.class].mean_work);
         let upstream = &mut self.servers[pick.server];
         let work = r.work * warm;
-        let met = ahead + work;
+        let observed_work = ahead + work;
         r.attempts.push(Attempt {
             server: pick.server,
             incarnation: upstream.incarnation,
             sent_at: now,
             work,
-            observed_work: met,
-            work_at_server: all,
+            observed_work,
+            work_at_server,
             connection_idle: upstream.idle_since.map_or(0, |since| now.saturating_sub(since)),
             cache_hit: [(pick.cached_probability == 0.0, 0), (pick.in_key_table, 1)]
                 .iter()
@@ -45,13 +45,17 @@
             while upstream.cold_sends.front().is_some_and(|(at, _)| *at <= since) {
                 upstream.cold_sends.pop_front();
             }
-            upstream.cold_sends.push_back((now, sure));
+            upstream.cold_sends.push_back((now, budgeted_work));
         }
         out.push(Action::Send { request: id.clone(), server: upstream.id.clone(), deadline: r.useful_until });
         if r.keyed {
-            let set = &mut self.recent_keys.entry(r.key).or_default().holders;
-            set.retain(|h| h.server != pick.server);
-            set.push(CacheHolder { server: pick.server, incarnation: upstream.incarnation, last_used: now });
+            let holders = &mut self.recent_keys.entry(r.key).or_default().holders;
+            holders.retain(|h| h.server != pick.server);
+            holders.push(CacheHolder {
+                server: pick.server,
+                incarnation: upstream.incarnation,
+                last_used: now,
+            });
         }
         self.postpone_zone_trial(now, zone);
         self.refresh_summary(pick.server, now);
@@ -63,10 +67,11 @@
         let Some(r) = self.requests.get(id) else { return };
         let typical = self.class_stats[r.class].mean_latency;
         let sent = r.attempts.last().map_or(0, |a| a.sent_at);
-        let may = typical > 0.0 && r.attempts.len() == 1 && self.retry_scope(r, now) != RetryScope::Forbidden;
+        let may_hedge =
+            typical > 0.0 && r.attempts.len() == 1 && self.retry_scope(r, now) != RetryScope::Forbidden;
         let overdue = OVERDUE_TIMES.map(|times| sent + (times * typical) as Micros);
         let hedge = overdue.into_iter().find(|at| *at > now);
-        let at = hedge.filter(|_| may).unwrap_or(r.deadline).min(r.deadline);
+        let at = hedge.filter(|_| may_hedge).unwrap_or(r.deadline).min(r.deadline);
         self.review_sequence += 1;
         self.reviews.push(Reverse((at, self.review_sequence, id.clone())));
     }
@@ -92,7 +97,7 @@
     }
 
     pub(super) fn handle_attempt_end(&mut self, now: Micros, ended: AttemptEnd<'_>, out: &mut Vec<Action>) {
-        let AttemptEnd { request, attempt, outcome, took, request_finished: closed, .. } = ended;
+        let AttemptEnd { request, attempt, outcome, took, request_finished, .. } = ended;
         let Some((id, mut r)) = self.requests.remove_entry(request) else { return };
         match r.attempts.get_mut(attempt as usize) {
             Some(a) if a.outcome.is_none() => {
@@ -103,14 +108,14 @@
             }
             _ => {}
         }
-        if closed && !r.finished {
+        if request_finished && !r.finished {
             r.finished = true;
             self.cancel_attempts(&id, &r, None, out);
         }
-        let owed = !r.finished;
-        let waits = outcome != Outcome::Denied && r.attempts.iter().any(|a| a.outcome.is_none());
+        let unanswered = !r.finished;
+        let awaits_attempt = outcome != Outcome::Denied && r.attempts.iter().any(|a| a.outcome.is_none());
         self.retain_request(id.clone(), r);
-        if owed && !waits {
+        if unanswered && !awaits_attempt {
             self.retry_or_finish(now, &id, out);
         }
     }
@@ -130,14 +135,14 @@
     }
 
     /// Gives a request its final answer: a rejection if it can safely be sent again, otherwise a failure.
-    pub(super) fn finish_request(&mut self, id: &Id, pause: Micros, out: &mut Vec<Action>) {
+    pub(super) fn finish_request(&mut self, id: &Id, retry_after: Micros, out: &mut Vec<Action>) {
         let Some((id, mut r)) = self.requests.remove_entry(id) else { return };
         if !r.finished {
             self.cancel_attempts(&id, &r, None, out);
             r.finished = true;
-            let (request, pause) = (id.clone(), self.bounded_retry_after(pause));
+            let (request, retry_after) = (id.clone(), self.bounded_retry_after(retry_after));
             out.push(if self.may_reject(&r) {
-                Action::Reject { request, retry_after: pause }
+                Action::Reject { request, retry_after }
             } else {
                 Action::Fail { request }
             });
@@ -145,9 +150,9 @@
         self.retain_request(id, r);
     }
 
-    fn cancel_attempts(&self, id: &Id, r: &Request, but: Option<usize>, out: &mut Vec<Action>) {
+    fn cancel_attempts(&self, id: &Id, r: &Request, except: Option<usize>, out: &mut Vec<Action>) {
         for (i, a) in r.attempts.iter().enumerate() {
-            if self.settings.cancel && a.outcome.is_none() && Some(i) != but {
+            if self.settings.cancel && a.outcome.is_none() && Some(i) != except {
                 out.push(Action::Cancel { request: id.clone(), attempt: i as u32 });
             }
         }
--- a/src/balancer/learning.rs
+++ b/src/balancer/learning.rs
@@ -195,18 +195,18 @@
     /// answer or a failing server, which `failure_shares` covers. So answers lost on the network do not lead to rejections in a
     /// healthy fleet. The drawback: in the first seconds of an overload of the whole fleet, waits are underestimated.
     fn learn_rate(&mut self, r: &Request, a: &Attempt, (outcome, took): (Outcome, f64), blame: f64) {
-        let Attempt { server, work, observed_work: met, work_at_server: all, .. } = *a;
+        let Attempt { server, work, observed_work, work_at_server, .. } = *a;
         let lost = outcome == Outcome::TimedOut;
         self.fleet.timeout_share += (f64::from(u8::from(lost)) - self.fleet.timeout_share) * LEARNING_RATE;
-        let done = if lost { 0.0 } else { met };
+        let done = if lost { 0.0 } else { observed_work };
         // The time of a class's answers that the servers' rates do not explain, beyond that of the class with the least of it,
         // is the class's own delay. It keeps a class that is slow at all servers from making the servers look slow. It has no
         // effect with a single class.
         let excess = took - FLOOR_SHARE * self.class_stats[r.class].min_latency;
         if !lost && r.has_work_hint {
-            self.fleet.sharing.learn(all.0, all.1, work, excess);
+            self.fleet.sharing.learn(work_at_server.0, work_at_server.1, work, excess);
         }
-        let expected = met / self.rate(&self.servers[server]);
+        let expected = observed_work / self.rate(&self.servers[server]);
         let seen = &mut self.class_stats[r.class];
         let beyond = excess - expected - seen.own_delay;
         seen.own_delay += if lost { beyond.max(0.0) } else { beyond } * LEARNING_RATE;
@@ -217,7 +217,8 @@
         let upstream = &mut self.servers[server];
         upstream.observed_work += done;
         upstream.observed_time += time;
-        self.fleet.mean_observed_work += (met - self.fleet.mean_observed_work) * LEARNING_RATE / 4.0;
+        self.fleet.mean_observed_work +=
+            (observed_work - self.fleet.mean_observed_work) * LEARNING_RATE / 4.0;
         self.fleet.observed[0] += done;
         self.fleet.prior_work *= 1.0 - LEARNING_RATE;
         self.fleet.observed[1] += time;
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -91,14 +91,14 @@
     ) -> Option<Selection> {
         let terms = self.cost_terms(r);
         let none = KeyEntry::default();
-        let known = if r.keyed { self.recent_keys.get(&r.key).unwrap_or(&none) } else { &none };
+        let key_entry = if r.keyed { self.recent_keys.get(&r.key).unwrap_or(&none) } else { &none };
         let mut candidates: Vec<Candidate> = Vec::with_capacity(self.eligible[r.class].len());
         for &server in &self.eligible[r.class] {
             candidates.extend(self.candidate(now, r, repeat, mode, &terms, server));
         }
-        self.mark_key_holders(now, r, known, &terms, &mut candidates);
+        self.mark_key_holders(now, r, key_entry, &terms, &mut candidates);
         let candidate = candidates.iter().min_by_key(|candidate| self.rank(candidate, &terms))?;
-        let (warm, held, infinite) =
+        let (warm, in_key_table, infinite) =
             (candidate.cached_probability, candidate.in_key_table, candidate.load > terms.overload_threshold);
         let work = r.work * (1.0 - warm * (1.0 - self.hit_cost_ratio));
         let seen = &self.class_stats[r.class];
@@ -108,7 +108,7 @@
             + class_delay(seen);
         Some(Selection {
             server: candidate.server,
-            in_key_table: held,
+            in_key_table,
             cached_probability: warm,
             wait: candidate.wait,
             expected,
@@ -156,8 +156,8 @@
         // class's mean counts: where many servers fail a class, those that have just served it are preferred, and losses
         // at all servers move no key. The drawback: the preferred servers get more than their share.
         let odds = self.failure_odds[server * self.class_stats.len() + r.class];
-        let trouble = terms.failure_cost * (odds - terms.mean_failure_odds);
-        let trouble = if trouble.abs() < 1.0 { 0.0 } else { trouble };
+        let failure_cost = terms.failure_cost * (odds - terms.mean_failure_odds);
+        let failure_cost = if failure_cost.abs() < 1.0 { 0.0 } else { failure_cost };
         let order = order(mix(summary.hash ^ r.key), summary.relative_size, self.uniform_sizes);
         // A heavy request takes longer at a slow server, and the requests behind it wait as much longer.
         let own = if r.has_work_hint {
@@ -165,12 +165,12 @@
         } else {
             0.0
         };
-        let load = (wait + own) / terms.unit + trouble.max(0.0);
+        let load = (wait + own) / terms.unit + failure_cost.max(0.0);
         Some(Candidate {
             server,
             hash_rank: order,
             wait,
-            failure_cost: trouble,
+            failure_cost,
             load,
             cached_probability: 0.0,
             is_home: false,
@@ -188,23 +188,23 @@
         &self,
         now: Micros,
         r: &Request,
-        known: &KeyEntry,
+        key_entry: &KeyEntry,
         terms: &CostTerms,
         candidates: &mut [Candidate],
     ) {
         let others = if r.keyed { 1.0 - 1.0 / f64::from(self.settings.gateway_count) } else { 0.0 };
-        let part = (known.arrivals - 1.0).max(0.0) / self.fleet.arrivals.max(1.0);
-        let wide = (part * candidates.len() as f64 / HOME_SHARE).ceil();
-        let wide = wide.clamp(1.0, candidates.len().max(1) as f64) as usize;
+        let key_share = (key_entry.arrivals - 1.0).max(0.0) / self.fleet.arrivals.max(1.0);
+        let home_count = (key_share * candidates.len() as f64 / HOME_SHARE).ceil();
+        let home_count = home_count.clamp(1.0, candidates.len().max(1) as f64) as usize;
         let fit = candidates.iter().filter(|candidate| {
             candidate.failure_cost < terms.miss_cost && candidate.load <= terms.overload_threshold
         });
         let mut homes: Vec<_> = fit.map(|candidate| (candidate.hash_rank, candidate.server)).collect();
-        if homes.len() > wide {
-            homes.select_nth_unstable(wide);
-            homes.truncate(wide);
+        if homes.len() > home_count {
+            homes.select_nth_unstable(home_count);
+            homes.truncate(home_count);
         }
-        for h in known.holders.iter().filter(|h| self.servers[h.server].incarnation == h.incarnation) {
+        for h in key_entry.holders.iter().filter(|h| self.servers[h.server].incarnation == h.incarnation) {
             if let Ok(at) = candidates.binary_search_by_key(&h.server, |candidate| candidate.server) {
                 let age = now.saturating_sub(h.last_used) as f64 / KEY_HALF_LIFE;
                 (candidates[at].cached_probability, candidates[at].in_key_table) = ((-age).exp2(), true);
@@ -218,7 +218,7 @@
             let candidate = &mut candidates[at];
             (candidate.is_home, candidate.cached_probability) =
                 (true, others + (1.0 - others) * candidate.cached_probability);
-            if wide > 1 {
+            if home_count > 1 {
                 let upstream = &self.servers[*server];
                 candidate.hash_rank =
                     order(mix(mix(upstream.hash ^ r.key) ^ me), upstream.relative_size, self.uniform_sizes);
@@ -230,12 +230,14 @@
     /// without the balancing cost's infinity decides: selecting by least load would send every key of a saturated fleet to
     /// servers that do not have it cached. Sums are rounded, so that noise does not decide between close ones.
     fn rank(&self, candidate: &Candidate, terms: &CostTerms) -> (bool, i64, bool, u64) {
-        let Candidate { load, failure_cost: trouble, cached_probability: warm, .. } = *candidate;
+        let Candidate { load, failure_cost, cached_probability: warm, .. } = *candidate;
         let CostTerms { idle_threshold: idle, miss_cost: miss, .. } = *terms;
-        let wait = balancing(load, idle, f64::INFINITY).max(trouble) + trouble.min(0.0);
+        let wait = balancing(load, idle, f64::INFINITY).max(failure_cost) + failure_cost.min(0.0);
         let zone = self.summaries[candidate.server].zone;
-        let far = if self.settings.zone.is_some_and(|own| own != zone) { terms.cross_zone_cost } else { 0.0 };
-        let sum = (wait + locality(miss, warm) + replacement(load, idle, miss, warm) + far) / QUANTUM + 0.5;
+        let zone_cost =
+            if self.settings.zone.is_some_and(|own| own != zone) { terms.cross_zone_cost } else { 0.0 };
+        let sum =
+            (wait + locality(miss, warm) + replacement(load, idle, miss, warm) + zone_cost) / QUANTUM + 0.5;
         (load > terms.overload_threshold, sum as i64, !candidate.is_home, candidate.hash_rank)
     }
 }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -335,16 +335,16 @@
 
 fn write_action(reply: &mut Vec<u8>, gateway: &str, action: &Action) {
     match action {
-        Action::Send { request, server, deadline: until } => {
+        Action::Send { request, server, deadline } => {
             put(reply, "Place", gateway);
             put_text(reply, "handle", request);
             put_text(reply, "host", server);
-            put_ms(reply, "untilMs", *until);
+            put_ms(reply, "untilMs", *deadline);
         }
-        Action::Reject { request, retry_after: pause } => {
+        Action::Reject { request, retry_after } => {
             put(reply, "Reject", gateway);
             put_text(reply, "handle", request);
-            put_ms(reply, "pauseMs", *pause);
+            put_ms(reply, "pauseMs", *retry_after);
         }
         Action::Fail { request } => {
             put(reply, "Fail", gateway);
