--- a/src/load_report/tests.rs
+++ b/src/load_report/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Guards against figures taken from a report that is torn or made up, and names that get lost.
+/// Guards against values from a truncated or malformed report, and against known names that are ignored.
 #[test]
 fn a_report_is_read_whole_or_not_at_all() {
     let read = LoadReport::parse;
--- a/src/processor_sharing/tests.rs
+++ b/src/processor_sharing/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// Guards against a light request that is kept from a server for a heavy one that it would pass by, and the
-/// other way round: the rule is found from the times alone, and again when it changes.
+/// Guards against a light request that avoids a server because of a heavy one that it would overtake, and against
+/// the reverse. The processing mode is detected from answer times alone, and again when it changes.
 #[test]
 fn the_rule_that_servers_follow_is_found_from_their_times() {
     let mut sharing = ProcessorSharing::default();
@@ -25,7 +25,7 @@
         }
         assert_eq!(sharing.shares, shares);
     }
-    // Without hints all requests weigh the same, and nothing is learned from that.
+    // Without hints all requests have the same work, which shows nothing.
     let mut even = ProcessorSharing::default();
     (0..1_000).for_each(|i| even.learn(300.0, 3.0, 100.0, f64::from(i % 7 + 1)));
     assert!(!even.shares && even.light == [0.0; 3]);
--- a/tests/choice.rs
+++ b/tests/choice.rs
@@ -1,4 +1,4 @@
-//! One small test for each decision: it fails without the code that it stands for.
+//! One small test per decision; each fails without the code that it covers.
 
 mod common;
 
@@ -35,7 +35,7 @@
     let now = bench.settle(0, 200);
     bench.arrive(now, "first", "hot", 10_000.0);
     let holder = bench.sent();
-    // Locality: the holder keeps the key while its wait is below idle plus a miss.
+    // Locality: the server with the key cached keeps it while its wait is below `idle` plus a miss.
     bench.arrive(now + 1, "second", "hot", 10_000.0);
     assert_eq!(bench.sent(), holder);
     let mut others = 0;
@@ -43,12 +43,12 @@
         bench.arrive(now + 2, &format!("more{i}"), "hot", 10_000.0);
         others += usize::from(bench.sent().is_some_and(|s| Some(s) != holder));
     }
-    // Balancing and replacement: above that, another server joins the key's set.
+    // Balancing and replacement: above that, another server gets the key as well.
     assert!(others > 0);
 }
 
 #[test]
-fn a_failing_server_is_not_an_idle_one() {
+fn a_server_that_fails_fast_does_not_look_idle() {
     let mut bench = Bench::with_servers(Settings::default(), 3);
     let now = bench.settle(0, 100);
     let mut bad = 0;
@@ -64,9 +64,9 @@
             attempt += 1;
         }
     }
-    // A third of the first tries would go there if quick failures looked idle.
+    // A third of the first attempts would go there if a server that fails fast looked idle.
     assert!(bad <= 5, "{bad} sends to a failing server");
-    // Trial requests find the recovery once the charge has faded.
+    // Trial requests detect the recovery once the failure cost has decayed.
     let later = now + 20_000_000;
     let mut seen = BTreeSet::new();
     for i in 0..40 {
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_silent_server_gets_nothing_more_and_its_requests_a_second_copy() {
+fn a_silent_server_gets_no_more_requests_and_its_open_ones_are_hedged() {
     let mut bench = Bench::with_servers(Settings::default(), 3);
     let now = bench.settle(0, 200);
     bench.arrive(now, "stuck", "k", 10_000.0);
@@ -91,7 +91,7 @@
         bench.arrive(now + 250_000, &format!("r{i}"), &format!("x{i}"), 10_000.0);
         assert_ne!(bench.sent(), Some(silent.clone()));
     }
-    // The copy that comes first is the answer; the other is withdrawn.
+    // The first answer is used; the other attempt is cancelled.
     bench.end(now + 260_000, "stuck", 1, Outcome::Ok, 10_000);
     let request = "stuck".into();
     assert!(bench.out.contains(&Action::Cancel { request, attempt: 0 }));
@@ -160,7 +160,7 @@
     assert!(bench.sent().is_none() && bench.refused());
 }
 
-/// Work sent to a cold server in the busiest fall window, and in one like it to a warm server.
+/// Work sent to a cold server in its busiest overload window, and to a warm server in such a window.
 fn cold_and_warm(start: impl Fn(&mut Bench, Micros)) -> (u32, u32) {
     let mut bench = Bench::with_servers(Settings { gateway_count: 2, ..Settings::default() }, 4);
     let now = bench.settle(0, 500);
@@ -244,8 +244,8 @@
     assert!(served[0] > served[1] && served[1] > 0, "by worth, and none starves: {served:?}");
 }
 
-/// A server that was never ready counts with the size of its kind: without one, the expected wait of every class that may
-/// try it is no number, and nothing is rejected by patience.
+/// A server that was never ready gets the size of its machine type: without one, the expected wait of every class that may
+/// try it is NaN, and no request is rejected for its wait.
 #[test]
 fn overload_is_rejected_early_also_while_a_new_server_is_on_trial() {
     let sent_in_a_jam = |on_trial: bool| {
@@ -261,8 +261,8 @@
         if on_trial {
             bench.list(now, ListKind::Delta, vec![Server { started: Some(now), ..server("x", 3) }]);
         }
-        // It answers no probe, so that requests try it, in vain. The rest is answered so often that the class is not
-        // held to be crowded afterwards.
+        // It answers no probe, so requests are tried on it and fail. The others are answered often enough that the class
+        // does not count as crowded afterwards.
         for i in 0..2_000u64 {
             now += 2_000;
             let id = format!("try{i}");
@@ -287,8 +287,8 @@
     assert!(with.abs_diff(without) <= 1, "{with} of 400 sent with a server on trial, {without} without");
 }
 
-/// Guards a fleet of short answers: what a reset may have left behind at a server is worked off within the aims, and is
-/// no reason to refuse what others would do in a tenth of their time.
+/// Guards a fleet with short answer times: the work that a reset may leave at a server is done within the latency targets,
+/// so it must not lead to rejections of requests that other servers would answer in a tenth of that time.
 #[test]
 fn resets_refuse_nothing_where_answers_are_short() {
     let classes = vec![Class { latency_target: 150_000, ..class(Idempotency::Unsafe) }];
@@ -326,7 +326,7 @@
 }
 
 #[test]
-fn senseless_settings_are_turned_down() {
+fn invalid_settings_are_rejected() {
     let base = Settings::default;
     for settings in [
         Settings { classes: vec![], ..base() },
@@ -342,7 +342,7 @@
 }
 
 #[test]
-fn what_is_no_longer_held_is_passed_over() {
+fn events_for_unknown_requests_are_ignored() {
     let mut bench = Bench::with_servers(Settings::default(), 2);
     bench.end(1, "never", 3, Outcome::Ok, 1);
     bench.arrive(2, "r", "", 10_000.0);
@@ -360,7 +360,7 @@
 fn a_jammed_key_goes_to_an_idle_server_before_it_is_refused() {
     let settings = Settings { classes: vec![class(Idempotency::Safe)], ..Settings::default() };
     let mut bench = Bench::with_servers(settings, 2);
-    // Keys met before are four times as cheap, so a spill is dear while the mean server waits.
+    // Known keys cost a quarter, so sending one to another server is expensive while the mean server is busy.
     for i in 0..400u64 {
         let (now, id) = (i * 50_000, format!("warm{i}"));
         let took = if i % 2 == 0 { 40_000 } else { 10_000 };
@@ -425,7 +425,7 @@
     Bench::new(Settings { classes: vec![class], ..Settings::default() })
 }
 
-/// Four servers: a and b in zone 0, c and d in zone 1; a and c of kind 0, b and d of kind 1.
+/// Four servers: a and b in zone 0, c and d in zone 1; a and c of machine type 0, b and d of type 1.
 fn two_by_two(state: impl Fn(&str) -> ServerState, started: Option<Micros>) -> Vec<Server> {
     let place = |i: u8| (name(i), u32::from(i / 2), u32::from(i % 2));
     let one = |(id, zone, kind): (String, u32, u32)| {
@@ -453,7 +453,7 @@
             for i in 0..40u64 {
                 let (at, id) = (i * 50_000, format!("r{i}"));
                 bench.arrive(at, &id, &format!("k{i}"), 10_000.0);
-                // Every attempt: the first, second copies, and those after a failure.
+                // All attempts: first ones, hedged ones, and retries.
                 for attempt in 0..3 {
                     let Some(s) = bench.sent() else { break };
                     assert!(open.contains(&s), "{s} is not open ({open})");
@@ -472,7 +472,7 @@
     for (state, started) in [
         (ServerState::Gone, None),
         (ServerState::Draining, None),
-        // Cold, and its budget spent by the first request.
+        // The server is cold, and the first request uses up its budget.
         (ServerState::Ready, Some(1)),
     ] {
         let mut bench = placed(None, Some(vec![1]));
@@ -492,7 +492,7 @@
 
 #[test]
 fn pressure_is_judged_over_the_servers_open_to_the_class() {
-    // The servers of kind 1 are jammed by the class bound to them; the other class is not refused.
+    // The servers of type 1 are overloaded by the class bound to them; the other class is not rejected.
     let bound = Class { kinds: Some(vec![1]), ..class(Idempotency::Safe) };
     let free = Class { kinds: Some(vec![0]), ..class(Idempotency::Safe) };
     let mut bench = Bench::new(Settings { classes: vec![bound, free], ..Settings::default() });
@@ -521,9 +521,8 @@
     assert!(refused[0] > 20 && refused[1] == 0, "{refused:?}");
 }
 
-/// The work at the servers named in a fall window, at the most, as a multiple of what they can
-/// do in it, over 600 gateways that share nothing;
-/// all other servers leave as these start.
+/// The most work that the named servers get in an overload window, as a multiple of what they can do
+/// in it, from 600 gateways that do not communicate. All other servers leave when these start.
 fn worst_window(cold: &str, settled: u64) -> f64 {
     let gateways = 600;
     let start = settled * 666_000;
@@ -531,7 +530,7 @@
     let mut sent: Vec<(Micros, f64)> = Vec::new();
     for me in 0..gateways {
         let mut bench = Bench::with_servers(settings(me), 10);
-        // One and a half requests a second here, of 10 ms each.
+        // This gateway gets 1.5 requests per second, of 10 ms each.
         let (mut now, mut told) = (0, false);
         for i in 0..settled + 20 {
             if now >= start && !told {
@@ -566,8 +565,8 @@
 
 #[test]
 fn hundreds_of_gateways_keep_the_sum_at_a_cold_server() {
-    // 600 x 1.5 a second x 10 ms over 10 servers: each carries 0.9 of a core; a cold one has 0.15
-    // of that at first and bears three times as much. Now they are asked for all of it.
+    // 600 gateways x 1.5 requests per second x 10 ms over 10 servers: 0.9 of a core each. A cold server
+    // has 0.15 of its capacity at first and bears three times that. Now it would get all of the load.
     for (cold, settled) in [("j", 40), ("ij", 40), ("abcdefghij", 40), ("abcdefghij", 0)] {
         let most = worst_window(cold, settled);
         assert!(most < 3.0, "{cold} after {settled}: {most}");
@@ -581,7 +580,7 @@
 
 #[test]
 fn gateways_that_share_nothing_send_a_key_to_one_home() {
-    // No table holds the key yet: agreement alone must say where it is warm, also with noise.
+    // No key table has the key yet, so the hash alone decides its home, also with noise.
     let mut homes = BTreeSet::new();
     for me in 0..40 {
         let mut bench = Bench::with_servers(Settings { gateway_index: me, ..gateways(40) }, 8);
@@ -602,7 +601,7 @@
         let mut bench = Bench::with_servers(Settings { gateway_index: me, ..gateways(60) }, 20);
         for i in 0..40u64 {
             let (at, id) = (i * 100_000, format!("r{i}"));
-            // One request in four is for one key; each other key comes once.
+            // One request in four is for the same key; every other key is requested once.
             let hot = i % 4 == 0;
             bench.arrive(at, &id, &if hot { "hot".into() } else { format!("k{i}") }, 10_000.0);
             let server = bench.sent().expect("nobody is busy");
@@ -614,7 +613,7 @@
             bench.end(at + 10_000, &id, 0, Outcome::Ok, 10_000);
         }
     }
-    // A quarter of the work of 20 servers is five servers' worth; a rare key has one home.
+    // A quarter of the work of 20 servers is that of five servers; a rare key has one home.
     assert!(seen[0].len() >= 8, "{:?}", seen[0]);
     assert_eq!(seen[1].len(), 1);
 }
@@ -645,7 +644,7 @@
         refused += u32::from(bench.refused());
         let server = bench.sent();
         match server {
-            // A third of the answers get lost, at every server.
+            // A third of the answers are lost, at every server.
             Some(_) if i % 3 == 0 => {
                 bench.end(now + 300_000, &id, 0, Outcome::TimedOut, 300_000);
                 if bench.sent().is_some() {
@@ -693,7 +692,7 @@
         let prices = Settings { handshake_price: 0.08, connection_price: 0.08, ..gateways(count) };
         let mut bench = Bench::with_servers(prices, 20);
         let mut dropped = 0;
-        // A gateway of many sees few requests; one of two sees as many as servers can take.
+        // One of many gateways gets few requests; one of two gets as many as the servers can take.
         let every = if kept { 2_000 } else { 150_000 };
         for i in 0..200 {
             let (at, id) = (i * every, format!("r{i}"));
@@ -707,7 +706,7 @@
 
 #[test]
 fn a_jammed_fleet_keeps_its_keys_at_home() {
-    // Everything is above L_overload; a second try may still go out, and it goes to the holder's place.
+    // All servers are above `L_overload`. A second attempt may still be sent, to the server with the key cached.
     let settings = Settings { max_attempts: 9, ..gateways(2) };
     let mut bench = Bench::with_servers(settings, 4);
     let now = bench.settle(0, 100);
@@ -771,7 +770,7 @@
         let outcome = if fails { Outcome::Error } else { Outcome::Ok };
         bench.end(now + 10_000, &id, 0, outcome, 10_000);
     }
-    // Half of 100 requests of the class would fail each half if nothing were learned.
+    // Without learning, half of the class's 100 requests would fail in each half.
     assert!(failed[1] <= 25, "{failed:?} failed");
     assert!(served > 50, "{served} of the other class");
 }
@@ -792,7 +791,7 @@
                 out.push((id, at));
             }
         }
-        // Ends come after their servers have gone, and name the attempts they belong to.
+        // Attempts end after their servers have gone, and are matched by their numbers.
         for (id, at) in out.drain(..out.len() / 2) {
             bench.end(now + 20, &id, 0, Outcome::Ok, now + 20 - at);
         }
@@ -800,7 +799,7 @@
     assert!(bench.balancer.known_servers() < 60, "{} remembered", bench.balancer.known_servers());
 }
 
-/// Servers that a hundred requests for as many keys go to.
+/// The servers that get 100 requests with different keys.
 fn used(bench: &mut Bench, now: Micros) -> BTreeSet<String> {
     let mut used = BTreeSet::new();
     for i in 0..100 {
@@ -868,7 +867,7 @@
 }
 
 #[test]
-fn a_list_put_right_makes_no_server_cold_and_an_old_one_none_warm() {
+fn a_corrected_list_makes_no_server_cold_and_an_outdated_one_none_warm() {
     let settings = || Settings { keep_gone_servers: true, gateway_count: 2, ..Settings::default() };
     let count = |change: &dyn Fn(&mut Bench, Micros)| {
         let mut bench = Bench::with_servers(settings(), 4);
@@ -918,12 +917,12 @@
     assert!(!used.iter().any(|s| ["x0", "x1", "x2"].contains(&s.as_str())));
 }
 
-/// Guards a fleet that is replaced against a front whose probes all fail, or that cannot send any: what is listed
-/// as up is tried by requests in the end, and used once it answers one.
+/// Guards a replaced fleet against a gateway whose probes all fail or that cannot send any: servers that are listed
+/// as up are finally tried with requests, and used once they answer one.
 #[test]
 fn a_fleet_that_answers_no_probe_is_tried_by_requests() {
     let replaced = |outcome: Option<Outcome>| {
-        // None is cold, or that would hold requests back too.
+        // No server is cold, since that would hold requests back too.
         let settings = Settings { probes: true, initial_capacity_share: 1.0, ..Settings::default() };
         let mut bench = Bench::with_servers(settings, 4);
         let now = bench.settle(0, 100);
@@ -996,10 +995,10 @@
     assert_eq!(refused, 0, "errors at every server are no queue");
 }
 
-/// Guards against a steady loss at a server that answers everything with an error at once: the more of them
-/// in a row, the later it is tried again.
+/// Guards against a steady loss of requests to a server that answers all of them with an immediate error: with more
+/// consecutive errors, it is tried again later.
 #[test]
-fn a_server_that_only_errs_is_tried_less_and_less() {
+fn a_server_that_answers_only_errors_is_tried_at_growing_intervals() {
     let mut bench =
         Bench::with_servers(Settings { classes: vec![class(Idempotency::Unsafe)], ..Settings::default() }, 3);
     let now = bench.settle(0, 200);
@@ -1015,8 +1014,8 @@
     assert!((2..=30).contains(&sent), "{sent} requests lost in 30 s");
 }
 
-/// Guards servers' good names, and the retry budget, against clients whose requests are at fault: what one
-/// server turns down as that is tried nowhere else and fails, though it might be repeated.
+/// Guards the failure shares of servers, and the retry budget, against invalid requests: one that a server denies is
+/// not retried and fails, even if its class allows retries.
 #[test]
 fn a_request_at_fault_ends_at_the_server_that_denies_it() {
     let mut bench = Bench::with_servers(Settings::default(), 3);
@@ -1077,7 +1076,7 @@
         refused += u32::from(class == 0 && !sent);
         most = most.max(out);
     }
-    // Without a limit 75 would be out.
+    // Without a limit, 75 would be in flight.
     assert!(most < 45, "{most} of the late class out at once");
     assert_eq!(refused, 0, "the other class is served as before");
 }
@@ -1114,7 +1113,7 @@
 }
 
 #[test]
-fn what_is_given_up_is_answered_at_once_with_a_pause() {
+fn a_request_that_is_given_up_is_answered_at_once_with_a_retry_delay() {
     let settings = Settings { max_attempts: 2, max_retry_after: 1_000_000, ..Settings::default() };
     let mut bench = Bench::with_servers(settings, 3);
     let now = bench.settle(0, 100);
@@ -1126,10 +1125,10 @@
     assert!(bench.out.iter().any(paused), "no attempt is left: refused in the same event, with a pause");
 }
 
-/// Guards against a refusal that does not say when to come back: at the door, for an unknown class, and
-/// where the request has run out of time, nothing is kept waiting and the pause is never none.
+/// Guards against a rejection without a retry delay: on arrival, for an unknown class, and for a request that is out
+/// of time. Each is answered at once, with a delay above 0.
 #[test]
-fn every_refusal_says_when_to_come_back() {
+fn every_rejection_carries_a_retry_delay() {
     let pause = |bench: &Bench| match bench.out.as_slice() {
         [Action::Reject { retry_after: pause, .. }] => *pause,
         other => panic!("one refusal and nothing else, not {other:?}"),
@@ -1163,8 +1162,8 @@
     assert_eq!(pause(&bench), 2_000_000, "given up when its aim has passed, long before its deadline");
 }
 
-/// Guards the first seconds of a gateway: light requests whose answers took long for other reasons say next to
-/// nothing of how fast servers work, and what comes then is not refused for them.
+/// Guards the first seconds of a gateway: light requests whose answers took long for other reasons say almost nothing
+/// about the servers' rate, and must not cause rejections.
 #[test]
 fn the_first_answers_alone_do_not_set_the_rate() {
     let mut bench = Bench::with_servers(Settings::default(), 4);
@@ -1179,8 +1178,8 @@
     }
 }
 
-/// Guards heavy requests against slow servers, at which they would not be done in time, and light ones against
-/// being moved for that: their keys stay where they are.
+/// Guards heavy requests against slow servers, which would not finish them in time, and light requests against being
+/// moved because of that: their keys stay where they are.
 #[test]
 fn a_heavy_request_goes_where_it_is_done_sooner() {
     let mut bench = Bench::with_servers(Settings::default(), 2);
@@ -1205,8 +1204,8 @@
     assert!(heavy <= 4, "{heavy} of 40 heavy ones at the slow server");
 }
 
-/// Guards prices of crossing zones both ways: an idle fleet keeps requests in the gateway's zone, also where a warm
-/// server is elsewhere, and a loaded one sends them wherever they are served.
+/// Guards the price of crossing zones: an idle fleet keeps requests in the gateway's zone even if a server in another zone
+/// has the key cached, and a loaded fleet uses servers of all zones.
 #[test]
 fn requests_keep_to_their_zone_while_that_is_free() {
     let crossed = |price: f64, gap: Micros, took: Micros| {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A balancer with shorthand for the tests.
+//! Shared test helpers: a balancer with short methods to feed it events.
 #![allow(dead_code)]
 
 use gradepaddle::*;
@@ -23,7 +23,7 @@
         Bench { balancer: Balancer::new(settings, 1).expect("settings"), out: Vec::new() }
     }
 
-    /// Servers named a, b, c ... in a cell each.
+    /// Servers named a, b, c ..., each in a cell of its own.
     pub fn with_servers(settings: Settings, count: u8) -> Bench {
         let mut bench = Bench::new(settings);
         bench.list(0, ListKind::Full, (0..count).map(|i| server(&name(i), u32::from(i))).collect());
@@ -69,7 +69,7 @@
         );
     }
 
-    /// The server of the first send among the last actions.
+    /// The server of the first [`Action::Send`] among the last actions.
     pub fn sent(&self) -> Option<String> {
         self.out.iter().find_map(|a| match a {
             Action::Send { server, .. } => Some(server.to_string()),
--- a/tests/cost.rs
+++ b/tests/cost.rs
@@ -52,11 +52,12 @@
     let sum = |load, warm| {
         balancing(load, IDLE, OVERLOAD) + locality(MISS, warm) + replacement(load, IDLE, MISS, warm)
     };
-    // Beside an idle stranger the holder wins until its load exceeds idle by a miss less one.
+    // Against an idle server without the key, the one that has it cached wins until its load exceeds `idle` by the
+    // cost of a miss less one.
     for (load, holds) in [(30.0, true), (78.0, true), (80.0, false), (131.0, false)] {
         assert_eq!(sum(load, 1.0) < sum(0.0, 0.0), holds, "load {load}");
     }
-    // Beside a loaded stranger by nearly two.
+    // Against a server at the `idle` load without the key, it wins until the excess is nearly that of two misses.
     for (load, holds) in [(30.0, true), (127.0, true), (129.5, false)] {
         assert_eq!(sum(load, 1.0) < sum(30.0, 0.0), holds, "load {load}");
     }
@@ -68,7 +69,7 @@
     for pair in mixed.windows(2) {
         assert!(order(pair[1], 1.0, true) < order(pair[0], 1.0, true), "{pair:?}");
     }
-    // By size, the order among equals stays, and a server comes first for a share by its size.
+    // With sizes, the order among equal servers stays, and a server ranks first for a share of the keys by its size.
     for pair in mixed.windows(2).filter(|pair| pair[1] - pair[0] > 1 << 40) {
         assert!(order(pair[1], 1.0, false) < order(pair[0], 1.0, false), "{pair:?}");
     }
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -1,4 +1,4 @@
-//! Both operators' settings through one program: what differs is read from them, nothing goes by a name.
+//! The settings of two different operators in one program: behavior depends on the settings alone, not on names.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use gradepaddle::settings::Config;
 use gradepaddle::*;
 
-/// Trade orders: no probes, no reports, no hints, nothing keyed.
+/// An order service: no probes, no load reports, no work hints, no keyed class.
 const ORDERS: &str = r#"{"categories":[
     {"name":"voorraad","aimMs":1200,"deadlineMs":5000,"effect":"safe","points":1},
     {"name":"afrekening","aimMs":2000,"deadlineMs":6000,"effect":"unsafe","points":5}],
@@ -16,7 +16,7 @@
     "rules":{"fallMultiple":3,"tipAfterMs":2000,"coldFrom":0.36,"warmWithinMs":7700,"drainGraceMs":1000},
     "report":{"names":[],"via":"off"},"peersTotal":3,"me":0,"overShareWorth":0.05}"#;
 
-/// Lift reports: probes, queue reports, hints, a class keyed within its zone.
+/// A lift monitoring service: probes, queue reports, work hints, and a class keyed within its zone.
 const LIFTS: &str = r#"{"categories":[
     {"name":"status","aimMs":600,"deadlineMs":2500,"effect":"safe","points":1},
     {"name":"fault-report","aimMs":600,"deadlineMs":3000,"effect":"keyed","group":"zone","windowMs":6000,"points":3},
@@ -32,8 +32,8 @@
     config.deployment().expect("the settings make sense")
 }
 
-/// Guards against a deployment that gets another's rules: a replaced fleet is probed where that is allowed and only
-/// there, a keyed request is repeated in its zone and window alone, and times are each deployment's own.
+/// Guards against a deployment that gets the rules of another: new servers are probed only where that is allowed, a keyed
+/// request is retried only within its own zone and window, and times are those of the deployment.
 #[test]
 fn each_deployment_gets_what_its_settings_say() {
     let (orders, lifts) = (deployment(ORDERS), deployment(LIFTS));
@@ -53,8 +53,8 @@
     }
 }
 
-/// Guards a keyed request whose server fails: it is tried again within its zone as long as its key is remembered
-/// there, never in another zone and never after, and then it fails without a claim that it did not run.
+/// Guards a keyed request whose server fails: it is retried within its zone while that remembers the request, never in
+/// another zone or later. Then it fails, and the answer does not claim that it was not executed.
 #[test]
 fn a_keyed_request_is_repeated_in_its_zone_and_window_alone() {
     let keyed = deployment(LIFTS).settings;
@@ -77,7 +77,7 @@
         };
         bench.event(1_000, Event::Request(arrival));
         let first = zones(&bench, &all).expect("an idle fleet takes it");
-        // Its zone has one more server, which still remembers what was sent.
+        // Its zone has one more server, which still recognizes the request.
         let at = if late { 6_100_000 } else { 200_000 };
         bench.end(at, "r", 0, Outcome::Reset, at);
         if late {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! What is harmless in one gateway and harmful when a hundred do it.
+//! Behavior that is harmless in one gateway and harmful when a hundred gateways do it at once.
 
 mod common;
 
@@ -10,9 +10,9 @@
 
 const SECOND: Micros = 1_000_000;
 
-/// A discovery that serves calls in turn: each takes it `work`, and fails once it has waited `patience`,
-/// though the work on it is done all the same. Gateways start at the times given; returns when the last
-/// one has its watch, and how many calls it took.
+/// Simulates a discovery service that serves calls one by one: each takes `work`, and fails at the caller once it
+/// has waited for `patience`, although its work is done all the same. Gateways start at the given times. Returns
+/// when the last one is subscribed, and the number of calls.
 fn watched(starts: &[Micros], work: Micros, patience: Micros) -> (Option<Micros>, usize) {
     let mut gateways: Vec<Bench> = (0..starts.len() as u32)
         .map(|me| {
@@ -25,7 +25,7 @@
             })
         })
         .collect();
-    // What each is told next: the first list, a time that it asked for, or how its call ended.
+    // The next event of each gateway: the first list, a timer, or the end of its call.
     let mut due: BinaryHeap<Reverse<(Micros, usize, u8)>> =
         starts.iter().enumerate().map(|(at, start)| Reverse((*start, at, 0))).collect();
     let (mut busy, mut calls, mut served) = (0, 0, Vec::new());
@@ -59,19 +59,19 @@
     (served.last().copied().filter(|_| served.len() == starts.len()), calls)
 }
 
-/// Guards against a fleet whose calls for the list, all made at once and made again when they fail, keep
-/// discovery so busy that hardly any comes through: then nobody hears of a release.
+/// Guards against a fleet whose gateways all request the server list at once and again when that fails: discovery
+/// is then too busy to serve almost any of them, and no gateway learns of a release.
 #[test]
 fn a_hundred_gateways_that_start_at_once_all_get_their_watch() {
     let (last, calls) = watched(&[0; 100], 50_000, 2 * SECOND);
     assert!(last.is_some_and(|at| at < 8 * SECOND), "the last watch came at {last:?} after {calls} calls");
     assert!(calls < 110, "{calls} calls for 100 watches");
-    // A discovery half as fast makes some wait too long; they must not crowd out the others.
+    // With a discovery half as fast some calls time out; their repetitions must not displace the others.
     let (last, calls) = watched(&[0; 100], 100_000, 2 * SECOND);
     assert!(last.is_some_and(|at| at < 40 * SECOND), "the last watch came at {last:?} after {calls} calls");
 }
 
-/// A mechanism for a large fleet costs a small one nothing.
+/// Spreading the calls of a large fleet does not delay those of a small one.
 #[test]
 fn a_few_gateways_call_at_once() {
     assert_eq!(watched(&[0; 3], 1_000, 2 * SECOND), (Some(3_000), 3));
@@ -83,8 +83,8 @@
     Settings { classes, gateway_count: 100, handshake_price: 0.08, ..Settings::default() }
 }
 
-/// Guards against second copies on thin evidence: where a server has nothing else of ours, an answer that takes
-/// twice the usual is a heavy request as a rule. One that takes six times as long still gets its copy.
+/// Guards against hedging on weak evidence: if a server has no other request of this gateway, an answer that takes
+/// twice the usual time usually belongs to a heavy request. After six times the usual time it is still hedged.
 #[test]
 fn a_lone_request_gets_its_copy_late_where_connections_are_priced() {
     let copied = |settings: Settings, after: Micros| {
@@ -92,7 +92,7 @@
         let now = bench.settle(0, 300);
         bench.arrive(now, "r", "k", 10_000.0);
         assert!(bench.sent().is_some());
-        // Woken whenever it asks for that.
+        // Delivers each wake-up that it requests.
         let mut at = now;
         while at <= now + after {
             bench.event(at, Event::Wake);
@@ -108,8 +108,8 @@
     assert!(copied(thin(), 70_000));
 }
 
-/// Guards against a cold budget that shrinks as the warm servers jam: what they answered before the jam tells
-/// what a cold one bears, not the little that they answer in it.
+/// Guards against a cold-start budget that shrinks while the warm servers are overloaded: their answer rate before
+/// the overload shows what a cold server can handle, not the low rate during it.
 #[test]
 fn a_cold_server_helps_also_while_the_warm_ones_jam() {
     let sent_cold = |jam: bool| {
@@ -117,7 +117,7 @@
         let mut bench = Bench::with_servers(settings, 8);
         let mut now = bench.settle(0, 500);
         if jam {
-            // For three windows one in ten is answered.
+            // For three windows, one request in ten is answered.
             for i in 0..120 {
                 let id = format!("jam{i}");
                 bench.arrive(now, &id, &format!("jam{i}"), 10_000.0);
@@ -145,8 +145,8 @@
     assert!(jam * 2 >= calm && calm > 0, "{jam} in a jam, {calm} without");
 }
 
-/// Guards against a bad server that is paid for by every gateway many times over: each meets it seldom, and
-/// with another class each time, but one error there is already most of what it has heard of that server.
+/// Guards against a failing server that costs every gateway many requests: each gateway sends to it rarely, and of
+/// another class each time, so a single error is already most of the evidence about that server.
 #[test]
 fn a_server_that_only_errs_costs_each_gateway_little() {
     let classes: Vec<Class> = (0..4).map(|_| class(Idempotency::Unsafe)).collect();
@@ -174,7 +174,7 @@
             None => {}
         }
     }
-    // 60 of 600 would go there by chance.
+    // With uniform selection, 60 of 600 would go there.
     assert!(errors > 0 && errors <= 4, "{errors} errors");
 }
 
@@ -186,8 +186,8 @@
     bench
 }
 
-/// Guards against a lost zone that is found out server by server: all gateways together would send it a request
-/// for each connection that they have there, and wait for a dial at each server besides.
+/// Guards against detecting a lost zone server by server: all gateways together would send it a request for each
+/// connection that they have there, and wait for a connection attempt at each server besides.
 #[test]
 fn a_zone_that_falls_silent_is_left_alone_as_a_whole_and_found_again() {
     let mut bench = three_zones(Settings { classes: vec![class(Idempotency::Unsafe)], ..thin() });
@@ -212,11 +212,11 @@
     assert!(later >= 20, "{later} after it answers again");
 }
 
-/// A zone is left alone only while another is left: with all silent, each request is still tried somewhere.
+/// A silent zone is avoided only while another zone answers: if all are silent, each request is still tried somewhere.
 #[test]
 fn where_all_zones_are_silent_none_is_left_alone() {
     let mut bench = three_zones(Settings { classes: vec![class(Idempotency::Unsafe)], ..thin() });
-    // All have answered before: one that never has is left alone by itself.
+    // All servers have answered before; one that never has is avoided for that reason alone.
     let start = bench.settle(0, 600);
     let mut tried = 0;
     for i in 0..20u64 {
@@ -232,14 +232,14 @@
     assert!(tried >= 15, "{tried} of 20 were tried");
 }
 
-/// Guards against a jam that is seen only after seconds: among a hundred gateways a server's own reading takes
-/// that long, but what all servers together hold of mine tells at once.
+/// Guards against an overload that is detected only after seconds: with a hundred gateways, the estimate of one server's
+/// work takes that long, but this gateway's work over all servers shows it at once.
 #[test]
 fn a_jam_of_the_whole_fleet_is_seen_while_it_builds() {
     let classes: Vec<Class> = (0..4).map(|_| class(Idempotency::Unsafe)).collect();
     let mut bench = three_zones(Settings { classes, ..thin() });
     let start = bench.settle(0, 400);
-    // From here on each answer takes 290 ms, of an aim of 300.
+    // From here on each answer takes 290 ms, with a latency target of 300 ms.
     let (mut out, mut taken) = (Vec::new(), 0);
     for i in 0..60u64 {
         let now = start + i * 20_000;
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Decisions, pinned: balancers with several settings are driven by events drawn by seed, and the actions that they return
-//! go into one number. A change of names or of structure leaves the numbers as they are, a change of a decision does not.
+//! Pinned decisions: balancers with several settings process pseudorandom events, and the actions that they return are hashed
+//! into one number. Renames and refactorings leave the numbers as they are; a changed decision does not.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 const STEPS: usize = 6_000;
 const SERVERS: u64 = 26;
 
-/// What seeds 1 to 8 give where each attempt is answered by a living server, so that none is on trial. Taken from commit 7941648.
+/// The hashes of seeds 1 to 8 where every attempt is answered, so that no server is unproven. Recorded at commit 7941648.
 const DIGESTS_WITHOUT_TRIALS: [&str; 8] = [
     "bd38d3d893d51c4d",
     "0c5c04aac534085d",
@@ -24,8 +24,8 @@
     "51797709531d0f83",
 ];
 
-/// What seeds 1 to 8 give. Taken from the commit in which servers on trial got a size; before that, the waits of classes
-/// that might try one were no numbers.
+/// The hashes of seeds 1 to 8. Recorded at the commit in which unproven servers got a size; before it, the waits of classes
+/// that might try one were NaN.
 const DIGESTS: [&str; 8] = [
     "20c4348325d737f9",
     "b124b8f7b06b4cb5",
@@ -55,12 +55,12 @@
     }
 }
 
-/// Which faults a play has.
+/// The faults that a run has.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Faults {
-    /// All: attempts stay without an answer, and servers are on trial.
+    /// All: attempts may get no answer, and servers may be unproven.
     Any,
-    /// Answers that show that a server is there.
+    /// Only answers that show that the server is up.
     AnsweredOnly,
 }
 
@@ -342,7 +342,7 @@
         now += play.random.below(8_000);
         play.dark = (step / 700) % 3 == 1;
         if step == STEPS * 2 / 3 {
-            // Long enough for servers that were dropped to be forgotten.
+            // Long enough for servers that were dropped to be removed.
             now += 70_000_000;
         }
         match play.random.below(100) {
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,4 +1,4 @@
-//! The script that judges a test run by the list of known failures.
+//! Tests of the script that compares a test run with the list of known failures.
 
 use std::path::PathBuf;
 use std::process::Command;
@@ -10,7 +10,7 @@
     error: 2 targets failed:\n    `-p x --test y`\n    `-p x --test z`\n";
 const NAMES: &str = "a::one: test\nb: test\nc: test\nd: test\n\n4 tests, 0 benchmarks\n";
 
-/// How the run is judged, and what is said of it.
+/// The exit status and output of the script for a run.
 fn judged(case: &str, log: &str, status: &str, list: &str) -> (bool, String) {
     let folder = std::env::temp_dir().join(format!("known-red-{}-{case}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
@@ -28,8 +28,8 @@
     (run.status.success(), said)
 }
 
-/// Guards a landing against failures that nobody listed, and the list against tests that pass again, that nobody has,
-/// and against a fourth.
+/// Guards against failures that are not on the list, and against a list with tests that pass again or do not exist, or with
+/// more than three entries.
 #[test]
 fn just_what_is_listed_may_fail() {
     let one = "a::one, loses an answer, 34\n";
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -1,4 +1,4 @@
-//! The ramp of a cold server, by the sum of what all gateways send it.
+//! Slow start of cold servers: the total work that all gateways send them.
 
 mod common;
 
@@ -12,28 +12,27 @@
 /// The work of a request, at servers of one core.
 const WORK: Micros = 100_000;
 const SERVERS: u8 = 20;
-/// What a cold server bears beyond its capacity: little, so that the budget binds before its queue does.
+/// The overload factor that a cold server bears; low, so that the budget limits it before its queue does.
 const MULTIPLE: f64 = 1.3;
 
-/// An attempt is given up after this.
+/// An attempt times out after this.
 const LONGEST: Micros = 1_200_000;
 
 /// How an attempt ends, by its number in the queue of events.
 const ENDS: [Outcome; 3] = [Outcome::Ok, Outcome::ConnectFailed, Outcome::TimedOut];
 
-/// A server of one core, its requests one after the other.
+/// A server with one core that processes requests one after the other.
 #[derive(Default)]
 struct Queue {
     busy: Micros,
-    /// When what it was sent in the last window came.
+    /// Arrival times of the requests that it got in the last window.
     sent: VecDeque<Micros>,
 }
 
-/// What comes next, by time: at this gateway a new request, or the end of an attempt: of which request, the attempt's
-/// number, how it ends and what it took.
+/// The events by time: a new request at a gateway, or the end of an attempt with its request, number, outcome and duration.
 type Due = BinaryHeap<Reverse<(Micros, u32, Option<(String, u32, u8, Micros)>)>>;
 
-/// Draws by xorshift, so that each run is the same.
+/// A xorshift generator, so that runs are reproducible.
 struct Draw(u64);
 
 impl Draw {
@@ -45,10 +44,10 @@
     }
 }
 
-/// The most that cold servers were sent in any fall window by all gateways together, beyond N + 2 x root of N + 2, and how
-/// much they were sent in all. Each gateway sees its own part of the traffic, some of them three times that of others; one
-/// in ten attempts fails and is made again elsewhere. The cold servers are the last ones; all are told of their start, and
-/// at once that the first `gone` servers are no more, whose load seeks others.
+/// Returns the most that all gateways together sent to cold servers in any overload window, beyond N + 2 x root of N + 2, and
+/// the total that they sent them. Each gateway gets its own part of the traffic, some three times that of others; one attempt
+/// in ten fails and is retried elsewhere. The cold servers are the last ones. Their start is announced to all gateways together
+/// with the loss of the first `gone` servers, whose load moves to the others.
 fn beyond(gateways: u32, load: f64, (cold, gone): (u8, u8), seed: u64) -> (f64, usize) {
     let settings = |me| Settings {
         classes: vec![class(Idempotency::Safe)],
@@ -110,7 +109,7 @@
                 window.pop_front();
                 count += 1;
             }
-            // What it bears by its warmth at the beginning of the window.
+            // What it can handle by its capacity at the beginning of the window.
             let age = now.saturating_sub(2 * SECOND).saturating_sub(start) as f64;
             let warmth = 0.36 + 0.64 * (age / (6 * SECOND) as f64).min(1.0);
             let bears = MULTIPLE * warmth * (2 * SECOND) as f64 / WORK as f64;
@@ -120,7 +119,7 @@
     (most, count)
 }
 
-/// Takes note of what was sent, and when it ends.
+/// Records the attempts that were sent, and schedules their ends.
 fn follow(
     bench: &Bench,
     draw: &mut Draw,
@@ -143,8 +142,8 @@
     due.push(Reverse((then, me, Some((id.to_owned(), attempt, outcome, then - now)))));
 }
 
-/// Guards cold servers against the sum of what many gateways send, none of which knows of the others: beyond what the
-/// settings allow, only chance.
+/// Guards cold servers against overload by many gateways that do not know of each other: beyond what the settings allow, the
+/// sum may exceed the bound only by random variation.
 #[test]
 fn the_sum_over_all_gateways_keeps_the_budget_of_a_cold_server() {
     for (gateways, load, cold, gone) in
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Random legal sequences of events: whatever happens, the rules hold and runs are repeatable.
+//! Random valid sequences of events: the invariants hold in all of them, and runs are reproducible.
 
 mod common;
 
@@ -54,7 +54,7 @@
     all
 }
 
-/// Cells of one server, zones of two, kinds in turn.
+/// Cells of one server, zones of two, alternating machine types.
 fn placed(i: u8, state: ServerState) -> Server {
     Server { state, kind: u32::from(i % 2), ..server(&name(i), u32::from(i)) }
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter on small hand-written rounds.
+//! The simulator's adapter on short hand-written rounds.
 
 use gradepaddle::wire::serve;
 
