--- a/dispatch/src/lib.rs
+++ b/dispatch/src/lib.rs
@@ -9,7 +9,7 @@
 //! and its transaction ends in the safe way, which is a failure that claims nothing.
 //!
 //! ```
-//! use gradepaddle::{Balancer, ListKind, Server, Settings, State};
+//! use gradepaddle::{Balancer, ListKind, Server, Settings, ServerState};
 //! use gradepaddle_dispatch::{Cause, Dispatch, Extent, FinalAnswer, Input, Limits, Output, Transaction};
 //!
 //! let settings = Settings::default();
@@ -17,7 +17,7 @@
 //! let mut dispatch: Dispatch<_, &str, &str> = Dispatch::new(balancer, &settings, "n1", Limits::default());
 //! let mut out = Vec::new();
 //! let server = Server {
-//!     id: "a".into(), zone: 0, kind: 0, cell: 0, state: State::Ready, weight: 1.0, started: None,
+//!     id: "a".into(), zone: 0, kind: 0, cell: 0, state: ServerState::Ready, weight: 1.0, started: None,
 //! };
 //! dispatch.handle(0, Input::ServerList { kind: ListKind::Full, servers: vec![server] }, &mut out);
 //! let transaction = Transaction {
