--- a/src/probing.rs
+++ b/src/probing.rs
@@ -1,40 +1,40 @@
-//! When servers are probed, and what an answer changes.
+//! Health probes of unproven servers: when they are sent and how answers are processed.
 
 use crate::api::{Action, Micros, Outcome};
 use crate::balancer::TRIAL_INTERVAL;
 use crate::state::Balancer;
 
-/// After so many probes without an answer a server on trial is tried by requests: what answers those is up,
-/// though nobody can probe it.
-pub const UNPROBED: u32 = 2;
+/// After this many unanswered probes, an unproven server is tried with requests: it may be up but unable to
+/// answer probes.
+pub const PROBES_BEFORE_REQUESTS: u32 = 2;
 
 impl Balancer {
-    /// Probes the servers on trial that are due: at growing intervals, and no more once requests try them.
-    pub(crate) fn probe(&mut self, now: Micros, out: &mut Vec<Action>) {
+    /// Probes the unproven servers that are due, at growing intervals until requests are tried on them.
+    pub(crate) fn send_due_probes(&mut self, now: Micros, out: &mut Vec<Action>) {
         if !self.settings.probes {
             return;
         }
         let mut passed_on = false;
-        for &s in &self.trial {
-            let peer = &mut self.servers[s];
-            if peer.trial > now || peer.doubt >= UNPROBED {
+        for &s in &self.unproven {
+            let upstream = &mut self.servers[s];
+            if upstream.next_trial > now || upstream.failed_trials >= PROBES_BEFORE_REQUESTS {
                 continue;
             }
-            peer.trial = now + (TRIAL_INTERVAL << peer.doubt);
-            peer.doubt += 1;
-            passed_on |= peer.doubt >= UNPROBED;
-            out.push(Action::Probe { server: peer.id.clone() });
+            upstream.next_trial = now + (TRIAL_INTERVAL << upstream.failed_trials);
+            upstream.failed_trials += 1;
+            passed_on |= upstream.failed_trials >= PROBES_BEFORE_REQUESTS;
+            out.push(Action::Probe { server: upstream.id.clone() });
         }
         if passed_on {
             self.classify_servers();
         }
     }
 
-    /// An answer of whatever kind shows that the process is there, none shows nothing: the time of the next
-    /// trial was set when this one began.
-    pub(crate) fn probed(&mut self, now: Micros, server: &str, outcome: Outcome) {
+    /// Marks a server healthy if its process has answered the probe. A missing answer changes nothing, since the
+    /// time of the next trial was set when the probe was sent.
+    pub(crate) fn handle_probe_end(&mut self, now: Micros, server: &str, outcome: Outcome) {
         let answered = matches!(outcome, Outcome::Ok | Outcome::Overloaded | Outcome::Denied);
-        if let Some(server) = self.names.get(server).copied().filter(|_| answered) {
+        if let Some(server) = self.server_slots.get(server).copied().filter(|_| answered) {
             self.record_health(now, server, true);
         }
     }
