--- a/config/src/settings.rs
+++ b/config/src/settings.rs
@@ -102,7 +102,7 @@
     ///
     /// [`Problem::Unreadable`] if the text isn't TOML; otherwise all values that are [`Problem::Missing`] or
     /// [`Problem::Unreadable`], and a [`Problem::ReversedPortRange`], together.
-    pub fn read(text: &str) -> Result<Self, Findings> {
+    pub fn parse(text: &str) -> Result<Self, Findings> {
         let mut reader = Reader::new(text)?;
         let settings = Self::from_reader(&mut reader);
         check_ports(settings.internal_ports, &mut reader);
@@ -113,13 +113,13 @@
     ///
     /// # Errors
     ///
-    /// [`Problem::Unreadable`] with the path of the file if it can't be read; otherwise as [`Settings::read`].
+    /// [`Problem::Unreadable`] with the path of the file if it can't be read; otherwise as [`Settings::parse`].
     pub fn load(path: impl AsRef<Path>) -> Result<Self, Findings> {
         let path = path.as_ref();
         let text = std::fs::read_to_string(path).map_err(|error| {
             Finding::unreadable(WHOLE_DOCUMENT, format_args!("{}: {error}", path.display()))
         })?;
-        Self::read(&text)
+        Self::parse(&text)
     }
 
     /// Whether a part of the rules is in force.
--- a/config/tests/examples.rs
+++ b/config/tests/examples.rs
@@ -5,7 +5,7 @@
 
 #[gtest]
 fn the_example_settings_are_valid() {
-    expect_that!(Settings::read(include_str!("../../examples/system/node.toml")), ok(anything()));
+    expect_that!(Settings::parse(include_str!("../../examples/system/node.toml")), ok(anything()));
 }
 
 #[gtest]
--- a/config/tests/golden.rs
+++ b/config/tests/golden.rs
@@ -77,7 +77,7 @@
 #[gtest]
 fn findings_of_settings_keep_their_text() {
     check_findings(include_str!("golden/settings_findings.txt"), |case| {
-        Settings::read(&case.input).map(drop)
+        Settings::parse(&case.input).map(drop)
     });
 }
 
@@ -193,8 +193,8 @@
 fn check_settings(settings: &[Setting]) {
     for (table, line, set) in settings {
         let table = if table.is_empty() { String::new() } else { format!("[{table}]\n") };
-        let read = Settings::read(&format!("{SHORTEST}{table}{line}\n")).expect(line);
-        let default = Settings::read(SHORTEST).expect("the shortest settings");
+        let read = Settings::parse(&format!("{SHORTEST}{table}{line}\n")).expect(line);
+        let default = Settings::parse(SHORTEST).expect("the shortest settings");
         let mut expected = default.clone();
         set(&mut expected);
         expect_that!(read, eq(&expected), "{line}");
@@ -204,7 +204,7 @@
 
 #[gtest]
 fn each_setting_of_the_process_is_read_by_its_name() {
-    let who = Settings::read("nodeName = 'n'\nip = '10.0.0.1'\nzone = 'z'\n").expect("they are complete");
+    let who = Settings::parse("nodeName = 'n'\nip = '10.0.0.1'\nzone = 'z'\n").expect("they are complete");
     expect_that!(
         (who.node_name.as_str(), who.ip, who.zone.as_str()),
         eq(("n", Ipv4Addr::new(10, 0, 0, 1), "z"))
--- a/config/tests/hostile_bodies.rs
+++ b/config/tests/hostile_bodies.rs
@@ -58,7 +58,7 @@
     #[test]
     fn mutated_settings_are_parsed_without_panic(edits in vec((any::<Index>(), any::<u8>(), any::<bool>()), 1..6)) {
         let text = mutated(SETTINGS.as_bytes(), &edits);
-        if let Err(findings) = Settings::read(&String::from_utf8_lossy(&text)) {
+        if let Err(findings) = Settings::parse(&String::from_utf8_lossy(&text)) {
             prop_assert!(!findings.to_string().is_empty());
         }
     }
--- a/config/tests/settings.rs
+++ b/config/tests/settings.rs
@@ -18,7 +18,7 @@
 
 #[track_caller]
 fn read(text: &str) -> Settings {
-    Settings::read(text).unwrap_or_else(|findings| panic!("{findings}"))
+    Settings::parse(text).unwrap_or_else(|findings| panic!("{findings}"))
 }
 
 /// Findings of a text as (place, whether it is a value that can't be read).
@@ -139,7 +139,7 @@
 #[gtest]
 fn name_address_and_zone_are_required() {
     let expected = ["nodeName", "ip", "zone"].map(|path| Finding::new(path, Problem::Missing));
-    let findings = Settings::read("role = 'node'").expect_err("values are missing");
+    let findings = Settings::parse("role = 'node'").expect_err("values are missing");
     expect_that!(findings.as_slice(), eq(&expected));
 }
 
@@ -147,7 +147,7 @@
 fn all_findings_come_together() {
     let text = "nodeName = 5\nip = '10.0.0'\ninternalPorts = [9, 8]\nseedNodes = ['nowhere']\nbeatEveryMs = -1\n\
         firstBoot = 'yes'\n[listenOn]\nfront = '10.0.0.1'\n[limits]\nopenFiles = 1.5\n[timeBounds]\ngraceS = nan\n";
-    let findings = Settings::read(text).expect_err("much is wrong");
+    let findings = Settings::parse(text).expect_err("much is wrong");
     expect_that!(
         paths(&findings),
         eq(&[
@@ -169,7 +169,7 @@
 #[gtest]
 fn invalid_toml_is_one_finding() {
     for text in ["nodeName", "nodeName = 'n", "ip = 1\nip = 2", "[a\n"] {
-        let findings = Settings::read(text).expect_err("it isn't TOML");
+        let findings = Settings::parse(text).expect_err("it isn't TOML");
         expect_that!(paths(&findings), eq(&[(WHOLE_DOCUMENT, true)]), "{text}");
     }
 }
--- a/daemon/src/admin/line/tests.rs
+++ b/daemon/src/admin/line/tests.rs
@@ -7,7 +7,7 @@
 fn a_line_is_the_same_however_it_is_split() {
     let byte = prop_oneof![Just(b'a'), Just(b' '), Just(b'\r'), Just(0xc3), Just(0xbc)];
     let text = prop::collection::vec(byte, 0..MAX_LINE + 9);
-    proptest!(gradepaddle_http::testing::fixed(), |(text in text, ended: bool, piece_length in 1..40usize)| {
+    proptest!(gradepaddle_http::testing::deterministic_config(), |(text in text, ended: bool, piece_length in 1..40usize)| {
         let mut sent = text.clone();
         if ended {
             sent.push(b'\n');
--- a/daemon/src/attempt.rs
+++ b/daemon/src/attempt.rs
@@ -352,7 +352,7 @@
 
 /// The head of a final response that has arrived already.
 fn early_head(connection: &mut Connection, interim: &mut usize) -> Result<Option<Head>, Cause> {
-    while let Some(head) = connection.try_head().map_err(|error| cause_of(&error))? {
+    while let Some(head) = connection.try_read_head().map_err(|error| cause_of(&error))? {
         if !is_interim(&head, interim)? {
             return Ok(Some(head));
         }
--- a/daemon/src/drain_state/tests.rs
+++ b/daemon/src/drain_state/tests.rs
@@ -29,7 +29,7 @@
 fn drain_and_sigterm_combine_in_any_order() {
     let event = prop_oneof![Just('d'), Just('r'), Just('t'), Just('h')];
     let events = prop::collection::vec((event, 0..900_000u64), 0..8);
-    proptest!(gradepaddle_http::testing::fixed(), |(events in events, wait in 0..5_000_000u64)| {
+    proptest!(gradepaddle_http::testing::deterministic_config(), |(events in events, wait in 0..5_000_000u64)| {
         let (mut state, mut now) = (DrainState::default(), 0);
         for (event, pause) in events {
             now += pause;
--- a/daemon/src/handover/record/tests.rs
+++ b/daemon/src/handover/record/tests.rs
@@ -9,7 +9,7 @@
 /// Guards against an id whose file name leaves the directory, and against two ids with the same file name.
 #[test]
 fn any_id_has_a_file_name_of_its_own() {
-    proptest!(gradepaddle_http::testing::fixed(), |(one in "\\PC{0,12}", two in "\\PC{0,12}")| {
+    proptest!(gradepaddle_http::testing::deterministic_config(), |(one in "\\PC{0,12}", two in "\\PC{0,12}")| {
         let file = |id: &str| file_name("ban", id).expect("short");
         prop_assert!(file(&one).bytes().all(|b| b.is_ascii_alphanumeric() || b"-_%".contains(&b)));
         prop_assert_eq!(one == two, file(&one) == file(&two));
@@ -35,7 +35,7 @@
 #[test]
 fn claims_never_add_up_to_more_than_there_is() {
     let step = (0..3usize, 0..300usize, any::<bool>());
-    proptest!(gradepaddle_http::testing::fixed(), |(steps in prop::collection::vec(step, 1..60))| {
+    proptest!(gradepaddle_http::testing::deterministic_config(), |(steps in prop::collection::vec(step, 1..60))| {
         const ALL: usize = 384;
         let mut live: Vec<(Process, bool)> = Vec::new();
         let mut born = 0;
--- a/daemon/src/service_table/tests.rs
+++ b/daemon/src/service_table/tests.rs
@@ -28,7 +28,7 @@
         prop_assert!(!decoder.has_partial_list());
         Ok(())
     };
-    TestRunner::new(gradepaddle_http::testing::fixed()).run(&lists, check).expect("all cases");
+    TestRunner::new(gradepaddle_http::testing::deterministic_config()).run(&lists, check).expect("all cases");
 }
 
 /// Guards the process against input that is not a list, and its memory against a list without end.
--- a/http/src/body/tests.rs
+++ b/http/src/body/tests.rs
@@ -8,7 +8,7 @@
 #[test]
 fn a_body_does_not_depend_on_how_it_is_cut_and_taken() {
     let parts = prop::collection::vec(prop::collection::vec(any::<u8>(), 1..9000), 0..5);
-    proptest!(crate::testing::fixed(), |(parts in parts, cut in 1..9000usize, most in 1..9000usize, kind in 0..3)| {
+    proptest!(crate::testing::deterministic_config(), |(parts in parts, cut in 1..9000usize, most in 1..9000usize, kind in 0..3)| {
         let whole = parts.concat();
         let (framing, mut sent) = match kind {
             0 => (Framing::Length(whole.len() as u64), whole.clone()),
--- a/http/src/connection.rs
+++ b/http/src/connection.rs
@@ -269,7 +269,7 @@
     /// # Errors
     ///
     /// As [`Connection::read_head`].
-    pub fn try_head(&mut self) -> Result<Option<Head>, ReadError> {
+    pub fn try_read_head(&mut self) -> Result<Option<Head>, ReadError> {
         let mut search = HeadSearch::default();
         loop {
             if let Some(head) = self.take_head(&mut search)? {
--- a/http/src/head/tests.rs
+++ b/http/src/head/tests.rs
@@ -3,10 +3,10 @@
 
 use super::*;
 use crate::buffers::Pool;
-use crate::testing::fixed;
+use crate::testing::deterministic_config;
 
 fn runner() -> TestRunner {
-    TestRunner::new(fixed())
+    TestRunner::new(deterministic_config())
 }
 
 /// Guards against a panic on any input, and against a head whose end depends on the cut.
--- a/http/src/testing.rs
+++ b/http/src/testing.rs
@@ -3,6 +3,6 @@
 use proptest::test_runner::{Config, RngSeed};
 
 /// A configuration of proptest that tries the same cases at every run and keeps no files.
-pub fn fixed() -> Config {
+pub fn deterministic_config() -> Config {
     Config { rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..Config::default() }
 }
--- a/system/src/settings_file.rs
+++ b/system/src/settings_file.rs
@@ -26,7 +26,7 @@
     pub fn reload(&mut self) -> Result<Settings, Findings> {
         self.text = std::fs::read_to_string(&self.path).ok();
         match &self.text {
-            Some(text) => Settings::read(text),
+            Some(text) => Settings::parse(text),
             None => Settings::load(&self.path),
         }
     }
--- a/system/src/shutdown/tests.rs
+++ b/system/src/shutdown/tests.rs
@@ -16,7 +16,7 @@
 const IDLE_SHUTDOWN: Duration = Duration::from_millis(200);
 
 fn settings() -> Settings {
-    Settings::read("nodeName = \"n-1\"\nip = \"10.0.0.1\"\nzone = \"west\"\n[timeBounds]\ngraceS = 8\n")
+    Settings::parse("nodeName = \"n-1\"\nip = \"10.0.0.1\"\nzone = \"west\"\n[timeBounds]\ngraceS = 8\n")
         .expect("the settings are valid")
 }
 
