--- a/config/src/configuration.rs
+++ b/config/src/configuration.rs
@@ -62,8 +62,8 @@
     ///
     /// # Errors
     ///
-    /// The first [`Problem::Unreadable`] value, or all [`Problem::DuplicateField`]s, or all violations of the rules of a valid
-    /// configuration.
+    /// The first [`Problem::Unreadable`] value, or all [`Problem::DuplicateField`]s, or all violations of the rules of
+    /// a valid configuration.
     pub fn parse(body: &[u8]) -> Result<Self, Findings> {
         duplicate_field::check(body)?;
         let body = Body::read(body)?;
--- a/config/src/configuration/body.rs
+++ b/config/src/configuration/body.rs
@@ -1,5 +1,5 @@
-//! The JSON body as it is deserialized, before validation. Fields have the names that `PROTOCOL.md` gives them, except where
-//! an attribute renames them.
+//! The JSON body as it is deserialized, before validation. Fields have the names that `PROTOCOL.md` gives them, except
+//! where an attribute renames them.
 
 use super::object::Object;
 use super::route::RouteKind;
--- a/config/src/configuration/route.rs
+++ b/config/src/configuration/route.rs
@@ -27,8 +27,8 @@
     pub latency_target: Duration,
     /// Priority; 0 is the highest, 5 the default.
     pub priority: u8,
-    /// Its services with their weights (`trafficSplit`, or `backend` alone), all above 0: each service once, in the order of
-    /// their first mention.
+    /// Its services with their weights (`trafficSplit`, or `backend` alone), all above 0: each service once, in the
+    /// order of their first mention.
     pub split: Vec<Target>,
     /// Maximum number of servers that a request may be sent to (`tries`); at least 1, which is the default.
     pub max_attempts: u32,
--- a/config/src/configuration/route_table.rs
+++ b/config/src/configuration/route_table.rs
@@ -1,7 +1,7 @@
 //! Looks up the route of a request by its host and the longest matching prefix of its path.
 //!
-//! For each host there is a hash map of its prefixes and a list of their distinct lengths. A lookup tries these lengths from
-//! the longest, so its cost grows with the number of distinct lengths and not with the number of routes.
+//! For each host there is a hash map of its prefixes and a list of their distinct lengths. A lookup tries these lengths
+//! from the longest, so its cost grows with the number of distinct lengths and not with the number of routes.
 
 use super::route::Route;
 use foldhash::{HashMap, HashMapExt};
--- a/config/src/settings.rs
+++ b/config/src/settings.rs
@@ -43,11 +43,13 @@
     pub region: String,
     /// First and last port of the range for connections between processes (`internalPorts`); 7640 to 7655 by default.
     pub internal_ports: (u16, u16),
-    /// Control addresses of a few machines, by which the others are discovered (`seedNodes`); they may be down. None by default.
+    /// Control addresses of a few machines, by which the others are discovered (`seedNodes`); they may be down. None by
+    /// default.
     pub seed_nodes: Vec<SocketAddrV4>,
     /// Whether the complete system starts for the first time, on empty disks (`firstBoot`); `false` by default.
     pub first_boot: bool,
-    /// Whether the loss of this machine counts towards [`FaultTolerance::machine_losses`] (`lossCounts`); `false` by default.
+    /// Whether the loss of this machine counts towards [`FaultTolerance::machine_losses`] (`lossCounts`); `false` by
+    /// default.
     pub loss_counts: bool,
     /// Directory on the disk (`dataPath`), if there is one.
     pub data_path: Option<PathBuf>,
--- a/config/src/settings/bounds.rs
+++ b/config/src/settings/bounds.rs
@@ -51,14 +51,14 @@
     pub drain: Duration,
     /// Time from SIGTERM to SIGKILL (`graceS`); 8 s by default.
     pub grace: Duration,
-    /// Time after the last byte of a request within which its connection may be closed without a response if the request has
-    /// not been forwarded (`lossSlackMs`); 200 ms by default.
+    /// Time after the last byte of a request within which its connection may be closed without a response if the
+    /// request has not been forwarded (`lossSlackMs`); 200 ms by default.
     pub loss_slack: Duration,
     /// Time after its acknowledgment within which a configuration must be in force everywhere (`configApplyMs`); 2 s by
     /// default.
     pub config_apply: Duration,
-    /// Time after the effect of a configuration version was seen within which a request may still be handled by an older one
-    /// (`rollbackSlackMs`); 250 ms by default.
+    /// Time after the effect of a configuration version was seen within which a request may still be handled by an
+    /// older one (`rollbackSlackMs`); 250 ms by default.
     pub rollback_slack: Duration,
     /// Maximum time that an unstable core adds to the bound for configurations (`maxStretchMs`); 5 s by default.
     pub max_stretch: Duration,
@@ -81,12 +81,14 @@
     pub checks_fencing_token: bool,
     /// Time within which two primaries must not alternate in giving orders (`leaseMs`); 3 s by default.
     pub lease: Duration,
-    /// Time after a process was resumed or a partition healed during which orders don't count (`thawMs`); 300 ms by default.
-    pub thaw: Duration,
-    /// Time after the acknowledgment of a model version from which no request may begin on an older one (`versionMs`); 8 s by
+    /// Time after a process was resumed or a partition healed during which orders don't count (`thawMs`); 300 ms by
     /// default.
+    pub thaw: Duration,
+    /// Time after the acknowledgment of a model version from which no request may begin on an older one (`versionMs`);
+    /// 8 s by default.
     pub version: Duration,
-    /// Time within which every server must have an announced model version (`versionAllMs`); 0, the default, means no bound.
+    /// Time within which every server must have an announced model version (`versionAllMs`); 0, the default, means no
+    /// bound.
     pub version_all: Duration,
 }
 
--- a/http/src/body.rs
+++ b/http/src/body.rs
@@ -1,15 +1,15 @@
-//! A body that is read part by part: where it ends, and what is still to come. No I/O.
+//! Reads a body part by part and finds its end. No I/O.
 
 use crate::buffers::Chain;
 use crate::framing::{ChunkedDecoder, Framing};
 use crate::{MAX_BODY_BYTES, ReadError};
 
-/// What is still to come of a body.
+/// The unread rest of a body.
 pub struct Body {
     remaining: Remaining,
     /// Bytes taken so far.
     taken: u64,
-    /// Bytes that the body may have.
+    /// Maximum length of the body in bytes.
     limit: u64,
 }
 
@@ -20,7 +20,7 @@
 }
 
 impl Body {
-    /// A body of which nothing was taken, of [`MAX_BODY_BYTES`] at most.
+    /// Creates the reader of a new body of at most [`MAX_BODY_BYTES`].
     ///
     /// # Errors
     ///
@@ -29,7 +29,7 @@
         Body::with_limit(framing, MAX_BODY_BYTES)
     }
 
-    /// A body of which nothing was taken, of `limit` bytes at most.
+    /// Creates the reader of a new body of at most `limit` bytes.
     ///
     /// # Errors
     ///
@@ -44,33 +44,34 @@
         Ok(Body { remaining, taken: 0, limit })
     }
 
-    /// Moves what has come, until `to` holds `most` bytes; true once the body is complete.
+    /// Moves bytes of the body from `input` to `to` until `to` has `max_length` bytes or `input` has no more of them;
+    /// true once the body is complete.
     ///
     /// # Errors
     ///
-    /// [`ReadError::Malformed`] if the chunks have no valid form, [`ReadError::BodyTooLong`] beyond the limit.
-    pub fn take(&mut self, inbox: &mut Chain, to: &mut Chain, most: usize) -> Result<bool, ReadError> {
-        let had = to.len();
-        let space = most.saturating_sub(had);
+    /// [`ReadError::Malformed`] if the chunks are malformed, [`ReadError::BodyTooLong`] beyond the limit.
+    pub fn take(&mut self, input: &mut Chain, to: &mut Chain, max_length: usize) -> Result<bool, ReadError> {
+        let initial_length = to.len();
+        let space = max_length.saturating_sub(initial_length);
         let complete = match &mut self.remaining {
             Remaining::Length(remaining) => {
-                let here = (*remaining).min(space as u64) as usize;
-                let here = here.min(inbox.len());
-                inbox.move_front_to(here, to);
-                *remaining -= here as u64;
+                let length = (*remaining).min(space as u64) as usize;
+                let length = length.min(input.len());
+                input.move_front_to(length, to);
+                *remaining -= length as u64;
                 *remaining == 0
             }
-            Remaining::Chunked(decoder) => decoder.take(inbox, to, most)?,
+            Remaining::Chunked(decoder) => decoder.take(input, to, max_length)?,
             Remaining::UntilClose => {
-                inbox.move_front_to(space.min(inbox.len()), to);
+                input.move_front_to(space.min(input.len()), to);
                 false
             }
         };
-        self.taken += (to.len() - had) as u64;
+        self.taken += (to.len() - initial_length) as u64;
         if self.taken > self.limit { Err(ReadError::BodyTooLong) } else { Ok(complete) }
     }
 
-    /// The connection has ended, with nothing left to take.
+    /// Checks the end of the body after the connection has ended and everything buffered has been taken.
     ///
     /// # Errors
     ///
--- a/http/src/body/tests.rs
+++ b/http/src/body/tests.rs
@@ -3,12 +3,14 @@
 use super::*;
 use crate::buffers::Pool;
 
-/// A body must not depend on how the network cut it or on how it is taken, and against bytes of
-/// the next message that go with it.
+/// Guards against a body that depends on how the network split it or on how it is taken, and against taking bytes of the
+/// next message.
 #[test]
 fn a_body_does_not_depend_on_how_it_is_cut_and_taken() {
     let parts = prop::collection::vec(prop::collection::vec(any::<u8>(), 1..9000), 0..5);
-    proptest!(crate::testing::deterministic_config(), |(parts in parts, cut in 1..9000usize, most in 1..9000usize, kind in 0..3)| {
+    proptest!(crate::testing::deterministic_config(), |(
+        parts in parts, cut in 1..9000usize, max_length in 1..9000usize, kind in 0..3
+    )| {
         let whole = parts.concat();
         let (framing, mut sent) = match kind {
             0 => (Framing::Length(whole.len() as u64), whole.clone()),
@@ -27,40 +29,40 @@
             sent.extend(b"next");
         }
         let pool = Pool::default();
-        let (mut inbox, mut body) = (pool.chain(), Body::new(framing).expect("short"));
-        let (mut got, mut done) = (Vec::new(), false);
+        let (mut input, mut body) = (pool.chain(), Body::new(framing).expect("short"));
+        let (mut received, mut done) = (Vec::new(), false);
         for piece in sent.chunks(cut) {
-            inbox.push(piece);
+            input.push(piece);
             while !done {
                 let mut to = pool.chain();
-                done = body.take(&mut inbox, &mut to, most).expect("well formed");
-                prop_assert!(to.len() <= most);
-                got.extend(to.copy_front(to.len()));
-                if to.len() < most {
+                done = body.take(&mut input, &mut to, max_length).expect("well formed");
+                prop_assert!(to.len() <= max_length);
+                received.extend(to.copy_front(to.len()));
+                if to.len() < max_length {
                     break;
                 }
             }
         }
         prop_assert_eq!(done || body.finish().is_ok(), true);
-        prop_assert_eq!(got, whole);
-        prop_assert_eq!(inbox.copy_front(inbox.len()), if kind == 1 { &b""[..] } else { b"next" });
+        prop_assert_eq!(received, whole);
+        prop_assert_eq!(input.copy_front(input.len()), if kind == 1 { &b""[..] } else { b"next" });
     });
 }
 
-/// Guards against an answer that claims 3 GB and keeps on coming, with or without saying so first.
+/// Guards against a response of 3 GB, with or without an announced length.
 #[test]
 fn a_body_beyond_the_limit_is_rejected() {
     assert!(matches!(Body::new(Framing::Length(MAX_BODY_BYTES + 1)), Err(ReadError::BodyTooLong)));
     let pool = Pool::default();
     let mut body = Body::new(Framing::UntilClose).expect("no length");
     let (mut passed, block) = (0, vec![0; 1 << 20]);
-    let fault = loop {
-        let (mut inbox, mut to) = (pool.chain(), pool.chain());
-        inbox.push(&block);
-        match body.take(&mut inbox, &mut to, usize::MAX) {
+    let error = loop {
+        let (mut input, mut to) = (pool.chain(), pool.chain());
+        input.push(&block);
+        match body.take(&mut input, &mut to, usize::MAX) {
             Ok(_) => passed += block.len() as u64,
-            Err(fault) => break fault,
+            Err(error) => break error,
         }
     };
-    assert!(matches!(fault, ReadError::BodyTooLong) && passed == MAX_BODY_BYTES);
+    assert!(matches!(error, ReadError::BodyTooLong) && passed == MAX_BODY_BYTES);
 }
--- a/http/src/buffers.rs
+++ b/http/src/buffers.rs
@@ -1,58 +1,58 @@
-//! Buffers of one size from a pool, chained for messages longer than one of them.
+//! A pool of buffers of one size, and chains of them for messages longer than one buffer.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::io::IoSlice;
 use std::rc::Rc;
 
-/// The size of each buffer, in bytes: most messages fit one.
+/// The size of each buffer, in bytes. Most messages fit into one buffer.
 pub const SIZE: usize = 4096;
-/// Free buffers that the pool keeps; more are given back to the allocator.
-const MAX_FREE: usize = 1024;
+/// Maximum number of free buffers that the pool keeps; further ones are returned to the allocator.
+const MAX_FREE_BUFFERS: usize = 1024;
 
-/// How much of a message is moved at once, in bytes: while memory is low, and otherwise.
+/// Maximum bytes of a message that are transferred at once: while memory is low, and otherwise.
 const PART_SIZES: [usize; 2] = [SIZE, 8 * SIZE];
 
-/// A body up to this length, in bytes, is buffered completely before it is forwarded, a longer one is streamed. While
-/// memory is low, that is one buffer.
+/// A body up to this length, in bytes, is buffered completely before it is forwarded; a longer one is streamed. While
+/// memory is low, the limit is one buffer.
 const MAX_BUFFERED_BODY: usize = 16 * SIZE;
 
-/// The pool that all messages take their buffers from.
+/// The pool from which all messages of a thread take their buffers.
 #[derive(Clone, Default)]
 pub struct Pool(Rc<Inner>);
 
 struct Inner {
     free: RefCell<Vec<Box<[u8]>>>,
-    /// Buffers that are in use.
+    /// Number of buffers in use.
     in_use: Cell<usize>,
-    /// From so many on memory is low.
-    low_from: Cell<usize>,
+    /// Number of buffers in use from which on memory is low.
+    low_threshold: Cell<usize>,
 }
 
 impl Default for Inner {
     fn default() -> Self {
-        Inner { free: RefCell::default(), in_use: Cell::default(), low_from: Cell::new(usize::MAX) }
+        Inner { free: RefCell::default(), in_use: Cell::default(), low_threshold: Cell::new(usize::MAX) }
     }
 }
 
 impl Pool {
-    /// Limits the buffers to this many bytes: beyond three quarters of that, memory is low, and each connection adds a few
-    /// buffers at most.
+    /// Limits the buffers to this many bytes. From three quarters of that on, memory counts as low, and each connection
+    /// then takes only a few more buffers.
     pub fn set_limit(&self, bytes: usize) {
-        self.0.low_from.set(bytes / 4 * 3 / SIZE);
+        self.0.low_threshold.set(bytes / 4 * 3 / SIZE);
     }
 
-    /// True if no more should be buffered.
+    /// True if memory is low, so that no more should be buffered.
     pub fn is_low(&self) -> bool {
-        self.0.in_use.get() >= self.0.low_from.get()
+        self.0.in_use.get() >= self.0.low_threshold.get()
     }
 
-    /// How much of a message is moved at once.
+    /// Maximum bytes of a message to transfer at once.
     pub fn part_size(&self) -> usize {
         PART_SIZES[usize::from(!self.is_low())]
     }
 
-    /// How much of a body is buffered at most, in bytes.
+    /// Maximum length of a body that is buffered completely, in bytes.
     pub fn max_buffered_body(&self) -> usize {
         if self.is_low() { SIZE } else { MAX_BUFFERED_BODY }
     }
@@ -62,65 +62,65 @@
         self.0.free.borrow_mut().pop().unwrap_or_else(|| vec![0; SIZE].into_boxed_slice())
     }
 
-    fn give(&self, bytes: Box<[u8]>) {
+    fn put_back(&self, bytes: Box<[u8]>) {
         self.0.in_use.set(self.0.in_use.get() - 1);
         let mut free = self.0.free.borrow_mut();
-        if free.len() < MAX_FREE.min(self.0.low_from.get()) {
+        if free.len() < MAX_FREE_BUFFERS.min(self.0.low_threshold.get()) {
             free.push(bytes);
         }
     }
 
     /// An empty chain of this pool's buffers.
     pub fn chain(&self) -> Chain {
-        Chain { pool: self.clone(), links: VecDeque::new(), len: 0 }
+        Chain { pool: self.clone(), segments: VecDeque::new(), len: 0 }
     }
 }
 
-/// A buffer with the span of it that is in use.
-struct Link {
+/// A buffer and the range of it that is in use.
+struct Segment {
     bytes: Box<[u8]>,
     start: usize,
     end: usize,
 }
 
-/// Bytes in a row of buffers: appended at the back, taken from the front.
+/// A byte queue in a chain of buffers: appended at the back, consumed from the front.
 pub struct Chain {
     pool: Pool,
-    links: VecDeque<Link>,
+    segments: VecDeque<Segment>,
     len: usize,
 }
 
 impl Chain {
-    /// How many bytes it holds.
+    /// The number of bytes in the chain.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// True if it holds nothing.
+    /// True if the chain has no bytes.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Free space at the back, at least one byte; what is written there counts after [`Chain::commit`].
+    /// Free space at the back, at least one byte. Bytes written to it belong to the chain after [`Chain::commit`].
     pub fn spare_capacity(&mut self) -> &mut [u8] {
-        if self.links.back().is_none_or(|link| link.end == SIZE) {
-            self.links.push_back(Link { bytes: self.pool.take(), start: 0, end: 0 });
+        if self.segments.back().is_none_or(|segment| segment.end == SIZE) {
+            self.segments.push_back(Segment { bytes: self.pool.take(), start: 0, end: 0 });
         }
-        let at = self.links.len() - 1;
-        let link = &mut self.links[at];
-        &mut link.bytes[link.end..]
+        let last = self.segments.len() - 1;
+        let segment = &mut self.segments[last];
+        &mut segment.bytes[segment.end..]
     }
 
-    /// Counts bytes just written to [`Chain::spare_capacity`]. A buffer that was not used is given back.
+    /// Adds the first `count` bytes of [`Chain::spare_capacity`] to the chain. An unused buffer is returned to the pool.
     pub fn commit(&mut self, count: usize) {
-        if let Some(link) = self.links.back_mut() {
-            link.end += count;
+        if let Some(segment) = self.segments.back_mut() {
+            segment.end += count;
             self.len += count;
         }
-        if self.links.back().is_some_and(|link| link.start == link.end)
-            && let Some(link) = self.links.pop_back()
+        if self.segments.back().is_some_and(|segment| segment.start == segment.end)
+            && let Some(segment) = self.segments.pop_back()
         {
-            self.pool.give(link.bytes);
+            self.pool.put_back(segment.bytes);
         }
     }
 
@@ -140,18 +140,18 @@
         other.slices().for_each(|slice| self.push(slice));
     }
 
-    /// Drops this many bytes at the front, and their buffers go back to the pool.
+    /// Drops this many bytes at the front and returns their buffers to the pool.
     pub fn consume(&mut self, mut count: usize) {
         self.len -= count.min(self.len);
-        while let Some(link) = self.links.front_mut() {
-            let here = count.min(link.end - link.start);
-            link.start += here;
-            count -= here;
-            if link.start < link.end {
+        while let Some(segment) = self.segments.front_mut() {
+            let length = count.min(segment.end - segment.start);
+            segment.start += length;
+            count -= length;
+            if segment.start < segment.end {
                 return;
             }
-            if let Some(link) = self.links.pop_front() {
-                self.pool.give(link.bytes);
+            if let Some(segment) = self.segments.pop_front() {
+                self.pool.put_back(segment.bytes);
             }
         }
     }
@@ -160,26 +160,26 @@
     pub fn move_front_to(&mut self, mut count: usize, to: &mut Chain) {
         while count > 0 {
             let Some(first) = self.slices().next() else { return };
-            let here = count.min(first.len());
-            to.push(&first[..here]);
-            self.consume(here);
-            count -= here;
+            let length = count.min(first.len());
+            to.push(&first[..length]);
+            self.consume(length);
+            count -= length;
         }
     }
 
-    /// Its bytes, buffer by buffer.
+    /// The bytes as one slice per buffer.
     pub fn slices(&self) -> impl Iterator<Item = &[u8]> {
-        self.links.iter().map(|link| &link.bytes[link.start..link.end])
+        self.segments.iter().map(|segment| &segment.bytes[segment.start..segment.end])
     }
 
-    /// Its bytes one by one.
+    /// The bytes one by one.
     pub fn bytes(&self) -> impl Iterator<Item = u8> {
         self.slices().flatten().copied()
     }
 
-    /// The first buffers from this byte on, for one vectored write.
+    /// The bytes after the first `skip` as slices for one vectored write.
     pub fn io_slices(&self, mut skip: usize) -> Vec<IoSlice<'_>> {
-        let mut slices = Vec::with_capacity(self.links.len());
+        let mut slices = Vec::with_capacity(self.segments.len());
         for slice in self.slices() {
             let skipped = skip.min(slice.len());
             skip -= skipped;
@@ -190,21 +190,21 @@
         slices
     }
 
-    /// A copy of the first bytes in one piece.
+    /// A contiguous copy of the first `count` bytes.
     pub fn copy_front(&self, count: usize) -> Vec<u8> {
-        let mut all = Vec::with_capacity(count.min(self.len));
+        let mut copy = Vec::with_capacity(count.min(self.len));
         for slice in self.slices() {
-            let here = (count - all.len()).min(slice.len());
-            all.extend_from_slice(&slice[..here]);
+            let length = (count - copy.len()).min(slice.len());
+            copy.extend_from_slice(&slice[..length]);
         }
-        all
+        copy
     }
 }
 
 impl Drop for Chain {
     fn drop(&mut self) {
-        for link in self.links.drain(..) {
-            self.pool.give(link.bytes);
+        for segment in self.segments.drain(..) {
+            self.pool.put_back(segment.bytes);
         }
     }
 }
--- a/http/src/buffers/tests.rs
+++ b/http/src/buffers/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Guards against bytes lost or doubled where a message crosses from one buffer to the next.
+/// Guards against bytes that are lost or duplicated where a message crosses from one buffer to the next.
 #[test]
 fn a_long_message_keeps_its_bytes_and_gives_its_buffers_back() {
     let pool = Pool::default();
@@ -17,11 +17,11 @@
     chain.consume(SIZE);
     assert_eq!(chain.copy_front(3), message[2 * SIZE + 5..2 * SIZE + 8]);
     drop((chain, front));
-    assert!(pool.0.free.borrow().len() >= 4, "the buffers are there to be used again");
+    assert!(pool.0.free.borrow().len() >= 4, "the buffers are free again");
     assert_eq!(pool.0.in_use.get(), 0);
 }
 
-/// Guards the memory limit: what is out is counted, and beyond its share messages flow in small parts.
+/// Guards the memory limit: buffers in use are counted, and while memory is low messages are transferred in small parts.
 #[test]
 fn a_pool_low_on_memory_gives_small_parts() {
     let pool = Pool::default();
--- a/http/src/connection.rs
+++ b/http/src/connection.rs
@@ -1,7 +1,7 @@
-//! A connection: messages are read from it through a buffer of its own, and written to it.
+//! A connection, from which messages are read through a buffer and to which messages are written.
 //!
-//! Whatever waits for the other side is cancellation safe unless its documentation says otherwise: what has been read
-//! stays in the buffer.
+//! Methods that wait for the peer are cancellation safe unless their documentation says otherwise: bytes that were read
+//! stay in the buffer.
 
 use std::io::{self, ErrorKind, IoSlice};
 use std::mem::MaybeUninit;
@@ -17,45 +17,47 @@
 use crate::stall_budget::StallBudget;
 use crate::{Body, ChunkedDecoder, Framing, Head, MAX_BODY_BYTES, MAX_HEAD_BYTES, ReadError, head};
 
-/// A connection with what has been read from it and not used yet.
+/// A connection and the bytes that were read from it but not consumed yet.
 ///
-/// The guard `G` lives as long as the socket is open, and is dropped after it: a share of a budget of descriptors, or a
-/// count of connections.
+/// The guard `G` lives as long as the socket is open and is dropped after it, for example a share of a descriptor budget or
+/// of a connection count.
 pub struct Connection<G = ()> {
     stream: TcpStream,
-    inbox: Chain,
-    /// What [`Connection::send`] has still to write.
-    outbox: Chain,
-    /// The other side has broken the connection or has ended its reading: what was sent may not have come.
+    read_buffer: Chain,
+    /// Bytes of [`Connection::send`] that have not been written yet.
+    write_buffer: Chain,
+    /// A write failed, since the peer has reset the connection or stopped reading: bytes that were sent may not have
+    /// arrived.
     write_failed: bool,
     max_head: usize,
     max_body: u64,
     _guard: G,
 }
 
-/// How long the other side is given to close after a last response.
+/// Time for the peer to close the connection after a last response.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How far a head has been searched for.
+/// Progress of the search for the end of a head.
 #[derive(Default)]
 pub struct HeadSearch {
-    /// Bytes in which its end is not.
+    /// Number of bytes that were searched without finding the end.
     searched: usize,
-    /// Bytes of empty lines before it.
+    /// Number of bytes of skipped empty lines before the head.
     skipped: usize,
 }
 
 impl<G> Connection<G> {
-    /// Takes over a stream and a guard. Buffers come from this pool; heads and bodies may be as long as [`MAX_HEAD_BYTES`]
-    /// and [`MAX_BODY_BYTES`].
+    /// Creates a connection from a stream and a guard. Buffers come from this pool; the limits are [`MAX_HEAD_BYTES`] and
+    /// [`MAX_BODY_BYTES`].
     pub fn new(stream: TcpStream, pool: &Pool, guard: G) -> Self {
-        // Without this a small write may wait for an acknowledgement, which is all that a failure costs.
+        // Without TCP_NODELAY a small write may wait for an acknowledgement. Nothing else depends on it, so a failure
+        // is ignored.
         let _ = stream.set_nodelay(true);
-        let (inbox, outbox) = (pool.chain(), pool.chain());
+        let (read_buffer, write_buffer) = (pool.chain(), pool.chain());
         Connection {
             stream,
-            inbox,
-            outbox,
+            read_buffer,
+            write_buffer,
             write_failed: false,
             max_head: MAX_HEAD_BYTES,
             max_body: MAX_BODY_BYTES,
@@ -63,19 +65,19 @@
         }
     }
 
-    /// With other limits, in bytes: the longest head that is read, and the longest body that [`Connection::body`]
-    /// admits and [`Connection::close_lingering`] discards.
+    /// Sets other limits, in bytes: the longest head that is read, and the longest body that [`Connection::body`] accepts
+    /// and [`Connection::close_lingering`] discards.
     pub fn with_limits(mut self, head: usize, body: u64) -> Self {
         self.set_limits(head, body);
         self
     }
 
-    /// Other limits from now on, as in [`Connection::with_limits`].
+    /// Changes the limits, as in [`Connection::with_limits`].
     pub fn set_limits(&mut self, head: usize, body: u64) {
         (self.max_head, self.max_body) = (head, body);
     }
 
-    /// A body framed so, within this connection's limit.
+    /// Creates the reader of a body with this framing, within this connection's limit.
     ///
     /// # Errors
     ///
@@ -84,26 +86,26 @@
         Body::with_limit(framing, self.max_body)
     }
 
-    /// True if bytes are buffered that no message has used.
+    /// True if unconsumed bytes are buffered.
     pub fn has_input(&self) -> bool {
-        !self.inbox.is_empty()
+        !self.read_buffer.is_empty()
     }
 
-    /// How many bytes are buffered.
+    /// The number of unconsumed bytes in the buffer.
     pub fn buffered_bytes(&self) -> usize {
-        self.inbox.len()
+        self.read_buffer.len()
     }
 
-    /// Reads what there is into the buffer and gives the number of bytes; 0 means that the other side has closed. Cancellation
-    /// safe. A connection that waits occupies no buffer of the pool. Meanwhile the rest of a message that was sent is
-    /// written, however slowly the other side reads it: it may do so after its response.
+    /// Waits for bytes, reads them into the buffer and returns their number; 0 means that the peer has closed. Cancellation
+    /// safe. A waiting connection holds no buffer of the pool. While it waits, it writes the rest of a message that was
+    /// sent, however slowly the peer reads it: a peer may read the rest after it has responded.
     ///
     /// # Errors
     ///
-    /// The error of the socket; also a reset that an earlier write met.
+    /// The error of the socket, also a reset that was reported to an earlier write.
     pub async fn fill(&mut self) -> io::Result<usize> {
         loop {
-            if self.outbox.is_empty() {
+            if self.write_buffer.is_empty() {
                 self.stream.readable().await?;
             } else {
                 tokio::select! {
@@ -123,41 +125,43 @@
         }
     }
 
-    /// Reads what is there at this moment, up to one buffer.
+    /// Reads the available bytes without waiting, up to one buffer.
     fn try_fill(&mut self) -> io::Result<usize> {
-        let read = self.stream.try_read(self.inbox.spare_capacity());
-        self.inbox.commit(*read.as_ref().unwrap_or(&0));
+        let read = self.stream.try_read(self.read_buffer.spare_capacity());
+        self.read_buffer.commit(*read.as_ref().unwrap_or(&0));
         match read {
-            // The kernel reports the reset that made a write fail only once: what reads like an end may be that reset.
+            // The kernel reports a reset only once. If it was reported to a write, the next read returns 0 bytes like a
+            // close.
             Ok(0) if self.write_failed => Err(ErrorKind::ConnectionReset.into()),
             read => read,
         }
     }
 
-    /// Sends a message: writes what the socket takes at once, and the rest while something is read. The other side may
-    /// respond before it has read everything; an error shows when its response is read.
+    /// Sends a message: writes what the socket accepts at once, and the rest during later reads. The peer may respond
+    /// before it has read everything; an error is reported when its response is read.
     pub fn send(&mut self, chains: &[&Chain]) {
-        let written = match self.outbox.is_empty() {
+        let written = match self.write_buffer.is_empty() {
             true => write_now(&self.stream, chains, &mut self.write_failed),
             false => 0,
         };
-        for slice in slices_behind(chains, written) {
-            self.outbox.push(&slice);
+        for slice in slices_after(chains, written) {
+            self.write_buffer.push(&slice);
         }
     }
 
-    /// Writes as much of the unsent rest as the socket takes now.
+    /// Writes as much of the unsent rest as the socket accepts without waiting.
     fn flush(&mut self) {
-        let written = write_now(&self.stream, &[&self.outbox], &mut self.write_failed);
-        self.outbox.consume(written);
+        let written = write_now(&self.stream, &[&self.write_buffer], &mut self.write_failed);
+        self.write_buffer.consume(written);
     }
 
-    /// True if a message was not written to its end: the connection can bear no other.
+    /// True if a message was not written completely: no other message can be sent on this connection.
     pub fn has_unsent(&self) -> bool {
-        !self.outbox.is_empty() || self.write_failed
+        !self.write_buffer.is_empty() || self.write_failed
     }
 
-    async fn more(&mut self) -> Result<(), ReadError> {
+    /// Like [`Connection::fill`], but a close or a failure of the connection is [`ReadError::Closed`].
+    async fn fill_or_closed(&mut self) -> Result<(), ReadError> {
         match self.fill().await {
             Ok(0) | Err(_) => Err(ReadError::Closed),
             Ok(_) => Ok(()),
@@ -175,37 +179,37 @@
             if let Some(head) = self.take_head(&mut search)? {
                 return Ok(head);
             }
-            self.more().await?;
+            self.fill_or_closed().await?;
         }
     }
 
-    /// The next head, if it is buffered. Empty lines before it are skipped (RFC 9112, section 2.2).
+    /// Takes the next head, if it is buffered completely. Empty lines before it are skipped (RFC 9112, section 2.2).
     ///
     /// # Errors
     ///
     /// [`ReadError::Malformed`], or [`ReadError::HeadTooLong`] beyond this connection's limit.
     pub fn take_head(&mut self, search: &mut HeadSearch) -> Result<Option<Head>, ReadError> {
-        while search.searched == 0 && matches!(self.inbox.bytes().next(), Some(b'\r' | b'\n')) {
-            self.inbox.consume(1);
+        while search.searched == 0 && matches!(self.read_buffer.bytes().next(), Some(b'\r' | b'\n')) {
+            self.read_buffer.consume(1);
             search.skipped += 1;
         }
-        if let Some(end) = head::find_end(&self.inbox, search.searched) {
+        if let Some(end) = head::find_end(&self.read_buffer, search.searched) {
             if end > self.max_head {
                 return Err(ReadError::HeadTooLong);
             }
-            let text = self.inbox.copy_front(end);
-            self.inbox.consume(end);
+            let text = self.read_buffer.copy_front(end);
+            self.read_buffer.consume(end);
             return Ok(Some(Head::parse(text)?));
         }
-        search.searched = self.inbox.len();
+        search.searched = self.read_buffer.len();
         match search.searched + search.skipped > self.max_head {
             true => Err(ReadError::HeadTooLong),
             false => Ok(None),
         }
     }
 
-    /// Moves what comes of a body, until `to` holds `most` bytes or no more has come yet; true once it is complete. Waits
-    /// for some of it if need be. Cancellation safe: what was moved is in `to`.
+    /// Reads bytes of a body until `to` has `max_length` bytes or no more are available; true once the body is complete.
+    /// Waits if none are available at first. Cancellation safe: bytes that were read are in `to`.
     ///
     /// # Errors
     ///
@@ -214,17 +218,17 @@
         &mut self,
         body: &mut Body,
         to: &mut Chain,
-        most: usize,
+        max_length: usize,
     ) -> Result<bool, ReadError> {
-        let had = to.len();
+        let initial_length = to.len();
         loop {
-            if body.take(&mut self.inbox, to, most)? {
+            if body.take(&mut self.read_buffer, to, max_length)? {
                 return Ok(true);
             }
-            if to.len() >= most {
+            if to.len() >= max_length {
                 return Ok(false);
             }
-            let read = match to.len() > had {
+            let read = match to.len() > initial_length {
                 true => match self.try_fill() {
                     Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(false),
                     read => read,
@@ -240,31 +244,31 @@
         }
     }
 
-    /// Reads more of a chunked body that has no planned end and is used as it comes, `most` bytes at once; true once it
-    /// has ended all the same. Cancellation safe.
+    /// Reads more of a chunked body that is processed as it arrives and has no planned end, until `body` has at most
+    /// `max_length` bytes; true once the body has ended nevertheless. Cancellation safe.
     ///
     /// # Errors
     ///
     /// [`ReadError::Closed`] if the connection ended, else as [`ChunkedDecoder::take`].
     pub async fn read_chunks(
         &mut self,
-        chunks: &mut ChunkedDecoder,
+        decoder: &mut ChunkedDecoder,
         body: &mut Chain,
-        most: usize,
+        max_length: usize,
     ) -> Result<bool, ReadError> {
-        let had = body.len();
+        let initial_length = body.len();
         loop {
-            if chunks.take(&mut self.inbox, body, most)? {
+            if decoder.take(&mut self.read_buffer, body, max_length)? {
                 return Ok(true);
             }
-            if body.len() > had {
+            if body.len() > initial_length {
                 return Ok(false);
             }
-            self.more().await?;
+            self.fill_or_closed().await?;
         }
     }
 
-    /// The next head, if it has come: a response may come while its request is still being sent.
+    /// Reads the next head without waiting, if it has arrived: a response may arrive while its request is still being sent.
     ///
     /// # Errors
     ///
@@ -284,14 +288,14 @@
         }
     }
 
-    /// Ready once there is something to read, or the other side has closed. Cancellation safe.
+    /// Waits until there are bytes to read or the peer has closed. Cancellation safe.
     pub async fn readable(&self) {
-        // A socket that fails here fails at the next read too, which reports it.
+        // If the socket fails here, the next read fails too and reports the error.
         let _ = self.stream.readable().await;
     }
 
-    /// Ready once the other side has closed or reset the connection, also behind bytes that nobody reads. Polls: unread
-    /// bytes keep the socket readable, so that no event would wake the task. Cancellation safe.
+    /// Waits until the peer has closed or reset the connection, even if unread bytes came before. Polls the socket: unread
+    /// bytes keep it readable, so that no event would wake the task. Cancellation safe.
     pub async fn peer_closed(&self) {
         const POLL_INTERVAL: Duration = Duration::from_millis(40);
         while !matches!(self.stream.ready(Interest::READABLE).await, Ok(ready) if ready.is_read_closed()) {
@@ -299,13 +303,13 @@
         }
     }
 
-    /// Has the connection reset, not closed, when it is dropped; unsent bytes are discarded then.
+    /// Makes the drop of the connection reset it instead of closing it; unsent bytes are then discarded.
     pub fn reset_on_drop(&self) {
-        // If it fails, only a response without a length could pass for complete.
+        // If this fails, the connection is closed instead, and only a truncated response without a length looks complete.
         let _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
 
-    /// Writes the chains one after the other, to their end. Not cancellation safe: a part may have been written.
+    /// Writes the chains completely, one after the other. Not cancellation safe: a part may have been written.
     ///
     /// # Errors
     ///
@@ -320,11 +324,11 @@
         Ok(())
     }
 
-    /// Writes some of what stands behind the first `written` bytes, and gives how many. Cancellation safe.
+    /// Writes some of the bytes after the first `written`, and returns how many. Cancellation safe.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::TimedOut`] if the other side reads nothing for longer than the stall budget allows, else the error of
+    /// [`ErrorKind::TimedOut`] if the peer reads nothing for longer than the stall budget allows, else the error of
     /// the socket.
     pub async fn write_some(
         &self,
@@ -335,29 +339,29 @@
         write_some(&self.stream, chains, written, stall_budget).await
     }
 
-    /// True if the other side has neither closed nor sent anything out of turn. Asks the kernel: tokio's readiness is
-    /// from the last time that the event queue was read, and a request written after a close that came since would count as
-    /// one that may have run.
+    /// True if the peer has neither closed nor sent unexpected bytes. Asks the kernel, because tokio's readiness is
+    /// from the last poll of the event queue: a request written after the peer has closed in the meantime would count
+    /// as one that may have run.
     pub fn is_idle(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         let peeked = SockRef::from(&self.stream).peek(&mut byte);
-        matches!(peeked, Err(e) if e.kind() == ErrorKind::WouldBlock) && self.inbox.is_empty()
+        matches!(peeked, Err(e) if e.kind() == ErrorKind::WouldBlock) && self.read_buffer.is_empty()
     }
 
     /// Ready once an idle connection was closed or received bytes.
     pub fn poll_disturbed(&self, cx: &mut Context<'_>) -> Poll<()> {
         while self.stream.poll_read_ready(cx).is_ready() {
-            // Reading nothing clears tokio's readiness, so that a spurious wake-up is waited out.
-            let nothing = self.stream.try_read(&mut [0]);
-            if !matches!(nothing, Err(e) if e.kind() == ErrorKind::WouldBlock) {
+            // A read that would block clears tokio's readiness, so that a spurious wake-up doesn't end the wait.
+            let read = self.stream.try_read(&mut [0]);
+            if !matches!(read, Err(e) if e.kind() == ErrorKind::WouldBlock) {
                 return Poll::Ready(());
             }
         }
         Poll::Pending
     }
 
-    /// Closes this side after a last response and waits a moment for the other: closing with bytes unread would reset the
-    /// connection, and the response might be lost with it (RFC 9112, section 9.6).
+    /// Shuts down writing after a last response, then discards input until the peer closes or `LINGER_TIMEOUT` has passed:
+    /// closing with unread bytes would reset the connection, and the response might be lost (RFC 9112, section 9.6).
     pub async fn close_lingering(mut self) {
         if self.stream.shutdown().await.is_err() {
             return;
@@ -366,8 +370,8 @@
             let mut read = 0;
             // A client that is still sending the longest body may read its response only after that.
             while read < self.max_body {
-                let buffered = self.inbox.len();
-                self.inbox.consume(buffered);
+                let buffered = self.read_buffer.len();
+                self.read_buffer.consume(buffered);
                 match self.fill().await {
                     Ok(0) | Err(_) => break,
                     Ok(count) => read += count as u64,
@@ -378,8 +382,8 @@
     }
 }
 
-/// The bytes of these chains behind the first `skip`, for one vectored write.
-fn slices_behind<'a>(chains: &[&'a Chain], mut skip: usize) -> Vec<IoSlice<'a>> {
+/// The bytes of these chains after the first `skip`, as slices for one vectored write.
+fn slices_after<'a>(chains: &[&'a Chain], mut skip: usize) -> Vec<IoSlice<'a>> {
     let mut slices = Vec::new();
     for chain in chains {
         slices.extend(chain.io_slices(skip));
@@ -388,13 +392,13 @@
     slices
 }
 
-/// Writes as much as the socket takes now, and gives how many bytes. After an error everything counts as written: what the
-/// other side sent before can still be read.
+/// Writes as much as the socket accepts without waiting, and returns the number of bytes. After an error everything counts
+/// as written: what the peer sent before the error can still be read.
 fn write_now(stream: &TcpStream, chains: &[&Chain], failed: &mut bool) -> usize {
     let total = chains.iter().map(|chain| chain.len()).sum();
     let mut written = 0;
     while written < total && !*failed {
-        match stream.try_write_vectored(&slices_behind(chains, written)) {
+        match stream.try_write_vectored(&slices_after(chains, written)) {
             Ok(count) if count > 0 => written += count,
             Err(e) if e.kind() == ErrorKind::WouldBlock => return written,
             Ok(_) | Err(_) => *failed = true,
@@ -409,7 +413,7 @@
     written: usize,
     stall_budget: &mut StallBudget,
 ) -> io::Result<usize> {
-    let slices = slices_behind(chains, written);
+    let slices = slices_after(chains, written);
     loop {
         match stream.try_write_vectored(&slices) {
             Ok(0) => return Err(ErrorKind::WriteZero.into()),
--- a/http/src/connection/tests.rs
+++ b/http/src/connection/tests.rs
@@ -5,7 +5,7 @@
 
 use super::*;
 
-/// A connection with this guard, and its other end.
+/// A connection with this guard, and the stream of its peer.
 async fn pair<G>(pool: &Pool, guard: G) -> (Connection<G>, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let other = TcpStream::connect(listener.local_addr().expect("bound")).await.expect("connected");
@@ -13,13 +13,14 @@
     (Connection::new(stream, pool, guard), other)
 }
 
-/// A request's head of this many bytes.
+/// The head of a request, of this many bytes.
 fn head_of(length: usize) -> Vec<u8> {
     let frame = "GET / HTTP/1.1\r\nFill: \r\n\r\n".len();
     format!("GET / HTTP/1.1\r\nFill: {}\r\n\r\n", "x".repeat(length - frame)).into_bytes()
 }
 
-/// Guards a limit from the settings against being taken for the default, and the last byte within it.
+/// Guards against using the default instead of the limit from the settings, and against rejecting a head of exactly the
+/// limit.
 #[tokio::test]
 async fn the_limit_of_a_head_is_that_of_its_connection() {
     let pool = Pool::default();
@@ -41,8 +42,8 @@
     }
 }
 
-/// Guards bodies longer than the default, where the settings allow them, and those shorter against more than they
-/// allow, announced or not.
+/// Guards against rejecting bodies that are longer than the default if the settings allow them, and against accepting
+/// bodies beyond a lower limit, with or without an announced length.
 #[tokio::test]
 async fn the_limit_of_a_body_is_that_of_its_connection() {
     let pool = Pool::default();
@@ -68,7 +69,7 @@
             match connection.read_body(&mut body, &mut to, usize::MAX).await {
                 Ok(false) => {}
                 Ok(true) => break Ok(to.copy_front(to.len())),
-                Err(fault) => break Err(fault),
+                Err(error) => break Err(error),
             }
         };
         match expected {
@@ -78,7 +79,7 @@
     }
 }
 
-/// Guards a budget of descriptors against one given back early, or never.
+/// Guards against a share of a descriptor budget that is returned before the socket is closed, or never.
 #[tokio::test]
 async fn the_guard_lives_as_long_as_the_socket() {
     let (pool, guard) = (Pool::default(), Rc::new(()));
@@ -92,27 +93,28 @@
     assert_that!(Rc::strong_count(&guard), eq(1));
 }
 
-/// Guards against a request written to a connection that its other side has spoken on or left.
+/// Guards against a request that is written to an idle connection which its peer has closed or sent bytes on.
 #[tokio::test]
 async fn an_idle_connection_is_disturbed_when_the_other_side_sends_or_closes() {
-    for speaks in [true, false] {
+    for sends in [true, false] {
         let (connection, mut other) = pair(&Pool::default(), ()).await;
         assert!(connection.is_idle());
         let idle =
             timeout(Duration::from_millis(20), std::future::poll_fn(|cx| connection.poll_disturbed(cx)));
-        assert!(idle.await.is_err(), "nothing has stirred it");
-        if speaks {
-            other.write_all(b"out of turn").await.expect("written");
+        assert!(idle.await.is_err(), "nothing has happened to it");
+        if sends {
+            other.write_all(b"unexpected").await.expect("written");
         } else {
             drop(other);
         }
         std::future::poll_fn(|cx| connection.poll_disturbed(cx)).await;
-        // The look has used up one byte of what was said.
+        // The poll has consumed one of the bytes.
         assert!(!connection.is_idle());
     }
 }
 
-/// A reset is told once: to the write that fails. What is read behind that is no end of an answer without length.
+/// The kernel reports a reset only once, here to the write that fails. Guards against taking the next read of 0 bytes for
+/// the end of a response without a length.
 #[tokio::test]
 async fn a_reset_that_made_a_write_fail_is_read_as_a_reset() {
     let pool = Pool::default();
@@ -129,7 +131,8 @@
     assert_that!(connection.fill().await, err(anything()));
 }
 
-/// The other side reads only behind its own word.
+/// The peer sends its first byte before it reads the message. Guards against a rest of a message that is never written
+/// because its sender waits for the response.
 #[tokio::test]
 async fn the_rest_of_a_message_is_written_while_the_response_is_read() {
     let pool = Pool::default();
--- a/http/src/error.rs
+++ b/http/src/error.rs
@@ -1,11 +1,11 @@
-//! Why a message could not be read.
+//! Errors of reading a message.
 
 use snafu::Snafu;
 
-/// What is wrong with the form of a message. The texts reach clients in the body of a 400.
+/// A violation of the message syntax. Clients get its text in the body of a 400 response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum MalformedMessage {
-    /// Nothing but empty lines.
+    /// The head has only empty lines.
     #[snafu(display("there is no first line"))]
     NoFirstLine,
     /// The first line is not UTF-8 or holds a control character.
@@ -14,7 +14,7 @@
     /// The first line has no space.
     #[snafu(display("the first line has too few parts"))]
     FirstLineTooShort,
-    /// The method is no token (RFC 9110, section 5.6.2).
+    /// The method isn't a token (RFC 9110, section 5.6.2).
     #[snafu(display("the method is no token"))]
     InvalidMethod,
     /// The target is not in origin form (RFC 9112, section 3.2.1).
@@ -26,7 +26,7 @@
     /// A response of another version than HTTP/1.x.
     #[snafu(display("the version is not HTTP/1"))]
     UnsupportedResponseVersion,
-    /// The status is no number from 100 to 599.
+    /// The status isn't a number from 100 to 599.
     #[snafu(display("the status is no number of three digits"))]
     InvalidStatus,
     /// More fields than a head may have.
@@ -35,31 +35,31 @@
     /// A field line without a colon.
     #[snafu(display("a header without a colon"))]
     FieldWithoutColon,
-    /// A field name is no token.
+    /// A field name isn't a token.
     #[snafu(display("a header's name is no token"))]
     InvalidFieldName,
     /// A field value holds a control character other than a tab.
     #[snafu(display("a header holds a control character"))]
     InvalidFieldValue,
-    /// `Content-Length` and `Transfer-Encoding` together: request smuggling (RFC 9112, section 6.1).
+    /// `Content-Length` and `Transfer-Encoding` together, which allows request smuggling (RFC 9112, section 6.1).
     #[snafu(display("both a length and a transfer coding"))]
     LengthAndCoding,
-    /// A transfer coding other than one `chunked`.
+    /// A transfer coding other than a single `chunked`.
     #[snafu(display("an unknown transfer coding"))]
     UnknownCoding,
-    /// Several lengths that are not the same.
+    /// Several lengths that differ.
     #[snafu(display("lengths that differ"))]
     DifferingLengths,
-    /// A length that is not made of digits.
+    /// A length that doesn't consist of digits.
     #[snafu(display("the length is no number"))]
     InvalidLength,
-    /// A chunk size that is no hexadecimal number.
+    /// A chunk size that isn't a hexadecimal number.
     #[snafu(display("a chunk's size is no number"))]
     InvalidChunkSize,
-    /// Bytes where the line end behind a chunk is due.
+    /// Other bytes than the line end that is expected after a chunk.
     #[snafu(display("a chunk is longer than its size"))]
     ChunkTooLong,
-    /// A line of the chunked coding beyond its limit.
+    /// A line of the chunked coding that is longer than the limit.
     #[snafu(display("a line is too long"))]
     LineTooLong,
     /// More trailer fields than a body may have.
@@ -67,13 +67,13 @@
     TooManyTrailers,
 }
 
-/// Why no complete message came.
+/// Why no complete message was read.
 #[derive(Debug, Snafu)]
 pub enum ReadError {
-    /// The other side closed the connection, or it broke.
+    /// The peer closed the connection, or the connection failed.
     #[snafu(display("the connection ended"))]
     Closed,
-    /// What came is no HTTP/1.1 message.
+    /// The bytes aren't a valid HTTP/1.1 message.
     #[snafu(transparent)]
     Malformed {
         /// What is wrong with it.
--- a/http/src/framing.rs
+++ b/http/src/framing.rs
@@ -1,22 +1,22 @@
-//! How long a body is, and the chunked coding (RFC 9112, sections 6 and 7).
+//! The length of a message body and the chunked transfer coding (RFC 9112, sections 6 and 7).
 
 use crate::buffers::Chain;
 use crate::{MAX_BODY_BYTES, MalformedMessage, ReadError};
 
-/// The end of a body.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// After so many bytes.
+    /// After this many bytes.
     Length(u64),
     /// After the last chunk.
     Chunked,
-    /// Where the connection ends.
+    /// At the end of the connection.
     UntilClose,
 }
 
 /// The longest size line or trailer line, in bytes.
 const MAX_LINE_BYTES: usize = 1024;
-/// The most trailer fields.
+/// The largest number of trailer fields.
 const MAX_TRAILERS: usize = 32;
 
 /// Decodes a chunked body.
@@ -27,12 +27,12 @@
     limit: u64,
 }
 
-/// What is due next.
+/// The part that is expected next.
 enum ChunkState {
     Size,
-    /// So many bytes of a chunk.
+    /// The remaining bytes of a chunk.
     Data(u64),
-    /// The line end behind a chunk.
+    /// The line end after a chunk.
     DataEnd,
     Trailers,
 }
@@ -44,45 +44,51 @@
 }
 
 impl ChunkedDecoder {
-    /// For a body of which nothing has been taken, in chunks of [`MAX_BODY_BYTES`] at most.
+    /// Creates a decoder for a new body in chunks of at most [`MAX_BODY_BYTES`].
     pub fn new() -> Self {
         ChunkedDecoder::with_limit(MAX_BODY_BYTES)
     }
 
-    /// For a body of which nothing has been taken, in chunks of `limit` bytes at most.
+    /// Creates a decoder for a new body in chunks of at most `limit` bytes.
     pub fn with_limit(limit: u64) -> Self {
         ChunkedDecoder { state: ChunkState::Size, trailers: 0, limit }
     }
 
-    /// Moves what has come of the body, until `body` holds `most` bytes; true once it is complete.
+    /// Moves decoded bytes from `input` to `body` until `body` has `max_length` bytes or `input` has no more of them; true
+    /// once the body is complete.
     ///
     /// # Errors
     ///
-    /// [`ReadError::Malformed`] if the chunks have no valid form, [`ReadError::BodyTooLong`] for a chunk beyond the limit.
-    pub fn take(&mut self, inbox: &mut Chain, body: &mut Chain, most: usize) -> Result<bool, ReadError> {
+    /// [`ReadError::Malformed`] if the chunks are malformed, [`ReadError::BodyTooLong`] for a chunk beyond the limit.
+    pub fn take(
+        &mut self,
+        input: &mut Chain,
+        body: &mut Chain,
+        max_length: usize,
+    ) -> Result<bool, ReadError> {
         loop {
             match self.state {
                 ChunkState::Size => {
-                    let Some(line) = take_line(inbox)? else { return Ok(false) };
+                    let Some(line) = take_line(input)? else { return Ok(false) };
                     let size = self.chunk_size(&line)?;
                     self.state = if size == 0 { ChunkState::Trailers } else { ChunkState::Data(size) };
                 }
                 ChunkState::Data(remaining) => {
-                    let space = most.saturating_sub(body.len()).min(inbox.len());
-                    let here = remaining.min(space as u64);
-                    inbox.move_front_to(here as usize, body);
-                    if here < remaining {
-                        self.state = ChunkState::Data(remaining - here);
+                    let space = max_length.saturating_sub(body.len()).min(input.len());
+                    let length = remaining.min(space as u64);
+                    input.move_front_to(length as usize, body);
+                    if length < remaining {
+                        self.state = ChunkState::Data(remaining - length);
                         return Ok(false);
                     }
                     self.state = ChunkState::DataEnd;
                 }
-                ChunkState::DataEnd => match take_line(inbox)? {
+                ChunkState::DataEnd => match take_line(input)? {
                     None => return Ok(false),
                     Some(rest) if rest.is_empty() => self.state = ChunkState::Size,
                     Some(_) => return Err(MalformedMessage::ChunkTooLong.into()),
                 },
-                ChunkState::Trailers => match take_line(inbox)? {
+                ChunkState::Trailers => match take_line(input)? {
                     None => return Ok(false),
                     Some(rest) if rest.is_empty() => return Ok(true),
                     Some(_) => self.trailers += 1,
@@ -94,28 +100,28 @@
         }
     }
 
-    /// The size in a size line; extensions behind it are ignored.
+    /// Parses the size in a size line; chunk extensions after it are ignored.
     fn chunk_size(&self, line: &[u8]) -> Result<u64, ReadError> {
         let digits = line.split(|b| *b == b';').next().unwrap_or_default().trim_ascii();
         let valid = !digits.is_empty() && digits.iter().all(u8::is_ascii_hexdigit);
         let text = std::str::from_utf8(digits).ok().filter(|_| valid);
         let text = text.ok_or(MalformedMessage::InvalidChunkSize)?;
-        // More digits than a u64 has are no error of form: the chunk is too long.
+        // A number that doesn't fit a u64 is well-formed: the chunk is too long.
         let size = u64::from_str_radix(text, 16).map_err(|_| ReadError::BodyTooLong)?;
         if size > self.limit { Err(ReadError::BodyTooLong) } else { Ok(size) }
     }
 }
 
-/// Takes the next complete line, without its end.
-fn take_line(inbox: &mut Chain) -> Result<Option<Vec<u8>>, MalformedMessage> {
-    let Some(end) = inbox.bytes().take(MAX_LINE_BYTES).position(|b| b == b'\n') else {
-        return match inbox.len() < MAX_LINE_BYTES {
+/// Takes the next complete line, without its line end.
+fn take_line(input: &mut Chain) -> Result<Option<Vec<u8>>, MalformedMessage> {
+    let Some(end) = input.bytes().take(MAX_LINE_BYTES).position(|b| b == b'\n') else {
+        return match input.len() < MAX_LINE_BYTES {
             true => Ok(None),
             false => Err(MalformedMessage::LineTooLong),
         };
     };
-    let mut text = inbox.copy_front(end);
-    inbox.consume(end + 1);
+    let mut text = input.copy_front(end);
+    input.consume(end + 1);
     if text.last() == Some(&b'\r') {
         text.pop();
     }
--- a/http/src/head/tests.rs
+++ b/http/src/head/tests.rs
@@ -9,7 +9,7 @@
     TestRunner::new(deterministic_config())
 }
 
-/// Guards against a panic on any input, and against a head whose end depends on the cut.
+/// Guards against a panic on any input, and against an end of a head that depends on how the input was split.
 #[test]
 fn any_head_is_parsed_or_rejected() {
     let line = prop_oneof![
@@ -24,12 +24,12 @@
         let lines: Vec<_> = lines.into_iter().filter(|line| !line.is_empty()).collect();
         let newline = if bare { "\n" } else { "\r\n" };
         let text = lines.join(newline) + newline + newline;
-        let mut inbox = Pool::default().chain();
-        inbox.push(text.as_bytes());
+        let mut input = Pool::default().chain();
+        input.push(text.as_bytes());
         prop_assume!(!lines.is_empty());
-        let end = find_end(&inbox, 0);
+        let end = find_end(&input, 0);
         prop_assert_eq!(end, Some(text.len()));
-        prop_assert_eq!(find_end(&inbox, cut.min(text.len() - 1)), end);
+        prop_assert_eq!(find_end(&input, cut.min(text.len() - 1)), end);
         if let Ok(head) = Head::parse(text.into_bytes()) {
             let request = head.check_request().is_ok();
             prop_assert!(!request || head.target().starts_with('/'));
@@ -42,7 +42,7 @@
     runner().run(&lines, check).expect("all cases");
 }
 
-/// Guards a route against a query that looks like a path.
+/// Guards against a query that is taken for a part of the path when a request is routed.
 #[test]
 fn a_path_ends_at_its_query() {
     let path = |target: &str| {
--- a/http/src/lib.rs
+++ b/http/src/lib.rs
@@ -1,8 +1,8 @@
 //! HTTP/1.1 (RFC 9112): heads, framing, pooled buffers and connections.
 //!
-//! A package of its own because two programs share it: the balancer in service (`daemon`) and the nodes of the fleet
-//! (`dataplane`, `controlplane`). Heads, framing and bodies do no I/O; [`Connection`] joins them to a socket. Buffers come
-//! from one [`buffers::Pool`] for each thread: nothing here but the plain values can be sent to another.
+//! Two programs share this package: the balancer (`daemon`) and the nodes of the router fleet (`dataplane`,
+//! `controlplane`). Heads, framing and bodies do no I/O; [`Connection`] connects them to a socket. Buffers come from one
+//! [`buffers::Pool`] per thread, so types that hold buffers can't be sent to another thread.
 
 mod body;
 pub mod buffers;
@@ -27,6 +27,6 @@
 
 /// The longest head that is read, in bytes, unless a connection has another limit.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// The longest body that is read, in bytes, unless a body has another limit: bodies of 32 MB occur, longer ones are
+/// The longest body that is read, in bytes, unless a body has another limit. Bodies of 32 MB occur; longer ones are
 /// mistakes or attacks.
 pub const MAX_BODY_BYTES: u64 = 40 * 1024 * 1024;
--- a/http/src/message.rs
+++ b/http/src/message.rs
@@ -1,4 +1,4 @@
-//! Requests whose bodies are streamed, and the text that frames a message on its way out.
+//! Requests with streamed bodies, and the framing of outgoing messages.
 
 use std::cell::RefCell;
 
@@ -13,15 +13,15 @@
     pub head: Head,
     /// Its body without framing, or the beginning of one that is streamed.
     pub body: Chain,
-    /// What follows behind that.
+    /// The rest of a body that is streamed.
     pub rest: Option<BodyStream>,
 }
 
-/// The rest of a request's body, as its client sends it.
+/// The rest of a request's body, which its client is still sending.
 pub struct BodyStream {
     /// The length of the complete body in bytes, if its client announced it.
     pub length: Option<u64>,
-    /// Where the parts come from. Once one of them has been taken, only the taker can send the request.
+    /// The channel of the parts. Once a part has been received, only its receiver can still send the complete request.
     pub parts: RefCell<Option<mpsc::Receiver<BodyPart>>>,
 }
 
@@ -29,12 +29,12 @@
 pub struct BodyPart {
     /// The bytes, without framing.
     pub bytes: Chain,
-    /// No part follows.
+    /// Whether this is the last part.
     pub last: bool,
 }
 
 impl Request {
-    /// How its body is framed on the way to an app server; none if it has none.
+    /// How its body is framed when it is sent to an app server; `None` if it has no body.
     pub fn framing(&self) -> Option<Framing> {
         match &self.rest {
             Some(BodyStream { length: Some(length), .. }) => Some(Framing::Length(*length)),
@@ -45,25 +45,25 @@
     }
 }
 
-/// What stands before and behind the data of a chunk (RFC 9112, section 7.1).
+/// The bytes before and after the data of a chunk (RFC 9112, section 7.1).
 pub struct ChunkFrame {
     /// The size line.
     pub before: Chain,
-    /// The line end, and the last chunk where the body ends.
+    /// The line end, followed by the last chunk if the body ends.
     pub after: Chain,
 }
 
 impl ChunkFrame {
-    /// That of a body that is not chunked.
+    /// The empty frame for a body that isn't chunked.
     pub fn empty(pool: &Pool) -> Self {
         ChunkFrame { before: pool.chain(), after: pool.chain() }
     }
 }
 
-/// The frame of a chunk of `length` bytes; `last`: it ends the body.
+/// The frame of a chunk of `length` bytes, which ends the body if `last`.
 pub fn chunk_frame(pool: &Pool, length: usize, last: bool) -> ChunkFrame {
     let (mut before, mut after) = (pool.chain(), pool.chain());
-    // A chunk of no length would end the body.
+    // A chunk of length 0 would end the body.
     if length > 0 {
         before.push(format!("{length:x}\r\n").as_bytes());
         after.push(b"\r\n");
@@ -74,7 +74,7 @@
     ChunkFrame { before, after }
 }
 
-/// Appends the field that says how a body is framed, if one has to.
+/// Appends the field that declares the framing of a body, if the framing needs one.
 pub fn push_framing_field(to: &mut Chain, framing: Framing) {
     match framing {
         Framing::Length(length) => to.push(format!("Content-Length: {length}\r\n").as_bytes()),
@@ -83,7 +83,7 @@
     }
 }
 
-/// Appends the end-to-end fields of a head (RFC 9110, section 7.6.1), less those in `except`.
+/// Appends the end-to-end fields of a head (RFC 9110, section 7.6.1), except those named in `except`.
 pub fn push_end_to_end_fields(to: &mut Chain, head: &Head, except: &[&str]) {
     for (name, value) in head.end_to_end() {
         if !except.iter().any(|other| other.eq_ignore_ascii_case(name)) {
--- a/http/src/stall_budget/tests.rs
+++ b/http/src/stall_budget/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-/// Guards honest senders, however slow by the platform's word, against being cut off, and descriptors against
-/// those that stand still or drip.
+/// Guards against disconnecting senders that are as slow as the platform allows, and against senders that keep a
+/// descriptor in use while they stall or send only a few bytes at a time.
 #[test]
 fn a_sender_at_the_promised_rate_is_kept_and_a_slower_one_is_not() {
-    let lives = |bytes: usize, every_ms: u64| {
+    let is_kept = |bytes: usize, every_ms: u64| {
         let mut stall_budget = StallBudget::for_sender();
         (0..10_000).all(|_| {
             let wait = Duration::from_millis(every_ms);
@@ -13,8 +13,8 @@
             in_time
         })
     };
-    assert!(lives(64, 1) && lives(6_400, 100) && lives(64_000, 1_000));
-    assert!(!lives(20, 1) && !lives(1, 100) && !lives(1_000_000, 2_700));
+    assert!(is_kept(64, 1) && is_kept(6_400, 100) && is_kept(64_000, 1_000));
+    assert!(!is_kept(20, 1) && !is_kept(1, 100) && !is_kept(1_000_000, 2_700));
     assert!(
         StallBudget::for_sender().remaining() > Duration::from_millis(2_300),
         "a whole request may take 2 s"
--- a/http/src/testing.rs
+++ b/http/src/testing.rs
@@ -1,8 +1,8 @@
-//! Shared by the tests of this package and of those that build on it (feature `testing`).
+//! Helpers for the tests of this package and of its dependents (feature `testing`).
 
 use proptest::test_runner::{Config, RngSeed};
 
-/// A configuration of proptest that tries the same cases at every run and keeps no files.
+/// A proptest configuration with a fixed seed, which tries the same cases in every run and writes no regression files.
 pub fn deterministic_config() -> Config {
     Config { rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..Config::default() }
 }
--- a/http/tests/golden.rs
+++ b/http/tests/golden.rs
@@ -1,4 +1,5 @@
-//! Texts that reach a client in the body of a 400, 413 or 431, and the bytes that frame a message, as of commit 4552024.
+//! Pins the texts that clients get in the body of a 400, 413 or 431 response, and the bytes that frame a message, as of
+//! commit 4552024.
 
 use gradepaddle_http::buffers::{Chain, Pool};
 use gradepaddle_http::{
@@ -32,13 +33,14 @@
 }
 
 #[test]
-fn texts_of_first_lines_that_are_no_request_and_no_answer() {
+fn texts_of_invalid_request_lines_and_status_lines() {
     for (line, expected) in [
         ("G(T / HTTP/1.1", "the method is no token"),
         ("GET http://x/ HTTP/1.1", "the target is no path"),
         ("GET / HTTP/2.0", "the version is not HTTP/1.1"),
     ] {
-        let error = head(&format!("{line}\r\n\r\n")).check_request().expect_err("it is no request");
+        let error =
+            head(&format!("{line}\r\n\r\n")).check_request().expect_err("the request line is invalid");
         assert_eq!(error.to_string(), expected);
     }
     for (line, expected) in [
@@ -46,13 +48,13 @@
         ("HTTP/1.1 20 OK", "the status is no number of three digits"),
         ("HTTP/1.1 600 OK", "the status is no number of three digits"),
     ] {
-        let error = head(&format!("{line}\r\n\r\n")).status().expect_err("it is no answer");
+        let error = head(&format!("{line}\r\n\r\n")).status().expect_err("the status line is invalid");
         assert_eq!(error.to_string(), expected);
     }
 }
 
 #[test]
-fn texts_of_framings_that_contradict_themselves() {
+fn texts_of_invalid_framing_fields() {
     for (fields, expected) in [
         ("Content-Length: 1\r\nTransfer-Encoding: chunked\r\n", "both a length and a transfer coding"),
         ("Transfer-Encoding: gzip\r\n", "an unknown transfer coding"),
@@ -61,7 +63,7 @@
         ("Content-Length: +1\r\n", "the length is no number"),
     ] {
         let head = head(&format!("POST / HTTP/1.1\r\n{fields}\r\n"));
-        let error = head.framing(Framing::Length(0)).expect_err("it contradicts itself");
+        let error = head.framing(Framing::Length(0)).expect_err("the framing is invalid");
         assert_eq!(error.to_string(), expected);
     }
 }
@@ -78,20 +80,20 @@
         (&long, "a line is too long"),
         ("fffffffffffffffff\r\n", "the body is too long"),
     ] {
-        let (mut inbox, mut taken) = (pool.chain(), pool.chain());
-        inbox.push(body.as_bytes());
-        let fault =
-            ChunkedDecoder::new().take(&mut inbox, &mut taken, usize::MAX).expect_err("it can't be read");
-        assert_eq!(fault.to_string(), expected);
+        let (mut input, mut taken) = (pool.chain(), pool.chain());
+        input.push(body.as_bytes());
+        let error =
+            ChunkedDecoder::new().take(&mut input, &mut taken, usize::MAX).expect_err("the body is invalid");
+        assert_eq!(error.to_string(), expected);
     }
 }
 
 #[test]
-fn texts_of_the_other_faults() {
+fn texts_of_other_read_errors() {
     assert_eq!(ReadError::Closed.to_string(), "the connection ended");
     assert_eq!(ReadError::HeadTooLong.to_string(), "the head is too long");
-    let fault = Body::new(Framing::Length(u64::MAX)).err().expect("it is too long");
-    assert_eq!(fault.to_string(), "the body is too long");
+    let error = Body::new(Framing::Length(u64::MAX)).err().expect("it is too long");
+    assert_eq!(error.to_string(), "the body is too long");
 }
 
 #[test]
