--- a/scripts/soaking/__init__.py
+++ b/scripts/soaking/__init__.py
@@ -1,1 +1,1 @@
-"""A soak of the fleet: real node processes on loopback, with stand-ins for model servers, clients and the operator."""
+"""Soak test of the router fleet: real node processes on loopback, with simulated model servers, clients and operator."""
--- a/scripts/soaking/clients.py
+++ b/scripts/soaking/clients.py
@@ -1,4 +1,4 @@
-"""Clients: each keeps its connection and goes on using it until the process behind it has gone."""
+"""HTTP clients. Each reuses its keep-alive connection until the node closes it or the connection fails."""
 import asyncio
 import random
 import time
@@ -6,31 +6,32 @@
 
 from . import nodes
 from .operator import HOST
-from .wire import MAX_LINE, Ended, Truncated, encode, read_message
+from .wire import MAX_LINE, ConnectionEnded, Truncated, encode, read_message
 
-THINK_S = (0.005, 0.12)
-#: A request without an answer for this long hangs: the route's timeout and a second.
-HANGS_S = 9.0
+#: Bounds of the random pause between two requests of a client, in seconds.
+THINK_TIME_S = (0.005, 0.12)
+#: A request without a response for this long counts as hung: the route's timeout of 8 s plus one second.
+HANG_TIMEOUT_S = 9.0
 
 
 @dataclass
-class Try:
-    """One request on one connection, and how it ended."""
+class RequestRecord:
+    """One request sent on one connection, and its outcome."""
 
     name: str
     unsafe: bool
     node: object
     sent_at: float
     ended_at: float = 0.0
-    #: A status, "ended", "truncated" or "hung".
+    #: The HTTP status, or "ended", "truncated" or "hung".
     outcome: object = None
 
 
 class Client:
-    """Sends one request after the other."""
+    """Sends requests one at a time, to a randomly chosen node until its connection ends."""
 
-    def __init__(self, number, fleet, judge, seed):
-        self.number, self.fleet, self.judge = number, fleet, judge
+    def __init__(self, number, fleet, checker, seed):
+        self.number, self.fleet, self.checker = number, fleet, checker
         self.random = random.Random(seed)
         self.sent = 0
 
@@ -45,33 +46,33 @@
                 continue
             try:
                 while not stopping.is_set() and await self.exchange(node, reader, writer):
-                    await asyncio.sleep(self.random.uniform(*THINK_S))
+                    await asyncio.sleep(self.random.uniform(*THINK_TIME_S))
             finally:
                 writer.close()
 
     async def exchange(self, node, reader, writer):
-        """One request. Returns whether the connection is of further use."""
+        """Sends one request and records its outcome. Returns whether the connection can be reused."""
         self.sent += 1
         unsafe = self.random.random() < 0.4
         name, method = f"c{self.number}-{self.sent}", "POST" if unsafe else "GET"
         path = f"/{'unsafe' if unsafe else 'safe'}/{self.sent}"
         body = self.random.randbytes(self.random.randint(0, 3000)) if unsafe else b""
-        one = Try(name, unsafe, node, time.monotonic())
-        keeps, answer = False, None
+        record = RequestRecord(name, unsafe, node, time.monotonic())
+        reusable, response = False, None
         try:
-            async with asyncio.timeout(HANGS_S):
+            async with asyncio.timeout(HANG_TIMEOUT_S):
                 writer.write(encode(f"{method} {path} HTTP/1.1", {"Host": HOST, "X-Request-Id": name}, body))
                 await writer.drain()
-                answer = await read_message(reader)
-            one.outcome, keeps = answer.status, answer.keeps_connection
-        except Ended:
-            one.outcome = "ended"
+                response = await read_message(reader)
+            record.outcome, reusable = response.status, response.keeps_connection
+        except ConnectionEnded:
+            record.outcome = "ended"
         except Truncated:
-            one.outcome = "truncated"
+            record.outcome = "truncated"
         except ConnectionError:
-            one.outcome = "ended"
+            record.outcome = "ended"
         except TimeoutError:
-            one.outcome = "hung"
-        one.ended_at = time.monotonic()
-        self.judge.record(one, answer, (method, path, body))
-        return keeps
+            record.outcome = "hung"
+        record.ended_at = time.monotonic()
+        self.checker.record(record, response, (method, path, body))
+        return reusable
--- a/scripts/soaking/judge.py
+++ b/scripts/soaking/judge.py
@@ -1,26 +1,27 @@
-"""What must hold, judged from what clients, servers and the operator have seen."""
+"""Checks the guarantees of the fleet against what clients, servers and the operator observed."""
 import asyncio
 import time
 from collections import Counter
 
 from .servers import expected_body
 
-#: Statuses that promise that the request has not run and will not.
-NOT_RUN = (408, 421, 429, 503)
-#: Statuses that deny a request which the configuration allows.
-DENIALS = (400, 401, 403, 404, 405)
-#: A request that crosses the close of its connection ends within this, in seconds.
-CROSSING_S = 0.5
-KEPT_FINDINGS = 12
+#: Statuses which guarantee that no server has executed the request or will.
+NOT_EXECUTED_STATUSES = (408, 421, 429, 503)
+#: Client-error statuses; wrong here, because the configuration allows every request that the clients send.
+DENIED_STATUSES = (400, 401, 403, 404, 405)
+#: A request sent while the node closes the connection fails within this many seconds.
+CLOSE_RACE_S = 0.5
+#: Number of findings that are printed for each seed.
+MAX_PRINTED_FINDINGS = 12
 
 
 class Stalls:
-    """How long this process was kept from running: bounds on other processes are extended by as much."""
+    """Measures how long this process was not scheduled. Deadlines for the nodes are extended by the same time."""
 
     INTERVAL_S = 0.05
 
     def __init__(self):
-        self.found = []
+        self.intervals = []
 
     async def watch(self):
         while True:
@@ -28,60 +29,62 @@
             await asyncio.sleep(self.INTERVAL_S)
             late = time.monotonic() - before - self.INTERVAL_S
             if late > self.INTERVAL_S:
-                self.found.append((before, late))
+                self.intervals.append((before, late))
 
-    def since(self, begin):
-        return sum(late for at, late in self.found if at >= begin)
+    def total_since(self, begin):
+        """Sum of the stalls that began at or after `begin`, in seconds."""
+        return sum(late for at, late in self.intervals if at >= begin)
 
 
-class Judge:
-    """Collects tries and findings."""
+class Checker:
+    """Collects the outcomes of requests and reports each violated guarantee as a finding."""
 
-    def __init__(self, runs):
-        self.runs = runs
+    def __init__(self, executions):
+        self.executions = executions
         self.stalls = Stalls()
         self.findings = []
         self.outcomes = Counter()
-        self.unsafe = set()
-        self.refused = []
-        self.lost = []
+        self.unsafe_ids = set()
+        self.not_executed = []
+        self.unanswered = []
 
-    def broken(self, rule, what):
-        self.findings.append(f"{rule}: {what}")
+    def report(self, rule, description):
+        self.findings.append(f"{rule}: {description}")
 
-    def record(self, one, answer, sent):
-        self.outcomes[one.outcome] += 1
-        if one.outcome == 200:
-            self.check_answer(one, answer, sent)
-        elif one.outcome in DENIALS:
-            self.broken("DENIED", f"{one.name} at node {one.node.number}: {one.outcome}")
-        elif one.outcome == "hung":
-            if not one.node.disturbed_within(one.sent_at, one.ended_at):
-                self.broken("HUNG", f"{one.name} at node {one.node.number}")
-        elif one.outcome in ("ended", "truncated"):
-            self.lost.append(one)
-        if one.unsafe:
-            self.unsafe.add(one.name)
-            if one.outcome in NOT_RUN:
-                self.refused.append(one)
+    def record(self, record, response, sent):
+        self.outcomes[record.outcome] += 1
+        if record.outcome == 200:
+            self.check_response(record, response, sent)
+        elif record.outcome in DENIED_STATUSES:
+            self.report("DENIED", f"{record.name} at node {record.node.number}: {record.outcome}")
+        elif record.outcome == "hung":
+            if not record.node.may_lose_request(record.sent_at, record.ended_at):
+                self.report("HUNG", f"{record.name} at node {record.node.number}")
+        elif record.outcome in ("ended", "truncated"):
+            self.unanswered.append(record)
+        if record.unsafe:
+            self.unsafe_ids.add(record.name)
+            if record.outcome in NOT_EXECUTED_STATUSES:
+                self.not_executed.append(record)
 
-    def check_answer(self, one, answer, sent):
-        if answer.body != expected_body(one.name, *sent) or answer.fields.get("x-request-id") != one.name:
-            self.broken("MIXED", f"{one.name} at node {one.node.number}: {answer.body[:80]!r}")
+    def check_response(self, record, response, sent):
+        """The response must belong to this very request: same id and the body that a server derives from it."""
+        if response.body != expected_body(record.name, *sent) or response.fields.get("x-request-id") != record.name:
+            self.report("MIXED", f"{record.name} at node {record.node.number}: {response.body[:80]!r}")
 
-    def conclude(self):
-        """Judges what depends on all that was seen."""
-        for one in self.refused:
-            if self.runs.begun[one.name]:
-                self.broken("REFUSED", f"{one.name} at node {one.node.number} ran, and was answered {one.outcome}")
-        for name, count in self.runs.begun.items():
-            if count > 1 and name in self.unsafe:
-                self.broken("TWICE", f"{name} ran {count} times")
-        for one in self.lost:
-            if one.node.disturbed_within(one.sent_at, one.ended_at):
+    def finish(self):
+        """Runs the checks that need the complete record, and returns all findings."""
+        for record in self.not_executed:
+            if self.executions.started[record.name]:
+                self.report("REFUSED", f"{record.name} at node {record.node.number} ran, and was answered {record.outcome}")
+        for name, count in self.executions.started.items():
+            if count > 1 and name in self.unsafe_ids:
+                self.report("TWICE", f"{name} ran {count} times")
+        for record in self.unanswered:
+            if record.node.may_lose_request(record.sent_at, record.ended_at):
                 continue
-            took = one.ended_at - one.sent_at
-            if one.outcome == "truncated" or self.runs.begun[one.name] or took > CROSSING_S:
-                self.broken("LOST", f"{one.name} at node {one.node.number}: {one.outcome} after {took:.2f} s, "
-                            f"SIGTERM {one.node.terminated_at and one.sent_at - one.node.terminated_at}")
+            took = record.ended_at - record.sent_at
+            if record.outcome == "truncated" or self.executions.started[record.name] or took > CLOSE_RACE_S:
+                self.report("LOST", f"{record.name} at node {record.node.number}: {record.outcome} after {took:.2f} s, "
+                            f"SIGTERM {record.node.terminated_at and record.sent_at - record.node.terminated_at}")
         return self.findings
--- a/scripts/soaking/nodes.py
+++ b/scripts/soaking/nodes.py
@@ -1,4 +1,4 @@
-"""The node processes: their settings, signals and the times at which each was disturbed."""
+"""The node processes: their settings, the signals sent to them, and when each was disturbed."""
 import asyncio
 import os
 import signal
@@ -6,11 +6,11 @@
 import time
 
 FRONT, READINESS, CONTROL, FIRST_INTERNAL, LAST_INTERNAL = 9000, 9001, 9100, 7700, 7715
-#: Time bounds that the settings name, in seconds; the judge uses the same.
+#: Time bounds in seconds. The node settings and the checks use the same values.
 GRACE_S = 8
 APPLY_S = 3.0
 IN_TOUCH_S = 5.0
-#: Nodes with a disk that counts; as many may be lost at once as LOSSES says.
+#: The first CORE_SIZE nodes keep the control state on disk; up to LOSSES of them may be lost at once.
 CORE_SIZE, LOSSES = 5, 2
 
 SETTINGS = """\
@@ -59,7 +59,7 @@
 
 
 class Node:
-    """One machine: a process that may end and start again on its disk."""
+    """One machine: a node process that can be ended and restarted on the same data folder."""
 
     def __init__(self, fleet, number):
         self.fleet, self.number = fleet, number
@@ -67,10 +67,10 @@
         self.core = number < CORE_SIZE
         self.process = None
         self.first_boot = True
-        #: Since when it runs undisturbed; infinity while it does not.
-        self.calm_since = float("inf")
-        #: Spans in which requests may be lost: (begin, end) of kills and stops.
-        self.unplanned = []
+        #: Time since which it runs undisturbed; infinity while it is stopped or frozen.
+        self.undisturbed_since = float("inf")
+        #: Intervals (begin, end) around kills and freezes, in which requests may be lost.
+        self.loss_windows = []
         self.terminated_at = None
 
     def address(self, port):
@@ -94,21 +94,22 @@
             self.process = subprocess.Popen([self.fleet.program, "run"], env=environment, stderr=log)
         self.first_boot = False
         self.terminated_at = None
-        self.calm_since = time.monotonic()
+        self.undisturbed_since = time.monotonic()
 
     @property
-    def runs(self):
+    def is_running(self):
         return self.process is not None and self.process.poll() is None
 
     def in_touch(self, now):
-        return self.runs and self.terminated_at is None and now - self.calm_since > IN_TOUCH_S
+        """Whether it has run undisturbed for long enough (IN_TOUCH_S) to be bound to apply changes in time."""
+        return self.is_running and self.terminated_at is None and now - self.undisturbed_since > IN_TOUCH_S
 
-    def hang_up(self):
+    def send_sighup(self):
         self.process.send_signal(signal.SIGHUP)
 
     async def terminate(self):
-        """SIGTERM, and SIGKILL once the grace period is over. Returns how the process ended."""
-        self.calm_since = float("inf")
+        """Sends SIGTERM, then SIGKILL after the grace period. Returns the exit status, or a text if it was killed."""
+        self.undisturbed_since = float("inf")
         self.terminated_at = time.monotonic()
         self.process.send_signal(signal.SIGTERM)
         while self.process.poll() is None:
@@ -120,27 +121,27 @@
 
     def kill(self):
         now = time.monotonic()
-        self.calm_since = float("inf")
-        self.unplanned.append((now - 0.5, now + 1.0))
+        self.undisturbed_since = float("inf")
+        self.loss_windows.append((now - 0.5, now + 1.0))
         self.process.kill()
         self.process.wait()
 
     async def freeze(self, seconds):
         begin = time.monotonic()
-        self.calm_since = float("inf")
+        self.undisturbed_since = float("inf")
         self.process.send_signal(signal.SIGSTOP)
-        self.unplanned.append((begin, begin + seconds + IN_TOUCH_S))
+        self.loss_windows.append((begin, begin + seconds + IN_TOUCH_S))
         await asyncio.sleep(seconds)
         self.process.send_signal(signal.SIGCONT)
-        self.calm_since = time.monotonic()
+        self.undisturbed_since = time.monotonic()
 
-    def disturbed_within(self, begin, end):
-        """Whether a kill or a stop may have cost a request of this span."""
-        return any(begin < until and end > since for since, until in self.unplanned)
+    def may_lose_request(self, begin, end):
+        """Whether a kill or a freeze may have lost a request that was under way from `begin` to `end`."""
+        return any(begin < window_end and end > window_begin for window_begin, window_end in self.loss_windows)
 
 
 class Fleet:
-    """All node processes. They use a block of loopback addresses that follows from this process's id."""
+    """All node processes. Their block of loopback addresses is derived from this process's id."""
 
     def __init__(self, program, folder, size):
         self.program, self.folder = program, folder
@@ -152,12 +153,12 @@
         return f"{self.prefix}.{1 + number}"
 
     def running(self):
-        return [node for node in self.nodes if node.runs and node.terminated_at is None]
+        return [node for node in self.nodes if node.is_running and node.terminated_at is None]
 
     def core_down(self):
-        return sum(not node.runs or node.calm_since == float("inf") for node in self.nodes[:CORE_SIZE])
+        return sum(not node.is_running or node.undisturbed_since == float("inf") for node in self.nodes[:CORE_SIZE])
 
-    def end(self):
+    def kill_all(self):
         for node in self.nodes:
             if node.process and node.process.poll() is None:
                 node.process.kill()
--- a/scripts/soaking/operator.py
+++ b/scripts/soaking/operator.py
@@ -1,4 +1,4 @@
-"""The operator: changes the configuration, each time with another set of routes, and checks that changes are in force."""
+"""The simulated operator: replaces the configuration with ever new routes and checks that each change takes effect."""
 import asyncio
 import json
 import random
@@ -7,17 +7,17 @@
 
 from . import nodes
 from .servers import SERVICE
-from .wire import Ended, Truncated, call, read_following
+from .wire import ConnectionEnded, Truncated, call, get_following_redirects
 
 HOST = "soak.example"
-#: Nodes that are asked whether a change is in force.
+#: Number of nodes that are probed for each change.
 PROBED_NODES = 24
 CHANGE_DEADLINE_S = 25.0
 
 
 @dataclass
 class Change:
-    """A change that was acknowledged."""
+    """An acknowledged configuration change."""
 
     version: int
     body: bytes
@@ -30,23 +30,23 @@
 
 
 def configuration(version, routes, generator):
-    """A configuration with the routes of the clients, one that names its version, and so many more."""
-    word = lambda: "".join(generator.choice("abcdefghijklmnopqrstuvwxyz0123456789") for _ in range(9))
-    more = [route(f"r-{word()}", f"/{word()}/{number}/", "safe", 2) for number in range(routes)]
+    """A configuration with the clients' routes, a route named after its version, and `routes` random further ones."""
+    random_word = lambda: "".join(generator.choice("abcdefghijklmnopqrstuvwxyz0123456789") for _ in range(9))
+    extra_routes = [route(f"r-{random_word()}", f"/{random_word()}/{number}/", "safe", 2) for number in range(routes)]
     return json.dumps({
         "version": version,
         "routes": [route("safe", "/safe/", "safe", 3), route("unsafe", "/unsafe/", "unsafe", 2),
-                   route("added", f"/added-{version}/", "safe", 2), *more],
+                   route("added", f"/added-{version}/", "safe", 2), *extra_routes],
         "backends": [{"name": SERVICE, "healthPath": "/health", "maxConns": 4000, "protocol": "h1", "tls": False}],
         "limits": {"maxHeaderBytes": 16384, "maxBodyBytes": 4194304, "headerTimeoutMs": 3000, "idleTimeoutMs": 15000},
     }).encode()
 
 
 class Operator:
-    """Sends one change after the other; a change without a clear answer is sent again as it was."""
+    """Sends one change at a time. A change without a conclusive response is sent again with the same bytes."""
 
-    def __init__(self, fleet, judge, seed):
-        self.fleet, self.judge = fleet, judge
+    def __init__(self, fleet, checker, seed):
+        self.fleet, self.checker = fleet, checker
         self.random = random.Random(seed)
         self.changes = []
 
@@ -57,28 +57,29 @@
     async def change(self, routes):
         version = self.version + self.random.randint(1, 3)
         body = configuration(version, routes, self.random)
-        begun, answer = time.monotonic(), None
-        while time.monotonic() - begun < CHANGE_DEADLINE_S:
+        started_at, response = time.monotonic(), None
+        while time.monotonic() - started_at < CHANGE_DEADLINE_S:
             node = self.random.choice(self.fleet.running())
             try:
                 fields = {"If-Match": str(self.version), "Content-Type": "application/json"}
-                answer = await call(node.address(nodes.CONTROL), "PUT /v1/config HTTP/1.1", fields, body, 4.0)
-            except (OSError, TimeoutError, Ended, Truncated) as error:
-                answer = error
+                response = await call(node.address(nodes.CONTROL), "PUT /v1/config HTTP/1.1", fields, body, 4.0)
+            except (OSError, TimeoutError, ConnectionEnded, Truncated) as error:
+                response = error
                 await asyncio.sleep(0.1)
                 continue
-            if answer.status == 200:
+            if response.status == 200:
                 self.changes.append(Change(version, body, time.monotonic()))
                 return
-            if answer.status < 500 and answer.status not in (408, 429):
-                return self.judge.broken("CONFIG", f"version {version} was refused with {answer.status}: {answer.body[:200]}")
+            if response.status < 500 and response.status not in (408, 429):
+                return self.checker.report(
+                    "CONFIG", f"version {version} was refused with {response.status}: {response.body[:200]}")
             await asyncio.sleep(0.1)
-        self.judge.broken("ACKS", f"version {version} was not acknowledged within {CHANGE_DEADLINE_S} s: {answer}")
+        self.checker.report("ACKS", f"version {version} was not acknowledged within {CHANGE_DEADLINE_S} s: {response}")
 
-    async def check_in_force(self, change):
-        """Asks nodes in touch for what only this version or a newer one allows."""
+    async def check_applied(self, change):
+        """Requests the route that this version adds from nodes in touch with the core, once the time to apply it is over."""
         await asyncio.sleep(max(0.0, change.acknowledged_at + nodes.APPLY_S - time.monotonic()))
-        stall = self.judge.stalls.since(change.acknowledged_at)
+        stall = self.checker.stalls.total_since(change.acknowledged_at)
         await asyncio.sleep(stall)
         if self.version != change.version:
             return
@@ -90,29 +91,30 @@
     async def probe(self, node, change):
         fields = {"Host": HOST, "X-Request-Id": f"probe-{node.number}-{change.version}"}
         try:
-            answer = await call(node.address(nodes.FRONT), f"GET /added-{change.version}/x HTTP/1.1", fields, within=9.0)
-        except (OSError, TimeoutError, Ended, Truncated):
+            response = await call(
+                node.address(nodes.FRONT), f"GET /added-{change.version}/x HTTP/1.1", fields, timeout_s=9.0)
+        except (OSError, TimeoutError, ConnectionEnded, Truncated):
             return
-        if answer.status == 404 and self.version == change.version:
-            self.judge.broken("CONFIG", f"node {node.number} lacks version {change.version}, acknowledged "
+        if response.status == 404 and self.version == change.version:
+            self.checker.report("CONFIG", f"node {node.number} lacks version {change.version}, acknowledged "
                               f"{time.monotonic() - change.acknowledged_at:.1f} s before")
 
-    async def read_back(self, within):
-        """Reads the configuration at each node until it is the newest."""
-        newest, begun = self.changes[-1], time.monotonic()
+    async def read_back(self, timeout_s):
+        """Polls every node until each returns the newest configuration; reports those that do not within the time given."""
+        newest, started_at = self.changes[-1], time.monotonic()
         waiting = {node.number: "nothing" for node in self.fleet.nodes}
-        while waiting and time.monotonic() - begun < within:
+        while waiting and time.monotonic() - started_at < timeout_s:
             for number in list(waiting):
                 node = self.fleet.nodes[number]
                 try:
-                    answer = await read_following(node.address(nodes.CONTROL), "/v1/config")
-                except (OSError, TimeoutError, Ended, Truncated) as error:
+                    response = await get_following_redirects(node.address(nodes.CONTROL), "/v1/config")
+                except (OSError, TimeoutError, ConnectionEnded, Truncated) as error:
                     waiting[number] = repr(error)
                     continue
-                if (answer.status, answer.body) == (200, newest.body):
+                if (response.status, response.body) == (200, newest.body):
                     del waiting[number]
                 else:
-                    waiting[number] = f"{answer.status}, {len(answer.body)} bytes"
+                    waiting[number] = f"{response.status}, {len(response.body)} bytes"
             await asyncio.sleep(0.2)
         for number, found in list(waiting.items())[:5]:
-            self.judge.broken("CONFIG", f"node {number} does not read version {newest.version} back: {found}")
+            self.checker.report("CONFIG", f"node {number} does not read version {newest.version} back: {found}")
--- a/scripts/soaking/wire.py
+++ b/scripts/soaking/wire.py
@@ -1,29 +1,29 @@
-"""HTTP/1.1 on asyncio streams, as far as the stand-ins need it (RFC 9112)."""
+"""The part of HTTP/1.1 (RFC 9112) on asyncio streams that the soak test needs."""
 import asyncio
 from dataclasses import dataclass, field
 
 MAX_LINE = 64 * 1024
 
 
-class Ended(Exception):
-    """The connection ended before a byte of the message."""
+class ConnectionEnded(Exception):
+    """The connection ended before the first byte of a message."""
 
 
 class Truncated(Exception):
-    """The connection ended, or broke off, within the message."""
+    """The connection closed or failed in the middle of a message."""
 
 
 @dataclass
 class Message:
-    """A request or a response that has been read whole."""
+    """A complete request or response."""
 
-    start: str
+    start_line: str
     fields: dict = field(default_factory=dict)
     body: bytes = b""
 
     @property
     def status(self):
-        return int(self.start.split(" ")[1])
+        return int(self.start_line.split(" ")[1])
 
     @property
     def keeps_connection(self):
@@ -31,13 +31,13 @@
 
 
 async def read_message(reader):
-    """Reads one message. Raises Ended or Truncated."""
+    """Reads one message. Raises ConnectionEnded or Truncated."""
     try:
         first = await reader.readline()
     except (ConnectionError, ValueError) as error:
-        raise Ended(repr(error)) from error
+        raise ConnectionEnded(repr(error)) from error
     if not first:
-        raise Ended("end of the stream")
+        raise ConnectionEnded("end of the stream")
     try:
         message = Message(first.decode("latin-1").strip())
         while line := (await reader.readline()).decode("latin-1").strip():
@@ -69,29 +69,30 @@
     return line.strip()
 
 
-def encode(start, fields, body=b""):
-    """The bytes of a message with a length."""
-    lines = [start, *(f"{name}: {value}" for name, value in fields.items()), f"Content-Length: {len(body)}"]
+def encode(start_line, fields, body=b""):
+    """Encodes a message with a Content-Length."""
+    lines = [start_line, *(f"{name}: {value}" for name, value in fields.items()), f"Content-Length: {len(body)}"]
     return "\r\n".join(lines).encode("latin-1") + b"\r\n\r\n" + body
 
 
-async def read_following(address, path, within=2.0):
-    """A GET that follows two redirections, as callers of the control API do. Raises as `call` does."""
+async def get_following_redirects(address, path, timeout_s=2.0):
+    """Sends a GET and follows up to two 307 redirects, as clients of the control API do. Raises as `call` does."""
     for _ in range(2):
-        answer = await call(address, f"GET {path} HTTP/1.1", {}, within=within)
-        if answer.status != 307:
-            return answer
-        host, _, path = answer.fields["location"].removeprefix("http://").partition("/")
+        response = await call(address, f"GET {path} HTTP/1.1", {}, timeout_s=timeout_s)
+        if response.status != 307:
+            return response
+        host, _, path = response.fields["location"].removeprefix("http://").partition("/")
         address, path = (host.split(":")[0], int(host.split(":")[1])), f"/{path}"
-    return await call(address, f"GET {path} HTTP/1.1", {}, within=within)
+    return await call(address, f"GET {path} HTTP/1.1", {}, timeout_s=timeout_s)
 
 
-async def call(address, start, fields, body=b"", within=5.0):
-    """One exchange on a connection of its own. Raises OSError, Ended, Truncated or TimeoutError."""
-    async with asyncio.timeout(within):
+async def call(address, start_line, fields, body=b"", timeout_s=5.0):
+    """Sends one request on a new connection and returns the response. Raises OSError, ConnectionEnded, Truncated or TimeoutError."""
+    async with asyncio.timeout(timeout_s):
         reader, writer = await asyncio.open_connection(*address, limit=MAX_LINE)
         try:
-            writer.write(encode(start, {"Host": f"{address[0]}:{address[1]}", "Connection": "close", **fields}, body))
+            fields = {"Host": f"{address[0]}:{address[1]}", "Connection": "close", **fields}
+            writer.write(encode(start_line, fields, body))
             await writer.drain()
             return await read_message(reader)
         finally:
