--- a/examples/system/toy_model_server.py
+++ b/examples/system/toy_model_server.py
@@ -1,6 +1,6 @@
-"""A model server to try the fleet with: registers, streams three events, takes orders to load weights.
+"""A toy model server for the router fleet: registers itself, streams three events per request, accepts orders to load weights.
 
-toy_model_server.py ID PORT CONTROL...    CONTROL: control addresses, IP:PORT, called in turn until one answers
+toy_model_server.py ID PORT CONTROL...    CONTROL: control addresses (IP:PORT), tried in turn until one answers
 """
 import http.client
 import json
@@ -49,8 +49,8 @@
             self.generate()
 
     def generate(self):
-        own = self.headers.get("X-Target-Server", NAME) == NAME
-        if not own:
+        addressed_here = self.headers.get("X-Target-Server", NAME) == NAME
+        if not addressed_here:
             return self.answer(421, X_Not_Run="1", X_Request_Id=self.headers.get("X-Request-Id", ""))
         tenant = self.headers.get("X-Tenant", "nobody")
         self.send_response(200)
--- a/examples/toy_app_servers.py
+++ b/examples/toy_app_servers.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Two toy app servers and a toy discovery on loopback, to try gradepaddle by hand. Not for load."""
+"""Two toy app servers and a toy discovery service on loopback, to try gradepaddle by hand. Not for load tests."""
 
 import json
 import signal
@@ -17,7 +17,7 @@
 
         def serve(self):
             body = self.rfile.read(int(self.headers.get("Content-Length", 0)))
-            time.sleep(0.05)  # the work
+            time.sleep(0.05)  # simulated work
             answer = f"{name} did {self.command} {self.path} with {len(body)} bytes\n".encode()
             self.send_response(200)
             self.send_header("Content-Length", str(len(answer)))
@@ -55,7 +55,7 @@
                 self.wfile.write(b"%x\r\n%s\r\n" % (len(line), line))
                 self.wfile.flush()
                 time.sleep(2)
-                line = b"\n"  # nothing has changed
+                line = b"\n"  # keep-alive: the host list has not changed
         except OSError:
             self.close_connection = True
 
