--- a/emulator/src/balancer.rs
+++ b/emulator/src/balancer.rs
@@ -1,4 +1,4 @@
-//! Balancers: the code in service round its chooser, the CPU that it may use, and its attempts on their way.
+//! Balancers: the dispatch code and its chooser, the CPU time available to it, and the attempts in flight.
 
 use gradepaddle::{ListKind, LoadReport, Micros, ServerState as Listed};
 use gradepaddle_dispatch::{
@@ -8,20 +8,20 @@
 
 use crate::clients::Answer;
 use crate::discovery::{Entry, listed};
-use crate::judge::Rule;
-use crate::queue::{Event, FlightKey, TryKey};
-use crate::random::{Party, Stream};
-use crate::scenario::{Repeats, Within, millis, seconds};
+use crate::evaluation::Rule;
+use crate::queue::{ClientRequestKey, Event, UpstreamRequestKey};
+use crate::random::{Stream, StreamId};
+use crate::scenario::{DedupScope, RequestEffect, millis, seconds};
 use crate::server::{Server, State};
 use crate::world::World;
 
-/// The rules in service, or none of them, for a test of the monitors.
+/// Enforces all rules of dispatch, or none of them to test the rule monitors.
 #[derive(Clone, Copy, Debug)]
-struct Watch {
+struct SwitchableGuard {
     unguarded: bool,
 }
 
-impl Guard for Watch {
+impl Guard for SwitchableGuard {
     fn enforces(&self, _: Defect) -> bool {
         !self.unguarded
     }
@@ -31,385 +31,403 @@
     }
 }
 
-type Dispatched = Dispatch<Box<dyn Chooser>, TryKey, (), Watch>;
-/// What goes into dispatch and comes out of it; kept by the world for their memory.
-pub type Inputs = Vec<Input<TryKey, ()>>;
-/// See [`Inputs`].
-pub type Outputs = Vec<Output<TryKey, ()>>;
+type Dispatched = Dispatch<Box<dyn Chooser>, ClientRequestKey, (), SwitchableGuard>;
+/// Inputs of dispatch. The buffer belongs to the world to reuse its allocation.
+pub type Inputs = Vec<Input<ClientRequestKey, ()>>;
+/// Outputs of dispatch; see [`Inputs`].
+pub type Outputs = Vec<Output<ClientRequestKey, ()>>;
 
-/// What a balancer was told of an app server.
+/// What the server list last said about an app server.
 #[derive(Clone, Copy, Debug, Default)]
-struct Told {
-    /// Draining or gone, since then.
-    closed: Option<Micros>,
-    /// That it started then; 0 for long ago.
-    started: Micros,
+struct ServerNotice {
+    /// When the balancer was told that it drains or is gone, unless it is ready again.
+    closed_at: Option<Micros>,
+    /// The start time that the balancer was told; 0 if the server was already running when the day began.
+    started_at: Micros,
 }
 
-/// A balancer's machine and the process on it.
+/// A balancer host and its current process.
 pub struct Balancer {
     pub zone: u32,
     pub alive: bool,
-    /// Counts starts.
-    pub life: u32,
-    /// Asked to go: it answers on, but the front is told.
-    leaving: bool,
-    /// The front goes on believing in it until then.
-    believed_until: Micros,
+    /// The incarnation of the process, increased each time that one ends.
+    pub incarnation: u32,
+    /// Draining: it still answers, but the front stops routing to it.
+    draining: bool,
+    /// The front routes to it until this time even if it is down or draining.
+    routable_until: Micros,
     dispatch: Option<Dispatched>,
-    /// The earliest of its timers that stands in the queue.
-    armed: Micros,
-    /// CPU time that it may use now, in microseconds.
-    tokens: f64,
-    refilled: Micros,
+    /// When its earliest timer in the event queue is due.
+    timer_at: Micros,
+    /// CPU time available now, in microseconds; negative while it is behind.
+    cpu_tokens: f64,
+    tokens_refilled_at: Micros,
     pub watching: bool,
-    pub calls: bool,
-    /// It has had a list from discovery in this life.
-    pub listed: bool,
-    pub ask_at: Micros,
-    /// Changes that it has heard of.
-    pub heard: u32,
-    pub heard_at: Micros,
-    told: Vec<Told>,
-    /// Of lives that have passed.
-    past_defects: u64,
+    pub list_requested: bool,
+    /// This process has received a list from discovery.
+    pub list_received: bool,
+    pub poll_at: Micros,
+    /// Version of the last list change that it has received.
+    pub list_version: u32,
+    pub last_delivery_at: Micros,
+    notices: Vec<ServerNotice>,
+    /// Defects of earlier processes.
+    defects_of_past_processes: u64,
 }
 
-/// Where an attempt is.
+/// The stage that an attempt has reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Place {
-    /// On its way to its app server.
-    Going,
-    /// It waits there.
-    Waiting,
-    /// It is worked on.
-    Working,
-    /// Its end is on its way back.
-    Returning,
-    /// Lost on its way; nothing comes of it.
+pub enum Stage {
+    /// In transit to its app server.
+    ToServer,
+    /// In the app server's queue.
+    Queued,
+    /// In work at the app server.
+    Running,
+    /// The result is in transit to the balancer.
+    ToBalancer,
+    /// Lost in the network; no result follows.
     Lost,
 }
 
-/// An attempt on its way, or a probe.
+/// An attempt or a probe sent to an app server.
 #[derive(Clone, Debug)]
-pub struct Flight {
-    /// Of no try if it is a probe.
-    pub of: TryKey,
+pub struct UpstreamRequest {
+    /// The client's request; the null key for a probe.
+    pub request_key: ClientRequestKey,
     pub probe: bool,
-    /// The number of its try.
-    pub serial: u64,
+    /// The id of the client's request; 0 for a probe.
+    pub request_id: u64,
     pub balancer: u32,
-    balancer_life: u32,
+    balancer_incarnation: u32,
     attempt: u32,
     pub server: u32,
-    pub server_life: u32,
+    pub server_incarnation: u32,
     pub key: u32,
-    /// Work for a key that is not warm.
+    /// Work if the content key is not cached, in microseconds on a standard core.
     pub work: f64,
-    /// It waits on others for so long besides.
+    /// Additional time spent waiting on I/O.
     pub io: Micros,
     /// When it was sent.
     sent: Micros,
-    /// What its new connection costs.
-    pub extra: f64,
-    /// What it took in the end.
-    pub met: f64,
-    /// When its last byte is written; until then it has not begun.
+    /// Work of the handshake, if it opened a new connection.
+    pub handshake_work: f64,
+    /// The work that it actually took.
+    pub actual_work: f64,
+    /// When its last byte is written; until then it counts as not sent.
     written_at: Micros,
-    pub place: Place,
-    /// Its balancer has no more use for it.
-    pub over: bool,
-    /// It is reset on its way back.
-    pub doomed: bool,
+    pub stage: Stage,
+    /// The balancer has abandoned it.
+    pub abandoned: bool,
+    /// Its connection is reset after the work is done, before the answer arrives.
+    pub reset_on_return: bool,
     cause: Cause,
-    /// What its app server told of its load.
+    /// The load report in its answer.
     report: Option<LoadReport>,
-    /// A connection is held for it.
-    connected: bool,
+    /// It holds a connection that is counted at the app server.
+    holds_connection: bool,
 }
 
 impl Balancer {
-    fn tells(&self, server: u32) -> Told {
-        self.told.get(server as usize).copied().unwrap_or_default()
+    fn notice_of(&self, server: u32) -> ServerNotice {
+        self.notices.get(server as usize).copied().unwrap_or_default()
     }
 
-    /// Was it told of this start?
-    pub fn knows_start(&self, server: u32, started: Micros) -> bool {
-        started > 0 && self.tells(server).started == started
+    /// Whether the balancer was told that the app server started at this time.
+    pub fn was_told_of_start(&self, server: u32, started: Micros) -> bool {
+        started > 0 && self.notice_of(server).started_at == started
     }
 
-    /// Another app server exists.
-    pub fn learn_of(&mut self, server: u32) {
+    /// Makes room for another app server.
+    pub fn add_server(&mut self, server: u32) {
         let count = server as usize + 1;
-        if self.told.len() < count {
-            self.told.resize(count, Told::default());
+        if self.notices.len() < count {
+            self.notices.resize(count, ServerNotice::default());
         }
     }
 
-    /// Actions that its guard did not let through.
+    /// Actions that the guard rejected, over all processes of this balancer.
     pub fn defects(&self) -> u64 {
-        self.past_defects + self.dispatch.as_ref().map_or(0, |dispatch| dispatch.defects().total())
+        self.defects_of_past_processes
+            + self.dispatch.as_ref().map_or(0, |dispatch| dispatch.defects().total())
     }
 }
 
 impl World {
-    /// A balancer's machine, with no process on it yet.
+    /// A balancer host on which no process runs yet.
     pub fn new_balancer(&self, number: u32) -> Balancer {
         Balancer {
             zone: number % self.scenario.fleet.zones,
             alive: false,
-            life: 0,
-            leaving: false,
-            believed_until: 0,
+            incarnation: 0,
+            draining: false,
+            routable_until: 0,
             dispatch: None,
-            armed: Micros::MAX,
-            tokens: self.scenario.balancers.cpu_ms_per_s * 1000.0,
-            refilled: 0,
+            timer_at: Micros::MAX,
+            cpu_tokens: self.scenario.balancers.cpu_ms_per_s * 1000.0,
+            tokens_refilled_at: 0,
             watching: false,
-            calls: false,
-            listed: false,
-            ask_at: Micros::MAX,
-            heard: 0,
-            heard_at: 0,
-            told: vec![Told::default(); self.servers.len()],
-            past_defects: 0,
+            list_requested: false,
+            list_received: false,
+            poll_at: Micros::MAX,
+            list_version: 0,
+            last_delivery_at: 0,
+            notices: vec![ServerNotice::default(); self.servers.len()],
+            defects_of_past_processes: 0,
         }
     }
 
-    /// Its process starts, with the last list that it had.
+    /// Starts a balancer process from the last list that it received.
     pub fn start_balancer(&mut self, number: u32) {
         let settings = self.scenario.settings(number);
-        let of = &self.balancers[number as usize];
-        let mut stream = Stream::of(self.seed, Party::Balancer, u64::from(number) << 16 | u64::from(of.life));
-        let chooser = (self.player.make)(&settings, stream.any(), &self.board);
-        // Settings come from a scenario that was checked.
+        let balancer = &self.balancers[number as usize];
+        let mut stream = Stream::of(
+            self.seed,
+            StreamId::Balancer,
+            u64::from(number) << 16 | u64::from(balancer.incarnation),
+        );
+        let chooser = (self.policy.factory)(&settings, stream.any(), &self.ground_truth);
+        // Can't fail: the scenario was validated.
         let Ok(chooser) = chooser else { return };
         let limits = Limits { drain_grace: millis(self.scenario.rules.drain_grace_ms), ..Limits::default() };
         let name = format!("b{number}");
-        let (first, version) = (of.life == 0, self.version());
-        let of = &mut self.balancers[number as usize];
-        let watch = Watch { unguarded: self.player.unguarded };
-        of.dispatch = Some(Dispatch::with_guard(chooser, watch, &settings, &name, limits));
-        (of.alive, of.leaving, of.armed) = (true, false, Micros::MAX);
-        (of.watching, of.calls, of.listed) = (false, false, false);
+        let (first, version) = (balancer.incarnation == 0, self.version());
+        let balancer = &mut self.balancers[number as usize];
+        let guard = SwitchableGuard { unguarded: self.policy.unguarded };
+        balancer.dispatch = Some(Dispatch::with_guard(chooser, guard, &settings, &name, limits));
+        (balancer.alive, balancer.draining, balancer.timer_at) = (true, false, Micros::MAX);
+        (balancer.watching, balancer.list_requested, balancer.list_received) = (false, false, false);
         if first {
-            of.heard = version;
+            balancer.list_version = version;
         }
-        let known = self.balancers[number as usize].heard;
-        self.balancers[number as usize].told.iter_mut().for_each(|told| *told = Told::default());
-        let list = self.last_list(known);
-        self.tell_list(number, ListKind::Cached, &list);
+        let known = self.balancers[number as usize].list_version;
+        self.balancers[number as usize]
+            .notices
+            .iter_mut()
+            .for_each(|notice| *notice = ServerNotice::default());
+        let list = self.list_at_version(known);
+        self.deliver_list(number, ListKind::Cached, &list);
     }
 
-    /// Its process dies at once.
+    /// Kills a balancer process without draining.
     pub fn crash(&mut self, number: u32) {
         let [low, high] = self.scenario.balancers.notice_s;
-        let notice = seconds(self.front.between(low, high));
+        let notice = seconds(self.front_random.between(low, high));
         self.end_process(number);
-        self.balancers[number as usize].believed_until = self.now + notice;
+        self.balancers[number as usize].routable_until = self.now + notice;
     }
 
-    /// What holds at any end of a process.
+    /// Ends a balancer process, after a crash or a drain.
     fn end_process(&mut self, number: u32) {
-        let of = &mut self.balancers[number as usize];
-        (of.alive, of.life) = (false, of.life + 1);
-        if let Some(dispatch) = of.dispatch.take() {
-            of.past_defects += dispatch.defects().total();
-        }
-        self.servers.iter_mut().for_each(|server| server.drop_idle(number as usize));
-        let flights: Vec<FlightKey> = self
-            .flights
+        let balancer = &mut self.balancers[number as usize];
+        (balancer.alive, balancer.incarnation) = (false, balancer.incarnation + 1);
+        if let Some(dispatch) = balancer.dispatch.take() {
+            balancer.defects_of_past_processes += dispatch.defects().total();
+        }
+        self.servers.iter_mut().for_each(|server| server.close_idle(number as usize));
+        let upstream_requests: Vec<UpstreamRequestKey> = self
+            .upstream_requests
             .iter()
-            .filter(|(_, f)| f.balancer == number && !f.over)
+            .filter(|(_, f)| f.balancer == number && !f.abandoned)
             .map(|(key, _)| key)
             .collect();
-        flights.into_iter().for_each(|key| self.give_over(key));
+        upstream_requests.into_iter().for_each(|key| self.abandon(key));
         // Its clients' connections are reset.
-        let open: Vec<TryKey> = self
-            .tries
+        let open: Vec<ClientRequestKey> = self
+            .client_requests
             .iter()
-            .filter(|(_, one)| one.balancer == number && one.taken && !one.answered)
+            .filter(|(_, client_request)| {
+                client_request.balancer == number && client_request.accepted && !client_request.answered
+            })
             .map(|(key, _)| key)
             .collect();
         for key in open {
-            self.reply_to(key, Answer::Lost, self.now);
+            self.send_answer(key, Answer::Lost, self.now);
         }
     }
 
-    /// It comes up again.
-    pub fn up(&mut self, number: u32) {
+    /// Starts the balancer unless it already runs.
+    pub fn on_balancer_start(&mut self, number: u32) {
         if !self.balancers[number as usize].alive {
             self.start_balancer(number);
         }
     }
 
-    /// It is asked to go: the front stops sending to it soon, and it answers what it has.
-    pub fn restart(&mut self, number: u32) {
-        let of = &mut self.balancers[number as usize];
-        if of.alive && !of.leaving {
-            of.leaving = true;
-            of.believed_until = self.now + millis(300.0);
-            let life = of.life;
-            self.queue.push(self.now + 1_000_000, Event::Gone { balancer: number, life });
+    /// Begins to drain a balancer: the front stops routing to it after 300 ms, and it answers its open
+    /// requests.
+    pub fn drain_balancer(&mut self, number: u32) {
+        let balancer = &mut self.balancers[number as usize];
+        if balancer.alive && !balancer.draining {
+            balancer.draining = true;
+            balancer.routable_until = self.now + millis(300.0);
+            let incarnation = balancer.incarnation;
+            self.queue.push(self.now + 1_000_000, Event::BalancerStop { balancer: number, incarnation });
         }
     }
 
-    /// It has answered on for long enough, unless something is still open.
-    pub fn gone(&mut self, number: u32, life: u32) {
-        let of = &self.balancers[number as usize];
-        if of.life != life {
+    /// Stops a drained balancer, or checks again in 100 ms while it has open requests.
+    pub fn on_balancer_stop(&mut self, number: u32, incarnation: u32) {
+        let balancer = &self.balancers[number as usize];
+        if balancer.incarnation != incarnation {
             return;
         }
-        if of.dispatch.as_ref().is_some_and(|dispatch| !dispatch.is_empty()) {
-            self.queue.push(self.now + 100_000, Event::Gone { balancer: number, life });
+        if balancer.dispatch.as_ref().is_some_and(|dispatch| !dispatch.is_empty()) {
+            self.queue.push(self.now + 100_000, Event::BalancerStop { balancer: number, incarnation });
             return;
         }
         self.end_process(number);
-        self.queue.push(self.now + 300_000, Event::Up { balancer: number });
+        self.queue.push(self.now + 300_000, Event::BalancerStart { balancer: number });
     }
 
-    /// Does the front send to it?
-    pub fn believed(&self, number: u32) -> bool {
-        let of = &self.balancers[number as usize];
-        of.alive && !of.leaving || self.now < of.believed_until
+    /// Whether the front routes requests to this balancer.
+    pub fn is_routable(&self, number: u32) -> bool {
+        let balancer = &self.balancers[number as usize];
+        balancer.alive && !balancer.draining || self.now < balancer.routable_until
     }
 
     /// A request reaches its balancer.
-    pub fn reach(&mut self, key: TryKey) {
+    pub fn on_request_at_balancer(&mut self, key: ClientRequestKey) {
         let now = self.now;
-        let Some(one) = self.tries.get_mut(key) else { return };
-        let number = one.balancer;
+        let Some(client_request) = self.client_requests.get_mut(key) else { return };
+        let number = client_request.balancer;
         if !self.balancers[number as usize].alive {
-            return self.reply_to(key, Answer::Unreachable, now);
+            return self.send_answer(key, Answer::Unreachable, now);
         }
-        one.taken = true;
-        let (serial, quest, gives_up) = (one.serial, one.quest, one.gives_up);
-        let Some(quest) = self.quests.get(quest) else { return };
-        self.judge.note(serial, now, || format!("balancer b{number} takes it"));
+        client_request.accepted = true;
+        let (request_id, logical_request, gives_up_at) =
+            (client_request.request_id, client_request.logical_request, client_request.gives_up_at);
+        let Some(logical_request) = self.logical_requests.get(logical_request) else { return };
+        self.rule_monitor.note(request_id, now, || format!("balancer b{number} takes it"));
         let transaction = Transaction {
-            client_request_id: serial.to_be_bytes()[..].into(),
-            class: quest.counted.class as usize,
-            tenant: Some(quest.counted.branch as usize),
-            key: Some(format!("k{}", quest.key)),
-            hint: quest.hint,
+            client_request_id: request_id.to_be_bytes()[..].into(),
+            class: logical_request.info.class as usize,
+            tenant: Some(logical_request.info.branch as usize),
+            key: Some(format!("k{}", logical_request.key)),
+            hint: logical_request.hint,
             once: false,
             arrived: now,
-            time_left: gives_up.saturating_sub(now),
+            time_left: gives_up_at.saturating_sub(now),
             upload_complete: true,
             message: key,
         };
-        self.tell(number, Input::Accepted { ticket: key.data().as_ffi(), transaction });
+        self.handle_input(number, Input::Accepted { ticket: key.data().as_ffi(), transaction });
     }
 
-    /// Its client has left.
-    pub fn left(&mut self, key: TryKey) {
-        if let Some(one) = self.tries.get(key) {
-            let number = one.balancer;
-            self.tell(number, Input::ClientDisconnected { ticket: key.data().as_ffi() });
-            // Nothing is owed any more: an answer from now on would be one too many.
-            if let Some(one) = self.tries.get_mut(key) {
-                one.answered = true;
+    /// The balancer learns that the client has disconnected.
+    pub fn on_disconnect_at_balancer(&mut self, key: ClientRequestKey) {
+        if let Some(client_request) = self.client_requests.get(key) {
+            let number = client_request.balancer;
+            self.handle_input(number, Input::ClientDisconnected { ticket: key.data().as_ffi() });
+            // The client is owed no answer any more: one from now on would break the one-answer rule.
+            if let Some(client_request) = self.client_requests.get_mut(key) {
+                client_request.answered = true;
             }
-            self.settle(key, None);
+            self.remove_if_finished(key, None);
         }
     }
 
-    /// A timer of its is due, unless that was moved.
-    pub fn timer(&mut self, number: u32, life: u32) {
-        let of = &mut self.balancers[number as usize];
-        if of.life != life || !of.alive {
+    /// Handles a due timer. The timer may have been moved to a later time since it was queued.
+    pub fn on_balancer_timer(&mut self, number: u32, incarnation: u32) {
+        let balancer = &mut self.balancers[number as usize];
+        if balancer.incarnation != incarnation || !balancer.alive {
             return;
         }
-        of.armed = Micros::MAX;
-        if of.ask_at <= self.now {
-            of.ask_at = Micros::MAX;
-            self.call(number);
+        balancer.timer_at = Micros::MAX;
+        if balancer.poll_at <= self.now {
+            balancer.poll_at = Micros::MAX;
+            self.request_list(number);
         }
         let due = self.balancers[number as usize].dispatch.as_ref().and_then(Dispatched::next_tick_at);
         if due.is_some_and(|at| at <= self.now) {
-            self.tell(number, Input::Tick);
+            self.handle_input(number, Input::Tick);
         } else {
-            self.arm(number);
-        }
-    }
-
-    /// Puts its next timer into the queue.
-    pub fn arm(&mut self, number: u32) {
-        let of = &mut self.balancers[number as usize];
-        let due =
-            of.dispatch.as_ref().and_then(Dispatched::next_tick_at).unwrap_or(Micros::MAX).min(of.ask_at);
-        if due < of.armed {
-            of.armed = due;
-            let event = Event::Timer { balancer: number, life: of.life };
+            self.arm_timer(number);
+        }
+    }
+
+    /// Queues the balancer's next timer.
+    pub fn arm_timer(&mut self, number: u32) {
+        let balancer = &mut self.balancers[number as usize];
+        let due = balancer
+            .dispatch
+            .as_ref()
+            .and_then(Dispatched::next_tick_at)
+            .unwrap_or(Micros::MAX)
+            .min(balancer.poll_at);
+        if due < balancer.timer_at {
+            balancer.timer_at = due;
+            let event = Event::BalancerTimer { balancer: number, incarnation: balancer.incarnation };
             self.queue.push(due.max(self.now), event);
         }
     }
 
-    /// Hands it a list, and notes what it was told.
-    pub fn tell_list(&mut self, number: u32, kind: ListKind, entries: &[Entry]) {
+    /// Passes a server list to the balancer and records what it was told.
+    pub fn deliver_list(&mut self, number: u32, kind: ListKind, entries: &[Entry]) {
         let now = self.now;
-        let of = &mut self.balancers[number as usize];
+        let balancer = &mut self.balancers[number as usize];
         if kind == ListKind::Full {
-            let mut named = vec![false; of.told.len()];
+            let mut named = vec![false; balancer.notices.len()];
             entries.iter().for_each(|entry| named[entry.server as usize] = true);
-            let missing = of.told.iter_mut().zip(named).filter(|(_, named)| !named);
-            missing.for_each(|(told, _)| told.closed = told.closed.or(Some(now)));
+            let missing = balancer.notices.iter_mut().zip(named).filter(|(_, named)| !named);
+            missing.for_each(|(notice, _)| notice.closed_at = notice.closed_at.or(Some(now)));
         }
         for entry in entries {
-            let told = &mut of.told[entry.server as usize];
-            told.closed = match entry.state {
+            let notice = &mut balancer.notices[entry.server as usize];
+            notice.closed_at = match entry.state {
                 Listed::Ready => None,
-                _ => told.closed.or(Some(now)),
+                _ => notice.closed_at.or(Some(now)),
             };
-            told.started = entry.started.unwrap_or(told.started);
+            notice.started_at = entry.started.unwrap_or(notice.started_at);
         }
         let servers =
             entries.iter().map(|entry| listed(entry, &self.servers[entry.server as usize])).collect();
-        self.tell(number, Input::ServerList { kind, servers });
+        self.handle_input(number, Input::ServerList { kind, servers });
     }
 
-    /// Hands it an input and carries out what comes of it.
-    fn tell(&mut self, number: u32, input: Input<TryKey, ()>) {
+    /// Passes an input to dispatch and applies the outputs.
+    fn handle_input(&mut self, number: u32, input: Input<ClientRequestKey, ()>) {
         let mut next = Some(input);
         let mut inputs = std::mem::take(&mut self.inputs);
         let mut outputs = std::mem::take(&mut self.outputs);
         while let Some(input) = next {
             let Some(dispatch) = &mut self.balancers[number as usize].dispatch else { break };
             dispatch.handle(self.now, input, &mut outputs);
-            let late = self.spend(number);
+            let late = self.charge_cpu(number);
             for output in outputs.drain(..) {
-                self.carry_out(number, output, late, &mut inputs);
+                self.apply_output(number, output, late, &mut inputs);
             }
             next = inputs.pop();
         }
         (self.inputs, self.outputs) = (inputs, outputs);
-        self.arm(number);
+        self.arm_timer(number);
     }
 
-    /// Books an event's CPU time. Gives back how much later than now its outputs come.
-    fn spend(&mut self, number: u32) -> Micros {
+    /// Charges the CPU time of one event. Returns the delay of its outputs, in microseconds.
+    fn charge_cpu(&mut self, number: u32) -> Micros {
         let settings = &self.scenario.balancers;
         let rate = settings.cpu_ms_per_s / 1000.0;
         if rate <= 0.0 {
             return 0;
         }
-        let of = &mut self.balancers[number as usize];
+        let balancer = &mut self.balancers[number as usize];
         let most = rate * 1e6;
-        of.tokens = (of.tokens + (self.now - of.refilled) as f64 * rate).min(most) - settings.event_us;
-        of.refilled = self.now;
-        (-of.tokens / rate).max(0.0) as Micros
+        balancer.cpu_tokens = (balancer.cpu_tokens + (self.now - balancer.tokens_refilled_at) as f64 * rate)
+            .min(most)
+            - settings.event_us;
+        balancer.tokens_refilled_at = self.now;
+        (-balancer.cpu_tokens / rate).max(0.0) as Micros
     }
 
-    fn carry_out(
+    fn apply_output(
         &mut self,
         number: u32,
-        output: Output<TryKey, ()>,
+        output: Output<ClientRequestKey, ()>,
         late: Micros,
-        inputs: &mut Vec<Input<TryKey, ()>>,
+        inputs: &mut Vec<Input<ClientRequestKey, ()>>,
     ) {
         match output {
             Output::Start { attempt, server, message: key, .. } if late > 2_000_000 => {
-                // So far behind that it is not even begun.
+                // More than 2 s behind: the attempt is not started.
                 let (extent, cause, ticket) = (Extent::Nothing, Cause::NotTried, key.data().as_ffi());
                 let _ = server;
                 inputs.push(Input::AttemptEnded {
@@ -423,15 +441,18 @@
             }
             Output::Start { attempt, server, message, until, .. } => {
                 let server = crate::policy::number(&server).unwrap_or(u32::MAX);
-                self.start(number, message, attempt, server, until, late);
+                self.start_attempt(number, message, attempt, server, until, late);
             }
             Output::Withdraw { ticket, attempt } | Output::CancelUnstarted { ticket, attempt } => {
-                let key = TryKey::from(KeyData::from_ffi(ticket));
-                let begun = |flight| self.extent(flight) != Extent::Nothing;
+                let key = ClientRequestKey::from(KeyData::from_ffi(ticket));
+                let begun = |upstream_request| self.extent(upstream_request) != Extent::Nothing;
                 let held = matches!(output, Output::CancelUnstarted { .. });
-                if let Some(flight) = self.flight_of(key, attempt).filter(|flight| !held || !begun(*flight)) {
-                    let extent = self.extent(flight);
-                    self.give_over(flight);
+                if let Some(upstream_request) = self
+                    .find_upstream_request(key, attempt)
+                    .filter(|upstream_request| !held || !begun(*upstream_request))
+                {
+                    let extent = self.extent(upstream_request);
+                    self.abandon(upstream_request);
                     inputs.push(Input::AttemptEnded {
                         ticket,
                         attempt,
@@ -443,26 +464,26 @@
                 }
             }
             Output::Answer { ticket, answer } => {
-                let key = TryKey::from(KeyData::from_ffi(ticket));
+                let key = ClientRequestKey::from(KeyData::from_ffi(ticket));
                 let answer = match answer {
                     FinalAnswer::Served(()) => Answer::Served,
                     FinalAnswer::Refused { pause } => Answer::Refused { pause },
                     FinalAnswer::DuplicateId | FinalAnswer::Failed { .. } => Answer::Failed,
                 };
-                self.judge_answer(number, key, answer);
-                self.reply_to(key, answer, self.now + late);
+                self.check_answer(number, key, answer);
+                self.send_answer(key, answer, self.now + late);
             }
             Output::Availability { server, open: false } => {
                 let server = crate::policy::number(&server).unwrap_or(u32::MAX);
-                // Attempts whose first byte is not written yet stay here.
-                let unwritten = self.flights.iter().filter(|(_, f)| {
-                    f.balancer == number && f.server == server && !f.over && f.written_at > self.now
+                // Withdraws attempts of which nothing has been written yet.
+                let unwritten = self.upstream_requests.iter().filter(|(_, f)| {
+                    f.balancer == number && f.server == server && !f.abandoned && f.written_at > self.now
                 });
-                let unwritten: Vec<(FlightKey, u64, u32)> =
-                    unwritten.map(|(key, f)| (key, f.of.data().as_ffi(), f.attempt)).collect();
+                let unwritten: Vec<(UpstreamRequestKey, u64, u32)> =
+                    unwritten.map(|(key, f)| (key, f.request_key.data().as_ffi(), f.attempt)).collect();
                 for (key, ticket, attempt) in unwritten {
-                    self.give_over(key);
-                    if ticket == TryKey::null().data().as_ffi() {
+                    self.abandon(key);
+                    if ticket == ClientRequestKey::null().data().as_ffi() {
                         continue;
                     }
                     let (extent, cause) = (Extent::Nothing, Cause::Closed);
@@ -478,13 +499,13 @@
             }
             Output::DropIdle { server } => {
                 if let Some(server) = crate::policy::number(&server) {
-                    self.servers[server as usize].drop_idle(number as usize);
+                    self.servers[server as usize].close_idle(number as usize);
                 }
             }
-            Output::WatchServerList => self.call(number),
+            Output::WatchServerList => self.request_list(number),
             Output::Probe { server } => {
                 if let Some(server) = crate::policy::number(&server) {
-                    self.probe(number, server, late);
+                    self.start_probe(number, server, late);
                 }
             }
             Output::Availability { .. }
@@ -494,294 +515,337 @@
         }
     }
 
-    fn judge_answer(&mut self, number: u32, key: TryKey, answer: Answer) {
+    fn check_answer(&mut self, number: u32, key: ClientRequestKey, answer: Answer) {
         let now = self.now;
-        let Some(one) = self.tries.get(key) else { return };
-        let serial = one.serial;
-        self.judge.note(serial, now, || format!("balancer b{number} answers: {answer:?}"));
-        if one.answered {
-            self.judge.breach(Rule::OneAnswer, now, serial, || format!("b{number} answers it again"));
-        }
-        if self.binds(one.class) && matches!(answer, Answer::Refused { .. }) {
-            let out = one.flights.iter().any(|(_, flight)| {
-                self.flights
-                    .get(*flight)
+        let Some(client_request) = self.client_requests.get(key) else { return };
+        let request_id = client_request.request_id;
+        self.rule_monitor.note(request_id, now, || format!("balancer b{number} answers: {answer:?}"));
+        if client_request.answered {
+            self.rule_monitor
+                .breach(Rule::OneAnswer, now, request_id, || format!("b{number} answers it again"));
+        }
+        if self.must_not_refuse_after_run(client_request.class) && matches!(answer, Answer::Refused { .. }) {
+            let out = client_request.upstream_requests.iter().any(|(_, upstream_request)| {
+                self.upstream_requests
+                    .get(*upstream_request)
                     .is_some_and(|f| f.written_at <= now && f.cause != Cause::Unprocessed)
             });
-            if out || one.runs > 0 {
+            if out || client_request.runs > 0 {
                 let what =
                     || format!("b{number} refuses it though it {}", if out { "may run" } else { "has run" });
-                self.judge.breach(Rule::HonestRefusal, now, serial, what);
+                self.rule_monitor.breach(Rule::HonestRefusal, now, request_id, what);
             }
         }
     }
 
-    /// Must a request of this class not be refused once it may have run? Its client would ask for it again, and
-    /// nobody knows where that goes.
-    fn binds(&self, class: u16) -> bool {
-        let of = &self.scenario.classes[class as usize];
-        match of.effect {
-            Repeats::Safe => false,
-            Repeats::Keyed => of.group != Within::All,
-            Repeats::Unsafe => true,
+    /// Whether a request of this class must not be refused once it may have run: its client would retry after
+    /// a refusal, and the retry may reach an app server that doesn't know of the first run.
+    fn must_not_refuse_after_run(&self, class: u16) -> bool {
+        let class_settings = &self.scenario.classes[class as usize];
+        match class_settings.effect {
+            RequestEffect::Safe => false,
+            RequestEffect::Keyed => class_settings.group != DedupScope::All,
+            RequestEffect::Unsafe => true,
         }
     }
 
-    fn flight_of(&self, key: TryKey, attempt: u32) -> Option<FlightKey> {
-        let one = self.tries.get(key)?;
-        let (_, flight) = one.flights.iter().find(|(number, _)| *number == attempt)?;
-        self.flights.get(*flight).filter(|flight| !flight.over).map(|_| *flight)
+    fn find_upstream_request(&self, key: ClientRequestKey, attempt: u32) -> Option<UpstreamRequestKey> {
+        let client_request = self.client_requests.get(key)?;
+        let (_, upstream_request) =
+            client_request.upstream_requests.iter().find(|(number, _)| *number == attempt)?;
+        self.upstream_requests
+            .get(*upstream_request)
+            .filter(|upstream_request| !upstream_request.abandoned)
+            .map(|_| *upstream_request)
     }
 
-    fn extent(&self, key: FlightKey) -> Extent {
-        match self.flights.get(key) {
-            Some(flight) if flight.written_at <= self.now => Extent::Whole,
+    fn extent(&self, key: UpstreamRequestKey) -> Extent {
+        match self.upstream_requests.get(key) {
+            Some(upstream_request) if upstream_request.written_at <= self.now => Extent::Whole,
             _ => Extent::Nothing,
         }
     }
 
-    /// Starts an attempt.
-    fn start(&mut self, number: u32, of: TryKey, attempt: u32, to: u32, until: Micros, late: Micros) {
-        let Some(one) = self.tries.get(of) else { return };
-        let (serial, key, base) = (one.serial, one.key, one.work);
-        let class = &self.scenario.classes[one.class as usize];
+    fn start_attempt(
+        &mut self,
+        number: u32,
+        request_key: ClientRequestKey,
+        attempt: u32,
+        to: u32,
+        until: Micros,
+        late: Micros,
+    ) {
+        let Some(client_request) = self.client_requests.get(request_key) else { return };
+        let (request_id, key, base) = (client_request.request_id, client_request.key, client_request.work);
+        let class = &self.scenario.classes[client_request.class as usize];
         let io = millis(class.io_ms);
-        let work = base * self.attempts.factor(class.attempt_cv);
-        self.check_drain(number, to, serial);
-        self.judge.note(serial, self.now, || format!("b{number} sends it to s{to}"));
-        let flight = Flight { of, serial, attempt, key, work, io, ..self.flight(number, to, late) };
+        let work = base * self.attempt_random.factor(class.attempt_cv);
+        self.check_drain_grace(number, to, request_id);
+        self.rule_monitor.note(request_id, self.now, || format!("b{number} sends it to s{to}"));
+        let upstream_request = UpstreamRequest {
+            request_key,
+            request_id,
+            attempt,
+            key,
+            work,
+            io,
+            ..self.new_upstream_request(number, to, late)
+        };
         let crosses = self.servers[to as usize].zone != self.balancers[number as usize].zone;
-        if self.account.counts(self.now) {
-            self.account.crossed += u64::from(crosses);
-            self.account.second(self.now).attempts += 1;
+        if self.metrics.is_counted(self.now) {
+            self.metrics.crossed += u64::from(crosses);
+            self.metrics.second(self.now).attempts += 1;
         }
-        let flight = self.depart(flight, until);
-        if let Some(one) = self.tries.get_mut(of) {
-            one.flights.push((attempt, flight));
+        let upstream_request = self.send(upstream_request, until);
+        if let Some(client_request) = self.client_requests.get_mut(request_key) {
+            client_request.upstream_requests.push((attempt, upstream_request));
         }
     }
 
-    /// Starts a probe.
-    fn probe(&mut self, number: u32, to: u32, late: Micros) {
-        self.check_drain(number, to, 0);
+    fn start_probe(&mut self, number: u32, to: u32, late: Micros) {
+        self.check_drain_grace(number, to, 0);
         let scenario = &self.scenario.probe;
         let (work, until) = (scenario.work_us, self.now + late + millis(scenario.timeout_ms));
-        let flight = Flight { probe: true, work, ..self.flight(number, to, late) };
-        if self.account.counts(self.now) {
-            self.account.probes += 1;
+        let upstream_request =
+            UpstreamRequest { probe: true, work, ..self.new_upstream_request(number, to, late) };
+        if self.metrics.is_counted(self.now) {
+            self.metrics.probes += 1;
         }
-        self.depart(flight, until);
+        self.send(upstream_request, until);
     }
 
-    /// Nothing new may go to an app server so long after its balancer was told that it drains or is gone.
-    fn check_drain(&mut self, number: u32, to: u32, serial: u64) {
+    /// Checks that no attempt or probe goes to an app server later than the grace period after its balancer
+    /// was told that it drains or is gone.
+    fn check_drain_grace(&mut self, number: u32, to: u32, request_id: u64) {
         let grace = millis(self.scenario.rules.drain_grace_ms);
-        let told = self.balancers[number as usize].tells(to).closed;
-        if let Some(at) = told.filter(|at| self.now > at + grace) {
+        let notice = self.balancers[number as usize].notice_of(to).closed_at;
+        if let Some(at) = notice.filter(|at| self.now > at + grace) {
             let what = || format!("b{number} sends it to s{to}, told closed at {:.3} s", at as f64 / 1e6);
-            self.judge.breach(Rule::DrainKept, self.now, serial, what);
+            self.rule_monitor.breach(Rule::DrainKept, self.now, request_id, what);
         }
     }
 
-    /// A flight from a balancer to an app server that has not left yet.
-    fn flight(&self, number: u32, to: u32, late: Micros) -> Flight {
-        Flight {
-            of: TryKey::null(),
+    /// An attempt or probe that has not been sent yet, with default values for what the caller doesn't set.
+    fn new_upstream_request(&self, number: u32, to: u32, late: Micros) -> UpstreamRequest {
+        UpstreamRequest {
+            request_key: ClientRequestKey::null(),
             probe: false,
-            serial: 0,
+            request_id: 0,
             balancer: number,
-            balancer_life: self.balancers[number as usize].life,
+            balancer_incarnation: self.balancers[number as usize].incarnation,
             attempt: 0,
             server: to,
-            server_life: self.servers[to as usize].life,
-            // Remembered by nobody.
+            server_incarnation: self.servers[to as usize].incarnation,
+            // No app server caches this key.
             key: u32::MAX,
             work: 0.0,
             io: 0,
             sent: self.now + late,
-            extra: 0.0,
-            met: 0.0,
+            handshake_work: 0.0,
+            actual_work: 0.0,
             written_at: Micros::MAX,
-            place: Place::Lost,
-            over: false,
-            doomed: false,
+            stage: Stage::Lost,
+            abandoned: false,
+            reset_on_return: false,
             cause: Cause::OutOfTime,
             report: None,
-            connected: false,
+            holds_connection: false,
         }
     }
 
-    /// Sends a flight on its way, on a connection that is idle or on a new one.
-    fn depart(&mut self, mut flight: Flight, until: Micros) -> FlightKey {
-        let (now, number) = (flight.sent, flight.balancer);
+    /// Sends an attempt or probe on an idle connection, or on a new one.
+    fn send(&mut self, mut upstream_request: UpstreamRequest, until: Micros) -> UpstreamRequestKey {
+        let (now, number) = (upstream_request.sent, upstream_request.balancer);
         let zone = self.balancers[number as usize].zone;
         let fleet = &self.scenario.fleet;
-        let server = &mut self.servers[flight.server as usize];
+        let server = &mut self.servers[upstream_request.server as usize];
         let there = server.zone;
         let mut back_at = None;
-        let reused = server.reuse(number as usize, now, seconds(fleet.idle_s));
-        if !self.network.joins(zone, there) {
+        let reused = server.take_idle_connection(number as usize, now, seconds(fleet.idle_s));
+        if !self.network.is_connected(zone, there) {
             if reused {
-                // Written, and nothing comes of it.
-                (flight.written_at, flight.connected) = (now, true);
+                // The bytes are written, but the network drops them.
+                (upstream_request.written_at, upstream_request.holds_connection) = (now, true);
             } else {
                 back_at = Some(now + millis(fleet.dial_ms));
             }
         } else {
             let way = self.network.delay(zone, there);
             if reused {
-                flight.written_at = now;
+                upstream_request.written_at = now;
             } else if server.state == State::Down || !server.connect(fleet) {
                 back_at = Some(now + 2 * way);
             } else {
-                flight.written_at = now + (2.0 * way as f64 * fleet.handshake_rtts) as Micros;
-                flight.extra = fleet.handshake_us;
+                upstream_request.written_at = now + (2.0 * way as f64 * fleet.handshake_rtts) as Micros;
+                upstream_request.handshake_work = fleet.handshake_us;
             }
-            flight.connected = back_at.is_none();
+            upstream_request.holds_connection = back_at.is_none();
             if back_at.is_none() {
-                flight.place = Place::Going;
+                upstream_request.stage = Stage::ToServer;
             }
         }
-        let lands =
-            (flight.place == Place::Going).then(|| flight.written_at + self.network.delay(zone, there));
+        let lands = (upstream_request.stage == Stage::ToServer)
+            .then(|| upstream_request.written_at + self.network.delay(zone, there));
         if back_at.is_some() {
-            (flight.place, flight.cause) = (Place::Returning, Cause::NoConnection);
+            (upstream_request.stage, upstream_request.cause) = (Stage::ToBalancer, Cause::NoConnection);
         }
-        let flight = self.flights.insert(flight);
+        let upstream_request = self.upstream_requests.insert(upstream_request);
         if let Some(at) = back_at {
-            self.queue.push(at, Event::Back { flight });
+            self.queue.push(at, Event::AttemptResult { upstream_request });
         }
         if let Some(at) = lands {
-            self.queue.push(at, Event::Land { flight });
+            self.queue.push(at, Event::RequestAtServer { upstream_request });
         }
-        self.queue.push(until.max(now), Event::Expire { flight });
-        flight
+        self.queue.push(until.max(now), Event::AttemptTimeout { upstream_request });
+        upstream_request
     }
 
-    /// An app server begins on an attempt.
-    pub fn ran(&mut self, key: FlightKey) {
+    /// Records that an app server begins to work on an attempt, and checks the rules on repeated runs.
+    pub fn record_run(&mut self, key: UpstreamRequestKey) {
         let now = self.now;
-        let Some(flight) = self.flights.get(key) else { return };
-        let (serial, server, sent) = (flight.serial, flight.server, flight.sent);
-        let Some(one) = self.tries.get_mut(flight.of) else { return };
-        self.judge.note(serial, now, || format!("s{server} works on it"));
-        one.runs += 1;
-        let (runs, answered, class) = (one.runs, one.answer, one.class);
-        let of = &self.scenario.classes[class as usize];
-        let again = match of.effect {
-            Repeats::Safe => false,
-            Repeats::Unsafe => runs > 1,
-            Repeats::Keyed => {
-                let group = group(of.group, &self.servers[server as usize]);
-                let (first, since) = *one.first_run.get_or_insert((group, sent));
-                group != first || sent > since + millis(of.window_ms)
+        let Some(upstream_request) = self.upstream_requests.get(key) else { return };
+        let (request_id, server, sent) =
+            (upstream_request.request_id, upstream_request.server, upstream_request.sent);
+        let Some(client_request) = self.client_requests.get_mut(upstream_request.request_key) else { return };
+        self.rule_monitor.note(request_id, now, || format!("s{server} works on it"));
+        client_request.runs += 1;
+        let (runs, answered, class) = (client_request.runs, client_request.answer, client_request.class);
+        let class_settings = &self.scenario.classes[class as usize];
+        let again = match class_settings.effect {
+            RequestEffect::Safe => false,
+            RequestEffect::Unsafe => runs > 1,
+            RequestEffect::Keyed => {
+                let group = group(class_settings.group, &self.servers[server as usize]);
+                let (first, since) = *client_request.first_run.get_or_insert((group, sent));
+                group != first || sent > since + millis(class_settings.window_ms)
             }
         };
         if again {
             let what = || format!("s{server} runs it for the {runs}. time");
-            self.judge.breach(Rule::NoSecondRun, now, serial, what);
+            self.rule_monitor.breach(Rule::NoSecondRun, now, request_id, what);
         }
-        if self.binds(class) && matches!(answered, Some(Answer::Refused { .. })) {
+        if self.must_not_refuse_after_run(class) && matches!(answered, Some(Answer::Refused { .. })) {
             let what = || format!("s{server} runs it after its refusal");
-            self.judge.breach(Rule::HonestRefusal, now, serial, what);
+            self.rule_monitor.breach(Rule::HonestRefusal, now, request_id, what);
         }
     }
 
-    /// An attempt's end goes back to its balancer, after so long.
-    pub fn turn_back(&mut self, key: FlightKey, cause: Cause, after: Micros) {
-        let Some(flight) = self.flights.get_mut(key) else { return };
-        if flight.over {
+    /// Sends the result of an attempt or probe back to its balancer, after a delay.
+    pub fn send_result_back(&mut self, key: UpstreamRequestKey, cause: Cause, after: Micros) {
+        let Some(upstream_request) = self.upstream_requests.get_mut(key) else { return };
+        if upstream_request.abandoned {
             return self.remove(key);
         }
-        let (probe, server) = (flight.probe, flight.server);
+        let (probe, server) = (upstream_request.probe, upstream_request.server);
         let answers = matches!(cause, Cause::Served | Cause::Failed | Cause::Unprocessed);
-        let report = if answers { self.report(server, probe) } else { None };
-        let Some(flight) = self.flights.get_mut(key) else { return };
-        flight.report = report;
-        let (from, to) =
-            (self.servers[flight.server as usize].zone, self.balancers[flight.balancer as usize].zone);
-        flight.cause = cause;
-        if !self.network.joins(from, to) {
-            flight.place = Place::Lost;
+        let report = if answers { self.load_report(server, probe) } else { None };
+        let Some(upstream_request) = self.upstream_requests.get_mut(key) else { return };
+        upstream_request.report = report;
+        let (from, to) = (
+            self.servers[upstream_request.server as usize].zone,
+            self.balancers[upstream_request.balancer as usize].zone,
+        );
+        upstream_request.cause = cause;
+        if !self.network.is_connected(from, to) {
+            upstream_request.stage = Stage::Lost;
             return;
         }
-        flight.place = Place::Returning;
+        upstream_request.stage = Stage::ToBalancer;
         let at = self.now + after + self.network.delay(from, to);
-        self.queue.push(at, Event::Back { flight: key });
+        self.queue.push(at, Event::AttemptResult { upstream_request: key });
     }
 
-    /// An attempt's end has come back.
-    pub fn back(&mut self, key: FlightKey) {
-        let Some(flight) = self.flights.get(key) else { return };
-        if flight.over || self.balancers[flight.balancer as usize].life != flight.balancer_life {
+    /// The result of an attempt or probe reaches its balancer.
+    pub fn on_attempt_result(&mut self, key: UpstreamRequestKey) {
+        let Some(upstream_request) = self.upstream_requests.get(key) else { return };
+        if upstream_request.abandoned
+            || self.balancers[upstream_request.balancer as usize].incarnation
+                != upstream_request.balancer_incarnation
+        {
             return self.remove(key);
         }
-        let (ticket, attempt, cause) = (flight.of.data().as_ffi(), flight.attempt, flight.cause);
-        let (number, server, serial) = (flight.balancer, flight.server, flight.serial);
-        let (probe, report) = (flight.probe, flight.report);
+        let (ticket, attempt, cause) =
+            (upstream_request.request_key.data().as_ffi(), upstream_request.attempt, upstream_request.cause);
+        let (number, server, request_id) =
+            (upstream_request.balancer, upstream_request.server, upstream_request.request_id);
+        let (probe, report) = (upstream_request.probe, upstream_request.report);
         let extent = self.extent(key);
         let keeps = matches!(cause, Cause::Served | Cause::Failed | Cause::Unprocessed);
-        if keeps && self.servers[server as usize].life == flight.server_life {
-            self.servers[server as usize].park(number as usize, self.now);
-            self.flights[key].connected = false;
+        if keeps && self.servers[server as usize].incarnation == upstream_request.server_incarnation {
+            self.servers[server as usize].return_connection(number as usize, self.now);
+            self.upstream_requests[key].holds_connection = false;
         }
-        self.judge.note(serial, self.now, || format!("b{number} hears from s{server}: {cause:?}"));
+        self.rule_monitor.note(request_id, self.now, || format!("b{number} hears from s{server}: {cause:?}"));
         self.remove(key);
         if probe {
             let server = self.servers[server as usize].id.clone();
-            return self.tell(number, Input::ProbeEnded { server, cause, report });
+            return self.handle_input(number, Input::ProbeEnded { server, cause, report });
         }
         let reply = (cause == Cause::Served).then_some(());
-        self.tell(number, Input::AttemptEnded { ticket, attempt, extent, cause, reply, report });
+        self.handle_input(number, Input::AttemptEnded { ticket, attempt, extent, cause, reply, report });
     }
 
-    /// An attempt's time is up.
-    pub fn expire(&mut self, key: FlightKey) {
-        let Some(flight) = self.flights.get(key).filter(|flight| !flight.over) else { return };
-        let (ticket, attempt, number) = (flight.of.data().as_ffi(), flight.attempt, flight.balancer);
-        let (serial, probe, server) = (flight.serial, flight.probe, flight.server);
+    /// The time-out of an attempt or probe expires.
+    pub fn on_attempt_timeout(&mut self, key: UpstreamRequestKey) {
+        let Some(upstream_request) =
+            self.upstream_requests.get(key).filter(|upstream_request| !upstream_request.abandoned)
+        else {
+            return;
+        };
+        let (ticket, attempt, number) = (
+            upstream_request.request_key.data().as_ffi(),
+            upstream_request.attempt,
+            upstream_request.balancer,
+        );
+        let (request_id, probe, server) =
+            (upstream_request.request_id, upstream_request.probe, upstream_request.server);
         if probe {
-            self.give_over(key);
+            self.abandon(key);
             let (server, cause) = (self.servers[server as usize].id.clone(), Cause::OutOfTime);
-            return self.tell(number, Input::ProbeEnded { server, cause, report: None });
+            return self.handle_input(number, Input::ProbeEnded { server, cause, report: None });
         }
         let extent = self.extent(key);
-        self.judge
-            .note(serial, self.now, || format!("b{number} gives attempt {attempt} up, written: {extent:?}"));
-        self.give_over(key);
+        self.rule_monitor.note(request_id, self.now, || {
+            format!("b{number} gives attempt {attempt} up, written: {extent:?}")
+        });
+        self.abandon(key);
         let (cause, reply) = (Cause::OutOfTime, None);
-        self.tell(number, Input::AttemptEnded { ticket, attempt, extent, cause, reply, report: None });
-    }
-
-    /// Its balancer has no more use for an attempt. Its connection closes; the app server may work on.
-    fn give_over(&mut self, key: FlightKey) {
-        let Some(flight) = self.flights.get_mut(key) else { return };
-        flight.over = true;
-        // One that was not written yet never is.
-        let unwritten = flight.written_at > self.now;
-        if flight.place == Place::Lost || (unwritten && flight.place == Place::Going) {
+        self.handle_input(
+            number,
+            Input::AttemptEnded { ticket, attempt, extent, cause, reply, report: None },
+        );
+    }
+
+    /// Abandons an attempt or probe at its balancer: its connection closes, but the app server may go on
+    /// working.
+    fn abandon(&mut self, key: UpstreamRequestKey) {
+        let Some(upstream_request) = self.upstream_requests.get_mut(key) else { return };
+        upstream_request.abandoned = true;
+        // What has not been written yet is never sent.
+        let unwritten = upstream_request.written_at > self.now;
+        if upstream_request.stage == Stage::Lost || (unwritten && upstream_request.stage == Stage::ToServer) {
             self.remove(key);
         }
     }
 
-    /// Nothing more comes of an attempt.
-    pub fn remove(&mut self, key: FlightKey) {
-        let Some(flight) = self.flights.remove(key) else { return };
-        if flight.connected {
-            let server = &mut self.servers[flight.server as usize];
-            if server.life == flight.server_life {
+    /// Removes an attempt or probe that has come to its end.
+    pub fn remove(&mut self, key: UpstreamRequestKey) {
+        let Some(upstream_request) = self.upstream_requests.remove(key) else { return };
+        if upstream_request.holds_connection {
+            let server = &mut self.servers[upstream_request.server as usize];
+            if server.incarnation == upstream_request.server_incarnation {
                 server.disconnect();
             }
         }
-        self.settle(flight.of, Some(key));
+        self.remove_if_finished(upstream_request.request_key, Some(key));
     }
 }
 
-/// The group of an app server: those that know of each other's keys.
-fn group(within: Within, server: &Server) -> u32 {
+/// The deduplication group of an app server: the app servers of a group know each other's idempotency keys.
+fn group(within: DedupScope, server: &Server) -> u32 {
     match within {
-        Within::All => 0,
-        Within::Zone => server.zone,
-        Within::Cell => server.cell,
+        DedupScope::All => 0,
+        DedupScope::Zone => server.zone,
+        DedupScope::Cell => server.cell,
     }
 }
--- a/emulator/src/discovery.rs
+++ b/emulator/src/discovery.rs
@@ -1,42 +1,42 @@
-//! Discovery: what it has noticed of app servers, and who hears of it when.
+//! The discovery service: when it detects changes of app servers, and when balancers receive them.
 
 use gradepaddle::{Micros, Server, ServerState};
 
 use crate::random::Stream;
 use crate::scenario::{Discovery as Settings, millis, seconds};
 
-/// One change that discovery has noticed.
+/// A change of an app server, as discovery records it.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// The app server.
+    /// The app server's index.
     pub server: u32,
-    /// What it is called from then on.
+    /// Its state from then on.
     pub state: ServerState,
-    /// When it last started, if lately.
+    /// When it last started, if that was during the run.
     pub started: Option<Micros>,
 }
 
-/// The service.
+/// The state of the discovery service.
 pub struct Discovery {
     settings: Settings,
     pub stream: Stream,
-    /// All changes that were noticed, in order; a version is how many of them there are.
+    /// All recorded changes in order. The version of the list is their number.
     pub entries: Vec<Entry>,
-    /// What is noticed for certain, and when at the latest, by app server: changes keep their order.
-    last: Vec<Micros>,
-    /// What stands in a whole list now.
+    /// By app server: when its latest change is detected, so that later changes are detected after it.
+    last_detection: Vec<Micros>,
+    /// The current full list.
     current: Vec<Option<(ServerState, Option<Micros>)>>,
-    /// It can be reached unless one of these is on.
+    /// The number of active outages; while there is any, the service is unreachable.
     pub outages: u32,
-    /// Further behind than usual by this.
+    /// Additional detection delay from troubles.
     pub lag: Micros,
-    /// When the calls that wait are done.
+    /// When the calls in the queue will have been served.
     free_at: Micros,
 }
 
-/// How a call ends.
+/// The outcome of a call for the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum ListCall {
     /// Answered at this time.
     Answered(Micros),
     /// Failed at this time.
@@ -44,13 +44,13 @@
 }
 
 impl Discovery {
-    /// One that has noticed nothing yet.
+    /// A service that has recorded no change yet.
     pub fn new(settings: Settings, stream: Stream) -> Self {
         Discovery {
             settings,
             stream,
             entries: Vec::new(),
-            last: Vec::new(),
+            last_detection: Vec::new(),
             current: Vec::new(),
             outages: 0,
             lag: 0,
@@ -58,20 +58,20 @@
         }
     }
 
-    /// When a change that happens now is noticed. `silent`: nobody tells it.
-    pub fn noticed_at(&mut self, now: Micros, server: u32, silent: bool) -> Micros {
+    /// When a change that happens now is detected. `silent`: the app server doesn't report it.
+    pub fn detection_time(&mut self, now: Micros, server: u32, silent: bool) -> Micros {
         let [low, high] = if silent { self.settings.silent_notice_s } else { self.settings.notice_s };
         let after = seconds(self.stream.between(low, high)) + seconds(self.settings.lag_s) + self.lag;
         let server = server as usize;
-        if self.last.len() <= server {
-            self.last.resize(server + 1, 0);
+        if self.last_detection.len() <= server {
+            self.last_detection.resize(server + 1, 0);
         }
-        self.last[server] = (now + after).max(self.last[server] + 1);
-        self.last[server]
+        self.last_detection[server] = (now + after).max(self.last_detection[server] + 1);
+        self.last_detection[server]
     }
 
-    /// Enters a change; the version from now on.
-    pub fn enter(&mut self, entry: Entry) -> u32 {
+    /// Records a change and returns the new version.
+    pub fn record(&mut self, entry: Entry) -> u32 {
         let server = entry.server as usize;
         if self.current.len() <= server {
             self.current.resize(server + 1, None);
@@ -81,37 +81,37 @@
         self.entries.len() as u32
     }
 
-    /// The whole list.
-    pub fn whole(&self) -> impl Iterator<Item = Entry> {
+    /// The current full list.
+    pub fn full_list(&self) -> impl Iterator<Item = Entry> {
         let entry = |(server, current): (usize, &Option<(ServerState, Option<Micros>)>)| {
             current.map(|(state, started)| Entry { server: server as u32, state, started })
         };
         self.current.iter().enumerate().filter_map(entry)
     }
 
-    /// How long it takes until a balancer hears of a change, beside the network.
-    pub fn spread(&mut self) -> Micros {
+    /// Draws the delay until a balancer receives a change, in addition to the network's.
+    pub fn propagation_delay(&mut self) -> Micros {
         let most = self.settings.spread_ms;
         millis(self.stream.between(0.0, most))
     }
 
-    /// A call that comes in now.
-    pub fn call(&mut self, now: Micros) -> Call {
+    /// Handles a call for the list that arrives now.
+    pub fn request_list(&mut self, now: Micros) -> ListCall {
         if self.outages > 0 {
-            // Refused, or reset: a call that finds nobody ends soon.
-            return Call::Failed(now + millis(20.0));
+            // The connection is refused or reset, so the call fails quickly.
+            return ListCall::Failed(now + millis(20.0));
         }
         let timeout = millis(self.settings.timeout_ms);
         let begins = self.free_at.max(now);
         if begins - now > timeout {
-            return Call::Failed(now + timeout);
+            return ListCall::Failed(now + timeout);
         }
         self.free_at = begins + (1e6 / self.settings.calls_per_s) as Micros;
-        Call::Answered(self.free_at)
+        ListCall::Answered(self.free_at)
     }
 }
 
-/// An entry as balancers are handed it.
+/// Converts an entry to the form that balancers receive.
 pub fn listed(entry: &Entry, of: &crate::server::Server) -> Server {
     Server {
         id: of.id.clone(),
--- a/emulator/src/judge.rs
+++ b/emulator/src/evaluation.rs
@@ -1,4 +1,4 @@
-//! The rules, watched while a run goes on, and the account of what was worth how much.
+//! Monitors of the operators' rules during a run, and the metrics from which the score is computed.
 
 use std::fmt;
 
@@ -8,27 +8,27 @@
 
 use crate::scenario::{Goal, Scenario};
 
-/// A rule of the operators' brief.
+/// A rule from the operators' brief.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
     /// A request gets no more than one final answer.
     OneAnswer,
-    /// A request that a balancer took, and that lived on, gets its answer in time.
+    /// A request that a balancer accepted gets its answer in time, unless the balancer ends.
     Answered,
-    /// A request that must not run twice does not.
+    /// A request that must not run twice runs at most once.
     NoSecondRun,
-    /// Nothing new to an app server later than the grace after its balancer was told that it drains or is
-    /// gone.
+    /// No attempt or probe goes to an app server later than the grace period after its balancer was told that
+    /// it drains or is gone.
     DrainKept,
-    /// No cold app server is pushed over.
+    /// No cold app server is overloaded until it crashes.
     ColdBorne,
-    /// A refused request of an unsafe class has not run and does not run.
+    /// A refused request of an unsafe class has not run, and does not run later.
     HonestRefusal,
 }
 
 impl Rule {
-    /// All of them.
+    /// All rules, in the order of `RuleMonitor::counts`.
     pub const ALL: [Rule; 6] = [
         Rule::OneAnswer,
         Rule::Answered,
@@ -55,62 +55,62 @@
 /// A broken rule.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Breach {
-    /// Which.
+    /// The rule.
     pub rule: Rule,
-    /// When, in microseconds.
+    /// The time, in microseconds since the start of the day.
     pub at: Micros,
-    /// The request, by the number of its try.
+    /// The id of the client's request; 0 for a probe.
     pub request: u64,
-    /// What was seen.
+    /// What was observed.
     pub what: String,
-    /// What had happened to that request, line by line.
+    /// The events of that request, one per line.
     pub history: Vec<String>,
 }
 
-/// Breaches beyond these are counted only.
-const KEPT: usize = 50;
+/// Breaches beyond this number are only counted.
+const MAX_DETAILED_BREACHES: usize = 50;
 
-/// Watches the rules.
+/// Records breaches of the rules, and the history of one request.
 #[derive(Default)]
-pub struct Judge {
-    /// The first ones.
+pub struct RuleMonitor {
+    /// The first [`MAX_DETAILED_BREACHES`] breaches.
     pub breaches: Vec<Breach>,
-    /// How many of each rule.
+    /// The number of breaches of each rule.
     pub counts: [u64; Rule::ALL.len()],
-    /// The request whose history is written down.
-    pub followed: Option<u64>,
-    /// That history.
+    /// The request whose history is recorded.
+    pub followed_request: Option<u64>,
+    /// The recorded history.
     pub history: Vec<String>,
 }
 
-impl Judge {
-    /// A rule was broken.
+impl RuleMonitor {
+    /// Records a breach of a rule.
     pub fn breach(&mut self, rule: Rule, at: Micros, request: u64, what: impl FnOnce() -> String) {
         self.counts[rule as usize] += 1;
-        if self.breaches.len() < KEPT {
+        if self.breaches.len() < MAX_DETAILED_BREACHES {
             self.breaches.push(Breach { rule, at, request, what: what(), history: Vec::new() });
         }
         self.note(request, at, || format!("BROKEN: {rule}"));
     }
 
-    /// Something happened to a request.
+    /// Adds a line to the history, if this is the request that is followed.
     pub fn note(&mut self, request: u64, at: Micros, what: impl FnOnce() -> String) {
-        if self.followed == Some(request) {
+        if self.followed_request == Some(request) {
             self.history.push(format!("{:>12.6} s  {}", at as f64 / 1e6, what()));
         }
     }
 }
 
-/// What is counted of one class or branch.
+/// The totals of one class or branch.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Part {
+pub struct GroupTotals {
     /// Its name.
     pub name: String,
-    /// First tries.
+    /// Logical requests.
     pub asked: u64,
-    /// Of those: served within the aim.
+    /// Served within the latency target.
     pub served: u64,
-    /// Served, but after the aim.
+    /// Served, but after the latency target.
     pub late: u64,
     /// Ended with a refusal.
     pub refused: u64,
@@ -118,117 +118,117 @@
     pub failed: u64,
     /// Given up by the client.
     pub given_up: u64,
-    /// Worth asked for, within the branch's share.
+    /// Worth of the requests; for a branch, of those within its share only.
     pub worth: f64,
-    /// Worth served.
+    /// Worth of the requests served within the latency target.
     pub earned: f64,
 }
 
-/// How a first try ended, its retries included.
+/// How a logical request ended, after all of its retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// Served within its aim, or after it.
+    /// Served, within the latency target or after it.
     Served,
-    /// Refused last.
+    /// The last try was refused.
     Refused,
-    /// Failed last.
+    /// The last try failed.
     Failed,
-    /// Its client's time was over.
+    /// The client's last time-out expired, or the client disconnected.
     GivenUp,
 }
 
-/// A second of the day.
+/// The totals of one second of the day.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Second {
-    /// First tries that came.
+pub struct SecondTotals {
+    /// Logical requests that arrived.
     pub asked: u64,
-    /// Worth of those.
+    /// Worth of those requests.
     pub worth: f64,
-    /// Worth of those that were served in time, in the second in which they came.
+    /// Worth of those served within the latency target, counted in the second of their arrival.
     pub earned: f64,
-    /// Attempts.
+    /// Attempts sent to app servers.
     pub attempts: u64,
-    /// Refusals, of all tries.
+    /// Refusals, counting every try.
     pub refusals: u64,
-    /// Failures, of all tries.
+    /// Failures, counting every try.
     pub failures: u64,
-    /// App servers that are up.
+    /// App servers up at the start of the second.
     pub up: u32,
 }
 
-/// The account of a run.
-pub struct Account {
+/// The metrics of a run.
+pub struct Metrics {
     goal: Goal,
     warm_up: Micros,
     /// By class.
-    pub classes: Vec<Part>,
+    pub classes: Vec<GroupTotals>,
     /// By branch.
-    pub branches: Vec<Part>,
-    /// From the first try to the answer that served it, in microseconds, by class.
+    pub branches: Vec<GroupTotals>,
+    /// Time from the first try to the answer that served it, in microseconds, by class.
     pub times: Vec<Histogram<u32>>,
     /// By second.
-    pub seconds: Vec<Second>,
+    pub seconds: Vec<SecondTotals>,
     late_fail: f64,
     worth: f64,
-    /// First tries that count.
+    /// Logical requests after the warm-up.
     pub asked: u64,
-    /// Attempts that crossed zones.
+    /// Attempts sent to another zone.
     pub crossed: u64,
-    /// Probes.
+    /// Probes sent.
     pub probes: u64,
-    /// Work that was asked for, and work that brought no answer.
+    /// Work of all logical requests, in microseconds on a standard core.
     pub offered: f64,
-    /// See `offered`.
+    /// Work done by app servers for attempts whose answer was not used.
     pub wasted: f64,
 }
 
-/// What a request is, as far as it is counted.
+/// The attributes of a logical request that the metrics depend on.
 #[derive(Clone, Copy, Debug)]
-pub struct Counted {
-    /// Its class's position.
+pub struct RequestInfo {
+    /// The index of its class.
     pub class: u16,
-    /// Its branch's position.
+    /// The index of its branch.
     pub branch: u16,
-    /// When it came.
+    /// When it arrived.
     pub arrived: Micros,
     /// Within its branch's share.
     pub in_share: bool,
-    /// What it is worth.
+    /// Its worth if served in time.
     pub worth: f64,
-    /// Wanted within this.
+    /// The latency target.
     pub aim: Micros,
 }
 
-/// The figures that a day is judged by.
+/// The score of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Score {
-    /// Worth served over worth asked for, less the prices: the one figure.
+    /// The overall score: the weighted shares of worth served, minus the penalties.
     pub goal: f64,
-    /// The whole day.
+    /// Share of worth served over the whole day.
     pub whole: f64,
-    /// Its worst window.
+    /// Share of worth served in the worst window.
     pub worst_window: f64,
-    /// When that began, in seconds.
+    /// When the worst window begins, in seconds.
     pub worst_window_at: u32,
-    /// The worst-served class.
+    /// Share of worth served of the worst-served class.
     pub worst_class: f64,
-    /// The worst-served branch, within its share.
+    /// Share of worth served of the worst-served branch, counting requests within its share.
     pub worst_branch: f64,
-    /// What came off for failing late, for crossing zones, for work wasted and for probes.
+    /// Penalties for late failures, cross-zone attempts, wasted work and probes.
     pub prices: [f64; 4],
 }
 
-impl Account {
-    /// An empty one.
+impl Metrics {
+    /// Empty metrics for a scenario.
     ///
     /// # Panics
     ///
     /// Never: the histogram's bounds are constants that its constructor accepts.
     pub fn new(scenario: &Scenario) -> Self {
-        let part = |name: &String| Part { name: name.clone(), ..Part::default() };
-        // 1 µs to an hour at two digits; values outside are held at the ends.
+        let part = |name: &String| GroupTotals { name: name.clone(), ..GroupTotals::default() };
+        // 1 µs to 1 h with two significant digits; values outside are clamped to these bounds.
         let times = || Histogram::new_with_bounds(1, 3_600_000_000, 2).expect("bounds that make sense");
-        Account {
+        Metrics {
             goal: scenario.goal.clone(),
             warm_up: crate::scenario::seconds(scenario.day.warm_up_s),
             classes: scenario.classes.iter().map(|class| part(&class.name)).collect(),
@@ -245,57 +245,57 @@
         }
     }
 
-    /// The second in which this happens.
-    pub fn second(&mut self, at: Micros) -> &mut Second {
+    /// The totals of the second that contains this time.
+    pub fn second(&mut self, at: Micros) -> &mut SecondTotals {
         let at = (at / 1_000_000) as usize;
         if self.seconds.len() <= at {
-            self.seconds.resize(at + 1, Second::default());
+            self.seconds.resize(at + 1, SecondTotals::default());
         }
         &mut self.seconds[at]
     }
 
-    /// Does what comes at this time count?
-    pub fn counts(&self, at: Micros) -> bool {
+    /// Whether a request that arrives at this time is counted: it is after the warm-up.
+    pub fn is_counted(&self, at: Micros) -> bool {
         at >= self.warm_up
     }
 
-    /// A first try comes.
-    pub fn asked(&mut self, of: &Counted) {
-        if !self.counts(of.arrived) {
+    /// Counts the arrival of a logical request.
+    pub fn record_arrival(&mut self, request: &RequestInfo) {
+        if !self.is_counted(request.arrived) {
             return;
         }
         self.asked += 1;
-        self.worth += of.worth;
-        let second = self.second(of.arrived);
+        self.worth += request.worth;
+        let second = self.second(request.arrived);
         second.asked += 1;
-        second.worth += of.worth;
-        let class = &mut self.classes[of.class as usize];
+        second.worth += request.worth;
+        let class = &mut self.classes[request.class as usize];
         class.asked += 1;
-        class.worth += of.worth;
-        if let Some(branch) = self.branches.get_mut(of.branch as usize) {
+        class.worth += request.worth;
+        if let Some(branch) = self.branches.get_mut(request.branch as usize) {
             branch.asked += 1;
-            branch.worth += if of.in_share { of.worth } else { 0.0 };
+            branch.worth += if request.in_share { request.worth } else { 0.0 };
         }
     }
 
-    /// A first try ends.
-    pub fn ended(&mut self, of: &Counted, now: Micros, ending: Ending) {
-        if !self.counts(of.arrived) {
+    /// Counts the end of a logical request.
+    pub fn record_ending(&mut self, request: &RequestInfo, now: Micros, ending: Ending) {
+        if !self.is_counted(request.arrived) {
             return;
         }
-        let took = now - of.arrived;
-        let in_time = ending == Ending::Served && took <= of.aim;
-        if !in_time && took > of.aim {
-            self.late_fail += of.worth;
+        let took = now - request.arrived;
+        let in_time = ending == Ending::Served && took <= request.aim;
+        if !in_time && took > request.aim {
+            self.late_fail += request.worth;
         }
         if ending == Ending::Served {
-            self.times[of.class as usize].saturating_record(took.max(1));
+            self.times[request.class as usize].saturating_record(took.max(1));
         }
-        let earned = if in_time { of.worth } else { 0.0 };
-        self.second(of.arrived).earned += earned;
+        let earned = if in_time { request.worth } else { 0.0 };
+        self.second(request.arrived).earned += earned;
         let (class, branch) =
-            (&mut self.classes[of.class as usize], self.branches.get_mut(of.branch as usize));
-        let branch = branch.map(|part| (part, if of.in_share { earned } else { 0.0 }));
+            (&mut self.classes[request.class as usize], self.branches.get_mut(request.branch as usize));
+        let branch = branch.map(|part| (part, if request.in_share { earned } else { 0.0 }));
         for (part, earned) in [(class, earned)].into_iter().chain(branch) {
             match ending {
                 Ending::Served if in_time => part.served += 1,
@@ -308,10 +308,10 @@
         }
     }
 
-    /// The figures.
+    /// Computes the score.
     pub fn score(&self) -> Score {
         let share = |earned: f64, worth: f64| if worth > 0.0 { earned / worth } else { 1.0 };
-        let worst = |parts: &[Part]| {
+        let worst = |parts: &[GroupTotals]| {
             let asked = parts.iter().filter(|part| part.worth > 0.0);
             asked.map(|part| share(part.earned, part.worth)).fold(1.0, f64::min)
         };
@@ -321,10 +321,11 @@
         let until = self.seconds.iter().rposition(|second| second.asked > 0).map_or(0, |last| last + 1);
         let counted = &self.seconds[from..until.max(from)];
         let window = (self.goal.window_s as usize).clamp(1, counted.len().max(1));
-        let of = |seconds: &[Second]| {
+        let window_share = |seconds: &[SecondTotals]| {
             share(seconds.iter().map(|s| s.earned).sum(), seconds.iter().map(|s| s.worth).sum())
         };
-        let windows = counted.windows(window).enumerate().map(|(at, seconds)| (of(seconds), at + from));
+        let windows =
+            counted.windows(window).enumerate().map(|(at, seconds)| (window_share(seconds), at + from));
         let (worst_window, at) = windows.min_by(|a, b| a.0.total_cmp(&b.0)).unwrap_or((whole, from));
         let (worst_class, worst_branch) = (worst(&self.classes), worst(&self.branches));
         let goal = &self.goal;
--- a/emulator/src/lib.rs
+++ b/emulator/src/lib.rs
@@ -1,18 +1,19 @@
-//! The project's own model of what it balances: clients, a front, balancers, app servers, discovery and the
-//! network, in simulated time. The balancers run the code that is in service ([`gradepaddle`] round
-//! [`gradepaddle_dispatch`]), or another policy behind the same trait for comparison. Rules are watched while
-//! it runs; the same scenario, seed and build give the same result to the last digit.
+//! A discrete-event simulator of the load balancer's environment: clients, the front that routes them to
+//! balancers, balancers, app servers, discovery and the network. The balancers run the production code
+//! ([`gradepaddle`] in [`gradepaddle_dispatch`]), or another policy behind the same trait for comparison. The
+//! operators' rules are monitored during a run. The same scenario, seed and build give an identical result.
 //!
-//! All times are whole microseconds from the start of the day, all work microseconds on a standard core.
+//! All times are whole microseconds from the start of the day; all work is in microseconds on a standard
+//! core.
 
 mod balancer;
 mod clients;
 mod discovery;
-mod gauge;
-pub mod judge;
+pub mod evaluation;
 mod network;
 pub mod policy;
 mod queue;
+mod queue_reporter;
 mod random;
 pub mod result;
 pub mod scenario;
@@ -20,4 +21,4 @@
 mod world;
 
 pub use queue::RANKS;
-pub use world::{Make, Player, Run, run};
+pub use world::{PolicyFactory, PolicyUnderTest, Run, run};
--- a/emulator/src/network.rs
+++ b/emulator/src/network.rs
@@ -1,4 +1,4 @@
-//! Delays between parties, and links that lose what is sent over them.
+//! Network delays between clients, balancers and app servers, and links that drop all traffic.
 
 use gradepaddle::Micros;
 
@@ -9,55 +9,55 @@
 pub struct Network {
     settings: Settings,
     stream: Stream,
-    /// Zones that nothing gets into or out of.
-    cut: Vec<u32>,
-    /// Pairs of zones between which all is lost.
-    lost: Vec<(u32, u32)>,
+    /// The number of active cuts of each zone; a zone with any is isolated from the others.
+    cuts_by_zone: Vec<u32>,
+    /// Pairs of zones between which all traffic is dropped, in both directions.
+    lost_links: Vec<(u32, u32)>,
 }
 
 impl Network {
-    /// A network in which everything gets through.
+    /// A network without cuts or lost links.
     pub fn new(settings: Settings, stream: Stream, zones: usize) -> Self {
-        Network { settings, stream, cut: vec![0; zones], lost: Vec::new() }
+        Network { settings, stream, cuts_by_zone: vec![0; zones], lost_links: Vec::new() }
     }
 
-    /// Cuts a zone off from the others, or joins it again. Cuts may overlap.
-    pub fn cut(&mut self, zone: u32, cut: bool) {
-        let count = &mut self.cut[zone as usize];
+    /// Isolates a zone from the others, or ends one such cut. Cuts may overlap.
+    pub fn set_zone_cut(&mut self, zone: u32, cut: bool) {
+        let count = &mut self.cuts_by_zone[zone as usize];
         *count = if cut { *count + 1 } else { count.saturating_sub(1) };
     }
 
-    /// Loses all between two zones, or no longer.
-    pub fn lose(&mut self, from: u32, to: u32, lost: bool) {
+    /// Starts or stops dropping all traffic between two zones.
+    pub fn set_link_lost(&mut self, from: u32, to: u32, lost: bool) {
         if lost {
-            self.lost.push((from, to));
-        } else if let Some(at) = self.lost.iter().position(|pair| *pair == (from, to)) {
-            self.lost.swap_remove(at);
+            self.lost_links.push((from, to));
+        } else if let Some(at) = self.lost_links.iter().position(|pair| *pair == (from, to)) {
+            self.lost_links.swap_remove(at);
         }
     }
 
-    /// Does anything get from one zone to the other?
-    pub fn joins(&self, from: u32, to: u32) -> bool {
+    /// Whether traffic gets from one zone to the other.
+    pub fn is_connected(&self, from: u32, to: u32) -> bool {
         if from == to {
             return true;
         }
-        let cut = self.cut[from as usize] > 0 || self.cut[to as usize] > 0;
-        !cut && !self.lost.iter().any(|(a, b)| (*a, *b) == (from, to) || (*b, *a) == (from, to))
+        let cut = self.cuts_by_zone[from as usize] > 0 || self.cuts_by_zone[to as usize] > 0;
+        !cut && !self.lost_links.iter().any(|(a, b)| (*a, *b) == (from, to) || (*b, *a) == (from, to))
     }
 
-    /// How long a message takes from one zone to the other.
+    /// The delay of a message from one zone to another.
     pub fn delay(&mut self, from: u32, to: u32) -> Micros {
         let ms = if from == to { self.settings.same_ms } else { self.settings.cross_ms };
         self.jittered(ms)
     }
 
-    /// How long a message takes between a client and its zone's balancers.
+    /// The delay of a message between a client and a balancer.
     pub fn client_delay(&mut self) -> Micros {
         self.jittered(self.settings.client_ms)
     }
 
     fn jittered(&mut self, ms: f64) -> Micros {
-        // Never shorter: jitter is what queues add.
+        // Jitter models queueing, so it only adds to the delay.
         let jitter = self.settings.jitter;
         let more = if jitter > 0.0 { self.stream.interval(jitter) } else { 0.0 };
         (ms * (1.0 + more) * 1000.0) as Micros
--- a/emulator/src/policy/mod.rs
+++ b/emulator/src/policy/mod.rs
@@ -1,10 +1,10 @@
-//! Who chooses in a run: the decisions in service, or a reference for comparison behind the same trait.
-//! References keep the rules of repeats and drains as well as they can by themselves; of cold app servers and
-//! of load they know what their method says.
+//! The policies that a run can use: the production load balancer, or a reference policy behind the same trait
+//! for comparison. Reference policies follow the rules on repeats and drains as far as they can on their own;
+//! how they treat cold app servers and load depends on their selection strategy.
 
-mod balanced;
 mod lifecycle;
-mod truth;
+mod oracle;
+mod strategies;
 
 use std::rc::Rc;
 use std::str::FromStr;
@@ -12,44 +12,44 @@
 use gradepaddle::{Balancer, Settings, SettingsError};
 use gradepaddle_dispatch::Chooser;
 
-use balanced::{Bounded, Ewma, Least, Queues, Random, RoundRobin, Two};
-use lifecycle::Lifecycle;
-use truth::Seer;
-pub(crate) use truth::number;
-pub use truth::{Board, Glance};
+use lifecycle::ReferencePolicy;
+use oracle::Oracle;
+pub(crate) use oracle::number;
+pub use oracle::{GroundTruth, ServerSnapshot};
+use strategies::{BoundedHash, LeastOutstanding, PeakEwma, Random, RoundRobin, ShortestQueue, TwoChoices};
 
-/// The policies by name.
+/// The available policies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Policy {
-    /// The decisions in service: LARD by three costs.
+    /// The production load balancer: LARD (locality-aware request distribution) by three costs.
     Module,
-    /// Any open app server.
+    /// A random open app server.
     Random,
-    /// One after the other.
+    /// Round-robin.
     RoundRobin,
-    /// The one with the fewest of our own outstanding.
+    /// The app server with the fewest outstanding attempts of this balancer.
     LeastOutstanding,
-    /// The better of two drawn at random (Mitzenmacher, "The Power of Two Choices in Randomized Load
+    /// The better of two random app servers (Mitzenmacher, "The Power of Two Choices in Randomized Load
     /// Balancing", 2001).
     TwoChoices,
-    /// The lower of two by a peak-sensitive moving average of answer times, weighed with what is outstanding
-    /// (as Finagle's peak EWMA balancer does).
+    /// The better of two random app servers by a peak-sensitive moving average of response times, multiplied
+    /// by outstanding attempts (as Finagle's peak EWMA balancer does).
     PeakEwma,
-    /// The key's place on a ring, unless that one is above its bound (Mirrokni, Thorup and Zadimoghaddam,
-    /// "Consistent Hashing with Bounded Loads", 2016).
+    /// The app server of the key on a consistent-hash ring, unless its load is above the bound (Mirrokni,
+    /// Thorup and Zadimoghaddam, "Consistent Hashing with Bounded Loads", 2016).
     BoundedHash,
-    /// The shortest queue as app servers tell it, with 3 probes for each 100 requests.
+    /// The shortest queue that app servers report, with 3 probes per 100 requests.
     QueueProbes3,
-    /// The same with 30.
+    /// The same with 30 probes per 100 requests.
     QueueProbes30,
-    /// The same with one for each request.
+    /// The same with one probe per request.
     QueueProbes100,
-    /// Sees the true state of every app server, which no balancer can.
-    Seer,
+    /// Reads the true state of every app server, which no real balancer can: an upper reference.
+    Oracle,
 }
 
 impl Policy {
-    /// All of them.
+    /// All policies.
     pub const ALL: [Policy; 11] = [
         Policy::Module,
         Policy::Random,
@@ -61,7 +61,7 @@
         Policy::QueueProbes3,
         Policy::QueueProbes30,
         Policy::QueueProbes100,
-        Policy::Seer,
+        Policy::Oracle,
     ];
 
     /// Its name on the command line and in results.
@@ -77,34 +77,36 @@
             Policy::QueueProbes3 => "queue-probes-3",
             Policy::QueueProbes30 => "queue-probes-30",
             Policy::QueueProbes100 => "queue-probes-100",
-            Policy::Seer => "seer",
+            Policy::Oracle => "seer",
         }
     }
 
-    /// One for a balancer with these settings. `board` shows the truth, for the one that sees it.
+    /// Creates the chooser of a balancer with these settings. Only [`Policy::Oracle`] reads the ground truth.
     ///
     /// # Errors
     ///
-    /// The settings make no sense.
+    /// The settings are invalid.
     pub fn start(
         self,
         settings: &Settings,
         seed: u64,
-        board: &Rc<Board>,
+        ground_truth: &Rc<GroundTruth>,
     ) -> Result<Box<dyn Chooser>, SettingsError> {
         settings.check()?;
         Ok(match self {
             Policy::Module => Box::new(Balancer::new(settings.clone(), seed)?),
-            Policy::Random => Box::new(Lifecycle::new(settings, seed, Random)),
-            Policy::RoundRobin => Box::new(Lifecycle::new(settings, seed, RoundRobin::default())),
-            Policy::LeastOutstanding => Box::new(Lifecycle::new(settings, seed, Least)),
-            Policy::TwoChoices => Box::new(Lifecycle::new(settings, seed, Two)),
-            Policy::PeakEwma => Box::new(Lifecycle::new(settings, seed, Ewma::default())),
-            Policy::BoundedHash => Box::new(Lifecycle::new(settings, seed, Bounded::default())),
-            Policy::QueueProbes3 => Box::new(Lifecycle::new(settings, seed, Queues::new(0.03))),
-            Policy::QueueProbes30 => Box::new(Lifecycle::new(settings, seed, Queues::new(0.3))),
-            Policy::QueueProbes100 => Box::new(Lifecycle::new(settings, seed, Queues::new(1.0))),
-            Policy::Seer => Box::new(Lifecycle::new(settings, seed, Seer::new(settings, board.clone()))),
+            Policy::Random => Box::new(ReferencePolicy::new(settings, seed, Random)),
+            Policy::RoundRobin => Box::new(ReferencePolicy::new(settings, seed, RoundRobin::default())),
+            Policy::LeastOutstanding => Box::new(ReferencePolicy::new(settings, seed, LeastOutstanding)),
+            Policy::TwoChoices => Box::new(ReferencePolicy::new(settings, seed, TwoChoices)),
+            Policy::PeakEwma => Box::new(ReferencePolicy::new(settings, seed, PeakEwma::default())),
+            Policy::BoundedHash => Box::new(ReferencePolicy::new(settings, seed, BoundedHash::default())),
+            Policy::QueueProbes3 => Box::new(ReferencePolicy::new(settings, seed, ShortestQueue::new(0.03))),
+            Policy::QueueProbes30 => Box::new(ReferencePolicy::new(settings, seed, ShortestQueue::new(0.3))),
+            Policy::QueueProbes100 => Box::new(ReferencePolicy::new(settings, seed, ShortestQueue::new(1.0))),
+            Policy::Oracle => {
+                Box::new(ReferencePolicy::new(settings, seed, Oracle::new(settings, ground_truth.clone())))
+            }
         })
     }
 }
--- a/emulator/src/queue.rs
+++ b/emulator/src/queue.rs
@@ -1,5 +1,5 @@
-//! What happens next. Events at the same microsecond come in a stated order: by rank, then in the order in
-//! which they were put in.
+//! The queue of pending events. Events due at the same microsecond are ordered by rank, then by the order in
+//! which they were pushed.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -8,106 +8,111 @@
 use slotmap::new_key_type;
 
 new_key_type! {
-    /// A try of a client's: one request on the wire.
-    pub struct TryKey;
-    /// What a client wants: its first try and those after it.
-    pub struct QuestKey;
-    /// An attempt on its way.
-    pub struct FlightKey;
+    /// One request that a client sends: a first try or a retry.
+    pub struct ClientRequestKey;
+    /// A logical request of a client: its first try and all of its retries.
+    pub struct LogicalRequestKey;
+    /// An attempt or a probe that a balancer has sent to an app server.
+    pub struct UpstreamRequestKey;
 }
 
-/// The ranks of events at the same time, first to last: what goes wrong, what is learned of app servers, work
-/// that ends and answers on their way, new requests on their way, timers, new arrivals.
+/// The ranks of events due at the same time, first to last: troubles, server list changes, completed work and
+/// results in transit, requests in transit, timers, new arrivals.
 pub const RANKS: [&str; 6] = ["trouble", "list", "end", "reach", "timer", "arrival"];
 
-/// One thing that happens.
+/// An event of the simulation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event {
-    /// A trouble begins, or ends.
+    /// A trouble of the scenario begins or ends.
     Trouble { at: u32, begins: bool },
-    /// A step of a trouble that goes on.
-    Step { at: u32, step: u32 },
-    /// The truth of an app server changes.
-    Truth { server: u32, life: u32, change: Change },
-    /// Discovery has noticed a change.
-    Noticed { entry: u32 },
-    /// A balancer hears of discovery.
-    Heard { balancer: u32, life: u32, news: News },
-    /// A balancer process comes up.
-    Up { balancer: u32 },
-    /// A balancer that was asked to go has answered long enough.
-    Gone { balancer: u32, life: u32 },
-    /// A job ends.
-    Done { server: u32, life: u32, job: FlightKey },
-    /// An attempt's end reaches its balancer.
-    Back { flight: FlightKey },
-    /// A final answer reaches its client.
-    Hear { key: TryKey },
-    /// A request reaches its balancer.
-    Reach { key: TryKey },
-    /// An attempt's last byte reaches its app server.
-    Land { flight: FlightKey },
-    /// A balancer's timer.
-    Timer { balancer: u32, life: u32 },
-    /// An attempt's time is up.
-    Expire { flight: FlightKey },
-    /// A client stops waiting for a try.
-    GiveUp { key: TryKey },
-    /// By now its balancer must have answered all the same.
-    Overdue { key: TryKey },
-    /// A client leaves before its time.
-    Leave { key: TryKey },
-    /// Its balancer hears of that.
-    Left { key: TryKey },
-    /// A client tries again.
-    Again { quest: QuestKey },
-    /// An app server pauses.
-    Pause { server: u32, life: u32 },
-    /// A look at all app servers.
+    /// The next step of a trouble that proceeds in steps.
+    TroubleStep { at: u32, step: u32 },
+    /// An app server starts draining or stops.
+    StateChange { server: u32, incarnation: u32, change: Change },
+    /// Discovery records a change of an app server.
+    DiscoveryUpdate { entry: u32 },
+    /// A server list, or the failure of the call for it, reaches a balancer.
+    ListUpdate { balancer: u32, incarnation: u32, news: DiscoveryMessage },
+    /// A balancer process starts.
+    BalancerStart { balancer: u32 },
+    /// A draining balancer stops, if it has no open requests.
+    BalancerStop { balancer: u32, incarnation: u32 },
+    /// An app server completes a job.
+    WorkDone { server: u32, incarnation: u32, job: UpstreamRequestKey },
+    /// The result of an attempt or probe reaches its balancer.
+    AttemptResult { upstream_request: UpstreamRequestKey },
+    /// The final answer reaches the client.
+    ClientAnswer { key: ClientRequestKey },
+    /// A client's request reaches its balancer.
+    RequestAtBalancer { key: ClientRequestKey },
+    /// The last byte of an attempt or probe reaches its app server.
+    RequestAtServer { upstream_request: UpstreamRequestKey },
+    /// A balancer's timer is due.
+    BalancerTimer { balancer: u32, incarnation: u32 },
+    /// The balancer's time-out of an attempt or probe expires.
+    AttemptTimeout { upstream_request: UpstreamRequestKey },
+    /// A client's time-out for a try expires.
+    ClientTimeout { key: ClientRequestKey },
+    /// The grace period after the client's time-out is over: the balancer must have answered by now.
+    AnswerOverdue { key: ClientRequestKey },
+    /// A client disconnects before its time-out.
+    ClientDisconnect { key: ClientRequestKey },
+    /// The balancer learns that the client has disconnected.
+    DisconnectAtBalancer { key: ClientRequestKey },
+    /// A client sends a retry.
+    ClientRetry { logical_request: LogicalRequestKey },
+    /// An app server pauses, for example for garbage collection.
+    ServerPause { server: u32, incarnation: u32 },
+    /// The state of all app servers is sampled for the report.
     Sample,
-    /// The next request comes.
-    Arrive,
+    /// The next logical request arrives.
+    NextArrival,
 }
 
-/// How an app server's truth changes.
+/// A planned change of an app server's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    Drains,
-    Goes,
+    Drain,
+    Stop,
 }
 
-/// What a balancer hears of discovery.
+/// What a balancer receives from discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum News {
-    /// Entries up to this version.
-    Upto(u32),
-    /// The watch broke, or the call failed.
+pub enum DiscoveryMessage {
+    /// All list changes up to this version.
+    UpToVersion(u32),
+    /// The watch was interrupted, or the call for the list failed.
     Failed,
 }
 
 impl Event {
     fn rank(&self) -> u8 {
         match self {
-            Event::Trouble { .. } | Event::Step { .. } | Event::Up { .. } | Event::Gone { .. } => 0,
-            Event::Truth { .. } | Event::Noticed { .. } | Event::Heard { .. } => 1,
-            Event::Done { .. } | Event::Back { .. } | Event::Hear { .. } => 2,
-            Event::Reach { .. } | Event::Land { .. } | Event::Left { .. } => 3,
-            Event::Timer { .. }
-            | Event::Expire { .. }
-            | Event::GiveUp { .. }
-            | Event::Overdue { .. }
-            | Event::Leave { .. }
+            Event::Trouble { .. }
+            | Event::TroubleStep { .. }
+            | Event::BalancerStart { .. }
+            | Event::BalancerStop { .. } => 0,
+            Event::StateChange { .. } | Event::DiscoveryUpdate { .. } | Event::ListUpdate { .. } => 1,
+            Event::WorkDone { .. } | Event::AttemptResult { .. } | Event::ClientAnswer { .. } => 2,
+            Event::RequestAtBalancer { .. }
+            | Event::RequestAtServer { .. }
+            | Event::DisconnectAtBalancer { .. } => 3,
+            Event::BalancerTimer { .. }
+            | Event::AttemptTimeout { .. }
+            | Event::ClientTimeout { .. }
+            | Event::AnswerOverdue { .. }
+            | Event::ClientDisconnect { .. }
             | Event::Sample
-            | Event::Again { .. }
-            | Event::Pause { .. } => 4,
-            Event::Arrive => 5,
+            | Event::ClientRetry { .. }
+            | Event::ServerPause { .. } => 4,
+            Event::NextArrival => 5,
         }
     }
 }
 
 struct Entry {
     at: Micros,
-    /// Rank above, number below.
+    /// The rank in the upper 8 bits, the push sequence number below.
     order: u64,
     event: Event,
 }
@@ -132,7 +137,7 @@
     }
 }
 
-/// All that is to come.
+/// The pending events, earliest first.
 #[derive(Default)]
 pub struct Queue {
     heap: BinaryHeap<Reverse<Entry>>,
@@ -140,19 +145,18 @@
 }
 
 impl Queue {
-    /// Puts an event in.
     pub fn push(&mut self, at: Micros, event: Event) {
         self.count += 1;
         let order = u64::from(event.rank()) << 56 | self.count;
         self.heap.push(Reverse(Entry { at, order, event }));
     }
 
-    /// The next event with its time.
+    /// Removes the next event and returns it with its time.
     pub fn pop(&mut self) -> Option<(Micros, Event)> {
         self.heap.pop().map(|Reverse(entry)| (entry.at, entry.event))
     }
 
-    /// How many are to come.
+    /// The number of pending events.
     pub fn len(&self) -> usize {
         self.heap.len()
     }
--- a/emulator/src/random/tests.rs
+++ b/emulator/src/random/tests.rs
@@ -1,28 +1,28 @@
 use super::*;
 
-/// Guards results against a tail or a table that is not what the scenario says.
+/// Checks that work factors and weighted draws follow the distributions that the scenario configures.
 #[test]
 fn draws_have_the_mean_and_the_weights_that_were_asked_for() {
-    let mut stream = Stream::of(7, Party::Arrivals, 0);
-    for shape in [Shape::Lognormal, Shape::Pareto] {
+    let mut stream = Stream::of(7, StreamId::Arrivals, 0);
+    for shape in [WorkDistribution::Lognormal, WorkDistribution::Pareto] {
         let mean = (0..200_000).map(|_| stream.tailed(shape, 1.5)).sum::<f64>() / 200_000.0;
         assert!((mean - 1.0).abs() < 0.05, "{shape:?}: {mean}");
     }
-    let table = Table::new(&[1.0, 0.0, 3.0]);
+    let table = AliasTable::new(&[1.0, 0.0, 3.0]);
     let mut counts = [0u32; 3];
     (0..40_000).for_each(|_| counts[table.draw(&mut stream)] += 1);
     assert_eq!(counts[1], 0);
     assert!((f64::from(counts[2]) / 40_000.0 - 0.75).abs() < 0.01, "{counts:?}");
 }
 
-/// Guards against one party's draws that change with another's.
+/// Checks that streams are reproducible and independent of each other.
 #[test]
 fn streams_are_apart_and_repeat() {
-    let draws = |party, number| {
-        let mut stream = Stream::of(1, party, number);
+    let draws = |stream_id, number| {
+        let mut stream = Stream::of(1, stream_id, number);
         (0..4).map(|_| stream.any()).collect::<Vec<_>>()
     };
-    assert_eq!(draws(Party::Server, 3), draws(Party::Server, 3));
-    assert_ne!(draws(Party::Server, 3), draws(Party::Server, 4));
-    assert_ne!(draws(Party::Server, 3), draws(Party::Network, 3));
+    assert_eq!(draws(StreamId::Server, 3), draws(StreamId::Server, 3));
+    assert_ne!(draws(StreamId::Server, 3), draws(StreamId::Server, 4));
+    assert_ne!(draws(StreamId::Server, 3), draws(StreamId::Network, 3));
 }
--- a/emulator/src/result.rs
+++ b/emulator/src/result.rs
@@ -1,13 +1,13 @@
-//! What comes out of a run: one value that is written as JSON, the same to the last digit for equal
-//! scenario, seed and build. Nothing in it depends on how fast the run was.
+//! The result of a run, written as JSON. It is identical for the same scenario, seed and build, and nothing
+//! in it depends on how long the simulation took.
 
 use gradepaddle::Micros;
 use serde::{Deserialize, Serialize};
 
-use crate::judge::{Account, Breach, Judge, Part, Rule, Score, Second};
+use crate::evaluation::{Breach, GroupTotals, Metrics, Rule, RuleMonitor, Score, SecondTotals};
 use crate::scenario::{Scenario, TroubleKind};
 
-/// The version of the format: readers refuse another.
+/// The version of the format. Readers reject other versions.
 pub const SCHEMA: u32 = 2;
 
 /// The result of one run.
@@ -17,92 +17,93 @@
     pub schema: u32,
     /// The scenario's name.
     pub scenario: String,
-    /// Who chose.
+    /// The policy's name.
     pub policy: String,
     /// The seed.
     pub seed: u64,
-    /// How many balancers.
+    /// The number of balancers.
     pub balancers: u32,
-    /// How many app servers at the start.
+    /// The number of app servers at the start.
     pub servers: u32,
-    /// Requests a second that were meant.
+    /// The configured mean rate, in requests per second.
     pub rate: f64,
-    /// The figures.
+    /// The score.
     pub score: Score,
-    /// First tries that count.
+    /// Logical requests after the warm-up.
     pub asked: u64,
-    /// Attempts that crossed zones.
+    /// Attempts sent to another zone.
     pub crossed: u64,
-    /// Probes.
+    /// Probes sent.
     pub probes: u64,
-    /// Work asked for and work wasted, in microseconds.
+    /// Work of all requests and wasted work, in microseconds on a standard core.
     pub work: [f64; 2],
-    /// By class.
-    pub classes: Vec<Part>,
-    /// Times to the answer by class, in milliseconds.
+    /// Totals by class.
+    pub classes: Vec<GroupTotals>,
+    /// Response times by class, in milliseconds.
     pub times: Vec<Times>,
-    /// By branch.
-    pub branches: Vec<Part>,
-    /// Broken rules, the first ones.
+    /// Totals by branch.
+    pub branches: Vec<GroupTotals>,
+    /// The first breaches of rules, in detail.
     pub breaches: Vec<Breach>,
-    /// How often each rule was broken.
+    /// The number of breaches of each rule.
     pub broken: Vec<(Rule, u64)>,
-    /// Actions that the guard did not let through.
+    /// Actions of the policy that the guard rejected.
     pub defects: u64,
-    /// By second.
-    pub seconds: Vec<Second>,
-    /// Troubles by name, with when they begin and end, in seconds.
+    /// Totals by second.
+    pub seconds: Vec<SecondTotals>,
+    /// Troubles: name, start and end in seconds.
     pub troubles: Vec<(String, f64, f64)>,
-    /// Requests held for each core, by row of app servers and by second; below 0 where none is up.
+    /// Requests held per core, by row of app servers and second; negative where none of the row is up.
     pub held: Vec<Vec<f32>>,
-    /// Share of capacity, in the same way.
+    /// Share of full capacity reached in the warm-up, in the same layout.
     pub warmth: Vec<Vec<f32>>,
-    /// How many app servers stand behind a row.
+    /// The number of app servers that a row averages.
     pub per_row: usize,
 }
 
-/// Times to the answer.
+/// Response times of a class, in milliseconds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Times {
-    /// The class.
+    /// The class's name.
     pub name: String,
-    /// How many answers.
+    /// The number of served requests.
     pub count: u64,
     /// Mean.
     pub mean: f64,
-    /// Half are below.
+    /// 50th percentile.
     pub p50: f64,
-    /// Nine of ten.
+    /// 90th percentile.
     pub p90: f64,
-    /// Ninety-nine of a hundred.
+    /// 99th percentile.
     pub p99: f64,
-    /// All but one of a thousand.
+    /// 99.9th percentile.
     pub p999: f64,
-    /// By share in percent, for a plot of the whole course.
+    /// Percentiles for a plot of the distribution: percent, time.
     pub course: Vec<(f64, f64)>,
 }
 
-/// What is seen of app servers once a second.
+/// Samples of all app servers, taken once a second.
 #[derive(Clone, Debug, Default)]
 pub struct Samples {
-    /// By second, by app server.
+    /// By second and app server: requests held per core and warmth; none where it is down.
     rows: Vec<Vec<Option<(f32, f32)>>>,
 }
 
 impl Samples {
-    /// One look: requests held for each core and warmth, or none where it is down.
+    /// Adds one sample of all app servers: requests held per core and warmth, or none where one is down.
     pub fn add(&mut self, servers: impl Iterator<Item = Option<(f64, f64)>>) {
         self.rows.push(servers.map(|one| one.map(|(held, warm)| (held as f32, warm as f32))).collect());
     }
 
-    /// By row of at most so many, by second: requests held, warmth, and app servers behind a row.
+    /// Averages the app servers into at most `most` rows. Returns requests held and warmth by row and second,
+    /// and the number of app servers per row.
     fn condense(&self, most: usize) -> (Vec<Vec<f32>>, Vec<Vec<f32>>, usize) {
         let servers = self.rows.iter().map(Vec::len).max().unwrap_or(0);
         let per_row = servers.div_ceil(most).max(1);
         let mean = |second: &Vec<Option<(f32, f32)>>, row: usize, of: fn(&(f32, f32)) -> f32| {
             let some = second.iter().skip(row * per_row).take(per_row).flatten();
             let (sum, count) = some.map(of).fold((0.0, 0), |(sum, count), x| (sum + x, count + 1));
-            // Two digits are enough to be seen.
+            // Two decimal places are enough for a plot.
             if count == 0 { -1.0 } else { (sum / count as f32 * 100.0).round() / 100.0 }
         };
         let table = |of: fn(&(f32, f32)) -> f32| {
@@ -117,25 +118,25 @@
     [1.0, 5.0, 10.0, 20.0, 30.0, 40.0, 50.0, 60.0, 70.0, 80.0, 90.0, 95.0, 98.0, 99.0, 99.5, 99.9];
 
 impl Outcome {
-    /// From what was counted.
+    /// Assembles the result of a run.
     pub(crate) fn new(
         scenario: &Scenario,
         policy: &str,
         seed: u64,
-        account: Account,
-        judge: Judge,
+        metrics: Metrics,
+        rule_monitor: RuleMonitor,
         samples: Samples,
         defects: u64,
     ) -> Self {
-        let score = account.score();
-        let mut breaches = judge.breaches;
-        if judge.followed.is_some()
+        let score = metrics.score();
+        let mut breaches = rule_monitor.breaches;
+        if rule_monitor.followed_request.is_some()
             && let Some(first) = breaches.first_mut()
         {
-            first.history = judge.history;
+            first.history = rule_monitor.history;
         }
         let ms = |us: u64| us as f64 / 1000.0;
-        let times = account.times.iter().zip(&account.classes).map(|(times, class)| {
+        let times = metrics.times.iter().zip(&metrics.classes).map(|(times, class)| {
             let at = |percent: f64| ms(times.value_at_percentile(percent));
             Times {
                 name: class.name.clone(),
@@ -167,17 +168,17 @@
             servers: scenario.fleet.servers,
             rate: scenario.rate(),
             score,
-            asked: account.asked,
-            crossed: account.crossed,
-            probes: account.probes,
-            work: [account.offered, account.wasted],
+            asked: metrics.asked,
+            crossed: metrics.crossed,
+            probes: metrics.probes,
+            work: [metrics.offered, metrics.wasted],
             times,
-            classes: account.classes,
-            branches: account.branches,
+            classes: metrics.classes,
+            branches: metrics.branches,
             breaches,
-            broken: Rule::ALL.into_iter().map(|rule| (rule, judge.counts[rule as usize])).collect(),
+            broken: Rule::ALL.into_iter().map(|rule| (rule, rule_monitor.counts[rule as usize])).collect(),
             defects,
-            seconds: account.seconds,
+            seconds: metrics.seconds,
             troubles: scenario.troubles.iter().map(span).collect(),
             held,
             warmth,
@@ -185,18 +186,18 @@
         }
     }
 
-    /// How many first tries ended in each way: served in time, served late, refused, failed, given up.
+    /// The number of logical requests by ending: served in time, served late, refused, failed, given up.
     pub fn endings(&self) -> [u64; 5] {
-        let sum = |of: fn(&Part) -> u64| self.classes.iter().map(of).sum();
+        let sum = |of: fn(&GroupTotals) -> u64| self.classes.iter().map(of).sum();
         [sum(|p| p.served), sum(|p| p.late), sum(|p| p.refused), sum(|p| p.failed), sum(|p| p.given_up)]
     }
 
-    /// Rules broken in all.
+    /// The number of breaches of all rules.
     pub fn breaches_in_all(&self) -> u64 {
         self.broken.iter().map(|(_, count)| count).sum()
     }
 
-    /// How long the run was, in microseconds.
+    /// The simulated duration, in microseconds.
     pub fn length(&self) -> Micros {
         self.seconds.len() as Micros * 1_000_000
     }
--- a/emulator/src/scenario.rs
+++ b/emulator/src/scenario.rs
@@ -1,4 +1,4 @@
-//! What a run is made of: read from TOML, each figure with its unit in its name and a default from the
+//! The scenario of a run, read from TOML. Each field has its unit in its name and a default from the
 //! operators' brief.
 
 mod fleet;
@@ -10,13 +10,14 @@
 use gradepaddle::{Class, DeduplicationScope, Idempotency, Micros, Settings, Tenant};
 use serde::{Deserialize, Serialize};
 
-pub use fleet::{Balancers, Discovery, Fleet, Listing, MachineKind, Network, Probe, Report, Reporting};
+pub use fleet::{Balancers, Discovery, Fleet, ListMode, MachineKind, Network, Probe, Report, Reporting};
 pub use goal::{Goal, Rules, WorthBy};
 pub use load::{
-    Branch, ClassOf, Clients, Course, Load, Repeats, Shape, Within, usual_branches, usual_classes,
+    Branch, Clients, DedupScope, Load, LoadShape, RequestClass, RequestEffect, WorkDistribution,
+    default_branches, default_classes,
 };
 pub use trouble::{Trouble, TroubleKind};
-pub use validation::Fault;
+pub use validation::ScenarioError;
 
 use validation::line_of;
 
@@ -24,36 +25,36 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Scenario {
-    /// Its name in reports.
+    /// The name shown in reports.
     pub name: String,
-    /// What it is about, in a line.
+    /// A one-line description.
     pub about: String,
-    /// How long it lasts.
+    /// The duration of the run.
     pub day: Day,
     /// The app servers.
     pub fleet: Fleet,
     /// The balancers.
     pub balancers: Balancers,
-    /// What is asked, and how often.
+    /// The load: rate, keys and quotas.
     pub load: Load,
-    /// What clients do.
+    /// How clients retry and disconnect.
     pub clients: Clients,
-    /// Discovery.
+    /// The discovery service.
     pub discovery: Discovery,
     /// The network.
     pub network: Network,
     /// Probes of app servers.
     pub probe: Probe,
-    /// What app servers tell of their load.
+    /// Load reports of app servers.
     pub report: Report,
-    /// What balancers are allowed, and the rules in figures.
+    /// What balancers may do, and the parameters of the rules.
     pub rules: Rules,
-    /// How the result is counted.
+    /// How the score is computed.
     pub goal: Goal,
     /// Classes of requests.
     #[serde(rename = "class")]
-    pub classes: Vec<ClassOf>,
-    /// Branches and their shares.
+    pub classes: Vec<RequestClass>,
+    /// Branches (tenants) and their shares of capacity.
     #[serde(rename = "branch")]
     pub branches: Vec<Branch>,
     /// What goes wrong, and when.
@@ -65,9 +66,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Day {
-    /// Requests come for so long.
+    /// Requests arrive for this long.
     pub length_s: f64,
-    /// What comes before this is served but not counted.
+    /// Requests that arrive before this time are served but not counted.
     pub warm_up_s: f64,
 }
 
@@ -78,18 +79,18 @@
 }
 
 impl Scenario {
-    /// Reads a scenario; faults name line, column and field.
+    /// Parses a scenario. Errors name the line, and the column or field.
     ///
     /// # Errors
     ///
-    /// The text is no TOML of this format, or a field makes no sense ([`Scenario::check`]).
+    /// The text is not valid TOML of this format, or a field is invalid ([`Scenario::check`]).
     pub fn parse(text: &str) -> Result<Scenario, String> {
         let mut scenario: Scenario = toml::from_str(text).map_err(|e| e.to_string().trim_end().to_owned())?;
         if scenario.classes.is_empty() {
-            scenario.classes = usual_classes();
+            scenario.classes = default_classes();
         }
         if scenario.branches.is_empty() {
-            scenario.branches = usual_branches();
+            scenario.branches = default_branches();
         }
         scenario.check().map_err(|fault| match line_of(text, &fault.field) {
             Some(line) => format!("line {line}: {fault}"),
@@ -98,30 +99,30 @@
         Ok(scenario)
     }
 
-    /// The brief's deployment on an ordinary day.
-    pub fn usual() -> Scenario {
-        Scenario { classes: usual_classes(), branches: usual_branches(), ..Scenario::default() }
+    /// The deployment of the operators' brief on a day without troubles.
+    pub fn standard() -> Scenario {
+        Scenario { classes: default_classes(), branches: default_branches(), ..Scenario::default() }
     }
 
-    /// What a balancer is told.
+    /// The settings of the balancer with index `me`.
     pub fn settings(&self, me: u32) -> Settings {
-        let class = |class: &ClassOf| Class {
+        let class = |class: &RequestClass| Class {
             latency_target: millis(class.aim_ms),
             latency_target_per_work: 0.0,
             deadline: millis(class.deadline_ms),
             worth: class.worth,
             late_worth: 0.0,
             idempotency: match class.effect {
-                Repeats::Safe => Idempotency::Safe,
-                Repeats::Keyed => {
+                RequestEffect::Safe => Idempotency::Safe,
+                RequestEffect::Keyed => {
                     let group = match class.group {
-                        Within::All => DeduplicationScope::All,
-                        Within::Zone => DeduplicationScope::Zone,
-                        Within::Cell => DeduplicationScope::Cell,
+                        DedupScope::All => DeduplicationScope::All,
+                        DedupScope::Zone => DeduplicationScope::Zone,
+                        DedupScope::Cell => DeduplicationScope::Cell,
                     };
                     Idempotency::Keyed { scope: group, window: millis(class.window_ms) }
                 }
-                Repeats::Unsafe => Idempotency::Unsafe,
+                RequestEffect::Unsafe => Idempotency::Unsafe,
             },
             zones: None,
             kinds: None,
@@ -153,13 +154,13 @@
         }
     }
 
-    /// Mean work of a request in microseconds, without a warm key.
+    /// Mean work of a request in microseconds on a standard core, if its key is not cached.
     pub fn mean_work(&self) -> f64 {
         let shares: f64 = self.classes.iter().map(|class| class.share).sum();
         self.classes.iter().map(|class| class.share * class.work_ms * 1000.0).sum::<f64>() / shares
     }
 
-    /// Work a second, in microseconds, that the fleet gets done when warm.
+    /// Work that the fleet completes per second when warm, in microseconds on a standard core.
     pub fn capacity(&self) -> f64 {
         let (mut parts, mut shares) = (0.0, 0.0);
         for kind in &self.fleet.kinds {
@@ -173,31 +174,31 @@
         f64::from(self.fleet.servers) * cores * speed * 1e6
     }
 
-    /// Requests a second that the whole fleet could answer if no key were ever warm, which is what the
-    /// operators' brief calls its capacity. With warm keys it can do up to twice as much.
+    /// The rate, in requests per second, that the whole fleet can answer if no key is ever cached, which the
+    /// operators' brief calls its capacity. With cached keys it can do up to twice as much.
     pub fn full_rate(&self) -> f64 {
         self.capacity() / self.mean_work()
     }
 
-    /// Requests a second, in the mean.
+    /// The mean rate, in requests per second.
     pub fn rate(&self) -> f64 {
         self.load.per_second.unwrap_or(self.load.of_capacity * self.full_rate())
     }
 
-    /// Requests a second within each branch's share.
+    /// The quota of each branch, in requests per second.
     pub fn quotas(&self) -> Vec<f64> {
         let all = self.load.quota_of_capacity * self.full_rate();
         self.branches.iter().map(|branch| (branch.share * all).max(1.0)).collect()
     }
 }
 
-/// Milliseconds of a scenario.
+/// Converts milliseconds of a scenario to microseconds.
 pub fn millis(ms: f64) -> Micros {
     // The cast saturates: negative and non-finite values become 0.
     (ms * 1000.0).round() as Micros
 }
 
-/// Seconds of a scenario.
+/// Converts seconds of a scenario to microseconds.
 pub fn seconds(s: f64) -> Micros {
     millis(s * 1000.0)
 }
--- a/emulator/src/scenario/fleet.rs
+++ b/emulator/src/scenario/fleet.rs
@@ -1,4 +1,4 @@
-//! App servers, balancers, and what lies between them: discovery, network, probes and load reports.
+//! App servers, balancers, discovery, the network, probes and load reports.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,72 +6,73 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Fleet {
-    /// How many, spread over the zones in turn.
+    /// Number of app servers, assigned to the zones round-robin.
     pub servers: u32,
-    /// Data centres.
+    /// Number of zones (data centres).
     pub zones: u32,
-    /// App servers that know of each other's keys; for the entries of the list only.
+    /// Number of app servers per cell. The members of a cell know each other's idempotency keys; the cell is
+    /// only passed on in the entries of the list.
     pub cell_size: u32,
-    /// Cores of each.
+    /// Cores per app server.
     pub cores: u32,
-    /// Kinds of machines, given out in turn by their share; one standard kind if empty.
+    /// Machine kinds, assigned in proportion to their share; one standard kind if empty.
     #[serde(rename = "kind")]
     pub kinds: Vec<MachineKind>,
-    /// Speed beside a standard core, a mean.
+    /// Mean speed relative to a standard core.
     pub speed: f64,
-    /// Its coefficient of variation from one app server to the next.
+    /// Coefficient of variation of the speed between app servers.
     pub speed_cv: f64,
-    /// Instead of those: the speed of each, in turn.
+    /// Replaces `speed` and `speed_cv`: the speeds of the app servers, assigned round-robin.
     pub speeds: Vec<f64>,
-    /// Requests in work at a time, for each core.
+    /// Concurrent requests in work per core.
     pub slots_per_core: u32,
-    /// Requests that may wait, for each core; beyond that they are turned away unseen.
+    /// Queue length per core; further requests are rejected unprocessed.
     pub queue_per_core: u32,
-    /// What each request held beyond `thrash_at` a core adds to the time of all.
+    /// Relative slowdown of all work for each request held per core beyond `thrash_at`.
     pub thrash: f64,
-    /// See `thrash`.
+    /// Requests held per core above which `thrash` applies.
     pub thrash_at: f64,
-    /// The share of its capacity with which one starts.
+    /// The share of its capacity that a cold app server starts with.
     pub cold_from: f64,
-    /// It is warm after this.
+    /// The duration of the warm-up.
     pub warm_s: f64,
-    /// The share of work saved for a key that it met lately.
+    /// The share of work saved if the key is cached.
     pub key_gain: f64,
-    /// How long a key is remembered.
+    /// How long a key stays cached after its last use.
     pub key_s: f64,
-    /// How many keys are remembered for each core.
+    /// Cached keys per core.
     pub keys_per_core: u32,
-    /// A pause comes so often, in the mean; 0 for never.
+    /// Mean interval between pauses; 0 for none.
     pub pause_every_s: f64,
-    /// And lasts so long.
+    /// Mean length of a pause.
     pub pause_ms: f64,
     /// Share of requests that end in an error.
     pub error_rate: f64,
-    /// An attempt that is withdrawn stops the work on it.
+    /// An app server drops a cancelled attempt that is still queued.
     pub cancel_stops_work: bool,
-    /// Round trips of a new connection.
+    /// Network round trips to open a connection.
     pub handshake_rtts: f64,
-    /// What a new connection costs the app server.
+    /// Work of a new connection at the app server.
     pub handshake_us: f64,
-    /// Connections that one holds, for each core.
+    /// Limit of open connections per core.
     pub connections_per_core: u32,
-    /// The share of capacity that a full table of connections takes.
+    /// The share of capacity lost when the connection limit is reached; proportionally less below it.
     pub full_tax: f64,
-    /// A connection idle for so long is closed.
+    /// Idle connections are closed after this time.
     pub idle_s: f64,
-    /// A connection that is not up by then has failed.
+    /// Time-out for opening a connection.
     pub dial_ms: f64,
 }
 
-/// A kind of machines.
+/// A machine kind.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MachineKind {
-    /// Its part of the fleet.
+    /// Its share of the fleet.
     pub share: f64,
-    /// Its cores.
+    /// Cores per app server.
     pub cores: u32,
-    /// Its speed beside the fleet's.
+    /// Its speed relative to the fleet's.
     #[serde(default = "one")]
     pub speed: f64,
 }
@@ -80,13 +81,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Balancers {
-    /// How many, spread over the zones in turn.
+    /// Number of balancers, assigned to the zones round-robin.
     pub count: u32,
-    /// CPU time for decisions, for each second; 0 for no bound.
+    /// CPU time available per second; 0 for unlimited.
     pub cpu_ms_per_s: f64,
-    /// What an event costs of it.
+    /// CPU time that one event takes.
     pub event_us: f64,
-    /// The front notices that one has died after so long, at least and at most.
+    /// The front detects the crash of a balancer after this time, minimum and maximum.
     pub notice_s: [f64; 2],
 }
 
@@ -95,84 +96,84 @@
 #[serde(default, deny_unknown_fields)]
 pub struct Discovery {
     /// How balancers get the list.
-    pub mode: Listing,
-    /// A change that is told to discovery shows after so long, at least and at most.
+    pub mode: ListMode,
+    /// Detection delay of a change that is reported to discovery, minimum and maximum.
     pub notice_s: [f64; 2],
-    /// One that is not, such as a death, after so long.
+    /// Detection delay of a change that is not reported, such as a crash, minimum and maximum.
     pub silent_notice_s: [f64; 2],
-    /// And on top of that.
+    /// Delay added to both.
     pub lag_s: f64,
-    /// From one balancer to the next it differs by so much.
+    /// Largest additional delay until a balancer receives a change; it differs between balancers.
     pub spread_ms: f64,
-    /// Calls that it answers a second; those that come wait in turn.
+    /// Calls answered per second; calls beyond that are queued.
     pub calls_per_s: f64,
-    /// A call that waits for longer fails.
+    /// A call that is queued for longer fails.
     pub timeout_ms: f64,
-    /// Where each call brings the whole list: a balancer asks so often.
+    /// Polling interval of a balancer, in the mode `asked`.
     pub ask_every_s: f64,
 }
 
 /// How balancers get the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Listing {
-    /// By a watch that brings changes until it breaks.
+pub enum ListMode {
+    /// A watch that delivers changes until it is interrupted.
     #[default]
     Watched,
-    /// By calls, each of which brings all of it.
+    /// Polling; each call returns the full list.
     Asked,
 }
 
-/// The network. One way, without jitter.
+/// The network: one-way delays, without jitter.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Network {
     /// Within a zone.
     pub same_ms: f64,
-    /// From one zone to another.
+    /// Between two zones.
     pub cross_ms: f64,
     /// Between a client and its balancer.
     pub client_ms: f64,
-    /// What queues add, in the mean, as a share of those.
+    /// Mean additional delay from queueing, as a share of the delay.
     pub jitter: f64,
 }
 
-/// Probes of app servers, where the rules allow them.
+/// Probes of app servers, if the rules allow them.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Probe {
-    /// What one costs its app server.
+    /// Work of a probe at the app server.
     pub work_us: f64,
-    /// It waits in the queue and takes a slot like a request; else it is answered at once.
+    /// The probe waits in the queue and takes a slot like a request; otherwise it is answered at once.
     pub deep: bool,
-    /// One without an answer by then is over.
+    /// The time-out of a probe.
     pub timeout_ms: f64,
 }
 
-/// What app servers tell of their load: the requests that wait.
+/// Load reports of app servers: the number of queued requests.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Report {
-    /// Where it comes along.
+    /// Which answers carry reports.
     pub how: Reporting,
-    /// It is refreshed so often.
+    /// The refresh interval.
     pub period_ms: f64,
-    /// And is so old when it is told.
+    /// The delay from a refresh until its value is reported.
     pub delay_ms: f64,
-    /// Its coefficient of variation round the truth.
+    /// Coefficient of variation of the reported value.
     pub noise: f64,
 }
 
-/// Where load reports come along.
+/// Which answers carry load reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reporting {
-    /// Nowhere.
+    /// None.
     #[default]
     Never,
-    /// With answers to probes.
+    /// Answers to probes.
     Probes,
-    /// With all answers.
+    /// All answers.
     Answers,
 }
 
@@ -219,7 +220,7 @@
 impl Default for Discovery {
     fn default() -> Self {
         Discovery {
-            mode: Listing::Watched,
+            mode: ListMode::Watched,
             notice_s: [0.78, 4.5],
             silent_notice_s: [4.8, 14.0],
             lag_s: 1.3,
--- a/emulator/src/scenario/goal.rs
+++ b/emulator/src/scenario/goal.rs
@@ -1,69 +1,70 @@
-//! What balancers are allowed, and how a result is counted.
+//! What balancers may do, and how the score is computed.
 
 use serde::{Deserialize, Serialize};
 
-/// What balancers are allowed, and the rules in figures.
+/// What balancers may do, and the parameters of the rules.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Rules {
-    /// Attempts for a request.
+    /// The maximum number of attempts per request.
     pub max_attempts: u32,
-    /// A second copy may be out, where the class allows a repeat.
+    /// Hedging is allowed, where the class allows repeats.
     pub second_copies: bool,
-    /// Attempts may be withdrawn.
+    /// Attempts may be cancelled.
     pub cancel: bool,
     /// App servers may be probed.
     pub probes: bool,
-    /// Nothing new goes to an app server so long after the balancer was told that it drains or is gone.
+    /// Grace period after a balancer was told that an app server drains or is gone; no attempt or probe may
+    /// go to it later.
     pub drain_grace_ms: f64,
-    /// What balancers are told of cold app servers: the least they start with.
+    /// The least share of its capacity with which a cold app server starts, as balancers are told.
     pub cold_from: f64,
-    /// And the longest that they take.
+    /// The longest warm-up of a cold app server, as balancers are told.
     pub warm_within_s: f64,
-    /// Sent more than this many times what it can do ...
+    /// A cold app server that is sent more than this multiple of its present capacity ...
     pub fall_multiple: f64,
-    /// ... over this long, a cold app server falls over.
+    /// ... within a window of this length crashes.
     pub fall_s: f64,
-    /// The longest pause that a refused client is told.
+    /// The longest retry delay that a refused client is told.
     pub max_pause_ms: f64,
-    /// An answer may come so long after its client gave up.
+    /// An answer may come this long after its client gave up before it counts as overdue.
     pub slack_ms: f64,
 }
 
-/// How a result is counted.
+/// The weights and penalties of the score.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Goal {
     /// Weight of the whole day.
     pub whole: f64,
-    /// Weight of its worst window.
+    /// Weight of the worst window.
     pub worst_window: f64,
     /// Weight of the worst-served class.
     pub worst_class: f64,
     /// Weight of the worst-served branch, within its share.
     pub worst_branch: f64,
-    /// How long a window is.
+    /// The length of a window.
     pub window_s: u32,
-    /// Price of all failing only after its aim.
+    /// Penalty if all requests failed after their latency target.
     pub late_fail: f64,
-    /// Price of each request crossing zones once.
+    /// Penalty if each request crossed zones once.
     pub cross_zone: f64,
-    /// Price of as much work wasted as was asked for.
+    /// Penalty if as much work was wasted as was requested.
     pub waste: f64,
-    /// Price of one probe for each request.
+    /// Penalty for one probe per request.
     pub probe: f64,
-    /// What makes one request of a class worth more than another.
+    /// What the worth of a request within a class depends on.
     pub worth_by: WorthBy,
 }
 
-/// What makes one request of a class worth more than another.
+/// What the worth of a request within a class depends on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WorthBy {
-    /// Nothing.
+    /// All requests of a class have the same worth.
     #[default]
     Request,
-    /// Its work.
+    /// The worth is proportional to the request's work.
     Work,
 }
 
--- a/emulator/src/scenario/load.rs
+++ b/emulator/src/scenario/load.rs
@@ -1,67 +1,67 @@
-//! What is asked, how often and by whom: rates, classes of requests, branches and clients.
+//! The load: rates, classes of requests, branches and clients.
 
 use serde::{Deserialize, Serialize};
 
-/// What is asked.
+/// The load: rate, keys and quotas.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Load {
-    /// The share of what the fleet can do, counted without warm keys, that is asked for.
+    /// The mean rate as a share of the fleet's capacity, counted without cached keys.
     pub of_capacity: f64,
-    /// Instead of that: requests a second.
+    /// Replaces `of_capacity`: the mean rate in requests per second.
     pub per_second: Option<f64>,
-    /// How the rate goes over the day.
-    pub shape: Course,
-    /// How far it swings round its mean.
+    /// The course of the rate over the day.
+    pub shape: LoadShape,
+    /// Amplitude of the rate's sine wave, relative to the mean.
     pub swing: f64,
-    /// One swing takes so long.
+    /// Period of that wave.
     pub swing_s: f64,
-    /// How much more the first zone gets than the last.
+    /// How much more traffic the first zone gets than the last, relative to the mean.
     pub zone_skew: f64,
-    /// Distinct keys.
+    /// Number of distinct keys.
     pub keys: u32,
-    /// How uneven they are (Zipf's exponent).
+    /// Zipf exponent of the keys' popularity.
     pub key_zipf: f64,
-    /// What branches may ask for, as a share of what the fleet can do.
+    /// The sum of the branches' quotas, as a share of the fleet's capacity.
     pub quota_of_capacity: f64,
-    /// What a request beyond its branch's share is worth.
+    /// Factor on the worth of a request beyond its branch's quota.
     pub over_share_worth: f64,
-    /// Clients guess the work of a request, off by this coefficient of variation; without it they don't.
+    /// Coefficient of variation of the clients' work hints; no hints if absent.
     pub hint_cv: Option<f64>,
 }
 
-/// How the rate goes.
+/// The course of the rate over the day.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Course {
-    /// The same throughout.
+pub enum LoadShape {
+    /// Constant.
     #[default]
     Steady,
-    /// From half of its mean to half as much again.
+    /// Rises linearly from 0.5 to 1.5 times the mean.
     Ramp,
 }
 
-/// What clients do.
+/// How clients retry and disconnect.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Clients {
-    /// Retries of their own.
+    /// Maximum number of client retries.
     pub retries: u32,
-    /// A try is given up after this share of the class's deadline.
+    /// Time-out of a try, as a share of the class's deadline.
     pub try_share: f64,
-    /// They wait so long before they try again.
+    /// Delay before a retry.
     pub backoff_ms: f64,
-    /// The share that stays away for as long as a refusal asks.
+    /// The share of clients that wait for the retry delay of a refusal.
     pub honour: f64,
-    /// The share of tries whose client leaves at some moment before it would have given up.
+    /// The share of tries whose client disconnects at a random time before its time-out.
     pub leaves: f64,
 }
 
-/// How heavy a tail is.
+/// The distribution of the work of a class's requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Shape {
-    /// None: all are the same.
+pub enum WorkDistribution {
+    /// Constant.
     Fixed,
     /// Lognormal.
     #[default]
@@ -72,78 +72,78 @@
     Pareto,
 }
 
-/// May a class's requests run more than once?
+/// Whether requests of a class may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Repeats {
+pub enum RequestEffect {
     /// Repeats are harmless.
     Safe,
-    /// A repeat has no effect within the group of app servers that ran it first, for a while.
+    /// A repeat has no effect within the group of app servers that ran the request first, for a limited time.
     Keyed,
     /// Must never run twice.
     Unsafe,
 }
 
-/// App servers that know of each other's keys.
+/// The app servers that share idempotency keys.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Within {
-    /// All of them.
+pub enum DedupScope {
+    /// All app servers.
     #[default]
     All,
-    /// Those of a zone.
+    /// The app servers of a zone.
     Zone,
-    /// Those of a cell.
+    /// The app servers of a cell.
     Cell,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ClassOf {
+pub struct RequestClass {
     /// Its name.
     pub name: String,
-    /// Its part of all requests.
+    /// Its share of all requests.
     pub share: f64,
-    /// What one takes on a standard core, in the mean, without a warm key.
+    /// Mean work on a standard core, if the key is not cached.
     pub work_ms: f64,
-    /// How that is spread.
+    /// The distribution of the work.
     #[serde(default)]
-    pub shape: Shape,
-    /// Its coefficient of variation.
+    pub shape: WorkDistribution,
+    /// Coefficient of variation of the work.
     #[serde(default)]
     pub cv: f64,
-    /// That of one attempt beside the next.
+    /// Coefficient of variation of the work between attempts of a request.
     #[serde(default)]
     pub attempt_cv: f64,
-    /// One waits on others for so long while it holds its slot.
+    /// Time that a request waits on I/O while it holds its slot.
     #[serde(default)]
     pub io_ms: f64,
-    /// Wanted within this.
+    /// The latency target.
     pub aim_ms: f64,
-    /// Given up after this.
+    /// The client's deadline.
     pub deadline_ms: f64,
-    /// What one is worth.
+    /// Worth of a request.
     pub worth: f64,
-    /// May it run again?
-    pub effect: Repeats,
-    /// Where a keyed one may.
+    /// Whether a request may run more than once.
+    pub effect: RequestEffect,
+    /// For keyed requests: the app servers on which a repeat has no second effect.
     #[serde(default)]
-    pub group: Within,
-    /// And for how long after its first attempt was sent.
+    pub group: DedupScope,
+    /// For keyed requests: how long a repeat has no second effect, from when the first attempt was sent.
     #[serde(default)]
     pub window_ms: f64,
 }
 
-/// A branch.
+/// A branch: one of the tenants that share the fleet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Branch {
     /// Its name.
     pub name: String,
-    /// Its share of what the fleet can do.
+    /// Its quota, as a share of `Load::quota_of_capacity`.
     pub share: f64,
-    /// What it asks for, beside its share.
+    /// Its traffic relative to its share.
     #[serde(default = "one")]
     pub usage: f64,
 }
@@ -153,7 +153,7 @@
         Load {
             of_capacity: 0.5,
             per_second: None,
-            shape: Course::Steady,
+            shape: LoadShape::Steady,
             swing: 0.28,
             swing_s: 20.0,
             zone_skew: 0.17,
@@ -173,9 +173,9 @@
 }
 
 /// The classes of the operators' brief.
-pub fn usual_classes() -> Vec<ClassOf> {
-    let class =
-        |name: &str, share, work_ms, shape, cv, attempt_cv, aim_ms, deadline_ms, worth, effect| ClassOf {
+pub fn default_classes() -> Vec<RequestClass> {
+    let class = |name: &str, share, work_ms, shape, cv, attempt_cv, aim_ms, deadline_ms, worth, effect| {
+        RequestClass {
             name: name.into(),
             share,
             work_ms,
@@ -187,19 +187,64 @@
             worth,
             effect,
             io_ms: 0.0,
-            group: Within::All,
+            group: DedupScope::All,
             window_ms: 0.0,
-        };
+        }
+    };
     vec![
-        class("voorraad", 0.38, 92.0, Shape::Pareto, 2.1, 0.35, 1200.0, 5000.0, 1.0, Repeats::Safe),
-        class("bestelling", 0.33, 95.0, Shape::Pareto, 2.1, 0.25, 2000.0, 6000.0, 2.0, Repeats::Unsafe),
-        class("afrekening", 0.15, 107.0, Shape::Lognormal, 2.1, 0.37, 2000.0, 6000.0, 5.0, Repeats::Unsafe),
-        class("bezorging", 0.14, 190.0, Shape::Lognormal, 2.1, 0.32, 2500.0, 6000.0, 5.0, Repeats::Unsafe),
+        class(
+            "voorraad",
+            0.38,
+            92.0,
+            WorkDistribution::Pareto,
+            2.1,
+            0.35,
+            1200.0,
+            5000.0,
+            1.0,
+            RequestEffect::Safe,
+        ),
+        class(
+            "bestelling",
+            0.33,
+            95.0,
+            WorkDistribution::Pareto,
+            2.1,
+            0.25,
+            2000.0,
+            6000.0,
+            2.0,
+            RequestEffect::Unsafe,
+        ),
+        class(
+            "afrekening",
+            0.15,
+            107.0,
+            WorkDistribution::Lognormal,
+            2.1,
+            0.37,
+            2000.0,
+            6000.0,
+            5.0,
+            RequestEffect::Unsafe,
+        ),
+        class(
+            "bezorging",
+            0.14,
+            190.0,
+            WorkDistribution::Lognormal,
+            2.1,
+            0.32,
+            2500.0,
+            6000.0,
+            5.0,
+            RequestEffect::Unsafe,
+        ),
     ]
 }
 
 /// The branches of the operators' brief.
-pub fn usual_branches() -> Vec<Branch> {
+pub fn default_branches() -> Vec<Branch> {
     let shares = [
         ("utrecht", 0.44),
         ("amersfoort", 0.10),
--- a/emulator/src/scenario/tests.rs
+++ b/emulator/src/scenario/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// Guards against a scenario that silently means something else: what is not known is named with its
-/// line, and so is what makes no sense.
+/// Checks that unknown fields and invalid values are rejected with their line, so that a scenario can't
+/// silently mean something else.
 #[test]
 fn a_bad_scenario_is_named_by_line_and_field() {
     let cases = [
@@ -33,7 +33,8 @@
     }
 }
 
-/// Guards the brief's own figure: ten app servers carry some 83 requests a second when all is asked of them.
+/// Checks the figure of the operators' brief: ten app servers can answer about 83 requests per second at full
+/// load.
 #[test]
 fn the_usual_fleet_carries_about_what_the_brief_says() {
     let scenario = Scenario::parse("").expect("all defaults");
--- a/emulator/src/scenario/trouble.rs
+++ b/emulator/src/scenario/trouble.rs
@@ -1,160 +1,161 @@
-//! What goes wrong, and when.
+//! Troubles: faults and load changes that a scenario injects.
 
 use serde::{Deserialize, Serialize};
 
-/// What goes wrong, and when.
+/// A trouble with its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Trouble {
-    /// From when on.
+    /// Start time.
     pub at_s: f64,
-    /// For how long.
+    /// Duration.
     #[serde(default)]
     pub for_s: f64,
-    /// What.
+    /// The kind of trouble, with its parameters.
     #[serde(flatten)]
     pub kind: TroubleKind,
 }
 
-/// The troubles by name.
+/// The kinds of troubles.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
 pub enum TroubleKind {
-    /// A few keys draw this share of all traffic.
+    /// A few hot keys get this share of all traffic.
     HotKey {
-        /// That share.
+        /// The share of traffic.
         share: f64,
-        /// How many keys.
+        /// Number of hot keys.
         #[serde(default = "one_key")]
         keys: u32,
     },
-    /// Traffic falls and the fleet shrinks to this share, one app server after the other; both stay there.
+    /// Traffic and the fleet shrink to this share, one app server after the other, and stay there.
     Shrink {
-        /// What is left.
+        /// The remaining share.
         to: f64,
-        /// How long each of those that go drains.
+        /// How long each removed app server drains.
         #[serde(default = "usual_drain")]
         drain_s: f64,
     },
-    /// So many app servers more start, cold.
+    /// Additional app servers start, cold.
     Growth {
-        /// How many.
+        /// Number of app servers.
         servers: u32,
     },
-    /// Discovery is out of reach.
+    /// Discovery is unreachable.
     DiscoveryDown {},
-    /// The list runs further behind by this.
+    /// Changes of the list are delayed further.
     DiscoveryStale {
-        /// By so much.
+        /// The additional delay.
         lag_s: f64,
     },
-    /// The list calls this share of the fleet gone, though it is not.
+    /// The list says that a share of the app servers is gone, though they are up.
     DiscoveryWrong {
-        /// How much of it.
+        /// The share of app servers.
         share: f64,
     },
-    /// This share of the balancers dies, and comes back when it is over with its last list only.
+    /// A share of the balancers crashes, and restarts at the end of the trouble with only its last list.
     BalancerCrash {
-        /// How many of them.
+        /// The share of balancers.
         share: f64,
     },
-    /// Balancers are restarted one after the other as planned.
+    /// Planned restarts of balancers, one after the other.
     BalancerRestart {
-        /// How many of them.
+        /// The share of balancers.
         share: f64,
     },
-    /// App servers die; others replace them, under new ids, when it is over.
+    /// App servers crash; at the end of the trouble others replace them, under new ids.
     ServerCrash {
-        /// How many.
+        /// Number of app servers.
         #[serde(default = "one_key")]
         servers: u32,
     },
-    /// App servers stop working but hold what they have.
+    /// App servers stop working but keep their requests and connections.
     Hang {
-        /// How many.
+        /// Number of app servers.
         #[serde(default = "one_key")]
         servers: u32,
     },
-    /// App servers answer this share with an error at once.
+    /// App servers answer a share of requests immediately with an error.
     Errors {
-        /// How many.
+        /// Number of app servers.
         #[serde(default = "one_key")]
         servers: u32,
-        /// That share.
+        /// The share of requests.
         #[serde(default = "one")]
         rate: f64,
     },
-    /// App servers are slower by a factor.
+    /// App servers are slower.
     Slow {
-        /// How many.
+        /// Number of app servers.
         #[serde(default = "one_key")]
         servers: u32,
-        /// The factor.
+        /// The factor by which they are slower.
         factor: f64,
     },
-    /// Another program takes a part of a machine, on and off.
+    /// Another program periodically takes a part of a machine's CPU.
     Neighbour {
-        /// How many machines.
+        /// Number of machines.
         #[serde(default = "one_key")]
         servers: u32,
-        /// That part.
+        /// The share of the CPU that it takes.
         takes: f64,
-        /// It is there for so long, and then away for so long.
+        /// It runs for this long, then stops for this long, alternately.
         every_s: f64,
     },
-    /// Some requests of one class cost many times the usual, and no hint says so.
+    /// Some requests of one class take many times the usual work, and hints don't show it.
     HeavyTail {
         /// The class's name.
         class: String,
-        /// How many of them.
+        /// The share of the class's requests.
         share: f64,
-        /// How many times the usual.
+        /// The factor on their work.
         factor: f64,
     },
-    /// This share of attempts is reset on its way.
+    /// The connections of a share of attempts are reset.
     Resets {
-        /// That share.
+        /// The share of attempts.
         rate: f64,
     },
-    /// Nothing gets into or out of a zone.
+    /// A zone is isolated from all others.
     ZoneCut {
-        /// Which.
+        /// The zone's index.
         zone: u32,
     },
-    /// All between two zones is lost.
+    /// All traffic between two zones is lost.
     LinkLost {
-        /// One.
+        /// One zone's index.
         from: u32,
-        /// The other.
+        /// The other zone's index.
         to: u32,
     },
-    /// All app servers of a zone die, and come back cold at once when it is over.
+    /// All app servers of a zone crash, and start again cold at the same time at the end of the trouble.
     ZoneRestart {
-        /// Which.
+        /// The zone's index.
         zone: u32,
     },
-    /// Clients try again this many times, at once, whatever happened that they may repeat.
+    /// Clients retry immediately, up to this many times, after every outcome that the class allows to retry.
     RetryStorm {
-        /// How many.
+        /// Number of retries.
         retries: u32,
     },
-    /// Traffic is this many times the usual.
+    /// The rate of arrivals is multiplied.
     Surge {
-        /// How many.
+        /// The factor.
         factor: f64,
     },
-    /// The whole fleet is replaced, so many at a time: each drains, goes, and a new one starts cold.
+    /// A rolling replacement of the whole fleet in batches: each app server drains and stops, and a new one
+    /// starts cold.
     Rolling {
-        /// How many at a time.
+        /// App servers per batch.
         #[serde(default = "one_key")]
         batch: u32,
-        /// How long each drains.
+        /// How long each app server drains.
         #[serde(default = "usual_drain")]
         drain_s: f64,
     },
 }
 
 impl TroubleKind {
-    /// Its name.
+    /// Its name in scenario files and results.
     pub fn name(&self) -> &'static str {
         match self {
             TroubleKind::HotKey { .. } => "hot_key",
--- a/emulator/src/scenario/validation.rs
+++ b/emulator/src/scenario/validation.rs
@@ -1,40 +1,40 @@
-//! Which fields of a scenario make no sense, and where they are written.
+//! Validation of a scenario's fields, and the line on which an invalid field is written.
 
 use std::fmt;
 
-use super::{Repeats, Scenario, Trouble, TroubleKind};
+use super::{RequestEffect, Scenario, Trouble, TroubleKind};
 
-/// What is wrong with a scenario, and where.
+/// An invalid field of a scenario.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct ScenarioError {
     /// The field, as in `fleet.servers`.
     pub field: String,
-    /// What is wrong with it.
+    /// Why it is invalid.
     pub why: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ScenarioError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: {}", self.field, self.why)
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for ScenarioError {}
 
 impl Scenario {
-    /// Says what makes no sense, if anything.
+    /// Validates the scenario.
     ///
     /// # Errors
     ///
-    /// The first field that lies outside its bounds or contradicts another one.
-    pub fn check(&self) -> Result<(), Fault> {
+    /// The first field that is out of bounds or contradicts another one.
+    pub fn check(&self) -> Result<(), ScenarioError> {
         self.check_fleet_and_load()?;
         self.check_rules()?;
         self.check_classes()?;
         self.troubles.iter().enumerate().try_for_each(|(at, trouble)| self.check_trouble(at, trouble))
     }
 
-    fn check_fleet_and_load(&self) -> Result<(), Fault> {
+    fn check_fleet_and_load(&self) -> Result<(), ScenarioError> {
         let (fleet, load) = (&self.fleet, &self.load);
         within_bounds("day.length_s", self.day.length_s, 1.0, 86_400.0)?;
         within_bounds("day.warm_up_s", self.day.warm_up_s, 0.0, self.day.length_s)?;
@@ -61,7 +61,7 @@
         Ok(())
     }
 
-    fn check_rules(&self) -> Result<(), Fault> {
+    fn check_rules(&self) -> Result<(), ScenarioError> {
         within_bounds("clients.retries", f64::from(self.clients.retries), 0.0, 100.0)?;
         within_bounds("clients.try_share", self.clients.try_share, 0.01, 1.0)?;
         within_bounds("clients.honour", self.clients.honour, 0.0, 1.0)?;
@@ -74,7 +74,7 @@
         within_bounds("discovery.calls_per_s", self.discovery.calls_per_s, 1e-3, 1e6)
     }
 
-    fn check_classes(&self) -> Result<(), Fault> {
+    fn check_classes(&self) -> Result<(), ScenarioError> {
         for (at, class) in self.classes.iter().enumerate() {
             let field = |name: &str| format!("class[{at}].{name}");
             within_bounds(&field("share"), class.share, 0.0, 1e6)?;
@@ -83,16 +83,16 @@
             within_bounds(&field("deadline_ms"), class.deadline_ms, class.aim_ms, 1e6)?;
             within_bounds(&field("worth"), class.worth, 0.0, 1e6)?;
             within_bounds(&field("io_ms"), class.io_ms, 0.0, 1e6)?;
-            let least = if class.effect == Repeats::Keyed { 1e-3 } else { 0.0 };
+            let least = if class.effect == RequestEffect::Keyed { 1e-3 } else { 0.0 };
             within_bounds(&field("window_ms"), class.window_ms, least, 1e6)?;
         }
         if self.classes.iter().map(|class| class.share).sum::<f64>() <= 0.0 {
-            return Err(Fault { field: "class".into(), why: "no class has a share above 0".into() });
+            return Err(ScenarioError { field: "class".into(), why: "no class has a share above 0".into() });
         }
         Ok(())
     }
 
-    fn check_trouble(&self, at: usize, trouble: &Trouble) -> Result<(), Fault> {
+    fn check_trouble(&self, at: usize, trouble: &Trouble) -> Result<(), ScenarioError> {
         let field = |name: &str| format!("trouble[{at}].{name}");
         within_bounds(&field("at_s"), trouble.at_s, 0.0, self.day.length_s)?;
         within_bounds(&field("for_s"), trouble.for_s, 0.0, self.day.length_s)?;
@@ -122,7 +122,7 @@
                 within_bounds(&field("share"), *share, 0.0, 1.0)?;
                 within_bounds(&field("factor"), *factor, 0.01, 1_000.0)?;
                 if !self.classes.iter().any(|of| of.name == *class) {
-                    return Err(Fault {
+                    return Err(ScenarioError {
                         field: field("class"),
                         why: format!("no class is called {class:?}"),
                     });
@@ -135,14 +135,14 @@
 }
 
 /// Checks that a field lies within its bounds.
-fn within_bounds(field: &str, value: f64, least: f64, most: f64) -> Result<(), Fault> {
+fn within_bounds(field: &str, value: f64, least: f64, most: f64) -> Result<(), ScenarioError> {
     if value.is_finite() && (least..=most).contains(&value) {
         return Ok(());
     }
-    Err(Fault { field: field.into(), why: format!("{value} is not from {least} to {most}") })
+    Err(ScenarioError { field: field.into(), why: format!("{value} is not from {least} to {most}") })
 }
 
-/// The line of a field such as `fleet.servers` or `class[1].share`, as far as it is written there.
+/// The line on which a field such as `fleet.servers` or `class[1].share` is written, if it is.
 pub(super) fn line_of(text: &str, field: &str) -> Option<usize> {
     let (section, key) = field.rsplit_once('.')?;
     let (name, nth) = match section.split_once('[') {
--- a/emulator/src/server.rs
+++ b/emulator/src/server.rs
@@ -1,72 +1,73 @@
-//! An app server: cores, slots, a waiting room, a cold start, a memory of keys, connections, pauses, errors.
+//! An app server: cores, job slots, a queue, a cold start, a cache of content keys, connections, pauses and
+//! errors.
 
 use std::collections::VecDeque;
 
 use gradepaddle::{Id, Micros};
 
-use crate::gauge::Gauge;
-use crate::queue::FlightKey;
+use crate::queue::UpstreamRequestKey;
+use crate::queue_reporter::QueueReporter;
 use crate::random::Stream;
 use crate::scenario::{Fleet, seconds};
 
-/// Is it there?
+/// The state of an app server's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It runs.
+    /// It accepts requests.
     Up,
-    /// It finishes what it has and turns away the rest.
+    /// It completes the requests that it holds and rejects new ones.
     Draining,
-    /// Its process is gone.
+    /// Its process has ended.
     Down,
 }
 
-/// What an app server remembers of keys: as many as fit, each for a while.
+/// An app server's cache of content keys, bounded in size and in retention time.
 #[derive(Clone, Debug, Default)]
-pub struct Memory {
+pub struct KeyCache {
     keys: Vec<u32>,
-    met: Vec<Micros>,
-    most: usize,
-    lasts: Micros,
+    last_used: Vec<Micros>,
+    capacity: usize,
+    retention: Micros,
 }
 
-impl Memory {
-    /// An empty one for so many keys, each kept for so long.
-    pub fn new(most: usize, lasts: Micros) -> Self {
-        Memory { most, lasts, ..Memory::default() }
+impl KeyCache {
+    /// An empty cache for `capacity` keys, each kept for `retention` after its last use.
+    pub fn new(capacity: usize, retention: Micros) -> Self {
+        KeyCache { capacity, retention, ..KeyCache::default() }
     }
 
-    /// Is this key warm?
-    pub fn knows(&self, now: Micros, key: u32) -> bool {
+    /// Whether the key is cached and has not expired.
+    pub fn contains(&self, now: Micros, key: u32) -> bool {
         let at = self.keys.iter().position(|known| *known == key);
-        at.is_some_and(|at| now.saturating_sub(self.met[at]) <= self.lasts)
+        at.is_some_and(|at| now.saturating_sub(self.last_used[at]) <= self.retention)
     }
 
-    /// Notes that it met a key; the one met longest ago makes room.
-    pub fn meet(&mut self, now: Micros, key: u32) {
-        if self.most == 0 {
+    /// Records a use of a key; evicts the least recently used key if the cache is full.
+    pub fn insert(&mut self, now: Micros, key: u32) {
+        if self.capacity == 0 {
             return;
         }
         if let Some(at) = self.keys.iter().position(|known| *known == key) {
-            self.met[at] = now;
-        } else if self.keys.len() < self.most {
+            self.last_used[at] = now;
+        } else if self.keys.len() < self.capacity {
             self.keys.push(key);
-            self.met.push(now);
-        } else if let Some(at) = (0..self.met.len()).min_by_key(|at| self.met[*at]) {
-            (self.keys[at], self.met[at]) = (key, now);
+            self.last_used.push(now);
+        } else if let Some(at) = (0..self.last_used.len()).min_by_key(|at| self.last_used[*at]) {
+            (self.keys[at], self.last_used[at]) = (key, now);
         }
     }
 }
 
-/// One balancer's idle connections to one app server, by when each was last used.
+/// One balancer's idle connections to one app server, as the times of their last use in ascending order.
 #[derive(Clone, Debug, Default)]
-pub struct Pool(Vec<Micros>);
+pub struct IdlePool(Vec<Micros>);
 
-/// An attempt in work.
+/// An attempt or deep probe in work.
 #[derive(Clone, Copy, Debug)]
 pub struct Job {
-    pub key: FlightKey,
+    pub key: UpstreamRequestKey,
     pub ends: Micros,
-    /// The part of its time in which it needs a core; the rest it waits on others.
+    /// The share of its running time in which it needs a core; in the rest it waits on I/O.
     pub busy: f64,
 }
 
@@ -79,35 +80,36 @@
     pub cell: u32,
     pub cores: u32,
     pub speed: f64,
-    /// Counts starts.
-    pub life: u32,
+    /// The incarnation of the process, increased at each start and stop.
+    pub incarnation: u32,
     pub state: State,
-    /// Its last start; 0 for long ago.
+    /// When it last started; 0 if it was already running when the day began.
     pub started: Micros,
-    /// Attempts that wait, first come first served.
-    pub waiting: VecDeque<FlightKey>,
+    /// Queued attempts, in order of arrival.
+    pub waiting: VecDeque<UpstreamRequestKey>,
     pub waiting_work: f64,
-    /// Attempts in work.
+    /// Jobs in progress.
     pub working: Vec<Job>,
-    /// Until then it works on nothing.
+    /// The end of its current pause.
     pub paused_until: Micros,
-    /// How much slower than usual it is.
+    /// The factor by which it is slower than usual.
     pub slowness: f64,
-    /// The part of its machine that another program takes.
+    /// The share of its machine's CPU that another program takes.
     pub neighbour: f64,
-    /// The share of requests that it answers with an error at once.
+    /// The share of requests that it answers immediately with an error.
     pub errors: f64,
-    pools: Vec<Pool>,
+    idle_pools: Vec<IdlePool>,
     pub connections: u32,
-    /// What it was sent lately while cold: when, how much, and by one that was told that it started.
-    sent: VecDeque<(Micros, f64, bool)>,
-    /// What it tells of its queue, if anything.
-    gauge: Option<Gauge>,
+    /// What reached it recently while it was cold: time, work, and whether the sending balancer had been told
+    /// of its start.
+    cold_work: VecDeque<(Micros, f64, bool)>,
+    /// Reports its queue length, if load reports are on.
+    queue_reporter: Option<QueueReporter>,
     pub stream: Stream,
 }
 
-/// What a start is made of.
-pub struct Start {
+/// The parameters of a new app server.
+pub struct ServerStart {
     pub id: Id,
     pub zone: u32,
     pub kind: u32,
@@ -116,25 +118,28 @@
     pub speed: f64,
     pub started: Micros,
     pub balancers: usize,
-    pub gauge: Option<Gauge>,
+    pub queue_reporter: Option<QueueReporter>,
     pub stream: Stream,
 }
 
-/// How a cold app server takes what it is sent.
+/// Whether a cold app server withstands the load that it is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fall {
-    /// It bears it.
-    Bears,
-    /// It falls over, and balancers that knew are to blame.
-    Blame,
-    /// It falls over, and too few of them knew.
-    Unknown,
+pub enum ColdLoad {
+    /// The load is within its limit.
+    WithinLimit,
+    /// Overloaded: it crashes, and at least two thirds of the work came from balancers that had been told of
+    /// its start.
+    OverloadedKnowingly,
+    /// Overloaded: it crashes, but too much of the work came from balancers that had not been told of its
+    /// start.
+    OverloadedUnknowingly,
 }
 
 impl Server {
-    /// One that runs from now on.
-    pub fn new(start: Start) -> Self {
-        let Start { id, zone, kind, cell, cores, speed, started, balancers, gauge, stream } = start;
+    /// An app server that is up from now on.
+    pub fn new(start: ServerStart) -> Self {
+        let ServerStart { id, zone, kind, cell, cores, speed, started, balancers, queue_reporter, stream } =
+            start;
         Server {
             id,
             zone,
@@ -142,7 +147,7 @@
             cell,
             cores,
             speed,
-            life: 0,
+            incarnation: 0,
             state: State::Up,
             started,
             waiting: VecDeque::new(),
@@ -152,20 +157,20 @@
             slowness: 1.0,
             neighbour: 0.0,
             errors: 0.0,
-            pools: vec![Pool::default(); balancers],
+            idle_pools: vec![IdlePool::default(); balancers],
             connections: 0,
-            sent: VecDeque::new(),
-            gauge,
+            cold_work: VecDeque::new(),
+            queue_reporter,
             stream,
         }
     }
 
-    /// Requests that it holds.
+    /// The number of requests that it holds, queued or in work.
     pub fn held(&self) -> usize {
         self.waiting.len() + self.working.len()
     }
 
-    /// The share of its capacity that it has by now.
+    /// The share of its full capacity that it has reached in its warm-up.
     pub fn warmth(&self, now: Micros, fleet: &Fleet) -> f64 {
         if self.started == 0 {
             return 1.0;
@@ -174,8 +179,8 @@
         fleet.cold_from + (1.0 - fleet.cold_from) * age.min(1.0)
     }
 
-    /// Work that one of its cores gets done in a microsecond.
-    pub fn pace(&self, now: Micros, fleet: &Fleet) -> f64 {
+    /// Work that one of its cores completes per microsecond.
+    pub fn core_throughput(&self, now: Micros, fleet: &Fleet) -> f64 {
         let cap = f64::from(self.cores * fleet.connections_per_core).max(1.0);
         let tax = fleet.full_tax * (f64::from(self.connections) / cap).min(1.0);
         let held = self.held() as f64 / f64::from(self.cores);
@@ -184,45 +189,51 @@
         own * self.warmth(now, fleet) * (1.0 - tax) / (self.slowness * (1.0 + thrash))
     }
 
-    /// May one more be taken into work?
+    /// Whether it has a free job slot.
     pub fn has_slot(&self, fleet: &Fleet) -> bool {
         self.working.len() < (self.cores * fleet.slots_per_core) as usize
     }
 
-    /// Is there room for one more?
+    /// Whether it has a free job slot or queue place.
     pub fn has_room(&self, fleet: &Fleet) -> bool {
         self.has_slot(fleet) || self.waiting.len() < (self.cores * fleet.queue_per_core) as usize
     }
 
-    /// Takes an attempt into the waiting room.
-    pub fn enter(&mut self, now: Micros, key: FlightKey, work: f64) {
-        self.note(now);
+    /// Appends an attempt to the queue.
+    pub fn enqueue(&mut self, now: Micros, key: UpstreamRequestKey, work: f64) {
+        self.record_queue(now);
         self.waiting.push_back(key);
         self.waiting_work += work;
     }
 
-    /// The attempt that has waited longest leaves the waiting room.
-    pub fn next(&mut self, now: Micros) -> Option<FlightKey> {
-        self.note(now);
+    /// Removes and returns the oldest attempt of the queue.
+    pub fn dequeue(&mut self, now: Micros) -> Option<UpstreamRequestKey> {
+        self.record_queue(now);
         self.waiting.pop_front()
     }
 
-    fn note(&mut self, now: Micros) {
-        if let Some(gauge) = &mut self.gauge {
-            gauge.note(now, self.waiting.len());
+    fn record_queue(&mut self, now: Micros) {
+        if let Some(queue_reporter) = &mut self.queue_reporter {
+            queue_reporter.record(now, self.waiting.len());
         }
     }
 
-    /// What it tells of its queue now, if anything.
+    /// The queue length that it reports now, if load reports are on.
     pub fn report(&mut self, now: Micros) -> Option<f64> {
         let waiting = self.waiting.len();
-        self.gauge.as_mut().map(|gauge| gauge.read(now, waiting))
+        self.queue_reporter.as_mut().map(|queue_reporter| queue_reporter.read(now, waiting))
     }
 
-    /// Begins on a job of so much work that waits on others for `io` besides. Beyond its cores, jobs that need
-    /// one share them. Gives back when it will be done.
-    pub fn begin(&mut self, now: Micros, key: FlightKey, (work, io): (f64, Micros), fleet: &Fleet) -> Micros {
-        let alone = work / self.pace(now, fleet);
+    /// Starts a job with this much work and, in addition, `io` of waiting on I/O. Jobs share the cores when
+    /// they need more of them than there are. Returns when the job will be done.
+    pub fn start_job(
+        &mut self,
+        now: Micros,
+        key: UpstreamRequestKey,
+        (work, io): (f64, Micros),
+        fleet: &Fleet,
+    ) -> Micros {
+        let alone = work / self.core_throughput(now, fleet);
         let busy = alone / (alone + io as f64).max(1e-9);
         let wanted: f64 = self.working.iter().map(|job| job.busy).sum::<f64>() + busy;
         let share = (wanted / f64::from(self.cores)).max(1.0);
@@ -232,20 +243,20 @@
         ends
     }
 
-    /// When it will be done with all that it holds.
+    /// When it will have completed all the requests that it holds.
     pub fn free_at(&self, now: Micros, fleet: &Fleet) -> Micros {
         let cores = f64::from(self.cores);
         let left: u64 = self.working.iter().map(|job| job.ends.saturating_sub(now)).sum();
-        now + (left as f64 / cores + self.waiting_work / (self.pace(now, fleet) * cores)) as Micros
+        now + (left as f64 / cores + self.waiting_work / (self.core_throughput(now, fleet) * cores)) as Micros
     }
 
-    /// Takes an idle connection, if there is one; those idle for too long are closed.
-    pub fn reuse(&mut self, balancer: usize, now: Micros, idle: Micros) -> bool {
-        let pool = &mut self.pools[balancer].0;
-        let old = pool.partition_point(|at| at.saturating_add(idle) <= now);
-        pool.drain(..old);
+    /// Takes an idle connection if there is one. Closes those that have been idle for too long.
+    pub fn take_idle_connection(&mut self, balancer: usize, now: Micros, idle: Micros) -> bool {
+        let idle_pool = &mut self.idle_pools[balancer].0;
+        let old = idle_pool.partition_point(|at| at.saturating_add(idle) <= now);
+        idle_pool.drain(..old);
         self.connections = self.connections.saturating_sub(old as u32);
-        pool.pop().is_some()
+        idle_pool.pop().is_some()
     }
 
     /// Opens a connection, unless the table is full.
@@ -255,76 +266,88 @@
         free
     }
 
-    /// A connection is free again.
-    pub fn park(&mut self, balancer: usize, now: Micros) {
-        self.pools[balancer].0.push(now);
+    /// Returns a connection to the idle pool.
+    pub fn return_connection(&mut self, balancer: usize, now: Micros) {
+        self.idle_pools[balancer].0.push(now);
     }
 
-    /// A connection ends.
+    /// Closes a connection in use.
     pub fn disconnect(&mut self) {
         self.connections = self.connections.saturating_sub(1);
     }
 
-    /// A balancer closes its idle connections, or has died.
-    pub fn drop_idle(&mut self, balancer: usize) {
-        let count = self.pools[balancer].0.len() as u32;
-        self.pools[balancer].0.clear();
+    /// Closes all idle connections of a balancer that drops them or has ended.
+    pub fn close_idle(&mut self, balancer: usize) {
+        let count = self.idle_pools[balancer].0.len() as u32;
+        self.idle_pools[balancer].0.clear();
         self.connections = self.connections.saturating_sub(count);
     }
 
-    /// Its process ends: all connections and all work go with it. Gives back the attempts that it held.
-    pub fn stop(&mut self) -> Vec<FlightKey> {
+    /// Ends its process, with all of its connections and work. Returns the attempts that it held.
+    pub fn stop(&mut self) -> Vec<UpstreamRequestKey> {
         self.state = State::Down;
-        self.life += 1;
-        self.pools.iter_mut().for_each(|pool| pool.0.clear());
+        self.incarnation += 1;
+        self.idle_pools.iter_mut().for_each(|idle_pool| idle_pool.0.clear());
         self.connections = 0;
         self.waiting_work = 0.0;
-        self.sent.clear();
+        self.cold_work.clear();
         let working = std::mem::take(&mut self.working);
         self.waiting.drain(..).chain(working.into_iter().map(|job| job.key)).collect()
     }
 
-    /// Its process starts, cold.
+    /// Starts its process, cold.
     pub fn start(&mut self, now: Micros) {
         self.state = State::Up;
-        self.life += 1;
+        self.incarnation += 1;
         self.started = now.max(1);
         self.paused_until = 0;
-        if let Some(gauge) = &mut self.gauge {
-            gauge.reset(now);
+        if let Some(queue_reporter) = &mut self.queue_reporter {
+            queue_reporter.reset(now);
         }
     }
 
-    /// Counts work that reaches it while it is cold, whether or not it is taken: what it is sent within the
-    /// window must stay under the multiple of what it can do, with a little room for chance.
-    pub fn bears(&mut self, now: Micros, work: f64, told: bool, fleet: &Fleet, rule: (f64, Micros)) -> Fall {
+    /// Counts work that reaches it while it is cold, whether or not it is accepted. The work within the
+    /// window must stay below the multiple of its present capacity, with a tolerance for random variation.
+    pub fn record_cold_load(
+        &mut self,
+        now: Micros,
+        work: f64,
+        knew_start: bool,
+        fleet: &Fleet,
+        rule: (f64, Micros),
+    ) -> ColdLoad {
         if self.started == 0 || now >= self.started + seconds(fleet.warm_s) {
-            return Fall::Bears;
+            return ColdLoad::WithinLimit;
         }
         let (multiple, window) = rule;
-        while self.sent.front().is_some_and(|(at, ..)| at + window <= now) {
-            self.sent.pop_front();
+        while self.cold_work.front().is_some_and(|(at, ..)| at + window <= now) {
+            self.cold_work.pop_front();
         }
-        self.sent.push_back((now, work, told));
-        // A window that has only begun is not judged by one heavy request.
-        let chance = 3.0 * work;
-        let sum: f64 = self.sent.iter().map(|(_, work, _)| work).sum();
+        self.cold_work.push_back((now, work, knew_start));
+        // Keeps a single heavy request from exceeding the limit in a window that has only begun.
+        let tolerance = 3.0 * work;
+        let sum: f64 = self.cold_work.iter().map(|(_, work, _)| work).sum();
         let bound = multiple * self.warmth(now, fleet) * self.speed * f64::from(self.cores) * window as f64;
-        if sum <= bound * 1.05 + chance {
-            return Fall::Bears;
+        if sum <= bound * 1.05 + tolerance {
+            return ColdLoad::WithinLimit;
+        }
+        let knowing_work: f64 =
+            self.cold_work.iter().filter(|(.., knew_start)| *knew_start).map(|(_, work, _)| work).sum();
+        if knowing_work * 3.0 >= sum * 2.0 {
+            ColdLoad::OverloadedKnowingly
+        } else {
+            ColdLoad::OverloadedUnknowingly
         }
-        let knew: f64 = self.sent.iter().filter(|(.., told)| *told).map(|(_, work, _)| work).sum();
-        if knew * 3.0 >= sum * 2.0 { Fall::Blame } else { Fall::Unknown }
     }
 
-    /// Work that it may still be sent now.
-    pub fn room(&self, now: Micros, fleet: &Fleet, (multiple, window): (f64, Micros)) -> f64 {
+    /// The work that it may be sent now without risk of overload; unlimited once it is warm.
+    pub fn cold_room(&self, now: Micros, fleet: &Fleet, (multiple, window): (f64, Micros)) -> f64 {
         if self.started == 0 || now >= self.started + seconds(fleet.warm_s) {
             return f64::INFINITY;
         }
-        let lately = self.sent.iter().filter(|(at, ..)| at + window > now);
+        let recent = self.cold_work.iter().filter(|(at, ..)| at + window > now);
         let bound = multiple * self.warmth(now, fleet) * self.speed * f64::from(self.cores) * window as f64;
-        0.7 * bound - lately.map(|(_, work, _)| work).sum::<f64>()
+        0.7 * bound - recent.map(|(_, work, _)| work).sum::<f64>()
     }
 }
 
