--- a/emulator/src/world.rs
+++ b/emulator/src/world.rs
@@ -1,5 +1,5 @@
-//! The world: who is in it, and what each event does. Clients stand in `clients.rs`, balancers and their
-//! attempts in `balancer.rs`; here are app servers, discovery, troubles and the course of time.
+//! The state of a simulation and its event loop. Clients are in `clients.rs`, balancers and their attempts in
+//! `balancer.rs`; this file has app servers, discovery, troubles and simulated time.
 
 use std::rc::Rc;
 
@@ -7,159 +7,162 @@
 use gradepaddle_dispatch::{Cause, Chooser};
 use slotmap::SlotMap;
 
-use crate::balancer::{Balancer, Flight, Inputs, Outputs, Place};
-use crate::clients::{Habits, Quest, Source, Try};
-use crate::discovery::{Call, Discovery, Entry};
-use crate::gauge::Gauge;
-use crate::judge::{Account, Judge, Rule};
+use crate::balancer::{Balancer, Inputs, Outputs, Stage, UpstreamRequest};
+use crate::clients::{ClientBehaviour, ClientRequest, LogicalRequest, TrafficSource};
+use crate::discovery::{Discovery, Entry, ListCall};
+use crate::evaluation::{Metrics, Rule, RuleMonitor};
 use crate::network::Network;
-use crate::policy::{Board, Glance, Policy};
-use crate::queue::{Change, Event, FlightKey, News, QuestKey, Queue, TryKey};
-use crate::random::{Party, Stream};
+use crate::policy::{GroundTruth, Policy, ServerSnapshot};
+use crate::queue::{
+    Change, ClientRequestKey, DiscoveryMessage, Event, LogicalRequestKey, Queue, UpstreamRequestKey,
+};
+use crate::queue_reporter::QueueReporter;
+use crate::random::{Stream, StreamId};
 use crate::result::{Outcome, Samples};
 use crate::scenario::{MachineKind, Reporting, Scenario, TroubleKind, seconds};
-use crate::server::{Fall, Memory, Server, Start, State};
+use crate::server::{ColdLoad, KeyCache, Server, ServerStart, State};
 
-/// Makes the chooser of a balancer from its settings and seed; the board shows the truth to one that may
-/// see it.
-pub type Make = dyn Fn(&Settings, u64, &Rc<Board>) -> Result<Box<dyn Chooser>, SettingsError>;
+/// Creates a balancer's chooser from its settings and seed. The ground truth is for policies that may read
+/// the true state of the app servers.
+pub type PolicyFactory = dyn Fn(&Settings, u64, &Rc<GroundTruth>) -> Result<Box<dyn Chooser>, SettingsError>;
 
-/// Who chooses in a run.
+/// The policy that the balancers of a run use.
 #[derive(Clone)]
-pub struct Player {
+pub struct PolicyUnderTest {
     /// Its name in results.
     pub name: String,
-    /// Makes one for each life of a balancer.
-    pub make: Rc<Make>,
-    /// It sees the truth: the board is kept up to date.
-    pub sees: bool,
-    /// The guard of dispatch lets everything through, so that the monitors can be seen to fire.
+    /// Called at each start of a balancer process.
+    pub factory: Rc<PolicyFactory>,
+    /// The policy reads the ground truth, which the simulator then keeps up to date.
+    pub needs_ground_truth: bool,
+    /// The guard of dispatch enforces nothing. Tests use this to show that the rule monitors detect
+    /// violations.
     pub unguarded: bool,
 }
 
-impl From<Policy> for Player {
+impl From<Policy> for PolicyUnderTest {
     fn from(policy: Policy) -> Self {
-        Player {
+        PolicyUnderTest {
             name: policy.name().to_owned(),
-            make: Rc::new(move |settings, seed, board| policy.start(settings, seed, board)),
-            sees: policy == Policy::Seer,
+            factory: Rc::new(move |settings, seed, ground_truth| policy.start(settings, seed, ground_truth)),
+            needs_ground_truth: policy == Policy::Oracle,
             unguarded: false,
         }
     }
 }
 
-/// A run.
+/// A completed run.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// What came out.
+    /// The result.
     pub outcome: Outcome,
-    /// First tries and retries, for speed.
+    /// First tries and retries sent, as a measure of simulation speed.
     pub tries: u64,
-    /// Events that happened, for speed.
+    /// Events handled, as a measure of simulation speed.
     pub events: u64,
-    /// The most that ever stood in the queue.
+    /// The largest number of pending events.
     pub queue: usize,
 }
 
-/// Everything.
+/// The complete state of a simulation.
 pub(crate) struct World {
     pub scenario: Scenario,
     pub seed: u64,
-    pub player: Player,
+    pub policy: PolicyUnderTest,
     pub now: Micros,
-    /// No first tries come from then on.
+    /// No new logical requests arrive from this time on.
     pub ends: Micros,
     pub queue: Queue,
-    pub source: Source,
-    pub habits: Habits,
-    pub quests: SlotMap<QuestKey, Quest>,
-    pub tries: SlotMap<TryKey, Try>,
-    pub flights: SlotMap<FlightKey, Flight>,
-    pub serial: u64,
+    pub source: TrafficSource,
+    pub client_behaviour: ClientBehaviour,
+    pub logical_requests: SlotMap<LogicalRequestKey, LogicalRequest>,
+    pub client_requests: SlotMap<ClientRequestKey, ClientRequest>,
+    pub upstream_requests: SlotMap<UpstreamRequestKey, UpstreamRequest>,
+    pub last_request_id: u64,
     pub balancers: Vec<Balancer>,
     pub servers: Vec<Server>,
-    pub board: Rc<Board>,
+    pub ground_truth: Rc<GroundTruth>,
     pub network: Network,
-    pub front: Stream,
-    pub attempts: Stream,
+    pub front_random: Stream,
+    pub attempt_random: Stream,
     discovery: Discovery,
-    noticed: Vec<Entry>,
-    troubles: Stream,
-    /// Whom each trouble hit, to undo it.
-    hit: Vec<Vec<u32>>,
-    /// Share of attempts that are reset on their way.
-    pub resets: f64,
-    pub account: Account,
-    pub judge: Judge,
+    pending_updates: Vec<Entry>,
+    trouble_random: Stream,
+    /// The app servers or balancers that each trouble affects, by trouble, to end its effect on them.
+    affected: Vec<Vec<u32>>,
+    /// Share of attempts whose connection is reset.
+    pub reset_rate: f64,
+    pub metrics: Metrics,
+    pub rule_monitor: RuleMonitor,
     samples: Samples,
     pub inputs: Inputs,
     pub outputs: Outputs,
 }
 
-/// Runs a scenario. Where a rule is broken, it is run once more to write down the history of the request
-/// that broke it first: a run with the same seed is the same.
+/// Runs a scenario. If a rule is broken, the scenario is run a second time to record the history of the
+/// request that broke it first: a run with the same seed repeats exactly.
 ///
 /// # Errors
 ///
-/// The scenario makes no sense ([`Scenario::check`]).
-pub fn run(scenario: &Scenario, player: impl Into<Player>, seed: u64) -> Result<Run, String> {
+/// The scenario is invalid ([`Scenario::check`]).
+pub fn run(scenario: &Scenario, policy: impl Into<PolicyUnderTest>, seed: u64) -> Result<Run, String> {
     scenario.check().map_err(|fault| fault.to_string())?;
-    let player = player.into();
-    let mut first = World::new(scenario, player.clone(), seed, None).play();
-    if let Some(followed) = first.outcome.breaches.first().map(|breach| breach.request)
-        && followed > 0
+    let policy = policy.into();
+    let mut first = World::new(scenario, policy.clone(), seed, None).run_to_end();
+    if let Some(followed_request) = first.outcome.breaches.first().map(|breach| breach.request)
+        && followed_request > 0
     {
-        let again = World::new(scenario, player, seed, Some(followed)).play();
-        if let (Some(breach), Some(told)) =
+        let again = World::new(scenario, policy, seed, Some(followed_request)).run_to_end();
+        if let (Some(breach), Some(replayed)) =
             (first.outcome.breaches.first_mut(), again.outcome.breaches.first())
         {
-            breach.history.clone_from(&told.history);
+            breach.history.clone_from(&replayed.history);
         }
     }
     Ok(first)
 }
 
 impl World {
-    fn new(scenario: &Scenario, player: Player, seed: u64, followed: Option<u64>) -> World {
-        let stream = |party| Stream::of(seed, party, 0);
+    fn new(scenario: &Scenario, policy: PolicyUnderTest, seed: u64, followed_request: Option<u64>) -> World {
+        let stream = |stream_id| Stream::of(seed, stream_id, 0);
         let ends = seconds(scenario.day.length_s);
         let mut world = World {
             now: 0,
             ends,
             queue: Queue::default(),
-            source: Source::new(scenario, stream(Party::Arrivals)),
-            habits: Habits::new(scenario, stream(Party::Habits)),
-            quests: SlotMap::with_key(),
-            tries: SlotMap::with_key(),
-            flights: SlotMap::with_key(),
-            serial: 0,
+            source: TrafficSource::new(scenario, stream(StreamId::Arrivals)),
+            client_behaviour: ClientBehaviour::new(scenario, stream(StreamId::ClientBehaviour)),
+            logical_requests: SlotMap::with_key(),
+            client_requests: SlotMap::with_key(),
+            upstream_requests: SlotMap::with_key(),
+            last_request_id: 0,
             balancers: Vec::new(),
             servers: Vec::new(),
-            board: Rc::default(),
-            network: Network::new(scenario.network, stream(Party::Network), scenario.fleet.zones as usize),
-            front: stream(Party::Front),
-            attempts: stream(Party::Attempts),
-            discovery: Discovery::new(scenario.discovery.clone(), stream(Party::Discovery)),
-            noticed: Vec::new(),
-            troubles: stream(Party::Troubles),
-            hit: vec![Vec::new(); scenario.troubles.len()],
-            resets: 0.0,
-            account: Account::new(scenario),
-            judge: Judge { followed, ..Judge::default() },
+            ground_truth: Rc::default(),
+            network: Network::new(scenario.network, stream(StreamId::Network), scenario.fleet.zones as usize),
+            front_random: stream(StreamId::Front),
+            attempt_random: stream(StreamId::Attempts),
+            discovery: Discovery::new(scenario.discovery.clone(), stream(StreamId::Discovery)),
+            pending_updates: Vec::new(),
+            trouble_random: stream(StreamId::Troubles),
+            affected: vec![Vec::new(); scenario.troubles.len()],
+            reset_rate: 0.0,
+            metrics: Metrics::new(scenario),
+            rule_monitor: RuleMonitor { followed_request, ..RuleMonitor::default() },
             samples: Samples::default(),
             inputs: Vec::new(),
             outputs: Vec::new(),
             scenario: scenario.clone(),
             seed,
-            player,
+            policy,
         };
         for server in 0..scenario.fleet.servers {
             world.add_server(server % scenario.fleet.zones, 0);
-            world.discovery.enter(Entry { server, state: Listed::Ready, started: None });
+            world.discovery.record(Entry { server, state: Listed::Ready, started: None });
         }
         for balancer in 0..scenario.balancers.count {
-            let one = world.new_balancer(balancer);
-            world.balancers.push(one);
+            let process = world.new_balancer(balancer);
+            world.balancers.push(process);
         }
         for (at, trouble) in (0u32..).zip(&scenario.troubles) {
             world.queue.push(seconds(trouble.at_s), Event::Trouble { at, begins: true });
@@ -168,13 +171,13 @@
         for balancer in 0..scenario.balancers.count {
             world.start_balancer(balancer);
         }
-        world.queue.push(0, Event::Arrive);
+        world.queue.push(0, Event::NextArrival);
         world.queue.push(0, Event::Sample);
         world
     }
 
-    fn play(mut self) -> Run {
-        // What is asked at the very end is answered long before this.
+    fn run_to_end(mut self) -> Run {
+        // Longest client deadline after the last arrival, plus 2 s: every request has its answer before this.
         let longest = self.scenario.classes.iter().map(|class| class.deadline_ms).fold(0.0, f64::max);
         let last = self.ends + seconds(longest / 1000.0) + 2_000_000;
         let (mut events, mut most) = (0, 0);
@@ -186,57 +189,61 @@
             self.now = at;
             events += 1;
             most = most.max(self.queue.len());
-            self.happen(event);
+            self.handle_event(event);
         }
-        let tries = self.serial;
+        let tries = self.last_request_id;
         let defects = self.balancers.iter().map(Balancer::defects).sum();
         let outcome = Outcome::new(
             &self.scenario,
-            &self.player.name,
+            &self.policy.name,
             self.seed,
-            self.account,
-            self.judge,
+            self.metrics,
+            self.rule_monitor,
             self.samples,
             defects,
         );
         Run { outcome, tries, events, queue: most }
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Arrive => self.arrive(),
-            Event::Reach { key } => self.reach(key),
-            Event::Land { flight } => self.land(flight),
-            Event::Done { server, life, job } => self.done(server, life, job),
-            Event::Back { flight } => self.back(flight),
-            Event::Hear { key } => self.hear(key),
-            Event::Timer { balancer, life } => self.timer(balancer, life),
-            Event::Expire { flight } => self.expire(flight),
-            Event::GiveUp { key } => self.give_up(key),
-            Event::Overdue { key } => self.overdue(key),
-            Event::Leave { key } => self.leave(key),
-            Event::Left { key } => self.left(key),
-            Event::Again { quest } => self.again(quest),
-            Event::Pause { server, life } => self.pause(server, life),
-            Event::Sample => self.sample(),
-            Event::Truth { server, life, change } => self.truth(server, life, change),
-            Event::Noticed { entry } => self.notice(entry),
-            Event::Heard { balancer, life, news } => self.heard(balancer, life, news),
-            Event::Up { balancer } => self.up(balancer),
-            Event::Gone { balancer, life } => self.gone(balancer, life),
-            Event::Trouble { at, begins: true } => self.begin(at),
-            Event::Trouble { at, begins: false } => self.end(at),
-            Event::Step { at, step } => self.step(at, step),
+            Event::NextArrival => self.on_arrival(),
+            Event::RequestAtBalancer { key } => self.on_request_at_balancer(key),
+            Event::RequestAtServer { upstream_request } => self.on_request_at_server(upstream_request),
+            Event::WorkDone { server, incarnation, job } => self.on_work_done(server, incarnation, job),
+            Event::AttemptResult { upstream_request } => self.on_attempt_result(upstream_request),
+            Event::ClientAnswer { key } => self.on_client_answer(key),
+            Event::BalancerTimer { balancer, incarnation } => self.on_balancer_timer(balancer, incarnation),
+            Event::AttemptTimeout { upstream_request } => self.on_attempt_timeout(upstream_request),
+            Event::ClientTimeout { key } => self.on_client_timeout(key),
+            Event::AnswerOverdue { key } => self.on_answer_overdue(key),
+            Event::ClientDisconnect { key } => self.on_client_disconnect(key),
+            Event::DisconnectAtBalancer { key } => self.on_disconnect_at_balancer(key),
+            Event::ClientRetry { logical_request } => self.on_client_retry(logical_request),
+            Event::ServerPause { server, incarnation } => self.on_server_pause(server, incarnation),
+            Event::Sample => self.on_sample(),
+            Event::StateChange { server, incarnation, change } => {
+                self.on_state_change(server, incarnation, change);
+            }
+            Event::DiscoveryUpdate { entry } => self.on_discovery_update(entry),
+            Event::ListUpdate { balancer, incarnation, news } => {
+                self.on_list_update(balancer, incarnation, news);
+            }
+            Event::BalancerStart { balancer } => self.on_balancer_start(balancer),
+            Event::BalancerStop { balancer, incarnation } => self.on_balancer_stop(balancer, incarnation),
+            Event::Trouble { at, begins: true } => self.begin_trouble(at),
+            Event::Trouble { at, begins: false } => self.end_trouble(at),
+            Event::TroubleStep { at, step } => self.run_trouble_step(at, step),
         }
     }
 
     // App servers.
 
-    /// A new app server, which runs from now on.
+    /// Adds an app server that is up from now on.
     fn add_server(&mut self, zone: u32, started: Micros) -> u32 {
         let number = self.servers.len() as u32;
         let fleet = &self.scenario.fleet;
-        let mut stream = Stream::of(self.seed, Party::Server, u64::from(number));
+        let mut stream = Stream::of(self.seed, StreamId::Server, u64::from(number));
         let (kind, machine) = kind_of(&fleet.kinds, number);
         let cores = machine.map_or(fleet.cores, |machine| machine.cores);
         let speed = match fleet.speeds.len() {
@@ -246,194 +253,207 @@
         let speed = speed * machine.map_or(1.0, |machine| machine.speed);
         let id: Id = format!("s{number}").into();
         let (cell, balancers) = (number / fleet.cell_size.max(1), self.scenario.balancers.count as usize);
-        let memory = Memory::new((fleet.keys_per_core * cores) as usize, seconds(fleet.key_s));
+        let key_cache = KeyCache::new((fleet.keys_per_core * cores) as usize, seconds(fleet.key_s));
         let every = fleet.pause_every_s;
         let first = (every > 0.0).then(|| (stream.interval(every) * 1e6) as Micros);
         let report = &self.scenario.report;
-        let gauge = (report.how != Reporting::Never)
-            .then(|| Gauge::new(report, Stream::of(self.seed, Party::Reports, u64::from(number))));
-        let start = Start { id, zone, kind, cell, cores, speed, started, balancers, gauge, stream };
+        let queue_reporter = (report.how != Reporting::Never)
+            .then(|| QueueReporter::new(report, Stream::of(self.seed, StreamId::Reports, u64::from(number))));
+        let start =
+            ServerStart { id, zone, kind, cell, cores, speed, started, balancers, queue_reporter, stream };
         self.servers.push(Server::new(start));
-        self.board.memories.borrow_mut().push(memory);
+        self.ground_truth.key_caches.borrow_mut().push(key_cache);
         if let Some(first) = first {
-            self.queue.push(self.now + first, Event::Pause { server: number, life: 0 });
+            self.queue.push(self.now + first, Event::ServerPause { server: number, incarnation: 0 });
         }
         for balancer in &mut self.balancers {
-            balancer.learn_of(number);
+            balancer.add_server(number);
         }
-        self.show(number);
+        self.update_ground_truth(number);
         number
     }
 
-    /// Keeps the board up to date.
-    pub fn show(&mut self, server: u32) {
-        if !self.player.sees {
+    /// Updates the ground truth for an app server, if the policy reads it.
+    pub fn update_ground_truth(&mut self, server: u32) {
+        if !self.policy.needs_ground_truth {
             return;
         }
         let (fleet, rules) = (&self.scenario.fleet, &self.scenario.rules);
-        let of = &self.servers[server as usize];
+        let record = &self.servers[server as usize];
         let rule = (rules.fall_multiple, seconds(rules.fall_s));
-        let glance = Glance {
-            open: of.state == State::Up && of.has_room(fleet) && of.errors < 0.5,
-            free_at: of.free_at(self.now, fleet).max(of.paused_until),
-            pace: of.pace(self.now, fleet),
-            room: of.room(self.now, fleet, rule),
+        let snapshot = ServerSnapshot {
+            open: record.state == State::Up && record.has_room(fleet) && record.errors < 0.5,
+            free_at: record.free_at(self.now, fleet).max(record.paused_until),
+            core_throughput: record.core_throughput(self.now, fleet),
+            cold_room: record.cold_room(self.now, fleet, rule),
         };
-        let mut glances = self.board.glances.borrow_mut();
-        if glances.len() <= server as usize {
-            glances.resize(server as usize + 1, Glance::default());
+        let mut snapshots = self.ground_truth.snapshots.borrow_mut();
+        if snapshots.len() <= server as usize {
+            snapshots.resize(server as usize + 1, ServerSnapshot::default());
         }
-        glances[server as usize] = glance;
+        snapshots[server as usize] = snapshot;
     }
 
-    fn land(&mut self, key: FlightKey) {
+    fn on_request_at_server(&mut self, key: UpstreamRequestKey) {
         let now = self.now;
-        let Some(flight) = self.flights.get(key) else { return };
-        let (number, life, from) = (flight.server, flight.server_life, flight.balancer as usize);
-        let (work, request) = (flight.work, flight.serial);
+        let Some(upstream_request) = self.upstream_requests.get(key) else { return };
+        let (number, incarnation, from) = (
+            upstream_request.server,
+            upstream_request.server_incarnation,
+            upstream_request.balancer as usize,
+        );
+        let (work, request) = (upstream_request.work, upstream_request.request_id);
         let server = &mut self.servers[number as usize];
-        if server.life != life {
-            // The process that the connection was with is gone.
-            return self.turn_back(key, Cause::Broke, 0);
+        if server.incarnation != incarnation {
+            // The process at the other end of the connection has ended.
+            return self.send_result_back(key, Cause::Broke, 0);
         }
-        if flight.probe {
-            return self.land_probe(key, number);
+        if upstream_request.probe {
+            return self.on_probe_at_server(key, number);
         }
         let rules = &self.scenario.rules;
         let rule = (rules.fall_multiple, seconds(rules.fall_s));
-        let told = self.balancers[from].knows_start(number, server.started);
-        let fall = server.bears(now, work, told, &self.scenario.fleet, rule);
-        if fall != Fall::Bears {
-            if fall == Fall::Blame {
+        let knew_start = self.balancers[from].was_told_of_start(number, server.started);
+        let cold_load = server.record_cold_load(now, work, knew_start, &self.scenario.fleet, rule);
+        if cold_load != ColdLoad::WithinLimit {
+            if cold_load == ColdLoad::OverloadedKnowingly {
                 let id = server.id.clone();
-                self.judge.breach(Rule::ColdBorne, now, request, || {
+                self.rule_monitor.breach(Rule::ColdBorne, now, request, || {
                     format!("{id} fell over under what it was sent")
                 });
             }
-            self.turn_back(key, Cause::Broke, 0);
+            self.send_result_back(key, Cause::Broke, 0);
             return self.stop_server(number, true);
         }
         let errors = server.errors.max(self.scenario.fleet.error_rate);
         if server.state != State::Up || !server.has_room(&self.scenario.fleet) {
-            return self.turn_back(key, Cause::Unprocessed, 0);
+            return self.send_result_back(key, Cause::Unprocessed, 0);
         }
         if server.stream.chance(errors) {
-            self.ran(key);
-            return self.turn_back(key, Cause::Failed, 1000);
+            self.record_run(key);
+            return self.send_result_back(key, Cause::Failed, 1000);
         }
-        if self.resets > 0.0 && self.attempts.chance(self.resets) {
-            // Half of them before it was begun: nobody can tell which.
-            if self.attempts.chance(0.5) {
-                return self.turn_back(key, Cause::Broke, 0);
+        if self.reset_rate > 0.0 && self.attempt_random.chance(self.reset_rate) {
+            // Half of the resets come before work begins; the balancer can't tell which.
+            if self.attempt_random.chance(0.5) {
+                return self.send_result_back(key, Cause::Broke, 0);
             }
-            self.flights[key].doomed = true;
+            self.upstream_requests[key].reset_on_return = true;
         }
-        self.servers[number as usize].enter(now, key, work);
-        self.flights[key].place = Place::Waiting;
-        self.pump(number);
+        self.servers[number as usize].enqueue(now, key, work);
+        self.upstream_requests[key].stage = Stage::Queued;
+        self.start_queued_work(number);
     }
 
-    /// A probe is answered by whoever runs: a deep one after it has waited its turn, another at once, while its
-    /// work holds up what is being worked on.
-    fn land_probe(&mut self, key: FlightKey, number: u32) {
-        let (now, work) = (self.now, self.flights[key].work);
+    /// An app server answers probes in any state but down or draining. A deep probe waits in the queue like a
+    /// request; a shallow probe is answered at once, and its work delays the jobs in progress.
+    fn on_probe_at_server(&mut self, key: UpstreamRequestKey, number: u32) {
+        let (now, work) = (self.now, self.upstream_requests[key].work);
         let fleet = &self.scenario.fleet;
         let server = &mut self.servers[number as usize];
         let deep = self.scenario.probe.deep;
         if server.state != State::Up || (deep && !server.has_room(fleet)) {
-            return self.turn_back(key, Cause::Unprocessed, 0);
+            return self.send_result_back(key, Cause::Unprocessed, 0);
         }
         if deep {
-            server.enter(now, key, work);
-            self.flights[key].place = Place::Waiting;
-            return self.pump(number);
+            server.enqueue(now, key, work);
+            self.upstream_requests[key].stage = Stage::Queued;
+            return self.start_queued_work(number);
         }
-        let pace = server.pace(now, fleet);
+        let core_throughput = server.core_throughput(now, fleet);
         let pause = server.paused_until.saturating_sub(now);
-        let held_up = (work / (pace * f64::from(server.cores))) as Micros;
-        self.turn_back(key, Cause::Served, pause + (work / pace) as Micros);
-        self.freeze(number, held_up);
+        let held_up = (work / (core_throughput * f64::from(server.cores))) as Micros;
+        self.send_result_back(key, Cause::Served, pause + (work / core_throughput) as Micros);
+        self.pause_server(number, held_up);
     }
 
-    /// What an app server tells of its load with this answer.
-    pub fn report(&mut self, server: u32, probe: bool) -> Option<LoadReport> {
-        let told = match self.scenario.report.how {
+    /// The load report that an app server attaches to this answer, if it reports at all.
+    pub fn load_report(&mut self, server: u32, probe: bool) -> Option<LoadReport> {
+        let reports = match self.scenario.report.how {
             Reporting::Never => false,
             Reporting::Probes => probe,
             Reporting::Answers => true,
         };
-        let queue = self.servers[server as usize].report(self.now).filter(|_| told)?;
+        let queue = self.servers[server as usize].report(self.now).filter(|_| reports)?;
         Some(LoadReport { queue: Some(queue), ..LoadReport::default() })
     }
 
-    /// Takes attempts that wait into work, as far as there are slots.
-    fn pump(&mut self, number: u32) {
+    /// Starts work on queued attempts while the app server has free slots.
+    fn start_queued_work(&mut self, number: u32) {
         let (now, fleet) = (self.now, &self.scenario.fleet);
         loop {
             let server = &mut self.servers[number as usize];
             if !server.has_slot(fleet) {
                 break;
             }
-            let Some(key) = server.next(now) else { break };
-            let Some(flight) = self.flights.get_mut(key) else { continue };
-            server.waiting_work = (server.waiting_work - flight.work).max(0.0);
-            if flight.over && fleet.cancel_stops_work {
+            let Some(key) = server.dequeue(now) else { break };
+            let Some(upstream_request) = self.upstream_requests.get_mut(key) else { continue };
+            server.waiting_work = (server.waiting_work - upstream_request.work).max(0.0);
+            if upstream_request.abandoned && fleet.cancel_stops_work {
                 self.remove(key);
-                return self.pump(number);
+                return self.start_queued_work(number);
             }
-            let warm = self.board.memories.borrow()[number as usize].knows(now, flight.key);
-            let work = flight.work * if warm { 1.0 - fleet.key_gain } else { 1.0 } + flight.extra;
-            flight.met = work;
-            flight.place = Place::Working;
-            let ends = server.begin(now, key, (work, flight.io), fleet);
-            let life = server.life;
-            self.queue.push(ends, Event::Done { server: number, life, job: key });
-            self.ran(key);
-            return self.pump(number);
+            let warm =
+                self.ground_truth.key_caches.borrow()[number as usize].contains(now, upstream_request.key);
+            let work = upstream_request.work * if warm { 1.0 - fleet.key_gain } else { 1.0 }
+                + upstream_request.handshake_work;
+            upstream_request.actual_work = work;
+            upstream_request.stage = Stage::Running;
+            let ends = server.start_job(now, key, (work, upstream_request.io), fleet);
+            let incarnation = server.incarnation;
+            self.queue.push(ends, Event::WorkDone { server: number, incarnation, job: key });
+            self.record_run(key);
+            return self.start_queued_work(number);
         }
-        self.show(number);
+        self.update_ground_truth(number);
     }
 
-    fn done(&mut self, number: u32, life: u32, key: FlightKey) {
+    fn on_work_done(&mut self, number: u32, incarnation: u32, key: UpstreamRequestKey) {
         let server = &mut self.servers[number as usize];
-        if server.life != life {
+        if server.incarnation != incarnation {
             return;
         }
         let Some(at) = server.working.iter().position(|job| job.key == key) else { return };
         if server.working[at].ends > self.now {
-            // It was paused meanwhile.
+            // A pause has postponed its end.
             let ends = server.working[at].ends;
-            self.queue.push(ends, Event::Done { server: number, life, job: key });
+            self.queue.push(ends, Event::WorkDone { server: number, incarnation, job: key });
             return;
         }
         server.working.swap_remove(at);
-        let flight = &self.flights[key];
-        if flight.probe {
-            self.turn_back(key, Cause::Served, 0);
-            return self.pump(number);
-        }
-        self.board.memories.borrow_mut()[number as usize].meet(self.now, flight.key);
-        if flight.over || flight.doomed || self.tries.get(flight.of).is_none_or(|one| one.answered) {
-            self.account.wasted += flight.met;
+        let upstream_request = &self.upstream_requests[key];
+        if upstream_request.probe {
+            self.send_result_back(key, Cause::Served, 0);
+            return self.start_queued_work(number);
+        }
+        self.ground_truth.key_caches.borrow_mut()[number as usize].insert(self.now, upstream_request.key);
+        if upstream_request.abandoned
+            || upstream_request.reset_on_return
+            || self
+                .client_requests
+                .get(upstream_request.request_key)
+                .is_none_or(|client_request| client_request.answered)
+        {
+            self.metrics.wasted += upstream_request.actual_work;
         }
-        let cause = if flight.doomed { Cause::Broke } else { Cause::Served };
-        self.turn_back(key, cause, 0);
-        self.pump(number);
+        let cause = if upstream_request.reset_on_return { Cause::Broke } else { Cause::Served };
+        self.send_result_back(key, cause, 0);
+        self.start_queued_work(number);
     }
 
-    fn pause(&mut self, number: u32, life: u32) {
+    fn on_server_pause(&mut self, number: u32, incarnation: u32) {
         let fleet = &self.scenario.fleet;
         let server = &mut self.servers[number as usize];
-        if server.life == life {
+        if server.incarnation == incarnation {
             let length = (server.stream.interval(fleet.pause_ms) * 1000.0) as Micros;
             let next = (server.stream.interval(fleet.pause_every_s) * 1e6) as Micros;
-            self.queue.push(self.now + length + next, Event::Pause { server: number, life });
-            self.freeze(number, length);
+            self.queue.push(self.now + length + next, Event::ServerPause { server: number, incarnation });
+            self.pause_server(number, length);
         }
     }
 
-    /// An app server works on nothing for so long.
-    fn freeze(&mut self, number: u32, length: Micros) {
+    /// Pauses all work of an app server for this long.
+    fn pause_server(&mut self, number: u32, length: Micros) {
         let server = &mut self.servers[number as usize];
         let from = server.paused_until.max(self.now);
         let until = (self.now + length).max(server.paused_until);
@@ -441,159 +461,172 @@
         for job in &mut server.working {
             job.ends += until - from;
         }
-        self.show(number);
+        self.update_ground_truth(number);
     }
 
-    /// A process ends. `silent`: nobody tells discovery.
+    /// An app server's process ends. `silent`: it does not deregister, so discovery has to detect its end.
     fn stop_server(&mut self, number: u32, silent: bool) {
         let held = self.servers[number as usize].stop();
         for key in held {
-            self.turn_back(key, Cause::Broke, 0);
+            self.send_result_back(key, Cause::Broke, 0);
         }
         let entry = Entry { server: number, state: Listed::Gone, started: None };
-        self.tell_discovery(entry, silent);
-        self.show(number);
+        self.report_to_discovery(entry, silent);
+        self.update_ground_truth(number);
     }
 
-    /// A process starts again at the same place.
+    /// Restarts an app server's process under the same identity.
     fn start_server(&mut self, number: u32) {
         let now = self.now;
         let fleet = &self.scenario.fleet;
         let server = &mut self.servers[number as usize];
         server.start(now);
-        let (life, cores) = (server.life, server.cores);
-        let memory = Memory::new((fleet.keys_per_core * cores) as usize, seconds(fleet.key_s));
-        self.board.memories.borrow_mut()[number as usize] = memory;
+        let (incarnation, cores) = (server.incarnation, server.cores);
+        let key_cache = KeyCache::new((fleet.keys_per_core * cores) as usize, seconds(fleet.key_s));
+        self.ground_truth.key_caches.borrow_mut()[number as usize] = key_cache;
         if fleet.pause_every_s > 0.0 {
             let first = (server.stream.interval(fleet.pause_every_s) * 1e6) as Micros;
-            self.queue.push(now + first, Event::Pause { server: number, life });
+            self.queue.push(now + first, Event::ServerPause { server: number, incarnation });
         }
-        self.tell_discovery(Entry { server: number, state: Listed::Ready, started: Some(now.max(1)) }, false);
-        self.show(number);
+        self.report_to_discovery(
+            Entry { server: number, state: Listed::Ready, started: Some(now.max(1)) },
+            false,
+        );
+        self.update_ground_truth(number);
     }
 
-    /// A new app server starts cold.
+    /// Starts a new app server, which is cold.
     fn start_new(&mut self, zone: u32) -> u32 {
         let started = self.now.max(1);
         let number = self.add_server(zone, started);
-        self.tell_discovery(Entry { server: number, state: Listed::Ready, started: Some(started) }, false);
+        self.report_to_discovery(
+            Entry { server: number, state: Listed::Ready, started: Some(started) },
+            false,
+        );
         number
     }
 
-    fn truth(&mut self, number: u32, life: u32, change: Change) {
+    fn on_state_change(&mut self, number: u32, incarnation: u32, change: Change) {
         let server = &mut self.servers[number as usize];
-        if server.life != life {
+        if server.incarnation != incarnation {
             return;
         }
         match change {
-            Change::Drains => {
+            Change::Drain => {
                 server.state = State::Draining;
                 let started = (server.started > 0).then_some(server.started);
-                self.tell_discovery(Entry { server: number, state: Listed::Draining, started }, false);
-                self.show(number);
+                self.report_to_discovery(Entry { server: number, state: Listed::Draining, started }, false);
+                self.update_ground_truth(number);
             }
-            Change::Goes => self.stop_server(number, false),
+            Change::Stop => self.stop_server(number, false),
         }
     }
 
-    /// An app server drains from now on, and goes after a while.
-    fn retire(&mut self, number: u32, drain_s: f64) {
-        let life = self.servers[number as usize].life;
-        self.truth(number, life, Change::Drains);
-        let goes = Event::Truth { server: number, life, change: Change::Goes };
+    /// Drains an app server from now on and stops it after `drain_s` seconds.
+    fn drain_server(&mut self, number: u32, drain_s: f64) {
+        let incarnation = self.servers[number as usize].incarnation;
+        self.on_state_change(number, incarnation, Change::Drain);
+        let goes = Event::StateChange { server: number, incarnation, change: Change::Stop };
         self.queue.push(self.now + seconds(drain_s), goes);
     }
 
-    fn up_servers(&self) -> Vec<u32> {
+    fn running_servers(&self) -> Vec<u32> {
         let up = self.servers.iter().enumerate().filter(|(_, server)| server.state == State::Up);
         up.map(|(at, _)| at as u32).collect()
     }
 
     // Discovery.
 
-    fn tell_discovery(&mut self, entry: Entry, silent: bool) {
-        let at = self.discovery.noticed_at(self.now, entry.server, silent);
-        self.noticed.push(entry);
-        self.queue.push(at, Event::Noticed { entry: self.noticed.len() as u32 - 1 });
+    fn report_to_discovery(&mut self, entry: Entry, silent: bool) {
+        let at = self.discovery.detection_time(self.now, entry.server, silent);
+        self.pending_updates.push(entry);
+        self.queue.push(at, Event::DiscoveryUpdate { entry: self.pending_updates.len() as u32 - 1 });
     }
 
-    fn notice(&mut self, entry: u32) {
-        let entry = self.noticed[entry as usize].clone();
-        let version = self.discovery.enter(entry);
+    fn on_discovery_update(&mut self, entry: u32) {
+        let entry = self.pending_updates[entry as usize].clone();
+        let version = self.discovery.record(entry);
         for at in 0..self.balancers.len() {
             if self.balancers[at].watching {
-                self.inform(at as u32, self.now, News::Upto(version));
+                self.send_list_update(at as u32, self.now, DiscoveryMessage::UpToVersion(version));
             }
         }
     }
 
-    /// Discovery's words go out to a balancer at this time.
-    fn inform(&mut self, balancer: u32, from: Micros, news: News) {
-        let of = &self.balancers[balancer as usize];
-        let (zone, life) = (of.zone, of.life);
-        // It stands in the first zone.
-        if !self.network.joins(0, zone) {
+    /// Sends a message of discovery to a balancer at the given time.
+    fn send_list_update(&mut self, balancer: u32, from: Micros, news: DiscoveryMessage) {
+        let record = &self.balancers[balancer as usize];
+        let (zone, incarnation) = (record.zone, record.incarnation);
+        // Discovery runs in the first zone.
+        if !self.network.is_connected(0, zone) {
             return;
         }
-        let at = from + self.network.delay(0, zone) + self.discovery.spread();
-        // Words of one watch keep their order.
-        let at = at.max(self.balancers[balancer as usize].heard_at + 1);
-        self.balancers[balancer as usize].heard_at = at;
-        self.queue.push(at, Event::Heard { balancer, life, news });
+        let at = from + self.network.delay(0, zone) + self.discovery.propagation_delay();
+        // Messages of one watch keep their order.
+        let at = at.max(self.balancers[balancer as usize].last_delivery_at + 1);
+        self.balancers[balancer as usize].last_delivery_at = at;
+        self.queue.push(at, Event::ListUpdate { balancer, incarnation, news });
     }
 
-    /// A balancer calls for the list.
-    pub fn call(&mut self, balancer: u32) {
+    /// A balancer requests the server list.
+    pub fn request_list(&mut self, balancer: u32) {
         let zone = self.balancers[balancer as usize].zone;
-        if !self.network.joins(0, zone) {
-            let life = self.balancers[balancer as usize].life;
-            self.queue.push(self.now + 1_000_000, Event::Heard { balancer, life, news: News::Failed });
+        if !self.network.is_connected(0, zone) {
+            let incarnation = self.balancers[balancer as usize].incarnation;
+            self.queue.push(
+                self.now + 1_000_000,
+                Event::ListUpdate { balancer, incarnation, news: DiscoveryMessage::Failed },
+            );
             return;
         }
-        match self.discovery.call(self.now) {
-            Call::Answered(at) => {
-                self.balancers[balancer as usize].calls = true;
-                self.inform(balancer, at, News::Upto(self.discovery.entries.len() as u32));
+        match self.discovery.request_list(self.now) {
+            ListCall::Answered(at) => {
+                self.balancers[balancer as usize].list_requested = true;
+                self.send_list_update(
+                    balancer,
+                    at,
+                    DiscoveryMessage::UpToVersion(self.discovery.entries.len() as u32),
+                );
             }
-            Call::Failed(at) => self.inform(balancer, at, News::Failed),
+            ListCall::Failed(at) => self.send_list_update(balancer, at, DiscoveryMessage::Failed),
         }
     }
 
-    fn heard(&mut self, balancer: u32, life: u32, news: News) {
-        let of = &mut self.balancers[balancer as usize];
-        if of.life != life || !of.alive {
+    fn on_list_update(&mut self, balancer: u32, incarnation: u32, news: DiscoveryMessage) {
+        let record = &mut self.balancers[balancer as usize];
+        if record.incarnation != incarnation || !record.alive {
             return;
         }
-        let News::Upto(version) = news else {
-            (of.watching, of.calls) = (false, false);
-            return self.tell_list(balancer, ListKind::Failed, &[]);
+        let DiscoveryMessage::UpToVersion(version) = news else {
+            (record.watching, record.list_requested) = (false, false);
+            return self.deliver_list(balancer, ListKind::Failed, &[]);
         };
-        let answered = std::mem::take(&mut of.calls);
-        let asked = self.scenario.discovery.mode == crate::scenario::Listing::Asked;
+        let answered = std::mem::take(&mut record.list_requested);
+        let asked = self.scenario.discovery.mode == crate::scenario::ListMode::Asked;
         if answered && asked {
             let again = seconds(self.scenario.discovery.ask_every_s);
-            of.ask_at = self.now + again;
-            self.arm(balancer);
+            record.poll_at = self.now + again;
+            self.arm_timer(balancer);
         } else if answered {
-            of.watching = true;
+            record.watching = true;
         }
-        let of = &mut self.balancers[balancer as usize];
-        if answered && (asked || !of.listed) {
-            of.listed = true;
-            of.heard = self.discovery.entries.len() as u32;
-            let whole: Vec<Entry> = self.discovery.whole().collect();
-            return self.tell_list(balancer, ListKind::Full, &whole);
+        let record = &mut self.balancers[balancer as usize];
+        if answered && (asked || !record.list_received) {
+            record.list_received = true;
+            record.list_version = self.discovery.entries.len() as u32;
+            let whole: Vec<Entry> = self.discovery.full_list().collect();
+            return self.deliver_list(balancer, ListKind::Full, &whole);
         }
-        let from = of.heard;
+        let from = record.list_version;
         if version > from {
-            of.heard = version;
+            record.list_version = version;
             let entries = self.discovery.entries[from as usize..version as usize].to_vec();
-            self.tell_list(balancer, ListKind::Delta, &entries);
+            self.deliver_list(balancer, ListKind::Delta, &entries);
         }
     }
 
-    /// The list as it was when all began, or as a balancer last had it.
-    pub fn last_list(&self, upto: u32) -> Vec<Entry> {
+    /// The server list as of a version: the initial list, or the last one that a balancer received.
+    pub fn list_at_version(&self, upto: u32) -> Vec<Entry> {
         let mut last: Vec<Option<Entry>> = vec![None; self.servers.len()];
         for entry in &self.discovery.entries[..upto as usize] {
             let gone = entry.state == Listed::Gone;
@@ -602,52 +635,53 @@
         last.into_iter().flatten().collect()
     }
 
-    /// How many changes discovery has noticed.
+    /// The number of changes that discovery has recorded.
     pub fn version(&self) -> u32 {
         self.discovery.entries.len() as u32
     }
 
     // Troubles.
 
-    fn pick(&mut self, among: Vec<u32>, count: usize) -> Vec<u32> {
+    fn pick_random(&mut self, among: Vec<u32>, count: usize) -> Vec<u32> {
         let mut rest = among;
         let mut picked = Vec::new();
         while picked.len() < count && !rest.is_empty() {
-            let at = self.troubles.below(rest.len());
+            let at = self.trouble_random.below(rest.len());
             picked.push(rest.swap_remove(at));
         }
         picked
     }
 
-    fn some_balancers(&mut self, share: f64) -> Vec<u32> {
+    fn pick_balancers(&mut self, share: f64) -> Vec<u32> {
         let alive =
             (0..self.balancers.len() as u32).filter(|at| self.balancers[*at as usize].alive).collect();
         let count = (share * self.balancers.len() as f64).round().max(1.0) as usize;
-        self.pick(alive, count)
+        self.pick_random(alive, count)
     }
 
-    fn begin(&mut self, at: u32) {
+    fn begin_trouble(&mut self, at: u32) {
         let trouble = self.scenario.troubles[at as usize].clone();
         let (now, length) = (self.now, seconds(trouble.for_s));
-        let up = self.up_servers();
-        let mut hit = Vec::new();
-        // Steps of a trouble that goes on, spread over its time.
+        let up = self.running_servers();
+        let mut affected = Vec::new();
+        // Steps are spread evenly over the trouble's duration.
         let steps = |world: &mut World, count: u32| {
             for step in 0..count {
                 let when = now + length * u64::from(step) / u64::from(count.max(1));
-                world.queue.push(when, Event::Step { at, step });
+                world.queue.push(when, Event::TroubleStep { at, step });
             }
         };
         match trouble.kind {
             TroubleKind::HotKey { share, keys } => {
-                let keys = (0..keys).map(|_| self.troubles.below(self.scenario.load.keys as usize) as u32);
+                let keys =
+                    (0..keys).map(|_| self.trouble_random.below(self.scenario.load.keys as usize) as u32);
                 let keys = keys.collect();
-                self.source.heat(at, share, keys);
+                self.source.add_hot_keys(at, share, keys);
             }
             TroubleKind::Shrink { to, .. } => {
-                self.source.fade(now, length, to);
+                self.source.ramp_down(now, length, to);
                 let leave = up.len() - ((up.len() as f64 * to).round() as usize).clamp(1, up.len());
-                hit = self.pick(up, leave);
+                affected = self.pick_random(up, leave);
                 steps(self, leave as u32);
             }
             TroubleKind::Growth { servers } => {
@@ -659,157 +693,161 @@
                 self.discovery.outages += 1;
                 for balancer in 0..self.balancers.len() as u32 {
                     if std::mem::take(&mut self.balancers[balancer as usize].watching) {
-                        self.inform(balancer, now, News::Failed);
+                        self.send_list_update(balancer, now, DiscoveryMessage::Failed);
                     }
                 }
             }
             TroubleKind::DiscoveryStale { lag_s } => self.discovery.lag += seconds(lag_s),
             TroubleKind::DiscoveryWrong { share } => {
                 let count = (share * up.len() as f64).round() as usize;
-                hit = self.pick(up, count);
-                for server in &hit {
+                affected = self.pick_random(up, count);
+                for server in &affected {
                     let entry = Entry { server: *server, state: Listed::Gone, started: None };
-                    self.tell_discovery(entry, false);
+                    self.report_to_discovery(entry, false);
                 }
             }
             TroubleKind::BalancerCrash { share } => {
-                hit = self.some_balancers(share);
-                hit.clone().into_iter().for_each(|balancer| self.crash(balancer));
+                affected = self.pick_balancers(share);
+                affected.clone().into_iter().for_each(|balancer| self.crash(balancer));
             }
             TroubleKind::BalancerRestart { share } => {
-                hit = self.some_balancers(share);
-                steps(self, hit.len() as u32);
+                affected = self.pick_balancers(share);
+                steps(self, affected.len() as u32);
             }
             TroubleKind::ServerCrash { servers } => {
-                hit = self.pick(up, servers as usize);
-                hit.clone().into_iter().for_each(|server| self.stop_server(server, true));
+                affected = self.pick_random(up, servers as usize);
+                affected.clone().into_iter().for_each(|server| self.stop_server(server, true));
             }
             TroubleKind::Hang { servers } => {
-                hit = self.pick(up, servers as usize);
-                hit.clone().into_iter().for_each(|server| self.freeze(server, length));
+                affected = self.pick_random(up, servers as usize);
+                affected.clone().into_iter().for_each(|server| self.pause_server(server, length));
             }
             TroubleKind::Errors { servers, rate } => {
-                hit = self.pick(up, servers as usize);
-                hit.iter().for_each(|server| self.servers[*server as usize].errors = rate);
+                affected = self.pick_random(up, servers as usize);
+                affected.iter().for_each(|server| self.servers[*server as usize].errors = rate);
             }
             TroubleKind::Slow { servers, factor } => {
-                hit = self.pick(up, servers as usize);
-                hit.iter().for_each(|server| self.servers[*server as usize].slowness *= factor);
+                affected = self.pick_random(up, servers as usize);
+                affected.iter().for_each(|server| self.servers[*server as usize].slowness *= factor);
             }
             TroubleKind::Neighbour { servers, every_s, .. } => {
-                hit = self.pick(up, servers as usize);
+                affected = self.pick_random(up, servers as usize);
                 steps(self, (trouble.for_s / every_s).ceil().clamp(1.0, 1e6) as u32);
             }
             TroubleKind::HeavyTail { class, share, factor } => {
-                let class = self.scenario.classes.iter().position(|of| of.name == class);
-                self.source.burden(at, class.unwrap_or(usize::MAX), share, factor);
+                let class = self.scenario.classes.iter().position(|settings| settings.name == class);
+                self.source.add_heavy_requests(at, class.unwrap_or(usize::MAX), share, factor);
             }
-            TroubleKind::Resets { rate } => self.resets += rate,
-            TroubleKind::ZoneCut { zone } => self.network.cut(zone, true),
-            TroubleKind::LinkLost { from, to } => self.network.lose(from, to, true),
+            TroubleKind::Resets { rate } => self.reset_rate += rate,
+            TroubleKind::ZoneCut { zone } => self.network.set_zone_cut(zone, true),
+            TroubleKind::LinkLost { from, to } => self.network.set_link_lost(from, to, true),
             TroubleKind::ZoneRestart { zone } => {
-                hit = up.into_iter().filter(|server| self.servers[*server as usize].zone == zone).collect();
-                hit.clone().into_iter().for_each(|server| self.stop_server(server, true));
+                affected =
+                    up.into_iter().filter(|server| self.servers[*server as usize].zone == zone).collect();
+                affected.clone().into_iter().for_each(|server| self.stop_server(server, true));
             }
-            TroubleKind::RetryStorm { retries } => self.habits.storm(Some(retries)),
-            TroubleKind::Surge { factor } => self.source.surge(factor),
+            TroubleKind::RetryStorm { retries } => self.client_behaviour.set_retry_storm(Some(retries)),
+            TroubleKind::Surge { factor } => self.source.scale_rate(factor),
             TroubleKind::Rolling { batch, .. } => {
                 let count = up.len().div_ceil(batch.max(1) as usize);
-                hit = up;
+                affected = up;
                 steps(self, count as u32);
             }
         }
-        for server in hit.clone() {
+        for server in affected.clone() {
             if (server as usize) < self.servers.len() {
-                self.show(server);
+                self.update_ground_truth(server);
             }
         }
-        self.hit[at as usize] = hit;
+        self.affected[at as usize] = affected;
     }
 
-    fn end(&mut self, at: u32) {
+    fn end_trouble(&mut self, at: u32) {
         let trouble = self.scenario.troubles[at as usize].clone();
-        let hit = self.hit[at as usize].clone();
+        let affected = self.affected[at as usize].clone();
         match trouble.kind {
-            TroubleKind::HotKey { .. } => self.source.cool(at),
+            TroubleKind::HotKey { .. } => self.source.remove_hot_keys(at),
             TroubleKind::DiscoveryDown {} => self.discovery.outages -= 1,
             TroubleKind::DiscoveryStale { lag_s } => self.discovery.lag -= seconds(lag_s),
             TroubleKind::DiscoveryWrong { .. } => {
-                for server in hit {
-                    let of = &self.servers[server as usize];
-                    if of.state == State::Up {
-                        let started = (of.started > 0).then_some(of.started);
-                        self.tell_discovery(Entry { server, state: Listed::Ready, started }, false);
+                for server in affected {
+                    let record = &self.servers[server as usize];
+                    if record.state == State::Up {
+                        let started = (record.started > 0).then_some(record.started);
+                        self.report_to_discovery(Entry { server, state: Listed::Ready, started }, false);
                     }
                 }
             }
             TroubleKind::BalancerCrash { .. } => {
-                for balancer in hit {
-                    self.queue.push(self.now, Event::Up { balancer });
+                for balancer in affected {
+                    self.queue.push(self.now, Event::BalancerStart { balancer });
                 }
             }
             TroubleKind::ServerCrash { .. } => {
-                for server in hit {
+                for server in affected {
                     let zone = self.servers[server as usize].zone;
                     self.start_new(zone);
                 }
             }
-            TroubleKind::ZoneRestart { .. } => hit.into_iter().for_each(|server| self.start_server(server)),
+            TroubleKind::ZoneRestart { .. } => affected.into_iter().for_each(|at| self.start_server(at)),
             TroubleKind::Errors { .. } => {
-                hit.iter().for_each(|server| self.servers[*server as usize].errors = 0.0);
+                affected.iter().for_each(|server| self.servers[*server as usize].errors = 0.0);
             }
             TroubleKind::Slow { factor, .. } => {
-                hit.iter().for_each(|server| self.servers[*server as usize].slowness /= factor);
-            }
-            TroubleKind::Neighbour { takes, .. } => self.crowd(hit, takes, false),
-            TroubleKind::HeavyTail { .. } => self.source.relieve(at),
-            TroubleKind::Resets { rate } => self.resets = (self.resets - rate).max(0.0),
-            TroubleKind::ZoneCut { zone } => self.network.cut(zone, false),
-            TroubleKind::LinkLost { from, to } => self.network.lose(from, to, false),
-            TroubleKind::RetryStorm { .. } => self.habits.storm(None),
-            TroubleKind::Surge { factor } => self.source.surge(1.0 / factor),
+                affected.iter().for_each(|server| self.servers[*server as usize].slowness /= factor);
+            }
+            TroubleKind::Neighbour { takes, .. } => self.set_neighbour_load(affected, takes, false),
+            TroubleKind::HeavyTail { .. } => self.source.remove_heavy_requests(at),
+            TroubleKind::Resets { rate } => self.reset_rate = (self.reset_rate - rate).max(0.0),
+            TroubleKind::ZoneCut { zone } => self.network.set_zone_cut(zone, false),
+            TroubleKind::LinkLost { from, to } => self.network.set_link_lost(from, to, false),
+            TroubleKind::RetryStorm { .. } => self.client_behaviour.set_retry_storm(None),
+            TroubleKind::Surge { factor } => self.source.scale_rate(1.0 / factor),
             TroubleKind::Shrink { .. }
             | TroubleKind::Growth { .. }
             | TroubleKind::BalancerRestart { .. }
             | TroubleKind::Hang { .. }
             | TroubleKind::Rolling { .. } => {}
         }
-        for server in self.hit[at as usize].clone() {
+        for server in self.affected[at as usize].clone() {
             if (server as usize) < self.servers.len() {
-                self.show(server);
+                self.update_ground_truth(server);
             }
         }
     }
 
-    /// Another program takes a part of these machines, or nothing any more.
-    fn crowd(&mut self, hit: Vec<u32>, takes: f64, there: bool) {
-        for server in hit {
+    /// Sets whether another program takes a part of the CPU of these app servers' machines.
+    fn set_neighbour_load(&mut self, affected: Vec<u32>, takes: f64, there: bool) {
+        for server in affected {
             self.servers[server as usize].neighbour = if there { takes } else { 0.0 };
-            self.show(server);
+            self.update_ground_truth(server);
         }
     }
 
-    fn step(&mut self, at: u32, step: u32) {
+    fn run_trouble_step(&mut self, at: u32, step: u32) {
         let trouble = self.scenario.troubles[at as usize].clone();
-        let hit = &self.hit[at as usize];
+        let affected = &self.affected[at as usize];
         match trouble.kind {
             TroubleKind::Shrink { drain_s, .. } => {
-                let server = hit[step as usize];
+                let server = affected[step as usize];
                 if self.servers[server as usize].state == State::Up {
-                    self.retire(server, drain_s);
+                    self.drain_server(server, drain_s);
                 }
             }
-            TroubleKind::BalancerRestart { .. } => self.restart(hit[step as usize]),
-            TroubleKind::Neighbour { takes, .. } => self.crowd(hit.clone(), takes, step.is_multiple_of(2)),
+            TroubleKind::BalancerRestart { .. } => self.drain_balancer(affected[step as usize]),
+            TroubleKind::Neighbour { takes, .. } => {
+                self.set_neighbour_load(affected.clone(), takes, step.is_multiple_of(2));
+            }
             TroubleKind::Rolling { batch, drain_s } => {
                 let batch = batch.max(1) as usize;
-                let some: Vec<u32> = hit.iter().copied().skip(step as usize * batch).take(batch).collect();
+                let some: Vec<u32> =
+                    affected.iter().copied().skip(step as usize * batch).take(batch).collect();
                 for server in some {
                     let zone = self.servers[server as usize].zone;
                     if self.servers[server as usize].state == State::Up {
-                        self.retire(server, drain_s);
+                        self.drain_server(server, drain_s);
                     }
-                    // The new one is up by the time that the old one goes.
+                    // The replacement is up by the time that the old one stops.
                     self.start_new(zone);
                 }
             }
@@ -817,22 +855,22 @@
         }
     }
 
-    fn sample(&mut self) {
+    fn on_sample(&mut self) {
         let up = self.servers.iter().filter(|server| server.state == State::Up).count() as u32;
-        self.account.second(self.now).up = up;
+        self.metrics.second(self.now).up = up;
         let fleet = &self.scenario.fleet;
-        let of = |server: &Server| match server.state {
+        let sample_of = |server: &Server| match server.state {
             State::Down => None,
             _ => Some((server.held() as f64 / f64::from(server.cores), server.warmth(self.now, fleet))),
         };
-        self.samples.add(self.servers.iter().map(of));
+        self.samples.add(self.servers.iter().map(sample_of));
         if self.now + 1_000_000 < self.ends {
             self.queue.push(self.now + 1_000_000, Event::Sample);
         }
     }
 }
 
-/// The kind of the n-th app server: kinds are given out in turn by their shares.
+/// The machine kind of an app server: kinds are assigned in proportion to their shares.
 fn kind_of(kinds: &[MachineKind], number: u32) -> (u32, Option<&MachineKind>) {
     let all: f64 = kinds.iter().map(|kind| kind.share).sum();
     if kinds.is_empty() || all <= 0.0 {
--- a/emulator/tests/second_deployment.rs
+++ b/emulator/tests/second_deployment.rs
@@ -6,22 +6,23 @@
 
 use gradepaddle::{Action, Event, Id, ListKind, Micros, Settings};
 use gradepaddle_dispatch::Chooser;
-use gradepaddle_emulator::judge::Rule;
+use gradepaddle_emulator::evaluation::Rule;
 use gradepaddle_emulator::policy::Policy;
 use gradepaddle_emulator::result::Outcome;
 use gradepaddle_emulator::scenario::{
-    ClassOf, Repeats, Reporting, Scenario, Shape, Trouble, TroubleKind, Within, WorthBy,
+    DedupScope, Reporting, RequestClass, RequestEffect, Scenario, Trouble, TroubleKind, WorkDistribution,
+    WorthBy,
 };
-use gradepaddle_emulator::{Player, run};
+use gradepaddle_emulator::{PolicyUnderTest, run};
 
 /// One class of equal requests, one zone to begin with, and nothing at random among the app servers.
-fn plain(effect: Repeats) -> Scenario {
-    let mut day = Scenario::usual();
-    day.classes = vec![ClassOf {
+fn plain(effect: RequestEffect) -> Scenario {
+    let mut day = Scenario::standard();
+    day.classes = vec![RequestClass {
         name: "only".into(),
         share: 1.0,
         work_ms: 40.0,
-        shape: Shape::Fixed,
+        shape: WorkDistribution::Fixed,
         cv: 0.0,
         attempt_cv: 0.0,
         io_ms: 0.0,
@@ -29,7 +30,7 @@
         deadline_ms: 3000.0,
         worth: 1.0,
         effect,
-        group: Within::Zone,
+        group: DedupScope::Zone,
         window_ms: 6000.0,
     }];
     day.day.length_s = 12.0;
@@ -40,8 +41,8 @@
     day
 }
 
-fn play(day: &Scenario, player: impl Into<Player>) -> Outcome {
-    run(day, player, 5).expect("a day that makes sense").outcome
+fn run_outcome(day: &Scenario, policy: impl Into<PolicyUnderTest>) -> Outcome {
+    run(day, policy, 5).expect("a day that makes sense").outcome
 }
 
 fn count(outcome: &Outcome, rule: Rule) -> u64 {
@@ -50,7 +51,7 @@
 
 /// What the chooser of a test has heard.
 #[derive(Default)]
-struct Heard {
+struct Recorded {
     /// By probe: what it ended in, how long it took, the queue told of.
     probes: RefCell<Vec<(gradepaddle::Outcome, Micros, Option<f64>)>>,
     /// Reports that came with answers to requests.
@@ -59,8 +60,8 @@
 }
 
 /// Sends each request to the server that its turn names and probes the first one as each comes.
-struct Tells {
-    heard: Rc<Heard>,
+struct ScriptedChooser {
+    recorded: Rc<Recorded>,
     known: Vec<Id>,
     probes: bool,
     /// Servers, by position, for the attempts of each request.
@@ -70,8 +71,8 @@
     open: Vec<(Id, usize, Micros, Micros)>,
 }
 
-impl Tells {
-    fn go_on(&mut self, now: Micros, out: &mut Vec<Action>) {
+impl ScriptedChooser {
+    fn send_due_attempts(&mut self, now: Micros, out: &mut Vec<Action>) {
         let (known, turns) = (&self.known, self.turns);
         for (id, sent, at, until) in &mut self.open {
             if *sent < turns.len() && *at <= now && !known.is_empty() {
@@ -86,7 +87,7 @@
     }
 }
 
-impl Chooser for Tells {
+impl Chooser for ScriptedChooser {
     fn handle(&mut self, now: Micros, event: Event<'_>, out: &mut Vec<Action>) {
         match event {
             Event::List { kind, servers } => {
@@ -96,7 +97,7 @@
                 self.known = servers.into_iter().map(|server| server.id).collect();
             }
             Event::Request(arrival) => {
-                self.heard.hints.borrow_mut().extend(arrival.work_hint);
+                self.recorded.hints.borrow_mut().extend(arrival.work_hint);
                 if self.probes
                     && let Some(server) = self.known.first()
                 {
@@ -106,10 +107,10 @@
             }
             Event::ProbeEnded { outcome, took, report, .. } => {
                 let queue = report.and_then(|report| report.queue);
-                self.heard.probes.borrow_mut().push((outcome, took, queue));
+                self.recorded.probes.borrow_mut().push((outcome, took, queue));
             }
             Event::AttemptEnded(ended) => {
-                self.heard.reports.set(self.heard.reports.get() + usize::from(ended.report.is_some()));
+                self.recorded.reports.set(self.recorded.reports.get() + usize::from(ended.report.is_some()));
                 if ended.request_finished {
                     self.open.retain(|(id, ..)| **id != *ended.request);
                 }
@@ -117,38 +118,46 @@
             Event::ClientDisconnected { request } => self.open.retain(|(id, ..)| **id != *request),
             _ => {}
         }
-        self.go_on(now, out);
+        self.send_due_attempts(now, out);
     }
 }
 
-fn tells(probes: bool, turns: &'static [usize], pause: Micros) -> (Player, Rc<Heard>) {
-    let heard = Rc::new(Heard::default());
-    let told = heard.clone();
+fn scripted_policy(probes: bool, turns: &'static [usize], pause: Micros) -> (PolicyUnderTest, Rc<Recorded>) {
+    let recorded = Rc::new(Recorded::default());
+    let told = recorded.clone();
     let make = move |_: &Settings, _, _: &_| -> Result<Box<dyn Chooser>, _> {
-        let (heard, known, open) = (told.clone(), Vec::new(), Vec::new());
-        Ok(Box::new(Tells { heard, known, probes, turns, pause, open }))
+        let (recorded, known, open) = (told.clone(), Vec::new(), Vec::new());
+        Ok(Box::new(ScriptedChooser { recorded, known, probes, turns, pause, open }))
     };
-    (Player { name: "tells".into(), make: Rc::new(make), sees: false, unguarded: true }, heard)
+    (
+        PolicyUnderTest {
+            name: "tells".into(),
+            factory: Rc::new(make),
+            needs_ground_truth: false,
+            unguarded: true,
+        },
+        recorded,
+    )
 }
 
 /// Guards a probe that costs nothing or proves too much: a deep one waits behind the requests of a full app
 /// server and fails at its limit, a shallow one is answered at once; both are paid for.
 #[test]
 fn a_deep_probe_waits_in_the_queue_and_a_shallow_one_does_not() {
-    let heard = |deep| {
-        let mut day = plain(Repeats::Safe);
+    let recorded = |deep| {
+        let mut day = plain(RequestEffect::Safe);
         // One app server takes all that four could do.
         (day.probe.deep, day.load.of_capacity) = (deep, 0.9);
-        let (player, heard) = tells(true, &[0], 0);
-        let outcome = play(&day, player);
+        let (policy, recorded) = scripted_policy(true, &[0], 0);
+        let outcome = run_outcome(&day, policy);
         assert!(outcome.probes > 100 && outcome.score.prices[3] > 0.0, "{:?}", outcome.score);
-        let probes = heard.probes.borrow();
+        let probes = recorded.probes.borrow();
         let ended = |what| probes.iter().filter(|(end, ..)| *end == what).count();
         let (ok, late) = (ended(gradepaddle::Outcome::Ok), ended(gradepaddle::Outcome::TimedOut));
         let quick = probes.iter().filter(|(end, took, _)| *end == gradepaddle::Outcome::Ok && *took < 5_000);
         (late > 5 * ok.max(5), quick.count() > 9 * late.max(5))
     };
-    assert_eq!((heard(true), heard(false)), ((true, false), (false, true)));
+    assert_eq!((recorded(true), recorded(false)), ((true, false), (false, true)));
 }
 
 /// Guards against probes that are free: with one out all the time that costs as much as a request, a good part of what
@@ -157,11 +166,11 @@
 fn the_work_of_a_probe_is_taken_from_requests() {
     for deep in [true, false] {
         let served = |work_us| {
-            let mut day = plain(Repeats::Safe);
+            let mut day = plain(RequestEffect::Safe);
             (day.fleet.servers, day.load.of_capacity) = (1, 0.9);
             (day.probe.work_us, day.probe.deep, day.probe.timeout_ms) = (work_us, deep, 5000.0);
-            let (player, _) = tells(true, &[0], 0);
-            play(&day, player).score.whole
+            let (policy, _) = scripted_policy(true, &[0], 0);
+            run_outcome(&day, policy).score.whole
         };
         let (light, heavy) = (served(10.0), served(40_000.0));
         assert!(
@@ -178,13 +187,13 @@
     for (how, with_probes, with_answers) in
         [(Reporting::Never, false, false), (Reporting::Probes, true, false), (Reporting::Answers, true, true)]
     {
-        let mut day = plain(Repeats::Safe);
+        let mut day = plain(RequestEffect::Safe);
         (day.report.how, day.probe.deep, day.load.of_capacity) = (how, false, 0.9);
-        let (player, heard) = tells(true, &[0], 0);
-        play(&day, player);
-        let probes = heard.probes.borrow();
+        let (policy, recorded) = scripted_policy(true, &[0], 0);
+        run_outcome(&day, policy);
+        let probes = recorded.probes.borrow();
         let most = probes.iter().filter_map(|(.., queue)| *queue).reduce(f64::max);
-        assert_eq!((most.is_some(), heard.reports.get() > 0), (with_probes, with_answers), "{how:?}");
+        assert_eq!((most.is_some(), recorded.reports.get() > 0), (with_probes, with_answers), "{how:?}");
         assert!(most.is_none_or(|most| most > 50.0), "{how:?}: one of four takes all, yet {most:?} wait");
     }
 }
@@ -193,14 +202,14 @@
 /// none through.
 #[test]
 fn nobody_probes_where_the_rules_forbid_it() {
-    let mut day = plain(Repeats::Safe);
+    let mut day = plain(RequestEffect::Safe);
     day.troubles =
         vec![Trouble { at_s: 2.0, for_s: 8.0, kind: TroubleKind::Rolling { batch: 1, drain_s: 2.0 } }];
     for policy in [Policy::Module, Policy::QueueProbes100] {
         day.rules.probes = true;
-        assert!(play(&day, policy).probes > 0, "{policy:?}");
+        assert!(run_outcome(&day, policy).probes > 0, "{policy:?}");
         day.rules.probes = false;
-        let outcome = play(&day, policy);
+        let outcome = run_outcome(&day, policy);
         assert_eq!((outcome.probes, outcome.defects), (0, 0), "{policy:?}");
     }
 }
@@ -210,27 +219,27 @@
 #[test]
 fn a_keyed_repeat_has_a_second_effect_in_another_group_or_after_the_window() {
     let broken = |zones, turns: &'static [usize], pause, group| {
-        let mut day = plain(Repeats::Keyed);
+        let mut day = plain(RequestEffect::Keyed);
         (day.fleet.zones, day.classes[0].group, day.classes[0].window_ms) = (zones, group, 20.0);
         // Enough that both are worked on before the first is answered.
         (day.classes[0].work_ms, day.load.of_capacity) = (200.0, 0.1);
-        let (player, _) = tells(false, turns, pause);
-        count(&play(&day, player), Rule::NoSecondRun) > 0
+        let (policy, _) = scripted_policy(false, turns, pause);
+        count(&run_outcome(&day, policy), Rule::NoSecondRun) > 0
     };
-    assert!(!broken(2, &[0], 0, Within::Zone), "once");
-    assert!(!broken(2, &[0, 2], 10_000, Within::Zone), "in the same zone and in time");
-    assert!(broken(2, &[0, 1], 10_000, Within::Zone), "in the other zone");
-    assert!(broken(2, &[0, 2], 30_000, Within::Zone), "too late");
-    assert!(!broken(2, &[0, 1], 10_000, Within::All), "in time, and all know of it");
-    assert!(broken(1, &[0, 1], 30_000, Within::All), "too late");
-    assert!(!broken(2, &[0, 1], 10_000, Within::Cell), "four of them are one cell");
+    assert!(!broken(2, &[0], 0, DedupScope::Zone), "once");
+    assert!(!broken(2, &[0, 2], 10_000, DedupScope::Zone), "in the same zone and in time");
+    assert!(broken(2, &[0, 1], 10_000, DedupScope::Zone), "in the other zone");
+    assert!(broken(2, &[0, 2], 30_000, DedupScope::Zone), "too late");
+    assert!(!broken(2, &[0, 1], 10_000, DedupScope::All), "in time, and all know of it");
+    assert!(broken(1, &[0, 1], 30_000, DedupScope::All), "too late");
+    assert!(!broken(2, &[0, 1], 10_000, DedupScope::Cell), "four of them are one cell");
 }
 
 /// Guards the decisions on keyed requests while app servers fail, reset and hang: no second effect, and no
 /// refusal of what may have run in one zone only.
 #[test]
 fn the_decisions_keep_the_rules_of_keyed_requests_in_trouble() {
-    let mut day = plain(Repeats::Keyed);
+    let mut day = plain(RequestEffect::Keyed);
     (day.fleet.zones, day.fleet.servers, day.balancers.count, day.load.of_capacity) = (3, 9, 3, 0.8);
     (day.classes[0].window_ms, day.clients.retries, day.day.length_s) = (400.0, 2, 20.0);
     let during = |kind| Trouble { at_s: 3.0, for_s: 14.0, kind };
@@ -239,7 +248,7 @@
         during(TroubleKind::Errors { servers: 2, rate: 0.8 }),
         during(TroubleKind::Hang { servers: 2 }),
     ];
-    let outcome = play(&day, Policy::Module);
+    let outcome = run_outcome(&day, Policy::Module);
     assert_eq!((outcome.breaches_in_all(), outcome.defects), (0, 0), "{:?}", outcome.breaches.first());
     let attempts: u64 = outcome.seconds.iter().map(|second| second.attempts).sum();
     assert!(attempts > outcome.asked + 50, "{attempts} attempts for {} requests", outcome.asked);
@@ -249,18 +258,18 @@
 /// it though it is in the work and in what that is worth.
 #[test]
 fn hints_guess_the_work_but_not_the_heavy_tail() {
-    let mut day = plain(Repeats::Safe);
-    day.classes[0].shape = Shape::Exp;
-    let (player, heard) = tells(false, &[0], 0);
-    play(&day, player);
-    assert!(heard.hints.borrow().is_empty());
+    let mut day = plain(RequestEffect::Safe);
+    day.classes[0].shape = WorkDistribution::Exp;
+    let (policy, recorded) = scripted_policy(false, &[0], 0);
+    run_outcome(&day, policy);
+    assert!(recorded.hints.borrow().is_empty());
     (day.load.hint_cv, day.goal.worth_by) = (Some(0.3), WorthBy::Work);
     let tail = TroubleKind::HeavyTail { class: "only".into(), share: 0.3, factor: 20.0 };
     let tailed = Scenario { troubles: vec![Trouble { at_s: 0.0, for_s: 12.0, kind: tail }], ..day.clone() };
     let look = |day: &Scenario| {
-        let (player, heard) = tells(false, &[0], 0);
-        let outcome = play(day, player);
-        let hints = heard.hints.borrow();
+        let (policy, recorded) = scripted_policy(false, &[0], 0);
+        let outcome = run_outcome(day, policy);
+        let hints = recorded.hints.borrow();
         let mean = hints.iter().sum::<f64>() / hints.len() as f64;
         (mean, outcome.classes[0].worth / outcome.classes[0].asked as f64)
     };
@@ -275,12 +284,12 @@
 /// Guards the neighbour: it slows its machine while it is there, and is gone in between and afterwards.
 #[test]
 fn a_neighbour_takes_its_part_on_and_off() {
-    let mut day = plain(Repeats::Safe);
+    let mut day = plain(RequestEffect::Safe);
     (day.fleet.servers, day.load.of_capacity, day.day.length_s) = (1, 0.3, 16.0);
     let kind = TroubleKind::Neighbour { servers: 1, takes: 0.9, every_s: 3.0 };
-    let calm = play(&day, tells(false, &[0], 0).0);
+    let calm = run_outcome(&day, scripted_policy(false, &[0], 0).0);
     day.troubles = vec![Trouble { at_s: 3.0, for_s: 9.0, kind }];
-    let crowded = play(&day, tells(false, &[0], 0).0);
+    let crowded = run_outcome(&day, scripted_policy(false, &[0], 0).0);
     let held = |outcome: &Outcome, at: usize| outcome.held[0][at];
     assert!(held(&crowded, 5) > held(&calm, 5) + 5.0, "there from 3 to 6 s: {:?}", crowded.held);
     assert!(held(&crowded, 11) > held(&crowded, 9), "back from 9 to 12 s: {:?}", crowded.held);
@@ -291,10 +300,10 @@
 #[test]
 fn waiting_on_others_takes_time_but_no_core() {
     let served = |io_ms, slots| {
-        let mut day = plain(Repeats::Safe);
+        let mut day = plain(RequestEffect::Safe);
         (day.fleet.servers, day.load.of_capacity, day.fleet.slots_per_core) = (1, 0.4, slots);
         day.classes[0].io_ms = io_ms;
-        let outcome = play(&day, tells(false, &[0], 0).0);
+        let outcome = run_outcome(&day, scripted_policy(false, &[0], 0).0);
         (outcome.score.whole, outcome.times[0].p50)
     };
     let ((whole, p50), (full, _)) = (served(200.0, 12), served(200.0, 1));
--- a/emulator/tests/world.rs
+++ b/emulator/tests/world.rs
@@ -4,16 +4,16 @@
 
 use gradepaddle::{Action, Event, Id, ListKind, Micros, ServerState, Settings};
 use gradepaddle_dispatch::Chooser;
-use gradepaddle_emulator::judge::Rule;
+use gradepaddle_emulator::evaluation::Rule;
 use gradepaddle_emulator::policy::Policy;
 use gradepaddle_emulator::result::Outcome;
 use gradepaddle_emulator::scenario::{Scenario, Trouble, TroubleKind};
-use gradepaddle_emulator::{Player, run};
+use gradepaddle_emulator::{PolicyUnderTest, run};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed, TestRunner};
 
 fn scenario(of_capacity: f64, troubles: Vec<Trouble>) -> Scenario {
-    let mut scenario = Scenario { name: "test".into(), troubles, ..Scenario::usual() };
+    let mut scenario = Scenario { name: "test".into(), troubles, ..Scenario::standard() };
     scenario.day.length_s = 20.0;
     scenario.load.of_capacity = of_capacity;
     scenario
@@ -23,19 +23,19 @@
     Trouble { at_s: 5.0, for_s: 8.0, kind }
 }
 
-fn play(scenario: &Scenario, player: impl Into<Player>) -> Outcome {
-    run(scenario, player, 3).expect("a scenario that makes sense").outcome
+fn run_outcome(scenario: &Scenario, policy: impl Into<PolicyUnderTest>) -> Outcome {
+    run(scenario, policy, 3).expect("a scenario that makes sense").outcome
 }
 
 /// What a chooser that breaks a rule does.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Bad {
+enum Violation {
     /// Fails what is answered already.
     AnswersTwice,
     /// Does nothing.
     Forgets,
     /// Sends again whatever happened.
-    Repeats,
+    RequestEffect,
     /// Goes on sending to the one that it liked first.
     IgnoresDrains,
     /// Sends all to the one that started last.
@@ -44,18 +44,18 @@
     RefusesWhatRuns,
 }
 
-struct Chooses {
-    bad: Bad,
+struct BrokenChooser {
+    violation: Violation,
     known: Vec<Id>,
     first: Option<Id>,
     ends: Vec<(Id, Micros)>,
 }
 
-impl Chooses {
+impl BrokenChooser {
     fn send(&self, now: Micros, request: Id, out: &mut Vec<Action>) {
-        let server = match self.bad {
-            Bad::IgnoresDrains => self.first.clone(),
-            Bad::RushesNew => self.known.last().cloned(),
+        let server = match self.violation {
+            Violation::IgnoresDrains => self.first.clone(),
+            Violation::RushesNew => self.known.last().cloned(),
             _ => self.known.get((now % 7) as usize).cloned(),
         };
         let until = now + 6_000_000;
@@ -63,7 +63,7 @@
     }
 }
 
-impl Chooser for Chooses {
+impl Chooser for BrokenChooser {
     fn handle(&mut self, now: Micros, event: Event<'_>, out: &mut Vec<Action>) {
         match event {
             Event::List { kind, servers } => {
@@ -78,9 +78,9 @@
                 }
                 self.first = self.first.take().or(self.known.first().cloned());
             }
-            Event::Request(arrival) if self.bad != Bad::Forgets => {
+            Event::Request(arrival) if self.violation != Violation::Forgets => {
                 self.send(now, arrival.id.clone(), out);
-                if self.bad == Bad::RefusesWhatRuns {
+                if self.violation == Violation::RefusesWhatRuns {
                     out.push(Action::Reject { request: arrival.id, retry_after: 1 });
                 } else {
                     self.ends.push((arrival.id, now + arrival.ttl));
@@ -89,9 +89,9 @@
             }
             Event::AttemptEnded(ended) => {
                 let request: Id = ended.request.into();
-                match self.bad {
-                    Bad::AnswersTwice => out.push(Action::Fail { request }),
-                    Bad::Repeats if ended.attempt < 3 => self.send(now, request, out),
+                match self.violation {
+                    Violation::AnswersTwice => out.push(Action::Fail { request }),
+                    Violation::RequestEffect if ended.attempt < 3 => self.send(now, request, out),
                     _ if !ended.request_finished => out.push(Action::Fail { request }),
                     _ => {}
                 }
@@ -101,11 +101,16 @@
     }
 }
 
-fn bad(bad: Bad) -> Player {
+fn violation(violation: Violation) -> PolicyUnderTest {
     let make = move |_: &Settings, _, _: &_| -> Result<Box<dyn Chooser>, _> {
-        Ok(Box::new(Chooses { bad, known: Vec::new(), first: None, ends: Vec::new() }))
+        Ok(Box::new(BrokenChooser { violation, known: Vec::new(), first: None, ends: Vec::new() }))
     };
-    Player { name: format!("{bad:?}"), make: Rc::new(make), sees: false, unguarded: true }
+    PolicyUnderTest {
+        name: format!("{violation:?}"),
+        factory: Rc::new(make),
+        needs_ground_truth: false,
+        unguarded: true,
+    }
 }
 
 /// Guards against monitors that can not fire: each is shown a policy that breaks its rule, and prints what
@@ -116,23 +121,23 @@
     let shrink = || trouble(TroubleKind::Shrink { to: 0.1, drain_s: 6.0 });
     let growth = || trouble(TroubleKind::Growth { servers: 1 });
     let cases = [
-        (Bad::AnswersTwice, Rule::OneAnswer, vec![]),
-        (Bad::Forgets, Rule::Answered, vec![]),
-        (Bad::Repeats, Rule::NoSecondRun, vec![resets()]),
-        (Bad::IgnoresDrains, Rule::DrainKept, vec![shrink()]),
-        (Bad::RushesNew, Rule::ColdBorne, vec![growth()]),
-        (Bad::RefusesWhatRuns, Rule::HonestRefusal, vec![]),
+        (Violation::AnswersTwice, Rule::OneAnswer, vec![]),
+        (Violation::Forgets, Rule::Answered, vec![]),
+        (Violation::RequestEffect, Rule::NoSecondRun, vec![resets()]),
+        (Violation::IgnoresDrains, Rule::DrainKept, vec![shrink()]),
+        (Violation::RushesNew, Rule::ColdBorne, vec![growth()]),
+        (Violation::RefusesWhatRuns, Rule::HonestRefusal, vec![]),
     ];
     for (what, rule, troubles) in cases {
         let mut day = scenario(0.9, troubles);
         // What a cold app server must be spared for is told while it is cold.
         (day.discovery.notice_s, day.discovery.lag_s) = ([0.1, 0.2], 0.1);
-        let broken = play(&day, bad(what));
+        let broken = run_outcome(&day, violation(what));
         let count = broken.broken.iter().find(|(of, _)| *of == rule).map_or(0, |(_, count)| *count);
         assert!(count > 0, "{what:?} does not break {rule}: {:?}", broken.broken);
         let first = &broken.breaches[0];
         assert!(first.history.iter().any(|line| line.contains("BROKEN")), "{what:?}: {first:?}");
-        let kept = play(&day, Policy::Module);
+        let kept = run_outcome(&day, Policy::Module);
         assert_eq!((kept.breaches_in_all(), kept.defects), (0, 0), "{what:?}: {:?}", kept.breaches.first());
     }
 }
@@ -147,7 +152,7 @@
         let threads: Vec<_> = (0..2)
             .map(|_| {
                 let day = day.clone();
-                std::thread::spawn(move || format!("{:?}", play(&day, policy)))
+                std::thread::spawn(move || format!("{:?}", run_outcome(&day, policy)))
             })
             .collect();
         let texts: Vec<String> = threads.into_iter().map(|thread| thread.join().expect("a run")).collect();
@@ -160,9 +165,9 @@
 /// Guards comparisons: a policy does not change what is asked, and neither does a trouble among app servers.
 #[test]
 fn arrivals_are_the_same_whatever_is_chosen_or_goes_wrong() {
-    let calm = play(&scenario(0.9, vec![]), Policy::Module);
-    let random = play(&scenario(0.9, vec![]), Policy::Random);
-    let hang = play(&scenario(0.9, vec![trouble(TroubleKind::Hang { servers: 3 })]), Policy::Module);
+    let calm = run_outcome(&scenario(0.9, vec![]), Policy::Module);
+    let random = run_outcome(&scenario(0.9, vec![]), Policy::Random);
+    let hang = run_outcome(&scenario(0.9, vec![trouble(TroubleKind::Hang { servers: 3 })]), Policy::Module);
     for other in [&random, &hang] {
         let asked =
             |outcome: &Outcome| outcome.seconds[..20].iter().map(|second| second.asked).collect::<Vec<_>>();
@@ -178,7 +183,7 @@
     type Felt<'a> = Box<dyn Fn(&Outcome) -> bool + 'a>;
     let before =
         |outcome: &Outcome| outcome.seconds[1..4].iter().map(|s| (s.asked, s.attempts)).collect::<Vec<_>>();
-    let calm = play(&scenario(0.8, vec![]), Policy::Random);
+    let calm = run_outcome(&scenario(0.8, vec![]), Policy::Random);
     let up = |outcome: &Outcome, at: usize| outcome.seconds[at].up;
     let asked = |outcome: &Outcome| outcome.seconds[6..13].iter().map(|s| s.asked).sum::<u64>();
     let failures = |outcome: &Outcome| outcome.seconds[5..14].iter().map(|s| s.failures).sum::<u64>();
@@ -211,7 +216,7 @@
         (TroubleKind::BalancerRestart { share: 1.0 }, Box::new(|o| o.breaches_in_all() == 0)),
     ];
     for (kind, felt) in cases {
-        let outcome = play(&scenario(0.8, vec![trouble(kind.clone())]), Policy::Random);
+        let outcome = run_outcome(&scenario(0.8, vec![trouble(kind.clone())]), Policy::Random);
         assert!(felt(&outcome), "{kind:?}: {:?}", outcome.score);
         assert_eq!(before(&outcome), before(&calm), "{kind:?} is felt before it begins");
     }
@@ -225,7 +230,7 @@
     let outage = Trouble { at_s: 4.0, for_s: 12.0, kind: TroubleKind::DiscoveryDown {} };
     let stale = Trouble { at_s: 4.0, for_s: 12.0, kind: TroubleKind::DiscoveryStale { lag_s: 8.0 } };
     let refused = |troubles: Vec<Trouble>| {
-        let outcome = play(&scenario(1.1, troubles), Policy::Random);
+        let outcome = run_outcome(&scenario(1.1, troubles), Policy::Random);
         // Attempts beyond one for each try: what was turned away went on to another.
         let seconds = &outcome.seconds[6..16];
         seconds.iter().map(|s| s.attempts as i64 - s.asked as i64).sum::<i64>()
--- a/lab/src/plot.rs
+++ b/lab/src/plot.rs
@@ -127,7 +127,7 @@
                     Rectangle::new([(x, y - 5), (x + 12, y + 5)], colour.mix(0.3).filled())
                 });
         }
-        let share = |seconds: &[gradepaddle_emulator::judge::Second]| {
+        let share = |seconds: &[gradepaddle_emulator::evaluation::SecondTotals]| {
             let (earned, worth) = seconds.iter().fold((0.0, 0.0), |(e, w), s| (e + s.earned, w + s.worth));
             (worth > 0.0).then(|| earned / worth)
         };
@@ -164,7 +164,7 @@
     where
         B::ErrorType: 'static,
     {
-        type Of = fn(&gradepaddle_emulator::judge::Second) -> u64;
+        type Of = fn(&gradepaddle_emulator::evaluation::SecondTotals) -> u64;
         let series: [(&str, Of); 4] = [
             ("first tries", |second| second.asked),
             ("attempts", |second| second.attempts),
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -224,7 +224,7 @@
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
-fn parts(title: &str, parts: &[gradepaddle_emulator::judge::Part]) -> String {
+fn parts(title: &str, parts: &[gradepaddle_emulator::evaluation::GroupTotals]) -> String {
     let mut text = format!(
         "<h2>{title}</h2><table><tr><th>name</th><th>asked</th><th>served in time</th><th>late</th>\
          <th>refused</th><th>failed</th><th>given up</th><th>worth served</th></tr>"
