--- a/emulator/src/balancer.rs
+++ b/emulator/src/balancer.rs
@@ -11,7 +11,7 @@
 use crate::evaluation::Rule;
 use crate::queue::{ClientRequestKey, Event, UpstreamRequestKey};
 use crate::random::{Stream, StreamId};
-use crate::scenario::{DedupScope, RequestEffect, millis, seconds};
+use crate::scenario::{DedupScope, Effect, millis, seconds};
 use crate::server::{Server, State};
 use crate::world::World;
 
@@ -543,9 +543,9 @@
     fn must_not_refuse_after_run(&self, class: u16) -> bool {
         let class_settings = &self.scenario.classes[class as usize];
         match class_settings.effect {
-            RequestEffect::Safe => false,
-            RequestEffect::Keyed => class_settings.group != DedupScope::All,
-            RequestEffect::Unsafe => true,
+            Effect::Safe => false,
+            Effect::Keyed => class_settings.group != DedupScope::All,
+            Effect::Unsafe => true,
         }
     }
 
@@ -712,9 +712,9 @@
         let (runs, answered, class) = (client_request.runs, client_request.answer, client_request.class);
         let class_settings = &self.scenario.classes[class as usize];
         let again = match class_settings.effect {
-            RequestEffect::Safe => false,
-            RequestEffect::Unsafe => runs > 1,
-            RequestEffect::Keyed => {
+            Effect::Safe => false,
+            Effect::Unsafe => runs > 1,
+            Effect::Keyed => {
                 let group = group(class_settings.group, &self.servers[server as usize]);
                 let (first, since) = *client_request.first_run.get_or_insert((group, sent));
                 group != first || sent > since + millis(class_settings.window_ms)
--- a/emulator/src/clients.rs
+++ b/emulator/src/clients.rs
@@ -7,7 +7,7 @@
 use crate::evaluation::{Ending, RequestInfo, Rule};
 use crate::queue::{ClientRequestKey, Event, LogicalRequestKey, UpstreamRequestKey};
 use crate::random::{AliasTable, Stream};
-use crate::scenario::{DedupScope, LoadShape, RequestEffect, Scenario, WorthBy, millis};
+use crate::scenario::{DedupScope, Effect, LoadShape, Scenario, WorthBy, millis};
 use crate::world::World;
 
 /// A logical request: a first try and its retries.
@@ -445,12 +445,12 @@
         let retries = retry_storm.unwrap_or(self.client_behaviour.retries);
         let class_settings = &self.scenario.classes[logical_request.info.class as usize];
         let safe = match class_settings.effect {
-            RequestEffect::Safe => true,
-            RequestEffect::Keyed => {
+            Effect::Safe => true,
+            Effect::Keyed => {
                 class_settings.group == DedupScope::All
                     && now < logical_request.info.arrived + millis(class_settings.window_ms)
             }
-            RequestEffect::Unsafe => false,
+            Effect::Unsafe => false,
         };
         let mut wait = if retry_storm.is_some() { 0 } else { self.client_behaviour.backoff };
         if pause > 0
--- a/emulator/src/discovery/tests.rs
+++ b/emulator/src/discovery/tests.rs
@@ -4,7 +4,7 @@
 /// Checks that changes of one app server are detected in the order in which they happen, for any detection
 /// delays.
 #[test]
-fn changes_of_one_app_server_are_noticed_in_their_order() {
+fn changes_of_one_app_server_are_detected_in_order() {
     let mut discovery = Discovery::new(Settings::default(), Stream::of(1, StreamId::Discovery, 0));
     for round in 0..200 {
         let now = round * 1000;
@@ -16,7 +16,7 @@
 
 /// Checks the call rate limit: concurrent calls are queued, and fail if they wait longer than the time-out.
 #[test]
-fn calls_wait_in_turn_and_fail_when_they_wait_too_long() {
+fn calls_are_queued_and_fail_after_the_time_out() {
     let settings = Settings { calls_per_s: 2.0, timeout_ms: 1000.0, ..Settings::default() };
     let mut discovery = Discovery::new(settings, Stream::of(1, StreamId::Discovery, 0));
     let ends: Vec<ListCall> = (0..4).map(|_| discovery.request_list(0)).collect();
--- a/emulator/src/policy/oracle.rs
+++ b/emulator/src/policy/oracle.rs
@@ -37,9 +37,9 @@
 
 impl Oracle {
     pub fn new(settings: &Settings, ground_truth: Rc<GroundTruth>) -> Self {
-        let latency_targets =
+        let shortest_target =
             settings.classes.iter().map(|class| class.latency_target).min().unwrap_or(1_000_000);
-        Oracle { ground_truth, typical_work: latency_targets as f64 / 12.0 }
+        Oracle { ground_truth, typical_work: shortest_target as f64 / 12.0 }
     }
 }
 
--- a/emulator/src/random.rs
+++ b/emulator/src/random.rs
@@ -5,7 +5,7 @@
 use rand_distr::{Distribution, LogNormal, Pareto};
 use rand_pcg::Pcg64Mcg;
 
-use crate::scenario::WorkDistribution;
+use crate::scenario::Shape;
 
 /// The consumers of random numbers. A stream also has a number, which tells consumers of the same kind apart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -92,12 +92,12 @@
     }
 
     /// A factor with mean 1, this distribution and this coefficient of variation.
-    pub fn tailed(&mut self, shape: WorkDistribution, cv: f64) -> f64 {
+    pub fn tailed(&mut self, shape: Shape, cv: f64) -> f64 {
         match shape {
-            WorkDistribution::Fixed => 1.0,
-            WorkDistribution::Lognormal => self.factor(cv),
-            WorkDistribution::Exp => self.interval(1.0),
-            WorkDistribution::Pareto => {
+            Shape::Fixed => 1.0,
+            Shape::Lognormal => self.factor(cv),
+            Shape::Exp => self.interval(1.0),
+            Shape::Pareto => {
                 // For index a: mean a/(a-1), variance of the factor 1/(a(a-2)).
                 let index = 1.0 + (1.0 + 1.0 / (cv * cv).max(1e-6)).sqrt();
                 let scale = (index - 1.0) / index;
--- a/emulator/src/random/tests.rs
+++ b/emulator/src/random/tests.rs
@@ -2,9 +2,9 @@
 
 /// Checks that work factors and weighted draws follow the distributions that the scenario configures.
 #[test]
-fn draws_have_the_mean_and_the_weights_that_were_asked_for() {
+fn draws_have_the_configured_mean_and_weights() {
     let mut stream = Stream::of(7, StreamId::Arrivals, 0);
-    for shape in [WorkDistribution::Lognormal, WorkDistribution::Pareto] {
+    for shape in [Shape::Lognormal, Shape::Pareto] {
         let mean = (0..200_000).map(|_| stream.tailed(shape, 1.5)).sum::<f64>() / 200_000.0;
         assert!((mean - 1.0).abs() < 0.05, "{shape:?}: {mean}");
     }
@@ -17,7 +17,7 @@
 
 /// Checks that streams are reproducible and independent of each other.
 #[test]
-fn streams_are_apart_and_repeat() {
+fn streams_are_independent_and_reproducible() {
     let draws = |stream_id, number| {
         let mut stream = Stream::of(1, stream_id, number);
         (0..4).map(|_| stream.any()).collect::<Vec<_>>()
--- a/emulator/src/scenario.rs
+++ b/emulator/src/scenario.rs
@@ -13,8 +13,8 @@
 pub use fleet::{Balancers, Discovery, Fleet, ListMode, MachineKind, Network, Probe, Report, Reporting};
 pub use goal::{Goal, Rules, WorthBy};
 pub use load::{
-    Branch, Clients, DedupScope, Load, LoadShape, RequestClass, RequestEffect, WorkDistribution,
-    default_branches, default_classes,
+    Branch, Clients, DedupScope, Effect, Load, LoadShape, RequestClass, Shape, default_branches,
+    default_classes,
 };
 pub use trouble::{Trouble, TroubleKind};
 pub use validation::ScenarioError;
@@ -113,8 +113,8 @@
             worth: class.worth,
             late_worth: 0.0,
             idempotency: match class.effect {
-                RequestEffect::Safe => Idempotency::Safe,
-                RequestEffect::Keyed => {
+                Effect::Safe => Idempotency::Safe,
+                Effect::Keyed => {
                     let group = match class.group {
                         DedupScope::All => DeduplicationScope::All,
                         DedupScope::Zone => DeduplicationScope::Zone,
@@ -122,7 +122,7 @@
                     };
                     Idempotency::Keyed { scope: group, window: millis(class.window_ms) }
                 }
-                RequestEffect::Unsafe => Idempotency::Unsafe,
+                Effect::Unsafe => Idempotency::Unsafe,
             },
             zones: None,
             kinds: None,
--- a/emulator/src/scenario/load.rs
+++ b/emulator/src/scenario/load.rs
@@ -60,7 +60,7 @@
 /// The distribution of the work of a class's requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum WorkDistribution {
+pub enum Shape {
     /// Constant.
     Fixed,
     /// Lognormal.
@@ -75,7 +75,7 @@
 /// Whether requests of a class may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum RequestEffect {
+pub enum Effect {
     /// Repeats are harmless.
     Safe,
     /// A repeat has no effect within the group of app servers that ran the request first, for a limited time.
@@ -109,7 +109,7 @@
     pub work_ms: f64,
     /// The distribution of the work.
     #[serde(default)]
-    pub shape: WorkDistribution,
+    pub shape: Shape,
     /// Coefficient of variation of the work.
     #[serde(default)]
     pub cv: f64,
@@ -126,7 +126,7 @@
     /// Worth of a request.
     pub worth: f64,
     /// Whether a request may run more than once.
-    pub effect: RequestEffect,
+    pub effect: Effect,
     /// For keyed requests: the app servers on which a repeat has no second effect.
     #[serde(default)]
     pub group: DedupScope,
@@ -192,54 +192,10 @@
         }
     };
     vec![
-        class(
-            "voorraad",
-            0.38,
-            92.0,
-            WorkDistribution::Pareto,
-            2.1,
-            0.35,
-            1200.0,
-            5000.0,
-            1.0,
-            RequestEffect::Safe,
-        ),
-        class(
-            "bestelling",
-            0.33,
-            95.0,
-            WorkDistribution::Pareto,
-            2.1,
-            0.25,
-            2000.0,
-            6000.0,
-            2.0,
-            RequestEffect::Unsafe,
-        ),
-        class(
-            "afrekening",
-            0.15,
-            107.0,
-            WorkDistribution::Lognormal,
-            2.1,
-            0.37,
-            2000.0,
-            6000.0,
-            5.0,
-            RequestEffect::Unsafe,
-        ),
-        class(
-            "bezorging",
-            0.14,
-            190.0,
-            WorkDistribution::Lognormal,
-            2.1,
-            0.32,
-            2500.0,
-            6000.0,
-            5.0,
-            RequestEffect::Unsafe,
-        ),
+        class("voorraad", 0.38, 92.0, Shape::Pareto, 2.1, 0.35, 1200.0, 5000.0, 1.0, Effect::Safe),
+        class("bestelling", 0.33, 95.0, Shape::Pareto, 2.1, 0.25, 2000.0, 6000.0, 2.0, Effect::Unsafe),
+        class("afrekening", 0.15, 107.0, Shape::Lognormal, 2.1, 0.37, 2000.0, 6000.0, 5.0, Effect::Unsafe),
+        class("bezorging", 0.14, 190.0, Shape::Lognormal, 2.1, 0.32, 2500.0, 6000.0, 5.0, Effect::Unsafe),
     ]
 }
 
--- a/emulator/src/scenario/validation.rs
+++ b/emulator/src/scenario/validation.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use super::{RequestEffect, Scenario, Trouble, TroubleKind};
+use super::{Effect, Scenario, Trouble, TroubleKind};
 
 /// An invalid field of a scenario.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -83,7 +83,7 @@
             within_bounds(&field("deadline_ms"), class.deadline_ms, class.aim_ms, 1e6)?;
             within_bounds(&field("worth"), class.worth, 0.0, 1e6)?;
             within_bounds(&field("io_ms"), class.io_ms, 0.0, 1e6)?;
-            let least = if class.effect == RequestEffect::Keyed { 1e-3 } else { 0.0 };
+            let least = if class.effect == Effect::Keyed { 1e-3 } else { 0.0 };
             within_bounds(&field("window_ms"), class.window_ms, least, 1e6)?;
         }
         if self.classes.iter().map(|class| class.share).sum::<f64>() <= 0.0 {
--- a/emulator/tests/second_deployment.rs
+++ b/emulator/tests/second_deployment.rs
@@ -1,5 +1,5 @@
-//! What the second deployment allows, in the world as a whole: probes and what they cost, reports, keyed
-//! groups, hints, worth by work, neighbours and heavy tails.
+//! Whole simulation runs of the features that the second deployment uses: probes and their cost, load
+//! reports, idempotency scopes, work hints, worth by work, noisy neighbours and heavy tails.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -10,19 +10,18 @@
 use gradepaddle_emulator::policy::Policy;
 use gradepaddle_emulator::result::Outcome;
 use gradepaddle_emulator::scenario::{
-    DedupScope, Reporting, RequestClass, RequestEffect, Scenario, Trouble, TroubleKind, WorkDistribution,
-    WorthBy,
+    DedupScope, Effect, Reporting, RequestClass, Scenario, Shape, Trouble, TroubleKind, WorthBy,
 };
 use gradepaddle_emulator::{PolicyUnderTest, run};
 
-/// One class of equal requests, one zone to begin with, and nothing at random among the app servers.
-fn plain(effect: RequestEffect) -> Scenario {
+/// A scenario with one class of identical requests, one zone, and no randomness among the app servers.
+fn plain(effect: Effect) -> Scenario {
     let mut day = Scenario::standard();
     day.classes = vec![RequestClass {
         name: "only".into(),
         share: 1.0,
         work_ms: 40.0,
-        shape: WorkDistribution::Fixed,
+        shape: Shape::Fixed,
         cv: 0.0,
         attempt_cv: 0.0,
         io_ms: 0.0,
@@ -49,24 +48,25 @@
     outcome.broken.iter().find(|(of, _)| *of == rule).map_or(0, |(_, count)| *count)
 }
 
-/// What the chooser of a test has heard.
+/// What the chooser of a test was told.
 #[derive(Default)]
 struct Recorded {
-    /// By probe: what it ended in, how long it took, the queue told of.
+    /// By probe: outcome, duration and reported queue.
     probes: RefCell<Vec<(gradepaddle::Outcome, Micros, Option<f64>)>>,
-    /// Reports that came with answers to requests.
+    /// Number of load reports in answers to requests.
     reports: Cell<usize>,
     hints: RefCell<Vec<f64>>,
 }
 
-/// Sends each request to the server that its turn names and probes the first one as each comes.
+/// Sends the attempts of each request to given app servers, and optionally probes the first app server when a
+/// request arrives.
 struct ScriptedChooser {
     recorded: Rc<Recorded>,
     known: Vec<Id>,
     probes: bool,
-    /// Servers, by position, for the attempts of each request.
+    /// Positions of the app servers for the attempts of a request, in order.
     turns: &'static [usize],
-    /// Pause before another attempt.
+    /// Delay before the next attempt.
     pause: Micros,
     open: Vec<(Id, usize, Micros, Micros)>,
 }
@@ -140,13 +140,13 @@
     )
 }
 
-/// Guards a probe that costs nothing or proves too much: a deep one waits behind the requests of a full app
-/// server and fails at its limit, a shallow one is answered at once; both are paid for.
+/// Checks that a deep probe waits behind the requests of a full app server and times out, while a shallow one
+/// is answered at once, and that both are charged in the score.
 #[test]
 fn a_deep_probe_waits_in_the_queue_and_a_shallow_one_does_not() {
     let recorded = |deep| {
-        let mut day = plain(RequestEffect::Safe);
-        // One app server takes all that four could do.
+        let mut day = plain(Effect::Safe);
+        // One app server gets 0.9 of the capacity of all four.
         (day.probe.deep, day.load.of_capacity) = (deep, 0.9);
         let (policy, recorded) = scripted_policy(true, &[0], 0);
         let outcome = run_outcome(&day, policy);
@@ -160,13 +160,13 @@
     assert_eq!((recorded(true), recorded(false)), ((true, false), (false, true)));
 }
 
-/// Guards against probes that are free: with one out all the time that costs as much as a request, a good part of what
-/// an app server gets done is gone.
+/// Checks that the work of probes takes capacity from requests: with a probe as heavy as a request always
+/// outstanding, one app server serves clearly less.
 #[test]
 fn the_work_of_a_probe_is_taken_from_requests() {
     for deep in [true, false] {
         let served = |work_us| {
-            let mut day = plain(RequestEffect::Safe);
+            let mut day = plain(Effect::Safe);
             (day.fleet.servers, day.load.of_capacity) = (1, 0.9);
             (day.probe.work_us, day.probe.deep, day.probe.timeout_ms) = (work_us, deep, 5000.0);
             let (policy, _) = scripted_policy(true, &[0], 0);
@@ -180,14 +180,14 @@
     }
 }
 
-/// Guards reports that come from nowhere or from everywhere: only along with what the scenario names, and what
-/// they say is a queue that is there.
+/// Checks that load reports come only with the answers that the scenario configures, and that they show a
+/// queue that exists.
 #[test]
-fn reports_come_along_with_probes_or_with_all_answers() {
+fn load_reports_come_with_probes_or_with_all_answers() {
     for (how, with_probes, with_answers) in
         [(Reporting::Never, false, false), (Reporting::Probes, true, false), (Reporting::Answers, true, true)]
     {
-        let mut day = plain(RequestEffect::Safe);
+        let mut day = plain(Effect::Safe);
         (day.report.how, day.probe.deep, day.load.of_capacity) = (how, false, 0.9);
         let (policy, recorded) = scripted_policy(true, &[0], 0);
         run_outcome(&day, policy);
@@ -198,11 +198,11 @@
     }
 }
 
-/// Guards probes where they are not allowed: neither the decisions nor a reference sends one, and dispatch lets
-/// none through.
+/// Checks that neither the production policy nor a reference policy sends probes where the rules forbid them,
+/// without help of the guard.
 #[test]
-fn nobody_probes_where_the_rules_forbid_it() {
-    let mut day = plain(RequestEffect::Safe);
+fn no_policy_probes_where_the_rules_forbid_it() {
+    let mut day = plain(Effect::Safe);
     day.troubles =
         vec![Trouble { at_s: 2.0, for_s: 8.0, kind: TroubleKind::Rolling { batch: 1, drain_s: 2.0 } }];
     for policy in [Policy::Module, Policy::QueueProbes100] {
@@ -214,14 +214,14 @@
     }
 }
 
-/// Guards the rule of keyed requests: a repeat in the group of the first run and within its window has no second
-/// effect; in another group, or later, it has.
+/// Checks the rule on keyed requests: a repeat has no second effect in the group of the first run and within
+/// the window, but it has one in another group or later.
 #[test]
 fn a_keyed_repeat_has_a_second_effect_in_another_group_or_after_the_window() {
     let broken = |zones, turns: &'static [usize], pause, group| {
-        let mut day = plain(RequestEffect::Keyed);
+        let mut day = plain(Effect::Keyed);
         (day.fleet.zones, day.classes[0].group, day.classes[0].window_ms) = (zones, group, 20.0);
-        // Enough that both are worked on before the first is answered.
+        // Long enough that both attempts are in work before the first is answered.
         (day.classes[0].work_ms, day.load.of_capacity) = (200.0, 0.1);
         let (policy, _) = scripted_policy(false, turns, pause);
         count(&run_outcome(&day, policy), Rule::NoSecondRun) > 0
@@ -235,11 +235,12 @@
     assert!(!broken(2, &[0, 1], 10_000, DedupScope::Cell), "four of them are one cell");
 }
 
-/// Guards the decisions on keyed requests while app servers fail, reset and hang: no second effect, and no
-/// refusal of what may have run in one zone only.
+/// Checks that the production policy keeps the rules on keyed requests while app servers fail, reset
+/// connections and hang: no second effect, and no refusal after a run whose group doesn't cover the whole
+/// fleet.
 #[test]
 fn the_decisions_keep_the_rules_of_keyed_requests_in_trouble() {
-    let mut day = plain(RequestEffect::Keyed);
+    let mut day = plain(Effect::Keyed);
     (day.fleet.zones, day.fleet.servers, day.balancers.count, day.load.of_capacity) = (3, 9, 3, 0.8);
     (day.classes[0].window_ms, day.clients.retries, day.day.length_s) = (400.0, 2, 20.0);
     let during = |kind| Trouble { at_s: 3.0, for_s: 14.0, kind };
@@ -254,12 +255,12 @@
     assert!(attempts > outcome.asked + 50, "{attempts} attempts for {} requests", outcome.asked);
 }
 
-/// Guards hints: without them nobody guesses, with them the guess is about the work, and a heavy tail is not in
-/// it though it is in the work and in what that is worth.
+/// Checks that hints are absent unless configured, that they estimate the work, and that a heavy tail changes
+/// the work and its worth but not the hints.
 #[test]
 fn hints_guess_the_work_but_not_the_heavy_tail() {
-    let mut day = plain(RequestEffect::Safe);
-    day.classes[0].shape = WorkDistribution::Exp;
+    let mut day = plain(Effect::Safe);
+    day.classes[0].shape = Shape::Exp;
     let (policy, recorded) = scripted_policy(false, &[0], 0);
     run_outcome(&day, policy);
     assert!(recorded.hints.borrow().is_empty());
@@ -281,10 +282,11 @@
     assert!((0.8..1.2).contains(&worth) && more > 4.0, "{worth} {more}");
 }
 
-/// Guards the neighbour: it slows its machine while it is there, and is gone in between and afterwards.
+/// Checks that a noisy neighbour slows its machine only in its active periods, and not after the trouble
+/// ends.
 #[test]
-fn a_neighbour_takes_its_part_on_and_off() {
-    let mut day = plain(RequestEffect::Safe);
+fn a_noisy_neighbour_slows_its_machine_periodically() {
+    let mut day = plain(Effect::Safe);
     (day.fleet.servers, day.load.of_capacity, day.day.length_s) = (1, 0.3, 16.0);
     let kind = TroubleKind::Neighbour { servers: 1, takes: 0.9, every_s: 3.0 };
     let calm = run_outcome(&day, scripted_policy(false, &[0], 0).0);
@@ -296,11 +298,11 @@
     assert!(held(&crowded, 15) < held(&crowded, 12), "gone from 12 s on: {:?}", crowded.held);
 }
 
-/// Guards waiting on others: it takes its time, holds its slot, and needs no core.
+/// Checks that I/O wait adds to the response time and holds a slot, but needs no core.
 #[test]
-fn waiting_on_others_takes_time_but_no_core() {
+fn io_wait_takes_time_but_no_core() {
     let served = |io_ms, slots| {
-        let mut day = plain(RequestEffect::Safe);
+        let mut day = plain(Effect::Safe);
         (day.fleet.servers, day.load.of_capacity, day.fleet.slots_per_core) = (1, 0.4, slots);
         day.classes[0].io_ms = io_ms;
         let outcome = run_outcome(&day, scripted_policy(false, &[0], 0).0);
--- a/emulator/tests/world.rs
+++ b/emulator/tests/world.rs
@@ -1,4 +1,5 @@
-//! The world as a whole: its monitors fire, its troubles do what they say, nothing is lost, runs repeat.
+//! Tests of whole simulation runs: the rule monitors detect violations, troubles have their effect, no
+//! request is lost, and runs are reproducible.
 
 use std::rc::Rc;
 
@@ -27,20 +28,20 @@
     run(scenario, policy, 3).expect("a scenario that makes sense").outcome
 }
 
-/// What a chooser that breaks a rule does.
+/// How a chooser misbehaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Violation {
-    /// Fails what is answered already.
+    /// Fails a request that is already answered.
     AnswersTwice,
-    /// Does nothing.
+    /// Ignores all requests.
     Forgets,
-    /// Sends again whatever happened.
-    RequestEffect,
-    /// Goes on sending to the one that it liked first.
+    /// Sends another attempt whatever the outcome of the last one.
+    Effect,
+    /// Sends all requests to the first app server, even if that drains.
     IgnoresDrains,
-    /// Sends all to the one that started last.
+    /// Sends all requests to the app server that started last.
     RushesNew,
-    /// Sends, and refuses at the same time.
+    /// Sends an attempt and refuses the request at the same time.
     RefusesWhatRuns,
 }
 
@@ -91,7 +92,7 @@
                 let request: Id = ended.request.into();
                 match self.violation {
                     Violation::AnswersTwice => out.push(Action::Fail { request }),
-                    Violation::RequestEffect if ended.attempt < 3 => self.send(now, request, out),
+                    Violation::Effect if ended.attempt < 3 => self.send(now, request, out),
                     _ if !ended.request_finished => out.push(Action::Fail { request }),
                     _ => {}
                 }
@@ -113,8 +114,8 @@
     }
 }
 
-/// Guards against monitors that can not fire: each is shown a policy that breaks its rule, and prints what
-/// happened to the request. The decisions break none on the same day.
+/// Checks that each rule monitor detects a policy that breaks its rule and records the request's history, and
+/// that the production policy breaks none under the same scenario.
 #[test]
 fn each_monitor_fires_on_a_policy_made_to_break_its_rule() {
     let resets = || trouble(TroubleKind::Resets { rate: 0.3 });
@@ -123,14 +124,14 @@
     let cases = [
         (Violation::AnswersTwice, Rule::OneAnswer, vec![]),
         (Violation::Forgets, Rule::Answered, vec![]),
-        (Violation::RequestEffect, Rule::NoSecondRun, vec![resets()]),
+        (Violation::Effect, Rule::NoSecondRun, vec![resets()]),
         (Violation::IgnoresDrains, Rule::DrainKept, vec![shrink()]),
         (Violation::RushesNew, Rule::ColdBorne, vec![growth()]),
         (Violation::RefusesWhatRuns, Rule::HonestRefusal, vec![]),
     ];
     for (what, rule, troubles) in cases {
         let mut day = scenario(0.9, troubles);
-        // What a cold app server must be spared for is told while it is cold.
+        // Balancers learn of the new app server while it is still cold.
         (day.discovery.notice_s, day.discovery.lag_s) = ([0.1, 0.2], 0.1);
         let broken = run_outcome(&day, violation(what));
         let count = broken.broken.iter().find(|(of, _)| *of == rule).map_or(0, |(_, count)| *count);
@@ -142,7 +143,7 @@
     }
 }
 
-/// Guards results that differ from run to run, and plots that change without a cause.
+/// Checks that runs are reproducible, also on different threads, and that another seed gives another result.
 #[test]
 fn equal_scenario_seed_and_policy_give_equal_results() {
     let troubles =
@@ -162,9 +163,10 @@
     }
 }
 
-/// Guards comparisons: a policy does not change what is asked, and neither does a trouble among app servers.
+/// Checks that arrivals depend neither on the policy nor on troubles of app servers, so that policies can be
+/// compared on the same load.
 #[test]
-fn arrivals_are_the_same_whatever_is_chosen_or_goes_wrong() {
+fn arrivals_depend_neither_on_the_policy_nor_on_troubles() {
     let calm = run_outcome(&scenario(0.9, vec![]), Policy::Module);
     let random = run_outcome(&scenario(0.9, vec![]), Policy::Random);
     let hang = run_outcome(&scenario(0.9, vec![trouble(TroubleKind::Hang { servers: 3 })]), Policy::Module);
@@ -176,18 +178,17 @@
     assert!(calm.score.whole > 0.9, "{:?}", calm.score);
 }
 
-/// Guards troubles that do nothing, or something else: each is felt where it should be, and the calm day
-/// before it is the same.
+/// Checks that each trouble has the effect that it should have, and none before it begins.
 #[test]
-fn each_trouble_is_felt_where_it_should_be() {
-    type Felt<'a> = Box<dyn Fn(&Outcome) -> bool + 'a>;
+fn each_trouble_has_its_effect_and_none_before_it_begins() {
+    type EffectCheck<'a> = Box<dyn Fn(&Outcome) -> bool + 'a>;
     let before =
         |outcome: &Outcome| outcome.seconds[1..4].iter().map(|s| (s.asked, s.attempts)).collect::<Vec<_>>();
     let calm = run_outcome(&scenario(0.8, vec![]), Policy::Random);
     let up = |outcome: &Outcome, at: usize| outcome.seconds[at].up;
     let asked = |outcome: &Outcome| outcome.seconds[6..13].iter().map(|s| s.asked).sum::<u64>();
     let failures = |outcome: &Outcome| outcome.seconds[5..14].iter().map(|s| s.failures).sum::<u64>();
-    let cases: Vec<(TroubleKind, Felt<'_>)> = vec![
+    let cases: Vec<(TroubleKind, EffectCheck<'_>)> = vec![
         (TroubleKind::Surge { factor: 2.0 }, Box::new(|o| asked(o) > asked(&calm) * 3 / 2)),
         (
             TroubleKind::Shrink { to: 0.5, drain_s: 1.0 },
@@ -205,7 +206,7 @@
         (TroubleKind::BalancerCrash { share: 0.34 }, Box::new(|o| failures(o) > failures(&calm))),
         (
             TroubleKind::RetryStorm { retries: 9 },
-            // Alone it changes next to nothing: there is little to try again.
+            // Without another trouble there is little to retry, so it changes almost nothing.
             Box::new(|o| o.asked == calm.asked && o.breaches_in_all() == calm.breaches_in_all()),
         ),
         (TroubleKind::HotKey { share: 0.5, keys: 1 }, Box::new(|o| o.asked > 0 && o.held != calm.held)),
@@ -215,23 +216,23 @@
         (TroubleKind::DiscoveryStale { lag_s: 5.0 }, Box::new(|o| o.score == calm.score)),
         (TroubleKind::BalancerRestart { share: 1.0 }, Box::new(|o| o.breaches_in_all() == 0)),
     ];
-    for (kind, felt) in cases {
+    for (kind, has_effect) in cases {
         let outcome = run_outcome(&scenario(0.8, vec![trouble(kind.clone())]), Policy::Random);
-        assert!(felt(&outcome), "{kind:?}: {:?}", outcome.score);
+        assert!(has_effect(&outcome), "{kind:?}: {:?}", outcome.score);
         assert_eq!(before(&outcome), before(&calm), "{kind:?} is felt before it begins");
     }
 }
 
-/// Guards the list as the only way to learn of the fleet: while it is out of reach, a change is not heeded,
-/// and while it is stale, later than usual.
+/// Checks that balancers learn of changes only from the list: not at all while discovery is down, and later
+/// while it is stale.
 #[test]
-fn an_outage_and_a_lag_of_discovery_delay_what_is_heeded() {
+fn an_outage_or_lag_of_discovery_delays_reactions_to_changes() {
     let shrink = Trouble { at_s: 6.0, for_s: 2.0, kind: TroubleKind::Shrink { to: 0.5, drain_s: 1.0 } };
     let outage = Trouble { at_s: 4.0, for_s: 12.0, kind: TroubleKind::DiscoveryDown {} };
     let stale = Trouble { at_s: 4.0, for_s: 12.0, kind: TroubleKind::DiscoveryStale { lag_s: 8.0 } };
     let refused = |troubles: Vec<Trouble>| {
         let outcome = run_outcome(&scenario(1.1, troubles), Policy::Random);
-        // Attempts beyond one for each try: what was turned away went on to another.
+        // Attempts beyond the first: requests that were rejected and sent to another app server.
         let seconds = &outcome.seconds[6..16];
         seconds.iter().map(|s| s.attempts as i64 - s.asked as i64).sum::<i64>()
     };
@@ -240,8 +241,8 @@
     assert!(down > told + 20 && late > told + 20, "told {told}, list down {down}, list stale {late}");
 }
 
-/// Guards against requests that get lost in the model itself: each first try that came ended in exactly one
-/// way, whatever went wrong, and no attempts stay behind.
+/// Checks that the simulator loses no request: each logical request ends in exactly one way under random
+/// troubles, and the guard prevents breaches of the other rules.
 #[test]
 fn every_arrival_ends_in_exactly_one_way() {
     let kinds = prop_oneof![
@@ -269,7 +270,8 @@
             let outcome = run.outcome;
             prop_assert_eq!(outcome.endings().iter().sum::<u64>(), outcome.asked);
             prop_assert!(run.tries >= outcome.asked);
-            // Whatever was chosen, the guard held: no second run, no drain broken, one answer each.
+            // The guard holds for every policy: no second run, no attempt to a draining app server, one
+            // answer per request.
             for rule in
                 [Rule::OneAnswer, Rule::NoSecondRun, Rule::DrainKept, Rule::HonestRefusal, Rule::Answered]
             {
@@ -281,7 +283,7 @@
         .expect("all days");
 }
 
-/// Guards long runs: what is kept does not grow with the requests that were answered.
+/// Checks that memory doesn't grow with the length of a run: the number of pending events stays bounded.
 #[test]
 fn the_queue_does_not_grow_with_the_length_of_the_day() {
     let peak = |length| {
