--- a/lab/src/error.rs
+++ b/lab/src/error.rs
@@ -1,5 +1,5 @@
-//! What can go wrong in an experiment. The printed texts name the file and the place in it, since people read them on
-//! the command line; each variant keeps its cause as the source.
+//! Errors of experiments. The messages name the file and the place in it, since people read them on the
+//! command line; each variant keeps its cause as the source.
 
 use std::io;
 use std::num::{ParseFloatError, ParseIntError};
@@ -12,7 +12,7 @@
 /// The cause of a plot that could not be drawn; its type differs by backend.
 pub type DrawError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Why an experiment, or reading or writing its files, failed.
+/// An experiment, or reading or writing its files, failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
@@ -43,7 +43,7 @@
         source: io::Error,
     },
 
-    /// A folder cannot be made.
+    /// A folder cannot be created.
     #[snafu(display("{}: {source}", path.display()))]
     CreateFolder {
         /// The folder.
@@ -52,53 +52,54 @@
         source: io::Error,
     },
 
-    /// A file holds no scenario of the emulator, or one that makes no sense.
+    /// A file is not a valid scenario of the emulator.
     #[snafu(display("{}: {reason}", path.display()))]
     ParseScenario {
         /// The file.
         path: PathBuf,
-        /// What the emulator says, with line and field.
+        /// The emulator's message, with line and field.
         reason: String,
     },
 
-    /// The emulator does not run a scenario.
+    /// The emulator rejected a scenario.
     #[snafu(display("{reason}"))]
     RejectedScenario {
-        /// What the emulator says, with the field.
+        /// The emulator's message, with the field.
         reason: String,
     },
 
-    /// A file holds no scenario of real processes, or one that makes no sense.
+    /// A file is not a valid scenario for real processes.
     #[snafu(display("{}: {source}", path.display()))]
     FleetScenario {
         /// The file.
         path: PathBuf,
-        /// What is wrong with its text.
+        /// The error in its text.
         #[snafu(source(from(Error, Box::new)))]
         source: Box<Error>,
     },
 
-    /// A text is no scenario of real processes. The decoder ends its text with a line break, which is cut off.
+    /// A text is not a valid scenario for real processes. The decoder ends its message with a line break,
+    /// which is trimmed.
     #[snafu(display("{}", source.to_string().trim_end()))]
     DecodeFleetScenario {
         /// The decoder's error, with line and column.
         source: toml::de::Error,
     },
 
-    /// A field lies outside its bounds.
+    /// A field is out of bounds.
     #[snafu(display("{field}: {value} is not from {least} to {most}"))]
     OutOfBounds {
         /// The field, as in `fault[0].share`.
         field: String,
         /// Its value.
         value: f64,
-        /// The least that is allowed.
+        /// The lower bound.
         least: f64,
-        /// The most that is allowed.
+        /// The upper bound.
         most: f64,
     },
 
-    /// The text of a scenario whose field is to be set is no TOML.
+    /// The text of a scenario in which a field is to be set is not TOML.
     #[snafu(display("{source}"))]
     DecodeToml {
         /// The decoder's error, with line and column.
@@ -119,12 +120,12 @@
         field: String,
     },
 
-    /// The position in the name of a field, as in `trouble[0].share`, is no number.
-    #[snafu(display("{field:?}: no number"))]
+    /// The index in a field name, as in `trouble[0].share`, is not a number.
+    #[snafu(display("{field:?}: the index is not a number"))]
     FieldPosition {
         /// The name.
         field: String,
-        /// Why it is none.
+        /// The parser's error.
         source: ParseIntError,
     },
 
@@ -135,7 +136,7 @@
         section: String,
     },
 
-    /// A value has no JSON form.
+    /// A value can't be encoded as JSON.
     #[snafu(display("{}: {source}", path.display()))]
     EncodeJson {
         /// The file that was to be written.
@@ -144,7 +145,7 @@
         source: serde_json::Error,
     },
 
-    /// A file holds no JSON, or no result.
+    /// A file is not JSON, or not a result.
     #[snafu(display("{}: {source}", path.display()))]
     DecodeJson {
         /// The file.
@@ -153,21 +154,21 @@
         source: serde_json::Error,
     },
 
-    /// A result has another format than [`SCHEMA`].
+    /// A result has another format version than [`SCHEMA`].
     #[snafu(display("{}: field schema: {found:?} is not {SCHEMA}", path.display()))]
     ForeignSchema {
         /// The file.
         path: PathBuf,
-        /// The format that it names, if any.
+        /// The version that it names, if any.
         found: Option<u64>,
     },
 
-    /// A value of a swept parameter is no number.
-    #[snafu(display("{text:?} is no number"))]
+    /// A value of a swept parameter is not a number.
+    #[snafu(display("{text:?} is not a number"))]
     NotANumber {
         /// The value as written.
         text: String,
-        /// Why it is none.
+        /// The parser's error.
         source: ParseFloatError,
     },
 
@@ -178,49 +179,51 @@
         text: String,
     },
 
-    /// A range of a swept parameter runs downwards or nowhere, or has too many steps.
-    #[snafu(display("{text:?}: no range of at most 1000 steps upwards"))]
+    /// A range of a swept parameter is not ascending, or has too many steps.
+    #[snafu(display("{text:?}: not an ascending range of at most 1000 steps"))]
     RangeSteps {
         /// The range as written.
         text: String,
     },
 
-    /// What is to be varied lacks the field or its values.
+    /// A parameter to vary lacks the field or its values.
     #[snafu(display("{text:?} is not FIELD=VALUES"))]
     MalformedVariation {
         /// The argument as written.
         text: String,
     },
 
-    /// More than two fields are to be varied.
-    #[snafu(display("one or two figures can be varied"))]
+    /// More than two parameters are to be varied.
+    #[snafu(display("one or two parameters can be varied"))]
     VariationCount,
 
     /// No policy has this name.
     #[snafu(display("{reason}"))]
     UnknownPolicy {
-        /// What the emulator says, with the names that there are.
+        /// The emulator's message, with the known names.
         reason: String,
     },
 
-    /// The thread of a run panicked, and left no result.
+    /// The thread of a run panicked before it returned a result.
     #[snafu(display("a run panicked"))]
     RunPanicked,
 
-    /// The balancer turns its settings down.
+    /// The balancer rejected its settings.
     #[snafu(display("{source}"))]
     Settings {
-        /// The setting that makes no sense.
+        /// The invalid setting.
         source: SettingsError,
     },
 
-    /// No program is named, and this program's own path is unknown.
-    #[snafu(display("no program is named by --program"))]
+    /// No program path is given, and this program's own path is unknown.
+    #[snafu(display(
+        "this program's own path is unknown; pass the path of the balancer program with --program"
+    ))]
     UnnamedProgram,
 
-    /// No program is at the path.
+    /// There is no program at the path.
     #[snafu(display(
-        "{}: no program there; build it by `cargo build --release`, or name it by --program",
+        "{}: program not found; build it with `cargo build --release`, or pass its path with --program",
         path.display()
     ))]
     MissingProgram {
@@ -235,7 +238,7 @@
         source: io::Error,
     },
 
-    /// A plot cannot be drawn, or its file not written.
+    /// A plot cannot be drawn, or its file cannot be written.
     #[snafu(display("{}: {source}", path.display()))]
     DrawFile {
         /// The file.
@@ -244,7 +247,7 @@
         source: DrawError,
     },
 
-    /// A plot cannot be drawn as text.
+    /// A plot cannot be rendered as SVG text.
     #[snafu(display("{source}"))]
     Draw {
         /// The backend's error.
--- a/lab/src/experiment.rs
+++ b/lab/src/experiment.rs
@@ -1,4 +1,5 @@
-//! Many runs: policies and seeds on several threads, in an order that does not show in the result.
+//! Batches of runs over policies and seeds on several threads. The result doesn't depend on the order in
+//! which runs finish.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::mpsc;
@@ -15,22 +16,22 @@
 use crate::error::{Error, MalformedRangeSnafu, NotANumberSnafu, RangeStepsSnafu};
 use crate::stats::Estimate;
 
-/// One run that is to be made.
+/// The parameters of one run.
 #[derive(Clone)]
 pub struct Job<'a> {
     /// The scenario.
     pub scenario: &'a Scenario,
-    /// Who chooses.
+    /// The policy.
     pub policy: Policy,
     /// The seed.
     pub seed: u64,
 }
 
-/// Makes all runs, so many at a time; results come in the order of the jobs.
+/// Executes all runs on up to `threads` threads. Results are in the order of the jobs.
 ///
 /// # Errors
 ///
-/// The first fault, in the order of the jobs: the scenario of one makes no sense, or its run panicked.
+/// The first error, in the order of the jobs: a scenario is invalid, or its run panicked.
 pub fn run_all(jobs: &[Job<'_>], threads: usize, show: bool) -> Result<Vec<Run>, Error> {
     let bar = if show { ProgressBar::new(jobs.len() as u64) } else { ProgressBar::hidden() };
     if let Ok(style) = ProgressStyle::with_template("{bar:40} {pos}/{len} runs, {elapsed} gone, {eta} to go")
@@ -47,7 +48,7 @@
                 loop {
                     let at = next.fetch_add(1, Ordering::Relaxed);
                     let Some(job) = jobs.get(at) else { return };
-                    // The receiver waits for all of them.
+                    // The receiver outlives all senders, so sending can't fail.
                     let _ = done.send((at, run(job.scenario, job.policy, job.seed)));
                 }
             });
@@ -64,31 +65,31 @@
         .collect()
 }
 
-/// One policy in one scenario over seeds.
+/// Results of one policy in one scenario over several seeds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
     /// The scenario.
     pub scenario: String,
-    /// Who chose.
+    /// The policy.
     pub policy: String,
-    /// The one figure.
+    /// The overall score.
     pub goal: Estimate,
-    /// Worth of the whole day.
+    /// Share of worth served over the whole day.
     pub whole: Estimate,
-    /// Of its worst window.
+    /// Share of worth served in the worst window.
     pub worst_window: Estimate,
-    /// Of the worst class.
+    /// Share of worth served of the worst-served class.
     pub worst_class: Estimate,
-    /// Runs in which a rule was broken.
+    /// The number of runs in which a rule was broken.
     pub broken: usize,
-    /// Rules broken in all of them.
+    /// The number of breaches in all runs.
     pub breaches: u64,
-    /// The seed with the lowest figure, to look at it again.
+    /// The seed with the lowest score, to reproduce it.
     pub worst_seed: u64,
 }
 
 impl Row {
-    /// From the runs of one policy in one scenario.
+    /// Summarizes the runs of one policy in one scenario.
     pub fn of(outcomes: &[&Outcome]) -> Row {
         let estimate =
             |of: fn(&Outcome) -> f64| Estimate::of(&outcomes.iter().map(|o| of(o)).collect::<Vec<_>>());
@@ -107,7 +108,7 @@
     }
 }
 
-/// All policies in one scenario over the same seeds, and so over the same arrivals.
+/// Runs all policies in one scenario over the same seeds, and so over the same arrivals.
 ///
 /// # Errors
 ///
@@ -128,35 +129,36 @@
     Ok((rows.collect(), outcomes))
 }
 
-/// How fast one run was: simulated requests a second of wall time, on the thread that made it.
+/// The simulation speed of one run, in wall time on the thread that executed it.
 #[derive(Clone, Copy, Debug)]
 pub struct Speed {
     /// Wall time.
     pub took: Duration,
-    /// Tries, retries included.
+    /// First tries and retries.
     pub tries: u64,
-    /// Events.
+    /// Events handled.
     pub events: u64,
 }
 
-/// Makes one run and times it.
+/// Executes one run and measures its duration.
 ///
 /// # Errors
 ///
-/// The scenario makes no sense.
-pub fn timed(scenario: &Scenario, policy: Policy, seed: u64) -> Result<(Run, Speed), Error> {
+/// The scenario is invalid.
+pub fn run_timed(scenario: &Scenario, policy: Policy, seed: u64) -> Result<(Run, Speed), Error> {
     let begun = Instant::now();
     let run = run(scenario, policy, seed).map_err(|reason| Error::RejectedScenario { reason })?;
     let speed = Speed { took: begun.elapsed(), tries: run.tries, events: run.events };
     Ok((run, speed))
 }
 
-/// Values of a swept parameter: `FROM..TO:STEP`, or a list with commas.
+/// Parses the values of a swept parameter: `FROM..TO:STEP`, or a list separated by commas.
 ///
 /// # Errors
 ///
-/// A value is no number, a range is not `FROM..TO:STEP`, or it does not run upwards in at most 1000 steps.
-pub fn values(text: &str) -> Result<Vec<f64>, Error> {
+/// A value is not a number, a range is not `FROM..TO:STEP`, or a range is not ascending in at most 1000
+/// steps.
+pub fn parse_values(text: &str) -> Result<Vec<f64>, Error> {
     let number = |text: &str| text.trim().parse::<f64>().context(NotANumberSnafu { text });
     let Some((from, rest)) = text.split_once("..") else {
         return text.split(',').map(number).collect();
--- a/lab/src/file.rs
+++ b/lab/src/file.rs
@@ -1,4 +1,4 @@
-//! Scenarios and results on disk; faults name the file.
+//! Scenario and result files. Errors name the file.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -14,11 +14,11 @@
     ReadFileSnafu, WriteFileSnafu,
 };
 
-/// A scenario of this name: a file, or one under `scenarios/`.
+/// Reads a scenario: a file, or the name of one under `scenarios/`.
 ///
 /// # Errors
 ///
-/// The file cannot be read, or holds no scenario that makes sense.
+/// The file cannot be read, or is not a valid scenario.
 pub fn scenario(name: &Path) -> Result<Scenario, Error> {
     let text = text(name)?;
     parse(&text, name)
@@ -30,20 +30,20 @@
 ///
 /// The file cannot be read.
 pub fn text(name: &Path) -> Result<String, Error> {
-    let path = find(name);
+    let path = resolve(name);
     fs::read_to_string(&path).context(ReadFileSnafu { path })
 }
 
-fn find(name: &Path) -> PathBuf {
+fn resolve(name: &Path) -> PathBuf {
     let under = Path::new("scenarios").join(name).with_extension("toml");
     if !name.exists() && under.exists() { under } else { name.to_owned() }
 }
 
-/// Decodes a scenario; one without a name has its file's.
+/// Parses a scenario. If it has no name, it gets the file's.
 ///
 /// # Errors
 ///
-/// The text is no scenario, or one that makes no sense; the error names line and field.
+/// The text is not a valid scenario; the error names line and field.
 pub fn parse(text: &str, name: &Path) -> Result<Scenario, Error> {
     let mut scenario =
         Scenario::parse(text).map_err(|reason| Error::ParseScenario { path: name.to_owned(), reason })?;
@@ -53,11 +53,11 @@
     Ok(scenario)
 }
 
-/// All scenarios of a folder, by name.
+/// Reads all scenarios of a folder, sorted by file name.
 ///
 /// # Errors
 ///
-/// The folder cannot be listed, or one of its scenarios cannot be read; the first one is named.
+/// The folder cannot be listed, or a scenario cannot be read; the error names the first such file.
 pub fn all(folder: &Path) -> Result<Vec<(PathBuf, Scenario)>, Error> {
     let entries = fs::read_dir(folder).context(ListFolderSnafu { path: folder })?;
     let mut paths: Vec<PathBuf> = entries.filter_map(|entry| entry.ok().map(|entry| entry.path())).collect();
@@ -66,12 +66,13 @@
     paths.into_iter().map(|path| scenario(&path).map(|scenario| (path, scenario))).collect()
 }
 
-/// Sets a field, named as in `fleet.servers` or `trouble[0].share`, in a scenario's text.
+/// Sets a field, such as `fleet.servers` or `trouble[0].share`, in a scenario's text.
 ///
 /// # Errors
 ///
-/// The text is no TOML, or the field's name is not `SECTION.FIELD` or names a section that the scenario lacks.
-pub fn with(text: &str, field: &str, value: f64) -> Result<String, Error> {
+/// The text is not TOML, or the field is not of the form `SECTION.FIELD` or names a section that the scenario
+/// lacks.
+pub fn with_field(text: &str, field: &str, value: f64) -> Result<String, Error> {
     let mut table: toml::Table = toml::from_str(text).context(DecodeTomlSnafu)?;
     let (section, key) = field.rsplit_once('.').context(FieldWithoutSectionSnafu { field })?;
     let inner = match section.split_once('[') {
@@ -82,19 +83,19 @@
         }
     };
     let inner = inner.context(MissingSectionSnafu { section })?;
-    // Counts are whole in a scenario's types, and a whole number serves for the others as well.
+    // Counts must be integers in TOML, and an integer is accepted for the other fields as well.
     let whole = value.fract() == 0.0;
     let value = if whole { toml::Value::Integer(value as i64) } else { toml::Value::Float(value) };
     inner.insert(key.to_owned(), value);
     toml::to_string(&table).context(EncodeTomlSnafu)
 }
 
-/// Makes a folder for results.
+/// Creates a folder for results.
 ///
 /// # Errors
 ///
-/// The folder cannot be made.
-pub fn folder(path: &Path) -> Result<(), Error> {
+/// The folder cannot be created.
+pub fn create_folder(path: &Path) -> Result<(), Error> {
     fs::create_dir_all(path).context(CreateFolderSnafu { path })
 }
 
@@ -111,18 +112,18 @@
 ///
 /// # Errors
 ///
-/// The value has no JSON form, or the file cannot be written.
+/// The value can't be encoded as JSON, or the file cannot be written.
 pub fn write_json(path: &Path, value: &impl Serialize) -> Result<(), Error> {
     let mut text = serde_json::to_string_pretty(value).context(EncodeJsonSnafu { path })?;
     text.push('\n');
     write(path, &text)
 }
 
-/// Reads a result; one of another format is turned down.
+/// Reads a result and rejects other versions of the format.
 ///
 /// # Errors
 ///
-/// The file cannot be read, or holds no result of the format [`SCHEMA`].
+/// The file cannot be read, or is not a result of version [`SCHEMA`].
 pub fn read(path: &Path) -> Result<Outcome, Error> {
     let text = fs::read_to_string(path).context(ReadFileSnafu { path })?;
     let value: serde_json::Value = serde_json::from_str(&text).context(DecodeJsonSnafu { path })?;
--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -1,5 +1,5 @@
-//! Runs of many real processes by a scenario file, measured in real time: what is served by the second while pieces break,
-//! and how long it takes to come back.
+//! Runs of real balancer processes from a scenario file, measured in real time: requests served per second
+//! while faults are active, and the time until service recovers.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -22,38 +22,38 @@
     UnnamedProgramSnafu,
 };
 
-/// The version of the result's format.
+/// The version of the result format.
 pub const SCHEMA: u32 = 1;
-/// Full service: so many seconds in a row ...
-const IN_A_ROW: usize = 5;
-/// ... within this much of what was served before.
-const WITHIN: f64 = 0.02;
-/// How late the front notices a death.
-const NOTICE: Duration = Duration::from_millis(1500);
+/// Service has recovered after this many consecutive seconds ...
+const RECOVERY_WINDOW_S: usize = 5;
+/// ... in which the share served is at most this much below the one before the first fault.
+const RECOVERY_TOLERANCE: f64 = 0.02;
+/// How long the front takes to detect that a process has died.
+const FRONT_DETECTION_DELAY: Duration = Duration::from_millis(1500);
 
-/// A fleet, its load and what breaks.
+/// A fleet, its load and its faults.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Scenario {
-    /// What it is about, in a line.
+    /// A one-line description.
     pub about: String,
-    /// Balancer processes.
+    /// Number of balancer processes.
     pub processes: usize,
-    /// App servers, spread over the zones in turn.
+    /// Number of app servers, assigned to the zones round-robin.
     pub servers: usize,
-    /// Zones.
+    /// Number of zones.
     pub zones: usize,
-    /// What a request takes at an app server.
+    /// Time that a request takes at an app server.
     pub work_ms: f64,
-    /// Requests in work at a time at each.
+    /// Concurrent requests in work per app server.
     pub slots: usize,
-    /// Requests that may wait at each.
+    /// Queue length per app server.
     pub queue: usize,
-    /// Requests a second.
+    /// Request rate, per second.
     pub per_second: f64,
-    /// For so long.
+    /// Duration of the run.
     pub length_s: f64,
-    /// What breaks, and when.
+    /// Faults, with their times.
     #[serde(rename = "fault")]
     pub faults: Vec<Fault>,
 }
@@ -75,51 +75,52 @@
     }
 }
 
-/// What breaks, when, and for how long.
+/// A fault with its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fault {
-    /// From when on.
+    /// Start time.
     pub at_s: f64,
-    /// Until it is undone.
+    /// Duration.
     #[serde(default)]
     pub for_s: f64,
-    /// What.
+    /// The kind of fault, with its parameters.
     #[serde(flatten)]
-    pub kind: Kind,
+    pub kind: FaultKind,
 }
 
-/// The faults by name.
+/// The kinds of faults.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
-pub enum Kind {
-    /// This share of the processes is killed at once, and started anew together when it is over.
+pub enum FaultKind {
+    /// A share of the processes is killed, and restarted together at the end of the fault.
     Kill {
-        /// How many of them.
+        /// The share of processes.
         share: f64,
     },
-    /// This share of the processes is paused, and let go when it is over.
+    /// A share of the processes is paused, and resumed at the end of the fault.
     Pause {
-        /// How many of them.
+        /// The share of processes.
         share: f64,
     },
     /// Discovery fails every call.
     DiscoveryDown {},
-    /// Each process is cut off from a third of the app servers, another one for each; one-way if said so.
+    /// Each process is cut off from a third of the app servers, a different third for neighbouring processes;
+    /// optionally in one direction only.
     CutOff {
-        /// Requests get there, and answers don't come back.
+        /// Requests arrive, but answers are lost.
         #[serde(default)]
         one_way: bool,
     },
-    /// All app servers are replaced, one after the other over its time: each drains, and a new one starts.
+    /// All app servers are replaced one after the other over the duration: each drains, and a new one starts.
     Replace {},
 }
 
 impl Scenario {
-    /// Reads a file; what is wrong is named with line and field.
+    /// Reads a scenario file. Errors name the line and field.
     ///
     /// # Errors
     ///
-    /// The file cannot be read, is no scenario, or has a field outside its bounds.
+    /// The file cannot be read, is not a valid scenario, or has a field out of bounds.
     pub fn read(path: &Path) -> Result<Scenario, Error> {
         Scenario::parse(&crate::file::text(path)?).context(FleetScenarioSnafu { path })
     }
@@ -145,7 +146,7 @@
         for (at, fault) in self.faults.iter().enumerate() {
             within(&format!("fault[{at}].at_s"), fault.at_s, 0.0, self.length_s)?;
             within(&format!("fault[{at}].for_s"), fault.for_s, 0.0, self.length_s)?;
-            if let Kind::Kill { share } | Kind::Pause { share } = fault.kind {
+            if let FaultKind::Kill { share } | FaultKind::Pause { share } = fault.kind {
                 within(&format!("fault[{at}].share"), share, 0.0, 1.0)?;
             }
         }
@@ -153,20 +154,20 @@
     }
 }
 
-/// One second, by when a request was asked.
+/// The totals of one second, by the time at which requests were sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Second {
-    /// Requests that a process took.
+    /// Requests that a process accepted.
     pub asked: u64,
-    /// Of those: served.
+    /// Served requests.
     pub served: u64,
-    /// Refused.
+    /// Refused requests.
     pub refused: u64,
-    /// Failed.
+    /// Failed requests.
     pub failed: u64,
-    /// Lost with their process or given up.
+    /// Requests lost with their process or given up by the client.
     pub lost: u64,
-    /// Clients that found nobody.
+    /// Requests that reached no process.
     pub missed: u64,
 }
 
@@ -176,45 +177,47 @@
     }
 }
 
-/// What one process or all take from the machine.
+/// Resource usage of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Takes {
-    /// Resident memory.
+pub struct ResourceUsage {
+    /// Resident memory, in MB.
     pub memory_mb: f64,
-    /// Descriptors.
+    /// Open file descriptors.
     pub descriptors: f64,
     /// CPU time, in seconds.
     pub cpu_s: f64,
 }
 
-/// What came out.
+/// The result of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Outcome {
     /// [`SCHEMA`].
     pub schema: u32,
-    /// What was run.
+    /// The scenario of the run.
     pub scenario: Scenario,
-    /// How long it took until all processes were ready.
+    /// Time until all processes were ready.
     pub ready_s: f64,
-    /// By second.
+    /// Totals by second.
     pub seconds: Vec<Second>,
-    /// Served of all that were asked or found nobody.
+    /// Share of all requests that were served, including those that reached no process.
     pub served: f64,
-    /// From the end of the last fault to full service; none if it did not come back within the run, or nothing broke.
+    /// Time from the end of the last fault until service has recovered; none if it did not recover within the
+    /// run or there was no fault.
     pub back_s: Option<f64>,
-    /// Attempts at the most loaded app server over the mean, in 100 ms: the mean of that over the run, and its most.
+    /// Attempts at the most loaded app server relative to the mean, in windows of 100 ms: mean and maximum
+    /// over the run.
     pub herding: [f64; 2],
-    /// Of each process, in the mean, and of the largest.
-    pub takes: [Takes; 2],
-    /// Broken rules with their histories, the first ones.
+    /// Resource usage of the processes: mean and maximum.
+    pub takes: [ResourceUsage; 2],
+    /// The first breaches of rules, with their histories.
     pub breaches: Vec<String>,
 }
 
-/// The program beside this one, unless another is named.
+/// The balancer program: the given path, or `gradepaddle` in this program's folder.
 ///
 /// # Errors
 ///
-/// There is no file at the path, or no path is named and this program's own is unknown.
+/// The file does not exist, or no path is given and this program's own path is unknown.
 pub fn program(named: Option<&Path>) -> Result<PathBuf, Error> {
     let beside = || {
         let own = std::env::current_exe().ok()?;
@@ -229,25 +232,27 @@
 ///
 /// # Errors
 ///
-/// A process, an app server or a link cannot be started, or a fault cannot be brought about.
+/// A process, an app server or a link cannot be started, or a fault cannot be injected.
 pub fn run(scenario: &Scenario, program: &Path) -> Result<Outcome, Error> {
-    on_one_thread(play(scenario, program)).context(FleetSnafu)
+    on_one_thread(run_on_fleet(scenario, program)).context(FleetSnafu)
 }
 
-fn make(scenario: &Scenario) -> Make {
+fn server_settings(scenario: &Scenario) -> Make {
     let work = Duration::from_secs_f64(scenario.work_ms / 1000.0);
     Make { slots: scenario.slots, queue: scenario.queue, work, ..Make::default() }
 }
 
-/// The app servers that a place is cut off from: a third, another one for each.
-fn third(place: usize, servers: usize) -> impl Iterator<Item = usize> {
-    (0..servers).filter(move |server| (server + place).is_multiple_of(3))
+/// The app servers that a process is cut off from: every third one, shifted by the process's index.
+fn unreachable_servers(index: usize, servers: usize) -> impl Iterator<Item = usize> {
+    (0..servers).filter(move |server| (server + index).is_multiple_of(3))
 }
 
-async fn play(scenario: &Scenario, program: &Path) -> io::Result<Outcome> {
-    let cuts = scenario.faults.iter().any(|fault| matches!(fault.kind, Kind::CutOff { .. }));
+async fn run_on_fleet(scenario: &Scenario, program: &Path) -> io::Result<Outcome> {
+    let cuts = scenario.faults.iter().any(|fault| matches!(fault.kind, FaultKind::CutOff { .. }));
     let links = if cuts {
-        (0..scenario.processes).flat_map(|p| third(p, scenario.servers).map(move |s| (p, s))).collect()
+        (0..scenario.processes)
+            .flat_map(|p| unreachable_servers(p, scenario.servers).map(move |s| (p, s)))
+            .collect()
     } else {
         Vec::new()
     };
@@ -256,53 +261,54 @@
         processes: scenario.processes,
         servers: scenario.servers,
         zones: scenario.zones,
-        make: make(scenario),
+        make: server_settings(scenario),
         links,
     };
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut fleet = Fleet::start(plan).await?;
-    let ready_s = begun.elapsed().as_secs_f64();
+    let ready_s = started.elapsed().as_secs_f64();
     let start = fleet.ledger.now();
-    let begun = Instant::now();
+    let started = Instant::now();
     let load = fleet.traffic(Duration::from_secs_f64(1.0 / scenario.per_second));
-    let mut steps: Vec<(f64, usize, bool)> = Vec::new();
+    let mut fault_changes: Vec<(f64, usize, bool)> = Vec::new();
     for (at, fault) in scenario.faults.iter().enumerate() {
-        steps.push((fault.at_s, at, true));
-        steps.push((fault.at_s + fault.for_s, at, false));
+        fault_changes.push((fault.at_s, at, true));
+        fault_changes.push((fault.at_s + fault.for_s, at, false));
     }
-    steps.sort_by(|a, b| a.0.total_cmp(&b.0));
-    for (when, at, begins) in steps {
-        tokio::time::sleep_until(begun + Duration::from_secs_f64(when)).await;
-        step(&mut fleet, scenario, &scenario.faults[at], begins).await?;
+    fault_changes.sort_by(|a, b| a.0.total_cmp(&b.0));
+    for (when, at, begins) in fault_changes {
+        tokio::time::sleep_until(started + Duration::from_secs_f64(when)).await;
+        apply_fault(&mut fleet, scenario, &scenario.faults[at], begins).await?;
     }
-    tokio::time::sleep_until(begun + Duration::from_secs_f64(scenario.length_s)).await;
-    let takes = takes(&fleet);
+    tokio::time::sleep_until(started + Duration::from_secs_f64(scenario.length_s)).await;
+    let takes = resource_usage(&fleet);
     load.set(false);
     let breaches: Vec<String> = fleet.verdict().await.iter().take(20).map(ToString::to_string).collect();
     let seconds = fleet.ledger.read(|books| by_second(books, start, scenario.length_s as usize));
     let herding = fleet.ledger.read(|books| herding(books, start, scenario.servers));
     let sum = |of: fn(&Second) -> u64| seconds.iter().map(of).sum::<u64>() as f64;
     let served = sum(|s| s.served) / sum(|s| s.asked + s.missed).max(1.0);
-    let back_s = back(&seconds, &scenario.faults);
+    let back_s = recovery_time(&seconds, &scenario.faults);
     let scenario = scenario.clone();
     Ok(Outcome { schema: SCHEMA, scenario, ready_s, seconds, served, back_s, herding, takes, breaches })
 }
 
-/// The first so many places.
-fn some(fleet: &Fleet, share: f64) -> Vec<usize> {
+/// The indices of the first processes that make up this share.
+fn first_processes(fleet: &Fleet, share: f64) -> Vec<usize> {
     (0..(fleet.processes.len() as f64 * share).round() as usize).collect()
 }
 
-async fn step(fleet: &mut Fleet, scenario: &Scenario, fault: &Fault, begins: bool) -> io::Result<()> {
+async fn apply_fault(fleet: &mut Fleet, scenario: &Scenario, fault: &Fault, begins: bool) -> io::Result<()> {
     match (&fault.kind, begins) {
-        (Kind::Kill { share }, true) => {
-            for place in some(fleet, *share) {
-                fleet.kill(place, NOTICE)?;
+        (FaultKind::Kill { share }, true) => {
+            for index in first_processes(fleet, *share) {
+                fleet.kill(index, FRONT_DETECTION_DELAY)?;
             }
         }
-        (Kind::Kill { share }, false) => fleet.start_processes(&some(fleet, *share)).await?,
-        (Kind::Pause { share }, _) => {
-            for process in some(fleet, *share).into_iter().filter_map(|place| fleet.processes[place].as_ref())
+        (FaultKind::Kill { share }, false) => fleet.start_processes(&first_processes(fleet, *share)).await?,
+        (FaultKind::Pause { share }, _) => {
+            for process in
+                first_processes(fleet, *share).into_iter().filter_map(|index| fleet.processes[index].as_ref())
             {
                 if begins {
                     process.pause()?;
@@ -311,8 +317,8 @@
                 }
             }
         }
-        (Kind::DiscoveryDown {}, begins) => fleet.discovery.set_up(!begins),
-        (Kind::CutOff { one_way }, begins) => {
+        (FaultKind::DiscoveryDown {}, begins) => fleet.discovery.set_up(!begins),
+        (FaultKind::CutOff { one_way }, begins) => {
             for (_, link) in &fleet.links {
                 match (begins, one_way) {
                     (true, true) => link.set(CLEAR, Way::Silent),
@@ -321,7 +327,7 @@
                 }
             }
         }
-        (Kind::Replace {}, true) => {
+        (FaultKind::Replace {}, true) => {
             let each = Duration::from_secs_f64(fault.for_s / scenario.servers as f64);
             for old in 0..scenario.servers {
                 fleet.add_server(0).await?;
@@ -330,7 +336,7 @@
                 fleet.list(old, Health::Removed);
             }
         }
-        (Kind::Replace {}, false) => {}
+        (FaultKind::Replace {}, false) => {}
     }
     Ok(())
 }
@@ -345,7 +351,7 @@
                 seconds[second].asked += 1;
                 asked.insert(*request, second);
             }
-            // Its next try is another request.
+            // The retry counts as a request of its own.
             Fact::Unread { request } => {
                 if let Some(second) = asked.remove(request) {
                     seconds[second].asked -= 1;
@@ -368,19 +374,21 @@
     seconds
 }
 
-/// From the last fault's end to the first of so many seconds that are served as before the first fault.
-fn back(seconds: &[Second], faults: &[Fault]) -> Option<f64> {
+/// Time from the end of the last fault to the first of [`RECOVERY_WINDOW_S`] consecutive seconds served as
+/// well as before the first fault.
+fn recovery_time(seconds: &[Second], faults: &[Fault]) -> Option<f64> {
     let first = faults.iter().map(|fault| fault.at_s).min_by(f64::total_cmp)?;
     let last = faults.iter().map(|fault| fault.at_s + fault.for_s).max_by(f64::total_cmp)?;
     let before = &seconds[..(first as usize).min(seconds.len())];
-    let usual = before.iter().map(Second::share).sum::<f64>() / before.len().max(1) as f64;
+    let baseline = before.iter().map(Second::share).sum::<f64>() / before.len().max(1) as f64;
     let from = last.ceil() as usize;
-    let full = |run: &[Second]| run.iter().all(|second| second.share() >= usual - WITHIN);
-    let at = seconds.get(from..)?.windows(IN_A_ROW).position(full)?;
+    let full = |run: &[Second]| run.iter().all(|second| second.share() >= baseline - RECOVERY_TOLERANCE);
+    let at = seconds.get(from..)?.windows(RECOVERY_WINDOW_S).position(full)?;
     Some((from + at) as f64 - last)
 }
 
-/// Attempts at the most loaded app server over the mean, by 100 ms; windows with fewer than two for each tell nothing.
+/// Mean and maximum of the attempts at the most loaded app server relative to the mean, over windows of 100
+/// ms. Windows with fewer than two attempts per app server are too small to tell and are left out.
 fn herding(books: &Books, start: u64, servers: usize) -> [f64; 2] {
     let mut windows: BTreeMap<u64, BTreeMap<usize, u64>> = BTreeMap::new();
     for (at, fact) in books.facts() {
@@ -400,24 +408,27 @@
     [mean, ratios.iter().copied().fold(0.0, f64::max)]
 }
 
-/// From the kernel's own books, of those that run.
-fn takes(fleet: &Fleet) -> [Takes; 2] {
-    let of = |id: i32| -> Option<Takes> {
+/// Reads the resource usage of the running processes from `/proc`.
+fn resource_usage(fleet: &Fleet) -> [ResourceUsage; 2] {
+    let of = |id: i32| -> Option<ResourceUsage> {
         let folder = PathBuf::from(format!("/proc/{id}"));
         let status = std::fs::read_to_string(folder.join("status")).ok()?;
         let memory = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
         let memory_mb = memory.trim().trim_end_matches(" kB").parse::<f64>().ok()? / 1024.0;
         let descriptors = std::fs::read_dir(folder.join("fd")).ok()?.count() as f64;
         let stat = std::fs::read_to_string(folder.join("stat")).ok()?;
-        // Behind the name, which may hold anything, stand the state and then numbers; ticks are 10 ms.
+        // The process name may contain any character, so fields are counted from the last closing
+        // parenthesis. One clock tick is 10 ms.
         let fields: Vec<&str> = stat.rsplit(')').next()?.split_whitespace().collect();
         let ticks = fields.get(11)?.parse::<f64>().ok()? + fields.get(12)?.parse::<f64>().ok()?;
-        Some(Takes { memory_mb, descriptors, cpu_s: ticks / 100.0 })
+        Some(ResourceUsage { memory_mb, descriptors, cpu_s: ticks / 100.0 })
     };
-    let all: Vec<Takes> = fleet.processes.iter().flatten().filter_map(|process| of(process.id())).collect();
-    let mean = |field: fn(&Takes) -> f64| all.iter().map(field).sum::<f64>() / all.len().max(1) as f64;
-    let most = |field: fn(&Takes) -> f64| all.iter().map(field).fold(0.0, f64::max);
-    let both = |of: &dyn Fn(fn(&Takes) -> f64) -> f64| Takes {
+    let all: Vec<ResourceUsage> =
+        fleet.processes.iter().flatten().filter_map(|process| of(process.id())).collect();
+    let mean =
+        |field: fn(&ResourceUsage) -> f64| all.iter().map(field).sum::<f64>() / all.len().max(1) as f64;
+    let most = |field: fn(&ResourceUsage) -> f64| all.iter().map(field).fold(0.0, f64::max);
+    let both = |of: &dyn Fn(fn(&ResourceUsage) -> f64) -> f64| ResourceUsage {
         memory_mb: of(|t| t.memory_mb),
         descriptors: of(|t| t.descriptors),
         cpu_s: of(|t| t.cpu_s),
@@ -425,7 +436,7 @@
     [both(&mean), both(&most)]
 }
 
-/// What is printed of a run.
+/// The summary that is printed after a run.
 pub fn summary(outcome: &Outcome) -> String {
     let Outcome { scenario, seconds, takes: [mean, most], .. } = outcome;
     let mut text = format!(
@@ -459,7 +470,7 @@
     text
 }
 
-/// Three processes with all that is round them, and traffic, until it is interrupted or the time is over.
+/// Runs three processes with app servers, discovery and traffic until it is interrupted or the time is over.
 ///
 /// # Errors
 ///
@@ -471,7 +482,7 @@
         processes: scenario.processes,
         servers: scenario.servers,
         zones: scenario.zones,
-        make: make(&scenario),
+        make: server_settings(&scenario),
         links: Vec::new(),
     };
     let shows = async {
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,5 +1,5 @@
-//! Experiments on the emulator: single runs, policies side by side, sweeps over parameters, plots and reports; and runs of
-//! many real processes under faults.
+//! Experiments on the emulator: single runs, comparisons of policies, parameter sweeps, plots and reports;
+//! and runs of real processes under faults.
 
 pub mod error;
 pub mod experiment;
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! `gradepaddle-lab`: experiments on the emulator.
+//! `gradepaddle-lab`: the command-line tool for experiments on the emulator.
 
 #![forbid(unsafe_code)]
 
@@ -14,12 +14,12 @@
 };
 use gradepaddle_emulator::policy::Policy;
 use gradepaddle_emulator::scenario::Scenario;
-use gradepaddle_lab::experiment::{Job, Row, compare, run_all, timed, values};
+use gradepaddle_lab::experiment::{Job, Row, compare, parse_values, run_all, run_timed};
 use gradepaddle_lab::plot::{Bars, Line, Lines};
 use gradepaddle_lab::stats::Estimate;
 use gradepaddle_lab::{Error, file, fleet, plot, report};
 
-/// Tries designs on the emulator: runs, comparisons, sweeps and plots.
+/// Runs experiments on the emulator: single runs, comparisons, sweeps and plots.
 #[derive(Parser)]
 #[command(name = "gradepaddle-lab", version)]
 struct Cli {
@@ -31,109 +31,108 @@
 enum Command {
     /// Run a scenario once.
     Simulate {
-        /// A file, or the name of one under scenarios/.
+        /// A scenario file, or the name of one under scenarios/.
         scenario: PathBuf,
-        /// Equal seeds give equal runs.
+        /// Seed; equal seeds give equal runs.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Who chooses.
+        /// Policy to run.
         #[arg(long, default_value = "module")]
         policy: Policy,
-        /// Write JSON, CSV, plots and a page there.
+        /// Folder to write JSON, CSV, plots and an HTML page to.
         #[arg(long)]
         out: Option<PathBuf>,
     },
-    /// Run policies side by side on the same arrivals.
+    /// Compare policies on the same arrivals.
     Compare {
-        /// Files, or names under scenarios/; all of those if none is given.
+        /// Scenario files, or names under scenarios/; all under scenarios/ by default.
         scenarios: Vec<PathBuf>,
-        /// Who chooses.
+        /// Policies to compare.
         #[arg(long, value_delimiter = ',', default_values_t = Policy::ALL.map(|policy| policy.name().to_owned()))]
         policies: Vec<String>,
         #[command(flatten)]
-        many: Many,
+        batch: BatchArgs,
     },
-    /// Vary one or two figures of a scenario.
+    /// Vary one or two parameters of a scenario.
     Sweep {
-        /// A file, or the name of one under scenarios/.
+        /// A scenario file, or the name of one under scenarios/.
         scenario: PathBuf,
-        /// `SECTION.FIELD=FROM..TO:STEP` or `SECTION.FIELD=A,B,C`; twice for two figures.
+        /// `SECTION.FIELD=FROM..TO:STEP` or `SECTION.FIELD=A,B,C`; give it twice for two parameters.
         #[arg(long = "vary", required = true, num_args = 1)]
         vary: Vec<String>,
-        /// Who chooses.
+        /// Policies to run.
         #[arg(long, value_delimiter = ',', default_value = "module")]
         policies: Vec<String>,
         #[command(flatten)]
-        many: Many,
+        batch: BatchArgs,
     },
-    /// Draw the plots and the page of a result anew.
+    /// Redraw the plots and the page of a result.
     Plot {
         /// The folder that holds result.json.
         folder: PathBuf,
     },
     /// List the scenarios.
     Scenarios {
-        /// Where they are.
+        /// The folder that holds them.
         #[arg(long, default_value = "scenarios")]
         folder: PathBuf,
     },
-    /// Run many real processes by a scenario file, in real time, and break what it says.
+    /// Run real processes in real time, with the load and faults of a scenario file.
     Fleet {
-        /// A file, such as those under scenarios/fleet/.
+        /// A scenario file, such as those under scenarios/fleet/.
         scenario: PathBuf,
-        /// The program; the one beside this one otherwise.
+        /// Balancer program; by default the one in this program's folder.
         #[arg(long)]
         program: Option<PathBuf>,
-        /// Write JSON there.
+        /// Folder to write JSON to.
         #[arg(long)]
         out: Option<PathBuf>,
     },
-    /// Start stand-ins, discovery, three processes and traffic, and print what to ask them by hand.
+    /// Start stand-in app servers, discovery, three processes and traffic, and print example requests.
     Demo {
-        /// The program; the one beside this one otherwise.
+        /// Balancer program; by default the one in this program's folder.
         #[arg(long)]
         program: Option<PathBuf>,
-        /// For how long, unless it is interrupted before.
+        /// Duration in seconds, unless it is interrupted before.
         #[arg(long, default_value_t = 600)]
         seconds: u64,
     },
-    /// Time one decision with its end against the number of app servers, and how many requests a second of
-    /// wall time are simulated.
+    /// Measure the time of a decision and the end of its attempt by number of app servers.
     Cost {
         /// Numbers of app servers.
         #[arg(long, value_delimiter = ',', default_values_t = [10, 30, 100, 300, 1_000, 3_000, 10_000])]
         servers: Vec<u32>,
-        /// Write CSV and the plot there.
+        /// Folder to write CSV and the plot to.
         #[arg(long)]
         out: Option<PathBuf>,
     },
 }
 
 #[derive(Args)]
-struct Many {
-    /// So many seeds, from 1 on.
+struct BatchArgs {
+    /// Number of seeds, from 1 on.
     #[arg(long, default_value_t = 10)]
     seeds: u64,
-    /// Runs at a time.
+    /// Number of parallel runs.
     #[arg(long, default_value_t = std::thread::available_parallelism().map_or(1, usize::from))]
     threads: usize,
-    /// Write JSON, CSV and plots there.
+    /// Folder to write JSON, CSV and plots to.
     #[arg(long)]
     out: Option<PathBuf>,
 }
 
-impl Many {
+impl BatchArgs {
     fn seeds(&self) -> Vec<u64> {
         (1..=self.seeds.max(1)).collect()
     }
 }
 
 fn main() -> ExitCode {
-    match carry_out(Cli::parse().command) {
+    match run_command(Cli::parse().command) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
-        Err(fault) => {
-            eprintln!("gradepaddle-lab: {fault}");
+        Err(error) => {
+            eprintln!("gradepaddle-lab: {error}");
             ExitCode::from(2)
         }
     }
@@ -143,12 +142,12 @@
     names.iter().map(|name| name.parse().map_err(|reason| Error::UnknownPolicy { reason })).collect()
 }
 
-/// False where the decisions in service break a rule.
-fn carry_out(command: Command) -> Result<bool, Error> {
+/// Runs a command. Returns false if the production policy broke a rule.
+fn run_command(command: Command) -> Result<bool, Error> {
     match command {
         Command::Simulate { scenario, seed, policy, out } => {
             let scenario = file::scenario(&scenario)?;
-            let (run, speed) = timed(&scenario, policy, seed)?;
+            let (run, speed) = run_timed(&scenario, policy, seed)?;
             print!("{}", report::summary(&run.outcome));
             let seconds = speed.took.as_secs_f64();
             println!(
@@ -162,11 +161,11 @@
             }
             Ok(policy != Policy::Module || run.outcome.breaches_in_all() == 0)
         }
-        Command::Compare { scenarios, policies: names, many } => {
-            side_by_side(&scenarios, &policies(&names)?, &many)
+        Command::Compare { scenarios, policies: names, batch } => {
+            compare_policies(&scenarios, &policies(&names)?, &batch)
         }
-        Command::Sweep { scenario, vary, policies: names, many } => {
-            sweep(&scenario, &vary, &policies(&names)?, &many)?;
+        Command::Sweep { scenario, vary, policies: names, batch } => {
+            sweep(&scenario, &vary, &policies(&names)?, &batch)?;
             Ok(true)
         }
         Command::Plot { folder } => {
@@ -187,7 +186,7 @@
             let outcome = fleet::run(&fleet::Scenario::read(&scenario)?, &program)?;
             print!("{}", fleet::summary(&outcome));
             if let Some(out) = out {
-                file::folder(&out)?;
+                file::create_folder(&out)?;
                 file::write_json(&out.join("fleet.json"), &outcome)?;
             }
             Ok(outcome.breaches.is_empty())
@@ -203,7 +202,7 @@
     }
 }
 
-fn side_by_side(scenarios: &[PathBuf], policies: &[Policy], many: &Many) -> Result<bool, Error> {
+fn compare_policies(scenarios: &[PathBuf], policies: &[Policy], batch: &BatchArgs) -> Result<bool, Error> {
     let all: Vec<Scenario> = if scenarios.is_empty() {
         file::all(Path::new("scenarios"))?.into_iter().map(|(_, scenario)| scenario).collect()
     } else {
@@ -211,10 +210,10 @@
     };
     let mut rows: Vec<Row> = Vec::new();
     for scenario in &all {
-        let (some, _) = compare(scenario, policies, &many.seeds(), many.threads, true)?;
+        let (some, _) = compare(scenario, policies, &batch.seeds(), batch.threads, true)?;
         println!("{}\n\n{}", scenario.name, report::table(&some));
-        if let Some(out) = &many.out {
-            file::folder(out)?;
+        if let Some(out) = &batch.out {
+            file::create_folder(out)?;
             plot::save(out, &format!("compare-{}", scenario.name), &Bars(&some))?;
         }
         rows.extend(some);
@@ -222,7 +221,7 @@
     if all.len() > 1 {
         println!("{}", report::matrix(&rows));
     }
-    if let Some(out) = &many.out {
+    if let Some(out) = &batch.out {
         file::write_json(&out.join("compare.json"), &rows)?;
         file::write(&out.join("compare.csv"), &report::rows_csv(&rows))?;
         file::write(&out.join("compare.md"), &report::matrix(&rows))?;
@@ -230,14 +229,14 @@
     Ok(!rows.iter().any(|row| row.policy == Policy::Module.name() && row.broken > 0))
 }
 
-fn sweep(path: &Path, vary: &[String], policies: &[Policy], many: &Many) -> Result<(), Error> {
+fn sweep(path: &Path, vary: &[String], policies: &[Policy], batch: &BatchArgs) -> Result<(), Error> {
     let text = file::text(path)?;
     let ranges: Vec<(String, Vec<f64>)> = vary
         .iter()
         .map(|one| {
             let (field, range) =
                 one.split_once('=').ok_or_else(|| Error::MalformedVariation { text: one.clone() })?;
-            Ok((field.to_owned(), values(range)?))
+            Ok((field.to_owned(), parse_values(range)?))
         })
         .collect::<Result<_, Error>>()?;
     let (first, second) = match &ranges[..] {
@@ -251,7 +250,7 @@
     let mut csv = format!("policy,{},{},goal,half,least,broken\n", first.0, second.map_or("-", |two| &two.0));
     for policy in policies {
         for other in &outer {
-            let set = |text: &str, field: &str, value: f64| file::with(text, field, value);
+            let set = |text: &str, field: &str, value: f64| file::with_field(text, field, value);
             let base = match (other, second) {
                 (Some(value), Some((field, _))) => set(&text, field, *value)?,
                 _ => text.clone(),
@@ -261,12 +260,12 @@
                 .iter()
                 .map(|value| set(&base, &first.0, *value).and_then(|text| file::parse(&text, path)))
                 .collect::<Result<_, _>>()?;
-            let seeds = many.seeds();
+            let seeds = batch.seeds();
             let jobs: Vec<Job<'_>> = scenarios
                 .iter()
                 .flat_map(|scenario| seeds.iter().map(|seed| Job { scenario, policy: *policy, seed: *seed }))
                 .collect();
-            let runs = run_all(&jobs, many.threads, true)?;
+            let runs = run_all(&jobs, batch.threads, true)?;
             let mut points = Vec::new();
             for (value, some) in first.1.iter().zip(runs.chunks(seeds.len())) {
                 let row = Row::of(&some.iter().map(|run| &run.outcome).collect::<Vec<_>>());
@@ -289,8 +288,8 @@
         }
     }
     print!("{csv}");
-    if let Some(out) = &many.out {
-        file::folder(out)?;
+    if let Some(out) = &batch.out {
+        file::create_folder(out)?;
         file::write(&out.join("sweep.csv"), &csv)?;
         let title = format!("{} over {}", path.display(), first.0);
         let (x, y) = (first.0.clone(), "the one figure".to_owned());
@@ -299,7 +298,8 @@
     Ok(())
 }
 
-/// Microseconds of one decision with its end, by the number of app servers: the median of rounds.
+/// Time of one decision and the end of its attempt, in microseconds: the mean of the middle five of nine
+/// rounds.
 fn decision_cost(servers: u32) -> Result<Estimate, Error> {
     const HOUR: u64 = 3_600_000_000;
     let base = Settings::default().classes.remove(0);
@@ -354,7 +354,7 @@
     round(count);
     let mut rounds: Vec<f64> = (0..9).map(|_| round(count)).collect();
     rounds.sort_by(f64::total_cmp);
-    // The middle ones: what disturbs a round only makes it longer.
+    // The middle rounds only: interference from the system makes a round longer, never shorter.
     Ok(Estimate::of(&rounds[2..7]))
 }
 
@@ -368,7 +368,7 @@
     }
     print!("{csv}");
     if let Some(out) = out {
-        file::folder(out)?;
+        file::create_folder(out)?;
         file::write(&out.join("cost.csv"), &csv)?;
         let lines = [Line { name: "one decision with its end".into(), points }];
         let title = "cost of a decision against the number of app servers".to_owned();
--- a/lab/src/plot.rs
+++ b/lab/src/plot.rs
@@ -1,5 +1,5 @@
-//! Plots as SVG and PNG: the day with its troubles, times to the answer, load and warmth of app servers,
-//! policies side by side, and sweeps.
+//! Plots as SVG and PNG: a run with its troubles, response times, load and warmth of app servers, comparisons
+//! of policies, and sweeps.
 
 use std::path::Path;
 use std::sync::Once;
@@ -18,7 +18,7 @@
 const SIZE: (u32, u32) = (900, 420);
 const FONT: &str = "sans-serif";
 
-/// Colours that can be told apart by most eyes (Okabe and Ito's).
+/// A palette that is distinguishable with most kinds of colour vision (Okabe and Ito).
 const COLOURS: [RGBColor; 8] = [
     RGBColor(0, 114, 178),
     RGBColor(230, 159, 0),
@@ -32,15 +32,15 @@
 
 fn fonts() {
     static ONCE: Once = Once::new();
-    // The machine may have no font at all.
+    // The machine may have no fonts, so one is built in.
     ONCE.call_once(|| {
         let _ = plotters::style::register_font(FONT, FontStyle::Normal, dejavu::sans::regular());
     });
 }
 
-/// A picture that can be drawn on either kind of file.
+/// A plot that can be drawn with any backend.
 pub trait Picture {
-    /// Draws it.
+    /// Draws the plot.
     ///
     /// # Errors
     ///
@@ -53,7 +53,7 @@
         B::ErrorType: 'static;
 }
 
-/// Writes a picture as `NAME.svg` and `NAME.png`.
+/// Writes a plot as `NAME.svg` and `NAME.png`.
 ///
 /// # Errors
 ///
@@ -77,11 +77,11 @@
         .context(DrawFileSnafu { path: png.clone() })
 }
 
-/// A picture as SVG text.
+/// Renders a plot as SVG text.
 ///
 /// # Errors
 ///
-/// The picture cannot be drawn.
+/// The plot cannot be drawn.
 pub fn svg(picture: &impl Picture) -> Result<String, Error> {
     fonts();
     let mut text = String::new();
@@ -96,7 +96,8 @@
     Ok(text)
 }
 
-/// Worth served over the day, by second and over five, with the troubles behind it.
+/// Share of worth served over time, per second and as a moving average over 5 s, with the troubles in the
+/// background.
 pub struct Worth<'a>(pub &'a Outcome);
 
 impl Picture for Worth<'_> {
@@ -131,7 +132,7 @@
             let (earned, worth) = seconds.iter().fold((0.0, 0.0), |(e, w), s| (e + s.earned, w + s.worth));
             (worth > 0.0).then(|| earned / worth)
         };
-        let by = |width: usize| -> Vec<(f64, f64)> {
+        let moving_share = |width: usize| -> Vec<(f64, f64)> {
             let seconds = &outcome.seconds[..asked];
             let point = |at: usize| {
                 let from = at.saturating_sub(width - 1);
@@ -139,9 +140,9 @@
             };
             (0..asked).filter_map(point).collect()
         };
-        chart.draw_series(LineSeries::new(by(1), COLOURS[0].mix(0.35)))?;
+        chart.draw_series(LineSeries::new(moving_share(1), COLOURS[0].mix(0.35)))?;
         chart
-            .draw_series(LineSeries::new(by(5), COLOURS[0].stroke_width(2)))?
+            .draw_series(LineSeries::new(moving_share(5), COLOURS[0].stroke_width(2)))?
             .label("over 5 s")
             .legend(|(x, y)| PathElement::new([(x, y), (x + 12, y)], COLOURS[0].stroke_width(2)));
         chart
@@ -164,15 +165,20 @@
     where
         B::ErrorType: 'static,
     {
-        type Of = fn(&gradepaddle_emulator::evaluation::SecondTotals) -> u64;
-        let series: [(&str, Of); 4] = [
+        type ValueOf = fn(&gradepaddle_emulator::evaluation::SecondTotals) -> u64;
+        let series: [(&str, ValueOf); 4] = [
             ("first tries", |second| second.asked),
             ("attempts", |second| second.attempts),
             ("refusals", |second| second.refusals),
             ("failures", |second| second.failures),
         ];
         let seconds = &self.0.seconds;
-        let most = seconds.iter().flat_map(|s| series.iter().map(|(_, of)| of(s))).max().unwrap_or(1).max(1);
+        let most = seconds
+            .iter()
+            .flat_map(|s| series.iter().map(|(_, value_of)| value_of(s)))
+            .max()
+            .unwrap_or(1)
+            .max(1);
         let mut chart = ChartBuilder::on(area)
             .caption("attempts and refusals a second", (FONT, 18))
             .margin(12)
@@ -180,8 +186,9 @@
             .y_label_area_size(56)
             .build_cartesian_2d(0.0..seconds.len().max(1) as f64, 0.0..most as f64 * 1.08)?;
         chart.configure_mesh().x_desc("seconds").light_line_style(WHITE).draw()?;
-        for ((name, of), colour) in series.into_iter().zip(COLOURS) {
-            let points = seconds.iter().enumerate().map(|(at, second)| (at as f64 + 0.5, of(second) as f64));
+        for ((name, value_of), colour) in series.into_iter().zip(COLOURS) {
+            let points =
+                seconds.iter().enumerate().map(|(at, second)| (at as f64 + 0.5, value_of(second) as f64));
             chart
                 .draw_series(LineSeries::new(points, colour.stroke_width(2)))?
                 .label(name)
@@ -191,7 +198,7 @@
     }
 }
 
-/// Times to the answer by class, over the share of answers that were quicker.
+/// Distribution of response times by class: time over percentile.
 pub struct Latency<'a>(pub &'a Outcome);
 
 impl Picture for Latency<'_> {
@@ -204,8 +211,8 @@
     {
         let times = &self.0.times;
         let most = times.iter().flat_map(|t| t.course.iter().map(|(_, ms)| *ms)).fold(10.0, f64::max);
-        // Shares are drawn by how few are slower: 90, 99 and 99.9 percent stand evenly apart.
-        let place = |percent: f64| -(1.0 - percent / 100.0).log10();
+        // Logarithmic in the share of slower answers: 90, 99 and 99.9 percent are evenly spaced.
+        let position = |percent: f64| -(1.0 - percent / 100.0).log10();
         let mut chart = ChartBuilder::on(area)
             .caption("time to the answer by class", (FONT, 18))
             .margin(12)
@@ -224,7 +231,7 @@
             if class.count == 0 {
                 continue;
             }
-            let points = class.course.iter().map(|(percent, ms)| (place(*percent), ms.max(1.0)));
+            let points = class.course.iter().map(|(percent, ms)| (position(*percent), ms.max(1.0)));
             chart
                 .draw_series(LineSeries::new(points, colour.stroke_width(2)))?
                 .label(&class.name)
@@ -239,17 +246,17 @@
     }
 }
 
-/// A row for each app server, a column for each second.
-pub struct Heat<'a> {
-    /// Its title.
+/// A heat map with a row per app server and a column per second.
+pub struct HeatMap<'a> {
+    /// The title.
     pub title: &'a str,
-    /// By row, by second; below 0 where none is up.
+    /// Values by row and second; negative where no app server is up.
     pub rows: &'a [Vec<f32>],
-    /// The value that is drawn darkest.
+    /// The value that gets the darkest colour.
     pub most: f32,
 }
 
-impl Picture for Heat<'_> {
+impl Picture for HeatMap<'_> {
     fn draw<B: DrawingBackend>(
         &self,
         area: &DrawingArea<B, Shift>,
@@ -282,7 +289,7 @@
     }
 }
 
-/// Policies side by side, with their intervals.
+/// A bar per policy with its confidence interval.
 pub struct Bars<'a>(pub &'a [Row]);
 
 impl Picture for Bars<'_> {
@@ -338,23 +345,23 @@
 
 /// One line of a sweep.
 pub struct Line {
-    /// Its name.
+    /// The name in the legend.
     pub name: String,
-    /// Values with what came out.
+    /// Values of the parameter with the resulting estimates.
     pub points: Vec<(f64, Estimate)>,
 }
 
-/// What came out over a parameter.
+/// Results of a sweep over a parameter.
 pub struct Lines<'a> {
     /// The title.
     pub title: String,
-    /// What stands along.
+    /// The label of the x axis.
     pub x: String,
-    /// What stands up.
+    /// The label of the y axis.
     pub y: String,
     /// The lines.
     pub lines: &'a [Line],
-    /// Both axes by powers of ten.
+    /// Whether both axes are logarithmic.
     pub logarithmic: bool,
 }
 
@@ -367,13 +374,13 @@
         B::ErrorType: 'static,
     {
         let all = || self.lines.iter().flat_map(|line| &line.points);
-        let place = |x: f64| if self.logarithmic { x.max(1e-9).log10() } else { x };
+        let position = |x: f64| if self.logarithmic { x.max(1e-9).log10() } else { x };
         let ends = |values: &mut dyn Iterator<Item = f64>| {
             values.fold((f64::INFINITY, f64::NEG_INFINITY), |(low, high), x| (low.min(x), high.max(x)))
         };
-        let (left, right) = ends(&mut all().map(|(x, _)| place(*x)));
+        let (left, right) = ends(&mut all().map(|(x, _)| position(*x)));
         let (low, high) =
-            ends(&mut all().flat_map(|(_, y)| [place(y.mean - y.half), place(y.mean + y.half)]));
+            ends(&mut all().flat_map(|(_, y)| [position(y.mean - y.half), position(y.mean + y.half)]));
         if !(left.is_finite() && low.is_finite()) {
             return Ok(());
         }
@@ -398,7 +405,7 @@
             .draw()?;
         for (at, line) in self.lines.iter().enumerate() {
             let colour = COLOURS[at % COLOURS.len()];
-            let points = line.points.iter().map(|(x, y)| (place(*x), place(y.mean)));
+            let points = line.points.iter().map(|(x, y)| (position(*x), position(y.mean)));
             chart
                 .draw_series(LineSeries::new(points.clone(), colour.stroke_width(2)))?
                 .label(&line.name)
@@ -406,7 +413,8 @@
             chart.draw_series(points.map(|point| Circle::new(point, 3, colour.filled())))?;
             let bars = line.points.iter().filter(|(_, y)| y.half > 0.0);
             chart.draw_series(bars.map(|(x, y)| {
-                let ends = [(place(*x), place(y.mean - y.half)), (place(*x), place(y.mean + y.half))];
+                let ends =
+                    [(position(*x), position(y.mean - y.half)), (position(*x), position(y.mean + y.half))];
                 PathElement::new(ends, colour)
             }))?;
         }
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -1,4 +1,4 @@
-//! Results for people: CSV series, tables, and one HTML page that needs nothing beside itself.
+//! Human-readable results: CSV series, tables, and a self-contained HTML page.
 
 use std::fmt::Write as _;
 use std::path::Path;
@@ -7,21 +7,21 @@
 
 use crate::error::Error;
 use crate::experiment::Row;
-use crate::plot::{self, Flow, Heat, Latency, Worth};
+use crate::plot::{self, Flow, HeatMap, Latency, Worth};
 use crate::{file, stats::Estimate};
 
-/// Writes all of one run into a folder: JSON, CSV, plots and the page.
+/// Writes the files of one run into a folder: JSON, CSV, plots and the page.
 ///
 /// # Errors
 ///
 /// The folder or one of the files cannot be written, or a plot cannot be drawn.
 pub fn write(folder: &Path, outcome: &Outcome) -> Result<(), Error> {
-    file::folder(folder)?;
+    file::create_folder(folder)?;
     file::write_json(&folder.join("result.json"), outcome)?;
     draw(folder, outcome)
 }
 
-/// Draws a result that is there: CSV, plots and the page.
+/// Writes CSV, plots and the page of an existing result.
 ///
 /// # Errors
 ///
@@ -37,16 +37,16 @@
     file::write(&folder.join("report.html"), &page(outcome)?)
 }
 
-fn load(outcome: &Outcome) -> Heat<'_> {
+fn load(outcome: &Outcome) -> HeatMap<'_> {
     let most = outcome.held.iter().flatten().copied().fold(4.0, f32::max).min(40.0);
-    Heat { title: "requests held for each core, by app server", rows: &outcome.held, most }
+    HeatMap { title: "requests held for each core, by app server", rows: &outcome.held, most }
 }
 
-fn warmth(outcome: &Outcome) -> Heat<'_> {
-    Heat { title: "share of its capacity, by app server", rows: &outcome.warmth, most: 1.0 }
+fn warmth(outcome: &Outcome) -> HeatMap<'_> {
+    HeatMap { title: "share of its capacity, by app server", rows: &outcome.warmth, most: 1.0 }
 }
 
-/// The series by second.
+/// The totals by second as CSV.
 pub fn seconds_csv(outcome: &Outcome) -> String {
     let mut text = "second,asked,worth,earned,attempts,refusals,failures,up\n".to_owned();
     for (at, s) in outcome.seconds.iter().enumerate() {
@@ -60,7 +60,7 @@
     text
 }
 
-/// By class and by branch.
+/// The totals by class and branch as CSV.
 pub fn classes_csv(outcome: &Outcome) -> String {
     let mut text = "part,name,asked,served,late,refused,failed,given_up,worth,earned\n".to_owned();
     let parts = [("class", &outcome.classes), ("branch", &outcome.branches)];
@@ -83,7 +83,7 @@
     text
 }
 
-/// What is printed of one run.
+/// The summary that is printed after a run.
 pub fn summary(outcome: &Outcome) -> String {
     let s = &outcome.score;
     let [served, late, refused, failed, given_up] = outcome.endings();
@@ -137,12 +137,12 @@
     text
 }
 
-/// A mean with its interval.
+/// Formats a mean with its confidence interval.
 pub fn estimate(of: &Estimate) -> String {
     format!("{:.3} ± {:.3}", of.mean, of.half)
 }
 
-/// Policies side by side, as a table in Markdown.
+/// A comparison of policies as a Markdown table.
 pub fn table(rows: &[Row]) -> String {
     let mut text =
         "| policy | goal | whole day | worst window | worst class | lowest | runs that break rules |\n\
@@ -166,7 +166,8 @@
     text
 }
 
-/// All scenarios against all policies, as one table: the figure with its interval, marked where rules break.
+/// Scores of all policies in all scenarios as a Markdown table: mean and confidence interval, with a mark and
+/// the number of runs where rules were broken.
 pub fn matrix(rows: &[Row]) -> String {
     let mut policies: Vec<&str> = Vec::new();
     let mut scenarios: Vec<&str> = Vec::new();
@@ -224,7 +225,7 @@
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
-fn parts(title: &str, parts: &[gradepaddle_emulator::evaluation::GroupTotals]) -> String {
+fn totals_table(title: &str, parts: &[gradepaddle_emulator::evaluation::GroupTotals]) -> String {
     let mut text = format!(
         "<h2>{title}</h2><table><tr><th>name</th><th>asked</th><th>served in time</th><th>late</th>\
          <th>refused</th><th>failed</th><th>given up</th><th>worth served</th></tr>"
@@ -246,7 +247,7 @@
     text + "</table>"
 }
 
-/// The page of one run, with its plots in it.
+/// The HTML page of one run, with its plots embedded.
 ///
 /// # Errors
 ///
@@ -272,7 +273,7 @@
         escape(&summary(outcome)),
         escape(&troubles),
         plots.concat(),
-        parts("Classes", &outcome.classes),
-        parts("Branches", &outcome.branches),
+        totals_table("Classes", &outcome.classes),
+        totals_table("Branches", &outcome.branches),
     ))
 }
--- a/lab/src/stats.rs
+++ b/lab/src/stats.rs
@@ -1,23 +1,23 @@
-//! Means over seeds with their intervals.
+//! Means over seeds with confidence intervals.
 
 use serde::{Deserialize, Serialize};
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
-/// A mean with the half-width of its 95 % interval (Student's t).
+/// A mean with the half-width of its 95 % confidence interval (Student's t).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Estimate {
     /// The mean.
     pub mean: f64,
-    /// It lies this far up or down with 95 % confidence; 0 where there is one value only.
+    /// Half-width of the 95 % confidence interval; 0 if there is only one value.
     pub half: f64,
-    /// The least value.
+    /// The smallest value.
     pub least: f64,
-    /// How many values.
+    /// The number of values.
     pub count: usize,
 }
 
 impl Estimate {
-    /// Of these values.
+    /// Estimates the mean of these values.
     pub fn of(values: &[f64]) -> Self {
         let count = values.len();
         if count == 0 {
--- a/lab/src/stats/tests.rs
+++ b/lab/src/stats/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Guards the intervals of all tables: the textbook's value for four numbers.
+/// Checks the confidence interval against the textbook value for four numbers.
 #[test]
 fn the_interval_is_students() {
     let estimate = Estimate::of(&[1.0, 2.0, 3.0, 4.0]);
--- a/lab/tests/cli.rs
+++ b/lab/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The tool as a process: what it writes, and what it says of bad input.
+//! Tests of the command-line tool as a process: its result files and its error messages.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -25,7 +25,8 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// Guards the results on disk: all are there, what is read back is the same, and a foreign format is named.
+/// Checks that a run writes all result files, that repeating or redrawing it gives the same bytes, and that
+/// another format version is rejected.
 #[test]
 fn a_run_writes_all_of_its_results_and_they_can_be_drawn_again() {
     let folder = folder("simulate");
@@ -57,7 +58,7 @@
     fs::remove_dir_all(folder).expect("the folder");
 }
 
-/// Guards comparisons against an order that shows: one thread and four write the same bytes.
+/// Checks that a comparison writes the same bytes on one thread and on four.
 #[test]
 fn a_comparison_is_the_same_on_one_thread_and_on_four() {
     let folder = folder("compare");
@@ -87,8 +88,8 @@
     fs::remove_dir_all(folder).expect("the folder");
 }
 
-/// Guards people against guessing: bad input is named by file, line and field, and the exit code tells it
-/// from a broken rule.
+/// Checks that error messages name the file, line and field of bad input, with an exit code other than that
+/// of a broken rule.
 #[test]
 fn bad_input_is_named_by_its_place() {
     let folder = folder("bad");
@@ -110,7 +111,7 @@
     fs::remove_dir_all(folder).expect("the folder");
 }
 
-/// Guards the scenarios that come along: each is read, and says what it is about.
+/// Checks that all scenarios of the repository can be read and have a description.
 #[test]
 fn the_scenarios_that_come_along_make_sense() {
     let listed = lab(&["scenarios"]);
