--- a/emulator/src/evaluation.rs
+++ b/emulator/src/evaluation.rs
@@ -73,7 +73,7 @@
 /// Records breaches of the rules, and the history of one request.
 #[derive(Default)]
 pub struct RuleMonitor {
-    /// The first [`MAX_DETAILED_BREACHES`] breaches.
+    /// The first `MAX_DETAILED_BREACHES` breaches.
     pub breaches: Vec<Breach>,
     /// The number of breaches of each rule.
     pub counts: [u64; Rule::ALL.len()],
