--- a/emulator/src/balancer.rs
+++ b/emulator/src/balancer.rs
@@ -212,9 +212,9 @@
     /// Kills a balancer process without draining.
     pub fn crash(&mut self, number: u32) {
         let [low, high] = self.scenario.balancers.notice_s;
-        let notice = seconds(self.front_random.between(low, high));
+        let detection_delay = seconds(self.front_random.between(low, high));
         self.end_process(number);
-        self.balancers[number as usize].routable_until = self.now + notice;
+        self.balancers[number as usize].routable_until = self.now + detection_delay;
     }
 
     /// Ends a balancer process, after a crash or a drain.
@@ -618,8 +618,8 @@
     /// was told that it drains or is gone.
     fn check_drain_grace(&mut self, number: u32, to: u32, request_id: u64) {
         let grace = millis(self.scenario.rules.drain_grace_ms);
-        let notice = self.balancers[number as usize].notice_of(to).closed_at;
-        if let Some(at) = notice.filter(|at| self.now > at + grace) {
+        let closed_at = self.balancers[number as usize].notice_of(to).closed_at;
+        if let Some(at) = closed_at.filter(|at| self.now > at + grace) {
             let what = || format!("b{number} sends it to s{to}, told closed at {:.3} s", at as f64 / 1e6);
             self.rule_monitor.breach(Rule::DrainKept, self.now, request_id, what);
         }
--- a/emulator/src/clients.rs
+++ b/emulator/src/clients.rs
@@ -297,8 +297,8 @@
         let (count, zones) = (self.balancers.len() as u32, self.scenario.fleet.zones);
         // Balancers are assigned to the zones round-robin.
         let here = (count + zones - 1 - zone.min(zones - 1)) / zones;
-        let is_routable = (0..here).map(|n| zone + n * zones).filter(|at| self.is_routable(*at));
-        let mut candidates: SmallVec<[u32; 64]> = is_routable.collect();
+        let routable = (0..here).map(|n| zone + n * zones).filter(|at| self.is_routable(*at));
+        let mut candidates: SmallVec<[u32; 64]> = routable.collect();
         if candidates.is_empty() {
             candidates = (0..count).filter(|at| self.is_routable(*at)).collect();
         }
