--- a/emulator/src/balancer.rs
+++ b/emulator/src/balancer.rs
@@ -49,6 +49,7 @@
 /// A balancer host and its current process.
 pub struct Balancer {
     pub zone: u32,
+    /// Whether a process runs on the host.
     pub alive: bool,
     /// The incarnation of the process, increased each time that one ends.
     pub incarnation: u32,
@@ -61,15 +62,21 @@
     timer_at: Micros,
     /// CPU time available now, in microseconds; negative while it is behind.
     cpu_tokens: f64,
+    /// When `cpu_tokens` was last refilled.
     tokens_refilled_at: Micros,
+    /// It has an active watch of the server list.
     pub watching: bool,
+    /// It has requested the list and waits for the answer.
     pub list_requested: bool,
     /// This process has received a list from discovery.
     pub list_received: bool,
+    /// When it next requests the list, in the mode `asked`.
     pub poll_at: Micros,
     /// Version of the last list change that it has received.
     pub list_version: u32,
+    /// When the latest message of discovery to it is delivered, so that messages keep their order.
     pub last_delivery_at: Micros,
+    /// By app server: what it was told.
     notices: Vec<ServerNotice>,
     /// Defects of earlier processes.
     defects_of_past_processes: u64,
@@ -98,11 +105,15 @@
     pub probe: bool,
     /// The id of the client's request; 0 for a probe.
     pub request_id: u64,
+    /// The index of the balancer that sent it.
     pub balancer: u32,
     balancer_incarnation: u32,
+    /// The attempt's number within the client's request.
     attempt: u32,
+    /// The index of the app server.
     pub server: u32,
     pub server_incarnation: u32,
+    /// The content key.
     pub key: u32,
     /// Work if the content key is not cached, in microseconds on a standard core.
     pub work: f64,
@@ -121,6 +132,7 @@
     pub abandoned: bool,
     /// Its connection is reset after the work is done, before the answer arrives.
     pub reset_on_return: bool,
+    /// How it ended.
     cause: Cause,
     /// The load report in its answer.
     report: Option<LoadReport>,
--- a/emulator/src/clients.rs
+++ b/emulator/src/clients.rs
@@ -13,6 +13,7 @@
 /// A logical request: a first try and its retries.
 #[derive(Clone, Debug)]
 pub struct LogicalRequest {
+    /// Its attributes for the metrics.
     pub info: RequestInfo,
     /// The client's zone.
     zone: u32,
@@ -22,6 +23,7 @@
     pub hint: Option<Micros>,
     /// The client's deadline.
     ends: Micros,
+    /// Tries sent so far.
     tries: u32,
 }
 
@@ -35,11 +37,15 @@
     /// Its work in microseconds on a standard core, if its key is not cached.
     pub work: f64,
     pub request_id: u64,
+    /// The index of the balancer that it was sent to.
     pub balancer: u32,
+    /// When its client stops waiting for the answer.
     pub gives_up_at: Micros,
     /// The balancer has received all of it.
     pub accepted: bool,
+    /// The balancer has answered, or the client has disconnected.
     pub answered: bool,
+    /// The first answer that was sent to the client.
     pub answer: Option<Answer>,
     /// The client still waits for the answer.
     client_waits: bool,
@@ -49,6 +55,7 @@
     pub runs: u32,
     /// For a keyed class: the deduplication group of the first run, and when that attempt was sent.
     pub first_run: Option<(u32, Micros)>,
+    /// Its attempts that have not ended, with their numbers.
     pub upstream_requests: SmallVec<[(u32, UpstreamRequestKey); 2]>,
 }
 
@@ -75,8 +82,11 @@
     keys: AliasTable,
     zones: AliasTable,
     rate: f64,
+    /// The course of the rate over the day.
     course: LoadShape,
+    /// Amplitude of the sine wave on the rate, relative to the mean.
     swing: f64,
+    /// Period of that wave, in microseconds.
     swing_us: f64,
     length: f64,
     /// Hot keys: trouble index, share of all traffic, keys.
@@ -85,9 +95,11 @@
     heavy: Vec<(u32, usize, f64, f64)>,
     /// Traffic ramp-downs: start, duration, remaining share of traffic.
     ramp_downs: Vec<(Micros, Micros, f64)>,
+    /// The factor of active surges on the rate.
     rate_factor: f64,
     /// Token buckets of the branches' quotas: tokens, and when they were last refilled.
     quota_tokens: Vec<(f64, Micros)>,
+    /// Quotas of the branches, in requests per second.
     quotas: Vec<f64>,
 }
 
@@ -211,10 +223,13 @@
 pub struct ClientBehaviour {
     stream: Stream,
     retries: u32,
+    /// Immediate retries during a retry storm.
     retry_storm: Option<u32>,
     try_share: f64,
     backoff: Micros,
+    /// Share of clients that wait for the retry delay of a refusal.
     honours_pause: f64,
+    /// Share of tries whose client disconnects before its time-out.
     disconnect_share: f64,
 }
 
--- a/emulator/src/server.rs
+++ b/emulator/src/server.rs
@@ -65,7 +65,9 @@
 /// An attempt or deep probe in work.
 #[derive(Clone, Copy, Debug)]
 pub struct Job {
+    /// The attempt or probe that it works on.
     pub key: UpstreamRequestKey,
+    /// When it will be done.
     pub ends: Micros,
     /// The share of its running time in which it needs a core; in the rest it waits on I/O.
     pub busy: f64,
@@ -79,6 +81,7 @@
     pub kind: u32,
     pub cell: u32,
     pub cores: u32,
+    /// Its speed relative to a standard core.
     pub speed: f64,
     /// The incarnation of the process, increased at each start and stop.
     pub incarnation: u32,
@@ -87,6 +90,7 @@
     pub started: Micros,
     /// Queued attempts, in order of arrival.
     pub waiting: VecDeque<UpstreamRequestKey>,
+    /// The sum of the work of the queued attempts.
     pub waiting_work: f64,
     /// Jobs in progress.
     pub working: Vec<Job>,
@@ -99,6 +103,7 @@
     /// The share of requests that it answers immediately with an error.
     pub errors: f64,
     idle_pools: Vec<IdlePool>,
+    /// Open connections, idle or in use.
     pub connections: u32,
     /// What reached it recently while it was cold: time, work, and whether the sending balancer had been told
     /// of its start.
--- a/emulator/src/world.rs
+++ b/emulator/src/world.rs
@@ -77,25 +77,34 @@
     pub client_behaviour: ClientBehaviour,
     pub logical_requests: SlotMap<LogicalRequestKey, LogicalRequest>,
     pub client_requests: SlotMap<ClientRequestKey, ClientRequest>,
+    /// Attempts and probes that have not ended.
     pub upstream_requests: SlotMap<UpstreamRequestKey, UpstreamRequest>,
+    /// The id of the latest client request; counts first tries and retries.
     pub last_request_id: u64,
     pub balancers: Vec<Balancer>,
     pub servers: Vec<Server>,
     pub ground_truth: Rc<GroundTruth>,
     pub network: Network,
+    /// Random numbers of the front.
     pub front_random: Stream,
+    /// Random numbers of attempts.
     pub attempt_random: Stream,
     discovery: Discovery,
+    /// Changes reported to discovery, which the events of their detection refer to by index.
     pending_updates: Vec<Entry>,
+    /// Random numbers of troubles.
     trouble_random: Stream,
     /// The app servers or balancers that each trouble affects, by trouble, to end its effect on them.
     affected: Vec<Vec<u32>>,
     /// Share of attempts whose connection is reset.
     pub reset_rate: f64,
+    /// What the score is computed from.
     pub metrics: Metrics,
     pub rule_monitor: RuleMonitor,
     samples: Samples,
+    /// Reused buffer for inputs of dispatch.
     pub inputs: Inputs,
+    /// Reused buffer for outputs of dispatch.
     pub outputs: Outputs,
 }
 
