--- a/control/src/message.rs
+++ b/control/src/message.rs
@@ -28,7 +28,7 @@
     /// Asks whether the receiver would promise an epoch; binds nobody.
     PreVote {
         /// The round of the pre-vote, which its reply carries.
-        epoch: u64,
+        round: u64,
     },
     /// Reply to a pre-vote.
     PreVoteReply(PreVoteReply),
@@ -99,8 +99,8 @@
 /// Reply to a pre-vote.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PreVoteReply {
-    /// The round of the pre-vote.
-    pub epoch: u64,
+    /// The round of the pre-vote that this replies to.
+    pub round: u64,
     /// Whether the sender would promise an epoch to the candidate.
     pub granted: bool,
     /// The latest promise of the sender.
--- a/control/src/pre_vote.rs
+++ b/control/src/pre_vote.rs
@@ -74,7 +74,7 @@
             pre_vote.granted.insert(self.id, now);
         }
         for member in pre_vote.base_view.view.everyone().iter().filter(|member| member.id != self.id) {
-            self.send(member.address, Body::PreVote { epoch: round }, out);
+            self.send(member.address, Body::PreVote { round }, out);
         }
         self.election.pre_vote = Some(pre_vote);
         self.maybe_campaign(out);
@@ -84,7 +84,7 @@
         &mut self,
         from: SocketAddrV4,
         sender: ReplicaId,
-        epoch: u64,
+        round: u64,
         out: &mut Vec<Output>,
     ) {
         let known = self
@@ -94,7 +94,7 @@
             .is_none_or(|known| known.view.everyone().iter().any(|m| m.id == sender));
         let granted = known && !self.lease_forbids_promise(sender, None);
         let reply = Body::PreVoteReply(PreVoteReply {
-            epoch,
+            round,
             granted,
             promised: self.stored.promised,
             view: self.stored.view.clone(),
@@ -105,7 +105,7 @@
     pub(crate) fn handle_pre_vote_reply(
         &mut self,
         sender: ReplicaId,
-        PreVoteReply { epoch: round, granted, promised, view }: PreVoteReply,
+        PreVoteReply { round, granted, promised, view }: PreVoteReply,
         out: &mut Vec<Output>,
     ) {
         self.observe_epoch(promised.map_or(0, |proposal_number| proposal_number.epoch));
--- a/control/src/replica.rs
+++ b/control/src/replica.rs
@@ -221,7 +221,7 @@
         match message.body {
             Body::Heartbeat { epoch, sent } => self.handle_heartbeat(from, sender, epoch, sent, out),
             Body::HeartbeatReply(reply) => self.handle_heartbeat_reply(from, sender, reply, out),
-            Body::PreVote { epoch } => self.handle_pre_vote(from, sender, epoch, out),
+            Body::PreVote { round } => self.handle_pre_vote(from, sender, round, out),
             Body::PreVoteReply(reply) => self.handle_pre_vote_reply(sender, reply, out),
             Body::Prepare(prepare) => self.handle_prepare(from, sender, prepare, out),
             Body::Promise(promise) => self.handle_promise(sender, promise, out),
--- a/control/tests/late_heartbeats.rs
+++ b/control/tests/late_heartbeats.rs
@@ -36,7 +36,7 @@
 
 /// Whether place 1 would promise an epoch to place 2 at this time.
 fn is_free(cluster: &mut Cluster, at: u64) -> bool {
-    let said = answers(cluster, at, 2, Body::PreVote { epoch: 9 });
+    let said = answers(cluster, at, 2, Body::PreVote { round: 9 });
     said.iter().any(|body| matches!(body, Body::PreVoteReply(PreVoteReply { granted: true, .. })))
 }
 
--- a/proto/src/control/message.rs
+++ b/proto/src/control/message.rs
@@ -105,8 +105,9 @@
 impl BodyFields for PreVoteReply {
     const VARIANT: u64 = variant::PRE_VOTE_REPLY;
 
+    /// The epoch field of a pre-vote carries its round.
     fn epoch(&self) -> u64 {
-        self.epoch
+        self.round
     }
 
     fn encode_fields(&self, to: &mut FieldWriter) {
@@ -117,7 +118,7 @@
 
     fn decode_fields(fields: &Fields<'_>, epoch: u64) -> Result<Self, DecodeError> {
         Ok(PreVoteReply {
-            epoch,
+            round: epoch,
             granted: fields.bool(field::GRANTED),
             promised: fields.optional_message(field::PROMISED)?,
             view: fields.optional_message(field::VIEW)?,
@@ -279,7 +280,7 @@
                 to.uint64(field::SENT, *sent);
             }
             Body::HeartbeatReply(reply) => encode_body(to, reply),
-            Body::PreVote { epoch } => header(to, variant::PRE_VOTE, *epoch),
+            Body::PreVote { round } => header(to, variant::PRE_VOTE, *round),
             Body::PreVoteReply(reply) => encode_body(to, reply),
             Body::Prepare(prepare) => encode_body(to, prepare),
             Body::Promise(promise) => encode_body(to, promise),
@@ -320,7 +321,7 @@
     Ok(match fields.uint64(field::VARIANT) {
         variant::HEARTBEAT => Body::Heartbeat { epoch, sent: fields.uint64(field::SENT) },
         variant::HEARTBEAT_REPLY => Body::HeartbeatReply(BodyFields::decode_fields(fields, epoch)?),
-        variant::PRE_VOTE => Body::PreVote { epoch },
+        variant::PRE_VOTE => Body::PreVote { round: epoch },
         variant::PRE_VOTE_REPLY => Body::PreVoteReply(BodyFields::decode_fields(fields, epoch)?),
         variant::PREPARE => Body::Prepare(BodyFields::decode_fields(fields, epoch)?),
         variant::PROMISE => Body::Promise(BodyFields::decode_fields(fields, epoch)?),
--- a/proto/tests/common/mod.rs
+++ b/proto/tests/common/mod.rs
@@ -160,10 +160,10 @@
                 })
             }
         ),
-        number().prop_map(|epoch| Body::PreVote { epoch }),
+        number().prop_map(|round| Body::PreVote { round }),
         (number(), any::<bool>(), option::of(proposal_number()), option::of(known_view())).prop_map(
-            |(epoch, granted, promised, view)| Body::PreVoteReply(PreVoteReply {
-                epoch,
+            |(round, granted, promised, view)| Body::PreVoteReply(PreVoteReply {
+                round,
                 granted,
                 promised,
                 view
--- a/proto/tests/golden.rs
+++ b/proto/tests/golden.rs
@@ -217,14 +217,14 @@
         activation_durable: false,
     });
     golden.check("lease/echo/default", &from_default_sender(echo));
-    golden.check("lease/poll", &from_sender(Body::PreVote { epoch: 301 }));
-    golden.check("lease/poll/default", &from_default_sender(Body::PreVote { epoch: 0 }));
+    golden.check("lease/poll", &from_sender(Body::PreVote { round: 301 }));
+    golden.check("lease/poll/default", &from_default_sender(Body::PreVote { round: 0 }));
     let (promised, view) = (Some(proposal_number()), Some(known_view()));
     golden.check(
         "lease/poll_reply",
-        &from_sender(Body::PreVoteReply(PreVoteReply { epoch: 301, granted: true, promised, view })),
+        &from_sender(Body::PreVoteReply(PreVoteReply { round: 301, granted: true, promised, view })),
     );
-    let reply = Body::PreVoteReply(PreVoteReply { epoch: 0, granted: false, promised: None, view: None });
+    let reply = Body::PreVoteReply(PreVoteReply { round: 0, granted: false, promised: None, view: None });
     golden.check("lease/poll_reply/default", &from_default_sender(reply));
     golden.check_all_compared();
 }
