--- a/control/src/accept_phase.rs
+++ b/control/src/accept_phase.rs
@@ -25,11 +25,12 @@
         accepted.insert(sender);
         let mut known = KnownView { view: Arc::clone(view), active: false };
         known.active = self.config.injected_fault.skips_previous_members();
-        let data_set = view.backups.iter().all(|id| accepted.contains(id)) && accepted.contains(&self.id);
-        if data_set && known.quorum(accepted) {
-            let answered = accepted.iter().chain(campaign.promises.keys()).copied().collect();
+        let data_set_accepted =
+            view.backups.iter().all(|id| accepted.contains(id)) && accepted.contains(&self.id);
+        if data_set_accepted && known.quorum(accepted) {
+            let replied = accepted.iter().chain(campaign.promises.keys()).copied().collect();
             self.election.campaign = None;
-            self.become_primary(known.view, &answered, out);
+            self.become_primary(known.view, &replied, out);
         }
     }
 
--- a/control/src/acceptor.rs
+++ b/control/src/acceptor.rs
@@ -21,9 +21,8 @@
         if self.config.injected_fault.ignores_lease() {
             return false;
         }
-        let own_lead = candidate != self.id && self.leading(self.now()).is_some();
-        own_lead
-            || self.lease_grant.granted.is_some_and(|grant| grant.blocks(self.now(), candidate, released))
+        let leads = candidate != self.id && self.leading(self.now()).is_some();
+        leads || self.lease_grant.granted.is_some_and(|grant| grant.blocks(self.now(), candidate, released))
     }
 
     pub(crate) fn handle_prepare(
@@ -36,13 +35,13 @@
         self.observe_epoch(epoch);
         let proposal_number = ProposalNumber { epoch, candidate: sender };
         let repeated = self.stored.promised == Some(proposal_number);
-        let member = self
+        let is_member = self
             .stored
             .view
             .as_ref()
             .is_none_or(|known| known.view.everyone().iter().any(|m| m.id == sender));
         if !repeated
-            && (epoch <= self.promised_epoch() || !member || self.lease_forbids_promise(sender, released))
+            && (epoch <= self.promised_epoch() || !is_member || self.lease_forbids_promise(sender, released))
         {
             let rejection = Body::Reject(Reject {
                 epoch,
@@ -85,7 +84,8 @@
         })
     }
 
-    /// Notes that the data goes to a candidate, unless it went before and may still be on its way.
+    /// Whether the data is to be sent with a promise: not if it was sent before and may still be in transit. Records
+    /// the transmission if so.
     fn should_send_snapshot(
         &mut self,
         proposal_number: ProposalNumber,
@@ -126,10 +126,10 @@
         self.persist(Vec::new(), effect, out);
     }
 
-    /// A view that names this replica as a backup before it has the data; no candidate sends one.
+    /// Whether the view names this replica as a backup before it has the data; no candidate sends such a view.
     fn names_backup_without_data(&self, view: &View) -> bool {
         let installed = self.stored.data.as_ref().is_some_and(|data| data.position.epoch >= view.epoch);
-        let lacking = view.backups.contains(&self.id) && view.epoch > BOOTSTRAP_EPOCH && !installed;
-        lacking && !self.config.injected_fault.accepts_before_install()
+        let lacks_data = view.backups.contains(&self.id) && view.epoch > BOOTSTRAP_EPOCH && !installed;
+        lacks_data && !self.config.injected_fault.accepts_before_install()
     }
 }
--- a/control/src/campaign.rs
+++ b/control/src/campaign.rs
@@ -12,17 +12,19 @@
     transmission::{state_bytes, transfer_time},
 };
 
-/// A campaign that takes longer, besides its writes and transfers, starts again with a higher epoch.
+/// Time limit of a campaign, to which the time for its writes and transfers is added. A campaign that exceeds it is
+/// abandoned; the next one uses a higher epoch.
 const CAMPAIGN_TIMEOUT: Micros = 1_200 * MILLISECOND;
-/// Writes of a campaign that follow one another: the candidate's promise, the others' promises, the state, the view.
+/// Writes of a campaign that run one after the other: the candidate's promise, the others' promises, the state, the
+/// view.
 const CAMPAIGN_WRITES: Micros = 4;
-/// For each campaign in a row that had a quorum and timed out, the next may take so much longer: disks of other members
-/// may be slower than the candidate's own.
+/// Each consecutive campaign that had a quorum and timed out extends the time limit of the next one by this: disks of
+/// other members may be slower than the candidate's own.
 const TIMEOUT_EXTENSION: Micros = 600 * MILLISECOND;
-/// At most so many campaigns in a row extend the time limit.
+/// At most this many consecutive campaigns extend the time limit.
 const MAX_EXTENSIONS: u32 = 3;
-/// A campaign that a rival has interfered with starts again this long after the first rejection, unless it has a
-/// quorum.
+/// A campaign that was rejected because of a rival candidate is abandoned this long after the first rejection, unless
+/// it has a quorum.
 const REJECTED_CAMPAIGN_TIMEOUT: Micros = 250 * MILLISECOND;
 
 /// The content of a member's promise.
@@ -81,7 +83,7 @@
     pub position: Option<LogPosition>,
     pub promises: BTreeMap<ReplicaId, ReceivedPromise>,
     pub rejected: BTreeSet<ReplicaId>,
-    /// When a member first rejected the campaign because of a rival.
+    /// When a member first rejected the campaign because of a rival candidate.
     pub rejected_since: Option<Micros>,
     pub quorum_since: Option<Micros>,
     pub membership: Option<Membership>,
@@ -95,8 +97,8 @@
 impl Campaign {
     pub fn has_quorum(&self, fault: FaultInjection) -> bool {
         let present = self.promises.keys().copied().collect();
-        let holder = self.promises.keys().any(|id| self.usable_position(*id).is_some());
-        self.base_view.quorum(&present) && (holder || fault.takes_any_data())
+        let data_available = self.promises.keys().any(|id| self.usable_position(*id).is_some());
+        self.base_view.quorum(&present) && (data_available || fault.takes_any_data())
     }
 
     /// The position that a member reported, if it belongs to the data set of the latest view.
@@ -114,8 +116,8 @@
     pub fn deadline(&self) -> Micros {
         let rejected =
             self.rejected_since.filter(|_| self.stage.collecting_promises() && self.quorum_since.is_none());
-        let ends = self.started + self.time_limit();
-        rejected.map_or(ends, |since| ends.min(since + REJECTED_CAMPAIGN_TIMEOUT))
+        let deadline = self.started + self.time_limit();
+        rejected.map_or(deadline, |since| deadline.min(since + REJECTED_CAMPAIGN_TIMEOUT))
     }
 
     fn time_limit(&self) -> Micros {
--- a/control/src/config.rs
+++ b/control/src/config.rs
@@ -11,7 +11,7 @@
 pub struct ReplicaConfig {
     /// The internal address of this machine.
     pub address: SocketAddrV4,
-    /// Its zone.
+    /// The zone of this machine.
     #[builder(setter(into))]
     pub zone: Arc<str>,
     /// Whether the system starts for the first time.
@@ -39,7 +39,7 @@
     /// Seed of the jitter between the campaigns of replicas.
     #[builder(default = 0)]
     pub seed: u64,
-    /// A fault for tests that show that the tests notice it; never set in service.
+    /// A fault to inject, by which tests show that they detect it; never set in production.
     #[builder(default, setter(into))]
     pub injected_fault: FaultInjection,
 }
--- a/control/src/disaster_recovery.rs
+++ b/control/src/disaster_recovery.rs
@@ -1,8 +1,9 @@
-//! Recovery by an operator's decision once a quorum is lost for good: one replica's stored state becomes a view of its own.
+//! Recovery by decision of an operator after a quorum is lost for good: one replica forms a view of its own from its
+//! stored state.
 //!
-//! It gives up what the protocol guards: changes that only lost replicas held are gone, and nothing but the operator rules
-//! out that a quorum of the old view still runs. So it is a pure function of the stored state, and only a command of the
-//! stopped node calls it.
+//! This gives up guarantees of the protocol: changes that only lost replicas held are gone, and only the operator can
+//! rule out that a quorum of the old view still runs. So it is a pure function of the stored state, and only a command
+//! of the stopped node calls it.
 
 use std::sync::Arc;
 
@@ -10,8 +11,8 @@
 
 use crate::{Data, KnownView, LogPosition, Member, Record, RecoveredState, View};
 
-/// The epoch of the recovered view lies so far above any that this replica has seen: lost replicas may have seen later
-/// ones, and their fencing tokens may have reached servers.
+/// The epoch of the recovered view is higher by this than any that this replica has seen: lost replicas may have seen
+/// later epochs, and fencing tokens of those may have reached servers.
 pub const EPOCH_GAP: u64 = 1_000_000;
 
 /// What to recover from.
@@ -26,7 +27,7 @@
 /// Why a stored state can't be recovered from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum RecoveryError {
-    /// The replica was a witness: it voted, and held no data.
+    /// The replica was a witness: it voted, but held no data.
     #[snafu(display("this replica holds no state; recover at one that was primary or backup"))]
     NoState,
     /// The replica holds a state, so that an empty one would throw it away.
@@ -34,7 +35,7 @@
     StateExists,
 }
 
-/// What a recovery writes, and what it amounts to.
+/// What a recovery writes, and what it keeps and gives up.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RecoveryPlan {
     /// To be written to the replica's disk, in this order.
@@ -65,9 +66,9 @@
         (RecoverySource::EmptyState, None) => Data::default(),
     };
     let known = stored.view.as_ref().map(|known| &known.view);
-    let promised = stored.promised.map_or(0, |promised| promised.epoch);
-    let viewed = known.map_or(0, |view| view.epoch);
-    let epoch = promised.max(viewed).max(state.position.epoch) + EPOCH_GAP;
+    let promised_epoch = stored.promised.map_or(0, |promised| promised.epoch);
+    let view_epoch = known.map_or(0, |view| view.epoch);
+    let epoch = promised_epoch.max(view_epoch).max(state.position.epoch) + EPOCH_GAP;
     let view = Arc::new(View {
         epoch,
         primary: member.id,
--- a/control/src/disk.rs
+++ b/control/src/disk.rs
@@ -6,9 +6,10 @@
 
 /// A disk that works on its oldest pending write for longer than this is unhealthy.
 const SLOW_WRITE: Micros = 600 * MILLISECOND;
-/// So is one whose oldest pending write has waited longer than this, earlier writes included.
+/// A disk whose oldest pending write was issued longer ago than this is unhealthy too: this includes the time that the
+/// write waited for earlier ones.
 const SLOW_QUEUE: Micros = 1_800 * MILLISECOND;
-/// Each write lets the longest recent one decay by one part in this many.
+/// With each completed write, the recent write time decays by one part in this many.
 const RECENT_WRITE_DECAY: Micros = 4;
 /// Delay between a failed write and the next one.
 const RETRY_INTERVAL: Micros = 500 * MILLISECOND;
@@ -50,7 +51,7 @@
     stale: bool,
     failing: bool,
     last_failure: Micros,
-    /// How long writes have taken lately: the longest one, which later ones let decay.
+    /// The longest time that a recent write took; it decays with each completed write.
     recent_write: Micros,
     last_completion: Micros,
 }
@@ -84,8 +85,8 @@
     /// When the oldest pending write makes the disk unhealthy.
     fn slow_at(&self) -> Option<Micros> {
         let oldest = self.outstanding.front()?;
-        let begun = oldest.issued.max(self.last_completion);
-        Some((begun + SLOW_WRITE).min(oldest.issued + SLOW_QUEUE))
+        let started = oldest.issued.max(self.last_completion);
+        Some((started + SLOW_WRITE).min(oldest.issued + SLOW_QUEUE))
     }
 
     /// How long a write takes at present, as far as completed writes tell; at most [`SLOW_WRITE`].
@@ -137,7 +138,7 @@
 
     /// Completes a durable write and returns the effects that waited for it.
     pub fn complete_write(&mut self, now: Micros, write_id: WriteId) -> Vec<Effect> {
-        let Some(write) = self.take(write_id) else { return Vec::new() };
+        let Some(write) = self.remove(write_id) else { return Vec::new() };
         self.last_completion = now;
         let decayed = self.recent_write - self.recent_write / RECENT_WRITE_DECAY;
         self.recent_write = now.saturating_sub(write.issued).max(decayed);
@@ -151,7 +152,7 @@
 
     /// Completes a failed write, and invalidates all that were started after it.
     pub fn fail_write(&mut self, now: Micros, write_id: WriteId) {
-        if self.take(write_id).is_none() {
+        if self.remove(write_id).is_none() {
             return;
         }
         for later in &mut self.outstanding {
@@ -162,7 +163,7 @@
         self.last_failure = now;
     }
 
-    fn take(&mut self, write_id: WriteId) -> Option<PendingWrite> {
+    fn remove(&mut self, write_id: WriteId) -> Option<PendingWrite> {
         let index = self.outstanding.iter().position(|write| write.write_id == write_id)?;
         self.outstanding.remove(index)
     }
--- a/control/src/election.rs
+++ b/control/src/election.rs
@@ -35,25 +35,26 @@
     pub waived_timeout: Micros,
     pub pre_vote: Option<PreVote>,
     pub campaign: Option<Campaign>,
-    /// The latest campaign began because another primary's heartbeats were missing, not at its request.
+    /// Whether the latest campaign began because another primary's heartbeats were missing, and not by a leadership
+    /// transfer from it.
     pub campaign_after_timeout: bool,
     /// Campaigns of this replica in a row that had a quorum and timed out.
     pub campaign_timeouts: u32,
     /// The latest candidate that was sent the data with a promise.
     pub snapshot_sent: Option<SnapshotSent>,
-    /// State of the generator that spreads campaigns.
-    pub random: u64,
+    /// State of the pseudo-random generator for retry delays and the numbers of pre-vote rounds.
+    pub random_state: u64,
 }
 
 impl Replica {
     pub(crate) fn election_deadline(&self) -> Option<Micros> {
         if let Some(campaign) = &self.election.campaign {
-            let gathered = campaign
+            let grace_period_end = campaign
                 .quorum_since
                 .filter(|_| campaign.stage.collecting_promises())
                 .map(|since| since + PROMISE_GRACE_PERIOD);
             let due = campaign.next_send.min(campaign.deadline());
-            return Some(gathered.map_or(due, |gathered| gathered.min(due)));
+            return Some(grace_period_end.map_or(due, |grace_period_end| grace_period_end.min(due)));
         }
         match &self.election.pre_vote {
             Some(pre_vote) => Some(pre_vote.next_send),
@@ -103,7 +104,7 @@
         Some(
             self.election.last_heard
                 + timeout.saturating_sub(self.election.waived_timeout)
-                + self.spread(ELECTION_JITTER),
+                + self.jitter(ELECTION_JITTER),
         )
     }
 
@@ -115,7 +116,7 @@
     }
 
     /// A duration below the limit that depends only on this replica and the epoch.
-    fn spread(&self, limit: u64) -> u64 {
+    fn jitter(&self, limit: u64) -> u64 {
         let mixed = (self.config.seed ^ self.id.0)
             .wrapping_add(self.election.highest_epoch)
             .wrapping_mul(0x9E37_79B9_7F4A_7C15);
@@ -152,7 +153,8 @@
             expected_write: self.disk.expected_write(),
             earlier_timeouts: self.election.campaign_timeouts,
         });
-        // Others are asked only once the own promise is durable, so that a restart never uses an epoch twice.
+        // Other members are asked only once this replica's own promise is durable, so that it never uses an epoch
+        // again after a restart.
         self.persist(vec![Record::Promise(proposal_number)], Some(Effect::OwnPromise { epoch }), out);
     }
 
@@ -206,12 +208,12 @@
 
     /// A pseudo-random number below the limit.
     pub(crate) fn random_below(&mut self, limit: u64) -> u64 {
-        self.election.random = self
+        self.election.random_state = self
             .election
-            .random
+            .random_state
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
-        (self.election.random >> 33) % limit.max(1)
+        (self.election.random_state >> 33) % limit.max(1)
     }
 
     /// A primary that restarts campaigns at once: its lease blocks only others.
--- a/control/src/fault_injection.rs
+++ b/control/src/fault_injection.rs
@@ -1,8 +1,8 @@
-//! Faults that tests build into the protocol, to show that its properties would notice them.
+//! Faults that tests inject into the protocol, to show that their checks detect them.
 //!
 //! Everything that deviates from the protocol on purpose is in this file. Protocol code asks one predicate per fault;
-//! without the feature `fault-injection` each of them is the constant `false`, and the branches behind them are compiled
-//! out of the product.
+//! without the feature `fault-injection` each of them is the constant `false`, and the branches behind them are
+//! compiled out of production builds.
 
 use std::sync::Arc;
 
@@ -10,36 +10,37 @@
     AcceptedHistory, ChangeCheck, ControlState, Data, Lease, LogPosition, Micros, Outcome, Output, Replica,
 };
 
-/// A fault of the protocol, one per broken version that the tests have to catch.
+/// A fault of the protocol. A replica with one is a broken version, which the tests have to detect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InjectedFault {
     /// Acknowledges a change before the backups have it.
     AcknowledgesEarly,
     /// Replies with a promise that isn't on the disk.
     ForgetsPromise,
-    /// Grants an epoch while the lease of another runs.
+    /// Promises an epoch to a candidate while the lease of another replica runs.
     IgnoresLease,
-    /// The primary never stops when its lease expires.
+    /// The primary doesn't stop when its lease expires.
     LeadsForever,
     /// Has a view accepted before its backups hold the data.
     AcceptsBeforeInstall,
-    /// Takes the state from whoever answers, or none, instead of the newest of the data set.
+    /// A candidate takes the state from any member that promised, or an empty one, instead of the newest of the data
+    /// set.
     TakesAnyData,
-    /// Counts any view as active, and never asks the previous members.
-    SkipsPrior,
-    /// Grants again after a restart without waiting for the leases that it forgot.
+    /// A candidate takes any view for active, and so never needs a majority of the previous members.
+    SkipsPreviousMembers,
+    /// Promises epochs after a restart without waiting for the leases that it granted before.
     GrantsAfterRestart,
-    /// Rejects a rival of a pending change before that change is decided.
-    JudgesRivalEarly,
+    /// Rejects a change as a conflict with one that is pending, before that one is committed.
+    RejectsRivalEarly,
     /// A replica that shuts down doesn't wait until others hold its data or it has been removed from the view.
-    EndsAtOnce,
-    /// Enlarges a view although a member doesn't answer, on the request of a joiner that may be gone; and a new primary
-    /// restarts the timeouts of members that didn't answer its campaign.
+    ExitsAtOnce,
+    /// Enlarges a view although a member doesn't reply, on the request of a joiner that may no longer exist; and a new
+    /// primary restarts the timeouts of members that didn't reply in its campaign.
     GrowsAtOnce,
     /// The primary lets its state be read after its lease has expired.
     ReadsWithoutLease,
     /// Forgets the history of accepted configurations when a snapshot is installed.
-    ForgetsOrdersAtInstall,
+    ForgetsHistoryAtInstall,
     /// Installs a snapshot under the position that it had before.
     InstallsWithoutEpoch,
 }
@@ -90,7 +91,7 @@
     }
 
     pub(crate) fn skips_previous_members(self) -> bool {
-        self.is(InjectedFault::SkipsPrior)
+        self.is(InjectedFault::SkipsPreviousMembers)
     }
 
     pub(crate) fn grants_after_restart(self) -> bool {
@@ -98,7 +99,7 @@
     }
 
     pub(crate) fn exits_at_once(self) -> bool {
-        self.is(InjectedFault::EndsAtOnce)
+        self.is(InjectedFault::ExitsAtOnce)
     }
 
     pub(crate) fn grows_at_once(self) -> bool {
@@ -122,9 +123,9 @@
         source: LogPosition,
         state: Arc<ControlState>,
     ) -> Data {
-        if self.is(InjectedFault::ForgetsOrdersAtInstall) {
-            let forgetful = ControlState { accepted: AcceptedHistory::default(), ..(*state).clone() };
-            return Data { position, state: Arc::new(forgetful) };
+        if self.is(InjectedFault::ForgetsHistoryAtInstall) {
+            let without_history = ControlState { accepted: AcceptedHistory::default(), ..(*state).clone() };
+            return Data { position, state: Arc::new(without_history) };
         }
         let position = if self.is(InjectedFault::InstallsWithoutEpoch) { source } else { position };
         Data { position, state }
@@ -132,9 +133,10 @@
 }
 
 impl Replica {
-    /// Rejects the rivals of a pending change before it is decided, in the version that does so.
+    /// With [`InjectedFault::RejectsRivalEarly`], rejects queued changes that conflict with a pending change before
+    /// that one is committed.
     pub(crate) fn inject_early_rejections(&mut self, out: &mut Vec<Output>) {
-        if !self.config.injected_fault.is(InjectedFault::JudgesRivalEarly) {
+        if !self.config.injected_fault.is(InjectedFault::RejectsRivalEarly) {
             return;
         }
         let (Some(data), true) = (&self.stored.data, self.leadership.is_some()) else { return };
--- a/control/src/heartbeat.rs
+++ b/control/src/heartbeat.rs
@@ -28,14 +28,14 @@
     }
 
     pub(crate) fn maybe_broadcast_heartbeat(&mut self, out: &mut Vec<Output>) {
-        let (now, every) = (self.now(), self.config.heartbeat_interval);
+        let (now, interval) = (self.now(), self.config.heartbeat_interval);
         let lease_until = self.lease_until();
         let Some(leadership) = self.leadership.as_mut().filter(|lead| now >= lead.next_heartbeat) else {
             return;
         };
-        leadership.next_heartbeat = now + every;
+        leadership.next_heartbeat = now + interval;
         leadership.lease_renewals.record(lease_until);
-        // After a one-way partition members may still receive heartbeats: without this stop they would renew a lease
+        // After a one-way partition members may still receive heartbeats: if these continued, they would renew a lease
         // that the primary can't use, and block its successor.
         if leadership.lease_renewals.quorum_lost(now) {
             return;
@@ -71,8 +71,8 @@
         let Some(leadership) = &self.leadership else { return false };
         let epoch = leadership.epoch;
         let others = leadership.peers.values().filter(|peer| peer.active_epoch_durable == epoch).count();
-        let know = others + usize::from(self.activation_durable());
-        know > self.config.machine_losses.max(1) || know == leadership.view.members.len()
+        let informed = others + usize::from(self.activation_durable());
+        informed > self.config.machine_losses.max(1) || informed == leadership.view.members.len()
     }
 
     pub(crate) fn handle_heartbeat(
@@ -90,9 +90,9 @@
             .stored
             .promised
             .filter(|proposal_number| proposal_number.candidate == sender && proposal_number.epoch >= epoch);
-        let lasting =
+        let promise_durable =
             self.disk.durable_promise().is_some_and(|proposal_number| proposal_number.candidate == sender);
-        let granted = promised.filter(|_| lasting);
+        let granted = promised.filter(|_| promise_durable);
         if let Some(proposal_number) = granted {
             let sent_at = self.sent_at(epoch, sent);
             self.grant_lease(proposal_number, sent_at + self.config.lease_duration);
@@ -114,9 +114,8 @@
         }
     }
 
-    /// The latest time at which a heartbeat was sent, by this replica's clock. It may have been delayed for long and
-    /// its
-    /// sender may be gone: the lease counts from the sending on both sides.
+    /// The latest time at which a heartbeat was sent, by this replica's clock. The heartbeat may have been delayed
+    /// for a long time and its sender may have failed since, so both sides count the lease from the time of sending.
     fn sent_at(&mut self, epoch: u64, sent: Micros) -> Micros {
         let (now, drift) = (self.now(), self.config.clock_drift());
         let known = self.lease_grant.primary_clock.filter(|clock| clock.epoch == epoch);
@@ -161,14 +160,15 @@
         out: &mut Vec<Output>,
     ) {
         let HeartbeatReply { epoch, sent, granted, promised, view_epoch, .. } = reply;
-        let (now, own) = (self.now(), self.stored.promised);
+        let (now, own_promise) = (self.now(), self.stored.promised);
         self.observe_epoch(promised.map_or(0, |proposal_number| proposal_number.epoch));
         let Some(leadership) = self.leadership.as_mut() else { return };
-        let ours = (leadership.first_epoch..=leadership.epoch).contains(&epoch) && sent <= now;
-        if let Some(joiner) = leadership.joiners.get_mut(&sender).filter(|_| ours) {
+        let from_this_leadership =
+            (leadership.first_epoch..=leadership.epoch).contains(&epoch) && sent <= now;
+        if let Some(joiner) = leadership.joiners.get_mut(&sender).filter(|_| from_this_leadership) {
             joiner.record_heartbeat_reply(now, sent, reply.healthy);
         }
-        let Some(peer) = leadership.peers.get_mut(&sender).filter(|_| ours) else { return };
+        let Some(peer) = leadership.peers.get_mut(&sender).filter(|_| from_this_leadership) else { return };
         peer.last_heard = now;
         peer.has_replied = true;
         peer.healthy = reply.healthy;
@@ -179,7 +179,7 @@
         if granted {
             peer.lease_sent = peer.lease_sent.max(Some(sent));
             peer.diverged_since = None;
-        } else if promised > own {
+        } else if promised > own_promise {
             peer.diverged_since = peer.diverged_since.or(Some(now));
         }
         if view_epoch < leadership.epoch {
--- a/control/src/history.rs
+++ b/control/src/history.rs
@@ -6,7 +6,8 @@
 
 /// How many accepted configurations the history holds.
 ///
-/// A day holds hundreds of changes; this is one every ten seconds for a whole day, in about 200 KB encoded.
+/// Operators make hundreds of changes a day; this is enough for one every ten seconds for a whole day, and takes about
+/// 200 KB encoded.
 pub const ACCEPTED_HISTORY_ENTRIES: usize = 8_192;
 
 /// Approximate encoded size of one entry in bytes.
--- a/control/src/joining.rs
+++ b/control/src/joining.rs
@@ -63,11 +63,10 @@
     }
 
     /// Whether it is running, reachable in both directions, and could hold data. A join request alone shows none of
-    /// this:
-    /// it may be a delayed message of a replica that is gone.
+    /// this: it may be a delayed message of a replica that no longer exists.
     pub fn is_ready(&self, now: Micros) -> bool {
-        let there = self.last_reply.is_some_and(|answered| now < answered + LIVENESS_TIMEOUT);
-        self.is_requesting(now) && there && self.healthy
+        let has_replied = self.last_reply.is_some_and(|replied| now < replied + LIVENESS_TIMEOUT);
+        self.is_requesting(now) && has_replied && self.healthy
     }
 }
 
@@ -106,8 +105,9 @@
     ) {
         let now = self.now();
         let Some(leadership) = self.leadership.as_mut() else {
-            let fresh = from == member.address && member.address != self.config.address;
-            let primary = self.other_primary_address().filter(|address| fresh && *address != member.address);
+            let sent_by_joiner = from == member.address && member.address != self.config.address;
+            let primary =
+                self.other_primary_address().filter(|address| sent_by_joiner && *address != member.address);
             if let Some(primary) = primary {
                 self.forward_join(primary, member, first_boot, out);
             }
--- a/control/src/known_view.rs
+++ b/control/src/known_view.rs
@@ -26,9 +26,9 @@
 
     pub(crate) fn handle_bootstrap_durable(&mut self) {
         let Some(known) = self.stored.view.clone() else { return };
-        let untouched =
+        let unchanged_since_bootstrap =
             known.view.epoch == BOOTSTRAP_EPOCH && self.stored.promised == Some(known.view.proposal_number());
-        if untouched && self.leadership.is_none() {
+        if unchanged_since_bootstrap && self.leadership.is_none() {
             let everyone = known.view.members.iter().map(|member| member.id).collect();
             self.start_leadership(known.view, &everyone);
         }
@@ -37,17 +37,17 @@
     /// Learns of a view that exists, whether or not this replica may accept it.
     pub(crate) fn learn_view(&mut self, known: KnownView, out: &mut Vec<Output>) {
         self.observe_epoch(known.view.epoch);
-        let (epoch, own) = (known.view.epoch, self.view_epoch());
+        let (epoch, own_epoch) = (known.view.epoch, self.view_epoch());
         if self.election.campaign.as_ref().is_some_and(|campaign| campaign.epoch == epoch) {
             return;
         }
-        if epoch == own {
+        if epoch == own_epoch {
             if known.active {
                 self.activate_view(out);
             }
             return;
         }
-        if epoch < own {
+        if epoch < own_epoch {
             return;
         }
         let mut records = Vec::new();
--- a/control/src/leadership.rs
+++ b/control/src/leadership.rs
@@ -37,7 +37,7 @@
 pub(crate) struct Leadership {
     pub epoch: u64,
     pub view: Arc<View>,
-    /// The first epoch of this uninterrupted leadership: replies to earlier heartbeats are void.
+    /// The first epoch of this uninterrupted leadership: replies to heartbeats of earlier epochs are ignored.
     pub first_epoch: u64,
     pub peers: BTreeMap<ReplicaId, PeerState>,
     pub joiners: BTreeMap<ReplicaId, Joiner>,
@@ -63,8 +63,8 @@
         let leadership = self.leadership.as_ref()?;
         let sending = leadership.pending.as_ref().filter(|_| self.election.campaign.is_none());
         let resend = sending.map(|pending| pending.next_send);
-        let lapse = self.lease_until().filter(|until| *until > self.now());
-        [Some(leadership.next_heartbeat), resend, lapse].into_iter().flatten().min()
+        let lease_expiry = self.lease_until().filter(|until| *until > self.now());
+        [Some(leadership.next_heartbeat), resend, lease_expiry].into_iter().flatten().min()
     }
 
     pub(crate) fn tick_primary(&mut self, out: &mut Vec<Output>) {
@@ -84,11 +84,11 @@
 
     /// Becomes primary of the view, which is active from now on.
     ///
-    /// `answered` are the members that replied in the campaign for it.
+    /// `replied` are the members that replied in the campaign for it.
     pub(crate) fn become_primary(
         &mut self,
         view: Arc<View>,
-        answered: &BTreeSet<ReplicaId>,
+        replied: &BTreeSet<ReplicaId>,
         out: &mut Vec<Output>,
     ) {
         self.election.campaign_timeouts = 0;
@@ -99,7 +99,7 @@
         }
         out.push(Output::Committed { state: Arc::clone(&self.committed) });
         let pending = self.leadership.as_mut().and_then(|leadership| leadership.pending.take());
-        self.start_leadership(view, answered);
+        self.start_leadership(view, replied);
         if let Some(pending) = pending {
             self.resolve_pending_change(pending, out);
         }
@@ -117,7 +117,7 @@
         }
     }
 
-    pub(crate) fn start_leadership(&mut self, view: Arc<View>, answered: &BTreeSet<ReplicaId>) {
+    pub(crate) fn start_leadership(&mut self, view: Arc<View>, replied: &BTreeSet<ReplicaId>) {
         let now = self.now();
         self.reset_election_timer();
         let before = self.leadership.take();
@@ -134,7 +134,7 @@
         );
         removed.retain(|id, _| view.member(*id).is_none());
         let peers = view.members.iter().filter(|member| member.id != self.id).map(|member| {
-            let fresh = match answered.contains(&member.id) || fresh_timeouts {
+            let fresh = match replied.contains(&member.id) || fresh_timeouts {
                 true => PeerState::new(now),
                 false => PeerState::unresponsive_in_campaign(now),
             };
@@ -157,14 +157,14 @@
         });
     }
 
-    /// Ends the own leadership and any campaign, because another replica was promised an epoch or has formed a view.
+    /// Ends this replica's leadership and campaign, because another replica was promised an epoch or has formed a view.
     pub(crate) fn step_down(&mut self, out: &mut Vec<Output>) {
         self.election.campaign = None;
         self.end_leadership(out);
         self.reject_queued_proposals(out);
     }
 
-    /// Ends the own leadership; the outcome of a change that was being replicated is unknown.
+    /// Ends this replica's leadership; the outcome of a change that was being replicated is unknown.
     pub(crate) fn end_leadership(&mut self, out: &mut Vec<Output>) {
         let Some(leadership) = self.leadership.take() else { return };
         if let Some(proposal_id) = leadership.pending.and_then(|pending| pending.proposal_id) {
--- a/control/src/leadership_transfer.rs
+++ b/control/src/leadership_transfer.rs
@@ -4,8 +4,9 @@
 
 use crate::{Body, Micros, Output, ProposalNumber, Replica, membership::LIVENESS_TIMEOUT, time::MILLISECOND};
 
-/// Interval and total duration of the requests to a backup to become primary.
+/// Interval at which the request to a backup to become primary is repeated.
 const TRANSFER_RESEND_INTERVAL: Micros = 200 * MILLISECOND;
+/// For how long the request is repeated.
 const TRANSFER_TIMEOUT: Micros = 1_000 * MILLISECOND;
 
 /// A transfer that is under way.
@@ -18,15 +19,15 @@
 }
 
 impl Replica {
-    /// Releases the own leases and asks the best backup to become primary.
+    /// Releases this replica's leases and asks the best backup to become primary.
     pub(crate) fn transfer_leadership(&mut self, out: &mut Vec<Output>) {
         let Some(released) = self.stored.promised else { return };
-        let Some(to) = self.transfer_target() else { return };
+        let Some(target) = self.transfer_target() else { return };
         self.step_down(out);
         self.reset_election_timer();
         self.leadership_transfer = Some(LeadershipTransfer {
             released,
-            target: to,
+            target,
             next_send: self.now(),
             deadline: self.now() + TRANSFER_TIMEOUT,
         });
@@ -47,12 +48,12 @@
 
     pub(crate) fn handle_transfer_leadership(&mut self, released: ProposalNumber, out: &mut Vec<Output>) {
         let Some(view) = self.current_view() else { return };
-        let current =
+        let is_valid =
             view.primary == released.candidate && view.holds_data(self.id) && view.epoch <= released.epoch;
-        let free = self.election.campaign.is_none()
+        let idle = self.election.campaign.is_none()
             && self.leadership.is_none()
             && self.promised_epoch() <= released.epoch;
-        if current && free && self.healthy() && !self.lease_forbids_promise(self.id, Some(released)) {
+        if is_valid && idle && self.healthy() && !self.lease_forbids_promise(self.id, Some(released)) {
             self.election.pre_vote = None;
             self.start_campaign(Some(released), None, out);
         }
--- a/control/src/lease.rs
+++ b/control/src/lease.rs
@@ -28,18 +28,18 @@
 impl GrantedLease {
     /// Whether the grant forbids a promise to the candidate.
     pub fn blocks(&self, now: Micros, candidate: ReplicaId, released: Option<ProposalNumber>) -> bool {
-        let given_up = released.is_some_and(|proposal_number| {
+        let released_by_holder = released.is_some_and(|proposal_number| {
             proposal_number.candidate == self.proposal_number.candidate
                 && proposal_number.epoch >= self.proposal_number.epoch
         });
-        now < self.expires_at && candidate != self.proposal_number.candidate && !given_up
+        now < self.expires_at && candidate != self.proposal_number.candidate && !released_by_holder
     }
 }
 
 /// What a member knows of its primary's clock: one heartbeat of that process, and when it arrived.
 ///
-/// An epoch has one primary process, and its monotonic clock is never set: what it sent later in that epoch left
-/// later by as much as its clock says.
+/// An epoch has one primary process, and its monotonic clock is never set: the time between the sending of two of its
+/// heartbeats is the difference of the times that they carry, up to the clock drift.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct PrimaryClock {
     /// The epoch of the heartbeat.
@@ -51,12 +51,11 @@
 }
 
 impl PrimaryClock {
-    /// The latest time at which another heartbeat of the epoch was sent, by the member's clock. The rates of the
-    /// clocks
+    /// The latest time at which another heartbeat of the epoch was sent, by the member's clock. The rates of the clocks
     /// differ by at most one part in `drift`.
     pub fn sent_at(&self, sent: Micros, drift: u64) -> Micros {
-        let later = sent.saturating_sub(self.sent);
-        self.heard + later + later.div_ceil(drift)
+        let elapsed = sent.saturating_sub(self.sent);
+        self.heard + elapsed + elapsed.div_ceil(drift)
     }
 }
 
@@ -80,7 +79,7 @@
     pub diverged_since: Option<Micros>,
 }
 
-/// A member that didn't reply in the campaign of a new primary counts as unresponsive for this long already.
+/// A member that didn't reply in the campaign of a new primary counts as having been unresponsive for this long.
 const UNRESPONSIVE_IN_CAMPAIGN: Micros = 1_300 * MILLISECOND;
 
 impl PeerState {
@@ -102,9 +101,9 @@
         PeerState { last_heard: now.saturating_sub(UNRESPONSIVE_IN_CAMPAIGN), ..PeerState::new(now) }
     }
 
-    /// Whether the member has replied within the span.
-    pub fn is_live(&self, now: Micros, span: Micros) -> bool {
-        self.has_replied && now < self.last_heard + span
+    /// Whether the member has replied within the timeout.
+    pub fn is_live(&self, now: Micros, timeout: Micros) -> bool {
+        self.has_replied && now < self.last_heard + timeout
     }
 }
 
--- a/control/src/lib.rs
+++ b/control/src/lib.rs
@@ -3,8 +3,8 @@
 //!
 //! Each core machine runs one [`Replica`], a state machine without I/O (sans-I/O): the caller passes it messages,
 //! completed writes and the time with [`Replica::handle`], and carries out the [`Output`]s. That keeps the protocol
-//! deterministic, so that tests play thousands of courses of events; it is a crate of its own so that nothing else can
-//! reach into its state.
+//! deterministic, so that tests can simulate thousands of sequences of events. It is a crate of its own so that no
+//! other code can access its state.
 //!
 //! The protocol is primary-backup replication in numbered views (Viewstamped Replication Revisited, Liskov and Cowling
 //! 2012). A view is chosen by Paxos: a candidate gets promises for an epoch, finds the newest state, installs it on the
--- a/control/src/membership.rs
+++ b/control/src/membership.rs
@@ -32,7 +32,7 @@
     pub view: &'a View,
     pub peers: &'a BTreeMap<ReplicaId, PeerState>,
     pub joiners: &'a BTreeMap<ReplicaId, Joiner>,
-    pub change_waits: bool,
+    pub change_pending: bool,
     /// How many machines may be lost at once, and so how many backups the view should have.
     pub losses: usize,
     /// Whether the view no longer depends on the previous members.
@@ -75,9 +75,8 @@
         self.if_reachable(Membership { members, target_size }, joiner.member.id)
     }
 
-    /// Whether one more member keeps the fault tolerance. A larger majority beside an unresponsive member would make
-    /// the
-    /// view depend on each of the others: the joiner waits until that member is back, or replaces it.
+    /// Whether one more member keeps the fault tolerance. Beside an unresponsive member, a larger majority would make
+    /// the view depend on each of the others: the joiner waits until that member is back, or replaces it.
     fn may_grow(&self) -> bool {
         let all_live = self.view.members.iter().all(|member| self.is_live(member.id));
         all_live || tolerable_losses(self.remaining_members() + 1, self.view.members.len() + 1) >= self.losses
@@ -124,15 +123,15 @@
     }
 
     fn backups_need_change(&self) -> bool {
-        let sound = self.view.backups.iter().filter(|id| !self.is_failing(**id)).count();
-        let ailing = self.view.backups.len() - sound;
+        let working = self.view.backups.iter().filter(|id| !self.is_failing(**id)).count();
+        let failing = self.view.backups.len() - working;
         let spare = self.view.members.iter().any(|member| self.is_spare(member.id));
         let missing = self.view.backups.len() < self.losses;
-        (ailing > 0 && (spare || sound > 0)) || (missing && spare)
+        (failing > 0 && (spare || working > 0)) || (missing && spare)
     }
 
     fn is_failing(&self, backup: ReplicaId) -> bool {
-        let timeout = if self.change_waits { BACKUP_TIMEOUT_IN_CHANGE } else { BACKUP_TIMEOUT };
+        let timeout = if self.change_pending { BACKUP_TIMEOUT_IN_CHANGE } else { BACKUP_TIMEOUT };
         self.peers.get(&backup).is_some_and(|peer| !peer.healthy || self.now >= peer.last_heard + timeout)
     }
 
@@ -197,8 +196,8 @@
     /// Keeps the plan only if a majority of the present and of the planned members is live.
     fn if_reachable(&self, membership: Membership, joiner: ReplicaId) -> Option<Membership> {
         let live = |member: &&Member| member.id == joiner || self.is_live(member.id);
-        let enough = |members: &[Member]| members.iter().filter(live).count() * 2 > members.len();
-        (enough(&self.view.members) && enough(&membership.members)).then_some(membership)
+        let live_majority = |members: &[Member]| members.iter().filter(live).count() * 2 > members.len();
+        (live_majority(&self.view.members) && live_majority(&membership.members)).then_some(membership)
     }
 }
 
--- a/control/src/message.rs
+++ b/control/src/message.rs
@@ -25,7 +25,7 @@
     },
     /// Reply to a heartbeat.
     HeartbeatReply(HeartbeatReply),
-    /// Asks whether the receiver would promise an epoch; binds nobody.
+    /// Asks whether the receiver would promise an epoch. The reply is not binding.
     PreVote {
         /// The round of the pre-vote, which its reply carries.
         round: u64,
--- a/control/src/next_view.rs
+++ b/control/src/next_view.rs
@@ -7,20 +7,21 @@
 impl Campaign {
     /// The next view, with backups among the members that have promised and aren't excluded.
     ///
-    /// A planned change of members is deferred if it would leave the primary without a backup, unless the base view has
-    /// no other member that could be one: it would never grow. The joiner becomes a backup in the view after.
-    pub fn next_view(&self, me: &Member, excluded: &BTreeSet<ReplicaId>, losses: usize) -> View {
+    /// A planned change of members is deferred if it would leave the primary without a backup. A base view of one
+    /// member is the exception: it has nobody who could be a backup, so it could never grow. There the joiner becomes
+    /// a backup in the view after the next.
+    pub fn next_view(&self, primary: &Member, excluded: &BTreeSet<ReplicaId>, losses: usize) -> View {
         let membership = self.membership.as_ref().filter(|_| self.base_view.active);
-        let wished = self.compose(membership, me, excluded, losses);
+        let planned = self.compose(membership, primary, excluded, losses);
         let grows_from_one = self.base_view.view.members.len() == 1;
-        let alone = wished.backups.is_empty() && wished.members.len() > 1 && !grows_from_one;
-        if alone { self.compose(None, me, excluded, losses) } else { wished }
+        let without_backup = planned.backups.is_empty() && planned.members.len() > 1 && !grows_from_one;
+        if without_backup { self.compose(None, primary, excluded, losses) } else { planned }
     }
 
     fn compose(
         &self,
         membership: Option<&Membership>,
-        me: &Member,
+        primary: &Member,
         excluded: &BTreeSet<ReplicaId>,
         losses: usize,
     ) -> View {
@@ -31,18 +32,18 @@
             (true, true) => Vec::new(),
             (true, false) => base.members.clone(),
         };
-        // A member that shuts down or has a slow disk has still made its promise durable: better than no backup.
-        let healthy = self.backup_candidates(members, me.id, excluded, true);
+        // A member that shuts down or has a slow disk has still made its promise durable: it is better than no backup.
+        let healthy = self.backup_candidates(members, primary.id, excluded, true);
         let (candidates, count) = match healthy.is_empty() {
-            true => (self.backup_candidates(members, me.id, excluded, false), 1),
+            true => (self.backup_candidates(members, primary.id, excluded, false), 1),
             false => (healthy, losses.max(1)),
         };
         View {
             epoch: self.epoch,
             members: members.clone(),
             previous_members,
-            primary: me.id,
-            backups: choose_backups(&me.zone, candidates, count),
+            primary: primary.id,
+            backups: choose_backups(&primary.zone, candidates, count),
             target_size: membership.map_or(base.target_size, |membership| membership.target_size),
         }
     }
--- a/control/src/pre_vote.rs
+++ b/control/src/pre_vote.rs
@@ -27,7 +27,8 @@
 /// One round of a pre-vote.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PreVoteRound {
-    /// A number that no earlier round had, as far as chance allows; replies carry it.
+    /// Identifies the round in the replies: the current time plus a random number, so that an earlier round with the
+    /// same number is unlikely.
     pub number: u64,
     pub sent_at: Micros,
 }
--- a/control/src/prepare_phase.rs
+++ b/control/src/prepare_phase.rs
@@ -10,7 +10,7 @@
 pub(crate) const PROMISE_GRACE_PERIOD: Micros = 40 * MILLISECOND;
 
 impl Replica {
-    /// The own promise is durable: now others may be asked.
+    /// This replica's own promise is durable: now other members may be asked.
     pub(crate) fn handle_own_promise(&mut self, epoch: u64, out: &mut Vec<Output>) {
         let position = self.stored.data.as_ref().map(|data| data.position);
         let (data, healthy) = (self.stored.data.clone(), self.healthy());
@@ -57,13 +57,13 @@
     }
 
     /// Rebases the campaign on a later view that a member knows.
-    fn maybe_rebase(&mut self, mut shown: KnownView, out: &mut Vec<Output>) {
-        shown.active |= self.config.injected_fault.skips_previous_members();
+    fn maybe_rebase(&mut self, mut reported: KnownView, out: &mut Vec<Output>) {
+        reported.active |= self.config.injected_fault.skips_previous_members();
         let Some(campaign) = self.election.campaign.as_mut() else { return };
-        if shown.view.epoch == campaign.base_view.view.epoch {
-            campaign.base_view.active |= shown.active;
-        } else if shown.view.epoch > campaign.base_view.view.epoch {
-            campaign.base_view = shown;
+        if reported.view.epoch == campaign.base_view.view.epoch {
+            campaign.base_view.active |= reported.active;
+        } else if reported.view.epoch > campaign.base_view.view.epoch {
+            campaign.base_view = reported;
             campaign.membership = None;
             campaign.quorum_since = None;
             self.end_leadership(out);
@@ -71,9 +71,9 @@
             if campaign.base_view.view.epoch >= campaign.epoch
                 || campaign.base_view.view.member(self.id).is_none()
             {
-                let learnt = campaign.base_view.clone();
+                let later_view = campaign.base_view.clone();
                 self.abandon_campaign(out);
-                return self.learn_view(learnt, out);
+                return self.learn_view(later_view, out);
             }
             self.broadcast_prepare(out);
         }
@@ -94,8 +94,8 @@
     pub(crate) fn maybe_start_installation(&mut self, out: &mut Vec<Output>) {
         let Some(campaign) = &self.election.campaign else { return };
         let Some(since) = campaign.quorum_since else { return };
-        let gathered = campaign.all_promised() || self.now() >= since + PROMISE_GRACE_PERIOD;
-        if !campaign.stage.collecting_promises() || !gathered {
+        let promises_complete = campaign.all_promised() || self.now() >= since + PROMISE_GRACE_PERIOD;
+        if !campaign.stage.collecting_promises() || !promises_complete {
             return;
         }
         match self.newest_data() {
@@ -112,9 +112,9 @@
             let any = campaign.promises.values().find_map(|promised| promised.data.clone());
             return Some(any.unwrap_or_default());
         }
-        let best = campaign.promises.keys().filter_map(|id| campaign.usable_position(*id)).max()?;
+        let newest = campaign.promises.keys().filter_map(|id| campaign.usable_position(*id)).max()?;
         let known_data = campaign.promises.values().filter_map(|promised| promised.data.as_ref());
-        known_data.chain(&self.stored.data).find(|data| data.position == best).cloned()
+        known_data.chain(&self.stored.data).find(|data| data.position == newest).cloned()
     }
 
     /// Requests the promises again together with the data, because the candidate's own data turned out to be
--- a/control/src/record.rs
+++ b/control/src/record.rs
@@ -38,7 +38,7 @@
         /// The change.
         change: Change,
     },
-    /// The state is unchanged and has this position from now on.
+    /// The state is unchanged and gets this position.
     Moved(LogPosition),
     /// The replica no longer holds the state.
     SnapshotDiscarded,
--- a/control/src/replica.rs
+++ b/control/src/replica.rs
@@ -43,8 +43,8 @@
     pub(crate) join: JoinState,
     /// Owned by `shutdown.rs`.
     pub(crate) shutdown: ShutdownState,
-    /// The epoch of which the caller was last notified that this replica leads in it.
-    announced: Option<u64>,
+    /// The epoch in which this replica is primary, as last announced to the caller.
+    announced_epoch: Option<u64>,
     now: Micros,
 }
 
@@ -81,14 +81,14 @@
                 campaign_after_timeout: false,
                 campaign_timeouts: 0,
                 snapshot_sent: None,
-                random: config.seed ^ recovered.id.0 ^ 0x9E37_79B9_7F4A_7C15,
+                random_state: config.seed ^ recovered.id.0 ^ 0x9E37_79B9_7F4A_7C15,
             },
             leadership: None,
             leadership_transfer: None,
             queue: Vec::new(),
             join: JoinState { addresses: Vec::new(), next_request: now },
             shutdown: ShutdownState::default(),
-            announced: None,
+            announced_epoch: None,
             now,
             config,
         }
@@ -120,19 +120,19 @@
 
     /// The latest time at which the replica needs an [`Input::Tick`].
     pub fn next_wake(&self) -> Micros {
-        let mut wakes =
+        let mut deadlines =
             vec![self.disk.next_deadline(self.now), self.primary_deadline(), self.election_deadline()];
-        wakes.push(self.leadership_transfer.map(|transfer| transfer.next_send));
-        wakes.push(self.queue.first().map(|proposal| proposal.since + self.config.proposal_timeout));
-        wakes.push(self.wants_to_join().then_some(self.join.next_request));
-        wakes.push(
+        deadlines.push(self.leadership_transfer.map(|transfer| transfer.next_send));
+        deadlines.push(self.queue.first().map(|proposal| proposal.since + self.config.proposal_timeout));
+        deadlines.push(self.wants_to_join().then_some(self.join.next_request));
+        deadlines.push(
             self.shutdown
                 .requested_at
                 .filter(|_| !self.shutdown.exit_announced)
                 .map(|since| since + self.config.shutdown_timeout),
         );
         let idle = self.now + JOIN_INTERVAL;
-        wakes.into_iter().flatten().min().unwrap_or(idle).clamp(self.now + MILLISECOND, idle)
+        deadlines.into_iter().flatten().min().unwrap_or(idle).clamp(self.now + MILLISECOND, idle)
     }
 
     /// Whether this replica became primary because another primary timed out, and not by a leadership transfer.
@@ -255,7 +255,7 @@
         }
     }
 
-    /// Does whatever is due at this time.
+    /// Runs everything that is due at this time.
     fn tick(&mut self, out: &mut Vec<Output>) {
         if self.disk.is_stale() && self.disk.may_write(self.now) {
             self.persist(Vec::new(), None, out);
@@ -271,10 +271,10 @@
 
     fn maybe_announce_leadership(&mut self, out: &mut Vec<Output>) {
         let leading = self.leading(self.now);
-        if leading == self.announced {
+        if leading == self.announced_epoch {
             return;
         }
-        self.announced = leading;
+        self.announced_epoch = leading;
         match leading {
             Some(epoch) => {
                 out.push(Output::BecamePrimary { epoch });
--- a/control/src/replication.rs
+++ b/control/src/replication.rs
@@ -38,7 +38,8 @@
         if let Some(leadership) = self.leadership.as_mut() {
             leadership.pending = Some(pending);
         }
-        // Persisted before it is sent: an effect without records of its own must find this write pending.
+        // Persisted before it is sent: an effect without records is attached to the latest pending write, which has
+        // to be this one.
         self.persist(vec![Record::Changed { position, change }], Some(Effect::OwnChange { position }), out);
         self.maybe_send_change(out);
     }
@@ -54,7 +55,8 @@
             return;
         };
         let LogPosition { epoch, sequence } = pending.position;
-        let repeat = pending.since + REPLICATION_RESEND_INTERVAL <= now && !pending.durable.contains(&own_id);
+        let repeat_write =
+            pending.since + REPLICATION_RESEND_INTERVAL <= now && !pending.durable.contains(&own_id);
         let waiting = view.backups.iter().filter(|id| !pending.durable.contains(id));
         let addresses: Vec<_> =
             waiting.filter_map(|id| view.member(*id)).map(|member| member.address).collect();
@@ -67,7 +69,7 @@
         for address in addresses {
             self.send(address, Body::Replicate(Replicate { epoch, sequence, change: change.clone() }), out);
         }
-        if repeat {
+        if repeat_write {
             self.persist(Vec::new(), Some(Effect::OwnChange { position }), out);
         }
     }
@@ -80,10 +82,10 @@
         out: &mut Vec<Output>,
     ) {
         let position = LogPosition { epoch, sequence };
-        let bound = self.stored.promised == Some(ProposalNumber { epoch, candidate: sender });
-        let backs =
+        let promised = self.stored.promised == Some(ProposalNumber { epoch, candidate: sender });
+        let is_backup =
             self.current_view().is_some_and(|view| view.epoch == epoch && view.backups.contains(&self.id));
-        if !bound || !backs {
+        if !promised || !is_backup {
             return;
         }
         let follows = |data: &Data| data.position.epoch == epoch && data.position.sequence + 1 >= sequence;
@@ -111,16 +113,16 @@
         position: LogPosition,
         out: &mut Vec<Output>,
     ) {
-        let early = self.config.injected_fault.acknowledges_early();
+        let acknowledges_early = self.config.injected_fault.acknowledges_early();
         let Some(leadership) = self.leadership.as_mut() else { return };
         let Some(pending) = leadership.pending.as_mut().filter(|pending| pending.position == position) else {
             return;
         };
         pending.durable.insert(sender);
-        let backups = leadership.view.backups.iter().all(|id| pending.durable.contains(id));
+        let backups_durable = leadership.view.backups.iter().all(|id| pending.durable.contains(id));
         // Once this replica has promised a later epoch, the next view decides about the change.
         let own_epoch = self.stored.promised == Some(leadership.view.proposal_number());
-        if own_epoch && pending.durable.contains(&self.id) && (backups || early) {
+        if own_epoch && pending.durable.contains(&self.id) && (backups_durable || acknowledges_early) {
             self.commit(out);
         }
     }
--- a/control/src/shutdown.rs
+++ b/control/src/shutdown.rs
@@ -19,8 +19,8 @@
         let Some(since) = self.shutdown.requested_at.filter(|_| !self.shutdown.exit_announced) else {
             return;
         };
-        let hasty = self.config.injected_fault.exits_at_once();
-        if hasty || !self.is_needed() || self.now() >= since + self.config.shutdown_timeout {
+        let exits_at_once = self.config.injected_fault.exits_at_once();
+        if exits_at_once || !self.is_needed() || self.now() >= since + self.config.shutdown_timeout {
             self.shutdown.exit_announced = true;
             out.push(Output::ReadyToExit);
         }
@@ -29,11 +29,11 @@
     /// Whether others depend on this replica: it holds data, its view isn't known to be active, or a view with more
     /// members than its target size is about to be replaced by one without it.
     fn is_needed(&self) -> bool {
-        let counted_on = self.stored.view.as_ref().is_some_and(|known| {
+        let needed_by_view = self.stored.view.as_ref().is_some_and(|known| {
             let surplus = known.view.members.len() > known.view.target_size;
-            let goes = surplus && known.view.member(self.id).is_some();
-            !known.active || goes || known.view.holds_data(self.id)
+            let may_be_removed = surplus && known.view.member(self.id).is_some();
+            !known.active || may_be_removed || known.view.holds_data(self.id)
         });
-        self.leadership.is_some() || self.election.campaign.is_some() || counted_on
+        self.leadership.is_some() || self.election.campaign.is_some() || needed_by_view
     }
 }
--- a/control/src/snapshot_installation.rs
+++ b/control/src/snapshot_installation.rs
@@ -36,7 +36,7 @@
             since: now,
         };
         let epoch = campaign.epoch;
-        let record = self.hold_snapshot(position, source.position, &source.state);
+        let record = self.store_snapshot(position, source.position, &source.state);
         self.persist(vec![record], Some(Effect::OwnSnapshot { epoch }), out);
         self.resend_stage(out);
         if self.config.injected_fault.accepts_before_install() {
@@ -44,8 +44,8 @@
         }
     }
 
-    /// Holds the state under a new position, and returns the record of it.
-    fn hold_snapshot(
+    /// Stores the state under a new position, and returns the record to persist.
+    fn store_snapshot(
         &mut self,
         position: LogPosition,
         source: LogPosition,
@@ -67,11 +67,11 @@
         match &campaign.stage {
             Stage::CollectingPromises => {}
             Stage::InstallingSnapshots { view, installed, .. } => {
-                let waiting: Vec<ReplicaId> =
+                let without_snapshot: Vec<ReplicaId> =
                     view.backups.iter().copied().filter(|id| !installed.contains(id)).collect();
                 let (epoch, installed_here) = (campaign.epoch, installed.contains(&self.id));
-                self.keep_other_members_waiting(&waiting, out);
-                waiting.into_iter().for_each(|id| self.send_install_snapshot(id, out));
+                self.resend_prepare_to_others(&without_snapshot, out);
+                without_snapshot.into_iter().for_each(|id| self.send_install_snapshot(id, out));
                 if !installed_here {
                     self.persist(Vec::new(), Some(Effect::OwnSnapshot { epoch }), out);
                 }
@@ -82,12 +82,12 @@
 
     /// Repeats the prepare request to members that have nothing to install, so that their election timers don't
     /// expire.
-    fn keep_other_members_waiting(&self, waiting: &[ReplicaId], out: &mut Vec<Output>) {
+    fn resend_prepare_to_others(&self, without_snapshot: &[ReplicaId], out: &mut Vec<Output>) {
         let Some(campaign) = &self.election.campaign else { return };
         let Stage::InstallingSnapshots { source, .. } = &campaign.stage else { return };
         let (epoch, released) = (campaign.epoch, campaign.released);
         for member in campaign.base_view.view.everyone() {
-            if member.id != self.id && !waiting.contains(&member.id) {
+            if member.id != self.id && !without_snapshot.contains(&member.id) {
                 let position = Some(source.position);
                 self.send(member.address, Body::Prepare(Prepare { epoch, position, released }), out);
             }
@@ -98,11 +98,11 @@
     /// been sent it; a repetition only asks whether it arrived.
     fn send_install_snapshot(&mut self, to: ReplicaId, out: &mut Vec<Output>) {
         let Some(campaign) = self.election.campaign.as_mut() else { return };
-        let shown = campaign.promises.get(&to).and_then(|promised| promised.position);
+        let reported_position = campaign.promises.get(&to).and_then(|promised| promised.position);
         let epoch = campaign.epoch;
         let Stage::InstallingSnapshots { view, source, attempts, .. } = &mut campaign.stage else { return };
         let Some(address) = view.member(to).map(|member| member.address) else { return };
-        let include_state = shown != Some(source.position) && !attempts.contains_key(&to);
+        let include_state = reported_position != Some(source.position) && !attempts.contains_key(&to);
         if include_state {
             attempts.insert(to, 1);
         }
@@ -177,7 +177,7 @@
             );
         };
         let Data { position, state } = self.config.injected_fault.installed(position, source, state);
-        let record = self.hold_snapshot(position, source, &state);
+        let record = self.store_snapshot(position, source, &state);
         self.persist(vec![record], complete, out);
     }
 
--- a/control/src/state.rs
+++ b/control/src/state.rs
@@ -44,7 +44,7 @@
         /// The fingerprint of the bytes.
         fingerprint: Fingerprint,
     },
-    /// Name a version of a model's weights.
+    /// Name a new version of a model's weights.
     NameVersion {
         /// The model.
         model: String,
@@ -112,12 +112,12 @@
     /// Checks a configuration that builds on the version `if_match`.
     pub fn check_configuration(&self, if_match: u64, version: u64, fingerprint: Fingerprint) -> ChangeCheck {
         let current = self.current_version();
-        // One whose version isn't higher than its own base was never accepted, however old it is.
-        let takeable = version > if_match;
+        // A change whose version isn't higher than its own base was never accepted, however old it is.
+        let acceptable = version > if_match;
         match self.accepted.lookup(version, fingerprint) {
             HistoryLookup::Accepted => ChangeCheck::AlreadyApplied,
-            HistoryLookup::Truncated if takeable => ChangeCheck::HistoryTruncated,
-            _ if if_match > current && takeable => ChangeCheck::BaseNotCommitted,
+            HistoryLookup::Truncated if acceptable => ChangeCheck::HistoryTruncated,
+            _ if if_match > current && acceptable => ChangeCheck::BaseNotCommitted,
             _ if if_match != current => ChangeCheck::Conflict { current },
             _ if version <= current => ChangeCheck::VersionNotHigher { current },
             _ => ChangeCheck::Proceed,
--- a/control/src/view_change.rs
+++ b/control/src/view_change.rs
@@ -16,10 +16,10 @@
         {
             return;
         }
-        // An own campaign that failed has bound members to its epoch: only a view of a higher epoch frees them.
-        let broken_off = self.stored.promised != Some(leadership.view.proposal_number());
+        // A failed campaign of this replica has bound members to its epoch: only a view of a higher epoch frees them.
+        let campaign_failed = self.stored.promised != Some(leadership.view.proposal_number());
         let Some(membership) = self.planned_membership() else {
-            if broken_off {
+            if campaign_failed {
                 self.change_view(None, out);
             }
             return;
@@ -34,7 +34,7 @@
             view: &leadership.view,
             peers: &leadership.peers,
             joiners: &leadership.joiners,
-            change_waits: leadership.pending.is_some(),
+            change_pending: leadership.pending.is_some(),
             losses: self.config.machine_losses.max(1),
             view_change_complete: self.view_change_complete(),
             primary_shutting_down: self.is_shutting_down(),
--- a/control/tests/broken_versions.rs
+++ b/control/tests/broken_versions.rs
@@ -23,7 +23,7 @@
 fn counts(broken: &Plan, violation: &Violation) -> bool {
     let stops = [
         InjectedFault::AcceptsBeforeInstall,
-        InjectedFault::EndsAtOnce,
+        InjectedFault::ExitsAtOnce,
         InjectedFault::GrowsAtOnce,
         InjectedFault::InstallsWithoutEpoch,
     ];
@@ -105,7 +105,7 @@
 fn skipping_the_previous_members_is_caught() -> Result<()> {
     let only = vec![Fault::Add, Fault::Partition, Fault::SplitAtChange];
     caught(&Plan {
-        injected_fault: Some(InjectedFault::SkipsPrior),
+        injected_fault: Some(InjectedFault::SkipsPreviousMembers),
         only,
         fault_interval: 1_500_000,
         ..Plan::new(3, 1)
@@ -121,12 +121,12 @@
 
 #[gtest]
 fn rejecting_the_rival_of_a_pending_change_is_caught() -> Result<()> {
-    caught_with(InjectedFault::JudgesRivalEarly)
+    caught_with(InjectedFault::RejectsRivalEarly)
 }
 
 #[gtest]
 fn losing_the_accepted_history_at_an_installation_is_caught() -> Result<()> {
-    caught_with(InjectedFault::ForgetsOrdersAtInstall)
+    caught_with(InjectedFault::ForgetsHistoryAtInstall)
 }
 
 #[gtest]
@@ -157,7 +157,7 @@
 #[gtest]
 fn exiting_before_the_view_is_independent_is_caught() -> Result<()> {
     let only = &[Loss::PlannedReplacement, Loss::Wipe];
-    caught(&Plan { injected_fault: Some(InjectedFault::EndsAtOnce), ..rounds(only, 4 * SECOND) })
+    caught(&Plan { injected_fault: Some(InjectedFault::ExitsAtOnce), ..rounds(only, 4 * SECOND) })
 }
 
 #[gtest]
--- a/control/tests/linearizability.rs
+++ b/control/tests/linearizability.rs
@@ -60,9 +60,9 @@
     let takeovers = vec![Fault::CrashLeader, Fault::WipeLeader, Fault::Partition, Fault::HealNetwork];
     let often = Plan { only: takeovers, ..plan(3, 1) };
     let rows = [
-        (InjectedFault::ForgetsOrdersAtInstall, often.clone()),
+        (InjectedFault::ForgetsHistoryAtInstall, often.clone()),
         (InjectedFault::AcknowledgesEarly, often.clone()),
-        (InjectedFault::JudgesRivalEarly, often),
+        (InjectedFault::RejectsRivalEarly, often),
         (InjectedFault::LeadsForever, plan(3, 1)),
     ];
     for (injected_fault, plan) in rows {
--- a/control/tests/schedules.rs
+++ b/control/tests/schedules.rs
@@ -116,7 +116,7 @@
 }
 
 /// Five broken versions are caught by two faults among the first schedules. Five others (`AcceptsBeforeInstall`,
-/// `TakesAnyData`, `GrantsAfterRestart`, `ForgetsPromise`, `SkipsPrior`) were not in one of seven of all schedules: they need
+/// `TakesAnyData`, `GrantsAfterRestart`, `ForgetsPromise`, `SkipsPreviousMembers`) were not in one of seven of all schedules: they need
 /// lost disks or more faults, and `broken_versions.rs` catches them.
 #[gtest]
 fn broken_versions_are_caught_by_two_faults() {
