--- a/control/tests/broken_versions.rs
+++ b/control/tests/broken_versions.rs
@@ -6,21 +6,21 @@
 use gradepaddle_control::InjectedFault;
 use simulator::{ClockRates, Fault, Loss, Plan, Rounds, SECOND, Violation, World};
 
-/// So many seeds are tried at most.
+/// At most this many seeds are tried.
 const SEEDS: u64 = 3_000;
 
-/// The first seed in which the broken version breaks a rule that the sound one keeps.
-fn first_breach(broken: &Plan) -> Option<(u64, Violation)> {
-    let sound = Plan { injected_fault: None, emptied_vouches: false, ..broken.clone() };
+/// The first seed with which the broken version violates an invariant and the correct one doesn't.
+fn first_violation(broken: &Plan) -> Option<(u64, Violation)> {
+    let correct = Plan { injected_fault: None, wiped_disk_keeps_id: false, ..broken.clone() };
     (0..SEEDS).find_map(|seed| {
         let violation = World::new(broken.clone(), seed).play().violation?;
-        let sound_passes = World::new(sound.clone(), seed).play().violation.is_none();
-        (sound_passes && (counts(broken, &violation))).then_some((seed, violation))
+        let correct_passes = World::new(correct.clone(), seed).play().violation.is_none();
+        (correct_passes && (is_conclusive(broken, &violation))).then_some((seed, violation))
     })
 }
 
-/// A version that stops for ever counts only where nothing worse can come of it.
-fn counts(broken: &Plan, violation: &Violation) -> bool {
+/// Whether the violation shows the fault. A lack of progress does so only for faults that can't cause anything worse.
+fn is_conclusive(broken: &Plan, violation: &Violation) -> bool {
     let stops = [
         InjectedFault::AcceptsBeforeInstall,
         InjectedFault::ExitsAtOnce,
@@ -32,13 +32,13 @@
 }
 
 fn caught(plan: &Plan) -> Result<()> {
-    match first_breach(plan) {
+    match first_violation(plan) {
         Some((seed, violation)) => {
             let what: String = format!("{violation:?}").chars().take(150).collect();
             println!("{:?}, {} replicas: seed {seed}: {what}", plan.injected_fault, plan.replicas);
             Ok(())
         }
-        None => fail!("{plan:?} wasn't found out in {SEEDS} seeds"),
+        None => fail!("{plan:?} wasn't caught in {SEEDS} seeds"),
     }
 }
 
@@ -136,19 +136,19 @@
 
 #[gtest]
 fn an_identity_that_survives_its_disk_is_caught() -> Result<()> {
-    caught(&Plan { emptied_vouches: true, ..Plan::new(3, 1) })
+    caught(&Plan { wiped_disk_keeps_id: true, ..Plan::new(3, 1) })
 }
 
-/// Losses as soon as the ones before no longer count, which is after this span.
+/// Successive losses, each as soon as the one before no longer counts, which is `catch_up` after it has ended.
 fn rounds(only: &'static [Loss], catch_up: u64) -> Plan {
-    let calm = false;
+    let disabled = false;
     let rounds = Rounds {
         count: 6,
         catch_up,
-        power_losses: calm,
-        power_losses_at_changes: calm,
-        weather: calm,
-        disk_trouble: calm,
+        power_losses: disabled,
+        power_losses_at_changes: disabled,
+        unreliable_links: disabled,
+        disk_faults: disabled,
         only,
     };
     Plan { rounds: Some(rounds), ..Plan::new(3, 1) }
@@ -162,14 +162,14 @@
 
 #[gtest]
 fn growing_beside_an_unresponsive_member_is_caught() -> Result<()> {
-    // It takes a little longer than the sound version, which is through after 3.5 s.
+    // The broken version takes a little longer than the correct one, which has caught up after 3.5 s.
     caught(&Plan {
         injected_fault: Some(InjectedFault::GrowsAtOnce),
         ..rounds(&[Loss::Replace], 7 * SECOND / 2)
     })
 }
 
-/// Not a version but a world that is broken: clocks that differ by more than the margin of the lease.
+/// Here the environment is broken, not the protocol: clocks drift by more than the lease margin allows.
 #[gtest]
 fn clock_drift_beyond_the_lease_margin_is_caught() -> Result<()> {
     let only = vec![
--- a/control/tests/cluster/mod.rs
+++ b/control/tests/cluster/mod.rs
@@ -28,7 +28,7 @@
 pub struct Node {
     pub address: SocketAddrV4,
     pub replica: Option<Replica>,
-    pub kept: RecoveredState,
+    pub stored: RecoveredState,
     pub disk: Disk,
     waiting: VecDeque<(gradepaddle_control::WriteId, Vec<gradepaddle_control::Record>)>,
     pub ready_to_exit: bool,
@@ -47,7 +47,7 @@
     /// Links that carry nothing, each in one direction.
     cut_links: BTreeSet<(SocketAddrV4, SocketAddrV4)>,
     /// Inputs that have arrived for suspended nodes.
-    held: Vec<(usize, Input)>,
+    deferred: Vec<(usize, Input)>,
     pub answers: BTreeMap<ProposalId, Outcome>,
     next_proposal_id: u64,
 }
@@ -57,8 +57,8 @@
     pub fn bootstrapped(size: usize, losses: usize) -> Cluster {
         let mut cluster = Cluster::bare(size, losses);
         let view = cluster.first_view(size);
-        for place in 0..size {
-            cluster.input(place, Input::Bootstrap { view: view.clone() });
+        for node_index in 0..size {
+            cluster.input(node_index, Input::Bootstrap { view: view.clone() });
         }
         cluster.run(100);
         assert_eq!(cluster.leader(), Some(0));
@@ -74,7 +74,7 @@
             in_flight: VecDeque::new(),
             cut: BTreeSet::new(),
             cut_links: BTreeSet::new(),
-            held: Vec::new(),
+            deferred: Vec::new(),
             answers: BTreeMap::new(),
             next_proposal_id: 0,
         };
@@ -85,7 +85,7 @@
     }
 
     pub fn first_view(&self, size: usize) -> View {
-        let members: Vec<Member> = (0..size).map(|place| self.member(place)).collect();
+        let members: Vec<Member> = (0..size).map(|node_index| self.member(node_index)).collect();
         View {
             epoch: 1,
             primary: members[0].id,
@@ -96,19 +96,19 @@
         }
     }
 
-    fn member(&self, place: usize) -> Member {
-        let node = &self.nodes[place];
-        Member { id: node.kept.id, address: node.address, zone: zone(place) }
+    fn member(&self, node_index: usize) -> Member {
+        let node = &self.nodes[node_index];
+        Member { id: node.stored.id, address: node.address, zone: zone(node_index) }
     }
 
-    /// A machine with an empty disk at a new address.
+    /// Adds a machine with an empty disk at a new address.
     pub fn add(&mut self, first_boot: bool) -> usize {
-        let place = self.nodes.len();
-        let address = format!("10.0.0.{}:7640", place + 1).parse().expect("an address");
+        let node_index = self.nodes.len();
+        let address = format!("10.0.0.{}:7640", node_index + 1).parse().expect("an address");
         self.nodes.push(Node {
             address,
             replica: None,
-            kept: RecoveredState::empty(ReplicaId(1_000 + place as u64)),
+            stored: RecoveredState::empty(ReplicaId(1_000 + node_index as u64)),
             disk: Disk::Healthy,
             waiting: VecDeque::new(),
             ready_to_exit: false,
@@ -116,53 +116,53 @@
             writes: 0,
             first_boot,
         });
-        self.start(place);
-        place
+        self.start(node_index);
+        node_index
     }
 
-    pub fn start(&mut self, place: usize) {
+    pub fn start(&mut self, node_index: usize) {
         let peers =
-            self.nodes.iter().map(|node| node.address).filter(|peer| *peer != self.nodes[place].address);
+            self.nodes.iter().map(|node| node.address).filter(|peer| *peer != self.nodes[node_index].address);
         let peers: Vec<SocketAddrV4> = peers.collect();
-        let node = &mut self.nodes[place];
+        let node = &mut self.nodes[node_index];
         let config = ReplicaConfig::builder()
             .address(node.address)
-            .zone(zone(place))
+            .zone(zone(node_index))
             .machine_losses(self.losses)
             .first_boot(node.first_boot)
             .build();
-        node.replica = Some(Replica::new(config, node.kept.clone(), self.now));
-        self.input(place, Input::Peers(peers));
+        node.replica = Some(Replica::new(config, node.stored.clone(), self.now));
+        self.input(node_index, Input::Peers(peers));
     }
 
-    pub fn crash(&mut self, place: usize) {
-        self.nodes[place].replica = None;
-        self.nodes[place].waiting.clear();
+    pub fn crash(&mut self, node_index: usize) {
+        self.nodes[node_index].replica = None;
+        self.nodes[node_index].waiting.clear();
     }
 
-    /// The machine comes back with an empty disk.
-    pub fn wipe(&mut self, place: usize) {
-        self.crash(place);
-        let id = ReplicaId(self.nodes[place].kept.id.0 + 100);
-        self.nodes[place].kept = RecoveredState::empty(id);
-        self.nodes[place].first_boot = false;
+    /// Stops the node and replaces its disk by an empty one, which gives it another replica id.
+    pub fn wipe(&mut self, node_index: usize) {
+        self.crash(node_index);
+        let id = ReplicaId(self.nodes[node_index].stored.id.0 + 100);
+        self.nodes[node_index].stored = RecoveredState::empty(id);
+        self.nodes[node_index].first_boot = false;
     }
 
-    /// Restarts all, with this state on the disks of the data set.
-    pub fn adopt(&mut self, state: ControlState) {
+    /// Restarts all nodes, with this state on the disks of the primary and the backups.
+    pub fn restart_with_state(&mut self, state: ControlState) {
         let state = Arc::new(state);
-        for place in 0..self.nodes.len() {
-            self.crash(place);
-            if let Some(data) = &mut self.nodes[place].kept.data {
+        for node_index in 0..self.nodes.len() {
+            self.crash(node_index);
+            if let Some(data) = &mut self.nodes[node_index].stored.data {
                 data.state = Arc::clone(&state);
             }
         }
-        (0..self.nodes.len()).for_each(|place| self.start(place));
+        (0..self.nodes.len()).for_each(|node_index| self.start(node_index));
         self.run(3_000);
     }
 
-    pub fn cut(&mut self, place: usize) {
-        self.cut.insert(self.nodes[place].address);
+    pub fn cut(&mut self, node_index: usize) {
+        self.cut.insert(self.nodes[node_index].address);
     }
 
     pub fn heal_network(&mut self) {
@@ -175,54 +175,62 @@
         self.cut_links.insert((self.nodes[from].address, self.nodes[to].address));
     }
 
-    pub fn suspend(&mut self, place: usize) {
-        self.nodes[place].suspended = true;
+    pub fn suspend(&mut self, node_index: usize) {
+        self.nodes[node_index].suspended = true;
     }
 
     /// Resumes the node, with the inputs that have arrived meanwhile.
-    pub fn resume(&mut self, place: usize) {
-        self.nodes[place].suspended = false;
-        let (ready, held) = std::mem::take(&mut self.held).into_iter().partition(|(to, _)| *to == place);
-        self.held = held;
+    pub fn resume(&mut self, node_index: usize) {
+        self.nodes[node_index].suspended = false;
+        let (ready, deferred) =
+            std::mem::take(&mut self.deferred).into_iter().partition(|(to, _)| *to == node_index);
+        self.deferred = deferred;
         let ready: Vec<(usize, Input)> = ready;
-        ready.into_iter().for_each(|(place, input)| self.input(place, input));
+        ready.into_iter().for_each(|(node_index, input)| self.input(node_index, input));
     }
 
-    pub fn set_disk(&mut self, place: usize, disk: Disk) {
-        self.nodes[place].disk = disk;
+    pub fn set_disk(&mut self, node_index: usize, disk: Disk) {
+        self.nodes[node_index].disk = disk;
     }
 
-    pub fn replica(&self, place: usize) -> &Replica {
-        self.nodes[place].replica.as_ref().expect("it runs")
+    pub fn replica(&self, node_index: usize) -> &Replica {
+        self.nodes[node_index].replica.as_ref().expect("the replica is running")
     }
 
-    pub fn view(&self, place: usize) -> KnownView {
-        self.replica(place).status().view.expect("it knows a view")
+    pub fn view(&self, node_index: usize) -> KnownView {
+        self.replica(node_index).status().view.expect("the replica knows a view")
     }
 
     /// The nodes that are members of the primary's view.
     pub fn members(&self) -> Vec<usize> {
-        let view = self.view(self.leader().expect("somebody leads")).view;
-        (0..self.nodes.len()).filter(|place| view.member(self.nodes[*place].kept.id).is_some()).collect()
+        let view = self.view(self.leader().expect("there is a leader")).view;
+        (0..self.nodes.len())
+            .filter(|node_index| view.member(self.nodes[*node_index].stored.id).is_some())
+            .collect()
     }
 
     pub fn backups(&self) -> Vec<usize> {
-        let view = self.view(self.leader().expect("somebody leads")).view;
-        (0..self.nodes.len()).filter(|place| view.backups.contains(&self.nodes[*place].kept.id)).collect()
+        let view = self.view(self.leader().expect("there is a leader")).view;
+        (0..self.nodes.len())
+            .filter(|node_index| view.backups.contains(&self.nodes[*node_index].stored.id))
+            .collect()
     }
 
     pub fn leader(&self) -> Option<usize> {
-        let leads = |place: &usize| {
-            self.nodes[*place].replica.as_ref().is_some_and(|replica| replica.leading(self.now).is_some())
+        let leads = |node_index: &usize| {
+            self.nodes[*node_index]
+                .replica
+                .as_ref()
+                .is_some_and(|replica| replica.leading(self.now).is_some())
         };
         (0..self.nodes.len()).find(leads)
     }
 
     /// Proposes a change and returns the id of the proposal.
-    pub fn ask(&mut self, place: usize, change: Change) -> ProposalId {
+    pub fn propose(&mut self, node_index: usize, change: Change) -> ProposalId {
         self.next_proposal_id += 1;
         let proposal_id = ProposalId(self.next_proposal_id);
-        self.input(place, Input::Propose { proposal_id, change });
+        self.input(node_index, Input::Propose { proposal_id, change });
         proposal_id
     }
 
@@ -230,11 +238,11 @@
         self.answers.get(&proposal_id).copied()
     }
 
-    pub fn input(&mut self, place: usize, input: Input) {
+    pub fn input(&mut self, node_index: usize, input: Input) {
         let now = self.now;
-        let node = &mut self.nodes[place];
+        let node = &mut self.nodes[node_index];
         if node.suspended {
-            return self.held.push((place, input));
+            return self.deferred.push((node_index, input));
         }
         let Some(replica) = node.replica.as_mut() else { return };
         let mut out = Vec::new();
@@ -261,49 +269,49 @@
         while self.now < end {
             self.settle();
             self.now += STEP;
-            for place in 0..self.nodes.len() {
-                if !self.nodes[place].suspended {
-                    self.input(place, Input::Tick);
+            for node_index in 0..self.nodes.len() {
+                if !self.nodes[node_index].suspended {
+                    self.input(node_index, Input::Tick);
                 }
             }
         }
         self.settle();
     }
 
-    /// Delivers and writes until nothing is under way.
+    /// Delivers messages and completes writes until none are pending.
     pub fn settle(&mut self) {
         loop {
-            let wrote = (0..self.nodes.len()).any(|place| self.write(place));
+            let wrote = (0..self.nodes.len()).any(|node_index| self.write(node_index));
             let Some((from, to, message)) = self.in_flight.pop_front() else {
                 if wrote { continue } else { return }
             };
-            let place = self.nodes.iter().position(|node| node.address == to);
+            let node_index = self.nodes.iter().position(|node| node.address == to);
             let cut =
                 self.cut.contains(&from) || self.cut.contains(&to) || self.cut_links.contains(&(from, to));
-            if let Some(place) = place.filter(|_| !cut) {
-                self.input(place, Input::Message { from, message });
+            if let Some(node_index) = node_index.filter(|_| !cut) {
+                self.input(node_index, Input::Message { from, message });
             }
         }
     }
 
-    fn write(&mut self, place: usize) -> bool {
-        let node = &mut self.nodes[place];
+    fn write(&mut self, node_index: usize) -> bool {
+        let node = &mut self.nodes[node_index];
         if node.disk == Disk::Hanging || node.suspended {
             return false;
         }
         let Some((write_id, records)) = node.waiting.pop_front() else { return false };
         if node.disk == Disk::Full {
-            self.input(place, Input::WriteFailed { write_id });
+            self.input(node_index, Input::WriteFailed { write_id });
         } else {
-            records.into_iter().for_each(|record| node.kept.apply(record));
-            self.input(place, Input::WriteCompleted { write_id });
+            records.into_iter().for_each(|record| node.stored.apply(record));
+            self.input(node_index, Input::WriteCompleted { write_id });
         }
         true
     }
 }
 
-fn zone(place: usize) -> Arc<str> {
-    Arc::from(format!("zone-{}", place % 3))
+fn zone(node_index: usize) -> Arc<str> {
+    Arc::from(format!("zone-{}", node_index % 3))
 }
 
 /// A configuration on top of a version.
--- a/control/tests/conformance.rs
+++ b/control/tests/conformance.rs
@@ -8,15 +8,15 @@
     Body, Input, Message, Outcome, Output, Prepare, ProposalNumber, Replica, ReplicaConfig, ReplicaId, Role,
 };
 
-const TAKEN: Option<Outcome> = Some(Outcome::Committed);
+const COMMITTED: Option<Outcome> = Some(Outcome::Committed);
 
-/// A founded core with configuration 5, which came after 3, and version 4 of model `a`.
+/// A bootstrapped cluster with configuration 5, which came after 3, and version 4 of model `a`.
 fn with_state(size: usize, losses: usize) -> Cluster {
     let mut cluster = Cluster::bootstrapped(size, losses);
     for change in [put(0, 3, 30), put(3, 5, 50), name("a", 4)] {
-        let proposal_id = cluster.ask(0, change);
+        let proposal_id = cluster.propose(0, change);
         cluster.settle();
-        assert_eq!(cluster.answer(proposal_id), TAKEN);
+        assert_eq!(cluster.answer(proposal_id), COMMITTED);
     }
     cluster
 }
@@ -39,7 +39,7 @@
     ];
     for (what, change, outcome) in rows {
         let mut cluster = with_state(3, 1);
-        let proposal_id = cluster.ask(0, change);
+        let proposal_id = cluster.propose(0, change);
         cluster.settle();
         expect_that!(cluster.answer(proposal_id), some(eq(outcome)), "{what}");
     }
@@ -49,7 +49,7 @@
 fn a_retry_of_a_committed_change_alters_nothing() {
     let mut cluster = with_state(3, 1);
     for change in [put(0, 3, 30), name("a", 2)] {
-        cluster.ask(0, change);
+        cluster.propose(0, change);
         cluster.settle();
     }
     expect_that!(cluster.replica(0).state().current_version(), eq(5));
@@ -61,15 +61,16 @@
     for slow in [0, 1, 2] {
         let mut cluster = with_state(5, 2);
         cluster.set_disk(slow, Disk::Hanging);
-        let proposal_id = cluster.ask(0, put(5, 6, 60));
+        let proposal_id = cluster.propose(0, put(5, 6, 60));
         cluster.run(300);
-        expect_that!(cluster.answer(proposal_id), none(), "place {slow}");
+        expect_that!(cluster.answer(proposal_id), none(), "node {slow}");
         cluster.set_disk(slow, Disk::Healthy);
         cluster.settle();
-        expect_that!(cluster.answer(proposal_id), eq(TAKEN), "place {slow}");
-        for place in [0, 1, 2] {
-            let kept = cluster.nodes[place].kept.data.as_ref().map(|data| data.state.current_version());
-            expect_that!(kept, some(eq(6)), "place {place}");
+        expect_that!(cluster.answer(proposal_id), eq(COMMITTED), "node {slow}");
+        for node_index in [0, 1, 2] {
+            let kept =
+                cluster.nodes[node_index].stored.data.as_ref().map(|data| data.state.current_version());
+            expect_that!(kept, some(eq(6)), "node {node_index}");
         }
     }
 }
@@ -77,8 +78,8 @@
 #[gtest]
 fn a_witness_holds_no_data() {
     let cluster = with_state(5, 2);
-    for (place, keeps) in [(0, true), (1, true), (2, true), (3, false), (4, false)] {
-        expect_that!(cluster.nodes[place].kept.data.is_some(), eq(keeps), "place {place}");
+    for (node_index, keeps) in [(0, true), (1, true), (2, true), (3, false), (4, false)] {
+        expect_that!(cluster.nodes[node_index].stored.data.is_some(), eq(keeps), "node {node_index}");
     }
 }
 
@@ -86,26 +87,26 @@
 fn a_rival_is_checked_only_once_the_pending_change_is_decided() {
     let mut cluster = with_state(3, 1);
     cluster.set_disk(1, Disk::Hanging);
-    let first = cluster.ask(0, put(5, 6, 60));
-    let rival = cluster.ask(0, put(5, 7, 70));
-    let again = cluster.ask(0, put(5, 6, 60));
+    let first = cluster.propose(0, put(5, 6, 60));
+    let rival = cluster.propose(0, put(5, 7, 70));
+    let again = cluster.propose(0, put(5, 6, 60));
     cluster.run(300);
     for proposal_id in [first, rival, again] {
         expect_that!(cluster.answer(proposal_id), none());
     }
     cluster.set_disk(1, Disk::Healthy);
     cluster.settle();
-    expect_that!(cluster.answer(first), eq(TAKEN));
+    expect_that!(cluster.answer(first), eq(COMMITTED));
     expect_that!(cluster.answer(rival), some(eq(Outcome::Conflict { current: 6 })));
-    expect_that!(cluster.answer(again), eq(TAKEN));
+    expect_that!(cluster.answer(again), eq(COMMITTED));
 }
 
 #[gtest]
 fn other_replicas_name_the_primary() {
     let mut cluster = with_state(3, 1);
     let primary = Some(cluster.nodes[0].address);
-    for place in [1, 2] {
-        let proposal_id = cluster.ask(place, put(5, 6, 60));
+    for node_index in [1, 2] {
+        let proposal_id = cluster.propose(node_index, put(5, 6, 60));
         expect_that!(cluster.answer(proposal_id), some(eq(Outcome::NotPrimary { primary })));
     }
 }
@@ -114,8 +115,8 @@
 fn a_change_without_a_decision_is_answered_unknown() {
     let mut cluster = with_state(3, 1);
     cluster.cut(0);
-    let pending = cluster.ask(0, put(5, 6, 60));
-    let queued = cluster.ask(0, put(5, 7, 70));
+    let pending = cluster.propose(0, put(5, 6, 60));
+    let queued = cluster.propose(0, put(5, 7, 70));
     cluster.run(3_600);
     expect_that!(cluster.answer(pending), some(eq(Outcome::Unknown)));
     expect_that!(cluster.answer(queued), some(eq(Outcome::NotPrimary { primary: None })));
@@ -154,20 +155,20 @@
     Message { sender: ReplicaId(sender), body }
 }
 
-/// What a member answers to a request for a promise.
+/// The reply of a member to a request for a promise.
 fn prepare(
     cluster: &mut Cluster,
-    place: usize,
+    node_index: usize,
     sender: u64,
     epoch: u64,
     released: Option<ProposalNumber>,
 ) -> Option<Body> {
     let now = cluster.now;
-    let node = &mut cluster.nodes[place];
+    let node = &mut cluster.nodes[node_index];
     let from = "10.0.0.250:7640".parse().expect("an address");
     let body = Body::Prepare(Prepare { epoch, position: None, released });
     let mut out = Vec::new();
-    let replica = node.replica.as_mut().expect("it runs");
+    let replica = node.replica.as_mut().expect("the replica is running");
     replica.handle(now, Input::Message { from, message: message(sender, body) }, &mut out);
     let written: Vec<_> = out
         .iter()
@@ -190,7 +191,7 @@
     let holder = ProposalNumber { epoch: 1, candidate: ReplicaId(1_000) };
     let older = ProposalNumber { epoch: 0, candidate: ReplicaId(1_000) };
     let foreign = ProposalNumber { epoch: 9, candidate: ReplicaId(1_001) };
-    // candidate, epoch, released, time since the last heartbeat, whether it is promised
+    // case, candidate, epoch, released, milliseconds since the last heartbeat, whether the epoch is promised
     let rows = [
         ("within the lease of another", 1_002, 2, None, 0, false),
         ("after the lease", 1_002, 2, None, 1_600, true),
@@ -223,7 +224,7 @@
 
 #[gtest]
 fn a_restarted_member_waits_for_leases_that_it_forgot() {
-    // candidate, time since the restart, whether it is promised
+    // candidate, milliseconds since the restart, whether the epoch is promised
     for (candidate, wait, promised) in
         [(1_002, 0, false), (1_002, 1_400, false), (1_002, 1_501, true), (1_000, 0, true)]
     {
@@ -245,7 +246,7 @@
     let from = cluster.nodes[2].address;
     let body = Body::Prepare(Prepare { epoch: 2, position: None, released: None });
     let mut out = Vec::new();
-    let replica = cluster.nodes[1].replica.as_mut().expect("it runs");
+    let replica = cluster.nodes[1].replica.as_mut().expect("the replica is running");
     replica.handle(now, Input::Message { from, message: message(1_002, body) }, &mut out);
     let said = out.iter().any(
         |output| matches!(output, Output::Send { message, .. } if matches!(message.body, Body::Promise(_))),
@@ -268,11 +269,11 @@
 #[gtest]
 fn a_power_loss_of_all_keeps_the_state() {
     let mut cluster = with_state(3, 1);
-    (0..3).for_each(|place| cluster.crash(place));
+    (0..3).for_each(|node_index| cluster.crash(node_index));
     cluster.run(100);
-    (0..3).for_each(|place| cluster.start(place));
+    (0..3).for_each(|node_index| cluster.start(node_index));
     cluster.run(400);
-    let leader = cluster.leader().expect("somebody leads");
+    let leader = cluster.leader().expect("there is a leader");
     expect_that!(cluster.replica(leader).state().current_version(), eq(5));
 }
 
@@ -282,11 +283,11 @@
         [(3, 1, vec![0]), (3, 1, vec![1]), (5, 2, vec![0, 1]), (5, 2, vec![0, 2]), (8, 2, vec![1, 2])]
     {
         let mut cluster = with_state(size, losses);
-        (0..size).for_each(|place| cluster.crash(place));
-        lost.iter().for_each(|place| cluster.wipe(*place));
-        (0..size).for_each(|place| cluster.start(place));
+        (0..size).for_each(|node_index| cluster.crash(node_index));
+        lost.iter().for_each(|node_index| cluster.wipe(*node_index));
+        (0..size).for_each(|node_index| cluster.start(node_index));
         cluster.run(6_000);
-        let leader = cluster.leader().expect("somebody leads");
+        let leader = cluster.leader().expect("there is a leader");
         expect_that!(cluster.replica(leader).state().current_version(), eq(5), "{size} without {lost:?}");
         expect_that!(cluster.members(), eq(&(0..size).collect::<Vec<_>>()), "{size} without {lost:?}");
         expect_that!(cluster.backups().len(), eq(losses));
@@ -305,12 +306,12 @@
 
 #[gtest]
 fn a_graceful_shutdown_of_a_backup_or_witness_delays_nothing() {
-    for (place, within) in [(1, 900), (2, 10)] {
+    for (node_index, within) in [(1, 900), (2, 10)] {
         let mut cluster = with_state(3, 1);
-        cluster.input(place, Input::ShutDown);
+        cluster.input(node_index, Input::ShutDown);
         cluster.run(within);
-        expect_that!(cluster.nodes[place].ready_to_exit, eq(true), "place {place}");
-        expect_that!(cluster.backups(), not(contains(eq(&place))));
+        expect_that!(cluster.nodes[node_index].ready_to_exit, eq(true), "node {node_index}");
+        expect_that!(cluster.backups(), not(contains(eq(&node_index))));
     }
 }
 
@@ -328,21 +329,21 @@
 #[gtest]
 fn a_replica_with_a_failing_disk_is_replaced_as_backup() {
     for disk in [Disk::Full, Disk::Hanging] {
-        for place in [0, 1] {
+        for node_index in [0, 1] {
             let mut cluster = with_state(3, 1);
-            cluster.set_disk(place, disk);
-            let proposal_id = cluster.ask(0, put(5, 6, 60));
+            cluster.set_disk(node_index, disk);
+            let proposal_id = cluster.propose(0, put(5, 6, 60));
             cluster.run(2_000);
-            let leader = cluster.leader().expect("somebody leads");
+            let leader = cluster.leader().expect("there is a leader");
             let data_set: Vec<usize> = cluster.backups().into_iter().chain([leader]).collect();
-            expect_that!(data_set, not(contains(eq(&place))), "{disk:?} at {place}");
+            expect_that!(data_set, not(contains(eq(&node_index))), "{disk:?} at {node_index}");
             expect_that!(
                 cluster.answer(proposal_id),
                 some(any![eq(Outcome::Committed), eq(Outcome::Unknown)])
             );
-            let again = cluster.ask(leader, put(5, 6, 60));
+            let again = cluster.propose(leader, put(5, 6, 60));
             cluster.settle();
-            expect_that!(cluster.answer(again), eq(TAKEN), "{disk:?} at {place}");
+            expect_that!(cluster.answer(again), eq(COMMITTED), "{disk:?} at {node_index}");
         }
     }
 }
@@ -351,7 +352,7 @@
 fn a_recovered_disk_counts_again() {
     let mut cluster = with_state(3, 1);
     cluster.set_disk(1, Disk::Full);
-    cluster.ask(0, put(5, 6, 60));
+    cluster.propose(0, put(5, 6, 60));
     cluster.run(1_500);
     expect_that!(cluster.replica(1).status().disk_healthy, eq(false));
     cluster.set_disk(1, Disk::Healthy);
@@ -364,13 +365,13 @@
     for (waits, within) in [(true, 1_000), (false, 1_800)] {
         let mut cluster = with_state(3, 1);
         cluster.crash(1);
-        let proposal_id = waits.then(|| cluster.ask(0, put(5, 6, 60)));
+        let proposal_id = waits.then(|| cluster.propose(0, put(5, 6, 60)));
         cluster.run(700);
         expect_that!(cluster.backups(), elements_are![eq(&1)]);
         cluster.run(within - 700);
         expect_that!(cluster.backups(), elements_are![eq(&2)], "a change waits: {waits}");
         if let Some(proposal_id) = proposal_id {
-            expect_that!(cluster.answer(proposal_id), eq(TAKEN));
+            expect_that!(cluster.answer(proposal_id), eq(COMMITTED));
         }
     }
 }
@@ -392,7 +393,7 @@
         cluster.crash(gone);
         let added = cluster.add(false);
         cluster.run(4_000);
-        let expected: Vec<usize> = (0..=added).filter(|place| *place != gone).collect();
+        let expected: Vec<usize> = (0..=added).filter(|node_index| *node_index != gone).collect();
         expect_that!(cluster.members(), eq(&expected), "without {gone}");
         expect_that!(cluster.view(0).view.target_size, eq(3));
     }
@@ -436,29 +437,29 @@
 #[gtest]
 fn a_minority_changes_nothing() {
     let mut cluster = with_state(5, 2);
-    for place in [2, 3, 4] {
-        cluster.crash(place);
+    for node_index in [2, 3, 4] {
+        cluster.crash(node_index);
     }
-    let proposal_id = cluster.ask(0, put(5, 6, 60));
+    let proposal_id = cluster.propose(0, put(5, 6, 60));
     cluster.run(3_000);
     expect_that!(cluster.leader(), none());
     expect_that!(cluster.answer(proposal_id), none());
-    for place in [2, 3, 4] {
-        cluster.start(place);
+    for node_index in [2, 3, 4] {
+        cluster.start(node_index);
     }
     cluster.run(4_000);
-    let leader = cluster.leader().expect("somebody leads");
-    let again = cluster.ask(leader, put(5, 6, 60));
+    let leader = cluster.leader().expect("there is a leader");
+    let again = cluster.propose(leader, put(5, 6, 60));
     cluster.settle();
-    expect_that!(cluster.answer(again), eq(TAKEN));
+    expect_that!(cluster.answer(again), eq(COMMITTED));
 }
 
 #[gtest]
 fn bootstrap_is_for_replicas_without_a_view() {
     let mut cluster = with_state(3, 1);
     let mut other = cluster.first_view(3);
-    other.primary = cluster.nodes[2].kept.id;
-    (0..3).for_each(|place| cluster.input(place, Input::Bootstrap { view: other.clone() }));
+    other.primary = cluster.nodes[2].stored.id;
+    (0..3).for_each(|node_index| cluster.input(node_index, Input::Bootstrap { view: other.clone() }));
     cluster.run(500);
     expect_that!(cluster.leader(), some(eq(0)));
     expect_that!(cluster.replica(0).state().current_version(), eq(5));
@@ -472,9 +473,9 @@
     cluster.input(2, Input::Bootstrap { view });
     cluster.run(1_000);
     expect_that!(cluster.leader(), some(eq(0)));
-    let proposal_id = cluster.ask(0, put(0, 1, 10));
+    let proposal_id = cluster.propose(0, put(0, 1, 10));
     cluster.settle();
-    expect_that!(cluster.answer(proposal_id), eq(TAKEN));
+    expect_that!(cluster.answer(proposal_id), eq(COMMITTED));
     expect_that!(cluster.replica(1).status().role, eq(Role::Backup));
 }
 
--- a/control/tests/disaster_recovery.rs
+++ b/control/tests/disaster_recovery.rs
@@ -1,4 +1,4 @@
-//! Once a quorum is lost for good, an operator lets one replica go on by itself, with what it holds.
+//! After a quorum is lost for good, an operator has one replica continue alone from its stored state.
 
 mod cluster;
 
@@ -9,43 +9,49 @@
     plan_recovery,
 };
 
-const TAKEN: Option<Outcome> = Some(Outcome::Committed);
+const COMMITTED: Option<Outcome> = Some(Outcome::Committed);
 
 fn change(cluster: &mut Cluster, count: u64) {
     for _ in 0..count {
-        let leader = cluster.leader().expect("somebody leads");
+        let leader = cluster.leader().expect("there is a leader");
         let version = cluster.replica(leader).state().current_version();
-        let proposal_id = cluster.ask(leader, put(version, version + 1, u128::from(version) + 1));
+        let proposal_id = cluster.propose(leader, put(version, version + 1, u128::from(version) + 1));
         cluster.run(20);
-        assert_eq!(cluster.answer(proposal_id), TAKEN, "version {}", version + 1);
+        assert_eq!(cluster.answer(proposal_id), COMMITTED, "version {}", version + 1);
     }
 }
 
-fn member(cluster: &Cluster, place: usize) -> Member {
-    Member { id: cluster.nodes[place].kept.id, address: cluster.nodes[place].address, zone: "west".into() }
+fn member(cluster: &Cluster, node_index: usize) -> Member {
+    Member {
+        id: cluster.nodes[node_index].stored.id,
+        address: cluster.nodes[node_index].address,
+        zone: "west".into(),
+    }
 }
 
-/// Stops a machine, carries out the recovery on its disk, and starts it again.
-fn recover(cluster: &mut Cluster, place: usize) -> RecoveryPlan {
-    cluster.crash(place);
-    let member = member(cluster, place);
-    let plan = plan_recovery(&cluster.nodes[place].kept, member, RecoverySource::StoredState);
+/// Stops a machine, applies the recovery to its disk, and starts it again.
+fn recover(cluster: &mut Cluster, node_index: usize) -> RecoveryPlan {
+    cluster.crash(node_index);
+    let member = member(cluster, node_index);
+    let plan = plan_recovery(&cluster.nodes[node_index].stored, member, RecoverySource::StoredState);
     let plan = plan.expect("it holds the state");
-    plan.records.iter().cloned().for_each(|record| cluster.nodes[place].kept.apply(record));
-    cluster.start(place);
+    plan.records.iter().cloned().for_each(|record| cluster.nodes[node_index].stored.apply(record));
+    cluster.start(node_index);
     plan
 }
 
-/// The backup and two other machines of five are lost for good, with their disks; a witness is left beside the primary.
+/// A cluster of five that has lost the backup and two other machines for good, with their disks. The primary and a
+/// witness remain; returns both.
 fn with_lost_majority() -> (Cluster, usize, usize) {
     let mut cluster = Cluster::bootstrapped(5, 1);
     cluster.run(1_000);
     change(&mut cluster, 12);
-    let primary = cluster.leader().expect("somebody leads");
+    let primary = cluster.leader().expect("there is a leader");
     let backups = cluster.backups();
-    let witness = (0..5).find(|place| *place != primary && !backups.contains(place)).expect("a witness");
-    for place in (0..5).filter(|place| *place != primary && *place != witness) {
-        cluster.crash(place);
+    let witness =
+        (0..5).find(|node_index| *node_index != primary && !backups.contains(node_index)).expect("a witness");
+    for node_index in (0..5).filter(|node_index| *node_index != primary && *node_index != witness) {
+        cluster.crash(node_index);
     }
     cluster.run(20_000);
     (cluster, primary, witness)
@@ -82,22 +88,22 @@
 #[gtest]
 fn a_lost_machine_that_comes_back_after_all_changes_nothing() {
     let (mut cluster, survivor, _) = with_lost_majority();
-    let lost: Vec<usize> = (0..5).filter(|place| cluster.nodes[*place].replica.is_none()).collect();
+    let lost: Vec<usize> = (0..5).filter(|node_index| cluster.nodes[*node_index].replica.is_none()).collect();
     recover(&mut cluster, survivor);
     cluster.run(5_000);
     change(&mut cluster, 4);
-    for place in lost {
-        cluster.start(place);
+    for node_index in lost {
+        cluster.start(node_index);
     }
     cluster.run(20_000);
-    let leader = cluster.leader().expect("somebody leads");
+    let leader = cluster.leader().expect("there is a leader");
     expect_that!(cluster.replica(leader).state().current_version(), eq(16), "none brings the old state back");
 }
 
 #[gtest]
 fn a_witness_can_not_recover_what_it_never_held() {
     let (cluster, _, witness) = with_lost_majority();
-    let stored = &cluster.nodes[witness].kept;
+    let stored = &cluster.nodes[witness].stored;
     let member = member(&cluster, witness);
     expect_that!(
         plan_recovery(stored, member, RecoverySource::StoredState),
@@ -111,12 +117,12 @@
     cluster.crash(survivor);
     cluster.crash(witness);
     let member = member(&cluster, witness);
-    let last_epoch = cluster.nodes[witness].kept.view.as_ref().map_or(0, |known| known.view.epoch);
-    let plan = plan_recovery(&cluster.nodes[witness].kept, member, RecoverySource::EmptyState);
+    let last_epoch = cluster.nodes[witness].stored.view.as_ref().map_or(0, |known| known.view.epoch);
+    let plan = plan_recovery(&cluster.nodes[witness].stored, member, RecoverySource::EmptyState);
     let plan = plan.expect("it holds no state");
     expect_that!(plan.epoch, ge(last_epoch + EPOCH_GAP));
     expect_that!(plan.configuration_version, eq(0));
-    plan.records.into_iter().for_each(|record| cluster.nodes[witness].kept.apply(record));
+    plan.records.into_iter().for_each(|record| cluster.nodes[witness].stored.apply(record));
     cluster.start(witness);
     cluster.run(5_000);
     expect_that!(cluster.leader(), some(eq(witness)));
@@ -126,7 +132,7 @@
 #[gtest]
 fn an_empty_state_never_replaces_one_that_is_there() {
     let (cluster, survivor, _) = with_lost_majority();
-    let stored = &cluster.nodes[survivor].kept;
+    let stored = &cluster.nodes[survivor].stored;
     let refused = plan_recovery(stored, member(&cluster, survivor), RecoverySource::EmptyState);
     expect_that!(refused, err(eq(&RecoveryError::StateExists)));
 }
--- a/control/tests/exploration.rs
+++ b/control/tests/exploration.rs
@@ -1,11 +1,11 @@
-//! Randomized simulation: thousands of deterministic courses of events, one per seed, with all kinds of faults.
+//! Randomized simulation: thousands of deterministic runs, one per seed, with all kinds of faults.
 
 mod simulator;
 
 use googletest::prelude::*;
 use simulator::{ClockRates, Fault, Plan, Report, World, seeds};
 
-/// How many seeds each size of the core is given.
+/// How many seeds are run for each cluster size.
 const SEEDS: u64 = 2_000;
 
 fn explore(plan: &Plan) -> Result<()> {
@@ -26,7 +26,7 @@
     }
     if !failures.is_empty() {
         let count = failures.len();
-        return fail!("{count} courses of {plan:?} break a rule:\n{}", failures.join("\n"));
+        return fail!("{count} runs of {plan:?} violate an invariant:\n{}", failures.join("\n"));
     }
     println!("{} replicas: {total:?}, slowest recovery {slowest:?}", plan.replicas);
     Ok(())
@@ -47,7 +47,7 @@
     explore(&Plan::new(8, 2))
 }
 
-/// The margin of the lease is for this: clocks may differ in rate by 6 in 100.
+/// The lease margin covers clock drift: here the rates of two clocks differ by up to 6 in 100.
 #[gtest]
 fn three_replicas_with_clock_drift() -> Result<()> {
     let only = vec![
--- a/control/tests/linearizability.rs
+++ b/control/tests/linearizability.rs
@@ -7,9 +7,9 @@
 use simulator::{Fault, History, Operation, Plan, Response, World, seeds};
 
 const OPERATORS: usize = 8;
-/// How many seeds each size of the core is given.
+/// How many seeds are run for each cluster size.
 const SEEDS: u64 = 1_000;
-/// So many seeds are tried at most until a broken version is found out.
+/// At most this many seeds are tried until a broken version is detected.
 const BROKEN_SEEDS: u64 = 2_000;
 
 fn plan(replicas: usize, machine_losses: usize) -> Plan {
@@ -46,13 +46,13 @@
     explore(&plan(8, 2))
 }
 
-/// The first seed whose history no register explains, although that of the sound version has one.
-fn first_unexplained(injected_fault: InjectedFault, plan: &Plan) -> Option<u64> {
+/// The first seed whose history is not linearizable with the fault, although it is without.
+fn first_violation(injected_fault: InjectedFault, plan: &Plan) -> Option<u64> {
     let broken = Plan { injected_fault: Some(injected_fault), ..plan.clone() };
-    let explained = |plan: &Plan, seed| {
+    let is_linearizable = |plan: &Plan, seed| {
         World::new(plan.clone(), seed).with_operators(OPERATORS).play().history.linearizable()
     };
-    (0..BROKEN_SEEDS).find(|seed| !explained(&broken, *seed) && explained(plan, *seed))
+    (0..BROKEN_SEEDS).find(|seed| !is_linearizable(&broken, *seed) && is_linearizable(plan, *seed))
 }
 
 #[gtest]
@@ -66,7 +66,7 @@
         (InjectedFault::LeadsForever, plan(3, 1)),
     ];
     for (injected_fault, plan) in rows {
-        let seed = first_unexplained(injected_fault, &plan);
+        let seed = first_violation(injected_fault, &plan);
         println!("{injected_fault:?}: seed {seed:?}");
         expect_that!(seed, some(anything()), "{injected_fault:?}");
     }
@@ -76,13 +76,13 @@
     Operation::Put { if_match, version, fingerprint }
 }
 
-/// A history of calls that follow each other.
-fn one_after_the_other(calls: &[(Operation, Option<Response>)]) -> History {
+/// A history of sequential calls.
+fn sequential_history(calls: &[(Operation, Option<Response>)]) -> History {
     let mut history = History::default();
     for (operation, response) in calls {
-        let name = history.ask(*operation);
+        let call = history.invoke(*operation);
         if let Some(response) = response {
-            history.answer(name, *response);
+            history.answer(call, *response);
         }
     }
     history
@@ -131,15 +131,15 @@
             false,
         ),
     ];
-    for (what, calls, explained) in rows {
-        expect_that!(one_after_the_other(&calls).linearizable(), eq(explained), "{what}");
+    for (what, calls, is_linearizable) in rows {
+        expect_that!(sequential_history(&calls).linearizable(), eq(is_linearizable), "{what}");
     }
 }
 
 #[gtest]
 fn concurrent_calls_may_take_effect_in_any_order() {
     let mut history = History::default();
-    let (one, two) = (history.ask(put(0, 1, 10)), history.ask(put(1, 2, 20)));
+    let (one, two) = (history.invoke(put(0, 1, 10)), history.invoke(put(1, 2, 20)));
     history.answer(two, Response::Committed);
     history.answer(one, Response::Committed);
     history.read(Some(20));
--- a/control/tests/membership.rs
+++ b/control/tests/membership.rs
@@ -6,25 +6,25 @@
 use googletest::prelude::*;
 use gradepaddle_control::{Body, Input, Message, Outcome, ReplicaId};
 
-const TAKEN: Option<Outcome> = Some(Outcome::Committed);
+const COMMITTED: Option<Outcome> = Some(Outcome::Committed);
 
-/// A founded core with configuration 5.
+/// A bootstrapped cluster with configuration 5.
 fn with_state(size: usize, losses: usize) -> Cluster {
     let mut cluster = Cluster::bootstrapped(size, losses);
     change(&mut cluster, put(0, 5, 50));
     cluster
 }
 
-/// Has a change taken by whoever leads.
+/// Commits a change at the primary.
 fn change(cluster: &mut Cluster, change: gradepaddle_control::Change) {
-    let leader = cluster.leader().expect("somebody leads");
-    let proposal_id = cluster.ask(leader, change);
+    let leader = cluster.leader().expect("there is a leader");
+    let proposal_id = cluster.propose(leader, change);
     cluster.settle();
-    assert_eq!(cluster.answer(proposal_id), TAKEN);
+    assert_eq!(cluster.answer(proposal_id), COMMITTED);
 }
 
 fn size(cluster: &Cluster) -> usize {
-    cluster.view(cluster.leader().expect("somebody leads")).view.members.len()
+    cluster.view(cluster.leader().expect("there is a leader")).view.members.len()
 }
 
 #[gtest]
@@ -38,7 +38,7 @@
         expect_that!(size(&cluster), eq(3), "no larger majority while {gone} is silent");
         expect_that!(cluster.members(), not(contains(eq(&added))));
         cluster.run(1_500);
-        let expected: Vec<usize> = (0..=added).filter(|place| *place != gone).collect();
+        let expected: Vec<usize> = (0..=added).filter(|node_index| *node_index != gone).collect();
         expect_that!(cluster.members(), eq(&expected), "without {gone}");
     }
 }
@@ -66,7 +66,7 @@
     let mut cluster = with_state(3, 1);
     let added = cluster.add(false);
     cluster.set_disk(added, Disk::Full);
-    // Something to write, by which it learns of its disk.
+    // A write, by which the joiner detects that its disk fails.
     cluster.input(added, Input::Bootstrap { view: cluster.first_view(3) });
     cluster.run(2_000);
     expect_that!(cluster.members(), not(contains(eq(&added))));
@@ -78,7 +78,7 @@
 #[gtest]
 fn a_delayed_join_request_of_a_gone_replica_replaces_nobody() {
     let mut cluster = with_state(3, 1);
-    // The machine of place 2 has lost its disk twice; what its first replica after that said comes late.
+    // The machine of node 2 has lost its disk twice; a request of the replica between the losses arrives late.
     let stale = gradepaddle_control::Member {
         id: ReplicaId(4_242),
         address: cluster.nodes[2].address,
@@ -99,13 +99,13 @@
         let added = cluster.add(false);
         cluster.run(500);
         cluster.input(leaver, Input::ShutDown);
-        expect_that!(cluster.nodes[leaver].ready_to_exit, eq(false), "place {leaver}");
+        expect_that!(cluster.nodes[leaver].ready_to_exit, eq(false), "node {leaver}");
         while !cluster.nodes[leaver].ready_to_exit {
             cluster.run(5);
         }
         cluster.crash(leaver);
-        // From now on one more may be lost for good, whoever it is.
-        let next = cluster.leader().expect("somebody leads");
+        // From now on any one more member may be lost for good.
+        let next = cluster.leader().expect("there is a leader");
         cluster.wipe(next);
         cluster.run(3_000);
         change(&mut cluster, put(5, 6, 60));
@@ -207,11 +207,11 @@
     cluster.crash(3);
     cluster.run(2_800);
     expect_that!(cluster.members(), elements_are![eq(&0), eq(&1), eq(&2)]);
-    // It bears another loss for good.
+    // It tolerates another loss for good.
     cluster.wipe(0);
     cluster.run(3_000);
     change(&mut cluster, put(5, 6, 60));
-    // Who comes back is a member again.
+    // Machines that come back become members again.
     cluster.start(3);
     cluster.start(0);
     cluster.run(6_000);
--- a/control/tests/schedules.rs
+++ b/control/tests/schedules.rs
@@ -1,6 +1,6 @@
-//! Systematic exploration: each pair of faults at each pair of steps of a course, instead of faults drawn by seed.
+//! Systematic exploration: each pair of faults at each pair of steps of a run, instead of random faults.
 //!
-//! `SCHEDULE_STRIDE=1 cargo test --release -p gradepaddle-control --test schedules -- --nocapture` plays all of them.
+//! `SCHEDULE_STRIDE=1 cargo test --release -p gradepaddle-control --test schedules -- --nocapture` runs all of them.
 
 #[path = "common/event_queue.rs"]
 #[allow(dead_code, reason = "this file uses a part of it")]
@@ -14,25 +14,25 @@
 use gradepaddle_control::InjectedFault;
 use world::{Fault, World, faults};
 
-/// The first fault comes before one of so many steps, which cover a heartbeat, a change and what lies between.
+/// The first fault is injected before one of these steps, which cover a heartbeat, a change and the time between them.
 const FIRST_STEPS: std::ops::Range<usize> = 40..80;
-/// The second one comes before one of so many steps after that, which cover a takeover.
+/// The second fault is injected within this many steps after the first, which cover a takeover.
 const SECOND_STEPS: usize = 120;
-/// Of all schedules each of so many is played, unless `SCHEDULE_STRIDE` says otherwise.
+/// One of this many schedules is run, unless `SCHEDULE_STRIDE` sets another stride.
 const STRIDE: usize = 97;
-/// Schedules within which a broken version has to be caught.
-const MOST_FOR_BROKEN: usize = 4_000;
-/// Threads that play schedules.
+/// A broken version has to be caught within this many schedules.
+const MAX_SCHEDULES_FOR_BROKEN: usize = 4_000;
+/// Threads that run schedules.
 const THREADS: usize = 4;
 
-/// Two faults, each before a step of the course.
+/// Two faults, each injected before a step of the run.
 #[derive(Debug, Clone, Copy)]
 struct Schedule {
     first: (usize, Fault),
     second: (usize, Fault),
 }
 
-/// The schedule of this number; all numbers below [`schedule_count`] give different ones.
+/// The schedule with this number; all numbers below [`schedule_count`] give different schedules.
 fn schedule(number: usize, faults: &[Fault]) -> Schedule {
     let (rest, second_fault) = (number / faults.len(), faults[number % faults.len()]);
     let (rest, first_fault) = (rest / faults.len(), faults[rest % faults.len()]);
@@ -45,7 +45,7 @@
     faults.len() * faults.len() * FIRST_STEPS.len() * SECOND_STEPS
 }
 
-/// What a schedule led to.
+/// The result of a schedule.
 struct Outcome {
     steps: usize,
     violation: Option<String>,
@@ -53,14 +53,14 @@
 
 fn play(schedule: Schedule, injected_fault: Option<InjectedFault>) -> Outcome {
     let mut world = World::new(injected_fault);
-    let mut goes_on = true;
-    while goes_on {
+    let mut running = true;
+    while running {
         for (step, fault) in [schedule.first, schedule.second] {
             if world.steps == step {
                 world.inject(fault);
             }
         }
-        goes_on = world.step();
+        running = world.step();
     }
     if world.violation.is_none() {
         world.check_end();
@@ -68,14 +68,14 @@
     Outcome { steps: world.steps, violation: world.violation }
 }
 
-/// Plays schedules, a stride apart; how many, their steps, and the first that breaks a rule.
+/// Runs every `stride`th schedule; returns how many were run, their steps, and one that violates an invariant, if any.
 fn explore(
     injected_fault: Option<InjectedFault>,
     stride: usize,
-    most: usize,
+    max_schedules: usize,
 ) -> (usize, usize, Option<(Schedule, String)>) {
     let faults = faults();
-    let count = schedule_count(&faults).min(most * stride);
+    let count = schedule_count(&faults).min(max_schedules * stride);
     let (next, steps) = (AtomicUsize::new(0), AtomicUsize::new(0));
     let found = AtomicBool::new(false);
     let work = || {
@@ -116,8 +116,8 @@
 }
 
 /// Five broken versions are caught by two faults among the first schedules. Five others (`AcceptsBeforeInstall`,
-/// `TakesAnyData`, `GrantsAfterRestart`, `ForgetsPromise`, `SkipsPreviousMembers`) were not in one of seven of all schedules: they need
-/// lost disks or more faults, and `broken_versions.rs` catches them.
+/// `TakesAnyData`, `GrantsAfterRestart`, `ForgetsPromise`, `SkipsPreviousMembers`) were not caught in one of seven of
+/// all schedules: they need lost disks or more faults, and `broken_versions.rs` catches them.
 #[gtest]
 fn broken_versions_are_caught_by_two_faults() {
     for injected_fault in [
@@ -127,7 +127,7 @@
         InjectedFault::ReadsWithoutLease,
         InjectedFault::InstallsWithoutEpoch,
     ] {
-        let (played, _, broken) = explore(Some(injected_fault), 7, MOST_FOR_BROKEN);
+        let (played, _, broken) = explore(Some(injected_fault), 7, MAX_SCHEDULES_FOR_BROKEN);
         println!("{injected_fault:?}: {played} schedules, {broken:?}");
         expect_that!(broken, some(anything()), "{injected_fault:?}");
     }
--- a/control/tests/schedules/world.rs
+++ b/control/tests/schedules/world.rs
@@ -1,4 +1,5 @@
-//! A cluster whose course is fixed but for the faults of a schedule: what happens next follows from times alone.
+//! A simulated cluster without randomness: the sequence of events depends only on fixed delays and on the faults of a
+//! schedule.
 
 use std::net::SocketAddrV4;
 
@@ -11,24 +12,24 @@
 
 pub const MILLISECOND: u64 = 1_000;
 pub const REPLICAS: usize = 3;
-/// What a message and a write take.
-const HOP: u64 = MILLISECOND;
-const WRITE: u64 = 2 * MILLISECOND;
-/// Between two attempts of the operator.
+/// How long a message and a write take.
+const MESSAGE_DELAY: u64 = MILLISECOND;
+const WRITE_TIME: u64 = 2 * MILLISECOND;
+/// Interval between two proposals of the operator.
 const PROPOSAL_INTERVAL: u64 = 60 * MILLISECOND;
-/// A course is over then: two takeovers and more.
-const LENGTH: u64 = 9_000 * MILLISECOND;
+/// The length of a run: enough for more than two takeovers.
+const RUN_LENGTH: u64 = 9_000 * MILLISECOND;
 
 /// A fault of one machine, or of the link on which the next message travels.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// The process is killed: what was not written is lost. It is back after this.
+    /// The process is killed, and writes in progress are lost. It starts again after `down`.
     Crash { replica: usize, down: u64 },
-    /// Nothing gets in or out for this long.
+    /// No message gets in or out for this long.
     Isolate { replica: usize, lasts: u64 },
-    /// The process stands still for this long.
+    /// The process is suspended for this long.
     Suspend { replica: usize, lasts: u64 },
-    /// The event that is due next does not happen, if it is the arrival of a message.
+    /// The next event is dropped, if it is the arrival of a message.
     DropNext,
 }
 
@@ -57,7 +58,7 @@
 
 struct Machine {
     address: SocketAddrV4,
-    kept: RecoveredState,
+    stored: RecoveredState,
     replica: Option<Replica>,
     incarnation: u64,
     next_wake: u64,
@@ -65,26 +66,27 @@
     suspended_until: u64,
 }
 
-/// A cluster with all that happens to it.
+/// A cluster, its pending events, and the invariants.
 pub struct World {
     now: u64,
     machines: Vec<Machine>,
     events: EventQueue<Event>,
     injected_fault: Option<InjectedFault>,
-    /// The newest version that was acknowledged, and the proposals that are open, with their versions.
+    /// The newest version that was acknowledged.
     acknowledged: u64,
+    /// The latest proposal, with its version.
     open: Option<(ProposalId, u64)>,
     last_proposal: u64,
-    /// Events that have happened.
+    /// The number of events so far.
     pub steps: usize,
     pub violation: Option<String>,
 }
 
 impl World {
     pub fn new(injected_fault: Option<InjectedFault>) -> World {
-        let machine = |place: usize| Machine {
-            address: format!("10.0.0.{}:7640", place + 1).parse().expect("an address"),
-            kept: RecoveredState::empty(ReplicaId(1_000 + place as u64)),
+        let machine = |node_index: usize| Machine {
+            address: format!("10.0.0.{}:7640", node_index + 1).parse().expect("an address"),
+            stored: RecoveredState::empty(ReplicaId(1_000 + node_index as u64)),
             replica: None,
             incarnation: 0,
             next_wake: u64::MAX,
@@ -112,10 +114,10 @@
     }
 
     fn first_view(&self) -> View {
-        let member = |(place, machine): (usize, &Machine)| Member {
-            id: machine.kept.id,
+        let member = |(node_index, machine): (usize, &Machine)| Member {
+            id: machine.stored.id,
             address: machine.address,
-            zone: ["west", "middle", "east"][place].into(),
+            zone: ["west", "middle", "east"][node_index].into(),
         };
         let members: Vec<Member> = self.machines.iter().enumerate().map(member).collect();
         View {
@@ -128,14 +130,14 @@
         }
     }
 
-    /// Lets the next event happen; false once the course is over or a rule is broken.
+    /// Handles the next event; returns false once the run is over or an invariant is violated.
     pub fn step(&mut self) -> bool {
         let Some((at, event)) = self.events.pop() else { return false };
         self.now = self.now.max(at);
         self.steps += 1;
-        self.happen(event);
+        self.handle_event(event);
         self.check_leaders();
-        self.violation.is_none() && self.now < LENGTH
+        self.violation.is_none() && self.now < RUN_LENGTH
     }
 
     pub fn inject(&mut self, fault: Fault) {
@@ -158,12 +160,12 @@
         }
     }
 
-    /// At the end somebody leads and has all that was acknowledged.
+    /// Checks that there is a primary at the end of the run.
     pub fn check_end(&mut self) {
         let leads =
             |machine: &Machine| machine.replica.as_ref().is_some_and(|one| one.leading(self.now).is_some());
         if !self.machines.iter().any(leads) {
-            self.broken("nobody leads at the end".to_owned());
+            self.report_violation("no primary at the end".to_owned());
         }
     }
 
@@ -177,27 +179,27 @@
             .zone(["west", "middle", "east"][replica])
             .injected_fault(self.injected_fault)
             .build();
-        let started = Replica::new(config, machine.kept.clone(), self.now);
+        let started = Replica::new(config, machine.stored.clone(), self.now);
         self.machines[replica].replica = Some(started);
         let peers = self.machines.iter().map(|machine| machine.address).collect();
         self.input(replica, Input::Peers(peers));
     }
 
-    fn happen(&mut self, event: Event) {
-        let concerned = match &event {
+    fn handle_event(&mut self, event: Event) {
+        let affected = match &event {
             Event::Deliver { to, .. } => Some(*to),
             Event::Wake { replica, .. } | Event::Written { replica, .. } => Some(*replica),
             Event::Start { .. } | Event::Propose => None,
         };
-        if let Some(until) = concerned.map(|replica| self.machines[replica].suspended_until)
+        if let Some(until) = affected.map(|replica| self.machines[replica].suspended_until)
             && until > self.now
         {
             return self.events.push(until, event);
         }
         match event {
             Event::Deliver { from, to, message } => {
-                let cut = |machine: &Machine| machine.isolated_until > self.now;
-                if !cut(&self.machines[from]) && !cut(&self.machines[to]) {
+                let isolated = |machine: &Machine| machine.isolated_until > self.now;
+                if !isolated(&self.machines[from]) && !isolated(&self.machines[to]) {
                     let from = self.machines[from].address;
                     self.input(to, Input::Message { from, message });
                 }
@@ -210,7 +212,7 @@
             }
             Event::Written { replica, incarnation, write_id, records } => {
                 if self.machines[replica].incarnation == incarnation {
-                    records.into_iter().for_each(|record| self.machines[replica].kept.apply(record));
+                    records.into_iter().for_each(|record| self.machines[replica].stored.apply(record));
                     self.input(replica, Input::WriteCompleted { write_id });
                 }
             }
@@ -219,7 +221,7 @@
         }
     }
 
-    /// The operator sends the next version to whoever calls itself primary.
+    /// The operator proposes the next version to the replica that is primary.
     fn propose(&mut self) {
         self.events.push(self.now + PROPOSAL_INTERVAL, Event::Propose);
         let leads =
@@ -235,9 +237,9 @@
         self.input(leader, Input::Propose { proposal_id, change });
     }
 
-    fn input(&mut self, place: usize, input: Input) {
+    fn input(&mut self, node_index: usize, input: Input) {
         let now = self.now;
-        let machine = &mut self.machines[place];
+        let machine = &mut self.machines[node_index];
         let Some(replica) = machine.replica.as_mut() else { return };
         let mut out = Vec::new();
         replica.handle(now, input, &mut out);
@@ -245,46 +247,48 @@
         let incarnation = machine.incarnation;
         if wake < machine.next_wake {
             machine.next_wake = wake;
-            self.events.push(wake, Event::Wake { replica: place, incarnation });
+            self.events.push(wake, Event::Wake { replica: node_index, incarnation });
         }
         for output in out {
             match output {
                 Output::Send { to, message } => {
                     let to = self.machines.iter().position(|machine| machine.address == to);
-                    if let Some(to) = to.filter(|to| *to != place) {
-                        self.events.push(now + HOP, Event::Deliver { from: place, to, message });
+                    if let Some(to) = to.filter(|to| *to != node_index) {
+                        self.events
+                            .push(now + MESSAGE_DELAY, Event::Deliver { from: node_index, to, message });
                     }
                 }
                 Output::Persist { write_id, records } => {
-                    let written = Event::Written { replica: place, incarnation, write_id, records };
-                    self.events.push(now + WRITE, written);
+                    let written = Event::Written { replica: node_index, incarnation, write_id, records };
+                    self.events.push(now + WRITE_TIME, written);
                 }
-                Output::Answer { proposal_id, outcome } => self.answered(place, proposal_id, outcome),
+                Output::Answer { proposal_id, outcome } => self.answered(node_index, proposal_id, outcome),
                 _ => {}
             }
         }
     }
 
-    /// What is acknowledged is on the disks of the primary and of each backup of its view.
-    fn answered(&mut self, place: usize, proposal_id: ProposalId, outcome: Outcome) {
+    /// Checks that an acknowledged change is on the disks of the primary and of each backup of its view.
+    fn answered(&mut self, node_index: usize, proposal_id: ProposalId, outcome: Outcome) {
         let Some((_, version)) = self.open.filter(|(open, _)| *open == proposal_id) else { return };
         if outcome != Outcome::Committed {
             return;
         }
         self.acknowledged = self.acknowledged.max(version);
-        let view = self.machines[place].replica.as_ref().and_then(|one| one.status().view);
+        let view = self.machines[node_index].replica.as_ref().and_then(|one| one.status().view);
         let Some(view) = view else { return };
-        for machine in self.machines.iter().filter(|machine| view.view.holds_data(machine.kept.id)) {
-            let held = machine.kept.data.as_ref().map_or(0, |data| data.state.current_version());
-            if held < version {
-                let (id, at) = (machine.kept.id, self.now);
-                return self
-                    .broken(format!("version {version} is acknowledged at {at}, {id:?} holds {held}"));
+        for machine in self.machines.iter().filter(|machine| view.view.holds_data(machine.stored.id)) {
+            let held_version = machine.stored.data.as_ref().map_or(0, |data| data.state.current_version());
+            if held_version < version {
+                let (id, at) = (machine.stored.id, self.now);
+                return self.report_violation(format!(
+                    "version {version} is acknowledged at {at}, {id:?} holds {held_version}"
+                ));
             }
         }
     }
 
-    /// One primary at a time, and it reads all that was acknowledged.
+    /// Checks that there is at most one primary, and that its state contains all acknowledged changes.
     fn check_leaders(&mut self) {
         let mut leaders = 0;
         let mut read = None;
@@ -297,15 +301,18 @@
             }
         }
         if leaders > 1 {
-            return self.broken(format!("{leaders} lead at {}", self.now));
+            return self.report_violation(format!("{leaders} lead at {}", self.now));
         }
         if let Some(version) = read.filter(|version| *version < self.acknowledged) {
             let acknowledged = self.acknowledged;
-            self.broken(format!("{version} is read at {}, though {acknowledged} was acknowledged", self.now));
+            self.report_violation(format!(
+                "{version} is read at {}, though {acknowledged} was acknowledged",
+                self.now
+            ));
         }
     }
 
-    fn broken(&mut self, what: String) {
+    fn report_violation(&mut self, what: String) {
         self.violation.get_or_insert(what);
     }
 }
--- a/control/tests/simulator/checker.rs
+++ b/control/tests/simulator/checker.rs
@@ -16,13 +16,13 @@
     Lost(String),
     /// A change is acknowledged that no backup holds.
     NoBackup(String),
-    /// Two replicas lead at the same time.
+    /// Two replicas are primary at the same time.
     TwoLeaders(ReplicaId, ReplicaId),
-    /// Two replicas led in one epoch.
+    /// Two replicas were primary in one epoch.
     EpochTwice(u64),
-    /// A leader acts on a state that isn't the latest.
+    /// A primary acts on a state that isn't the latest.
     Stale(String),
-    /// A refusal that wasn't true, or of a change that came into force.
+    /// A change was rejected for a reason that did not hold, or although it had been committed.
     FalseRefusal(String),
     /// Nothing was acknowledged in time although all faults have ended.
     NoProgress(String),
@@ -32,14 +32,14 @@
 #[derive(Debug, Clone)]
 struct Sent {
     if_match: u64,
-    /// Sendings that weren't answered with "nothing was done".
+    /// How often it was proposed, not counting the proposals that were answered with [`Outcome::NotPrimary`].
     open: u64,
     refused: bool,
 }
 
 #[derive(Debug, Default)]
 pub struct Checker {
-    pub line: Vec<Arc<ControlState>>,
+    pub committed_states: Vec<Arc<ControlState>>,
     sent: BTreeMap<Fingerprint, Sent>,
     leaders: BTreeMap<u64, ReplicaId>,
     pub acknowledged: usize,
@@ -49,11 +49,11 @@
 
 impl Checker {
     pub fn new() -> Checker {
-        Checker { line: vec![Arc::default()], ..Checker::default() }
+        Checker { committed_states: vec![Arc::default()], ..Checker::default() }
     }
 
     pub fn latest(&self) -> &ControlState {
-        &self.line[self.line.len() - 1]
+        &self.committed_states[self.committed_states.len() - 1]
     }
 
     pub fn report(&mut self, violation: Violation) {
@@ -73,10 +73,10 @@
         }
     }
 
-    /// A replica says that a state is committed.
+    /// A replica reports that a state is committed.
     pub fn committed(&mut self, state: &Arc<ControlState>, leading: bool) {
         if **state != *self.latest() {
-            if self.line.iter().any(|known| known == state) {
+            if self.committed_states.iter().any(|known| known == state) {
                 if leading {
                     self.report(Violation::Stale(summary(state)));
                 }
@@ -86,11 +86,11 @@
                 let text = format!("{reason}: {} after {}", summary(state), summary(self.latest()));
                 return self.report(Violation::Fork(text));
             }
-            self.line.push(Arc::clone(state));
+            self.committed_states.push(Arc::clone(state));
         }
     }
 
-    /// A replica that leads holds this state.
+    /// A replica that is primary holds this state.
     pub fn read(&mut self, state: &ControlState) {
         if state != self.latest() {
             let text = format!("{} instead of {}", summary(state), summary(self.latest()));
@@ -108,7 +108,7 @@
                 .count();
             let one_named = state.models.len() - same == 1 && state.accepted == last.accepted;
             let risen = last.models.iter().all(|(model, version)| state.models.get(model) >= Some(version));
-            return if one_named && risen { Ok(()) } else { Err("not one name more") };
+            return if one_named && risen { Ok(()) } else { Err("not exactly one model version more") };
         }
         let Some(configuration) = &state.configuration else { return Err("configuration gone") };
         let Some(sent) = self.sent.get(&configuration.fingerprint) else { return Err("never sent") };
@@ -116,7 +116,7 @@
             return Err("was refused");
         }
         if sent.open == 0 {
-            return Err("was turned away");
+            return Err("was answered with NotPrimary");
         }
         if sent.if_match != last.current_version() || configuration.version <= last.current_version() {
             return Err("not on top of its base");
@@ -163,7 +163,7 @@
         outcome: Outcome,
     ) {
         let true_reason = match outcome {
-            // One that builds on a later version could still be taken.
+            // A change that builds on a later version could still be accepted.
             Outcome::Conflict { .. } => if_match < current || version <= if_match,
             _ => if_match == current && version <= current,
         };
--- a/control/tests/simulator/clients.rs
+++ b/control/tests/simulator/clients.rs
@@ -13,16 +13,16 @@
     pub open: BTreeMap<ProposalId, Change>,
     /// The version that the operators believe to be current.
     believed: u64,
-    /// Changes without a clear answer.
-    unclear: Vec<Change>,
+    /// Changes whose outcome is unknown.
+    unknown_outcomes: Vec<Change>,
 }
 
 impl Clients {
-    /// The next change that somebody wants.
+    /// The next change that an operator proposes.
     pub fn next_change(&mut self, random: &mut Random) -> Change {
-        if !self.unclear.is_empty() && random.permille(350) {
-            let index = random.below(self.unclear.len());
-            return self.unclear.swap_remove(index);
+        if !self.unknown_outcomes.is_empty() && random.permille(350) {
+            let index = random.below(self.unknown_outcomes.len());
+            return self.unknown_outcomes.swap_remove(index);
         }
         if random.permille(150) {
             let model = format!("m{}", random.below(2));
@@ -54,16 +54,16 @@
             (_, Outcome::Conflict { current } | Outcome::VersionNotHigher { current }) => {
                 self.believed = current;
             }
-            (_, Outcome::Unknown | Outcome::NotPrimary { .. }) => self.unclear.push(change.clone()),
+            (_, Outcome::Unknown | Outcome::NotPrimary { .. }) => self.unknown_outcomes.push(change.clone()),
             _ => {}
         }
-        self.unclear.truncate(8);
+        self.unknown_outcomes.truncate(8);
     }
 
-    /// The machine went down with the question.
+    /// The machine crashed before it answered the proposal.
     pub fn unanswered(&mut self, proposal_id: ProposalId) {
         if let Some(change) = self.open.remove(&proposal_id) {
-            self.unclear.push(change);
+            self.unknown_outcomes.push(change);
         }
     }
 }
--- a/control/tests/simulator/disk.rs
+++ b/control/tests/simulator/disk.rs
@@ -1,4 +1,5 @@
-//! A disk as the store presents it: ordered, atomic writes; a failed one may be found after a crash.
+//! A disk as the store presents it: writes are ordered and atomic; a failed write may turn out to be durable after a
+//! crash.
 
 use std::collections::VecDeque;
 
@@ -8,23 +9,23 @@
 
 #[derive(Debug)]
 pub struct Disk {
-    pub kept: RecoveredState,
-    /// Writes under way, the oldest first.
-    under_way: VecDeque<(WriteId, Vec<Record>)>,
-    /// Writes that have failed since the last success: one of them may be on the disk all the same.
-    limbo: Vec<Vec<Record>>,
+    pub stored: RecoveredState,
+    /// Writes in progress, the oldest first.
+    in_progress: VecDeque<(WriteId, Vec<Record>)>,
+    /// Writes that have failed since the last success: one of them may still be on the disk.
+    failed_writes: Vec<Vec<Record>>,
     pub full: bool,
     pub hangs_until: u64,
-    /// When the latest write asked for will be done.
+    /// When the latest requested write completes.
     pub busy_until: u64,
 }
 
 impl Disk {
     pub fn empty(id: ReplicaId) -> Disk {
         Disk {
-            kept: RecoveredState::empty(id),
-            under_way: VecDeque::new(),
-            limbo: Vec::new(),
+            stored: RecoveredState::empty(id),
+            in_progress: VecDeque::new(),
+            failed_writes: Vec::new(),
             full: false,
             hangs_until: 0,
             busy_until: 0,
@@ -32,37 +33,37 @@
     }
 
     pub fn begin(&mut self, write_id: WriteId, records: Vec<Record>) {
-        self.under_way.push_back((write_id, records));
+        self.in_progress.push_back((write_id, records));
     }
 
-    /// How many writes are under way.
+    /// How many writes are in progress.
     pub fn waiting(&self) -> usize {
-        self.under_way.len()
+        self.in_progress.len()
     }
 
-    /// Ends the oldest write; says whether it is durable.
+    /// Completes the oldest write; returns whether it is durable.
     pub fn finish(&mut self) -> Option<(WriteId, bool)> {
-        let (write_id, records) = self.under_way.pop_front()?;
+        let (write_id, records) = self.in_progress.pop_front()?;
         if self.full {
-            self.limbo.push(records);
+            self.failed_writes.push(records);
             return Some((write_id, false));
         }
-        self.limbo.clear();
-        records.into_iter().for_each(|record| self.kept.apply(record));
+        self.failed_writes.clear();
+        records.into_iter().for_each(|record| self.stored.apply(record));
         Some((write_id, true))
     }
 
-    /// Of what is under way some first part is found later, or one of the writes that have failed before.
+    /// After a crash, the disk holds some prefix of the writes in progress, or one of the writes that failed before.
     pub fn crash(&mut self, random: &mut Random) {
-        let found: Vec<Vec<Record>> = if !self.limbo.is_empty() && random.permille(400) {
-            vec![self.limbo.swap_remove(random.below(self.limbo.len()))]
+        let found: Vec<Vec<Record>> = if !self.failed_writes.is_empty() && random.permille(400) {
+            vec![self.failed_writes.swap_remove(random.below(self.failed_writes.len()))]
         } else {
-            let part = if self.full { 0 } else { random.below(self.under_way.len() + 1) };
-            self.under_way.drain(..part).map(|(_, records)| records).collect()
+            let part = if self.full { 0 } else { random.below(self.in_progress.len() + 1) };
+            self.in_progress.drain(..part).map(|(_, records)| records).collect()
         };
-        found.into_iter().flatten().for_each(|record| self.kept.apply(record));
-        self.limbo.clear();
-        self.under_way.clear();
+        found.into_iter().flatten().for_each(|record| self.stored.apply(record));
+        self.failed_writes.clear();
+        self.in_progress.clear();
         self.busy_until = 0;
     }
 }
--- a/control/tests/simulator/faults.rs
+++ b/control/tests/simulator/faults.rs
@@ -1,31 +1,31 @@
-//! The plan of a course of events: which faults are injected, and how often.
+//! The plan of a simulation run: which faults are injected, and how often.
 
 use gradepaddle_control::InjectedFault;
 
 use super::{SECOND, world::Loss};
 
-/// What a course of events is made of.
+/// The plan of a simulation run.
 #[derive(Debug, Clone)]
 pub struct Plan {
     pub replicas: usize,
     pub machine_losses: usize,
-    /// How long things go wrong, in microseconds.
+    /// How long faults are injected, in microseconds.
     pub length: u64,
-    /// A fault strikes about this often, in microseconds.
+    /// A fault is injected about this often, in microseconds.
     pub fault_interval: u64,
     pub injected_fault: Option<InjectedFault>,
-    /// An emptied disk keeps its identity: a fault of the harness itself.
-    pub emptied_vouches: bool,
+    /// A replica keeps its identity when its disk is wiped: a fault of the simulated machine, not of the protocol.
+    pub wiped_disk_keeps_id: bool,
     /// Only faults of these kinds; all if empty.
     pub only: Vec<Fault>,
-    /// Losses one after the other, by the clock, in place of faults at random.
+    /// Successive losses at times by the clock, instead of random faults.
     pub rounds: Option<Rounds>,
-    /// How fast steady clocks run.
+    /// The rates of the monotonic clocks.
     pub clock_rates: ClockRates,
 }
 
 impl Plan {
-    /// A course of 14 s with any fault about every half second, and nothing broken on purpose.
+    /// A run of 14 s with a fault of any kind about every half second, and no fault in the protocol.
     pub fn new(replicas: usize, machine_losses: usize) -> Plan {
         Plan {
             replicas,
@@ -33,7 +33,7 @@
             length: 14 * SECOND,
             fault_interval: 500_000,
             injected_fault: None,
-            emptied_vouches: false,
+            wiped_disk_keeps_id: false,
             only: Vec::new(),
             clock_rates: ClockRates::USUAL,
             rounds: None,
@@ -41,45 +41,45 @@
     }
 }
 
-/// How fast the steady clocks of machines run, in thousandths of the true rate.
+/// The range of the rates of the machines' monotonic clocks, in thousandths of the true rate.
 #[derive(Debug, Clone, Copy)]
 pub struct ClockRates {
     pub slowest: u64,
-    /// Not reached.
+    /// Exclusive.
     pub fastest: u64,
 }
 
 impl ClockRates {
-    /// As clocks are.
+    /// The rates of ordinary clocks.
     pub const USUAL: ClockRates = ClockRates { slowest: 995, fastest: 1_006 };
 }
 
-/// Successive losses, each as soon as the one before no longer counts.
+/// Successive losses, each as soon as the one before no longer counts as a loss.
 #[derive(Debug, Clone, Copy)]
 pub struct Rounds {
     /// How many there are.
     pub count: usize,
-    /// For how long a machine that is back or new still counts as lost, in microseconds.
+    /// For how long a machine that has come back, or is new, still counts as lost, in microseconds.
     pub catch_up: u64,
-    /// The whole core may lose power at any moment.
+    /// All machines may lose power at once, at any time.
     pub power_losses: bool,
-    /// The whole core loses power while members change, about once in a round.
+    /// All machines lose power at once while members change, about once in a round.
     pub power_losses_at_changes: bool,
-    /// Messages are lost and late all the while.
-    pub weather: bool,
-    /// Disks get full or hang for a while.
-    pub disk_trouble: bool,
+    /// Messages are lost and delayed during the whole run.
+    pub unreliable_links: bool,
+    /// Disks are full or hang temporarily.
+    pub disk_faults: bool,
     /// Only losses of these kinds; all if empty.
     pub only: &'static [Loss],
 }
 
-/// A kind of fault. Disks are lost for good only as often as the core bears.
+/// A kind of fault. Disks are lost for good only as often as the cluster tolerates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     Crash,
     CrashLeader,
     CrashAll,
-    /// Between the order to write and what comes after it.
+    /// A crash between the start of a write and shortly after its completion.
     CrashInWrite,
     WipeInWrite,
     WipeLeader,
@@ -90,7 +90,7 @@
     OneWayPartition,
     CutLink,
     Split,
-    /// The next change of members parts the candidate and the newcomers from all others as it is announced.
+    /// When the next change of members is announced, the candidate and the new members are partitioned from all others.
     SplitAtChange,
     HealNetwork,
     Suspend,
@@ -103,7 +103,7 @@
     WipesAndPowerLoss,
 }
 
-/// All kinds; those that come often are there more than once.
+/// All kinds; frequent ones are listed more than once.
 pub const FAULTS: &[Fault] = &[
     Fault::Crash,
     Fault::CrashLeader,
--- a/control/tests/simulator/mod.rs
+++ b/control/tests/simulator/mod.rs
@@ -1,4 +1,5 @@
-//! A deterministic simulation of core machines: one seed gives one course of events. Nothing waits for a real clock.
+//! A deterministic simulation of core machines: a seed determines the sequence of events. Nothing waits for a real
+//! clock.
 
 #![allow(dead_code, reason = "each test file uses a part of the simulator")]
 
--- a/control/tests/simulator/network.rs
+++ b/control/tests/simulator/network.rs
@@ -8,8 +8,8 @@
 pub struct Network {
     cuts: BTreeSet<(SocketAddrV4, SocketAddrV4)>,
     pub loss: u64,
-    pub late: u64,
-    pub twice: u64,
+    pub long_delay: u64,
+    pub duplication: u64,
 }
 
 impl Network {
@@ -21,8 +21,8 @@
         self.cuts.clear();
     }
 
-    pub fn calm(&mut self) {
-        (self.loss, self.late, self.twice) = (0, 0, 0);
+    pub fn reset_conditions(&mut self) {
+        (self.loss, self.long_delay, self.duplication) = (0, 0, 0);
     }
 
     /// The delays after which copies of a message arrive.
@@ -30,12 +30,12 @@
         if self.cuts.contains(&(from, to)) || random.permille(self.loss) {
             return Vec::new();
         }
-        let copies = if random.permille(self.twice) { 2 } else { 1 };
+        let copies = if random.permille(self.duplication) { 2 } else { 1 };
         (0..copies).map(|_| self.delay(random)).collect()
     }
 
     fn delay(&self, random: &mut Random) -> u64 {
-        if random.permille(self.late) {
+        if random.permille(self.long_delay) {
             random.between(5 * MILLISECOND, 2_500 * MILLISECOND)
         } else {
             random.between(200, 3 * MILLISECOND)
--- a/control/tests/simulator/random.rs
+++ b/control/tests/simulator/random.rs
@@ -16,7 +16,7 @@
         mixed ^ (mixed >> 31)
     }
 
-    /// A number from `low` up to `high`, without it.
+    /// A number from `low` to `high`, exclusive.
     pub fn between(&mut self, low: u64, high: u64) -> u64 {
         low + self.next() % (high - low).max(1)
     }
@@ -25,7 +25,7 @@
         (self.next() % limit.max(1) as u64) as usize
     }
 
-    /// True in so many of a thousand cases.
+    /// True with a probability of `chance` in a thousand.
     pub fn permille(&mut self, chance: u64) -> bool {
         self.next() % 1_000 < chance
     }
--- a/control/tests/simulator/world.rs
+++ b/control/tests/simulator/world.rs
@@ -45,14 +45,14 @@
     Round,
     PowerLoss,
     Terminate { machine: usize },
-    GraceOver { machine: usize, incarnation: u64 },
+    GracePeriodEnd { machine: usize, incarnation: u64 },
     DiskRecovers { machine: usize },
-    Join,
+    HealNetwork,
     Heal,
     Probe,
 }
 
-/// The result of a course.
+/// The result of a run.
 #[derive(Debug, Clone, Default)]
 pub struct Report {
     pub violation: Option<Violation>,
@@ -60,9 +60,9 @@
     pub acknowledged: usize,
     pub committed: usize,
     pub highest_epoch: u64,
-    /// From the healing to the next acknowledgement, in microseconds.
+    /// The time from the end of all faults to the next acknowledgement, in microseconds.
     pub recovery: u64,
-    /// The orders and reads of the run, if operators were asked for.
+    /// The proposals and reads of the run, if it has concurrent operators.
     pub history: History,
 }
 
@@ -80,20 +80,20 @@
     healed: Option<u64>,
     probe: Option<Change>,
     recovered: Option<u64>,
-    played: u64,
+    event_count: u64,
     highest_epoch: u64,
-    /// The longest ordinary write, in microseconds.
-    disk_takes: u64,
+    /// The upper limit of the duration of a write on a disk that works, in microseconds.
+    longest_write: u64,
     /// The next change of members splits the network.
     split_armed: bool,
     trace: bool,
-    /// The number of concurrent operators; 0 for a course without a history.
+    /// The number of concurrent operators; 0 for a run without a history.
     operators: usize,
     history: History,
-    /// The names of open orders in the history.
-    orders: BTreeMap<ProposalId, usize>,
-    /// Orders that were sent before, and may come again at any time.
-    sent_before: Vec<Change>,
+    /// The indices of open proposals in the history.
+    open_calls: BTreeMap<ProposalId, usize>,
+    /// Changes that were sent before; any of them may be sent again at any time.
+    sent_changes: Vec<Change>,
     rounds: rounds::RoundState,
 }
 
@@ -111,15 +111,15 @@
             healed: None,
             probe: None,
             recovered: None,
-            played: 0,
+            event_count: 0,
             highest_epoch: 0,
             split_armed: false,
             operators: 0,
             history: History::default(),
-            orders: BTreeMap::new(),
-            sent_before: Vec::new(),
+            open_calls: BTreeMap::new(),
+            sent_changes: Vec::new(),
             rounds: rounds::RoundState::default(),
-            disk_takes: [2, 8, 8, 60][random.below(4)] * MILLISECOND,
+            longest_write: [2, 8, 8, 60][random.below(4)] * MILLISECOND,
             trace: std::env::var_os("SIMULATOR_TRACE").is_some(),
             random,
             plan,
@@ -128,8 +128,8 @@
         world
     }
 
-    /// Lets so many operators act at once and keeps the history of their orders. The course goes on when a rule is
-    /// broken, so that the history shows it.
+    /// Runs with this many concurrent operators, and records the history of their proposals. The run continues after an
+    /// invariant is violated, so that the history shows it.
     pub fn with_operators(mut self, operators: usize) -> World {
         self.operators = operators;
         self
@@ -143,7 +143,7 @@
             .machines
             .iter()
             .map(|machine| Member {
-                id: machine.disk.kept.id,
+                id: machine.disk.stored.id,
                 address: machine.address,
                 zone: Arc::clone(&machine.zone),
             })
@@ -177,12 +177,12 @@
         self.events.push(self.now + after, event);
     }
 
-    /// Plays the course of events to its end.
+    /// Runs the simulation to its end.
     pub fn play(mut self) -> Report {
         while let Some((at, event)) = self.events.pop() {
             self.now = self.now.max(at);
-            self.played += 1;
-            self.happen(event);
+            self.event_count += 1;
+            self.handle_event(event);
             let over =
                 self.healed.is_some_and(|healed| self.now > healed + RECOVERY_LIMIT + 100 * MILLISECOND);
             if (self.checker.found.is_some() && self.operators == 0) || self.recovered.is_some() || over {
@@ -194,21 +194,21 @@
         }
         Report {
             violation: self.checker.found,
-            events: self.played,
+            events: self.event_count,
             acknowledged: self.checker.acknowledged,
-            committed: self.checker.line.len(),
+            committed: self.checker.committed_states.len(),
             highest_epoch: self.highest_epoch,
             recovery: self.recovered.unwrap_or(0),
             history: self.history,
         }
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Deliver { to, from, message } => {
                 if let Some(machine) = self.machines.iter().position(|machine| machine.address == to) {
                     if self.suspended(machine) {
-                        return self.machines[machine].held.push(Event::Deliver { to, from, message });
+                        return self.machines[machine].deferred.push(Event::Deliver { to, from, message });
                     }
                     if self.trace {
                         eprintln!("{:>10} {from} -> {to}: {message:?}", self.now);
@@ -220,7 +220,7 @@
                 if self.machines[machine].incarnation == incarnation {
                     self.machines[machine].next_wake = u64::MAX;
                     if self.suspended(machine) {
-                        return self.machines[machine].held.push(Event::Wake { machine, incarnation });
+                        return self.machines[machine].deferred.push(Event::Wake { machine, incarnation });
                     }
                     self.input(machine, Input::Tick);
                 }
@@ -244,7 +244,7 @@
                         }
                         _ => change.clone(),
                     };
-                    let machine = self.some_machine();
+                    let machine = self.random_machine();
                     self.schedule(1, Event::Propose { machine, change, tries: 4 });
                 }
                 if self.healed.is_none() {
@@ -252,7 +252,7 @@
                     self.schedule(pause, Event::ProposeNext);
                 }
             }
-            Event::Propose { machine, change, tries } => self.ask(machine, change, tries),
+            Event::Propose { machine, change, tries } => self.propose(machine, change, tries),
             Event::InjectFault => {
                 if self.healed.is_none() {
                     self.inject_fault();
@@ -273,9 +273,9 @@
             Event::Round => self.round(),
             Event::PowerLoss => self.lose_power(&[]),
             Event::Terminate { machine } => self.terminate(machine),
-            Event::GraceOver { machine, incarnation } => self.grace_over(machine, incarnation),
+            Event::GracePeriodEnd { machine, incarnation } => self.end_grace_period(machine, incarnation),
             Event::DiskRecovers { machine } => self.machines[machine].disk.full = false,
-            Event::Join => self.network.heal(),
+            Event::HealNetwork => self.network.heal(),
             Event::Heal => self.heal(),
             Event::Probe => self.probe(),
         }
--- a/control/tests/simulator/world/fault_effects.rs
+++ b/control/tests/simulator/world/fault_effects.rs
@@ -15,7 +15,7 @@
     pub(super) fn inject_fault(&mut self) {
         let kinds: &[Fault] = if self.plan.only.is_empty() { FAULTS } else { &self.plan.only };
         let fault = kinds[self.random.below(kinds.len())];
-        let victim = self.some_machine();
+        let victim = self.random_machine();
         if self.trace {
             eprintln!("{:>10} {fault:?} {}", self.now, self.machines[victim].address);
         }
@@ -56,7 +56,7 @@
                 }
             }
             Fault::CutLink => {
-                let other = self.some_machine();
+                let other = self.random_machine();
                 let (one, two) = (self.machines[victim].address, self.machines[other].address);
                 self.network.cut(one, two);
                 self.network.cut(two, one);
@@ -87,8 +87,8 @@
             Fault::NetworkConditions => {
                 let severity = self.random.between(0, 4);
                 self.network.loss = severity * self.random.between(0, 70);
-                self.network.late = severity * self.random.between(0, 30);
-                self.network.twice = severity * self.random.between(0, 50);
+                self.network.long_delay = severity * self.random.between(0, 30);
+                self.network.duplication = severity * self.random.between(0, 50);
             }
             Fault::WipesAndPowerLoss => self.inject_wipes_and_power_loss(victim),
         }
--- a/control/tests/simulator/world/input_output.rs
+++ b/control/tests/simulator/world/input_output.rs
@@ -41,13 +41,13 @@
                 Output::Answer { proposal_id, outcome } => self.answered(index, proposal_id, outcome),
                 Output::BecamePrimary { epoch } => {
                     self.highest_epoch = self.highest_epoch.max(epoch);
-                    let id = self.machines[index].disk.kept.id;
+                    let id = self.machines[index].disk.stored.id;
                     if self.trace {
                         eprintln!("{:>10} {} leads {epoch}", self.now, self.machines[index].address);
                     }
                     self.checker.leads(epoch, id);
                 }
-                Output::ReadyToExit => self.end(index),
+                Output::ReadyToExit => self.exit(index),
                 Output::Committed { .. } | Output::SteppedDown => {}
             }
         }
@@ -56,7 +56,7 @@
     pub(super) fn send(&mut self, index: usize, to: SocketAddrV4, message: Message) {
         let from = self.machines[index].address;
         self.maybe_split_at_view_change(index, &message);
-        self.notice_change(&message);
+        self.maybe_lose_power_at_view_change(&message);
         for delay in self.network.deliveries(from, to, &mut self.random) {
             self.schedule(delay, Event::Deliver { to, from, message: message.clone() });
         }
@@ -92,10 +92,10 @@
         if self.trace {
             eprintln!("{:>10} {} writes {write_id:?} {records:?}", self.now, self.machines[index].address);
         }
-        let takes = self.random.between(300, self.disk_takes);
+        let duration = self.random.between(300, self.longest_write);
         let now = self.now;
         let machine = &mut self.machines[index];
-        let done = (now + takes).max(machine.disk.busy_until + 1).max(machine.disk.hangs_until);
+        let done = (now + duration).max(machine.disk.busy_until + 1).max(machine.disk.hangs_until);
         machine.disk.busy_until = done;
         machine.disk.begin(write_id, records);
         let incarnation = machine.incarnation;
@@ -118,7 +118,7 @@
             return self.schedule(pause, Event::DiskDone { machine: index, incarnation });
         }
         if machine.suspended.is_some() {
-            return machine.held.push(Event::DiskDone { machine: index, incarnation });
+            return machine.deferred.push(Event::DiskDone { machine: index, incarnation });
         }
         if let Some((write_id, durable)) = machine.disk.finish() {
             self.input(
--- a/control/tests/simulator/world/invariants.rs
+++ b/control/tests/simulator/world/invariants.rs
@@ -16,8 +16,8 @@
         (0..self.machines.len()).find(|index| self.leading(*index).is_some())
     }
 
-    /// How many more machines may lose their disks for good now. A machine that hasn't caught up with the view that
-    /// is in force, or doesn't know that it is, still counts as lost.
+    /// How many more machines may lose their disks for good now. A machine that hasn't caught up with the primary's
+    /// view, or doesn't know that this view is active, still counts as lost.
     pub(super) fn spare_losses(&self) -> usize {
         let Some(known) =
             self.leader().and_then(|leader| self.machines[leader].replica.as_ref()?.status().view)
@@ -26,8 +26,8 @@
         };
         let caught_up = |member: &&Member| {
             let machine =
-                self.machines.iter().find(|machine| !machine.removed && machine.disk.kept.id == member.id);
-            machine.is_some_and(|machine| machine.disk.kept.view.as_ref() == Some(&known))
+                self.machines.iter().find(|machine| !machine.removed && machine.disk.stored.id == member.id);
+            machine.is_some_and(|machine| machine.disk.stored.view.as_ref() == Some(&known))
         };
         let lost = known.view.members.len() - known.view.members.iter().filter(caught_up).count();
         let copies = known.view.backups.len();
@@ -43,11 +43,11 @@
         let Some(epoch) = self.leading(index) else { return };
         for other in (0..self.machines.len()).filter(|other| *other != index) {
             if self.leading(other).is_some() {
-                let (one, two) = (self.machines[index].disk.kept.id, self.machines[other].disk.kept.id);
+                let (one, two) = (self.machines[index].disk.stored.id, self.machines[other].disk.stored.id);
                 self.checker.report(Violation::TwoLeaders(one, two));
             }
         }
-        self.checker.leads(epoch, self.machines[index].disk.kept.id);
+        self.checker.leads(epoch, self.machines[index].disk.stored.id);
     }
 
     pub(super) fn describe(&self) -> String {
--- a/control/tests/simulator/world/machine.rs
+++ b/control/tests/simulator/world/machine.rs
@@ -18,18 +18,18 @@
     pub(super) disk: Disk,
     pub(super) incarnation: u64,
     pub(super) suspended: Option<u64>,
-    pub(super) held: Vec<Event>,
+    pub(super) deferred: Vec<Event>,
     pub(super) removed: bool,
     pub(super) first_boot: bool,
     pub(super) shutting_down: bool,
-    /// The steady clock of the machine: a start of its own and a rate slightly off.
+    /// The monotonic clock of the machine: it has a start value of its own and a slightly inaccurate rate.
     pub(super) clock_start: u64,
     pub(super) clock_rate: u64,
     pub(super) next_wake: u64,
-    pub(super) asked: Vec<ProposalId>,
+    pub(super) open_proposals: Vec<ProposalId>,
     /// What happens to the machine around its next write.
     pub(super) write_crash: Option<WriteCrash>,
-    /// What becomes of it once it has ended in good order, in a course of rounds.
+    /// In a run with rounds: what happens to the machine after its graceful shutdown.
     pub(super) departure: Option<Departure>,
 }
 
@@ -50,40 +50,40 @@
 }
 
 impl World {
-    pub(super) fn add_machine(&mut self, place: usize, first_boot: bool) -> usize {
+    pub(super) fn add_machine(&mut self, node_index: usize, first_boot: bool) -> usize {
         let index = self.machines.len();
         let address =
             SocketAddrV4::new(Ipv4Addr::new(10, 1, (index / 200) as u8, (index % 200) as u8 + 1), 7640);
-        let id = self.fresh_id();
+        let id = self.next_replica_id();
         let clock_start = self.clock_start();
         self.machines.push(Machine {
             address,
-            zone: Arc::from(format!("zone-{}", place % 3)),
+            zone: Arc::from(format!("zone-{}", node_index % 3)),
             replica: None,
             disk: Disk::empty(id),
             incarnation: 0,
             suspended: None,
-            held: Vec::new(),
+            deferred: Vec::new(),
             removed: false,
             first_boot,
             shutting_down: false,
             clock_start,
             clock_rate: self.random.between(self.plan.clock_rates.slowest, self.plan.clock_rates.fastest),
             next_wake: u64::MAX,
-            asked: Vec::new(),
+            open_proposals: Vec::new(),
             write_crash: None,
             departure: None,
         });
         index
     }
 
-    /// A steady clock may start near 0 or anywhere.
+    /// The start value of a monotonic clock: near 0 or anywhere.
     pub(super) fn clock_start(&mut self) -> u64 {
         let span = [SECOND, 1 << 34][self.random.below(2)];
         self.random.between(0, span)
     }
 
-    pub(super) fn fresh_id(&mut self) -> ReplicaId {
+    pub(super) fn next_replica_id(&mut self) -> ReplicaId {
         self.next_id = self.next_id.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
         ReplicaId(self.next_id)
     }
@@ -111,7 +111,7 @@
         machine.incarnation += 1;
         machine.shutting_down = false;
         machine.next_wake = u64::MAX;
-        machine.replica = Some(Replica::new(config, machine.disk.kept.clone(), machine.local(now)));
+        machine.replica = Some(Replica::new(config, machine.disk.stored.clone(), machine.local(now)));
         if machine.incarnation > 1 || !machine.first_boot {
             let own = machine.address;
             self.input(index, Input::Peers(peers.into_iter().filter(|peer| *peer != own).collect()));
@@ -127,7 +127,7 @@
             return;
         }
         machine.suspended = None;
-        for event in std::mem::take(&mut machine.held) {
+        for event in std::mem::take(&mut machine.deferred) {
             self.schedule(self.random.clone().between(1, 300), event);
             self.random.next();
         }
@@ -142,11 +142,11 @@
         machine.disk.crash(&mut self.random);
         machine.incarnation += 1;
         machine.suspended = None;
-        machine.held.clear();
+        machine.deferred.clear();
         machine.write_crash = None;
-        // The steady clock may start anew with the machine.
+        // The monotonic clock may restart with the machine.
         machine.clock_start = clock_start;
-        for proposal_id in std::mem::take(&mut machine.asked) {
+        for proposal_id in std::mem::take(&mut machine.open_proposals) {
             self.clients.unanswered(proposal_id);
         }
     }
@@ -160,7 +160,11 @@
 
     pub(super) fn wipe(&mut self, index: usize) {
         self.crash(index);
-        let id = if self.plan.emptied_vouches { self.machines[index].disk.kept.id } else { self.fresh_id() };
+        let id = if self.plan.wiped_disk_keeps_id {
+            self.machines[index].disk.stored.id
+        } else {
+            self.next_replica_id()
+        };
         self.machines[index].disk = Disk::empty(id);
         let pause = self.random.between(20, 2_000) * MILLISECOND;
         self.schedule(pause, Event::Start { machine: index });
@@ -174,9 +178,9 @@
         self.schedule(pause, Event::Start { machine: added });
     }
 
-    pub(super) fn end(&mut self, index: usize) {
+    pub(super) fn exit(&mut self, index: usize) {
         if self.machines[index].departure.is_some() {
-            return self.departed(index);
+            return self.handle_exit(index);
         }
         if self.machines[index].shutting_down {
             self.crash_and_restart(index);
@@ -187,7 +191,7 @@
         (0..self.machines.len()).filter(|index| self.machines[*index].replica.is_some()).collect()
     }
 
-    pub(super) fn some_machine(&mut self) -> usize {
+    pub(super) fn random_machine(&mut self) -> usize {
         let running = self.running();
         if running.is_empty() { 0 } else { running[self.random.below(running.len())] }
     }
--- a/control/tests/simulator/world/recovery.rs
+++ b/control/tests/simulator/world/recovery.rs
@@ -1,4 +1,4 @@
-//! The end of a course: all faults end, and a change has to be acknowledged in time.
+//! The end of a run: all faults end, and a change has to be acknowledged in time.
 
 use std::sync::Arc;
 
@@ -16,7 +16,7 @@
     pub(super) fn heal(&mut self) {
         self.healed = Some(self.now);
         self.network.heal();
-        self.network.calm();
+        self.network.reset_conditions();
         for index in 0..self.machines.len() {
             let now = self.now;
             if self.machines[index].shutting_down {
@@ -37,7 +37,7 @@
         self.schedule(1, Event::Probe);
     }
 
-    /// Asks everybody for a change on top of what is current.
+    /// Proposes a change on top of the current version to all running machines.
     pub(super) fn probe(&mut self) {
         if self.trace {
             eprintln!("{:>10} probe: {}", self.now, self.describe());
@@ -58,7 +58,7 @@
         let change = self.probe.clone();
         for index in self.running() {
             if let Some(change) = change.clone().filter(|_| self.recovered.is_none()) {
-                self.ask(index, change, 1);
+                self.propose(index, change, 1);
             }
         }
         self.schedule(100 * MILLISECOND, Event::Probe);
--- a/control/tests/simulator/world/rounds.rs
+++ b/control/tests/simulator/world/rounds.rs
@@ -1,8 +1,8 @@
-//! Successive losses, each as soon as the one before no longer counts.
+//! Successive losses, each as soon as the one before no longer counts as a loss.
 //!
-//! What counts is judged from outside, by times alone: a machine is lost while it is down or cut off and for
-//! [`Rounds::catch_up`] after it is back or a new one has started; one that was removed stops counting once its
-//! successor has had that time. What the replicas know of each other plays no part.
+//! What counts as a loss follows from times alone: a machine is lost while it is down or partitioned, and for
+//! [`Rounds::catch_up`] after it has come back or a new one has started; a removed machine stops counting once its
+//! successor has been up for that long. What the replicas know of each other doesn't matter.
 
 use std::sync::Arc;
 
@@ -12,17 +12,17 @@
 use crate::simulator::{disk::Disk, faults::Rounds};
 
 /// A machine in graceful shutdown is killed after this time.
-const GRACE: u64 = 7_400 * MILLISECOND;
-/// How often a round that isn't over is looked at again.
+const GRACE_PERIOD: u64 = 7_400 * MILLISECOND;
+/// Interval at which the simulation checks whether the next round can begin.
 const POLL_INTERVAL: u64 = 5 * MILLISECOND;
 /// A process starts at least this long after its machine went down.
-const SHORTEST_PAUSE: u64 = 20 * MILLISECOND;
-/// And at most this long.
-const LONGEST_PAUSE: u64 = 2_000 * MILLISECOND;
-/// A change of members is over within this, on good disks and links.
-const AROUND_CHANGE: u64 = 60 * MILLISECOND;
-/// A whole core that lost power is back within this.
-const POWER_PAUSE: u64 = 600 * MILLISECOND;
+const MIN_DOWNTIME: u64 = 20 * MILLISECOND;
+/// A process starts at most this long after its machine went down.
+const MAX_DOWNTIME: u64 = 2_000 * MILLISECOND;
+/// A change of members is complete within this time if disks and links work.
+const VIEW_CHANGE_SPAN: u64 = 60 * MILLISECOND;
+/// After a power loss of all machines, each starts again within this time.
+const MAX_POWER_OUTAGE: u64 = 600 * MILLISECOND;
 
 /// How machines are lost in one round.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -31,16 +31,16 @@
     Kill,
     /// The machine comes back at its address with an empty disk.
     Wipe,
-    /// The machine is gone, and an empty one comes at another address.
+    /// The machine is gone for good, and a new one with an empty disk starts at another address.
     Replace,
-    /// The successor starts first; then the old machine is told to end, and is removed.
+    /// The successor starts first; then the old machine is shut down gracefully and removed.
     PlannedReplacement,
-    /// The old machine is told to end and is removed; then the successor starts.
-    OrderlyReplacement,
-    /// The machine is told to end and comes back with its disk.
-    OrderlyRestart,
-    /// The machine is cut off from all others for a while.
-    Cut,
+    /// The old machine is shut down gracefully and removed; then the successor starts.
+    GracefulReplacement,
+    /// The machine is shut down gracefully and comes back with its disk.
+    GracefulRestart,
+    /// The machine is partitioned from all others temporarily, in one direction or both.
+    Partition,
     /// All machines lose power at once and come back with their disks, but for those that are wiped.
     PowerLossAndWipe,
 }
@@ -53,30 +53,30 @@
     Loss::Replace,
     Loss::PlannedReplacement,
     Loss::PlannedReplacement,
-    Loss::OrderlyReplacement,
-    Loss::OrderlyRestart,
-    Loss::Cut,
+    Loss::GracefulReplacement,
+    Loss::GracefulRestart,
+    Loss::Partition,
     Loss::PowerLossAndWipe,
 ];
 
-/// How the rounds of a course stand.
+/// The progress of the rounds of a run.
 #[derive(Debug, Default)]
 pub struct RoundState {
     left: usize,
-    /// From when on all machines count as present, as far as known.
-    whole_at: u64,
-    /// Machines that were told to end and haven't yet.
+    /// The time from which all machines count as present, as far as losses are scheduled yet.
+    all_present_at: u64,
+    /// Machines that are shut down gracefully and haven't exited yet, or are about to be.
     departing: usize,
-    /// The next change of members takes the power of the whole core.
-    armed: bool,
+    /// The next change of members triggers a power loss of all machines.
+    power_loss_armed: bool,
 }
 
-/// What becomes of a machine once it has ended in good order.
+/// What happens to a machine after its graceful shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Departure {
     /// It comes back with its disk.
     Restart,
-    /// It is removed; its successor runs already.
+    /// It is removed; its successor is running already.
     Removal,
     /// It is removed, and its successor starts.
     RemovalBeforeSuccessor,
@@ -85,9 +85,9 @@
 impl World {
     pub(super) fn begin_rounds(&mut self, rounds: Rounds) {
         self.rounds.left = rounds.count;
-        if rounds.weather {
+        if rounds.unreliable_links {
             self.network.loss = [0, 10, 20][self.random.below(3)];
-            self.network.late = [0, 10][self.random.below(2)];
+            self.network.long_delay = [0, 10][self.random.below(2)];
         }
         self.schedule(2_000 * MILLISECOND, Event::Round);
     }
@@ -95,14 +95,14 @@
     /// The next loss, as soon as the machines lost before no longer count.
     pub(super) fn round(&mut self) {
         let Some(rounds) = self.plan.rounds else { return };
-        if self.rounds.departing > 0 || self.now < self.rounds.whole_at {
+        if self.rounds.departing > 0 || self.now < self.rounds.all_present_at {
             return self.schedule(POLL_INTERVAL, Event::Round);
         }
         if self.rounds.left == 0 {
             return self.schedule(1, Event::Heal);
         }
         self.rounds.left -= 1;
-        self.rounds.armed = rounds.power_losses_at_changes;
+        self.rounds.power_loss_armed = rounds.power_losses_at_changes;
         let kinds: &[Loss] = if rounds.only.is_empty() { LOSSES } else { rounds.only };
         let loss = kinds[self.random.below(kinds.len())];
         let victims = self.victims();
@@ -113,19 +113,19 @@
         if loss == Loss::PowerLossAndWipe {
             self.lose_power(&victims);
         } else {
-            victims.into_iter().for_each(|victim| self.lose(victim, loss));
+            victims.into_iter().for_each(|victim| self.inject_loss(victim, loss));
             if rounds.power_losses && self.random.permille(400) {
                 let after = self.random.between(0, rounds.catch_up);
                 self.schedule(after, Event::PowerLoss);
             }
         }
-        if rounds.disk_trouble && self.random.permille(400) {
-            self.spoil_a_disk();
+        if rounds.disk_faults && self.random.permille(400) {
+            self.inject_disk_fault();
         }
         self.schedule(POLL_INTERVAL, Event::Round);
     }
 
-    /// As many machines as may be lost, or fewer; often the leader is among them.
+    /// As many machines as may be lost, or one; often the primary is among them.
     fn victims(&mut self) -> Vec<usize> {
         let mut present: Vec<usize> =
             (0..self.machines.len()).filter(|index| !self.machines[*index].removed).collect();
@@ -139,11 +139,11 @@
         victims
     }
 
-    fn lose(&mut self, victim: usize, loss: Loss) {
+    fn inject_loss(&mut self, victim: usize, loss: Loss) {
         match loss {
             Loss::Kill => {
                 self.crash(victim);
-                self.start_later(victim, LONGEST_PAUSE);
+                self.start_later(victim, MAX_DOWNTIME);
             }
             Loss::Wipe => self.lose_disk(victim),
             Loss::Replace => {
@@ -153,20 +153,20 @@
             Loss::PlannedReplacement => {
                 self.start_successor(victim);
                 let after = self.random.between(300 * MILLISECOND, 6_000 * MILLISECOND);
-                self.depart(victim, after, Departure::Removal);
+                self.shut_down_later(victim, after, Departure::Removal);
             }
-            Loss::OrderlyReplacement => self.depart(victim, 1, Departure::RemovalBeforeSuccessor),
-            Loss::OrderlyRestart => self.depart(victim, 1, Departure::Restart),
-            Loss::Cut => self.cut_for_a_while(victim),
+            Loss::GracefulReplacement => self.shut_down_later(victim, 1, Departure::RemovalBeforeSuccessor),
+            Loss::GracefulRestart => self.shut_down_later(victim, 1, Departure::Restart),
+            Loss::Partition => self.partition_temporarily(victim),
             Loss::PowerLossAndWipe => {}
         }
     }
 
     fn lose_disk(&mut self, victim: usize) {
         self.crash(victim);
-        let id = self.fresh_id();
+        let id = self.next_replica_id();
         self.machines[victim].disk = Disk::empty(id);
-        self.start_later(victim, LONGEST_PAUSE);
+        self.start_later(victim, MAX_DOWNTIME);
     }
 
     fn remove(&mut self, victim: usize) {
@@ -178,64 +178,64 @@
         let zone = Arc::clone(&self.machines[victim].zone);
         let added = self.add_machine(victim, false);
         self.machines[added].zone = zone;
-        self.start_later(added, LONGEST_PAUSE);
+        self.start_later(added, MAX_DOWNTIME);
     }
 
     fn start_later(&mut self, index: usize, longest: u64) {
-        let pause = self.random.between(SHORTEST_PAUSE, longest);
+        let pause = self.random.between(MIN_DOWNTIME, longest);
         self.schedule(pause, Event::Start { machine: index });
-        self.counts_again_after(pause);
+        self.count_as_lost_for(pause);
     }
 
-    /// What happens now counts as a loss until it is over and `catch_up` has passed since.
-    fn counts_again_after(&mut self, span: u64) {
+    /// The present loss lasts for this span, and counts as a loss until `catch_up` has passed after that.
+    fn count_as_lost_for(&mut self, span: u64) {
         let catch_up = self.plan.rounds.map_or(0, |rounds| rounds.catch_up);
-        self.rounds.whole_at = self.rounds.whole_at.max(self.now + span + catch_up);
+        self.rounds.all_present_at = self.rounds.all_present_at.max(self.now + span + catch_up);
     }
 
-    fn cut_for_a_while(&mut self, victim: usize) {
+    fn partition_temporarily(&mut self, victim: usize) {
         let (inward, outward) = [(true, true), (true, false), (false, true)][self.random.below(3)];
         self.partition(victim, inward, outward);
         let span = self.random.between(500 * MILLISECOND, 5_000 * MILLISECOND);
-        self.schedule(span, Event::Join);
-        self.counts_again_after(span);
+        self.schedule(span, Event::HealNetwork);
+        self.count_as_lost_for(span);
     }
 
-    fn depart(&mut self, victim: usize, after: u64, departure: Departure) {
+    fn shut_down_later(&mut self, victim: usize, after: u64, departure: Departure) {
         self.rounds.departing += 1;
         self.machines[victim].departure = Some(departure);
         self.schedule(after, Event::Terminate { machine: victim });
     }
 
-    /// SIGTERM.
+    /// The machine receives SIGTERM.
     pub(super) fn terminate(&mut self, index: usize) {
         self.machines[index].shutting_down = true;
         let incarnation = self.machines[index].incarnation;
-        self.schedule(GRACE, Event::GraceOver { machine: index, incarnation });
+        self.schedule(GRACE_PERIOD, Event::GracePeriodEnd { machine: index, incarnation });
         if self.machines[index].replica.is_none() {
-            return self.departed(index);
+            return self.handle_exit(index);
         }
         self.input(index, Input::ShutDown);
     }
 
-    /// SIGKILL, if the process still runs.
-    pub(super) fn grace_over(&mut self, index: usize, incarnation: u64) {
+    /// The machine receives SIGKILL, if the process is still running.
+    pub(super) fn end_grace_period(&mut self, index: usize, incarnation: u64) {
         if self.machines[index].incarnation == incarnation {
-            self.departed(index);
+            self.handle_exit(index);
         }
     }
 
-    /// The machine has ended in good order, or was killed at the end of its grace.
-    pub(super) fn departed(&mut self, index: usize) {
+    /// The machine has exited, or was killed at the end of its grace period.
+    pub(super) fn handle_exit(&mut self, index: usize) {
         let Some(departure) = self.machines[index].departure.take() else { return };
         self.rounds.departing -= 1;
         if self.trace {
-            eprintln!("{:>10} {} has ended", self.now, self.machines[index].address);
+            eprintln!("{:>10} {} has exited", self.now, self.machines[index].address);
         }
         match departure {
             Departure::Restart => {
                 self.crash(index);
-                self.start_later(index, LONGEST_PAUSE);
+                self.start_later(index, MAX_DOWNTIME);
             }
             Departure::Removal => self.remove(index),
             Departure::RemovalBeforeSuccessor => {
@@ -245,14 +245,14 @@
         }
     }
 
-    /// Takes the power of the whole core around the announcement of new members, if that is due.
-    pub(super) fn notice_change(&mut self, message: &Message) {
+    /// Schedules a power loss of all machines around the announcement of new members, if one is due.
+    pub(super) fn maybe_lose_power_at_view_change(&mut self, message: &Message) {
         let announced = match &message.body {
             Body::Accept { view } => !view.active && !view.view.previous_members.is_empty(),
             _ => false,
         };
-        if announced && std::mem::take(&mut self.rounds.armed) {
-            let after = self.random.between(0, AROUND_CHANGE);
+        if announced && std::mem::take(&mut self.rounds.power_loss_armed) {
+            let after = self.random.between(0, VIEW_CHANGE_SPAN);
             self.schedule(after, Event::PowerLoss);
         }
     }
@@ -264,18 +264,18 @@
         }
         for index in self.running() {
             if self.machines[index].departure.is_some() && self.machines[index].shutting_down {
-                self.departed(index);
+                self.handle_exit(index);
             } else if wiped.contains(&index) {
                 self.lose_disk(index);
             } else {
                 self.crash(index);
-                self.start_later(index, POWER_PAUSE);
+                self.start_later(index, MAX_POWER_OUTAGE);
             }
         }
     }
 
-    fn spoil_a_disk(&mut self) {
-        let victim = self.some_machine();
+    fn inject_disk_fault(&mut self) {
+        let victim = self.random_machine();
         let span = self.random.between(200 * MILLISECOND, 2_500 * MILLISECOND);
         if self.random.permille(500) {
             self.machines[victim].disk.full = true;
@@ -283,6 +283,6 @@
         } else {
             self.machines[victim].disk.hangs_until = self.now + span;
         }
-        self.counts_again_after(span);
+        self.count_as_lost_for(span);
     }
 }
--- a/control/tests/slow_links/mod.rs
+++ b/control/tests/slow_links/mod.rs
@@ -1,5 +1,5 @@
-//! Core machines whose links carry a bounded number of bytes in a second. What goes to one machine stays in order, and
-//! connections to several share the link. Nothing in it waits for a clock.
+//! A simulated cluster whose links have a limited bandwidth. Messages to one machine stay in order, and the connections
+//! of a machine share its link. Nothing waits for a real clock.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -21,39 +21,39 @@
 
 pub const MILLISECOND: u64 = 1_000;
 pub const SECOND: u64 = 1_000_000;
-/// A message without a configuration, in bytes.
+/// Size of a message without a configuration, in bytes.
 const SMALL_MESSAGE: usize = 150;
-/// An accepted configuration in the state, in bytes.
+/// Size of an accepted configuration in the state, in bytes.
 const ACCEPTED_HISTORY_BYTES: usize = 24;
 /// Capacity of the send queue of a connection, in bytes; the excess is dropped.
-const QUEUED_BYTES: usize = 12 * 1024 * 1024;
-/// Connections take turns on a link after so many bytes.
-const TURN: usize = 15_000;
+const SEND_QUEUE_CAPACITY: usize = 12 * 1024 * 1024;
+/// Connections take turns on a link; a turn ends after this many bytes.
+const BYTES_PER_TURN: usize = 15_000;
 
-/// What a link and a disk are like.
+/// The speed of links and disks.
 #[derive(Debug, Clone, Copy)]
 pub struct Speed {
     pub bits_per_second: u64,
-    /// One way, in microseconds.
+    /// Propagation delay of a link in one direction, in microseconds.
     pub delay: u64,
-    /// A write and its sync, in microseconds.
+    /// Duration of a write and its sync, in microseconds.
     pub write: u64,
 }
 
 #[derive(Debug)]
 enum Event {
-    Carried { place: usize, incarnation: u64 },
+    Transmitted { node_index: usize, incarnation: u64 },
     Deliver { to: SocketAddrV4, from: SocketAddrV4, message: Message },
-    Wake { place: usize, incarnation: u64 },
-    Written { place: usize, incarnation: u64, write_id: WriteId, records: Vec<Record> },
-    Start { place: usize },
+    Wake { node_index: usize, incarnation: u64 },
+    Written { node_index: usize, incarnation: u64, write_id: WriteId, records: Vec<Record> },
+    Start { node_index: usize },
     Operator,
 }
 
-/// What goes from one machine to another.
+/// The send queue from one machine to another.
 struct Connection {
     to: SocketAddrV4,
-    /// Messages with the bytes that are left of them.
+    /// Messages, with the number of bytes that remain to be sent.
     waiting: VecDeque<(Message, usize)>,
     queued: usize,
 }
@@ -61,19 +61,19 @@
 pub struct Machine {
     pub address: SocketAddrV4,
     pub replica: Option<Replica>,
-    pub kept: RecoveredState,
+    pub stored: RecoveredState,
     incarnation: u64,
     first_boot: bool,
     connections: VecDeque<Connection>,
-    carrying: bool,
+    transmitting: bool,
     disk_free: u64,
     next_wake: u64,
 }
 
-/// The operator, who sends one change after the other.
+/// An operator that sends one change after the other.
 #[derive(Debug, Default)]
 struct Operator {
-    /// Between an acknowledgement and the next change.
+    /// The time between an acknowledgement and the next change.
     pause: u64,
     body: usize,
     version: u64,
@@ -82,7 +82,7 @@
 }
 
 /// A cluster of core machines and an operator.
-pub struct Fleet {
+pub struct Cluster {
     pub now: u64,
     events: EventQueue<Event>,
     pub machines: Vec<Machine>,
@@ -94,15 +94,15 @@
     /// How long each acknowledged change took, from its proposal on.
     pub commit_latencies: Vec<u64>,
     /// The longest send queue so far, in bytes.
-    pub most_queued: usize,
+    pub max_queued: usize,
     /// Partitioned machines.
     cut: Vec<usize>,
 }
 
-impl Fleet {
+impl Cluster {
     /// A bootstrapped cluster.
-    pub fn bootstrapped(size: usize, losses: usize, speed: Speed) -> Fleet {
-        let mut fleet = Fleet {
+    pub fn bootstrapped(size: usize, losses: usize, speed: Speed) -> Cluster {
+        let mut cluster = Cluster {
             now: 1_000 * MILLISECOND,
             events: EventQueue::new(),
             machines: Vec::new(),
@@ -111,39 +111,39 @@
             operator: Operator::default(),
             acknowledged: BTreeMap::new(),
             commit_latencies: Vec::new(),
-            most_queued: 0,
+            max_queued: 0,
             cut: Vec::new(),
         };
-        (0..size).for_each(|_| fleet.add());
-        let view = fleet.first_view();
-        for place in 0..size {
-            fleet.start(place);
-            fleet.input(place, Input::Bootstrap { view: view.clone() });
+        (0..size).for_each(|_| cluster.add());
+        let view = cluster.first_view();
+        for node_index in 0..size {
+            cluster.start(node_index);
+            cluster.input(node_index, Input::Bootstrap { view: view.clone() });
         }
-        fleet.run_for(SECOND);
-        fleet
+        cluster.run_for(SECOND);
+        cluster
     }
 
     fn add(&mut self) {
-        let place = self.machines.len();
+        let node_index = self.machines.len();
         self.machines.push(Machine {
-            address: format!("10.0.0.{}:7640", place + 1).parse().expect("an address"),
+            address: format!("10.0.0.{}:7640", node_index + 1).parse().expect("an address"),
             replica: None,
-            kept: RecoveredState::empty(ReplicaId(1_000 + place as u64)),
+            stored: RecoveredState::empty(ReplicaId(1_000 + node_index as u64)),
             incarnation: 0,
             first_boot: true,
             connections: VecDeque::new(),
-            carrying: false,
+            transmitting: false,
             disk_free: 0,
             next_wake: u64::MAX,
         });
     }
 
     fn first_view(&self) -> View {
-        let member = |(place, machine): (usize, &Machine)| Member {
-            id: machine.kept.id,
+        let member = |(node_index, machine): (usize, &Machine)| Member {
+            id: machine.stored.id,
             address: machine.address,
-            zone: zone(place),
+            zone: zone(node_index),
         };
         let members: Vec<Member> = self.machines.iter().enumerate().map(member).collect();
         View {
@@ -156,38 +156,38 @@
         }
     }
 
-    /// Restarts all, with this state on the disks of the data set.
-    pub fn adopt(&mut self, state: ControlState) {
+    /// Restarts all machines, with this state on the disks of the primary and the backups.
+    pub fn restart_with_state(&mut self, state: ControlState) {
         let state = Arc::new(state);
         self.operator.version = state.current_version();
-        for place in 0..self.machines.len() {
-            self.crash(place);
-            if let Some(data) = &mut self.machines[place].kept.data {
+        for node_index in 0..self.machines.len() {
+            self.crash(node_index);
+            if let Some(data) = &mut self.machines[node_index].stored.data {
                 data.state = Arc::clone(&state);
             }
         }
-        (0..self.machines.len()).for_each(|place| self.start(place));
+        (0..self.machines.len()).for_each(|node_index| self.start(node_index));
         self.run_for(4 * SECOND);
     }
 
-    /// From now on a change is sent this long after the one before was acknowledged.
+    /// From now on, each change is sent this long after the previous one was acknowledged.
     pub fn change_every(&mut self, pause: u64, body: usize) {
         self.operator.pause = pause;
         self.operator.body = body;
         self.schedule(self.now, Event::Operator);
     }
 
-    /// From now on a write and its sync take this long, in microseconds.
+    /// From now on, a write and its sync take this long, in microseconds.
     pub fn slow_disks(&mut self, write: u64) {
         self.speed.write = write;
     }
 
     /// Partitions a machine from all others; messages in flight to and from it are lost.
-    pub fn partition(&mut self, place: usize) {
-        let address = self.machines[place].address;
-        self.cut.push(place);
+    pub fn partition(&mut self, node_index: usize) {
+        let address = self.machines[node_index].address;
+        self.cut.push(node_index);
         for (other, machine) in self.machines.iter_mut().enumerate() {
-            machine.connections.retain(|connection| other != place && connection.to != address);
+            machine.connections.retain(|connection| other != node_index && connection.to != address);
         }
     }
 
@@ -195,11 +195,11 @@
         self.cut.clear();
     }
 
-    pub fn crash(&mut self, place: usize) {
-        let machine = &mut self.machines[place];
+    pub fn crash(&mut self, node_index: usize) {
+        let machine = &mut self.machines[node_index];
         machine.replica = None;
         machine.connections.clear();
-        machine.carrying = false;
+        machine.transmitting = false;
         machine.incarnation += 1;
         machine.next_wake = u64::MAX;
         if self.operator.asked.is_some() {
@@ -207,32 +207,32 @@
         }
     }
 
-    /// The disk is lost; the machine is another replica from now on.
-    pub fn wipe(&mut self, place: usize) {
-        self.crash(place);
-        let machine = &mut self.machines[place];
-        machine.kept = RecoveredState::empty(ReplicaId(machine.kept.id.0 + 100));
+    /// The machine loses its disk, and has another replica id from now on.
+    pub fn wipe(&mut self, node_index: usize) {
+        self.crash(node_index);
+        let machine = &mut self.machines[node_index];
+        machine.stored = RecoveredState::empty(ReplicaId(machine.stored.id.0 + 100));
         machine.first_boot = false;
     }
 
-    pub fn start_after(&mut self, place: usize, pause: u64) {
-        self.schedule(self.now + pause, Event::Start { place });
+    pub fn start_after(&mut self, node_index: usize, pause: u64) {
+        self.schedule(self.now + pause, Event::Start { node_index });
     }
 
-    fn start(&mut self, place: usize) {
-        let own = self.machines[place].address;
+    fn start(&mut self, node_index: usize) {
+        let own = self.machines[node_index].address;
         let peers = self.machines.iter().map(|machine| machine.address).filter(|peer| *peer != own).collect();
-        let machine = &mut self.machines[place];
+        let machine = &mut self.machines[node_index];
         let config = ReplicaConfig::builder()
             .address(own)
-            .zone(zone(place))
+            .zone(zone(node_index))
             .machine_losses(self.losses)
             .first_boot(machine.first_boot)
-            .seed(place as u64)
+            .seed(node_index as u64)
             .build();
-        machine.replica = Some(Replica::new(config, machine.kept.clone(), self.now));
+        machine.replica = Some(Replica::new(config, machine.stored.clone(), self.now));
         machine.disk_free = self.now;
-        self.input(place, Input::Peers(peers));
+        self.input(node_index, Input::Peers(peers));
     }
 
     pub fn leader(&self) -> Option<usize> {
@@ -241,32 +241,33 @@
         self.machines.iter().position(leads)
     }
 
-    /// The places of the data set of the view that the leader leads, itself first.
+    /// The machines that hold the data in the primary's view, the primary first.
     pub fn data_set(&self) -> Vec<usize> {
         let Some(leader) = self.leader() else { return Vec::new() };
         let Some(known) = self.machines[leader].replica.as_ref().and_then(|one| one.status().view) else {
             return Vec::new();
         };
-        let place = |id: &ReplicaId| self.machines.iter().position(|machine| machine.kept.id == *id);
-        std::iter::once(leader).chain(known.view.backups.iter().filter_map(place)).collect()
+        let node_index = |id: &ReplicaId| self.machines.iter().position(|machine| machine.stored.id == *id);
+        std::iter::once(leader).chain(known.view.backups.iter().filter_map(node_index)).collect()
     }
 
-    /// Whether a machine is part of the active view again, and of its data set as much of it as is wanted is there.
-    pub fn caught_up(&self, place: usize) -> bool {
+    /// Whether the machine is a member of the active view and knows it, and the view has as many backups as it should.
+    pub fn caught_up(&self, node_index: usize) -> bool {
         let Some(leader) = self.leader() else { return false };
-        let view = |place: usize| self.machines[place].replica.as_ref().and_then(|one| one.status().view);
-        let (Some(led), Some(known)) = (view(leader), view(place)) else { return false };
-        let member = led.view.member(self.machines[place].kept.id).is_some();
-        let whole = led.view.backups.len() >= self.losses.min(led.view.members.len() - 1);
-        member && whole && known.active && known.view.epoch == led.view.epoch
+        let view =
+            |node_index: usize| self.machines[node_index].replica.as_ref().and_then(|one| one.status().view);
+        let (Some(active_view), Some(known)) = (view(leader), view(node_index)) else { return false };
+        let member = active_view.view.member(self.machines[node_index].stored.id).is_some();
+        let whole = active_view.view.backups.len() >= self.losses.min(active_view.view.members.len() - 1);
+        member && whole && known.active && known.view.epoch == active_view.view.epoch
     }
 
-    /// Runs until the machine has caught up; says how long that took, or none if it took longer than the limit.
-    pub fn catch_up_within(&mut self, place: usize, limit: u64) -> Option<u64> {
+    /// Runs until the machine has caught up; returns how long that took, or none if it took longer than the limit.
+    pub fn catch_up_within(&mut self, node_index: usize, limit: u64) -> Option<u64> {
         let since = self.now;
         while self.now < since + limit {
             self.run_for(10 * MILLISECOND);
-            if self.caught_up(place) {
+            if self.caught_up(node_index) {
                 return Some(self.now - since);
             }
         }
@@ -278,7 +279,7 @@
         while self.events.next_at().is_some_and(|next| next <= end) {
             let Some((at, event)) = self.events.pop() else { break };
             self.now = self.now.max(at);
-            self.happen(event);
+            self.handle_event(event);
         }
         self.now = end;
     }
@@ -287,43 +288,43 @@
         self.events.push(at, event);
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Carried { place, incarnation } => {
-                if self.machines[place].incarnation == incarnation {
-                    self.machines[place].carrying = false;
-                    self.carry(place);
+            Event::Transmitted { node_index, incarnation } => {
+                if self.machines[node_index].incarnation == incarnation {
+                    self.machines[node_index].transmitting = false;
+                    self.transmit(node_index);
                 }
             }
             Event::Deliver { to, from, message } => {
-                let Some(place) = self.machines.iter().position(|machine| machine.address == to) else {
+                let Some(node_index) = self.machines.iter().position(|machine| machine.address == to) else {
                     return;
                 };
-                if !self.cut.contains(&place) {
-                    self.input(place, Input::Message { from, message });
+                if !self.cut.contains(&node_index) {
+                    self.input(node_index, Input::Message { from, message });
                 }
             }
-            Event::Wake { place, incarnation } => {
-                if self.machines[place].incarnation == incarnation {
-                    self.machines[place].next_wake = u64::MAX;
-                    self.input(place, Input::Tick);
+            Event::Wake { node_index, incarnation } => {
+                if self.machines[node_index].incarnation == incarnation {
+                    self.machines[node_index].next_wake = u64::MAX;
+                    self.input(node_index, Input::Tick);
                 }
             }
-            Event::Written { place, incarnation, write_id, records } => {
-                let machine = &mut self.machines[place];
+            Event::Written { node_index, incarnation, write_id, records } => {
+                let machine = &mut self.machines[node_index];
                 if machine.incarnation == incarnation {
-                    records.into_iter().for_each(|record| machine.kept.apply(record));
-                    self.input(place, Input::WriteCompleted { write_id });
+                    records.into_iter().for_each(|record| machine.stored.apply(record));
+                    self.input(node_index, Input::WriteCompleted { write_id });
                 }
             }
-            Event::Start { place } => self.start(place),
-            Event::Operator => self.operate(),
+            Event::Start { node_index } => self.start(node_index),
+            Event::Operator => self.tick_operator(),
         }
     }
 
-    fn input(&mut self, place: usize, input: Input) {
+    fn input(&mut self, node_index: usize, input: Input) {
         let now = self.now;
-        let machine = &mut self.machines[place];
+        let machine = &mut self.machines[node_index];
         let Some(replica) = machine.replica.as_mut() else { return };
         let mut out = Vec::new();
         replica.handle(now, input, &mut out);
@@ -331,74 +332,77 @@
         if wake < machine.next_wake {
             machine.next_wake = wake;
             let incarnation = machine.incarnation;
-            self.schedule(wake, Event::Wake { place, incarnation });
+            self.schedule(wake, Event::Wake { node_index, incarnation });
         }
         for output in out {
             match output {
-                Output::Send { to, message } => self.send(place, to, message),
-                Output::Persist { write_id, records } => self.write(place, write_id, records),
+                Output::Send { to, message } => self.send(node_index, to, message),
+                Output::Persist { write_id, records } => self.write(node_index, write_id, records),
                 Output::Answer { proposal_id, outcome } => self.answered(proposal_id, outcome),
                 _ => {}
             }
         }
     }
 
-    fn send(&mut self, place: usize, to: SocketAddrV4, message: Message) {
-        if self.cut.contains(&place) {
+    fn send(&mut self, node_index: usize, to: SocketAddrV4, message: Message) {
+        if self.cut.contains(&node_index) {
             return;
         }
         let bytes = size(&message);
-        let connections = &mut self.machines[place].connections;
+        let connections = &mut self.machines[node_index].connections;
         let index = connections.iter().position(|connection| connection.to == to).unwrap_or_else(|| {
             connections.push_back(Connection { to, waiting: VecDeque::new(), queued: 0 });
             connections.len() - 1
         });
         let connection = &mut connections[index];
-        self.most_queued = self.most_queued.max(connection.queued);
-        if connection.queued + bytes <= QUEUED_BYTES {
+        self.max_queued = self.max_queued.max(connection.queued);
+        if connection.queued + bytes <= SEND_QUEUE_CAPACITY {
             connection.queued += bytes;
             connection.waiting.push_back((message, bytes));
         }
-        self.carry(place);
+        self.transmit(node_index);
     }
 
-    /// Lets the next connection have its turn on the link of a machine.
-    fn carry(&mut self, place: usize) {
-        let machine = &mut self.machines[place];
+    /// Gives the next connection its turn on the link of a machine.
+    fn transmit(&mut self, node_index: usize) {
+        let machine = &mut self.machines[node_index];
         let busy = machine.connections.iter().position(|connection| !connection.waiting.is_empty());
-        let Some(index) = busy.filter(|_| !machine.carrying) else { return };
+        let Some(index) = busy.filter(|_| !machine.transmitting) else { return };
         let Some(mut connection) = machine.connections.remove(index) else { return };
-        machine.carrying = true;
+        machine.transmitting = true;
         let (from, incarnation, to) = (machine.address, machine.incarnation, connection.to);
-        let mut carried = 0;
+        let mut transmitted = 0;
         while let Some((message, left)) = connection.waiting.pop_front() {
-            let part = left.min(TURN - carried);
-            carried += part;
+            let part = left.min(BYTES_PER_TURN - transmitted);
+            transmitted += part;
             connection.queued -= part;
-            let at = self.now + self.takes(carried) + self.speed.delay;
+            let at = self.now + self.transmission_time(transmitted) + self.speed.delay;
             if part < left {
                 connection.waiting.push_front((message, left - part));
                 break;
             }
             self.schedule(at, Event::Deliver { to, from, message });
         }
-        self.machines[place].connections.push_back(connection);
-        self.schedule(self.now + self.takes(carried), Event::Carried { place, incarnation });
+        self.machines[node_index].connections.push_back(connection);
+        self.schedule(
+            self.now + self.transmission_time(transmitted),
+            Event::Transmitted { node_index, incarnation },
+        );
     }
 
-    fn takes(&self, bytes: usize) -> u64 {
+    fn transmission_time(&self, bytes: usize) -> u64 {
         bytes as u64 * 8 * SECOND / self.speed.bits_per_second
     }
 
-    fn write(&mut self, place: usize, write_id: WriteId, records: Vec<Record>) {
-        let machine = &mut self.machines[place];
+    fn write(&mut self, node_index: usize, write_id: WriteId, records: Vec<Record>) {
+        let machine = &mut self.machines[node_index];
         machine.disk_free = machine.disk_free.max(self.now) + self.speed.write;
         let (at, incarnation) = (machine.disk_free, machine.incarnation);
-        self.schedule(at, Event::Written { place, incarnation, write_id, records });
+        self.schedule(at, Event::Written { node_index, incarnation, write_id, records });
     }
 
-    /// Proposes the next change, or the one whose outcome is unknown, to the primary.
-    fn operate(&mut self) {
+    /// Proposes the next change to the primary, or again the one whose outcome is unknown.
+    fn tick_operator(&mut self) {
         const POLL_INTERVAL: u64 = 50 * MILLISECOND;
         const ANSWER_TIMEOUT: u64 = SECOND;
         if self.operator.asked.is_none_or(|(_, since)| self.now >= since + ANSWER_TIMEOUT)
@@ -425,7 +429,9 @@
                     self.operator.asked = Some((ProposalId(u64::MAX), since));
                 }
             }
-            Outcome::Conflict { .. } | Outcome::VersionNotHigher { .. } => panic!("refused: {outcome:?}"),
+            Outcome::Conflict { .. } | Outcome::VersionNotHigher { .. } => {
+                panic!("change rejected: {outcome:?}")
+            }
             Outcome::NotPrimary { .. } | Outcome::Unknown => {}
         }
     }
@@ -441,11 +447,11 @@
     }
 }
 
-fn zone(place: usize) -> Arc<str> {
-    Arc::from(format!("zone-{}", place % 3))
+fn zone(node_index: usize) -> Arc<str> {
+    Arc::from(format!("zone-{}", node_index % 3))
 }
 
-/// About what a message takes on the wire, in bytes.
+/// Approximate size of a message on the wire, in bytes.
 fn size(message: &Message) -> usize {
     let state = |state: &ControlState| {
         let body = state.configuration.as_ref().map_or(0, |configuration| configuration.body.len());
--- a/control/tests/stale_data.rs
+++ b/control/tests/stale_data.rs
@@ -1,5 +1,5 @@
-//! A member that was down, lost its disk or was restored from an older copy never leads with less than was
-//! acknowledged, nor helps another to.
+//! A member that was down, lost its disk or was restored from an older copy never becomes primary without all
+//! acknowledged changes, nor helps another replica to.
 
 mod cluster;
 
@@ -7,40 +7,41 @@
 use googletest::prelude::*;
 use gradepaddle_control::{Outcome, RecoveredState};
 
-const TAKEN: Option<Outcome> = Some(Outcome::Committed);
+const COMMITTED: Option<Outcome> = Some(Outcome::Committed);
 
-/// Puts so many more versions in force.
+/// Commits this many more versions.
 fn change(cluster: &mut Cluster, count: u64) {
     for _ in 0..count {
-        let leader = cluster.leader().expect("somebody leads");
+        let leader = cluster.leader().expect("there is a leader");
         let version = cluster.replica(leader).state().current_version();
-        let proposal_id = cluster.ask(leader, put(version, version + 1, u128::from(version) + 1));
+        let proposal_id = cluster.propose(leader, put(version, version + 1, u128::from(version) + 1));
         cluster.run(20);
-        assert_eq!(cluster.answer(proposal_id), TAKEN, "version {}", version + 1);
+        assert_eq!(cluster.answer(proposal_id), COMMITTED, "version {}", version + 1);
     }
 }
 
-/// Runs and looks at each step that whoever leads holds this version; says whether somebody leads at the end.
+/// Runs, and checks at each step that the primary, if any, holds this version; returns whether there is a primary at
+/// the end.
 fn leads_only_with(cluster: &mut Cluster, version: u64, milliseconds: u64) -> bool {
     for _ in 0..milliseconds / 20 {
         cluster.run(20);
         if let Some(leader) = cluster.leader() {
-            assert_eq!(cluster.replica(leader).state().current_version(), version, "place {leader} leads");
+            assert_eq!(cluster.replica(leader).state().current_version(), version, "node {leader} leads");
         }
     }
     cluster.leader().is_some()
 }
 
-/// The disk of a place as it is now.
-fn copy(cluster: &Cluster, place: usize) -> RecoveredState {
-    cluster.nodes[place].kept.clone()
+/// A copy of the present disk of a node.
+fn copy(cluster: &Cluster, node_index: usize) -> RecoveredState {
+    cluster.nodes[node_index].stored.clone()
 }
 
-/// The machine comes back with a copy of its disk that was made before.
-fn restore(cluster: &mut Cluster, place: usize, copy: RecoveredState) {
-    cluster.crash(place);
-    cluster.nodes[place].kept = copy;
-    cluster.start(place);
+/// Restarts a node with an earlier copy of its disk.
+fn restore(cluster: &mut Cluster, node_index: usize, copy: RecoveredState) {
+    cluster.crash(node_index);
+    cluster.nodes[node_index].stored = copy;
+    cluster.start(node_index);
 }
 
 #[gtest]
@@ -55,7 +56,7 @@
             cluster.crash(lost);
             cluster.start(away);
             let led = leads_only_with(&mut cluster, 210, 6_000);
-            // What is left beside the one that was away holds the data: two copies, of which one is lost.
+            // Of the two copies of the data one is lost; the other is on the member that was neither away nor lost.
             expect_that!(led, eq(true), "{away} was away, {lost} is lost");
             change(&mut cluster, 5);
         }
@@ -66,7 +67,7 @@
 fn emptied_members_lead_only_once_the_data_is_back() {
     let mut cluster = Cluster::bootstrapped(3, 1);
     change(&mut cluster, 50);
-    // Both copies at once, which is more than is promised to be borne: one for good, one for a while.
+    // Both copies at once, which is more than the cluster tolerates: one is lost for good, one is down temporarily.
     cluster.wipe(1);
     cluster.start(1);
     cluster.crash(0);
@@ -89,16 +90,16 @@
             cluster.start(0);
             cluster.run(4_000);
         }
-        let version = cluster.replica(cluster.leader().expect("somebody leads")).state().current_version();
+        let version = cluster.replica(cluster.leader().expect("there is a leader")).state().current_version();
         if cluster.leader() != Some(1) {
             restore(&mut cluster, 1, old);
         }
-        let leader = cluster.leader().expect("somebody leads");
-        let proposal_id = cluster.ask(leader, put(version, version + 1, 7_777));
+        let leader = cluster.leader().expect("there is a leader");
+        let proposal_id = cluster.propose(leader, put(version, version + 1, 7_777));
         cluster.run(3_000);
-        expect_that!(cluster.answer(proposal_id), eq(TAKEN), "{what}");
+        expect_that!(cluster.answer(proposal_id), eq(COMMITTED), "{what}");
         change(&mut cluster, 20);
-        cluster.crash(cluster.leader().expect("somebody leads"));
+        cluster.crash(cluster.leader().expect("there is a leader"));
         expect_that!(leads_only_with(&mut cluster, version + 21, 6_000), eq(true), "{what}");
     }
 }
--- a/control/tests/successive_losses.rs
+++ b/control/tests/successive_losses.rs
@@ -1,13 +1,14 @@
-//! A second loss as soon as the first no longer counts: nothing acknowledged is lost, and a primary emerges again.
+//! Successive losses, each as soon as the one before no longer counts: no acknowledged change is lost, and a primary is
+//! elected again.
 
 mod simulator;
 
 use googletest::prelude::*;
 use simulator::{Loss, MILLISECOND, Plan, Report, Rounds, SECOND, World, number_from_environment, seeds};
 
-/// How many seeds each plan is given.
+/// How many seeds are run for each plan.
 const SEEDS: u64 = 150;
-/// For how long a machine that is back still counts as lost: the shortest of the operators' figures.
+/// For how long a machine that has come back still counts as lost: the shortest time that operators have specified.
 const CATCH_UP: u64 = 4 * SECOND;
 
 const ROUNDS: Rounds = Rounds {
@@ -15,8 +16,8 @@
     catch_up: CATCH_UP,
     power_losses: false,
     power_losses_at_changes: false,
-    weather: false,
-    disk_trouble: false,
+    unreliable_links: false,
+    disk_faults: false,
     only: &[],
 };
 
@@ -24,20 +25,20 @@
     Plan { length: 0, fault_interval: 0, rounds: Some(rounds), ..Plan::new(replicas, machine_losses) }
 }
 
-/// Plays a plan once for each seed, with cores of 3, 5 and 8.
+/// Runs a plan once for each seed, with clusters of 3, 5 and 8.
 fn explore(rounds: Rounds) -> Result<()> {
     let catch_up =
         number_from_environment("EXPLORE_CATCH_UP_MS").map_or(rounds.catch_up, |span| span * MILLISECOND);
     let rounds = Rounds { catch_up, ..rounds };
     let mut failures = Vec::new();
-    let mut courses = 0;
+    let mut runs = 0;
     for (replicas, losses) in [(3, 1), (5, 2), (8, 2)] {
         let plan = plan(replicas, losses, rounds);
         let mut total = Report::default();
         let mut slowest = (0, 0);
         for seed in seeds(SEEDS) {
             let report = World::new(plan.clone(), seed).play();
-            courses += 1;
+            runs += 1;
             if let Some(violation) = report.violation {
                 let what: String = format!("{violation:?}").chars().take(400).collect();
                 failures.push(format!("{replicas} replicas, seed {seed}: {what}"));
@@ -52,7 +53,7 @@
     if failures.is_empty() {
         return Ok(());
     }
-    fail!("{} of {courses} courses of {rounds:?} break a rule:\n{}", failures.len(), failures.join("\n"))
+    fail!("{} of {runs} runs of {rounds:?} violate an invariant:\n{}", failures.len(), failures.join("\n"))
 }
 
 #[gtest]
@@ -72,7 +73,7 @@
 
 #[gtest]
 fn graceful_shutdowns_and_losses() -> Result<()> {
-    let only = &[Loss::OrderlyReplacement, Loss::OrderlyRestart, Loss::Wipe, Loss::Replace];
+    let only = &[Loss::GracefulReplacement, Loss::GracefulRestart, Loss::Wipe, Loss::Replace];
     explore(Rounds { only, ..ROUNDS })
 }
 
@@ -88,12 +89,12 @@
 
 #[gtest]
 fn all_kinds_of_losses_over_bad_links() -> Result<()> {
-    explore(Rounds { power_losses: true, weather: true, ..ROUNDS })
+    explore(Rounds { power_losses: true, unreliable_links: true, ..ROUNDS })
 }
 
 #[gtest]
 fn all_kinds_of_losses_with_full_and_hanging_disks() -> Result<()> {
-    explore(Rounds { power_losses: true, disk_trouble: true, ..ROUNDS })
+    explore(Rounds { power_losses: true, disk_faults: true, ..ROUNDS })
 }
 
 #[gtest]
@@ -101,11 +102,11 @@
     explore(Rounds { power_losses_at_changes: true, ..ROUNDS })
 }
 
-/// A heartbeat that comes 2.5 s late must not renew the lease of a primary that is gone for good.
+/// A heartbeat that arrives 2.5 s late must not renew the lease of a primary that is lost for good.
 #[gtest]
 fn losses_after_a_delayed_heartbeat() -> Result<()> {
     const SEED: u64 = 8_583;
-    let plan = plan(5, 2, Rounds { power_losses: true, weather: true, ..ROUNDS });
+    let plan = plan(5, 2, Rounds { power_losses: true, unreliable_links: true, ..ROUNDS });
     match World::new(plan, SEED).play().violation {
         None => Ok(()),
         Some(violation) => fail!("seed {SEED}: {violation:?}"),
