--- a/controlplane/tests/simulation/operation_history.rs
+++ b/controlplane/tests/simulation/operation_history.rs
@@ -57,7 +57,7 @@
         if matches!(caller, Caller::Operator { .. }) && operation != Operation::Read {
             self.sent.push(call.clone());
         }
-        let name = self.history.ask(operation);
+        let name = self.history.invoke(operation);
         self.open.insert(caller, name);
     }
 
