--- a/control/tests/catch_up.rs
+++ b/control/tests/catch_up.rs
@@ -16,7 +16,7 @@
 const KILOBYTE: usize = 1_000;
 /// No connection has more than this queued, in bytes.
 const MAX_QUEUED: usize = 2_000 * KILOBYTE;
-/// An intercontinental link.
+/// A link that spans half the globe.
 const LONG_LINK: Speed = Speed { delay: 150 * MILLISECOND, ..SLOW_LINK };
 const SLOW_LINK: Speed =
     Speed { bits_per_second: 10_000_000, delay: 5 * MILLISECOND, write: 10 * MILLISECOND };
@@ -38,7 +38,7 @@
     /// It comes back with an empty disk.
     WithoutDisk,
     /// It comes back with an empty disk, and is partitioned while the state is being transferred to it.
-    CutInTransfer,
+    PartitionedInTransfer,
     /// It comes back with an empty disk, and is killed while the state is being transferred to it.
     KilledInTransfer,
 }
@@ -58,7 +58,7 @@
         let down = [50, 700, 2_500][round % 3] * MILLISECOND;
         cluster.start_after(node_index, down);
         cluster.run_for(down);
-        if how == Return::CutInTransfer {
+        if how == Return::PartitionedInTransfer {
             cluster.run_for(INTERRUPTION_DELAY);
             cluster.partition(node_index);
             cluster.run_for(down);
@@ -97,7 +97,9 @@
 
 /// Tests all kinds of return for a cluster size, a body size in bytes, a speed and a limit of the catch-up time.
 fn all_returns(size: usize, losses: usize, body: usize, speed: Speed, limit: u64) {
-    for how in [Return::WithDisk, Return::WithoutDisk, Return::CutInTransfer, Return::KilledInTransfer] {
+    for how in
+        [Return::WithDisk, Return::WithoutDisk, Return::PartitionedInTransfer, Return::KilledInTransfer]
+    {
         let mut cluster = after_changes(size, losses, body, speed);
         cluster.change_every(SECOND, body);
         let times = restarts(&mut cluster, how, 4);
--- a/control/tests/conformance.rs
+++ b/control/tests/conformance.rs
@@ -26,15 +26,15 @@
     let rows = [
         ("on top of the current one", put(5, 6, 60), Outcome::Committed),
         ("on top of an older one", put(3, 6, 60), Outcome::Conflict { current: 5 }),
-        ("on top of none", put(0, 6, 60), Outcome::Conflict { current: 5 }),
+        ("on top of no version", put(0, 6, 60), Outcome::Conflict { current: 5 }),
         ("on top of one that isn't in force yet", put(6, 7, 60), Outcome::Unknown),
         ("above the current one and never above its base", put(7, 7, 60), Outcome::Conflict { current: 5 }),
         ("not above the current one", put(5, 5, 60), Outcome::VersionNotHigher { current: 5 }),
         ("the current one again", put(3, 5, 50), Outcome::Committed),
-        ("an older one that was taken", put(0, 3, 30), Outcome::Committed),
-        ("a higher name", name("a", 5), Outcome::Committed),
-        ("the same name", name("a", 4), Outcome::Committed),
-        ("a lower name", name("a", 2), Outcome::Committed),
+        ("an older one that was committed", put(0, 3, 30), Outcome::Committed),
+        ("a higher version of a model", name("a", 5), Outcome::Committed),
+        ("the same version of a model", name("a", 4), Outcome::Committed),
+        ("a lower version of a model", name("a", 2), Outcome::Committed),
         ("a new model", name("b", 1), Outcome::Committed),
     ];
     for (what, change, outcome) in rows {
@@ -193,15 +193,15 @@
     let foreign = ProposalNumber { epoch: 9, candidate: ReplicaId(1_001) };
     // case, candidate, epoch, released, milliseconds since the last heartbeat, whether the epoch is promised
     let rows = [
-        ("within the lease of another", 1_002, 2, None, 0, false),
+        ("within the lease of another candidate", 1_002, 2, None, 0, false),
         ("after the lease", 1_002, 2, None, 1_600, true),
         ("an old epoch after the lease", 1_002, 1, None, 1_600, false),
-        ("by the holder of the lease itself", 1_000, 2, None, 0, true),
-        ("the holder with an old epoch", 1_000, 1, None, 0, true),
-        ("handed over", 1_002, 2, Some(holder), 0, true),
-        ("handed over before this lease", 1_002, 2, Some(older), 0, false),
-        ("handed over by somebody else", 1_002, 2, Some(foreign), 0, false),
-        ("by one that isn't a member", 5_000, 2, None, 1_600, false),
+        ("for the lease holder itself", 1_000, 2, None, 0, true),
+        ("for the lease holder with an old epoch", 1_000, 1, None, 0, true),
+        ("lease released by its holder", 1_002, 2, Some(holder), 0, true),
+        ("release older than the lease", 1_002, 2, Some(older), 0, false),
+        ("release by another replica", 1_002, 2, Some(foreign), 0, false),
+        ("for a candidate that isn't a member", 5_000, 2, None, 1_600, false),
     ];
     for (what, candidate, epoch, released, wait, promised) in rows {
         let mut cluster = with_state(3, 1);
@@ -248,10 +248,10 @@
     let mut out = Vec::new();
     let replica = cluster.nodes[1].replica.as_mut().expect("the replica is running");
     replica.handle(now, Input::Message { from, message: message(1_002, body) }, &mut out);
-    let said = out.iter().any(
+    let promised = out.iter().any(
         |output| matches!(output, Output::Send { message, .. } if matches!(message.body, Body::Promise(_))),
     );
-    expect_that!(said, eq(false));
+    expect_that!(promised, eq(false));
 }
 
 #[gtest]
--- a/control/tests/disaster_recovery.rs
+++ b/control/tests/disaster_recovery.rs
@@ -138,7 +138,7 @@
 }
 
 #[gtest]
-fn a_disk_that_never_knew_a_view_may_begin_anew() {
+fn a_replica_that_never_knew_a_view_may_recover_an_empty_state() {
     let stored = RecoveredState::empty(ReplicaId(7));
     let member = Member {
         id: ReplicaId(7),
--- a/control/tests/linearizability.rs
+++ b/control/tests/linearizability.rs
@@ -95,23 +95,27 @@
     let rows = [
         ("a resend", vec![first, first], true),
         ("a resend after another change", vec![first, (put(1, 2, 20), Some(Committed)), first], true),
-        ("a resend that is refused", vec![first, (put(0, 1, 10), Some(Refused))], false),
-        ("two winners", vec![first, (put(0, 1, 11), Some(Committed))], false),
-        ("two winners under two numbers", vec![first, (put(0, 2, 11), Some(Committed))], false),
-        ("a loser", vec![first, (put(0, 1, 11), Some(Refused))], true),
-        ("a refusal for nothing", vec![(put(0, 1, 10), Some(Refused))], false),
+        ("a resend that is rejected", vec![first, (put(0, 1, 10), Some(Refused))], false),
+        ("two conflicting changes, both committed", vec![first, (put(0, 1, 11), Some(Committed))], false),
         (
-            "an unclear one that was taken",
+            "two conflicting changes of different versions, both committed",
+            vec![first, (put(0, 2, 11), Some(Committed))],
+            false,
+        ),
+        ("a conflicting change that is rejected", vec![first, (put(0, 1, 11), Some(Refused))], true),
+        ("a rejection without a conflict", vec![(put(0, 1, 10), Some(Refused))], false),
+        (
+            "a change of unknown outcome that was committed",
             vec![(put(0, 1, 10), None), (Operation::Read, Some(InForce(Some(10))))],
             true,
         ),
         (
-            "an unclear one that was not",
+            "a change of unknown outcome that was not committed",
             vec![(put(0, 1, 10), None), (Operation::Read, Some(InForce(None)))],
             true,
         ),
         (
-            "an unclear one that is taken later",
+            "a change of unknown outcome that is committed later",
             vec![
                 (put(0, 1, 10), None),
                 (Operation::Read, Some(InForce(None))),
@@ -120,13 +124,13 @@
             true,
         ),
         (
-            "an old read",
+            "a stale read",
             vec![first, (put(1, 2, 20), Some(Committed)), (Operation::Read, Some(InForce(Some(10))))],
             false,
         ),
         ("a change that is lost", vec![first, (Operation::Read, Some(InForce(None)))], false),
         (
-            "a refused one in force",
+            "a rejected change that is in force",
             vec![first, (put(0, 1, 11), Some(Refused)), (Operation::Read, Some(InForce(Some(11))))],
             false,
         ),
--- a/control/tests/quorum_loss.rs
+++ b/control/tests/quorum_loss.rs
@@ -65,8 +65,8 @@
     acknowledged_elsewhere: Option<u64>,
 }
 
-fn ensure(holds: bool, otherwise: impl FnOnce() -> String) -> Result<()> {
-    if holds { Ok(()) } else { fail!("{}", otherwise()) }
+fn ensure(holds: bool, message: impl FnOnce() -> String) -> Result<()> {
+    if holds { Ok(()) } else { fail!("{}", message()) }
 }
 
 impl Scenario {
@@ -141,7 +141,7 @@
     /// Checks all answers, and the states that can be read.
     fn check_answers(&mut self) -> Result<()> {
         let now = self.milliseconds();
-        let old_lease_is_over = now >= self.began + LEASE;
+        let old_lease_expired = now >= self.began + LEASE;
         let mut leaders = Vec::new();
         for node_index in 0..self.cluster.nodes.len() {
             let Some(reading) = self.cluster.replica(node_index).read(self.cluster.now) else { continue };
@@ -159,7 +159,7 @@
             };
             proposed.checked = true;
             let clear = !matches!(outcome, Outcome::Unknown | Outcome::NotPrimary { .. });
-            let cut_off = proposed.node_index == self.affected && old_lease_is_over && self.ended.is_none();
+            let cut_off = proposed.node_index == self.affected && old_lease_expired && self.ended.is_none();
             ensure(!clear || !cut_off, || format!("{outcome:?} without a quorum at {now} ms"))?;
             match outcome {
                 Outcome::Committed => {
--- a/control/tests/retried_changes.rs
+++ b/control/tests/retried_changes.rs
@@ -75,20 +75,20 @@
 }
 
 #[gtest]
-fn a_retry_older_than_the_history_is_answered_unknown_and_all_others_truly() {
+fn a_retry_older_than_the_history_is_answered_unknown_and_all_others_correctly() {
     let kept = ACCEPTED_HISTORY_ENTRIES as u64;
     let current = 2 * (kept + 10);
     let mut cluster = Cluster::bootstrapped(3, 1);
     cluster.restart_with_state(state_after(kept + 10));
     let conflict = Some(Outcome::Conflict { current });
     let rows = [
-        ("forgotten", put(0, 2, 1), Some(Outcome::Unknown)),
-        ("the last that is forgotten", put(18, 20, 10), Some(Outcome::Unknown)),
-        ("old, never taken, which nobody can tell", put(18, 19, 999), Some(Outcome::Unknown)),
-        ("the oldest that is remembered", put(20, 22, 11), Some(Outcome::Committed)),
-        ("a loser on top of the same version", put(20, 22, 999), conflict),
-        ("a loser under another number", put(20, 23, 999), conflict),
-        ("old and never above its base", put(18, 18, 999), conflict),
+        ("older than the history", put(0, 2, 1), Some(Outcome::Unknown)),
+        ("the newest that is older than the history", put(18, 20, 10), Some(Outcome::Unknown)),
+        ("older than the history, never accepted", put(18, 19, 999), Some(Outcome::Unknown)),
+        ("the oldest in the history", put(20, 22, 11), Some(Outcome::Committed)),
+        ("a conflicting change on top of the same version", put(20, 22, 999), conflict),
+        ("a conflicting change with another version", put(20, 23, 999), conflict),
+        ("old, with a version not above its base", put(18, 18, 999), conflict),
         ("not above the current one", put(current, 3, 999), Some(Outcome::VersionNotHigher { current })),
         ("the current one", put(current - 2, current, u128::from(kept) + 10), Some(Outcome::Committed)),
         ("a new one", put(current, current + 1, 999), Some(Outcome::Committed)),
--- a/control/tests/schedules.rs
+++ b/control/tests/schedules.rs
@@ -78,7 +78,7 @@
     let count = schedule_count(&faults).min(max_schedules * stride);
     let (next, steps) = (AtomicUsize::new(0), AtomicUsize::new(0));
     let found = AtomicBool::new(false);
-    let work = || {
+    let worker = || {
         while !found.load(Ordering::Relaxed) {
             let number = next.fetch_add(stride, Ordering::Relaxed);
             if number >= count {
@@ -95,12 +95,12 @@
         None
     };
     let first = std::thread::scope(|scope| {
-        let threads: Vec<_> = (0..THREADS).map(|_| scope.spawn(work)).collect();
+        let threads: Vec<_> = (0..THREADS).map(|_| scope.spawn(worker)).collect();
         let ended: Vec<_> = threads.into_iter().map(|one| one.join().expect("no schedule panics")).collect();
         ended.into_iter().flatten().next()
     });
-    let played = next.load(Ordering::Relaxed).min(count).div_ceil(stride);
-    (played, steps.load(Ordering::Relaxed), first)
+    let schedules_run = next.load(Ordering::Relaxed).min(count).div_ceil(stride);
+    (schedules_run, steps.load(Ordering::Relaxed), first)
 }
 
 fn stride() -> usize {
@@ -108,9 +108,9 @@
 }
 
 #[gtest]
-fn no_pair_of_faults_breaks_a_rule() {
-    let (played, steps, broken) = explore(None, stride(), usize::MAX / stride());
-    println!("{played} schedules of {}, {steps} steps", schedule_count(&faults()));
+fn no_pair_of_faults_violates_an_invariant() {
+    let (schedules_run, steps, broken) = explore(None, stride(), usize::MAX / stride());
+    println!("{schedules_run} schedules of {}, {steps} steps", schedule_count(&faults()));
     expect_that!(broken, none());
     expect_that!(steps, gt(1_000_000));
 }
@@ -127,8 +127,8 @@
         InjectedFault::ReadsWithoutLease,
         InjectedFault::InstallsWithoutEpoch,
     ] {
-        let (played, _, broken) = explore(Some(injected_fault), 7, MAX_SCHEDULES_FOR_BROKEN);
-        println!("{injected_fault:?}: {played} schedules, {broken:?}");
+        let (schedules_run, _, broken) = explore(Some(injected_fault), 7, MAX_SCHEDULES_FOR_BROKEN);
+        println!("{injected_fault:?}: {schedules_run} schedules, {broken:?}");
         expect_that!(broken, some(anything()), "{injected_fault:?}");
     }
 }
--- a/control/tests/simulator/history.rs
+++ b/control/tests/simulator/history.rs
@@ -1,4 +1,4 @@
-//! A history of calls and answers, and a check of its linearizability: each call takes effect at one moment
+//! A history of calls and responses, and a check of its linearizability: each call takes effect at one moment
 //! between its invocation and its response (Wing and Gong, Testing and Verifying Concurrent Objects, 1993).
 
 use std::collections::HashSet;
