--- a/control/tests/linearizability.rs
+++ b/control/tests/linearizability.rs
@@ -7,9 +7,9 @@
 use simulator::{Fault, History, Operation, Plan, Response, World, seeds};
 
 const OPERATORS: usize = 8;
-/// How many seeds each size of the core is given.
+/// How many seeds are run for each cluster size.
 const SEEDS: u64 = 1_000;
-/// So many seeds are tried at most until a broken version is found out.
+/// At most this many seeds are tried until a broken version is detected.
 const BROKEN_SEEDS: u64 = 2_000;
 
 fn plan(replicas: usize, machine_losses: usize) -> Plan {
@@ -46,13 +46,13 @@
     explore(&plan(8, 2))
 }
 
-/// The first seed whose history no register explains, although that of the sound version has one.
-fn first_unexplained(injected_fault: InjectedFault, plan: &Plan) -> Option<u64> {
+/// The first seed whose history is not linearizable with the fault, although it is without.
+fn first_violation(injected_fault: InjectedFault, plan: &Plan) -> Option<u64> {
     let broken = Plan { injected_fault: Some(injected_fault), ..plan.clone() };
-    let explained = |plan: &Plan, seed| {
+    let is_linearizable = |plan: &Plan, seed| {
         World::new(plan.clone(), seed).with_operators(OPERATORS).play().history.linearizable()
     };
-    (0..BROKEN_SEEDS).find(|seed| !explained(&broken, *seed) && explained(plan, *seed))
+    (0..BROKEN_SEEDS).find(|seed| !is_linearizable(&broken, *seed) && is_linearizable(plan, *seed))
 }
 
 #[gtest]
@@ -60,13 +60,13 @@
     let takeovers = vec![Fault::CrashLeader, Fault::WipeLeader, Fault::Partition, Fault::HealNetwork];
     let often = Plan { only: takeovers, ..plan(3, 1) };
     let rows = [
-        (InjectedFault::ForgetsOrdersAtInstall, often.clone()),
+        (InjectedFault::ForgetsHistoryAtInstall, often.clone()),
         (InjectedFault::AcknowledgesEarly, often.clone()),
-        (InjectedFault::JudgesRivalEarly, often),
+        (InjectedFault::RejectsRivalEarly, often),
         (InjectedFault::LeadsForever, plan(3, 1)),
     ];
     for (injected_fault, plan) in rows {
-        let seed = first_unexplained(injected_fault, &plan);
+        let seed = first_violation(injected_fault, &plan);
         println!("{injected_fault:?}: seed {seed:?}");
         expect_that!(seed, some(anything()), "{injected_fault:?}");
     }
@@ -76,13 +76,13 @@
     Operation::Put { if_match, version, fingerprint }
 }
 
-/// A history of calls that follow each other.
-fn one_after_the_other(calls: &[(Operation, Option<Response>)]) -> History {
+/// A history of sequential calls.
+fn sequential_history(calls: &[(Operation, Option<Response>)]) -> History {
     let mut history = History::default();
     for (operation, response) in calls {
-        let name = history.ask(*operation);
+        let call = history.invoke(*operation);
         if let Some(response) = response {
-            history.answer(name, *response);
+            history.answer(call, *response);
         }
     }
     history
@@ -95,23 +95,27 @@
     let rows = [
         ("a resend", vec![first, first], true),
         ("a resend after another change", vec![first, (put(1, 2, 20), Some(Committed)), first], true),
-        ("a resend that is refused", vec![first, (put(0, 1, 10), Some(Refused))], false),
-        ("two winners", vec![first, (put(0, 1, 11), Some(Committed))], false),
-        ("two winners under two numbers", vec![first, (put(0, 2, 11), Some(Committed))], false),
-        ("a loser", vec![first, (put(0, 1, 11), Some(Refused))], true),
-        ("a refusal for nothing", vec![(put(0, 1, 10), Some(Refused))], false),
+        ("a resend that is rejected", vec![first, (put(0, 1, 10), Some(Refused))], false),
+        ("two conflicting changes, both committed", vec![first, (put(0, 1, 11), Some(Committed))], false),
         (
-            "an unclear one that was taken",
+            "two conflicting changes of different versions, both committed",
+            vec![first, (put(0, 2, 11), Some(Committed))],
+            false,
+        ),
+        ("a conflicting change that is rejected", vec![first, (put(0, 1, 11), Some(Refused))], true),
+        ("a rejection without a conflict", vec![(put(0, 1, 10), Some(Refused))], false),
+        (
+            "a change of unknown outcome that was committed",
             vec![(put(0, 1, 10), None), (Operation::Read, Some(InForce(Some(10))))],
             true,
         ),
         (
-            "an unclear one that was not",
+            "a change of unknown outcome that was not committed",
             vec![(put(0, 1, 10), None), (Operation::Read, Some(InForce(None)))],
             true,
         ),
         (
-            "an unclear one that is taken later",
+            "a change of unknown outcome that is committed later",
             vec![
                 (put(0, 1, 10), None),
                 (Operation::Read, Some(InForce(None))),
@@ -120,26 +124,26 @@
             true,
         ),
         (
-            "an old read",
+            "a stale read",
             vec![first, (put(1, 2, 20), Some(Committed)), (Operation::Read, Some(InForce(Some(10))))],
             false,
         ),
         ("a change that is lost", vec![first, (Operation::Read, Some(InForce(None)))], false),
         (
-            "a refused one in force",
+            "a rejected change that is in force",
             vec![first, (put(0, 1, 11), Some(Refused)), (Operation::Read, Some(InForce(Some(11))))],
             false,
         ),
     ];
-    for (what, calls, explained) in rows {
-        expect_that!(one_after_the_other(&calls).linearizable(), eq(explained), "{what}");
+    for (what, calls, is_linearizable) in rows {
+        expect_that!(sequential_history(&calls).linearizable(), eq(is_linearizable), "{what}");
     }
 }
 
 #[gtest]
 fn concurrent_calls_may_take_effect_in_any_order() {
     let mut history = History::default();
-    let (one, two) = (history.ask(put(0, 1, 10)), history.ask(put(1, 2, 20)));
+    let (one, two) = (history.invoke(put(0, 1, 10)), history.invoke(put(1, 2, 20)));
     history.answer(two, Response::Committed);
     history.answer(one, Response::Committed);
     history.read(Some(20));
