--- a/scripts/soaking/wire.py
+++ b/scripts/soaking/wire.py
@@ -87,7 +87,10 @@
 
 
 async def call(address, start_line, fields, body=b"", timeout_s=5.0):
-    """Sends one request on a new connection and returns the response. Raises OSError, ConnectionEnded, Truncated or TimeoutError."""
+    """Sends one request on a new connection and returns the response.
+
+    Raises OSError, ConnectionEnded, Truncated or TimeoutError.
+    """
     async with asyncio.timeout(timeout_s):
         reader, writer = await asyncio.open_connection(*address, limit=MAX_LINE)
         try:
