--- a/controlplane/src/node.rs
+++ b/controlplane/src/node.rs
@@ -1,4 +1,4 @@
-//! The control plane of one node as one state machine: inputs and the time in, [`Output`]s out. No I/O.
+//! The control plane of one node as a state machine: it takes inputs and the time, and returns [`Output`]s. No I/O.
 
 mod api_calls;
 mod membership;
@@ -29,32 +29,33 @@
 use crate::session_table::SessionTable;
 use crate::version_announcement::VersionDeadlines;
 
-/// Interval of the housekeeping of sessions, servers, the singleton roles and calls.
+/// Interval at which membership, servers, the singleton roles and pending calls are checked.
 const TICK_INTERVAL: Micros = 100_000;
-/// Interval of the housekeeping that nobody waits for.
+/// Interval of the checks that are not latency-sensitive: servers whose owner is absent, removal of lost servers.
 const SLOW_TICK_INTERVAL: Micros = 500_000;
 
 /// What a node starts with.
 pub struct NodeSetup {
-    /// The client of this node's own session.
+    /// The client side of this node's session.
     pub session: SessionClient,
-    /// The gossip.
+    /// The gossip state machine.
     pub gossip: Gossip,
-    /// At the node that makes the first view.
+    /// The bootstrap, at the node that makes the first view; `None` at all others.
     pub bootstrap: Option<Bootstrap>,
     /// Interval between heartbeats of a server, in microseconds.
     pub heartbeat_interval: Micros,
-    /// The span within which orders of two primaries must not alternate, in microseconds.
+    /// The minimum time between orders of two different primaries, in microseconds.
     pub order_lease: Micros,
-    /// By when servers have to have loaded an announced version.
+    /// The deadlines by which servers have to load an announced version.
     pub version_deadlines: VersionDeadlines,
-    /// Within which revoked keys have to stop working at every node, in microseconds; `None` without such a bound.
+    /// The time within which revoked keys have to stop working at every node, in microseconds; `None` without such a
+    /// bound.
     pub revoke_within: Option<Micros>,
-    /// The fault tolerance: machines that may be lost at once.
+    /// The fault tolerance: the number of machines that may be lost at once.
     pub machine_losses: usize,
     /// The port of the control API, the same on all machines.
     pub control_port: u16,
-    /// The time of the driver's clock.
+    /// The current time by the driver's clock.
     pub now: Micros,
 }
 
@@ -72,9 +73,9 @@
     membership: Membership,
     servers: KnownServers,
     evidence: Evidence,
-    /// The replica is the primary, perhaps without a lease at the moment.
+    /// True while the replica is the primary, whether or not it currently holds a lease.
     primary: bool,
-    /// The version of a newer configuration that has been offered and has not arrived.
+    /// The version of a newer configuration that a peer has offered and that is still being fetched.
     expected_configuration: Option<u64>,
     version_deadlines: VersionDeadlines,
     machine_losses: usize,
@@ -85,7 +86,7 @@
 }
 
 impl Node {
-    /// A node that knows no other yet.
+    /// A node that knows no other node yet.
     pub fn new(setup: NodeSetup) -> Self {
         let own = setup.session.identity().address;
         let first_call_id = first_call_id(setup.session.identity());
@@ -113,7 +114,8 @@
         }
     }
 
-    /// Handles an input at the time `now` of the driver's clock, then does what is due. Appends what is to be carried out.
+    /// Handles an input at the time `now` of the driver's clock, then runs the timers that are due. Appends the outputs to
+    /// `out`, in the order in which they have to be carried out.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Tick => {}
@@ -176,7 +178,7 @@
         }
     }
 
-    /// Does what is due.
+    /// Runs the timers that are due.
     fn tick(&mut self, now: Micros, out: &mut Vec<Output>) {
         if self.replica.as_ref().is_some_and(|replica| replica.next_wake() <= now) {
             self.step_replica(now, ReplicaInput::Tick, out);
@@ -203,7 +205,7 @@
         }
     }
 
-    /// When [`Node::handle`] has something to do without an event.
+    /// When [`Node::handle`] has to be called next, if no input comes before.
     pub fn next_wake(&self) -> Micros {
         let bootstrap = self.bootstrap.as_ref().map_or(Micros::MAX, Bootstrap::next_wake);
         let replica = self.replica.as_ref().map_or(Micros::MAX, Replica::next_wake);
@@ -249,9 +251,9 @@
     }
 
     fn handle_gossip_outputs(&mut self, now: Micros, results: Vec<GossipOutput>, out: &mut Vec<Output>) {
-        let mut configuration_moved = false;
+        let mut configuration_affected = false;
         for result in results {
-            configuration_moved |= concerns_configuration(&result);
+            configuration_affected |= concerns_configuration(&result);
             match result {
                 GossipOutput::Send { to, message } => {
                     out.push(Output::Send { to, content: Content::Gossip(message) });
@@ -269,12 +271,12 @@
                 }
             }
         }
-        if configuration_moved {
+        if configuration_affected {
             self.report_expected_configuration(out);
         }
     }
 
-    /// Reports whether a newer configuration is on its way, where that has changed.
+    /// Reports which newer configuration is being fetched, if that has changed.
     fn report_expected_configuration(&mut self, out: &mut Vec<Output>) {
         let expected = self.gossip.downloading(CONFIGURATION, CONFIGURATION_KEY).map(|stamp| stamp.major);
         if expected != self.expected_configuration {
@@ -292,8 +294,8 @@
     }
 }
 
-/// Where the call ids of a process begin: far from those of any other process at this address, so that the reply to a
-/// forwarded call of an earlier one matches no call of this one.
+/// The start of the call ids of a process. It depends on the incarnation, so that ids of two processes at one address do
+/// not overlap: a reply to a call that an earlier process forwarded must match no call of this one.
 fn first_call_id(identity: &Identity) -> u64 {
     crate::mix(crate::mix(identity.incarnation) ^ u64::from(u32::from(*identity.address.ip())))
 }
--- a/controlplane/src/node/api_calls.rs
+++ b/controlplane/src/node/api_calls.rs
@@ -1,4 +1,5 @@
-//! API calls: those of servers, and those that the primary decides: taken here, forwarded, answered.
+//! API calls: those of servers are handled at this node; those of operators are decided by the primary, to which other
+//! nodes forward them.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddrV4;
@@ -15,30 +16,31 @@
 use crate::item_kinds::{self, CONFIGURATION, CONFIGURATION_KEY, MODEL_VERSION};
 use crate::registry::Decision;
 
-/// The body to which a patch of no configuration applies.
-const EMPTY: &[u8] = b"{}";
-/// A call that the primary has not decided within this is answered by 503. Callers go on to another node after a second
-/// without a response, and sooner after such a one.
+/// The base of a patch while there is no configuration yet.
+const EMPTY_CONFIGURATION: &[u8] = b"{}";
+/// A call that the primary has not decided within this time is answered with 503. Callers try another node after 1 s
+/// without a response, and sooner after a 503.
 const CALL_TIMEOUT: Micros = 750_000;
-/// So much longer for each byte of its body, which has to reach the primary and its backups first.
+/// Added to [`CALL_TIMEOUT`] for each byte of the call's body, which has to reach the primary and its backups first.
 const CALL_TIMEOUT_PER_BYTE: Micros = 1;
 
-/// A longer configuration is read at the primary: callers wait for a second, in which 10 Mbit/s carry 1.25 MB.
+/// Reads of a longer configuration are redirected to the primary: callers wait for 1 s, in which a link of 10 Mbit/s
+/// carries 1.25 MB.
 const REDIRECTED_READ_BYTES: usize = 256 * 1024;
-/// Between nodes: the caller's configuration is the newest one.
+/// Status of a reply between nodes: the configuration that the forwarding node has is the newest one.
 const NOT_MODIFIED: u16 = 304;
 
-/// Names a call that waits for a decision at this node, in messages to the primary and in proposals. It also names queries
-/// between nodes, so that no two messages of one process have the same.
+/// Identifies a call that waits for a decision at this node, in messages to the primary and in proposals. Version queries
+/// take their ids from the same sequence, so that no two messages of one process have the same id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct PendingCallId(u64);
 
-/// Where the response to a call goes.
+/// Where the response to a call is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Caller {
     /// A caller at this node, by the driver's call id.
     Local(CallId),
-    /// The node that forwarded the call, with that node's own id of it.
+    /// The node that forwarded the call, and the id that it gave the call.
     Peer(SocketAddrV4, PendingCallId),
 }
 
@@ -77,7 +79,7 @@
     decider: SocketAddrV4,
     since: Micros,
     until: Micros,
-    /// For a read of the configuration that was forwarded: the one that this node had then.
+    /// For a forwarded read of the configuration: the configuration that this node had when it forwarded the call.
     known_configuration: Option<Arc<[u8]>>,
 }
 
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Publishes what a server's call says, and responds at once or when other nodes have acknowledged it.
+    /// Publishes the change that a server's call makes, and responds at once or once other nodes have acknowledged it.
     fn publish_registration(
         &mut self,
         now: Micros,
@@ -145,11 +147,11 @@
         self.session.view().members.iter().copied().filter(|member| *member != self.own).collect()
     }
 
-    /// How many nodes have to have what a server said of its end before it is acknowledged.
+    /// How many nodes need a copy of a server's draining or leaving before it is acknowledged.
     ///
-    /// Of the control balancers, `machine_losses` may be lost at once, so one more has to have it; this node counts if it
-    /// is one and stays. All of them may lose power at once, and any number of the other nodes may go: so one of the
-    /// others needs it, too.
+    /// `machine_losses` control balancers may be lost at once, so `machine_losses + 1` of them need a copy; this node
+    /// counts if it is a control balancer and is not shutting down. As all control balancers may also lose power at once,
+    /// and any number of the other nodes may be lost, one node that is not a control balancer needs a copy, too.
     fn required_copies<'a>(&self, core: &'a [SocketAddrV4]) -> ReplicationFactor<'a> {
         let is_member = self.session.view().members.contains(&self.own);
         let counts_itself = !self.shutting_down && is_member;
@@ -178,7 +180,8 @@
         out.push(success(call_id));
     }
 
-    /// Has a call decided: here, if this node is the primary, else by the primary, to which it is forwarded once.
+    /// Decides a call at this node if it is the primary; otherwise forwards it to the primary. A call that was forwarded
+    /// already is not forwarded again.
     fn decide(
         &mut self,
         now: Micros,
@@ -210,8 +213,8 @@
         }
     }
 
-    /// Whether a call reads a configuration that a narrow link carries too slowly for its caller. Machines of the core have
-    /// wide links.
+    /// True if a call reads a configuration that is too long to be relayed over a slow link before the caller times out.
+    /// Core machines have fast links.
     fn is_long_read(&self, call: &ControlCall) -> bool {
         let is_member = self.session.view().members.contains(&self.own);
         let known = self.known_configuration();
@@ -257,15 +260,15 @@
         self.step_replica(now, ReplicaInput::Propose { proposal_id, change }, out);
     }
 
-    /// The change that a patch makes of the configuration in force, if that is the one it applies to.
+    /// The change that a patch makes to the configuration in force, if the patch applies to that version.
     ///
-    /// A patch of a version is the same change at all times: versions only rise, so no other configuration of that version
-    /// is ever in force. If another one is committed before the change is proposed, it is rejected like any change of an
-    /// older version.
+    /// A patch of a given base version always results in the same change: versions only rise, so no other configuration of
+    /// that version is ever in force. If another configuration is committed before the change is proposed, the change is
+    /// rejected like any other with an outdated base version.
     ///
     /// # Errors
     ///
-    /// The response to a patch that needs no decision of the replica, or whose result is invalid.
+    /// The response to a patch if it needs no decision of the replica, or if its result is invalid.
     fn change_of_patch(
         &self,
         now: Micros,
@@ -281,19 +284,19 @@
         if let Some(outcome) = read.state.check_configuration(if_match, version, fingerprint).outcome() {
             return Err(response_to(outcome).before(until));
         }
-        let base = read.state.configuration.as_ref().map_or(EMPTY, |known| &known.body);
+        let base = read.state.configuration.as_ref().map_or(EMPTY_CONFIGURATION, |known| &known.body);
         match apply_patch(patch, base) {
             Ok(body) => Ok(Change::PutConfiguration { if_match, version, body, fingerprint }),
             Err(findings) => Err(invalid(findings).before(until)),
         }
     }
 
-    /// The newest configuration that other nodes have told of.
+    /// The newest configuration that this node has received by gossip.
     fn known_configuration(&self) -> Option<&Item> {
         self.gossip.get(CONFIGURATION, CONFIGURATION_KEY)
     }
 
-    /// The newest configuration, valid as long as the lease lasts; without its body for a caller that has this version.
+    /// The newest configuration, valid for as long as the lease lasts; without its body if `known_version` is the newest.
     fn read_configuration(&self, now: Micros, known_version: u64) -> Response {
         let Some(read) = self.replica.as_ref().and_then(|replica| replica.read(now)) else {
             return Response::unavailable("this node does not lead");
@@ -306,7 +309,7 @@
         response.before(read.lease.until)
     }
 
-    /// Handles the replica's decision. What is conclusive may be sent within the lease only.
+    /// Handles the replica's decision. A conclusive response may be sent within the lease only.
     pub(super) fn handle_decision(
         &mut self,
         now: Micros,
@@ -335,9 +338,9 @@
         self.decide(now, caller, forwarded.call, false, out);
     }
 
-    /// Handles the reply to a forwarded call, if it comes from the node to which that was forwarded. The primary's lease
-    /// lasted for `lease_remaining` when it replied, which was after the call was forwarded: counted from then, the lease
-    /// ends no later by this node's clock.
+    /// Handles the reply to a forwarded call, if it comes from the node to which the call was forwarded. When the primary
+    /// replied, its lease had `lease_remaining` left. It replied after the call was forwarded, so adding `lease_remaining`
+    /// to the time of forwarding gives a time, by this node's clock, that is never after the end of the lease.
     pub(super) fn handle_forwarded_reply(
         &mut self,
         now: Micros,
--- a/controlplane/src/node/membership.rs
+++ b/controlplane/src/node/membership.rs
@@ -1,4 +1,4 @@
-//! Sessions, members, the bootstrap, and what the node knows of the view.
+//! Sessions, members, the bootstrap, and the latest view that the node knows.
 
 use std::net::SocketAddrV4;
 
@@ -10,13 +10,13 @@
 use crate::Micros;
 use crate::session_table;
 
-/// A node whose session was granted within this is connected.
+/// A node counts as connected if its session was granted or renewed within this time.
 const CONNECTED_FOR: Micros = 2_500_000;
 
-/// A seed is sent the view at this interval, one after the other.
+/// Interval at which the view is sent to one of the seeds, in turn.
 const SEED_INTERVAL: Micros = 1_000_000;
 
-/// Items are compared with a control balancer or seed without a session at this interval, one after the other.
+/// Interval at which items are compared with one of the control balancers and seeds that have no session, in turn.
 const ABSENT_INTERVAL: Micros = 1_000_000;
 
 /// What a node knows of the other members.
@@ -34,7 +34,7 @@
 }
 
 impl Membership {
-    /// No other member is known.
+    /// The membership while no other member is known.
     pub(super) fn new(now: Micros) -> Self {
         Membership {
             peers: Vec::new(),
@@ -118,8 +118,8 @@
         }
     }
 
-    /// Sends the view to a seed: a node that has just started knows only seeds, which may have no disk and may have
-    /// restarted themselves.
+    /// Sends the view to a seed. A node that has just started can learn the view only from its seeds, and these may have
+    /// no disk and may have just restarted themselves.
     fn send_view_to_seed(&mut self, now: Micros, out: &mut Vec<Output>) {
         let view = self.view_summary();
         if now < self.membership.next_seed_at || view.epoch == 0 {
@@ -138,8 +138,9 @@
         out.push(Output::Send { to, content: Content::SessionHeartbeatReply(reply) });
     }
 
-    /// Compares items with a control balancer or seed that has no session. After a long network partition either side
-    /// has sessions of its own nodes only and gossips with these only: some node has to ask across.
+    /// Compares items with a control balancer or seed that has no session. After a long network partition each side knows
+    /// only the sessions of its own nodes and gossips only with these, so without this the two sides would never exchange
+    /// items again.
     fn compare_with_absent_node(&mut self, now: Micros, out: &mut Vec<Output>) {
         if now < self.membership.next_absent_at {
             return;
@@ -164,7 +165,7 @@
     pub(super) fn tick_bootstrap(&mut self, now: Micros, out: &mut Vec<Output>) {
         let has_no_view = self.bootstrap.as_ref().is_some_and(|bootstrap| !bootstrap.has_view());
         if self.session.view().epoch > 0 && has_no_view {
-            // There is a view already: this process has restarted beside a running fleet.
+            // There is a view already: this process has restarted while the fleet was running.
             self.bootstrap = None;
         }
         let Some(bootstrap) = &mut self.bootstrap else { return };
@@ -173,7 +174,7 @@
             if has_no_view {
                 out.push(Output::Event(Event::Bootstrapped { members: first.view.members.len() }));
             }
-            // This node may have no replica itself, and is a seed: others ask it for the view.
+            // This node is a seed and may have no replica: it keeps the view, since other nodes ask it for one.
             self.session.learn_view(&summarize(&first.view));
         }
         for message in messages {
@@ -201,7 +202,7 @@
         self.update_peers(now, out);
         self.compare_with_absent_node(now, out);
         let granted = self.session.last_granted();
-        // A primary may have no other control balancer that could grant it a session.
+        // A primary counts as connected by its lease: there may be no other control balancer to grant it a session.
         let connected = granted.is_some_and(|at| now.saturating_sub(at) < CONNECTED_FOR)
             || self.is_primary_within_lease(now);
         if connected != self.membership.connected {
@@ -226,7 +227,7 @@
         let mut peers: Vec<Peer> =
             nodes.iter().map(|node| Peer { address: node.address, near: is_near(node) }).collect();
         let members: Vec<SocketAddrV4> = nodes.iter().map(|node| node.address).collect();
-        // Before any session is known, members of the view and seeds are the nodes to gossip with.
+        // Until a session is known, this node gossips with the members of the view and the seeds.
         if peers.is_empty() {
             let known = self.session.view().members.iter().chain(self.session.seeds());
             let others = known.filter(|address| **address != self.own);
@@ -250,7 +251,7 @@
         self.step_replica(now, ReplicaInput::Peers(addresses), out);
     }
 
-    /// This node's place in an order of all nodes by a hash of their addresses.
+    /// This node's position in the order of all nodes by a hash of their addresses.
     fn rank_among(&self, peers: &[Peer]) -> usize {
         let hash = |address: SocketAddrV4| crate::mix(u64::from(u32::from(*address.ip())));
         let own = hash(self.own);
@@ -258,7 +259,7 @@
     }
 }
 
-/// The view as it is sent to all nodes.
+/// The part of a view that is sent to all nodes.
 fn summarize(view: &View) -> ViewSummary {
     ViewSummary {
         epoch: view.epoch,
--- a/controlplane/src/node/messages.rs
+++ b/controlplane/src/node/messages.rs
@@ -13,8 +13,8 @@
 use crate::order::{Order, OrderOutcome};
 use crate::rollout::Reservation;
 
-/// Names a call of a server or an operator at one node, given by its driver. Calls that are forwarded between nodes have ids
-/// of their own.
+/// Identifies a call of a server or an operator at one node; assigned by the node's driver. Calls that are forwarded
+/// between nodes have ids of their own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
@@ -22,11 +22,11 @@
 pub enum Input {
     /// Time has passed.
     Tick,
-    /// A message of another node.
+    /// A message from another node.
     Envelope(Envelope),
-    /// A server or an operator calls.
+    /// A call of a server or an operator.
     Call {
-        /// Names the call in [`Output::Respond`].
+        /// Identifies the call in [`Output::Respond`].
         call_id: CallId,
         /// The call.
         call: Call,
@@ -51,9 +51,9 @@
         /// The version.
         version: u64,
     },
-    /// The disk is open: this node has a replica from now on.
+    /// The store is open: this node has a replica from now on.
     ReplicaOpened(Box<Replica>),
-    /// A cache store has begun or ceased to respond to this node.
+    /// A cache store has started or stopped responding to this node.
     CacheStoreChanged {
         /// The cache store.
         name: Arc<str>,
@@ -66,10 +66,11 @@
     ShutDown,
 }
 
-/// Until when the keys of a configuration may be accepted: as far as is known, none of them has been revoked.
+/// Until when the keys of a configuration may be accepted. Up to that time this node's evidence that none of them has been
+/// revoked is recent enough.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConfigurationValidity {
-    /// The version of the configuration; it says nothing of older ones.
+    /// The version of the configuration. Nothing follows for older versions.
     pub version: u64,
     /// The end by the driver's clock; 0 without any evidence.
     pub until: Micros,
@@ -97,7 +98,7 @@
     },
     /// Write records to disk.
     Persist {
-        /// Names the write in [`Input::Persisted`].
+        /// Identifies the write in [`Input::Persisted`] and [`Input::PersistFailed`].
         write_id: WriteId,
         /// The records.
         records: Vec<Record>,
@@ -109,17 +110,18 @@
         /// The response.
         response: Response,
     },
-    /// Put this configuration in force.
+    /// Apply this configuration.
     ApplyConfiguration(Arc<[u8]>),
-    /// A newer configuration exists that has not arrived here yet, of this version; or there is none any longer.
+    /// The version of a newer configuration that is being fetched; `None` once there is none.
     ConfigurationExpected(Option<u64>),
     /// A server has been registered, or has changed.
     ServerChanged(ServerEntry),
     /// A server has been removed.
     ServerRemoved(Arc<str>),
-    /// The other balancers.
+    /// The other members of the fleet have changed; this is the new list.
     PeersChanged(Vec<MemberNode>),
-    /// This node's listener rank: its place, from 0, in an order on which all nodes agree.
+    /// This node's listener rank has changed: its position, from 0, in an order of the nodes that is the same at all of
+    /// them.
     RankChanged(usize),
     /// A node reports whether a cache store responds.
     CacheStoreChanged {
@@ -171,13 +173,13 @@
         /// Where it is reached.
         address: SocketAddrV4,
     },
-    /// The node is connected: it has a session with a control balancer, or is the primary. Or it is not any longer.
+    /// Whether the node is connected: it has a session with a control balancer, or is the primary.
     Connected(bool),
-    /// Until when the keys of a configuration may be accepted. Never given where that has no bound.
+    /// Until when the keys of a configuration may be accepted. Never emitted if no bound is configured.
     ConfigurationValidity(ConfigurationValidity),
     /// An event for the log.
     Event(Event),
-    /// The control state is in other hands: the process may exit.
+    /// Other replicas have taken over the control state: the process may exit.
     ReadyToExit,
 }
 
@@ -189,9 +191,9 @@
         /// The epoch.
         epoch: u64,
     },
-    /// It is the primary no longer.
+    /// This node is no longer the primary.
     SteppedDown,
-    /// It has made the first view and sends it to the members.
+    /// This node has made the first view and sends it to the members.
     Bootstrapped {
         /// The number of members.
         members: usize,
@@ -214,14 +216,14 @@
     ServerReserved {
         /// The server.
         server: Arc<str>,
-        /// What it is to load.
+        /// The version that it is to load.
         reservation: Reservation,
     },
     /// This primary has released a server.
     ServerReleased {
         /// The server.
         server: Arc<str>,
-        /// What it was to load, and whether it has.
+        /// The version that it was to load, and whether it has loaded it.
         reservation: Reservation,
     },
     /// An order has ended.
@@ -233,7 +235,7 @@
     },
     /// A step in the fetch of a configuration; the version is the major number of its stamp.
     ConfigurationFetch(FetchEvent),
-    /// Messages of another node were dropped, since too much of what it sent was waiting.
+    /// Messages of another node were dropped, since the inbox held too many unhandled bytes.
     MessagesDropped {
         /// The node.
         peer: SocketAddrV4,
--- a/controlplane/src/node/servers.rs
+++ b/controlplane/src/node/servers.rs
@@ -1,4 +1,5 @@
-//! Model servers: items that change what the data plane knows of them, their loss, and the singleton roles.
+//! Model servers: gossiped changes for the data plane, detection and removal of lost servers, and the singleton roles of
+//! the primary.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -14,21 +15,21 @@
 use crate::rollout::{Reservation, Servers, Step};
 use crate::version_announcement::VersionAnnouncement;
 
-/// A server whose owner has been absent for this long, and that has called no other node since, counts as lost.
+/// A server counts as lost if its owner has been absent for this long and it has called no other node since.
 const OWNER_TIMEOUT: Micros = 5_000_000;
 /// A server that has been lost for this long is removed.
 const REMOVE_AFTER: Micros = 60_000_000;
-/// A reserved server gets no new requests for this long at most: the end of the reservation may be lost.
+/// A reserved server gets no new requests for at most this long, as the item that ends the reservation may be lost.
 const MAX_PAUSE: Micros = 8_000_000;
 
 /// What a node knows of model servers and model versions.
 #[derive(Default)]
 pub(super) struct KnownServers {
     pub(super) registered: Servers,
-    /// Since when servers have been lost.
+    /// For each lost server, when its loss became known.
     lost_since: HashMap<Arc<str>, Micros>,
     absent_owners: AbsenceTracker,
-    /// Servers that this node treats as lost since their owner is absent.
+    /// Servers that this node treats as lost because their owner is absent.
     without_owner: BTreeSet<Arc<str>>,
     /// The newest announced version of each model.
     pub(super) announced_versions: BTreeMap<String, u64>,
@@ -87,8 +88,8 @@
         });
     }
 
-    /// Starts the time of all announced versions again, where this primary follows one that was lost: the core was
-    /// unstable, and servers could not be ordered.
+    /// Restarts the deadlines of all announced versions if this primary replaces one that was lost: the core was unstable,
+    /// and no orders could be sent to servers.
     pub(super) fn extend_version_deadlines(&mut self, now: Micros, epoch: u64, out: &mut Vec<Output>) {
         if !self.replica.as_ref().is_some_and(gradepaddle_control::Replica::took_over_after_timeout) {
             return;
@@ -105,7 +106,7 @@
         self.handle_gossip_outputs(now, results, out);
     }
 
-    /// Releases servers that an earlier primary reserved: it may never have sent their orders.
+    /// Releases servers that an earlier primary reserved, as it may never have sent their orders.
     pub(super) fn release_earlier_reservations(&mut self, now: Micros, epoch: u64, out: &mut Vec<Output>) {
         let earlier = self.gossip.items(RESERVATION).filter(|item| item.stamp.major < epoch);
         let earlier: Vec<Item> = earlier.cloned().collect();
@@ -144,7 +145,7 @@
         self.handle_gossip_outputs(now, results, out);
     }
 
-    /// Treats servers as lost whose owner is absent, and that have called no other node since.
+    /// Treats servers as lost if their owner is absent and they have called no other node since.
     pub(super) fn tick_absent_owners(&mut self, now: Micros, out: &mut Vec<Output>) {
         let is_alive = |owner| owner == self.own || self.membership.peers.binary_search(&owner).is_ok();
         let absent =
@@ -169,8 +170,8 @@
         self.servers.without_owner = without_owner;
     }
 
-    /// At the primary, removes servers that have been lost for long. One that comes back does so as a new incarnation, or
-    /// with its next heartbeat.
+    /// At the primary, removes servers that have been lost for longer than [`REMOVE_AFTER`]. A server that comes back
+    /// registers again as a new incarnation, or with its next heartbeat.
     pub(super) fn remove_lost_servers(&mut self, now: Micros, out: &mut Vec<Output>) {
         let lost = self.servers.registered.iter().filter(|(_, server)| server.lost).map(|(id, _)| id.clone());
         let lost: Vec<Arc<str>> = lost.collect();
@@ -193,7 +194,7 @@
         self.handle_gossip_outputs(now, results, out);
     }
 
-    /// The singleton roles of the primary: the roll-out of model versions.
+    /// Runs the singleton role of the primary: the roll-out of model versions.
     pub(super) fn tick_singleton_roles(&mut self, now: Micros, out: &mut Vec<Output>) {
         if !self.is_primary_within_lease(now) || self.servers.announced_versions.is_empty() {
             return;
@@ -217,12 +218,12 @@
         self.handle_gossip_outputs(now, results, out);
     }
 
-    /// True if an order with this fencing token may leave now: this node is the primary in that epoch, within its lease.
+    /// True if an order with this fencing token may be sent now: this node is the primary in that epoch, within its lease.
     pub fn may_send_order(&self, now: Micros, fencing_token: u64) -> bool {
         self.order_deadline(now, fencing_token).is_some()
     }
 
-    /// The end of the lease within which an order with this fencing token may leave; `None` if it may not.
+    /// The end of the lease within which an order with this fencing token may be sent; `None` if it may not be sent.
     pub fn order_deadline(&self, now: Micros, fencing_token: u64) -> Option<Micros> {
         let lease = self.replica.as_ref()?.lease(now)?;
         let may_send = lease.epoch == fencing_token && self.rollout.may_send_order(fencing_token);
@@ -230,7 +231,7 @@
     }
 }
 
-/// How long before its publication a version was announced.
+/// How long before the publication of this item its version was first announced.
 fn announced_before(item: &Item) -> Micros {
     VersionAnnouncement::from_bytes(&item.payload).unwrap_or_default().announced_before
 }
@@ -261,6 +262,8 @@
         slots: registration.slots,
         state,
         warmup_left: registration.warmup_left_ms * 1000,
-        models: models.map(|one| ModelVersion { model: one.model.clone(), version: one.version }).collect(),
+        models: models
+            .map(|loaded| ModelVersion { model: loaded.model.clone(), version: loaded.version })
+            .collect(),
     }
 }
--- a/controlplane/src/node/staleness.rs
+++ b/controlplane/src/node/staleness.rs
@@ -1,4 +1,5 @@
-//! Evidence of which configuration is the newest: queried, given to other nodes, and the validity that follows.
+//! Evidence of which configuration is the newest: it is queried from other nodes, passed on to them, and determines until
+//! when this node's configuration is valid.
 
 use std::net::SocketAddrV4;
 
@@ -9,12 +10,12 @@
 use crate::item_kinds::{CONFIGURATION, CONFIGURATION_KEY};
 use crate::staleness::{NewestVersion, StalenessBound};
 
-/// The evidence of a node, and what the data plane knows of it.
+/// The evidence of a node, and the validity that was last reported to the data plane.
 pub(super) struct Evidence {
     bound: StalenessBound,
-    /// The validity that the data plane knows.
+    /// The validity that was last reported to the data plane.
     reported_validity: Option<ConfigurationValidity>,
-    /// Selects the next node that is queried besides the usual one.
+    /// Selects the next nodes that are queried in addition to the usual one.
     next_witness: usize,
 }
 
@@ -39,11 +40,11 @@
         self.observe_own_state(now);
         if self.evidence.bound.poll_query_due(now) {
             for witness in self.witnesses(now) {
-                let name = self.calls.next_id();
-                self.evidence.bound.query_sent(now, name);
+                let query_id = self.calls.next_id();
+                self.evidence.bound.query_sent(now, query_id);
                 out.push(Output::Send {
                     to: witness,
-                    content: Content::VersionQuery(VersionQuery { query_id: name }),
+                    content: Content::VersionQuery(VersionQuery { query_id }),
                 });
             }
         }
@@ -56,16 +57,16 @@
         }
     }
 
-    /// A primary has evidence of its own, as long as its lease lasts.
+    /// Records the version in this node's own control state if it is the primary, within its lease.
     fn observe_own_state(&mut self, now: Micros) {
         if let Some(read) = self.replica.as_ref().and_then(|replica| replica.read(now)) {
             self.evidence.bound.observe(now, read.state.current_version());
         }
     }
 
-    /// The nodes to query: for a control balancer the primary, for all others the control balancer of their session. While
-    /// the evidence is stale, a control balancer and any other node besides, in turn: any node may have evidence, also
-    /// where the core can't be reached.
+    /// The nodes to query: for a control balancer the primary, for any other node the control balancer of its session. While
+    /// the evidence is stale, also one control balancer and one other node, in turn: any node may have evidence, even if no
+    /// control balancer can be reached.
     fn witnesses(&mut self, now: Micros) -> Vec<SocketAddrV4> {
         let view = self.session.view();
         let is_member = view.members.contains(&self.own);
--- a/controlplane/src/node/status.rs
+++ b/controlplane/src/node/status.rs
@@ -61,7 +61,7 @@
     owner: SocketAddrV4,
 }
 
-/// The name of a role as operators see it.
+/// The name of a role in the operators' status.
 fn role_name(role: Role) -> &'static str {
     match role {
         Role::NonMember => "outside",
