--- a/controlplane/src/bootstrap.rs
+++ b/controlplane/src/bootstrap.rs
@@ -1,8 +1,9 @@
 //! Bootstrap of a fleet: which node makes the first view of the control state, and of which members. No I/O.
 //!
-//! At the first start all processes get the same seeds, and these are up. Each node sends heartbeats to the seeds; the
-//! seed with the lowest address waits until no new core machine has come for a while, then makes the first view. Nothing
-//! has been acknowledged before, so two first views could lose nothing; a later start never bootstraps.
+//! At the first start all processes get the same seeds, and all seeds are running. Each node sends heartbeats to the
+//! seeds. The seed with the lowest address waits until no new core machine has sent a heartbeat for a while, then makes
+//! the first view. Nothing has been acknowledged before that, so even two first views would lose no data. A later start
+//! never bootstraps.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
@@ -12,13 +13,13 @@
 
 use crate::Micros;
 
-/// The first view is made no sooner than this after the node's own start.
+/// The minimum time from this node's start to the first view.
 const MIN_WAIT: Micros = 1_000_000;
-/// After this, half of the other seeds will do; before, all of them must have sent a heartbeat.
+/// Until this time after the start, all other seeds must have sent a heartbeat; after it, half of them are enough.
 const SEED_WAIT: Micros = 4_000_000;
-/// The first view is made once no new core machine has come for this long.
+/// The first view is made once no heartbeat of a new core machine has come for this long.
 const SETTLE_TIME: Micros = 600_000;
-/// The first view is sent again at this interval, for as long as [`RESEND_PERIOD`]: messages may be lost.
+/// The first view is sent again at this interval for [`RESEND_PERIOD`], as messages may be lost.
 const RESEND_INTERVAL: Micros = 300_000;
 const RESEND_PERIOD: Micros = 6_000_000;
 /// The epoch of the first view.
@@ -29,9 +30,9 @@
     own: SocketAddrV4,
     machine_losses: usize,
     started: Micros,
-    /// The other seeds, all of which are up at the first start.
+    /// The other seeds, all of which are running at the first start.
     seeds: BTreeSet<SocketAddrV4>,
-    /// Those of the seeds that have sent a heartbeat.
+    /// The other seeds that have sent a heartbeat.
     heard_seeds: BTreeSet<SocketAddrV4>,
     candidates: BTreeMap<SocketAddrV4, Identity>,
     last_candidate_at: Micros,
@@ -44,7 +45,7 @@
     made_at: Micros,
 }
 
-/// The first view, addressed to one of its members.
+/// The first view, to be sent to one of its members.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BootstrapMessage {
     /// The member.
@@ -76,7 +77,7 @@
         })
     }
 
-    /// Handles the heartbeat of a node, this one included.
+    /// Handles the heartbeat of a node, including this node's own.
     pub fn handle_heartbeat(&mut self, now: Micros, identity: &Identity) {
         if self.seeds.contains(&identity.address) {
             self.heard_seeds.insert(identity.address);
@@ -88,7 +89,7 @@
         }
     }
 
-    /// The first view for each of its members, whenever it is due.
+    /// Returns the first view for each of its members when it is due to be sent.
     pub fn tick(&mut self, now: Micros) -> Vec<BootstrapMessage> {
         if now < self.next_due {
             return Vec::new();
@@ -112,12 +113,12 @@
         }
     }
 
-    /// True once the first view is made.
+    /// True once the first view has been made.
     pub fn has_view(&self) -> bool {
         self.first_view.is_some()
     }
 
-    /// When [`Bootstrap::tick`] has something to do.
+    /// When [`Bootstrap::tick`] has to be called next.
     pub fn next_wake(&self) -> Micros {
         self.next_due
     }
@@ -125,13 +126,13 @@
     fn is_settled(&self, now: Micros) -> bool {
         let waited = now.saturating_sub(self.started);
         let all_seeds = self.heard_seeds.len() == self.seeds.len();
-        // A node that hears no other seed may be partitioned, or have restarted beside a running fleet.
+        // A node that gets heartbeats of no other seed may be partitioned, or may have restarted in a running fleet.
         let half_of_seeds = 2 * self.heard_seeds.len() >= self.seeds.len() && waited >= SEED_WAIT;
         let settled = now.saturating_sub(self.last_candidate_at) >= SETTLE_TIME;
         (all_seeds || half_of_seeds) && waited >= MIN_WAIT && settled
     }
 
-    /// The first view. Backups come from zones other than the primary's as far as there are any.
+    /// Makes the first view. Backups are chosen from zones other than the primary's first.
     fn make_view(&self) -> Option<View> {
         let members: Vec<Member> = self.candidates.values().filter_map(member).collect();
         let primary = members.iter().find(|member| member.address == self.own).or(members.first())?.clone();
--- a/controlplane/src/registry.rs
+++ b/controlplane/src/registry.rs
@@ -1,4 +1,4 @@
-//! The model servers whose heartbeats come to this node: registration, draining, leaving, loss. No I/O.
+//! The model servers that send their heartbeats to this node: registration, draining, leaving, loss. No I/O.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
@@ -11,10 +11,10 @@
 use crate::Micros;
 use crate::item_kinds::{self, Evidence, SERVER, SERVER_REMOVED};
 
-/// Heartbeats that may be missing before a server counts as lost.
+/// Number of missed heartbeats after which a server counts as lost.
 const MAX_MISSED_HEARTBEATS: u64 = 3;
 
-/// Servers that have left and are remembered, for a call that is made twice.
+/// Maximum number of servers that have left and are remembered, so that a repeated leave call is acknowledged at once.
 const MAX_REMEMBERED_LEAVES: usize = 4096;
 
 /// The body of a server's heartbeat (`PUT /v1/servers/{id}`).
@@ -28,7 +28,7 @@
     /// Its zone.
     #[serde(default)]
     pub zone: String,
-    /// Requests that it processes at once.
+    /// The number of requests that it processes concurrently.
     #[serde(default)]
     pub slots: u32,
     /// `ready` or `draining`.
@@ -39,7 +39,7 @@
     /// Its loaded models.
     #[serde(default)]
     pub models: Vec<HeartbeatModel>,
-    /// Rises with each call.
+    /// A counter that the server raises with each call.
     #[serde(default)]
     pub call_count: u64,
 }
@@ -54,14 +54,15 @@
     pub version: u64,
 }
 
-/// What has to happen before a server's call is acknowledged.
+/// What the node has to do before it acknowledges a server's call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// Nothing: it changes nothing.
+    /// Nothing: the call changes nothing.
     Acknowledge,
-    /// The item is published; the acknowledgment doesn't wait for others.
+    /// Publish the item. The acknowledgment doesn't wait for other nodes.
     Publish(Item),
-    /// The item is published, and other nodes have to acknowledge it first: the server relies on it when it ends.
+    /// Publish the item and wait until other nodes have acknowledged it: the server relies on it when
+    /// it ends.
     PublishAcknowledged(Item),
 }
 
@@ -70,7 +71,7 @@
     call_count: u64,
 }
 
-/// The servers whose heartbeats come to this node.
+/// The servers that send their heartbeats to this node.
 pub struct Registry {
     own: SocketAddrV4,
     heartbeat_interval: Micros,
@@ -82,7 +83,7 @@
 }
 
 impl Registry {
-    /// An empty registry. `heartbeat_interval` is that of the servers, in microseconds.
+    /// An empty registry. `heartbeat_interval` is the interval between heartbeats of a server, in microseconds.
     pub fn new(own: SocketAddrV4, heartbeat_interval: Micros) -> Self {
         Registry {
             own,
@@ -96,7 +97,7 @@
     /// Handles a heartbeat.
     pub fn heartbeat(&mut self, now: Micros, id: &str, heartbeat: &Heartbeat, gossip: &Gossip) -> Decision {
         if gossip.stamp(SERVER, id).is_some_and(|stamp| stamp.major > heartbeat.call_count) {
-            // A call that was overtaken by a later one, or of a server that has left.
+            // The call was overtaken by a later one, or the server has left.
             return Decision::Acknowledge;
         }
         let registration = self.registration(id, heartbeat);
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Handles the last call of a server, which leaves.
+    /// Handles the call by which a server leaves.
     pub fn leave(&mut self, id: &str, gossip: &Gossip) -> Decision {
         self.watched.remove(id);
         self.acknowledged_drains.remove(id);
@@ -156,13 +157,13 @@
         self.acknowledged_leaves.insert(Arc::from(id));
     }
 
-    /// Watches a server that called this node before this process started.
+    /// Starts the heartbeat timeout of a server that called an earlier process of this node.
     pub fn adopt(&mut self, now: Micros, id: &Arc<str>, call_count: u64) {
         let adopted = WatchedServer { last_heartbeat: now, call_count };
         self.watched.entry(id.clone()).or_insert(adopted);
     }
 
-    /// Servers whose heartbeats have timed out, as items to publish.
+    /// Returns the items to publish for servers whose heartbeats have timed out.
     pub fn tick(&mut self, now: Micros, gossip: &Gossip) -> Vec<Item> {
         let timeout = MAX_MISSED_HEARTBEATS * self.heartbeat_interval;
         let timed_out: Vec<(Arc<str>, u64)> = self
@@ -176,7 +177,7 @@
             self.watched.remove(&id);
             let Some(item) = gossip.get(SERVER, &id) else { continue };
             let Ok(registration) = Registration::from_bytes(&item.payload) else { continue };
-            // The server has called another node since.
+            // The server has called another node in the meantime.
             if registration.owner != self.own || item.stamp.major > call_count {
                 continue;
             }
@@ -190,7 +191,7 @@
 
 /// True if two registrations differ at most in how much of the slow start is left.
 fn is_unchanged(known: &Registration, reported: &Registration) -> bool {
-    let same_warmth = (known.warmup_left_ms == 0) == (reported.warmup_left_ms == 0);
-    let timeless = Registration { warmup_left_ms: known.warmup_left_ms, ..reported.clone() };
-    same_warmth && *known == timeless
+    let same_warmup_state = (known.warmup_left_ms == 0) == (reported.warmup_left_ms == 0);
+    let with_known_warmup = Registration { warmup_left_ms: known.warmup_left_ms, ..reported.clone() };
+    same_warmup_state && *known == with_known_warmup
 }
--- a/controlplane/src/rollout.rs
+++ b/controlplane/src/rollout.rs
@@ -1,8 +1,8 @@
-//! The roll-out: brings servers to announced model versions. A singleton role of the primary. No I/O.
+//! The roll-out: has servers load announced model versions. A singleton role of the primary. No I/O.
 //!
-//! Orders carry the epoch as their fencing token, and none is sent before the lease of another primary, and its last
-//! order, must be over. A few servers of a model at once: each is reserved, so that it gets no new requests, then
-//! ordered, then queried until it has loaded the version.
+//! Orders carry the epoch as their fencing token. None is sent until the lease of an earlier primary must have run out and
+//! its last order must have ended. Only a few servers of a model load at once: each is reserved, so that it gets no new
+//! requests, then sent an order, then queried until it has loaded the version.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
@@ -15,28 +15,29 @@
 use crate::item_kinds::{self, RESERVATION};
 use crate::order::{MAX_ORDER_DURATION, Order, OrderOutcome};
 
-/// From the reservation of a server to its order, so that all nodes know of the reservation.
+/// Time between the reservation of a server and its order, so that all nodes know of the reservation by then.
 const RESERVATION_DELAY: Micros = 120_000;
-/// A server that is loading is queried at this interval.
+/// Interval at which a server that is loading is queried.
 const QUERY_INTERVAL: Micros = 350_000;
-/// An order that failed, or whose outcome is unknown, is sent again after this.
+/// An order that failed, or whose outcome is unknown, is sent again after this delay.
 const ORDER_RETRY_DELAY: Micros = 500_000;
-/// A server that has not loaded the version within this is released for now.
+/// A server that has not loaded the version within this time is released, and reserved again after [`RETRY_DELAY`].
 const LOAD_TIMEOUT: Micros = 7_000_000;
-/// What a batch of servers takes, from the first reservation to the last release.
+/// The time that a batch of servers takes, from the first reservation to the last release.
 const BATCH_DURATION: Micros = 1_500_000;
 /// A server that was released without the version is not reserved again for this long.
 const RETRY_DELAY: Micros = 3_000_000;
-/// One in this many servers of a model loads at once, and [`MIN_CONCURRENT`] in any case.
+/// One in this many servers of a model loads at once, but at least [`MIN_CONCURRENT`].
 const CONCURRENT_SHARE: usize = 6;
 const MIN_CONCURRENT: usize = 1;
-/// At most one in this many, as long as others may still serve without the version.
+/// If the deadlines require more servers to load at once, at most one in this many. Servers past their deadline, which may
+/// not serve anyway, are not limited.
 const MAX_CONCURRENT_SHARE: usize = 2;
-/// Servers with an older version count as not serving from this long before their deadline: nodes leave out those whose
-/// expected wait ends too late.
+/// Servers with an older version count as not serving from this long before their deadline: nodes stop choosing a server
+/// once the expected wait there ends too late.
 const VERSION_MARGIN: Micros = 1_500_000;
-/// After a change of the primary, the lease of the previous one has to run out and its last order has to be over. To
-/// spare: 50 ms.
+/// Added to the lease of the previous primary after a change of the primary: its last order has to have ended. Includes a
+/// margin of 50 ms.
 const LEASE_MARGIN: Micros = MAX_ORDER_DURATION.as_micros() as Micros + 50_000;
 
 /// The registered servers by id.
@@ -47,9 +48,9 @@
 pub struct Reservation {
     /// The model.
     pub model: Arc<str>,
-    /// The version that it is to load.
+    /// The version that the server is to load.
     pub version: u64,
-    /// It has loaded it. A server that was given up has a tombstone that says false.
+    /// The server has loaded the version. False in the tombstone of a server that was released without the version.
     pub loaded: bool,
 }
 
@@ -67,7 +68,7 @@
     }
 }
 
-/// What the roll-out asks of the node.
+/// An action that the roll-out asks the node to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
     /// Publish the reservation of a server, or its end.
@@ -90,12 +91,12 @@
     Loading,
 }
 
-/// A server that is being brought to a version.
+/// A load of a version that is in progress at a server.
 struct ServerLoad {
     address: SocketAddrV4,
     model: Arc<str>,
     version: u64,
-    /// It took requests until it was reserved: its capacity is missing meanwhile.
+    /// The server took requests until it was reserved: its capacity is missing until it is released.
     was_serving: bool,
     stage: Stage,
     started: Micros,
@@ -112,10 +113,10 @@
     }
 }
 
-/// A server with an older version of a model than the newest.
+/// A server whose version of a model is older than the newest.
 struct Outdated<'a> {
     server: &'a Registration,
-    /// From when on it counts as not serving, if that is known.
+    /// When it starts to count as not serving, if that is known.
     deadline: Option<Micros>,
 }
 
@@ -128,20 +129,21 @@
     last_epoch: u64,
     orders_allowed_at: Micros,
     loads: BTreeMap<Arc<str>, ServerLoad>,
-    /// By server and model, the versions that servers have reported to this node; their heartbeats follow later.
+    /// By server and model, the versions that servers have reported to this node and that their registrations may not show
+    /// yet.
     reported: BTreeMap<Arc<str>, BTreeMap<Arc<str>, u64>>,
-    /// Servers that were released without the version, and until when they are left alone.
+    /// Servers that were released without the version, and until when they are not reserved again.
     backoff_until: BTreeMap<Arc<str>, Micros>,
-    /// Servers that have seen a higher fencing token than the one in force: another node has the role there.
+    /// Servers that have seen a higher fencing token than the one in force, so they take orders from another node.
     superseded: BTreeSet<Arc<str>>,
-    /// For each version of each model, from when on servers with older ones may start no requests.
+    /// For each version of each model, the time from which servers with older versions may start no requests.
     deadlines: BTreeMap<String, BTreeMap<u64, Micros>>,
     last_reservation: u64,
 }
 
 impl Rollout {
-    /// The roll-out at a node that is not the primary. `lease` is the span within which orders of two primaries must not
-    /// alternate, in microseconds.
+    /// The roll-out at a node that is not the primary. `lease` is the minimum time between orders of two different primaries,
+    /// in microseconds.
     pub fn new(lease: Micros) -> Self {
         Rollout {
             lease,
@@ -157,12 +159,12 @@
         }
     }
 
-    /// This node becomes the primary in `epoch`. Orders wait until the lease of any other must have run out; not in the
-    /// first epoch, nor where this node was the primary in the epoch just before.
+    /// This node becomes the primary in `epoch`. Orders wait until the lease of an earlier primary must have run out, except
+    /// in the first epoch and if this node was also the primary in the previous epoch.
     pub fn become_primary(&mut self, now: Micros, epoch: u64) {
         let follows_itself = self.last_epoch > 0 && epoch <= self.last_epoch + 1;
         let allowed_at = if epoch <= 1 || follows_itself { now } else { now + self.lease + LEASE_MARGIN };
-        // A wait for another primary goes on through a view change of this node's own.
+        // A wait for the lease of another primary continues if this node starts a new epoch itself.
         self.orders_allowed_at = self.orders_allowed_at.max(allowed_at);
         self.fencing_token = Some(epoch);
         self.last_epoch = epoch;
@@ -171,16 +173,16 @@
         self.reported.clear();
     }
 
-    /// This node is the primary no longer.
+    /// This node is no longer the primary.
     pub fn step_down(&mut self) {
         self.fencing_token = None;
         self.loads.clear();
     }
 
-    /// Sets from when on servers with a version older than this may start no requests. A deadline that has passed stays:
-    /// all nodes leave such servers out, and an extension that comes later brings none of them back.
+    /// Sets the time from which servers with a version older than `version` may start no requests. A deadline that has passed
+    /// is not changed: all nodes have stopped choosing such servers, and a later extension does not reverse that.
     ///
-    /// Called at each node, since each may become the primary.
+    /// Called at each node, since any of them may become the primary.
     pub fn set_deadline(&mut self, now: Micros, model: &str, version: u64, deadline: Micros) {
         self.discard_passed_deadlines(now, model);
         let deadlines = self.deadlines.entry(model.to_owned()).or_default();
@@ -190,7 +192,7 @@
         }
     }
 
-    /// Of the versions whose deadline has passed, the newest is enough.
+    /// Of the deadlines that have passed, keeps only that of the newest version: it covers all older versions.
     fn discard_passed_deadlines(&mut self, now: Micros, model: &str) {
         let Some(deadlines) = self.deadlines.get_mut(model) else { return };
         let passed = deadlines.iter().filter(|(_, deadline)| **deadline <= now).map(|(version, _)| *version);
@@ -198,13 +200,13 @@
         deadlines.retain(|version, deadline| *deadline > now || Some(*version) >= newest_passed);
     }
 
-    /// From when on a server with this version counts as not serving; `None` if no newer version is known.
+    /// When a server with this version starts to count as not serving; `None` if no newer version is known.
     fn out_of_service_at(&self, model: &str, loaded: u64) -> Option<Micros> {
         let newer = self.deadlines.get(model)?.range(loaded + 1..);
         newer.map(|(_, deadline)| deadline.saturating_sub(VERSION_MARGIN)).min()
     }
 
-    /// How many deadlines are kept of a model.
+    /// The number of deadlines that are kept for a model.
     pub fn deadline_count(&self, model: &str) -> usize {
         self.deadlines.get(model).map_or(0, BTreeMap::len)
     }
@@ -220,8 +222,8 @@
         steps
     }
 
-    /// Reserves servers that are to load: all that may start no requests any more, and as many of the others as may be
-    /// missing at once, in the order of their deadlines.
+    /// Reserves servers that are to load: all that may start no requests any more, and others in the order of their
+    /// deadlines, as long as no more than [`Rollout::max_concurrent`] are missing at once.
     fn start_loads(
         &mut self,
         now: Micros,
@@ -236,7 +238,7 @@
         self.discard_passed_deadlines(now, model);
         let total = servers.values().filter(|server| registered_version(server, model).is_some()).count();
         let mut outdated = self.outdated(servers, model, version);
-        outdated.sort_by_key(|one| one.deadline.unwrap_or(Micros::MAX));
+        outdated.sort_by_key(|server| server.deadline.unwrap_or(Micros::MAX));
         let max_missing = self.max_concurrent(now, total, &outdated);
         let loads = self.loads.values();
         let mut missing = loads.filter(|load| load.was_serving && &*load.model == model).count();
@@ -260,7 +262,8 @@
         }
     }
 
-    /// True if a load of this server may start: none is under way, and none was given up a moment ago or for good.
+    /// True if a load at this server may start: none is in progress, none was given up within [`RETRY_DELAY`], and the server
+    /// has not seen a higher fencing token.
     fn is_available(&self, server: &Registration) -> bool {
         !self.loads.contains_key(&server.id)
             && !self.backoff_until.contains_key(&server.id)
@@ -277,7 +280,7 @@
             .collect()
     }
 
-    /// Announces to all nodes that a server is about to load.
+    /// Starts a load and announces the reservation of its server to all nodes.
     fn reserve(
         &mut self,
         fencing_token: u64,
@@ -291,16 +294,17 @@
         self.loads.insert(server.id.clone(), load);
     }
 
-    /// How many serving servers may be missing at once: few, but as many as it takes for each to be done by its deadline.
-    /// `outdated` is in the order of deadlines.
+    /// How many serving servers may be missing at once: one in [`CONCURRENT_SHARE`], or more if that is necessary for every
+    /// server to load by its deadline. `outdated` is sorted by deadline.
     fn max_concurrent(&self, now: Micros, total: usize, outdated: &[Outdated<'_>]) -> usize {
-        let few = (total / CONCURRENT_SHARE).max(MIN_CONCURRENT);
-        let deadlines = outdated.iter().filter_map(|one| one.deadline).filter(|deadline| now < *deadline);
+        let usual = (total / CONCURRENT_SHARE).max(MIN_CONCURRENT);
+        let deadlines =
+            outdated.iter().filter_map(|server| server.deadline).filter(|deadline| now < *deadline);
         let needed = deadlines.enumerate().map(|(earlier, deadline)| {
             let batches = (deadline - now) / BATCH_DURATION;
             (earlier + 1).div_ceil(batches.max(1) as usize)
         });
-        few.max(needed.max().unwrap_or(0).min(total / MAX_CONCURRENT_SHARE))
+        usual.max(needed.max().unwrap_or(0).min(total / MAX_CONCURRENT_SHARE))
     }
 
     fn reservation_item(
@@ -313,7 +317,7 @@
         self.last_reservation += 1;
         let stamp = Stamp { major: fencing_token, minor: self.last_reservation };
         let item = item_kinds::item(RESERVATION, server, stamp, reservation.to_bytes());
-        // The end of a reservation is a tombstone: it reaches all nodes, which forget it after a while.
+        // A reservation ends with a tombstone, which reaches all nodes and is discarded there after a while.
         Item { removed: released, ..item }
     }
 
@@ -354,7 +358,7 @@
         }
     }
 
-    /// The loaded version of a server, by its registration or its later report.
+    /// The version that a server has loaded: the higher of its registration and its report to this node.
     fn loaded_version(&self, server: &Registration, model: &str) -> Option<u64> {
         let reported =
             self.reported.get(&server.id).and_then(|models| models.get(model)).copied().unwrap_or(0);
@@ -372,8 +376,8 @@
         steps.push(Step::PublishReservation(self.reservation_item(token, id, &reservation, true)));
     }
 
-    /// Handles the outcome of an order. One that comes after its load has ended says nothing of what its server is loading
-    /// by then.
+    /// Handles the outcome of an order. An outcome that comes after its load has ended does not affect a later load at the
+    /// same server.
     pub fn handle_order_outcome(&mut self, now: Micros, order: &Order, outcome: OrderOutcome) -> Vec<Step> {
         let mut steps = Vec::new();
         let token = self.fencing_token;
@@ -396,7 +400,7 @@
         steps
     }
 
-    /// Handles a server's own report of the version that it has loaded.
+    /// Handles a server's report of the version that it has loaded.
     pub fn handle_report(&mut self, server: &str, model: &str, version: u64) -> Vec<Step> {
         let mut steps = Vec::new();
         let load = self.loads.get(server);
@@ -412,7 +416,7 @@
     }
 }
 
-/// The version of a model by the server's registration; `None` if it does not serve the model.
+/// The version of a model according to the server's registration; `None` if it does not serve the model.
 fn registered_version(server: &Registration, model: &str) -> Option<u64> {
-    server.models.iter().find(|weights| &*weights.model == model).map(|weights| weights.version)
+    server.models.iter().find(|loaded| &*loaded.model == model).map(|loaded| loaded.version)
 }
--- a/controlplane/src/session_client.rs
+++ b/controlplane/src/session_client.rs
@@ -1,4 +1,4 @@
-//! The client side of a node's session with a control balancer: a node is a member while its session stands. No I/O.
+//! The client side of a node's session with a control balancer: a node is a member as long as it has a session. No I/O.
 
 use std::net::SocketAddrV4;
 
@@ -8,9 +8,9 @@
 
 /// Interval between heartbeats of a session.
 pub const HEARTBEAT_INTERVAL: Micros = 400_000;
-/// Without a control balancer, seeds and members are asked for a session at this interval.
+/// Interval at which seeds and members of the view are sent heartbeats while no control balancer is chosen.
 const DISCOVERY_INTERVAL: Micros = 200_000;
-/// A control balancer that has not replied for this long is given up for the next one.
+/// After this long without a reply from its control balancer, the node moves on to the next one.
 const CONTROL_TIMEOUT: Micros = 1_000_000;
 
 /// The session of this node.
@@ -23,7 +23,7 @@
     last_reply: Micros,
     /// When any control balancer last granted the session.
     last_granted: Option<Micros>,
-    /// How many control balancers were given up: selects the next one.
+    /// How often the node has moved on after a timeout or a discovery round: selects the next candidate.
     failovers: usize,
     next_due: Micros,
 }
@@ -67,7 +67,7 @@
         &self.view
     }
 
-    /// The control balancer with which the session stands, or which is asked for it.
+    /// The control balancer with which this node has, or requests, its session.
     pub fn control(&self) -> Option<SocketAddrV4> {
         self.control
     }
@@ -87,7 +87,7 @@
         &self.seeds
     }
 
-    /// Learns a view; an older one changes nothing.
+    /// Takes over a view, unless it is older than the known one.
     pub fn learn_view(&mut self, view: &ViewSummary) {
         let newer = view.epoch > self.view.epoch;
         let names_primary = view.epoch == self.view.epoch && self.view.primary.is_none();
@@ -119,7 +119,7 @@
         }
     }
 
-    /// When [`SessionClient::tick`] has something to do.
+    /// When [`SessionClient::tick`] has to be called next.
     pub fn next_wake(&self) -> Micros {
         self.next_due
     }
@@ -129,7 +129,7 @@
         OutgoingHeartbeat { to, heartbeat }
     }
 
-    /// Stays with a control balancer that replies, and moves to the next one after a timeout.
+    /// Keeps a control balancer that replies and is in the view; otherwise moves on to the next candidate.
     fn choose_control(&mut self, now: Micros) {
         let timed_out = now.saturating_sub(self.last_reply) > CONTROL_TIMEOUT;
         let is_member = self.control.is_some_and(|control| self.view.members.contains(&control));
@@ -140,17 +140,17 @@
             self.failovers += 1;
         }
         let candidates = self.candidates();
-        // After each round without a reply, seeds are asked as well: the view may be long out of date.
-        let round = candidates.len() + 1;
-        let asks_seeds = candidates.is_empty() || self.failovers % round == candidates.len();
-        self.control = (!asks_seeds).then(|| candidates[self.failovers % round]);
+        // After each round over all candidates the seeds are asked: the known view may be outdated.
+        let round_length = candidates.len() + 1;
+        let asks_seeds = candidates.is_empty() || self.failovers % round_length == candidates.len();
+        self.control = (!asks_seeds).then(|| candidates[self.failovers % round_length]);
         self.last_reply = now;
         if self.control.is_none() {
             self.failovers += 1;
         }
     }
 
-    /// The other members of the view, in an order of this node's own, so that sessions spread over them.
+    /// The other members of the view. The order differs from node to node, so that sessions spread over the members.
     fn candidates(&self) -> Vec<SocketAddrV4> {
         let own = self.identity.address;
         let mut members: Vec<SocketAddrV4> = self.view.members.clone();
@@ -159,12 +159,12 @@
         members
     }
 
-    /// Handles the reply to a heartbeat. True if it grants the session.
+    /// Handles the reply to a heartbeat. Returns true if it grants the session.
     pub fn handle_reply(&mut self, now: Micros, from: SocketAddrV4, reply: &SessionHeartbeatReply) -> bool {
         if let Some(view) = &reply.view {
             self.learn_view(view);
         }
-        // Another process at this address was ahead, perhaps since the time of day was set back: go beyond it.
+        // A process at this address has used a higher incarnation, for instance because the time of day was set back since.
         if reply.seen_incarnation > self.identity.incarnation {
             self.identity.incarnation = reply.seen_incarnation + 1;
             self.next_due = now;
--- a/controlplane/src/session_table.rs
+++ b/controlplane/src/session_table.rs
@@ -1,8 +1,9 @@
-//! The sessions that a control balancer has granted, and the members that follow from those of all. No I/O.
+//! The sessions that a control balancer has granted. The members of the fleet are the nodes with a session at any control
+//! balancer. No I/O.
 //!
-//! Each control balancer gossips the sessions that it has granted. If it goes, its items are orphaned: any control
-//! balancer removes an item whose granter has been absent for a while. The node, if it lives, has a session elsewhere by
-//! then.
+//! Each control balancer gossips the sessions that it has granted. If a control balancer is lost, its items are orphaned:
+//! any other control balancer removes an item whose granter has been absent for `ORPHAN_TIMEOUT`. By then the node of
+//! that session, if it is alive, has a session with another control balancer.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -15,7 +16,7 @@
 use crate::absence_tracker::AbsenceTracker;
 use crate::item_kinds::{self, SESSION};
 
-/// A session without a heartbeat for this long has expired.
+/// A session expires after this long without a heartbeat.
 pub const SESSION_TIMEOUT: Micros = 1_500_000;
 /// Items whose granter has been absent for this long are removed.
 const ORPHAN_TIMEOUT: Micros = 4_000_000;
@@ -42,11 +43,11 @@
     }
 }
 
-/// A heartbeat of a process that a later one at its address has overtaken.
+/// Error for a heartbeat of a process whose incarnation is lower than one that is known at its address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("incarnation {newest} is known at this address"))]
 pub struct StaleIncarnation {
-    /// The highest known incarnation: the process has to go beyond it.
+    /// The highest known incarnation: the process has to choose a higher one.
     pub newest: u64,
 }
 
@@ -59,7 +60,7 @@
 pub struct SessionTable {
     own: SocketAddrV4,
     sessions: BTreeMap<SocketAddrV4, GrantedSession>,
-    /// Granters of other sessions that have none themselves.
+    /// Control balancers that have granted sessions and have no session themselves.
     absent_granters: AbsenceTracker,
 }
 
@@ -69,7 +70,7 @@
         SessionTable { own, sessions: BTreeMap::new(), absent_granters: AbsenceTracker::default() }
     }
 
-    /// Handles a heartbeat. Gives the item to publish, if other nodes don't know of this session yet.
+    /// Handles a heartbeat. Returns the item to publish, if other nodes don't know of this session yet.
     ///
     /// # Errors
     ///
@@ -82,7 +83,7 @@
     ) -> Result<Option<Item>, StaleIncarnation> {
         let identity = &heartbeat.identity;
         let key = identity.address.to_string();
-        // The stamp of a tombstone counts as well: what is published has to supersede it.
+        // The stamp of a tombstone counts as well: the published item has to supersede it.
         let stamp = gossip.stamp(SESSION, &key).unwrap_or_default();
         if stamp.major > identity.incarnation {
             return StaleIncarnationSnafu { newest: stamp.major }.fail();
@@ -102,7 +103,7 @@
         Ok(Some(item_kinds::item(SESSION, &key, stamp, session.to_bytes())))
     }
 
-    /// Tombstones to publish: for sessions that have expired here, and for orphaned ones.
+    /// Returns the tombstones to publish: for granted sessions that have expired, and for orphaned ones.
     pub fn tick(&mut self, now: Micros, gossip: &Gossip) -> Vec<Item> {
         self.adopt_own(now, gossip);
         let expired: Vec<SocketAddrV4> = self
@@ -120,7 +121,7 @@
         tombstones
     }
 
-    /// Sessions that a process at this address granted before this one started stand until they expire here.
+    /// Takes over the sessions that an earlier process at this address granted, so that they expire without heartbeats.
     fn adopt_own(&mut self, now: Micros, gossip: &Gossip) {
         for (_, session) in live_sessions(gossip).filter(|(_, session)| session.granted_by == self.own) {
             let address = session.identity.address;
@@ -129,7 +130,7 @@
         }
     }
 
-    /// A tombstone for a session, unless another control balancer has granted it since.
+    /// A tombstone for a session, unless another control balancer has granted it in the meantime.
     fn expire(&self, address: SocketAddrV4, gossip: &Gossip) -> Option<Item> {
         let key = address.to_string();
         let item = gossip.get(SESSION, &key)?;
@@ -164,14 +165,14 @@
         self.sessions.is_empty()
     }
 
-    /// Forgets all sessions: this node is no control balancer any longer.
+    /// Removes all sessions: this node is no longer a control balancer.
     pub fn clear(&mut self) {
         self.sessions.clear();
         self.absent_granters = AbsenceTracker::default();
     }
 }
 
-/// All sessions that stand, with their items.
+/// All sessions without a tombstone, with their items.
 pub fn live_sessions(gossip: &Gossip) -> impl Iterator<Item = (&Item, Session)> {
     gossip.items(SESSION).filter_map(|item| Some((item, Session::from_bytes(&item.payload).ok()?)))
 }
