--- a/controlplane/examples/rollout_cost.rs
+++ b/controlplane/examples/rollout_cost.rs
@@ -1,4 +1,4 @@
-//! What the roll-out costs its primary at rest: a tick over all servers, with every version in place.
+//! Measures the time of a tick of the roll-out when there is nothing to do: all servers have loaded all versions.
 //!
 //!     cargo run --release -p gradepaddle-controlplane --example rollout_cost
 
@@ -10,11 +10,11 @@
 use gradepaddle_controlplane::rollout::{Rollout, Servers};
 use gradepaddle_proto::{ModelVersion, Registration};
 
-/// Models, each at an equal part of the servers.
+/// Number of models. Each server has one model, and the models are spread evenly.
 const MODELS: usize = 14;
 const TICKS: u64 = 200;
-/// Between two ticks, in microseconds.
-const TICK_EVERY: u64 = 100_000;
+/// Time between two ticks, in microseconds.
+const TICK_INTERVAL: u64 = 100_000;
 
 fn model(number: usize) -> String {
     format!("model-{}", number % MODELS)
@@ -42,15 +42,15 @@
 fn main() {
     for count in [18, 140, 1_000, 6_000] {
         let servers: Servers = (0..count).map(server).collect();
-        let named: BTreeMap<String, u64> = (0..MODELS).map(|number| (model(number), 2)).collect();
+        let announced: BTreeMap<String, u64> = (0..MODELS).map(|number| (model(number), 2)).collect();
         let mut rollout = Rollout::new(3_000_000);
         rollout.become_primary(0, 1);
-        let began = Instant::now();
+        let started = Instant::now();
         let mut steps = 0;
         for tick in 1..=TICKS {
-            steps += rollout.tick(tick * TICK_EVERY, &servers, &named).len();
+            steps += rollout.tick(tick * TICK_INTERVAL, &servers, &announced).len();
         }
-        let each = began.elapsed().as_secs_f64() * 1e6 / TICKS as f64;
-        println!("{count} servers, {MODELS} models: {each:.0} µs a tick, {steps} steps");
+        let micros_per_tick = started.elapsed().as_secs_f64() * 1e6 / TICKS as f64;
+        println!("{count} servers, {MODELS} models: {micros_per_tick:.0} µs a tick, {steps} steps");
     }
 }
--- a/controlplane/src/absence_tracker.rs
+++ b/controlplane/src/absence_tracker.rs
@@ -1,11 +1,11 @@
-//! Since when nodes have been without a session. No I/O.
+//! How long nodes have been without a session. No I/O.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
 
 use crate::Micros;
 
-/// Remembers since when each absent node has been absent.
+/// For each absent node, the time at which it became absent.
 #[derive(Default)]
 pub struct AbsenceTracker {
     absent_since: HashMap<SocketAddrV4, Micros>,
--- a/controlplane/src/api.rs
+++ b/controlplane/src/api.rs
@@ -1,4 +1,4 @@
-//! The control API: which calls there are, by method and path, and the responses to them. No I/O.
+//! The control API: the calls, by method and path, and their responses. No I/O.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -10,9 +10,9 @@
 use crate::Micros;
 use crate::registry::Heartbeat;
 
-/// Precedes the bytes of a patch in its fingerprint, so that no configuration has the same.
+/// Hashed before the bytes of a patch, so that its fingerprint differs from that of every configuration.
 const PATCH_PREFIX: &[u8] = b"PATCH ";
-/// The status of a response from which nothing follows about the call.
+/// The status of an inconclusive response: the call may or may not have taken effect.
 const UNAVAILABLE: u16 = 503;
 /// The status of a response that sends the caller to another node.
 const TEMPORARY_REDIRECT: u16 = 307;
@@ -34,7 +34,7 @@
     },
     /// A call that the primary decides. Configurations are valid, patches well-formed.
     Control(ControlCall),
-    /// Reads the state of this node, and of the fleet as it knows it.
+    /// Reads the state of this node, and of the fleet as far as this node knows it.
     Status,
 }
 
@@ -46,10 +46,10 @@
     pub status: u16,
     /// The body, JSON; empty where there is none.
     pub body: Arc<[u8]>,
-    /// From this time of the driver's clock on, it must not be sent: the lease under which it was decided may have
-    /// passed to another primary. `None` where no lease is needed.
+    /// The response must not be sent from this time of the driver's clock on: another primary may hold the lease by then.
+    /// `None` if the response does not depend on a lease.
     pub valid_until: Option<Micros>,
-    /// The control address at which the call is to be made instead (307).
+    /// The control address to which the caller is redirected (307).
     pub location: Option<SocketAddrV4>,
 }
 
@@ -72,26 +72,26 @@
         Response { status, body: Arc::from([]), valid_until: None, location: None }
     }
 
-    /// Sends the caller to another node.
+    /// A redirect to another node.
     pub fn redirect(location: SocketAddrV4) -> Self {
         Response { location: Some(location), ..Response::bare(TEMPORARY_REDIRECT) }
     }
 
-    /// A response with a message for people.
+    /// A response with a human-readable message.
     pub fn message(status: u16, text: &str) -> Self {
         // Serializing a struct of one string can't fail.
         let body = serde_json::to_vec(&Message { message: text }).unwrap_or_default();
         Response { body: Arc::from(body), ..Response::bare(status) }
     }
 
-    /// This response, to be sent before that time only. One from which nothing follows may be sent at any time.
+    /// This response, to be sent only before `time`. An inconclusive response (503) may be sent at any time.
     pub fn before(self, time: Micros) -> Self {
         let valid_until = (self.status != UNAVAILABLE).then_some(time);
         Response { valid_until, ..self }
     }
 
-    /// What may be sent at this time: this response, or 503 once its lease has run out. Call it at the last moment: the
-    /// process may be stopped between deciding and sending.
+    /// The response that may be sent at the time `now`: this one, or 503 once its lease has expired. Must be called right
+    /// before sending, as the process may be stopped between the decision and the send.
     pub fn at(self, now: Micros) -> Self {
         match self.valid_until {
             Some(until) if now >= until => Response::unavailable("the lease ran out before the answer left"),
@@ -99,17 +99,17 @@
         }
     }
 
-    /// Nothing follows about the call: the caller goes on to another node.
+    /// An inconclusive response (503): the caller should try another node.
     pub fn unavailable(text: &str) -> Self {
         Response::message(UNAVAILABLE, text)
     }
 }
 
-/// Parses a call. `if_match` is the field of that name.
+/// Parses a call. `if_match` is the value of the `If-Match` field.
 ///
 /// # Errors
 ///
-/// The response to a call that is malformed, or that there is none of.
+/// The response to a call that is malformed or unknown.
 pub fn parse(method: &str, path: &str, if_match: Option<&str>, body: &[u8]) -> Result<Call, Response> {
     let mut segments = path.split('/').skip(1);
     let segments = [segments.next(), segments.next(), segments.next(), segments.next()];
@@ -140,7 +140,7 @@
     serde_json::from_slice(body).map_err(|error| Response::message(400, &error.to_string()))
 }
 
-/// The version that a change builds on, from the `If-Match` field (RFC 9110, section 13.1.1), quoted or not.
+/// The version on which a change is based, from the `If-Match` field (RFC 9110, section 13.1.1), quoted or not.
 fn base_version(if_match: Option<&str>) -> Result<u64, Response> {
     match if_match.map(|text| text.trim().trim_matches('"').parse::<u64>()) {
         Some(Ok(version)) => Ok(version),
@@ -168,13 +168,13 @@
     Response::message(400, &findings.to_string())
 }
 
-/// The fingerprint by which a configuration that is sent again is recognized.
+/// The fingerprint by which a repeated configuration is recognized.
 pub fn fingerprint_number(body: &[u8]) -> u128 {
     u128::from_le_bytes(fingerprint(body))
 }
 
-/// The fingerprint by which a patch that is sent again is recognized. It covers the version that the patch applies to:
-/// the same bytes on another version are another change.
+/// The fingerprint by which a repeated patch is recognized. It includes the version to which the patch applies: the same
+/// bytes on another version are another change.
 pub fn patch_fingerprint_number(if_match: u64, patch: &[u8]) -> u128 {
     let prefixed = [PATCH_PREFIX, &if_match.to_le_bytes(), patch].concat();
     u128::from_le_bytes(fingerprint(&prefixed))
--- a/controlplane/src/api_server.rs
+++ b/controlplane/src/api_server.rs
@@ -1,4 +1,4 @@
-//! The control API on sockets: HTTP/1.1 calls of servers and operators at the control address.
+//! The HTTP/1.1 server of the control API: calls of servers and operators at the control address.
 
 use std::time::Duration;
 
@@ -12,13 +12,13 @@
 use crate::clock::Clock;
 use crate::driver::DriverEvent;
 
-/// The longest body of a call, in bytes: a configuration.
+/// The maximum length of a call's body, in bytes; configurations are the longest.
 const MAX_BODY_BYTES: u64 = 5 * 1024 * 1024;
 /// A connection without a request for this long is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 /// A body has to be read within this.
 const READ_TIMEOUT: Duration = Duration::from_secs(8);
-/// A call that the node has not decided within this is answered by 503.
+/// A call without a response of the node within this time is answered with 503.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
 /// Pause after a failed `accept`, for instance without file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
@@ -52,7 +52,7 @@
             Ok(Err(ReadError::Malformed { source })) => (Response::message(400, &source.to_string()), false),
             Ok(Err(_)) | Err(_) => return,
         };
-        // The lease is checked last of all: the process may have been stopped since the driver decided.
+        // The lease is checked right before the write: the process may have been stopped since the driver decided.
         let bytes = encode(&response.at(clock.now()), head.path(), keep_alive, &pool);
         if connection.write(&[&bytes]).await.is_err() {
             return;
--- a/controlplane/src/clock.rs
+++ b/controlplane/src/clock.rs
@@ -1,4 +1,4 @@
-//! The monotonic clock of a process, in the unit of the state machines.
+//! The monotonic clock of a process, in microseconds as the state machines use them.
 
 use std::time::Duration;
 
@@ -6,10 +6,11 @@
 
 use crate::{CLOCK_START, Micros};
 
-/// Deadlines further ahead than a day are clamped to it: tokio's timers can't take any `u64`.
+/// Deadlines further ahead than a day are clamped to it: tokio's timers can't represent
+/// every `u64`.
 const MAX_AHEAD: Micros = 24 * 3_600_000_000;
 
-/// A monotonic clock that shows [`CLOCK_START`] at the start of the process. It is never adjusted, and it goes on while
+/// A monotonic clock that shows [`CLOCK_START`] at the start of the process. It is never adjusted, and it advances while
 /// the process is stopped.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
--- a/controlplane/src/driver.rs
+++ b/controlplane/src/driver.rs
@@ -1,4 +1,4 @@
-//! Runs a [`Node`] on sockets and time: feeds it events, and carries out its outputs.
+//! Runs a [`Node`] with real sockets and timers: feeds it events, and carries out its outputs.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -20,30 +20,31 @@
 use crate::server_client::{self, OrderPermit};
 use crate::transport::Transport;
 
-/// Events handled before outputs are carried out, so that outputs of several leave together.
+/// Maximum number of queued events that are handled before outputs are carried out, so that their outputs are sent
+/// together.
 const MAX_EVENT_BATCH: usize = 64;
 
 /// An event from a task or thread.
 pub enum DriverEvent {
-    /// A call, with where its response goes.
+    /// A call, and the channel for its response.
     Call(Call, oneshot::Sender<Response>),
     /// Anything else.
     Input(Input),
 }
 
-/// What a node does outside the control plane. See [`Output`] for when each is called.
+/// The effects of a node outside the control plane. See [`Output`] for when each is called.
 pub trait Effects {
-    /// Puts a configuration in force.
+    /// Applies a configuration.
     fn apply_configuration(&self, body: Arc<[u8]>);
-    /// A newer configuration exists that has not arrived here yet, of this version; or there is none any longer.
+    /// The version of a newer configuration that is being fetched; `None` once there is none.
     fn configuration_expected(&self, version: Option<u64>);
     /// A server has been registered, or has changed.
     fn server_changed(&self, entry: ServerEntry);
     /// A server has been removed.
     fn server_removed(&self, id: &str);
-    /// The other balancers.
+    /// The other members of the fleet have changed.
     fn peers_changed(&self, peers: Vec<MemberNode>);
-    /// The listener rank of this node.
+    /// The listener rank of this node has changed.
     fn rank_changed(&self, rank: usize);
     /// A node reports whether a cache store responds.
     fn cache_store_changed(&self, name: &str, alive: bool);
@@ -55,7 +56,7 @@
     fn pause_server(&self, server: &str, span: Micros);
     /// A server has loaded a model version.
     fn server_has_version(&self, server: &str, model: &str, version: u64);
-    /// The node has, or lacks, a session with a control balancer.
+    /// Whether the node is connected: it has a session with a control balancer, or is the primary.
     fn connected(&self, connected: bool);
     /// Until when, by the driver's clock, the keys of a configuration may be accepted.
     fn configuration_validity(&self, validity: ConfigurationValidity);
@@ -63,11 +64,11 @@
     fn event(&self, event: Event);
     /// Writes records to disk. The end of the write comes back as [`Input::Persisted`] or [`Input::PersistFailed`].
     fn persist(&self, write_id: WriteId, records: Vec<Record>);
-    /// The control state is in other hands.
+    /// Other replicas have taken over the control state: the process may exit.
     fn ready_to_exit(&self);
 }
 
-/// A node with what it runs on.
+/// A node with its channels, transport, clock and effects.
 pub struct Driver {
     node: Node,
     events: mpsc::UnboundedReceiver<DriverEvent>,
@@ -78,7 +79,7 @@
     owner: Arc<str>,
     pool: Pool,
     clock: Clock,
-    /// The epoch in which this node is the primary, if it is: orders on their way watch it.
+    /// The epoch in which this node is the primary, if it is; watched by orders in flight.
     primary_epoch: watch::Sender<Option<u64>>,
     pending_calls: HashMap<CallId, oneshot::Sender<Response>>,
     last_call_id: u64,
@@ -125,14 +126,14 @@
         let mut out = Vec::new();
         loop {
             let wake = self.clock.instant(self.node.next_wake());
-            // Cancellation: `recv` loses nothing, and the sleep is set anew in each round.
+            // Cancellation: `recv` is cancellation safe, and the sleep is created again in each iteration.
             tokio::select! {
                 Some(envelope) = self.inbox.recv() => self.handle(Input::Envelope(envelope), &mut out),
                 Some(event) = self.events.recv() => self.handle_event(event, &mut out),
                 () = sleep_until(wake) => self.handle(Input::Tick, &mut out),
                 else => return,
             }
-            self.handle_waiting(&mut out);
+            self.handle_queued(&mut out);
             self.report_dropped_messages();
             for output in std::mem::take(&mut out) {
                 self.carry_out(output);
@@ -146,8 +147,8 @@
         }
     }
 
-    /// Handles what has come meanwhile.
-    fn handle_waiting(&mut self, out: &mut Vec<Output>) {
+    /// Handles messages and events that are already queued, up to [`MAX_EVENT_BATCH`].
+    fn handle_queued(&mut self, out: &mut Vec<Output>) {
         for _ in 0..MAX_EVENT_BATCH {
             if let Some(envelope) = self.inbox.try_recv() {
                 self.handle(Input::Envelope(envelope), out);
@@ -225,7 +226,7 @@
         self.effects.event(event);
     }
 
-    /// Sends an order, if its fencing token is still good at this moment.
+    /// Sends an order, if its fencing token is still valid now.
     fn send_order(&self, order: Order) {
         let Some(deadline) = self.node.order_deadline(self.clock.now(), order.fencing_token) else { return };
         let deadline = self.clock.instant(deadline);
@@ -233,7 +234,7 @@
         let (owner, pool, loopback) = (self.owner.clone(), self.pool.clone(), self.loopback.clone());
         tokio::task::spawn_local(async move {
             let outcome = server_client::send_order(&order, &owner, &pool, permit).await;
-            // Without a driver nobody waits for it.
+            // Fails only if the driver has ended: then nothing needs the outcome.
             let _ = loopback.send(DriverEvent::Input(Input::OrderCompleted { order, outcome }));
         });
     }
@@ -245,7 +246,7 @@
             for model in report.models {
                 let (model, version) = (Arc::from(model.name), model.version);
                 let input = Input::VersionReported { server: server.clone(), model, version };
-                // Without a driver nobody waits for it.
+                // Fails only if the driver has ended: then nothing needs the report.
                 let _ = loopback.send(DriverEvent::Input(input));
             }
         });
--- a/controlplane/src/inbox.rs
+++ b/controlplane/src/inbox.rs
@@ -1,8 +1,9 @@
 //! Received messages that the node has not handled yet, bounded in bytes.
 //!
-//! Gossip waits in a lane of its own, so that bulk delays no lease, session or call. At a bound the arriving message is
-//! dropped, as if it had been lost on its way: whoever needs a reply sends again, and gossip is repaired. A peer that
-//! floods reaches its own bound before that of a lane, and loses only its own messages.
+//! Gossip is queued in a lane of its own, so that large messages do not delay leases, sessions or calls. If a bound is
+//! reached, the arriving message is dropped, as if the network had lost it: a node that needs a reply sends its message
+//! again, and gossip is repaired by later comparisons. A peer that floods this node reaches its own bound before the bound
+//! of the lane, and loses only its own messages.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -15,14 +16,14 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Bytes that wait in one lane at most. A message beyond it is dropped, unless the lane is empty.
+/// Maximum number of bytes queued in one lane. A message that would exceed it is dropped, unless the lane is empty.
 pub const MAX_LANE_BYTES: usize = 16 * 1024 * 1024;
-/// Bytes of one peer in one lane at most: as much as a peer's send queue holds. A message beyond it is dropped, unless none
-/// of this peer waits in the lane.
+/// Maximum number of bytes of one peer in one lane: as much as a peer's send queue holds. A message that would exceed it is
+/// dropped, unless no message of this peer is queued in the lane.
 pub const MAX_PEER_BYTES: usize = crate::send_queue::MAX_QUEUED_BYTES;
-/// What a waiting message takes besides its bytes on the wire: its decoded fields and its place in the lane.
+/// Memory that a queued message takes in addition to its bytes on the wire: its decoded fields and its entry in the lane.
 const MESSAGE_OVERHEAD: usize = 256;
-/// After so many other messages in a row a waiting gossip message is handled.
+/// After this many urgent messages in a row, a queued gossip message is handled.
 const MAX_URGENT_RUN: usize = 32;
 /// Dropped messages are reported together at this interval.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
@@ -33,7 +34,7 @@
     /// The bound of its peer or of its lane is reached; the message is dropped.
     #[snafu(display("the inbox is full"))]
     Full,
-    /// Nobody handles messages any more.
+    /// The receiving end is gone.
     #[snafu(display("the inbox is closed"))]
     Closed,
 }
@@ -49,14 +50,14 @@
     pub total: u64,
 }
 
-/// A message with the bytes that it is charged for.
+/// A queued message with the number of bytes that count against the bounds.
 #[derive(Debug)]
 struct Queued {
     envelope: Envelope,
     bytes: usize,
 }
 
-/// The bytes that wait in a lane.
+/// The bytes that are queued in a lane.
 #[derive(Debug, Default)]
 struct Occupancy {
     total: usize,
@@ -87,14 +88,14 @@
     }
 }
 
-/// Which messages were dropped.
+/// The number of dropped messages by peer.
 #[derive(Debug, Default)]
 struct DropCounters {
     unreported: BTreeMap<SocketAddrV4, u64>,
     totals: BTreeMap<SocketAddrV4, u64>,
 }
 
-/// What both ends share.
+/// The state that both ends of the inbox share.
 #[derive(Debug, Default)]
 struct Shared {
     urgent: Occupancy,
@@ -102,10 +103,10 @@
     drops: DropCounters,
 }
 
-/// The lane of a message.
+/// The lane in which a message is queued.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Lane {
-    /// Whatever others wait for: leases, sessions, calls.
+    /// Latency-sensitive messages: leases, sessions, calls.
     Urgent,
     Gossip,
 }
@@ -135,7 +136,7 @@
     }
 }
 
-/// The end on which connections put what they receive.
+/// The sending end, to which connections pass the messages that they receive.
 #[derive(Debug, Clone)]
 pub struct Inbox {
     urgent: mpsc::UnboundedSender<Queued>,
@@ -143,7 +144,7 @@
     shared: Rc<RefCell<Shared>>,
 }
 
-/// The end from which the node takes messages.
+/// The receiving end, from which the node takes messages.
 #[derive(Debug)]
 pub struct InboxReceiver {
     urgent: mpsc::UnboundedReceiver<Queued>,
@@ -216,7 +217,7 @@
         }
     }
 
-    /// The next message that is there already.
+    /// The next message that is already queued, if any.
     pub fn try_recv(&mut self) -> Option<Envelope> {
         let order = match self.urgent_run < MAX_URGENT_RUN {
             true => [Lane::Urgent, Lane::Gossip],
@@ -240,7 +241,7 @@
         queued.envelope
     }
 
-    /// The messages that were dropped since the last report, by peer; nothing if that was less than a second ago.
+    /// The messages that were dropped since the last report, by peer; empty if the last report was less than a second ago.
     pub fn take_dropped(&mut self, now: Instant) -> Vec<DroppedMessages> {
         let mut shared = self.shared.borrow_mut();
         let too_early = self.last_report.is_some_and(|last| now < last + REPORT_INTERVAL);
@@ -257,7 +258,7 @@
         report.collect()
     }
 
-    /// The bytes that wait in both lanes.
+    /// The bytes that are queued in both lanes.
     pub fn queued_bytes(&self) -> usize {
         let shared = self.shared.borrow();
         shared.urgent.total + shared.gossip.total
--- a/controlplane/src/lib.rs
+++ b/controlplane/src/lib.rs
@@ -1,8 +1,8 @@
 //! The control plane of a node: API calls of servers and operators, sessions and membership, messages between nodes, the
 //! replicated control state, and the singleton roles of its primary.
 //!
-//! [`node::Node`] joins the state machines and does no I/O; [`driver`] runs it on sockets, disk and time. It is apart from
-//! the data plane, which goes on with what it last knew when no control balancer can be reached.
+//! [`node::Node`] combines the state machines and does no I/O; [`driver`] runs it with sockets, a disk and timers. It is
+//! separate from the data plane, which continues with its last known state while no control balancer can be reached.
 //!
 //! - API: [`api`] (calls and responses), [`api_server`] (HTTP)
 //! - membership: [`session_client`], [`session_table`], [`absence_tracker`], [`bootstrap`]
@@ -33,11 +33,12 @@
 /// A time or a span in microseconds of the monotonic clock of one process.
 pub type Micros = u64;
 
-/// What the clock shows when a process starts: a minute, since state machines subtract leases and timeouts from the
-/// present, which must not saturate at zero.
+/// The time on the clock when a process starts: one minute, since state machines subtract leases and timeouts from the
+/// current time, which must not saturate at zero.
 pub const CLOCK_START: Micros = 60_000_000;
 
-/// A hash of a number (see [`gradepaddle::cost::mix`]): numbers close to each other get unrelated hashes.
+/// A hash of a number (see [`gradepaddle::cost::mix`]): numbers that are close to each other get unrelated
+/// hashes.
 pub(crate) fn mix(number: u64) -> u64 {
     gradepaddle::cost::mix(number)
 }
--- a/controlplane/src/send_queue.rs
+++ b/controlplane/src/send_queue.rs
@@ -9,10 +9,10 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// Messages queued for one connection; further ones are dropped.
+/// Maximum number of messages queued for one connection; further ones are dropped.
 pub const MAX_QUEUED_MESSAGES: usize = 512;
-/// Bytes queued for one connection. A message that would exceed it is dropped, unless the queue is empty: the largest
-/// message must get through as well.
+/// Maximum number of bytes queued for one connection. A message that would exceed it is dropped, unless the queue is empty:
+/// the largest message must get through as well.
 pub const MAX_QUEUED_BYTES: usize = 8 * 1024 * 1024;
 /// Messages are written together up to this many bytes.
 const BATCH_BYTES: usize = 64 * 1024;
@@ -79,7 +79,7 @@
 }
 
 impl SendQueueReceiver {
-    /// The next messages as one run of bytes; `None` once the sending end is gone. They count as queued until
+    /// The next messages as one batch of bytes; `None` once the sending end is gone. They count as queued until
     /// [`SendQueueReceiver::mark_written`].
     ///
     /// Cancellation safe: nothing is taken from the queue before the only await is ready.
@@ -93,14 +93,14 @@
         Some(batch)
     }
 
-    /// Releases the room of `bytes` that have been written.
+    /// Releases the capacity of `bytes` that have been written.
     pub fn mark_written(&self, bytes: usize) {
         self.queued_bytes.set(self.queued_bytes.get().saturating_sub(bytes));
     }
 }
 
-/// Writes all of `bytes`, however slowly, as long as some are taken within each `stall_timeout`. False if the connection
-/// stalled or failed.
+/// Writes all of `bytes`, however slowly, as long as some bytes are written within each `stall_timeout`. Returns false if
+/// the connection stalled or failed.
 #[must_use = "a connection that stalled has to be closed"]
 pub async fn write_with_progress<W: AsyncWrite + Unpin>(
     writer: &mut W,
--- a/controlplane/src/server_client.rs
+++ b/controlplane/src/server_client.rs
@@ -1,7 +1,7 @@
 //! HTTP calls to model servers: orders and reports, each on a connection of its own.
 //!
-//! Both name the server that they are meant for: its address may belong to another server by now, or to its next
-//! incarnation.
+//! Each request names its target server, as the address may belong to another server or to the server's next incarnation
+//! by now.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -16,21 +16,22 @@
 
 use crate::order::{CONNECT_TIMEOUT, ORDER_RESPONSE_TIMEOUT, Order, OrderOutcome};
 
-/// What a server has not acknowledged by TCP within this is discarded by the kernel, also if this process is stopped.
+/// TCP user timeout of orders: the kernel discards bytes that the server has not acknowledged within this time, even while
+/// this process is stopped.
 const DELIVERY_TIMEOUT: Duration = Duration::from_millis(300);
-/// No order is started with less than this left of its permit.
+/// An order is not started if less than this is left of its permit.
 const MIN_PERMIT_LEFT: Duration = Duration::from_millis(50);
-/// Any other call without a response for this long has failed.
+/// A call other than an order has failed after this long without a response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// The longest response body that is read, in bytes.
+/// The maximum length of a response body, in bytes.
 const MAX_RESPONSE_BYTES: u64 = 4 * 1024 * 1024;
 
-/// How a server treats its running requests while it loads (`PROTOCOL.md`, orders): they go on under the new version.
-/// Were they waited for, the server would take nothing new for as long as the longest of them lasts.
+/// How a server treats its running requests while it loads (`PROTOCOL.md`, orders): they continue under the new version.
+/// If the server waited for them to end, it would take no new requests until the longest of them had ended.
 const METHOD: &str = "keep";
 
-/// The right to send one order: until the end of the lease, and only while this node is the primary in the epoch that is
-/// the order's fencing token.
+/// The permission to send one order: valid until the end of the lease, and only while this node is the primary in the epoch
+/// that is the order's fencing token.
 #[derive(Debug)]
 pub struct OrderPermit {
     fencing_token: u64,
@@ -40,25 +41,25 @@
 }
 
 impl OrderPermit {
-    /// A permit until `deadline`, as long as `primary_epoch` is `fencing_token`.
+    /// A permit that is valid until `deadline`, as long as `primary_epoch` is `fencing_token`.
     pub fn new(fencing_token: u64, deadline: Instant, primary_epoch: watch::Receiver<Option<u64>>) -> Self {
         OrderPermit { fencing_token, deadline, primary_epoch }
     }
 
-    /// How long it lasts, if an order may still be started.
+    /// How long the permit remains valid; `None` if that is too short to start an order.
     fn remaining(&self) -> Option<Duration> {
         let remaining = self.deadline.saturating_duration_since(Instant::now());
         (remaining >= MIN_PERMIT_LEFT).then_some(remaining)
     }
 
-    /// Completes once this node is not the primary in the order's epoch any longer.
+    /// Completes once this node is no longer the primary in the order's epoch.
     async fn revoked(&mut self) {
-        // An error means that the driver has ended, and with it the node's time as the primary.
+        // An error means that the driver has ended, so this node is no longer the primary.
         let _ = self.primary_epoch.wait_for(|epoch| *epoch != Some(self.fencing_token)).await;
     }
 }
 
-/// The body of an order; names as the operators' pages give them.
+/// The body of an order. The field names are those of the operators' protocol.
 #[derive(Serialize)]
 struct OrderBody<'a> {
     order: &'a str,
@@ -70,10 +71,10 @@
     fencing_token: u64,
 }
 
-/// A server's report of itself, as far as it is used.
+/// The used part of a server's report of its state.
 #[derive(Debug, Deserialize)]
 pub struct Report {
-    /// Its models.
+    /// The loaded models.
     #[serde(default)]
     pub models: Vec<ReportedModel>,
 }
@@ -97,8 +98,7 @@
     pub body: Vec<u8>,
 }
 
-/// Sends an order in the name of `owner`. By the end of its permit all of it has reached the server, or nothing more of it
-/// will.
+/// Sends an order on behalf of `owner`. After the end of its permit no byte of the order reaches the server any more.
 #[must_use = "the roll-out has to learn of the outcome"]
 pub async fn send_order(order: &Order, owner: &str, pool: &Pool, mut permit: OrderPermit) -> OrderOutcome {
     let body = OrderBody {
@@ -120,14 +120,14 @@
     }
 }
 
-/// Reads the report of a server. `None` if there was no valid one in time.
+/// Fetches the report of a server. `None` if no valid report came in time.
 pub async fn fetch_report(server: &str, address: SocketAddrV4, pool: &Pool) -> Option<Report> {
     let request = request(Some(server), "GET", "/v1/report", address, &[], pool);
     let response = call_without_permit(address, &request, pool).await?;
     (response.status == 200).then(|| serde_json::from_slice(&response.body).ok())?
 }
 
-/// Makes one call of a node's own API. `None` if there was no response in time.
+/// Makes one call to the control API of a node. `None` if no response came in time.
 pub async fn call(
     address: SocketAddrV4,
     method: &str,
@@ -143,8 +143,8 @@
     timeout(RESPONSE_TIMEOUT, exchange(&mut connection, request, pool)).await.ok()?
 }
 
-/// Makes one call under a permit. Once that has ended, what a partition still holds back is discarded by a reset; if this
-/// process is stopped then, by the kernel.
+/// Makes one call under a permit. When the permit ends, bytes that a partition still holds back are discarded by a reset of
+/// the connection, or by the kernel if this process is stopped at that time.
 async fn call_with_permit(
     permit: &mut OrderPermit,
     address: SocketAddrV4,
@@ -158,7 +158,7 @@
     let mut connection = Connection::new(stream, pool, ());
     // Cancellation: an exchange that is dropped half way leaves the connection unusable; it is reset below.
     let response = tokio::select! {
-        // Checked before the first byte leaves: this node may have stepped down while it connected.
+        // Checked before the first byte is sent: this node may have stepped down while it connected.
         biased;
         () = permit.revoked() => None,
         response = timeout(remaining, exchange(&mut connection, request, pool)) => response.ok().flatten(),
@@ -169,10 +169,10 @@
     response
 }
 
-/// Has the kernel discard what a partition holds back of an order, also if this process is stopped: after the permit's
-/// rest, and after [`DELIVERY_TIMEOUT`] at the latest.
+/// Has the kernel discard the bytes of an order that a partition holds back, even while this process is stopped: after the
+/// remaining time of the permit, but at most [`DELIVERY_TIMEOUT`].
 fn limit_delivery(stream: &TcpStream, remaining: Duration) {
-    // If it fails, only a process that is stopped behind a partition discards nothing.
+    // If this fails, bytes are kept only in one case: this process is stopped during a partition.
     let _ = SockRef::from(stream).set_tcp_user_timeout(Some(remaining.min(DELIVERY_TIMEOUT)));
 }
 
--- a/controlplane/src/server_client/tests.rs
+++ b/controlplane/src/server_client/tests.rs
@@ -10,14 +10,14 @@
 
 use super::{DELIVERY_TIMEOUT, connect, limit_delivery};
 
-/// The kernel's buffers of both ends hold less than this.
+/// More bytes than the kernel's buffers of both ends hold.
 const MORE_THAN_BUFFERS: usize = 64 * 1024 * 1024;
-/// The kernel looks at its timers a few times in this.
+/// Time within which the kernel has certainly applied a TCP user timeout: it checks its timers a few times in it.
 const KERNEL_SLACK: Duration = Duration::from_secs(20);
 
 #[gtest]
 #[tokio::test]
-async fn what_is_undelivered_lasts_no_longer_than_the_permit() {
+async fn the_delivery_timeout_is_at_most_the_remaining_permit() {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a port is free");
     let SocketAddr::V4(address) = listener.local_addr().expect("it is bound") else { panic!("no IPv4") };
     for (remaining, limit) in
@@ -29,10 +29,10 @@
     }
 }
 
-/// A server that takes no bytes stands for a partition: the kernel ends the connection by itself.
+/// A server that reads no bytes simulates a partition: the kernel has to end the connection after the TCP user timeout.
 #[gtest]
 #[tokio::test]
-async fn the_kernel_discards_what_is_not_delivered() {
+async fn the_kernel_discards_undelivered_bytes() {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_recv_buffer_size(4096).expect("a small window");
     socket.bind((Ipv4Addr::LOCALHOST, 0).into()).expect("a port is free");
--- a/controlplane/src/transport.rs
+++ b/controlplane/src/transport.rs
@@ -1,7 +1,7 @@
 //! Connections between nodes: one in each direction, opened when there is something to send.
 //!
-//! A message may be lost without notice: whoever needs a reply sends again. A connection that makes no progress is
-//! closed, so that a network partition delays nothing for longer than [`STALL_TIMEOUT`] after it has healed.
+//! A message may be lost without notice: a node that needs a reply has to send its message again. A connection that makes
+//! no progress is closed, so that a network partition delays messages for at most [`STALL_TIMEOUT`] after it has healed.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -22,11 +22,11 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
 /// After a failed connect, messages are dropped for this long.
 const RECONNECT_DELAY: Duration = Duration::from_millis(150);
-/// Bytes that stay unacknowledged by TCP for this long end a connection.
+/// TCP user timeout: a connection is closed if sent bytes stay unacknowledged for this long.
 pub const STALL_TIMEOUT: Duration = Duration::from_millis(1200);
 /// A connection that has carried nothing for this long is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// Bytes read at once.
+/// Size of the read buffer of a connection, in bytes.
 const READ_SIZE: usize = 16 * 1024;
 /// Pause after a failed `accept`, for instance without file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
@@ -43,7 +43,7 @@
         Rc::new(Transport { own, queues: RefCell::default() })
     }
 
-    /// Sends a message, if a connection can be established and lasts.
+    /// Sends a message. It is lost if no connection can be established, if the connection breaks, or if the queue is full.
     pub fn send(self: &Rc<Self>, to: SocketAddrV4, content: Content) {
         let body = Envelope { from: self.own, content }.to_bytes();
         let mut bytes = Vec::with_capacity(body.len() + frame::HEADER_BYTES);
@@ -52,7 +52,7 @@
         let queue = queues.entry(to).or_insert_with(|| open_connection(to));
         if let Err(SendError::Closed { message }) = queue.push(bytes) {
             let reopened = open_connection(to);
-            // An empty queue takes any message.
+            // Can't fail: an empty queue accepts any message.
             let _ = reopened.push(message);
             queues.insert(to, reopened);
         }
@@ -74,7 +74,7 @@
     let (mut reader, mut writer) = stream.into_split();
     let mut unexpected = [0];
     loop {
-        // Cancellation: `next_batch` loses nothing, and whatever is read ends the connection.
+        // Cancellation: `next_batch` is cancellation safe, and any completed read ends the connection.
         let batch = tokio::select! {
             batch = timeout(IDLE_TIMEOUT, receiver.next_batch()) => batch,
             // The other side never writes: a read completes only when the connection ends.
@@ -91,9 +91,9 @@
 async fn connect(to: SocketAddrV4) -> Option<TcpStream> {
     let socket = TcpSocket::new_v4().ok()?;
     let stream = timeout(CONNECT_TIMEOUT, socket.connect(to.into())).await.ok()?.ok()?;
-    // Without TCP_NODELAY messages are only later.
+    // Without TCP_NODELAY messages are delayed, but not lost.
     let _ = stream.set_nodelay(true);
-    // Without TCP_USER_TIMEOUT a partitioned connection would hold back messages for minutes, and no worse.
+    // Without TCP_USER_TIMEOUT a partitioned connection holds back messages for minutes; there is no other harm.
     let _ = socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(STALL_TIMEOUT));
     Some(stream)
 }
@@ -110,7 +110,7 @@
     }
 }
 
-/// Reads messages until the connection ends or sends something that is no frame.
+/// Reads messages until the connection ends or an invalid frame arrives.
 async fn receive(mut stream: TcpStream, inbox: Inbox) {
     let mut frames = FrameReader::default();
     let mut bytes = vec![0; READ_SIZE];
@@ -123,7 +123,7 @@
         loop {
             match frames.next_body() {
                 Ok(Some(body)) => {
-                    // A message of a newer build that this one can't decode is skipped.
+                    // A message that can't be decoded, for instance one of a newer build, is skipped.
                     if let Ok(envelope) = Envelope::from_bytes(body)
                         && inbox.push(envelope, body.len()) == Err(InboxError::Closed)
                     {
--- a/controlplane/src/version_announcement.rs
+++ b/controlplane/src/version_announcement.rs
@@ -1,4 +1,4 @@
-//! What is gossiped with an announced model version, and when the version becomes binding. No I/O.
+//! The payload that is gossiped with an announced model version, and the deadlines of the version. No I/O.
 
 use gradepaddle_proto::{Decode, DecodeError, Encode, FieldWriter, Fields};
 
@@ -23,19 +23,21 @@
     }
 }
 
-/// From when on no request may start on a version older than an announced one. The operators' rule VERSION.
+/// The deadlines after which no request may start on a version older than an announced one. The operators' rule VERSION.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VersionDeadlines {
-    /// Microseconds from the latest publication: the time starts again where the core was unstable (`versionMs`).
+    /// Microseconds from the latest publication (`versionMs`). A new publication restarts this time if the core was
+    /// unstable.
     pub from_publication: Micros,
-    /// Microseconds from the first announcement, however often the time started again (`versionAllMs`); `None` without
-    /// such a bound. The operators count calm stretches only, and all of the time is never less than those.
+    /// Microseconds from the first announcement, however often the time was restarted (`versionAllMs`); `None` without
+    /// such a bound. The operators count only periods without faults; as this counts all of the time, it never allows more
+    /// than they do.
     pub from_announcement: Option<Micros>,
 }
 
 impl VersionDeadlines {
-    /// For how much longer requests may start on older versions, given the time since the latest publication and since
-    /// the first announcement.
+    /// How much longer requests may start on older versions, given the time since the latest publication and since the
+    /// first announcement.
     pub fn remaining(&self, since_publication: Micros, since_announcement: Micros) -> Micros {
         let from_publication = self.from_publication.saturating_sub(since_publication);
         let bound = self.from_announcement;
