--- a/controlplane/src/inbox.rs
+++ b/controlplane/src/inbox.rs
@@ -2,8 +2,8 @@
 //!
 //! Gossip is queued in a lane of its own, so that large messages do not delay leases, sessions or calls. If a bound is
 //! reached, the arriving message is dropped, as if the network had lost it: a node that needs a reply sends its message
-//! again, and gossip is repaired by later comparisons. A peer that floods this node reaches its own bound before the bound
-//! of the lane, and loses only its own messages.
+//! again, and gossip is repaired by later comparisons. A peer that floods this node reaches its own bound before the
+//! bound of the lane, and loses only its own messages.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -18,8 +18,8 @@
 
 /// Maximum number of bytes queued in one lane. A message that would exceed it is dropped, unless the lane is empty.
 pub const MAX_LANE_BYTES: usize = 16 * 1024 * 1024;
-/// Maximum number of bytes of one peer in one lane: as much as a peer's send queue holds. A message that would exceed it is
-/// dropped, unless no message of this peer is queued in the lane.
+/// Maximum number of bytes of one peer in one lane: as much as a peer's send queue holds. A message that would exceed
+/// it is dropped, unless no message of this peer is queued in the lane.
 pub const MAX_PEER_BYTES: usize = crate::send_queue::MAX_QUEUED_BYTES;
 /// Memory that a queued message takes in addition to its bytes on the wire: its decoded fields and its entry in the lane.
 const MESSAGE_OVERHEAD: usize = 256;
@@ -241,7 +241,8 @@
         queued.envelope
     }
 
-    /// The messages that were dropped since the last report, by peer; empty if the last report was less than a second ago.
+    /// The messages that were dropped since the last report, by peer; empty if the last report was less than a second
+    /// ago.
     pub fn take_dropped(&mut self, now: Instant) -> Vec<DroppedMessages> {
         let mut shared = self.shared.borrow_mut();
         let too_early = self.last_report.is_some_and(|last| now < last + REPORT_INTERVAL);
--- a/controlplane/src/node.rs
+++ b/controlplane/src/node.rs
@@ -114,8 +114,8 @@
         }
     }
 
-    /// Handles an input at the time `now` of the driver's clock, then runs the timers that are due. Appends the outputs to
-    /// `out`, in the order in which they have to be carried out.
+    /// Handles an input at the time `now` of the driver's clock, then runs the timers that are due. Appends the outputs
+    /// to `out`, in the order in which they have to be carried out.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Tick => {}
--- a/controlplane/src/node/api_calls.rs
+++ b/controlplane/src/node/api_calls.rs
@@ -262,9 +262,9 @@
 
     /// The change that a patch makes to the configuration in force, if the patch applies to that version.
     ///
-    /// A patch of a given base version always results in the same change: versions only rise, so no other configuration of
-    /// that version is ever in force. If another configuration is committed before the change is proposed, the change is
-    /// rejected like any other with an outdated base version.
+    /// A patch of a given base version always results in the same change: versions only rise, so no other configuration
+    /// of that version is ever in force. If another configuration is committed before the change is proposed, the
+    /// change is rejected like any other with an outdated base version.
     ///
     /// # Errors
     ///
@@ -339,8 +339,9 @@
     }
 
     /// Handles the reply to a forwarded call, if it comes from the node to which the call was forwarded. When the primary
-    /// replied, its lease had `lease_remaining` left. It replied after the call was forwarded, so adding `lease_remaining`
-    /// to the time of forwarding gives a time, by this node's clock, that is never after the end of the lease.
+    /// replied, its lease had `lease_remaining` left. It replied after the call was forwarded, so adding
+    /// `lease_remaining` to the time of forwarding gives a time, by this node's clock, that is never after the end of
+    /// the lease.
     pub(super) fn handle_forwarded_reply(
         &mut self,
         now: Micros,
--- a/controlplane/src/node/messages.rs
+++ b/controlplane/src/node/messages.rs
@@ -66,8 +66,8 @@
     ShutDown,
 }
 
-/// Until when the keys of a configuration may be accepted. Up to that time this node's evidence that none of them has been
-/// revoked is recent enough.
+/// Until when the keys of a configuration may be accepted. Up to that time this node's evidence that none of them has
+/// been revoked is recent enough.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConfigurationValidity {
     /// The version of the configuration. Nothing follows for older versions.
--- a/controlplane/src/node/servers.rs
+++ b/controlplane/src/node/servers.rs
@@ -88,8 +88,8 @@
         });
     }
 
-    /// Restarts the deadlines of all announced versions if this primary replaces one that was lost: the core was unstable,
-    /// and no orders could be sent to servers.
+    /// Restarts the deadlines of all announced versions if this primary replaces one that was lost: the core was
+    /// unstable, and no orders could be sent to servers.
     pub(super) fn extend_version_deadlines(&mut self, now: Micros, epoch: u64, out: &mut Vec<Output>) {
         if !self.replica.as_ref().is_some_and(gradepaddle_control::Replica::took_over_after_timeout) {
             return;
@@ -218,7 +218,8 @@
         self.handle_gossip_outputs(now, results, out);
     }
 
-    /// True if an order with this fencing token may be sent now: this node is the primary in that epoch, within its lease.
+    /// True if an order with this fencing token may be sent now: this node is the primary in that epoch, within its
+    /// lease.
     pub fn may_send_order(&self, now: Micros, fencing_token: u64) -> bool {
         self.order_deadline(now, fencing_token).is_some()
     }
--- a/controlplane/src/node/staleness.rs
+++ b/controlplane/src/node/staleness.rs
@@ -64,9 +64,9 @@
         }
     }
 
-    /// The nodes to query: for a control balancer the primary, for any other node the control balancer of its session. While
-    /// the evidence is stale, also one control balancer and one other node, in turn: any node may have evidence, even if no
-    /// control balancer can be reached.
+    /// The nodes to query: for a control balancer the primary, for any other node the control balancer of its session.
+    /// While the evidence is stale, also one control balancer and one other node, in turn: any node may have evidence,
+    /// even if no control balancer can be reached.
     fn witnesses(&mut self, now: Micros) -> Vec<SocketAddrV4> {
         let view = self.session.view();
         let is_member = view.members.contains(&self.own);
--- a/controlplane/src/order.rs
+++ b/controlplane/src/order.rs
@@ -1,5 +1,5 @@
-//! Orders to model servers, their outcomes, and the maximum duration of an order. Shared by the roll-out, which decides on
-//! orders, and the client that sends them.
+//! Orders to model servers, their outcomes, and the maximum duration of an order. Shared by the roll-out, which decides
+//! on orders, and the client that sends them.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
--- a/controlplane/src/rollout.rs
+++ b/controlplane/src/rollout.rs
@@ -1,8 +1,8 @@
 //! The roll-out: has servers load announced model versions. A singleton role of the primary. No I/O.
 //!
-//! Orders carry the epoch as their fencing token. None is sent until the lease of an earlier primary must have run out and
-//! its last order must have ended. Only a few servers of a model load at once: each is reserved, so that it gets no new
-//! requests, then sent an order, then queried until it has loaded the version.
+//! Orders carry the epoch as their fencing token. None is sent until the lease of an earlier primary must have run out
+//! and its last order must have ended. Only a few servers of a model load at once: each is reserved, so that it gets no
+//! new requests, then sent an order, then queried until it has loaded the version.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
@@ -30,8 +30,8 @@
 /// One in this many servers of a model loads at once, but at least [`MIN_CONCURRENT`].
 const CONCURRENT_SHARE: usize = 6;
 const MIN_CONCURRENT: usize = 1;
-/// If the deadlines require more servers to load at once, at most one in this many. Servers past their deadline, which may
-/// not serve anyway, are not limited.
+/// If the deadlines require more servers to load at once, at most one in this many. Servers past their deadline, which
+/// may not serve anyway, are not limited.
 const MAX_CONCURRENT_SHARE: usize = 2;
 /// Servers with an older version count as not serving from this long before their deadline: nodes stop choosing a server
 /// once the expected wait there ends too late.
@@ -129,8 +129,8 @@
     last_epoch: u64,
     orders_allowed_at: Micros,
     loads: BTreeMap<Arc<str>, ServerLoad>,
-    /// By server and model, the versions that servers have reported to this node and that their registrations may not show
-    /// yet.
+    /// By server and model, the versions that servers have reported to this node and that their registrations may not
+    /// show yet.
     reported: BTreeMap<Arc<str>, BTreeMap<Arc<str>, u64>>,
     /// Servers that were released without the version, and until when they are not reserved again.
     backoff_until: BTreeMap<Arc<str>, Micros>,
@@ -142,8 +142,8 @@
 }
 
 impl Rollout {
-    /// The roll-out at a node that is not the primary. `lease` is the minimum time between orders of two different primaries,
-    /// in microseconds.
+    /// The roll-out at a node that is not the primary. `lease` is the minimum time between orders of two different
+    /// primaries, in microseconds.
     pub fn new(lease: Micros) -> Self {
         Rollout {
             lease,
@@ -159,8 +159,8 @@
         }
     }
 
-    /// This node becomes the primary in `epoch`. Orders wait until the lease of an earlier primary must have run out, except
-    /// in the first epoch and if this node was also the primary in the previous epoch.
+    /// This node becomes the primary in `epoch`. Orders wait until the lease of an earlier primary must have run out,
+    /// except in the first epoch and if this node was also the primary in the previous epoch.
     pub fn become_primary(&mut self, now: Micros, epoch: u64) {
         let follows_itself = self.last_epoch > 0 && epoch <= self.last_epoch + 1;
         let allowed_at = if epoch <= 1 || follows_itself { now } else { now + self.lease + LEASE_MARGIN };
@@ -179,8 +179,9 @@
         self.loads.clear();
     }
 
-    /// Sets the time from which servers with a version older than `version` may start no requests. A deadline that has passed
-    /// is not changed: all nodes have stopped choosing such servers, and a later extension does not reverse that.
+    /// Sets the time from which servers with a version older than `version` may start no requests. A deadline that has
+    /// passed is not changed: all nodes have stopped choosing such servers, and a later extension does not reverse
+    /// that.
     ///
     /// Called at each node, since any of them may become the primary.
     pub fn set_deadline(&mut self, now: Micros, model: &str, version: u64, deadline: Micros) {
@@ -262,8 +263,8 @@
         }
     }
 
-    /// True if a load at this server may start: none is in progress, none was given up within [`RETRY_DELAY`], and the server
-    /// has not seen a higher fencing token.
+    /// True if a load at this server may start: none is in progress, none was given up within [`RETRY_DELAY`], and the
+    /// server has not seen a higher fencing token.
     fn is_available(&self, server: &Registration) -> bool {
         !self.loads.contains_key(&server.id)
             && !self.backoff_until.contains_key(&server.id)
@@ -294,8 +295,8 @@
         self.loads.insert(server.id.clone(), load);
     }
 
-    /// How many serving servers may be missing at once: one in [`CONCURRENT_SHARE`], or more if that is necessary for every
-    /// server to load by its deadline. `outdated` is sorted by deadline.
+    /// How many serving servers may be missing at once: one in [`CONCURRENT_SHARE`], or more if that is necessary for
+    /// every server to load by its deadline. `outdated` is sorted by deadline.
     fn max_concurrent(&self, now: Micros, total: usize, outdated: &[Outdated<'_>]) -> usize {
         let usual = (total / CONCURRENT_SHARE).max(MIN_CONCURRENT);
         let deadlines =
@@ -376,8 +377,8 @@
         steps.push(Step::PublishReservation(self.reservation_item(token, id, &reservation, true)));
     }
 
-    /// Handles the outcome of an order. An outcome that comes after its load has ended does not affect a later load at the
-    /// same server.
+    /// Handles the outcome of an order. An outcome that comes after its load has ended does not affect a later load at
+    /// the same server.
     pub fn handle_order_outcome(&mut self, now: Micros, order: &Order, outcome: OrderOutcome) -> Vec<Step> {
         let mut steps = Vec::new();
         let token = self.fencing_token;
--- a/controlplane/src/send_queue.rs
+++ b/controlplane/src/send_queue.rs
@@ -11,8 +11,8 @@
 
 /// Maximum number of messages queued for one connection; further ones are dropped.
 pub const MAX_QUEUED_MESSAGES: usize = 512;
-/// Maximum number of bytes queued for one connection. A message that would exceed it is dropped, unless the queue is empty:
-/// the largest message must get through as well.
+/// Maximum number of bytes queued for one connection. A message that would exceed it is dropped, unless the queue is
+/// empty: the largest message must get through as well.
 pub const MAX_QUEUED_BYTES: usize = 8 * 1024 * 1024;
 /// Messages are written together up to this many bytes.
 const BATCH_BYTES: usize = 64 * 1024;
--- a/controlplane/src/server_client.rs
+++ b/controlplane/src/server_client.rs
@@ -16,8 +16,8 @@
 
 use crate::order::{CONNECT_TIMEOUT, ORDER_RESPONSE_TIMEOUT, Order, OrderOutcome};
 
-/// TCP user timeout of orders: the kernel discards bytes that the server has not acknowledged within this time, even while
-/// this process is stopped.
+/// TCP user timeout of orders: the kernel discards bytes that the server has not acknowledged within this time, even
+/// while this process is stopped.
 const DELIVERY_TIMEOUT: Duration = Duration::from_millis(300);
 /// An order is not started if less than this is left of its permit.
 const MIN_PERMIT_LEFT: Duration = Duration::from_millis(50);
@@ -30,8 +30,8 @@
 /// If the server waited for them to end, it would take no new requests until the longest of them had ended.
 const METHOD: &str = "keep";
 
-/// The permission to send one order: valid until the end of the lease, and only while this node is the primary in the epoch
-/// that is the order's fencing token.
+/// The permission to send one order: valid until the end of the lease, and only while this node is the primary in the
+/// epoch that is the order's fencing token.
 #[derive(Debug)]
 pub struct OrderPermit {
     fencing_token: u64,
@@ -143,8 +143,8 @@
     timeout(RESPONSE_TIMEOUT, exchange(&mut connection, request, pool)).await.ok()?
 }
 
-/// Makes one call under a permit. When the permit ends, bytes that a partition still holds back are discarded by a reset of
-/// the connection, or by the kernel if this process is stopped at that time.
+/// Makes one call under a permit. When the permit ends, bytes that a partition still holds back are discarded by a
+/// reset of the connection, or by the kernel if this process is stopped at that time.
 async fn call_with_permit(
     permit: &mut OrderPermit,
     address: SocketAddrV4,
@@ -169,8 +169,8 @@
     response
 }
 
-/// Has the kernel discard the bytes of an order that a partition holds back, even while this process is stopped: after the
-/// remaining time of the permit, but at most [`DELIVERY_TIMEOUT`].
+/// Has the kernel discard the bytes of an order that a partition holds back, even while this process is stopped: after
+/// the remaining time of the permit, but at most [`DELIVERY_TIMEOUT`].
 fn limit_delivery(stream: &TcpStream, remaining: Duration) {
     // If this fails, bytes are kept only in one case: this process is stopped during a partition.
     let _ = SockRef::from(stream).set_tcp_user_timeout(Some(remaining.min(DELIVERY_TIMEOUT)));
--- a/controlplane/src/session_client.rs
+++ b/controlplane/src/session_client.rs
@@ -164,7 +164,8 @@
         if let Some(view) = &reply.view {
             self.learn_view(view);
         }
-        // A process at this address has used a higher incarnation, for instance because the time of day was set back since.
+        // A process at this address has used a higher incarnation, for instance because the time of day was set back
+        // since.
         if reply.seen_incarnation > self.identity.incarnation {
             self.identity.incarnation = reply.seen_incarnation + 1;
             self.next_due = now;
--- a/controlplane/src/transport.rs
+++ b/controlplane/src/transport.rs
@@ -43,7 +43,8 @@
         Rc::new(Transport { own, queues: RefCell::default() })
     }
 
-    /// Sends a message. It is lost if no connection can be established, if the connection breaks, or if the queue is full.
+    /// Sends a message. It is lost if no connection can be established, if the connection breaks, or if the queue is
+    /// full.
     pub fn send(self: &Rc<Self>, to: SocketAddrV4, content: Content) {
         let body = Envelope { from: self.own, content }.to_bytes();
         let mut bytes = Vec::with_capacity(body.len() + frame::HEADER_BYTES);
--- a/controlplane/src/version_announcement.rs
+++ b/controlplane/src/version_announcement.rs
@@ -30,8 +30,8 @@
     /// unstable.
     pub from_publication: Micros,
     /// Microseconds from the first announcement, however often the time was restarted (`versionAllMs`); `None` without
-    /// such a bound. The operators count only periods without faults; as this counts all of the time, it never allows more
-    /// than they do.
+    /// such a bound. The operators count only periods without faults; as this counts all of the time, it never allows
+    /// more than they do.
     pub from_announcement: Option<Micros>,
 }
 
--- a/controlplane/tests/bootstrap.rs
+++ b/controlplane/tests/bootstrap.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
 
-use common::{MS, SECOND, address, addresses, founder, identity};
+use common::{MS, SECOND, address, addresses, core_identity, identity};
 use googletest::prelude::*;
 use gradepaddle_control::View;
 use gradepaddle_controlplane::Micros;
@@ -43,7 +43,7 @@
 fn first_view(losses: usize, cores: &[(u8, &str)]) -> Option<View> {
     let mut bootstrap = with_all_seeds(losses)?;
     for (number, zone) in cores {
-        bootstrap.handle_heartbeat(100 * MS, &founder(*number, zone));
+        bootstrap.handle_heartbeat(100 * MS, &core_identity(*number, zone));
     }
     Some(first_sent(&mut bootstrap, 3 * SECOND)?.1.first()?.view.clone())
 }
@@ -64,13 +64,13 @@
 #[gtest]
 fn bootstrap_waits_a_second_and_until_no_new_core_machine_comes() -> Result<()> {
     let mut early = with_all_seeds(1).or_fail()?;
-    early.handle_heartbeat(0, &founder(1, "a"));
+    early.handle_heartbeat(0, &core_identity(1, "a"));
     let (at, _) = first_sent(&mut early, 9 * SECOND).or_fail()?;
     expect_that!(at, all![ge(SECOND), le(1_500 * MS)]);
 
     let mut late = with_all_seeds(1).or_fail()?;
-    late.handle_heartbeat(0, &founder(1, "a"));
-    late.handle_heartbeat(950 * MS, &founder(2, "b"));
+    late.handle_heartbeat(0, &core_identity(1, "a"));
+    late.handle_heartbeat(950 * MS, &core_identity(2, "b"));
     let (at, sent) = first_sent(&mut late, 9 * SECOND).or_fail()?;
     expect_that!(at, all![ge(1_550 * MS), le(2 * SECOND)]);
     expect_that!(sent.len(), eq(2));
@@ -89,8 +89,8 @@
         (&[8, 9], None),
     ] {
         let mut bootstrap = alone(1).or_fail()?;
-        bootstrap.handle_heartbeat(0, &founder(1, "a"));
-        greeting.iter().for_each(|seed| bootstrap.handle_heartbeat(0, &founder(*seed, "b")));
+        bootstrap.handle_heartbeat(0, &core_identity(1, "a"));
+        greeting.iter().for_each(|seed| bootstrap.handle_heartbeat(0, &core_identity(*seed, "b")));
         let sent = first_sent(&mut bootstrap, 60 * SECOND).map(|(at, _)| at);
         let fits = match (sent, wanted) {
             (Some(at), Some((from, until))) => (from..=until).contains(&at),
@@ -104,9 +104,9 @@
 #[gtest]
 fn bootstrap_waits_for_a_late_seed() -> Result<()> {
     let mut bootstrap = alone(1).or_fail()?;
-    bootstrap.handle_heartbeat(0, &founder(1, "a"));
-    bootstrap.handle_heartbeat(0, &founder(2, "b"));
-    bootstrap.handle_heartbeat(2 * SECOND, &founder(3, "c"));
+    bootstrap.handle_heartbeat(0, &core_identity(1, "a"));
+    bootstrap.handle_heartbeat(0, &core_identity(2, "b"));
+    bootstrap.handle_heartbeat(2 * SECOND, &core_identity(3, "c"));
     let (at, sent) = first_sent(&mut bootstrap, 9 * SECOND).or_fail()?;
     expect_that!(at, all![ge(2_600 * MS), le(3 * SECOND)]);
     expect_that!(sent.len(), eq(3));
@@ -116,7 +116,7 @@
 #[gtest]
 fn the_only_seed_bootstraps_alone() -> Result<()> {
     let mut bootstrap = Bootstrap::new(address(1), &addresses([1]), 1, true, 0).or_fail()?;
-    bootstrap.handle_heartbeat(0, &founder(1, "a"));
+    bootstrap.handle_heartbeat(0, &core_identity(1, "a"));
     let (at, sent) = first_sent(&mut bootstrap, 9 * SECOND).or_fail()?;
     expect_that!(at, le(1_500 * MS));
     expect_that!((sent.len(), sent[0].view.backups.len()), eq((1, 0)));
@@ -127,8 +127,8 @@
 fn repeated_heartbeats_do_not_delay_the_first_view() -> Result<()> {
     let mut bootstrap = with_all_seeds(1).or_fail()?;
     for now in (0..3 * SECOND).step_by(100_000) {
-        bootstrap.handle_heartbeat(now, &founder(1, "a"));
-        bootstrap.handle_heartbeat(now, &founder(2, "b"));
+        bootstrap.handle_heartbeat(now, &core_identity(1, "a"));
+        bootstrap.handle_heartbeat(now, &core_identity(2, "b"));
         if !bootstrap.tick(now).is_empty() {
             return verify_that!(now, le(1_500 * MS));
         }
@@ -140,10 +140,10 @@
 fn all_core_machines_become_members_and_no_others() -> Result<()> {
     let mut bootstrap = with_all_seeds(1).or_fail()?;
     for number in [1, 2, 3, 6, 7] {
-        bootstrap.handle_heartbeat(0, &founder(number, "a"));
+        bootstrap.handle_heartbeat(0, &core_identity(number, "a"));
     }
     bootstrap.handle_heartbeat(0, &identity(4, 1));
-    let stranger = gradepaddle_proto::Identity { first_boot: false, ..founder(5, "a") };
+    let stranger = gradepaddle_proto::Identity { first_boot: false, ..core_identity(5, "a") };
     bootstrap.handle_heartbeat(0, &stranger);
     let (_, sent) = first_sent(&mut bootstrap, 9 * SECOND).or_fail()?;
     let to: BTreeSet<SocketAddrV4> = sent.iter().map(|found| found.to).collect();
@@ -192,7 +192,7 @@
 fn without_core_machines_there_is_no_first_view_until_one_comes() -> Result<()> {
     let mut bootstrap = with_all_seeds(1).or_fail()?;
     expect_that!(first_sent(&mut bootstrap, 5 * SECOND).is_none(), eq(true));
-    bootstrap.handle_heartbeat(5 * SECOND, &founder(2, "b"));
+    bootstrap.handle_heartbeat(5 * SECOND, &core_identity(2, "b"));
     expect_that!(first_sent(&mut bootstrap, 7 * SECOND).is_some(), eq(true));
     Ok(())
 }
@@ -200,10 +200,10 @@
 #[gtest]
 fn the_first_view_is_resent_for_a_while_and_never_changes() -> Result<()> {
     let mut bootstrap = with_all_seeds(1).or_fail()?;
-    bootstrap.handle_heartbeat(0, &founder(1, "a"));
-    bootstrap.handle_heartbeat(0, &founder(2, "b"));
+    bootstrap.handle_heartbeat(0, &core_identity(1, "a"));
+    bootstrap.handle_heartbeat(0, &core_identity(2, "b"));
     let (at, first) = first_sent(&mut bootstrap, 9 * SECOND).or_fail()?;
-    bootstrap.handle_heartbeat(at + 1, &founder(3, "c"));
+    bootstrap.handle_heartbeat(at + 1, &core_identity(3, "c"));
     let mut again = 0;
     while bootstrap.next_wake() < Micros::MAX {
         let now = bootstrap.next_wake();
--- a/controlplane/tests/common/mod.rs
+++ b/controlplane/tests/common/mod.rs
@@ -40,7 +40,7 @@
 }
 
 /// A core machine at the first start of the whole system.
-pub fn founder(number: u8, zone: &str) -> Identity {
+pub fn core_identity(number: u8, zone: &str) -> Identity {
     Identity {
         replica: Some(u64::from(number) + 500),
         first_boot: true,
@@ -50,7 +50,7 @@
 }
 
 /// A heartbeat of a node's session.
-pub fn session_beat(number: u8, incarnation: u64) -> SessionHeartbeat {
+pub fn session_heartbeat(number: u8, incarnation: u64) -> SessionHeartbeat {
     SessionHeartbeat { identity: identity(number, incarnation), view_epoch: 0 }
 }
 
--- a/controlplane/tests/golden/lone_node.rs
+++ b/controlplane/tests/golden/lone_node.rs
@@ -1,4 +1,5 @@
-//! A node that is its own core: it leads, its disk writes at once, and a second node without a disk has a session with it.
+//! A node that is its own core: it leads, its disk writes at once, and a second node without a disk has a session with
+//! it.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::sync::Arc;
--- a/controlplane/tests/linearizability.rs
+++ b/controlplane/tests/linearizability.rs
@@ -17,7 +17,7 @@
 fn explained(plan: &Plan, usual: u64) {
     let (mut calls, mut longest, mut failures) = (0, 0, Vec::new());
     for seed in seeds(usual) {
-        let (report, history) = World::new(plan.clone(), seed).with_histories(seed).play_with_history();
+        let (report, history) = World::new(plan.clone(), seed).with_histories(seed).run_with_history();
         calls += history.len();
         longest = longest.max(history.len());
         if !history.linearizable() {
--- a/controlplane/tests/outages.rs
+++ b/controlplane/tests/outages.rs
@@ -10,7 +10,7 @@
 /// How many seeds each outage is given, unless `FLEET_SEEDS` says otherwise.
 const SEEDS: u64 = 3;
 /// How long an outage lasts.
-const LASTS: Micros = 20 * SECOND;
+const DURATION: Micros = 20 * SECOND;
 
 const OUTAGE_KINDS: [OutageKind; 8] = [
     OutageKind::Partition,
@@ -25,9 +25,9 @@
 
 /// Nine machines, of which so many have a disk.
 fn plan(cores: usize, losses: usize, victim: Victim, kind: OutageKind) -> Plan {
-    let outage = Some(Outage { victim, kind, lasts: LASTS });
-    let calm_for = LASTS + 8 * SECOND;
-    Plan { faults: 0, calm_for, servers_agree: false, outage, ..Plan::new(9, cores, losses) }
+    let outage = Some(Outage { victim, kind, duration: DURATION });
+    let fault_free_for = DURATION + 8 * SECOND;
+    Plan { faults: 0, fault_free_for, servers_agree: false, outage, ..Plan::new(9, cores, losses) }
 }
 
 fn seeds() -> std::ops::Range<u64> {
@@ -37,12 +37,12 @@
 }
 
 /// Plays each kind of outage of a victim once for each seed.
-fn play(cores: usize, losses: usize, victim: Victim) -> Result<()> {
+fn run(cores: usize, losses: usize, victim: Victim) -> Result<()> {
     for kind in OUTAGE_KINDS {
         let mut total = Report::default();
         let mut failures = Vec::new();
         for seed in seeds() {
-            let report = World::new(plan(cores, losses, victim, kind), seed).play();
+            let report = World::new(plan(cores, losses, victim, kind), seed).run();
             if let Some(violation) = &report.violation {
                 failures.push(format!("seed {seed}: {violation}"));
             }
@@ -55,84 +55,84 @@
             total.refused,
             total.orders,
             total.unclear,
-            total.others_after / MS,
-            total.answers_after / MS,
-            total.applied_after / MS,
+            total.others_answer_after / MS,
+            total.victims_answer_after / MS,
+            total.victims_apply_after / MS,
         );
         expect_that!(failures, is_empty(), "{victim:?} {kind:?}");
-        expect_that!(total.others_after, lt(4 * SECOND), "{victim:?} {kind:?}");
-        expect_that!(total.answers_after, lt(2 * SECOND), "{victim:?} {kind:?}");
-        expect_that!(total.applied_after, lt(3 * SECOND), "{victim:?} {kind:?}");
+        expect_that!(total.others_answer_after, lt(4 * SECOND), "{victim:?} {kind:?}");
+        expect_that!(total.victims_answer_after, lt(2 * SECOND), "{victim:?} {kind:?}");
+        expect_that!(total.victims_apply_after, lt(3 * SECOND), "{victim:?} {kind:?}");
     }
     Ok(())
 }
 
 #[gtest]
 fn the_primary_is_partitioned_or_frozen() -> Result<()> {
-    play(3, 1, Victim::Primary)
+    run(3, 1, Victim::Primary)
 }
 
 #[gtest]
 fn the_primary_of_nine_core_machines_is_partitioned_or_frozen() -> Result<()> {
-    play(9, 2, Victim::Primary)
+    run(9, 2, Victim::Primary)
 }
 
 #[gtest]
 fn the_zone_of_the_primary_of_nine_core_machines_is_partitioned_or_frozen() -> Result<()> {
-    play(9, 2, Victim::ZoneOfPrimary)
+    run(9, 2, Victim::ZoneOfPrimary)
 }
 
 #[gtest]
 fn the_zone_of_the_primary_is_partitioned_or_frozen() -> Result<()> {
-    play(3, 1, Victim::ZoneOfPrimary)
+    run(3, 1, Victim::ZoneOfPrimary)
 }
 
 #[gtest]
 fn another_core_machine_is_partitioned_or_frozen() -> Result<()> {
-    play(3, 1, Victim::OtherCore)
+    run(3, 1, Victim::OtherCore)
 }
 
 #[gtest]
 fn a_machine_without_a_disk_is_partitioned_or_frozen() -> Result<()> {
-    play(3, 1, Victim::WithoutDisk)
+    run(3, 1, Victim::WithoutDisk)
 }
 
 /// The core is cut into halves, whatever may be lost at once; all other machines, servers and callers reach both. An odd
 /// core goes on in its larger part, an even one rests; nobody says anything clear that is old.
 #[gtest]
 fn the_core_is_split_in_halves() -> Result<()> {
-    const LASTS: Micros = 8 * SECOND;
+    const DURATION: Micros = 8 * SECOND;
     for (cores, losses) in [(3, 1), (4, 1), (5, 2), (8, 2)] {
         for victim in [Victim::HalfWithPrimary, Victim::HalfWithoutPrimary] {
             let whole = plan(cores, losses, victim, OutageKind::PartitionFromCore);
-            let outage = Some(Outage { victim, kind: OutageKind::PartitionFromCore, lasts: LASTS });
-            let halves = Plan { outage, calm_for: LASTS + 8 * SECOND, ..whole };
+            let outage = Some(Outage { victim, kind: OutageKind::PartitionFromCore, duration: DURATION });
+            let halves = Plan { outage, fault_free_for: DURATION + 8 * SECOND, ..whole };
             let mut total = Report::default();
             for seed in seeds() {
-                let report = World::new(halves.clone(), seed).play();
+                let report = World::new(halves.clone(), seed).run();
                 expect_that!(report.violation, none(), "{cores} cores, {victim:?}, seed {seed}");
                 total.add(&report);
             }
             // A core of even size has no primary until the halves are connected again.
-            let rests = if cores % 2 == 0 { LASTS } else { 0 };
-            expect_that!(total.others_after, lt(rests + 4 * SECOND), "{cores} cores, {victim:?}");
-            expect_that!(total.answers_after, lt(4 * SECOND), "{cores} cores, {victim:?}");
-            expect_that!(total.applied_after, lt(4 * SECOND), "{cores} cores, {victim:?}");
+            let rests = if cores % 2 == 0 { DURATION } else { 0 };
+            expect_that!(total.others_answer_after, lt(rests + 4 * SECOND), "{cores} cores, {victim:?}");
+            expect_that!(total.victims_answer_after, lt(4 * SECOND), "{cores} cores, {victim:?}");
+            expect_that!(total.victims_apply_after, lt(4 * SECOND), "{cores} cores, {victim:?}");
         }
     }
     Ok(())
 }
 
-/// On some days the share of a core is a quota: a process runs for 10 ms of each 100 ms. Nothing is lost by that: each call
-/// is answered, no lease runs out, and no member or server is taken for lost.
+/// On some days the share of a core is a quota: a process runs for 10 ms of each 100 ms. Nothing is lost by that: each
+/// call is answered, no lease runs out, and no member or server is taken for lost.
 #[gtest]
 fn a_core_quota_costs_no_primary_and_no_answer() -> Result<()> {
     for (nodes, cores, losses) in [(9, 3, 1), (9, 9, 2)] {
-        let outage = Some(Outage { victim: Victim::All, kind: OutageKind::Throttled, lasts: LASTS });
+        let outage = Some(Outage { victim: Victim::All, kind: OutageKind::Throttled, duration: DURATION });
         let throttled = Plan { nodes, outage, ..plan(cores, losses, Victim::All, OutageKind::Throttled) };
         let mut total = Report::default();
         for seed in seeds() {
-            let report = World::new(throttled.clone(), seed).play();
+            let report = World::new(throttled.clone(), seed).run();
             expect_that!(report.violation, none(), "{cores} cores, seed {seed}");
             expect_that!(report.highest_epoch, eq(1), "{cores} cores, seed {seed}: no other primary");
             total.add(&report);
@@ -140,7 +140,7 @@
         println!("{cores} cores throttled: {total:?}");
         expect_that!(total.unclear, eq(0), "{cores} cores");
         expect_that!(total.acknowledged, gt(0));
-        expect_that!(total.others_after, lt(SECOND));
+        expect_that!(total.others_answer_after, lt(SECOND));
     }
     Ok(())
 }
@@ -149,11 +149,11 @@
 #[gtest]
 fn the_zone_of_the_primary_of_seventy_eight_nodes_is_partitioned() -> Result<()> {
     let cut = plan(8, 2, Victim::ZoneOfPrimary, OutageKind::Partition);
-    let report = World::new(Plan { nodes: 78, servers: 20, ..cut }, 3).play();
+    let report = World::new(Plan { nodes: 78, servers: 20, ..cut }, 3).run();
     verify_that!(report.violation, none())?;
-    expect_that!(report.others_after, lt(4 * SECOND));
-    expect_that!(report.answers_after, lt(2 * SECOND));
-    expect_that!(report.applied_after, lt(3 * SECOND));
+    expect_that!(report.others_answer_after, lt(4 * SECOND));
+    expect_that!(report.victims_answer_after, lt(2 * SECOND));
+    expect_that!(report.victims_apply_after, lt(3 * SECOND));
     Ok(())
 }
 
@@ -164,6 +164,6 @@
         injected_fault: Some(InjectedFault::ReadsWithoutLease),
         ..plan(3, 1, Victim::Primary, OutageKind::Partition)
     };
-    let found = (0..SEEDS).find_map(|seed| World::new(flawed.clone(), seed).play().violation);
+    let found = (0..SEEDS).find_map(|seed| World::new(flawed.clone(), seed).run().violation);
     verify_that!(found, some(contains_substring("without contact")))
 }
--- a/controlplane/tests/regressions.rs
+++ b/controlplane/tests/regressions.rs
@@ -219,8 +219,8 @@
     steps.iter().any(done)
 }
 
-/// ONE: holders must not take turns within `leaseMs`. Observed: a node that takes over after another waits, but forgets the
-/// wait when it leads again under the next epoch, as it does when it changes the view, and orders at once.
+/// ONE: holders must not take turns within `leaseMs`. Observed: a node that takes over after another waits, but forgets
+/// the wait when it leads again under the next epoch, as it does when it changes the view, and orders at once.
 #[gtest]
 fn the_lease_of_another_primary_is_waited_for_across_a_view_change() -> Result<()> {
     let mut driver = RolloutDriver::new(1);
@@ -231,8 +231,8 @@
     verify_that!(ordered(&after_the_change).len() + ordered(&within_the_lease).len(), eq(0))
 }
 
-/// VERSION. Observed: a server that crashed while it loads keeps its place among those that load at once until it is given
-/// up 7 s later, though it has been known as lost for long.
+/// VERSION. Observed: a server that crashed while it loads keeps its place among those that load at once until it is
+/// given up 7 s later, though it has been known as lost for long.
 #[gtest]
 fn a_server_that_is_lost_while_it_loads_makes_room_for_another() -> Result<()> {
     let mut driver = RolloutDriver::new(3);
@@ -242,8 +242,8 @@
     verify_that!(ordered(&steps).iter().any(|server| &**server == "s1"), eq(true))
 }
 
-/// Prices fall on orders. Observed: a server whose report says that it holds the version is held back and ordered again and
-/// again until its next heartbeat, up to `beatEveryMs` later.
+/// Prices fall on orders. Observed: a server whose report says that it holds the version is held back and ordered again
+/// and again until its next heartbeat, up to `beatEveryMs` later.
 #[gtest]
 fn a_server_that_reported_the_version_is_not_ordered_again() -> Result<()> {
     let mut driver = RolloutDriver::new(1);
@@ -278,16 +278,17 @@
 
 fn first_violation(plan: &Plan, mut seeds: std::ops::Range<u64>) -> Option<String> {
     seeds.find_map(|seed| {
-        let violation = World::new(plan.clone(), seed).play().violation?;
+        let violation = World::new(plan.clone(), seed).run().violation?;
         Some(format!("seed {seed}: {violation}"))
     })
 }
 
-/// DEPLOY: seeds are any three machines that serve control. Observed: where none of them has a disk, no node without a disk
-/// ever learns of the view: core machines talk to members alone, and the founder does not remember what it founded.
+/// DEPLOY: seeds are any three machines that serve control. Observed: where none of them has a disk, no node without a
+/// disk ever learns of the view: core machines talk to members alone, and the founder does not remember what it
+/// founded.
 #[gtest]
 fn seeds_need_no_disk_at_the_first_start() -> Result<()> {
-    let plan = Plan { faults: 0, a_seed_has_a_disk: false, ..Plan::new(9, 3, 1) };
+    let plan = Plan { faults: 0, one_seed_has_a_disk: false, ..Plan::new(9, 3, 1) };
     verify_that!(first_violation(&plan, 0..10), none())
 }
 
@@ -315,8 +316,8 @@
     verify_that!(first_violation(&plan, 0..30), none())
 }
 
-/// The whole core loses power right after a server's end was acknowledged, and the server is gone as well: what is left is
-/// what the acknowledgement waited for.
+/// The whole core loses power right after a server's end was acknowledged, and the server is gone as well: what is left
+/// is what the acknowledgement waited for.
 #[gtest]
 fn an_acknowledged_drain_outlives_a_power_loss_of_the_whole_core() -> Result<()> {
     for (nodes, cores, losses) in [(9, 3, 1), (12, 8, 2)] {
@@ -329,7 +330,7 @@
         };
         let mut faults = 0;
         for seed in 0..25 {
-            let report = World::new(plan.clone(), seed).play();
+            let report = World::new(plan.clone(), seed).run();
             expect_that!(report.violation, none(), "{cores} cores, seed {seed}");
             faults += report.faults;
         }
--- a/controlplane/tests/response_matching.rs
+++ b/controlplane/tests/response_matching.rs
@@ -255,11 +255,11 @@
 fn each_call_gets_its_own_response_or_none() -> Result<()> {
     let mut answered = 0;
     for seed in 0..2_200 {
-        let mut play = Play::new(seed);
+        let mut run = Play::new(seed);
         for _ in 0..400 {
-            play.step().with_failure_message(|| format!("seed {seed}"))?;
+            run.step().with_failure_message(|| format!("seed {seed}"))?;
         }
-        answered += play.answered;
+        answered += run.answered;
     }
     verify_that!(answered, gt(100_000))
 }
--- a/controlplane/tests/session_table.rs
+++ b/controlplane/tests/session_table.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use common::{MS, SECOND, address, lone_gossip, publish, session_beat};
+use common::{MS, SECOND, address, lone_gossip, publish, session_heartbeat};
 use googletest::prelude::*;
 use gradepaddle_controlplane::Micros;
 use gradepaddle_controlplane::item_kinds::{self, SESSION};
@@ -33,7 +33,7 @@
         node: u8,
         incarnation: u64,
     ) -> std::result::Result<Option<Item>, StaleIncarnation> {
-        let item = self.table.heartbeat(now, &session_beat(node, incarnation), &self.gossip)?;
+        let item = self.table.heartbeat(now, &session_heartbeat(node, incarnation), &self.gossip)?;
         item.iter().for_each(|item| {
             publish(&mut self.gossip, item.clone());
         });
--- a/controlplane/tests/simulated_fleet.rs
+++ b/controlplane/tests/simulated_fleet.rs
@@ -14,11 +14,11 @@
 }
 
 /// Plays a plan once for each seed.
-fn play(plan: &Plan, usual: u64) -> Result<()> {
+fn run(plan: &Plan, usual: u64) -> Result<()> {
     let mut total = Report::default();
     let mut failures = Vec::new();
     for seed in seeds(usual) {
-        let report = World::new(plan.clone(), seed).play();
+        let report = World::new(plan.clone(), seed).run();
         if let Some(violation) = &report.violation {
             failures.push(format!("seed {seed}: {violation}"));
         }
@@ -31,54 +31,54 @@
     fail!("{} days of {plan:?} break a rule:\n{}", failures.len(), failures.join("\n"))
 }
 
-fn calm(nodes: usize, cores: usize, losses: usize) -> Plan {
+fn without_faults(nodes: usize, cores: usize, losses: usize) -> Plan {
     Plan { faults: 0, ..Plan::new(nodes, cores, losses) }
 }
 
 #[gtest]
-fn three_nodes_in_calm() -> Result<()> {
-    play(&calm(3, 3, 1), 20)
+fn three_nodes_without_faults() -> Result<()> {
+    run(&without_faults(3, 3, 1), 20)
 }
 
 #[gtest]
-fn nine_nodes_in_calm() -> Result<()> {
-    play(&calm(9, 3, 1), 20)
+fn nine_nodes_without_faults() -> Result<()> {
+    run(&without_faults(9, 3, 1), 20)
 }
 
 #[gtest]
 fn three_nodes_with_faults() -> Result<()> {
-    play(&Plan::new(3, 3, 1), 40)
+    run(&Plan::new(3, 3, 1), 40)
 }
 
 #[gtest]
 fn nine_nodes_with_faults() -> Result<()> {
-    play(&Plan::new(9, 3, 1), 60)
+    run(&Plan::new(9, 3, 1), 60)
 }
 
 #[gtest]
 fn nine_core_machines_with_faults() -> Result<()> {
-    play(&Plan::new(9, 9, 2), 20)
+    run(&Plan::new(9, 9, 2), 20)
 }
 
 #[gtest]
 fn nine_nodes_lose_power() -> Result<()> {
     let ending = Ending::PowerLoss { wiped: 0 };
-    play(&Plan { faults: 1, ending, ..Plan::new(9, 3, 1) }, 40)
+    run(&Plan { faults: 1, ending, ..Plan::new(9, 3, 1) }, 40)
 }
 
 #[gtest]
 fn nine_nodes_lose_power_and_a_disk() -> Result<()> {
     let ending = Ending::PowerLoss { wiped: 1 };
-    play(&Plan { faults: 1, ending, ..Plan::new(9, 3, 1) }, 40)
+    run(&Plan { faults: 1, ending, ..Plan::new(9, 3, 1) }, 40)
 }
 
 #[gtest]
 fn three_nodes_are_killed_together() -> Result<()> {
-    play(&Plan { faults: 1, ending: Ending::KillAll, ..Plan::new(3, 3, 1) }, 40)
+    run(&Plan { faults: 1, ending: Ending::KillAll, ..Plan::new(3, 3, 1) }, 40)
 }
 
 #[gtest]
 fn seventy_eight_nodes() -> Result<()> {
     let ending = Ending::PowerLoss { wiped: 2 };
-    play(&Plan { faults: 2, servers: 20, ending, ..Plan::new(78, 8, 2) }, 2)
+    run(&Plan { faults: 2, servers: 20, ending, ..Plan::new(78, 8, 2) }, 2)
 }
--- a/controlplane/tests/simulation/callers.rs
+++ b/controlplane/tests/simulation/callers.rs
@@ -1,8 +1,8 @@
-//! Calls from outside, and who makes them.
+//! The callers of the control API, and the outcomes of their calls.
 
 use gradepaddle_controlplane::api::Response;
 
-/// Who made a call; the attempt tells answers of earlier attempts apart.
+/// The caller of a call. `attempt` distinguishes the responses to repeated calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Caller {
     Server {
@@ -13,26 +13,26 @@
         index: usize,
         attempt: u64,
     },
-    /// Sends orders of before again, and reads, at any time.
+    /// Repeats earlier changes of operators, and reads the configuration, at any time.
     Resender {
         attempt: u64,
     },
-    /// Reads the configuration at the end through one machine.
+    /// Reads the configuration through one machine at the end of the run.
     Reader {
         machine: usize,
         attempt: u64,
     },
-    /// Reads the configuration at one machine in the course of an outage.
+    /// Reads the configuration at one machine during an outage.
     Prober {
         machine: usize,
         attempt: u64,
     },
 }
 
-/// What came of a call: an answer, or a connection that failed.
+/// The outcome of a call: its response, or `None` if the connection failed or the caller timed out.
 pub type Outcome = Option<Response>;
 
-/// Whether the answer is a success.
+/// True if the response is a success.
 pub fn success(outcome: &Outcome) -> bool {
     outcome.as_ref().is_some_and(|answer| (200..300).contains(&answer.status))
 }
--- a/controlplane/tests/simulation/clients.rs
+++ b/controlplane/tests/simulation/clients.rs
@@ -1,4 +1,4 @@
-//! Servers and operators: their calls, orders to servers, servers that come and go.
+//! Servers and operators: their calls, orders to servers, servers that start and end.
 
 use std::sync::Arc;
 
@@ -9,24 +9,24 @@
 use super::callers::{Caller, Outcome, success};
 use super::invariants::Check;
 use super::operator::{Conclusion, Task, body, identity, patch};
-use super::server::{CALL_WITHIN, Server, Stage};
+use super::server::{CALL_TIMEOUT, Server, Stage};
 use super::world::{Event, World};
 use super::{MS, Micros, SECOND};
 
-/// In so many of a hundred rounds two operators build on the same version at once.
-const RACES: u64 = 30;
+/// In this percentage of rounds two operators change the same version concurrently.
+const RACE_PERCENT: u64 = 30;
 
 impl World {
     pub fn add_server(&mut self, at: Micros) {
         let index = self.servers.len();
         let zone = index % 3;
         let mut server = Server::new(index, zone, at, &mut self.random);
-        server.version = self.record.newest_named().max(1);
+        server.version = self.record.newest_announced().max(1);
         self.servers.push(server);
         self.schedule(at, Event::Server(index));
     }
 
-    /// A server drains, crashes or comes.
+    /// A server drains or crashes, if enough servers are ready, and a new server starts.
     pub fn churn(&mut self) {
         let ready: Vec<usize> =
             (0..self.servers.len()).filter(|index| self.servers[*index].stage == Stage::Ready).collect();
@@ -45,25 +45,25 @@
     pub fn server_calls(&mut self, index: usize) {
         let now = self.now;
         let Some(call) = self.servers[index].call(now) else { return };
-        let (zone, kept) = (self.servers[index].zone, self.servers[index].calls);
+        let (zone, current) = (self.servers[index].zone, self.servers[index].calls);
         let listed = |one: &&super::machine::Machine| !one.removed && one.zone == zone;
         let candidates: Vec<usize> = self.machines.iter().filter(listed).map(|one| one.number).collect();
-        let Some(machine) = kept.or_else(|| self.random.choose(&candidates)) else { return };
+        let Some(machine) = current.or_else(|| self.random.choose(&candidates)) else { return };
         self.servers[index].calls = Some(machine);
         let caller = Caller::Server { index, attempt: self.servers[index].attempt };
         self.trace(|| format!("s-{index} ({:?}) calls node {machine}", self.servers[index].stage));
         self.call(machine, caller, call);
     }
 
-    /// Makes a call, which is over at the latest when the caller stops waiting.
+    /// Makes a call. It ends at the latest when the caller times out.
     pub fn call(&mut self, machine: usize, caller: Caller, call: Call) {
         self.pending.insert(caller);
         if let Some(histories) = &mut self.histories {
-            histories.asked(caller, &call);
+            histories.call_made(caller, &call);
         }
         let way = self.random.between(200, 2 * MS);
         self.schedule_in(way, Event::Call { machine, caller, call });
-        self.schedule_in(CALL_WITHIN, Event::CallOver { caller, outcome: None });
+        self.schedule_in(CALL_TIMEOUT, Event::CallOver { caller, outcome: None });
     }
 
     pub fn call_arrives(&mut self, number: usize, caller: Caller, call: Call) {
@@ -83,13 +83,13 @@
     pub fn answer(&mut self, number: usize, call_id: CallId, answer: Response) {
         let Some(process) = &mut self.machines[number].process else { return };
         let Some(caller) = process.callers.remove(&call_id) else {
-            return self.broken(format!(
-                "node {number} answers the call {call_id:?} twice, or one that was never made"
+            return self.report_violation(format!(
+                "node {number} responds to the call {call_id:?} a second time, or without such a call"
             ));
         };
         let answer = answer.at(process.clock(self.now));
         if !matches!(caller, Caller::Server { .. }) {
-            self.answer_leaves(number, answer.status);
+            self.check_response(number, answer.status);
         }
         let way = self.random.between(200, 2 * MS);
         if success(&Some(answer.clone())) {
@@ -98,10 +98,10 @@
         self.schedule_in(way, Event::CallOver { caller, outcome: Some(answer) });
     }
 
-    /// A node has acknowledged what a server said; the answer may be on its way for a moment.
+    /// A node has acknowledged that a server drains or leaves. The response may not have arrived yet.
     fn acknowledged_by(&mut self, number: usize, caller: Caller) {
         let Caller::Server { index, .. } = caller else { return };
-        if !self.pending.contains(&caller) || self.servers[index].said == Stage::Ready {
+        if !self.pending.contains(&caller) || self.servers[index].last_reported == Stage::Ready {
             return;
         }
         self.report.drains += 1;
@@ -117,7 +117,7 @@
         }
         self.trace(|| format!("{caller:?}: {:?}", outcome.as_ref().map(|answer| answer.status)));
         if let Some(histories) = &mut self.histories {
-            histories.answered(caller, &outcome);
+            histories.call_ended(caller, &outcome);
         }
         match caller {
             Caller::Resender { .. } => {}
@@ -143,11 +143,11 @@
         };
         let answer = match one.order(now, &order, &owner, &mut self.random) {
             Ok(answer) => answer,
-            Err(wrong) => return self.broken(format!("orders to {server}: {wrong}")),
+            Err(wrong) => return self.report_violation(format!("orders to {server}: {wrong}")),
         };
         self.trace(|| format!("node {machine} orders {server}: {answer:?}"));
         self.report.loads += u64::from(answer == OrderOutcome::InProgress);
-        // Some answers never come.
+        // Some responses are lost.
         let (way, answer) = match self.random.percent(4) {
             true => (1_500 * MS, OrderOutcome::Failed),
             false => (self.random.between(300, 3 * MS), answer),
@@ -160,9 +160,9 @@
             return;
         }
         if self.operators[index].task.is_none() {
-            let task = if index == 2 { self.name_weights() } else { self.next_configuration("a") };
+            let task = if index == 2 { self.announce_version() } else { self.next_configuration("a") };
             self.begin_task(index, task);
-            if index == 0 && self.random.percent(RACES) && self.operators[1].task.is_none() {
+            if index == 0 && self.random.percent(RACE_PERCENT) && self.operators[1].task.is_none() {
                 let rival = self.next_configuration("b");
                 self.begin_task(1, rival);
             }
@@ -188,15 +188,15 @@
         let length = if self.random.percent(50) { 5_000 } else { 40 };
         let number = self.random.next();
         let by = format!("{by}{number}");
-        // Patches build on something.
+        // A patch needs a configuration to apply to.
         if if_match > 0 && number.is_multiple_of(2) {
             return Task::Patch { if_match, version, patch: patch(version, &by) };
         }
         Task::Put { if_match, version, body: body(version, &by, length) }
     }
 
-    fn name_weights(&mut self) -> Task {
-        Task::Name { version: self.record.newest_named().max(1) + 1 }
+    fn announce_version(&mut self) -> Task {
+        Task::Announce { version: self.record.newest_announced().max(1) + 1 }
     }
 
     fn operator_calls(&mut self, index: usize) {
@@ -212,7 +212,7 @@
         let now = self.now;
         let clear = self.operators[index].answered(now, outcome);
         match clear {
-            Conclusion::Again(at) => return self.schedule(at, Event::Operator(index)),
+            Conclusion::RetryAt(at) => return self.schedule(at, Event::Operator(index)),
             Conclusion::Acknowledged(task) => self.acknowledged(task),
             Conclusion::Refused(task) => self.refused(index, task),
             Conclusion::Read(_) => {}
@@ -221,7 +221,7 @@
         if index == 2 {
             let next = self.random.between(6 * SECOND, 12 * SECOND);
             self.schedule_in(next, Event::Operator(2));
-        } else if idle && !self.ends_day_now() {
+        } else if idle && !self.start_awaited_final_fault() {
             let next = self.random.between(100 * MS, 2 * SECOND);
             self.schedule_in(next, Event::Operator(0));
         }
@@ -233,7 +233,9 @@
             Task::Put { if_match, version, body: sent } | Task::Patch { if_match, version, patch: sent } => {
                 self.operators[0].current = self.operators[0].current.max(version);
                 if let Some(other) = self.record.acknowledge(if_match, version, identity(&sent)) {
-                    self.broken(format!("{other} and {version} are acknowledged, both on top of {if_match}"));
+                    self.report_violation(format!(
+                        "both {other} and {version} are acknowledged as changes of {if_match}"
+                    ));
                 }
                 let check = Check::Applied { version, at: self.now };
                 self.schedule_in(2 * SECOND, Event::Check(check));
@@ -241,8 +243,8 @@
                     self.schedule_in(within, Event::Check(Check::Revoked { version }));
                 }
             }
-            Task::Name { version } => {
-                self.record.named.push(version);
+            Task::Announce { version } => {
+                self.record.announced_versions.push(version);
                 let check = Check::Loaded { version, at: self.now };
                 self.schedule_in(8 * SECOND, Event::Check(check));
             }
@@ -255,13 +257,15 @@
         let (Task::Put { if_match, version, body: sent } | Task::Patch { if_match, version, patch: sent }) =
             task
         else {
-            return self.broken(format!("the operator's {task:?} is refused"));
+            return self.report_violation(format!("the operator's {task:?} is rejected"));
         };
         self.record.refused.insert(identity(&sent));
         let race_lost = self.record.acknowledged_on(if_match).is_some();
         let race_open = self.operators[1 - index].task.is_some();
         if !race_lost && !race_open {
-            self.broken(format!("configuration {version} on top of {if_match} is refused without a rival"));
+            self.report_violation(format!(
+                "configuration {version} on top of {if_match} is rejected without a concurrent change"
+            ));
         }
     }
 }
--- a/controlplane/tests/simulation/disk.rs
+++ b/controlplane/tests/simulation/disk.rs
@@ -1,4 +1,4 @@
-//! A disk as the store presents it: writes in order, each complete or absent.
+//! A disk with the guarantees of the store: writes are ordered, and each is durable either completely or not at all.
 
 use std::collections::VecDeque;
 
@@ -10,53 +10,59 @@
 /// The disk of a core machine.
 #[derive(Debug)]
 pub struct Disk {
-    kept: RecoveredState,
-    under_way: VecDeque<(WriteId, Vec<Record>)>,
-    /// It refuses every write.
+    durable: RecoveredState,
+    pending_writes: VecDeque<(WriteId, Vec<Record>)>,
+    /// Every write fails.
     pub full: bool,
-    /// No write ends before.
+    /// No write completes before this time.
     pub hangs_until: Micros,
-    /// When the last write asked for ends.
+    /// When the last pending write completes.
     busy_until: Micros,
 }
 
 impl Disk {
     pub fn empty(id: u64) -> Disk {
-        let kept = RecoveredState::empty(ReplicaId(id));
-        Disk { kept, under_way: VecDeque::new(), full: false, hangs_until: 0, busy_until: 0 }
+        let durable = RecoveredState::empty(ReplicaId(id));
+        Disk { durable, pending_writes: VecDeque::new(), full: false, hangs_until: 0, busy_until: 0 }
     }
 
-    /// What a replica that starts now finds.
+    /// The state that a replica recovers if it starts now.
     pub fn recovered(&self) -> RecoveredState {
-        self.kept.clone()
+        self.durable.clone()
     }
 
-    /// Begins a write; gives the time at which it ends.
-    pub fn begin(&mut self, now: Micros, takes: Micros, write_id: WriteId, records: Vec<Record>) -> Micros {
-        self.under_way.push_back((write_id, records));
-        self.busy_until = self.busy_until.max(now).max(self.hangs_until) + takes;
+    /// Begins a write and returns the time at which it completes.
+    pub fn begin(
+        &mut self,
+        now: Micros,
+        duration: Micros,
+        write_id: WriteId,
+        records: Vec<Record>,
+    ) -> Micros {
+        self.pending_writes.push_back((write_id, records));
+        self.busy_until = self.busy_until.max(now).max(self.hangs_until) + duration;
         self.busy_until
     }
 
-    /// Ends the oldest write; says whether it is durable.
+    /// Completes the oldest write. Returns its id and whether it is durable.
     pub fn finish(&mut self) -> Option<(WriteId, bool)> {
-        let (write_id, records) = self.under_way.pop_front()?;
+        let (write_id, records) = self.pending_writes.pop_front()?;
         if !self.full {
             self.keep(records);
         }
         Some((write_id, !self.full))
     }
 
-    /// The process or the power is gone: of what is under way, some first part is found later.
+    /// The process ends or the machine loses power: a random prefix of the pending writes becomes durable.
     pub fn crash(&mut self, random: &mut Random) {
-        let found = if self.full { 0 } else { random.below(self.under_way.len() + 1) };
+        let found = if self.full { 0 } else { random.below(self.pending_writes.len() + 1) };
         let writes: Vec<Vec<Record>> =
-            self.under_way.drain(..).take(found).map(|(_, records)| records).collect();
+            self.pending_writes.drain(..).take(found).map(|(_, records)| records).collect();
         writes.into_iter().for_each(|records| self.keep(records));
         self.busy_until = 0;
     }
 
     fn keep(&mut self, records: Vec<Record>) {
-        records.into_iter().for_each(|record| self.kept.apply(record));
+        records.into_iter().for_each(|record| self.durable.apply(record));
     }
 }
--- a/controlplane/tests/simulation/faults.rs
+++ b/controlplane/tests/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong, within what the fleet has to survive, and how it is mended.
+//! Injected faults, within the number that the fleet has to tolerate, and their repair.
 
 use gradepaddle_controlplane::node::Input;
 
@@ -8,50 +8,50 @@
 use super::world::{Event, World};
 use super::{MS, Micros, SECOND};
 
-/// A machine that came back counts as lost for so much longer.
+/// A machine that is repaired still counts as lost for this long.
 const CATCH_UP: Micros = 4 * SECOND;
-/// Calls of operators that were open are over after this, and what came of them.
-const CALLS_END: Micros = 5 * SECOND;
-/// What is read at the end is read within this.
-const READS: Micros = 1_500 * MS;
-/// Kinds of faults.
+/// Calls of operators that are pending have ended after this time, and so have the checks that follow from them.
+const OPEN_CALLS_DURATION: Micros = 5 * SECOND;
+/// The reads at the end of a run are done within this time.
+const READ_DURATION: Micros = 1_500 * MS;
+/// The number of kinds of faults.
 const KINDS: usize = 12;
 
-/// What ends a fault.
+/// A step that ends a fault or the run.
 #[derive(Clone, Debug)]
 pub enum Repair {
     Links,
     Disk(usize),
-    /// A process that was shutting down has exited.
+    /// A process that was shutting down exits, and starts again after `back_in`.
     Ended {
         machine: usize,
         back_in: Micros,
     },
-    /// All is over but for the end of the day.
-    Last,
-    /// The last fault.
+    /// All faults before the end of the run have been repaired.
+    FaultsOver,
+    /// The final fault begins.
     Final,
 }
 
 impl World {
-    /// The next fault, or the end of the day.
+    /// Injects the next fault, or starts the end of the run.
     pub fn fault(&mut self) {
         if self.plan.faults == 0 {
-            let rest = if self.report.faults == 0 { self.plan.calm_for } else { 9 * SECOND };
-            return self.schedule_in(rest, Event::Repair(Repair::Last));
+            let rest = if self.report.faults == 0 { self.plan.fault_free_for } else { 9 * SECOND };
+            return self.schedule_in(rest, Event::Repair(Repair::FaultsOver));
         }
         let kind = self.random.below(KINDS);
-        let over = self.inject(kind);
-        self.trace(|| format!("fault {kind}: {over:?}"));
-        let Some(over) = over else { return self.schedule_in(300 * MS, Event::Fault) };
+        let ends_in = self.inject(kind);
+        self.trace(|| format!("fault {kind}: {ends_in:?}"));
+        let Some(ends_in) = ends_in else { return self.schedule_in(300 * MS, Event::Fault) };
         self.plan.faults -= 1;
         self.report.faults += 1;
         let next = self.random.between(300 * MS, 6 * SECOND);
-        let next = if self.plan.faults == 0 { over + CATCH_UP } else { next };
+        let next = if self.plan.faults == 0 { ends_in + CATCH_UP } else { next };
         self.schedule_in(next, Event::Fault);
     }
 
-    /// Brings about a fault; gives how long it lasts, or nothing if it would be too much now.
+    /// Injects a fault and returns how long it lasts; `None` if it would exceed the tolerated number of losses now.
     fn inject(&mut self, kind: usize) -> Option<Micros> {
         let down = self.random.between(200 * MS, 3 * SECOND);
         match kind {
@@ -70,10 +70,13 @@
         }
     }
 
-    /// How many core machines may still be lost.
+    /// The number of core machines that may still be lost at once.
     fn may_lose(&self) -> usize {
         let from = self.now.saturating_sub(CATCH_UP);
-        let lost = self.machines.iter().filter(|one| one.core && !one.removed && !one.calm(from, self.now));
+        let lost = self
+            .machines
+            .iter()
+            .filter(|one| one.core && !one.removed && !one.without_faults(from, self.now));
         self.plan.losses.saturating_sub(lost.count())
     }
 
@@ -92,12 +95,12 @@
         self.machines.iter().find(leads).map(|one| one.number)
     }
 
-    /// Ends a process or takes a machine's power, and brings it back.
+    /// Kills a process or cuts the power of its machine, and starts it again later.
     fn lose(&mut self, number: usize, down: Micros) {
         let silently = self.random.percent(50);
         self.stop(number, silently);
         let now = self.now;
-        self.machines[number].note_fault(now, now + down);
+        self.machines[number].record_fault(now, now + down);
         self.schedule_in(down, Event::Start(number));
     }
 
@@ -131,8 +134,8 @@
         let (now, zone, core) = (self.now, self.machines[number].zone, self.machines[number].core);
         let fresh = self.add_machine(zone, core);
         self.machines[number].removed = true;
-        self.machines[number].note_fault(now, now + down);
-        self.machines[fresh].note_fault(now, now + down);
+        self.machines[number].record_fault(now, now + down);
+        self.machines[fresh].record_fault(now, now + down);
         self.schedule_in(down, Event::Start(fresh));
         Some(down)
     }
@@ -143,34 +146,35 @@
         Some(down)
     }
 
-    /// Cuts off a zone, or a single machine.
+    /// Partitions a zone, or a single machine.
     fn partition_some(&mut self, down: Micros) -> Option<Micros> {
         let zone = self.random.below(6);
-        let mut apart: Vec<usize> = self
+        let mut isolated: Vec<usize> = self
             .machines
             .iter()
             .filter(|one| one.zone == zone && !one.removed)
             .map(|one| one.number)
             .collect();
-        if apart.is_empty() {
-            apart = vec![self.pick_running()?];
+        if isolated.is_empty() {
+            isolated = vec![self.pick_running()?];
         }
-        self.partition(apart, down);
+        self.partition(isolated, down);
         Some(down)
     }
 
-    fn partition(&mut self, apart: Vec<usize>, down: Micros) {
+    fn partition(&mut self, isolated: Vec<usize>, down: Micros) {
         let now = self.now;
-        let others: Vec<usize> = (0..self.machines.len()).filter(|number| !apart.contains(number)).collect();
+        let others: Vec<usize> =
+            (0..self.machines.len()).filter(|number| !isolated.contains(number)).collect();
         let way = self.random.below(4);
         if way != 0 {
-            self.network.cut(&apart, &others);
+            self.network.cut(&isolated, &others);
         }
         if way != 1 {
-            self.network.cut(&others, &apart);
+            self.network.cut(&others, &isolated);
         }
-        for number in apart {
-            self.machines[number].note_fault(now, now + down);
+        for number in isolated {
+            self.machines[number].record_fault(now, now + down);
         }
         self.record.links.push((now, now + down));
         self.schedule_in(down, Event::Repair(Repair::Links));
@@ -180,7 +184,7 @@
         let number = self.pick_running()?;
         let now = self.now;
         self.machines[number].frozen_until = now + down;
-        self.machines[number].note_fault(now, now + down);
+        self.machines[number].record_fault(now, now + down);
         Some(down)
     }
 
@@ -194,17 +198,17 @@
         } else {
             machine.disk.hangs_until = now + down;
         }
-        machine.note_fault(now, now + down);
+        machine.record_fault(now, now + down);
         self.schedule_in(down, Event::Repair(Repair::Disk(number)));
         Some(down)
     }
 
-    /// SIGTERM, the end, and the next start.
+    /// Sends SIGTERM to a process, which exits and is started again.
     fn restart_gracefully(&mut self) -> Option<Micros> {
         let number = self.pick_running()?;
         let now = self.now;
         let (ends_in, back_in) = (2_700 * MS, 500 * MS);
-        self.machines[number].note_fault(now, now + ends_in + back_in);
+        self.machines[number].record_fault(now, now + ends_in + back_in);
         self.step(number, Input::ShutDown);
         self.schedule_in(ends_in, Event::Repair(Repair::Ended { machine: number, back_in }));
         Some(ends_in + back_in)
@@ -236,8 +240,8 @@
         Some(down)
     }
 
-    /// All machines with a disk lose power at once, together with the server whose end was just acknowledged: nobody else
-    /// can say again what it said.
+    /// All machines with a disk lose power at once, and the server whose draining or leaving was just acknowledged
+    /// crashes, so it can't repeat its call.
     pub fn lose_core_after_drain(&mut self, server: usize) {
         if !self.plan.core_loses_power_after_drain || self.report.faults > 0 {
             return;
@@ -250,7 +254,7 @@
         for number in cores {
             let down = self.random.between(300 * MS, 3 * SECOND);
             self.stop(number, true);
-            self.machines[number].note_fault(now, now + down);
+            self.machines[number].record_fault(now, now + down);
             self.schedule_in(down, Event::Start(number));
         }
         for later in [2, 5, 9] {
@@ -258,7 +262,7 @@
         }
     }
 
-    /// The node that acknowledged something is lost right after, at times.
+    /// With some probability, the node that acknowledged a call is lost right after it.
     pub fn lose_after_acknowledging(&mut self, number: usize) {
         let fit = !self.machines[number].core || self.may_lose() > 0;
         if self.plan.faults > 0 && fit && self.random.percent(20) {
@@ -279,24 +283,24 @@
                 self.stop(machine, false);
                 self.schedule_in(back_in, Event::Start(machine));
             }
-            Repair::Last => self.last(),
+            Repair::FaultsOver => self.finish_faults(),
             Repair::Final => self.final_fault(),
         }
     }
 
-    /// All faults are over; what remains is the end of the run.
-    fn last(&mut self) {
+    /// All faults are over: starts the end of the run.
+    fn finish_faults(&mut self) {
         match self.plan.ending {
-            // Calls that are still open end first.
-            Ending::Calm => self.settle(CALLS_END + READS),
-            // The last fault comes right after the next acknowledgement.
-            _ => self.record.awaits_final = true,
+            // Calls that are still pending end first.
+            Ending::WithoutFaults => self.settle(OPEN_CALLS_DURATION + READ_DURATION),
+            // The final fault follows the next acknowledgment.
+            _ => self.record.awaits_final_fault = true,
         }
     }
 
-    /// After an acknowledgement: true if the last fault follows.
-    pub fn ends_day_now(&mut self) -> bool {
-        if !self.record.awaits_final || self.record.final_fault {
+    /// Called after a concluded task: schedules the final fault if it is awaited. Returns true if it does.
+    pub fn start_awaited_final_fault(&mut self) -> bool {
+        if !self.record.awaits_final_fault || self.record.final_fault {
             return false;
         }
         self.record.final_fault = true;
@@ -322,15 +326,15 @@
         self.settle(back + 300 * MS + 6 * SECOND);
     }
 
-    /// Reads back through all nodes and looks at everything after this long.
+    /// After this time, reads the configuration through all nodes, checks the final state and ends the run.
     fn settle(&mut self, span: Micros) {
         self.record.final_fault = true;
         for machine in
             self.machines.iter().filter(|one| !one.removed).map(|one| one.number).collect::<Vec<_>>()
         {
-            self.schedule_in(span - READS, Event::Read { machine });
+            self.schedule_in(span - READ_DURATION, Event::Read { machine });
         }
         self.schedule_in(span, Event::Check(Check::Settled));
-        self.schedule_in(span + MS, Event::Over);
+        self.schedule_in(span + MS, Event::End);
     }
 }
--- a/controlplane/tests/simulation/invariants.rs
+++ b/controlplane/tests/simulation/invariants.rs
@@ -1,4 +1,4 @@
-//! The rules, as far as they are seen from outside.
+//! The invariants that can be checked from outside the nodes.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::net::SocketAddrV4;
@@ -16,54 +16,55 @@
 use super::world::{Event, World};
 use super::{CONNECT_TIME, MS, Micros, SECOND};
 
-/// All nodes know what became of a server after this.
+/// All nodes know the state of a server after this time.
 const KNOWN_AFTER: Micros = 9 * SECOND;
 
-/// The id of calls for the status, which no caller waits for.
+/// The id of status calls that the checks make; they have no caller.
 const STATUS_CALL: CallId = CallId(u64::MAX);
 
-/// A rule to look at in time.
+/// An invariant that is checked at a scheduled time.
 #[derive(Clone, Copy, Debug)]
 pub enum Check {
-    /// There is one primary.
+    /// There is exactly one primary.
     Bootstrapped,
-    /// All nodes know all nodes.
+    /// Each node knows all nodes as members.
     Members,
-    /// A configuration that was acknowledged then is in force at all connected machines.
+    /// A configuration that was acknowledged at `at` is in force at all connected machines.
     Applied { version: u64, at: Micros },
-    /// What an operator began then has a clear answer.
+    /// The task that an operator began at `begun` has a conclusive response.
     Answered { operator: usize, begun: Micros },
-    /// All connected machines know that a server takes no new requests.
+    /// All connected machines know that a server takes no new requests; `by` acknowledged this at `at`.
     Drained { server: usize, by: usize, at: Micros },
-    /// No node takes a server for ready whose end was acknowledged before the whole core lost power.
+    /// No node considers a server ready if its draining or leaving was acknowledged before the whole core lost power.
     DrainKept { server: usize },
-    /// A model version that was announced then is loaded.
+    /// A model version that was announced at `at` is loaded by all servers.
     Loaded { version: u64, at: Micros },
-    /// No node accepts keys of an older version, connected or not.
+    /// No node accepts keys of an older configuration, whether it is connected or not.
     Revoked { version: u64 },
-    /// After the last fault everything has converged.
+    /// After the final fault all nodes have converged.
     Settled,
 }
 
-/// What was said and seen.
+/// The changes that operators sent, their outcomes, and the configurations that nodes applied.
 #[derive(Debug, Default)]
 pub struct Record {
     pub sent: HashSet<Arc<[u8]>>,
     pub refused: HashSet<Arc<[u8]>>,
-    pub named: Vec<u64>,
-    /// The last fault has come: operators say nothing new.
+    pub announced_versions: Vec<u64>,
+    /// The final fault has begun: operators start no new tasks.
     pub final_fault: bool,
-    /// The last fault comes after the next acknowledgement.
-    pub awaits_final: bool,
-    /// Spans of network faults.
+    /// The final fault begins after the next acknowledgment.
+    pub awaits_final_fault: bool,
+    /// The times during which there were network faults.
     pub links: Vec<(Micros, Micros)>,
     pub read: BTreeMap<usize, Arc<[u8]>>,
     acknowledged: BTreeMap<u64, (u64, Arc<[u8]>)>,
-    seen: HashSet<Arc<[u8]>>,
+    applied_configurations: HashSet<Arc<[u8]>>,
 }
 
 impl Record {
-    /// Notes an acknowledged configuration; gives another one that was acknowledged on top of the same version.
+    /// Records an acknowledged configuration. Returns the version of another one that was acknowledged on top of the same
+    /// version, if any.
     pub fn acknowledge(&mut self, if_match: u64, version: u64, body: Arc<[u8]>) -> Option<u64> {
         self.acknowledged.insert(if_match, (version, body)).map(|(other, _)| other)
     }
@@ -77,13 +78,13 @@
         self.acknowledged.values().max_by_key(|(version, _)| *version).cloned()
     }
 
-    pub fn newest_named(&self) -> u64 {
-        self.named.iter().copied().max().unwrap_or(0)
+    pub fn newest_announced(&self) -> u64 {
+        self.announced_versions.iter().copied().max().unwrap_or(0)
     }
 
-    /// A node puts this in force.
-    pub fn in_force(&mut self, body: &Arc<[u8]>) {
-        self.seen.insert(identity(body));
+    /// Records that a node has applied this configuration.
+    pub fn record_applied_configuration(&mut self, body: &Arc<[u8]>) {
+        self.applied_configurations.insert(identity(body));
     }
 
     pub fn network_without_faults(&self, from: Micros, until: Micros) -> bool {
@@ -107,19 +108,19 @@
         if applies {
             self.report.checked += 1;
         } else {
-            self.report.passed_over += 1;
+            self.report.not_applicable += 1;
         }
     }
 
-    /// Whether core and network were without faults, and connected from the first time on.
+    /// True if the core and the network had no faults from [`CONNECT_TIME`] before `from` until `until`.
     fn core_without_faults(&self, from: Micros, until: Micros) -> bool {
         let from = from.saturating_sub(CONNECT_TIME);
         let cores = self.machines.iter().filter(|machine| machine.core);
-        cores.into_iter().all(|machine| machine.calm(from, until))
+        cores.into_iter().all(|machine| machine.without_faults(from, until))
             && self.record.network_without_faults(from, until)
     }
 
-    /// Machines that were connected from the first time on.
+    /// The running machines that have been connected since `from`.
     fn connected(&self, from: Micros) -> Vec<usize> {
         let up = self.machines.iter().filter(|machine| machine.up());
         up.filter(|machine| machine.connected(from, self.now)).map(|machine| machine.number).collect()
@@ -128,7 +129,7 @@
     fn check_bootstrapped(&mut self) -> bool {
         let leaders = self.machines.iter().filter_map(|one| one.process.as_ref()?.observed.leading);
         if leaders.count() != 1 {
-            self.broken("the system is not founded".to_owned());
+            self.report_violation("there is not exactly one primary after the bootstrap".to_owned());
         }
         true
     }
@@ -144,8 +145,8 @@
             known.retain(|address| addresses.contains(address) || !self.may_be_a_stale_member(*address));
             if known != addresses || !process.observed.connected {
                 let (known, connected) = (known.len(), process.observed.connected);
-                self.broken(format!(
-                    "node {number} knows {known} of {} nodes, in touch: {connected}",
+                self.report_violation(format!(
+                    "node {number} knows {known} of {} nodes, connected: {connected}",
                     up.len()
                 ));
             }
@@ -153,17 +154,18 @@
         true
     }
 
-    /// A node that is gone for good stays a member at present if its session's holder started anew: see `found.rs`.
+    /// Without `Plan::strict`, tolerates that a removed node stays a member after the control balancer of its session has
+    /// restarted (`a_restarted_control_balancer_expires_sessions_of_its_earlier_process` in `regressions.rs`).
     fn may_be_a_stale_member(&self, address: SocketAddrV4) -> bool {
         !self.plan.strict && self.machines.iter().any(|one| one.address == address && one.removed)
     }
 
     pub fn configuration_of(&self, number: usize) -> u64 {
-        let told = self.machines[number]
+        let applied = self.machines[number]
             .process
             .as_ref()
             .and_then(|process| process.observed.configuration.as_ref());
-        told.map_or(0, |(version, _)| *version)
+        applied.map_or(0, |(version, _)| *version)
     }
 
     fn check_applied(&mut self, version: u64, at: Micros) -> bool {
@@ -173,8 +175,8 @@
         for number in self.connected(at) {
             let has = self.configuration_of(number);
             if has < version {
-                self.broken(format!(
-                    "node {number} has configuration {has}, not {version} of {} ms",
+                self.report_violation(format!(
+                    "node {number} has configuration {has}, not {version}, acknowledged at {} ms",
                     at / MS
                 ));
             }
@@ -186,10 +188,10 @@
         for number in self.up() {
             let has = self.configuration_of(number);
             let Some(process) = &self.machines[number].process else { continue };
-            let acts = process.observed.keys_until > process.clock(self.now);
-            if acts && has < version {
-                self.broken(format!(
-                    "node {number} acts on keys of {has}, though {version} was acknowledged"
+            let accepts_keys = process.observed.keys_until > process.clock(self.now);
+            if accepts_keys && has < version {
+                self.report_violation(format!(
+                    "node {number} accepts keys of {has}, though {version} was acknowledged"
                 ));
             }
         }
@@ -208,14 +210,14 @@
                 }
                 other => format!("{other:?}"),
             };
-            self.broken(format!("{task} of {} ms has no clear answer", begun / MS));
+            self.report_violation(format!("{task}, begun at {} ms, has no conclusive response", begun / MS));
         }
         true
     }
 
     fn check_drained(&mut self, server: usize, by: usize, at: Micros) -> bool {
         let from = at.saturating_sub(CONNECT_TIME);
-        if !self.machines[by].calm(from, at.saturating_sub(1))
+        if !self.machines[by].without_faults(from, at.saturating_sub(1))
             || !self.record.network_without_faults(from, self.now)
         {
             return false;
@@ -224,8 +226,8 @@
         for number in self.connected(at) {
             let Some(process) = &self.machines[number].process else { continue };
             if process.observed.servers.get(&id) == Some(&ServerState::Ready) {
-                self.broken(format!(
-                    "node {number} calls {id} ready, whose end {by} acknowledged at {} ms",
+                self.report_violation(format!(
+                    "node {number} considers {id} ready, though node {by} acknowledged its end at {} ms",
                     at / MS
                 ));
             }
@@ -238,7 +240,9 @@
         for number in self.up() {
             let Some(process) = &self.machines[number].process else { continue };
             if process.observed.servers.get(&id) == Some(&ServerState::Ready) {
-                self.broken(format!("node {number} calls {id} ready, whose end was acknowledged"));
+                self.report_violation(format!(
+                    "node {number} considers {id} ready, though its end was acknowledged"
+                ));
             }
         }
         true
@@ -251,13 +255,16 @@
         let now = self.now;
         let mut behind = Vec::new();
         for server in &mut self.servers {
-            let takes_part = server.stage == Stage::Ready && server.since < at;
-            if takes_part && server.holds(now) < version {
+            let must_have_loaded = server.stage == Stage::Ready && server.since < at;
+            if must_have_loaded && server.loaded_version(now) < version {
                 behind.push(server.id.clone());
             }
         }
         if !behind.is_empty() {
-            self.broken(format!("{behind:?} don't hold version {version} of {} ms", at / MS));
+            self.report_violation(format!(
+                "{behind:?} have not loaded version {version}, announced at {} ms",
+                at / MS
+            ));
         }
         true
     }
@@ -280,18 +287,22 @@
             .map(|one| one.number)
             .collect();
         if leaders.len() != 1 {
-            let told: Vec<String> = self.up().into_iter().map(|number| self.status(number)).collect();
-            self.broken(format!("{leaders:?} lead\n{}", told.join("\n")));
+            let statuses: Vec<String> = self.up().into_iter().map(|number| self.status(number)).collect();
+            self.report_violation(format!(
+                "there is not exactly one primary: {leaders:?}\n{}",
+                statuses.join("\n")
+            ));
         }
     }
 
-    /// A server that crashes while it loads delays the others at present: see `found.rs`.
+    /// Without `Plan::strict`, tolerates that a server that crashes while it loads delays the others
+    /// (`a_server_that_is_lost_while_it_loads_makes_room_for_another` in `regressions.rs`).
     fn loading_may_be_delayed(&self, at: Micros) -> bool {
         let recently = |server: &&Server| server.crashed && server.since + KNOWN_AFTER > at;
         !self.plan.strict && self.servers.iter().any(|server| recently(&server))
     }
 
-    /// What a node says of itself.
+    /// The status of a node, as its control API returns it.
     fn status(&mut self, number: usize) -> String {
         let now = self.now;
         let Some(process) = &mut self.machines[number].process else { return String::new() };
@@ -304,39 +315,39 @@
         String::from_utf8_lossy(&answer.unwrap_or_default()).into_owned()
     }
 
-    /// What was read through each node is the newest, and all have it in force.
+    /// The configuration that was read through each node is the newest, and each node has applied it.
     fn check_read_back(&mut self) {
         let newest = self.record.newest().map_or(0, |(version, _)| version);
         let mut bodies: HashSet<Arc<[u8]>> = HashSet::new();
         for number in self.up() {
             let Some(body) = self.record.read.get(&number).cloned() else {
-                self.broken(format!("no configuration was read back through node {number}"));
+                self.report_violation(format!("no configuration was read through node {number}"));
                 return;
             };
             let (version, has) = (version_of(&body), self.configuration_of(number));
             if version < newest || has != version {
-                self.broken(format!(
-                    "{version} is read back through node {number}, which has {has}; {newest} was acknowledged"
+                self.report_violation(format!(
+                    "{version} is read through node {number}, which has applied {has}; {newest} was acknowledged"
                 ));
             }
             if !self.record.sent.contains(&identity(&body)) {
-                self.broken(format!("what is read back through node {number} was never sent"));
+                self.report_violation(format!("the configuration read through node {number} was never sent"));
             }
             bodies.insert(body);
         }
         if bodies.len() > 1 {
-            self.broken("different configurations are read back through different nodes".to_owned());
+            self.report_violation("different configurations are read through different nodes".to_owned());
         }
     }
 
-    /// Nothing that was refused ever came into force.
+    /// No rejected configuration was ever applied.
     fn check_in_force(&mut self) {
-        if let Some(identity) = self.record.seen.intersection(&self.record.refused).next() {
+        if let Some(identity) = self.record.applied_configurations.intersection(&self.record.refused).next() {
             let made = String::from_utf8_lossy(identity).into_owned();
-            self.broken(format!("configuration {made} was refused and came into force"));
+            self.report_violation(format!("configuration {made} was rejected and yet applied"));
         }
-        if self.record.seen.iter().any(|made| !self.record.sent.contains(made)) {
-            self.broken("a configuration came into force that was never sent".to_owned());
+        if self.record.applied_configurations.iter().any(|made| !self.record.sent.contains(made)) {
+            self.report_violation("a configuration was applied that was never sent".to_owned());
         }
     }
 
@@ -346,16 +357,16 @@
         for number in self.up() {
             let Some(process) = &self.machines[number].process else { continue };
             for server in self.servers.iter().filter(|server| server.since < settled) {
-                let told = process.observed.servers.get(&server.id).copied();
+                let state = process.observed.servers.get(&server.id).copied();
                 let fits = match server.stage {
-                    Stage::Ready => !self.plan.servers_agree || told == Some(ServerState::Ready),
-                    Stage::Ended => told != Some(ServerState::Ready) || self.may_be_overlooked(server),
+                    Stage::Ready => !self.plan.servers_agree || state == Some(ServerState::Ready),
+                    Stage::Ended => state != Some(ServerState::Ready) || self.may_be_overlooked(server),
                     _ => true,
                 };
                 if !fits {
-                    let heard_by = server.calls.map(|by| (by, self.machines[by].started_at()));
+                    let target = server.calls.map(|by| (by, self.machines[by].started_at()));
                     wrong.push(format!(
-                        "node {number} has {told:?} for {}, {:?} since {} ms and heard last by {heard_by:?}",
+                        "node {number} has {state:?} for {}, which is {:?} since {} ms and called last {target:?}",
                         server.id,
                         server.stage,
                         server.since / MS,
@@ -364,18 +375,20 @@
             }
         }
         if let Some(first) = wrong.first() {
-            self.broken(format!("{first} ({} in all)", wrong.len()));
+            self.report_violation(format!("{first} ({} in all)", wrong.len()));
         }
     }
 
-    /// A server that crashed while some machine had a fault is overlooked at present: see `found.rs`.
+    /// Without `Plan::strict`, tolerates that the crash of a server goes unnoticed if a machine had a fault at that time
+    /// (`a_node_that_restarted_watches_the_servers_that_called_it_before` in `regressions.rs`).
     fn may_be_overlooked(&self, server: &Server) -> bool {
-        let near =
-            |one: &Machine| !one.calm(server.since.saturating_sub(2 * SECOND), server.since + KNOWN_AFTER);
+        let near = |one: &Machine| {
+            !one.without_faults(server.since.saturating_sub(2 * SECOND), server.since + KNOWN_AFTER)
+        };
         server.crashed && !self.plan.strict && self.machines.iter().any(near)
     }
 
-    /// Reads the configuration through a node, until there is an answer.
+    /// Reads the configuration through a node. Repeated until there is a response.
     pub fn read(&mut self, machine: usize) {
         let attempt = self.now;
         self.call(machine, Caller::Reader { machine, attempt }, Call::Control(ControlCall::GetConfiguration));
--- a/controlplane/tests/simulation/machine.rs
+++ b/controlplane/tests/simulation/machine.rs
@@ -1,4 +1,4 @@
-//! A machine, and the process that may run on it.
+//! A machine, and the process that runs on it while it is up.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -21,16 +21,16 @@
 
 /// The zones.
 pub const ZONES: [&str; 3] = ["west", "middle", "east"];
-/// Servers say something this often.
+/// Interval between heartbeats of a server.
 pub const HEARTBEAT_INTERVAL: Micros = 1_200 * MS;
-/// Two holders of the driver must not take turns within this.
+/// The minimum time between orders of two different primaries to one server.
 pub const LEASE: Micros = 3 * SECOND;
-/// An announced model version has to be loaded within this.
-pub const VERSION_WITHIN: Micros = 8 * SECOND;
-/// Times of day start here.
+/// An announced model version has to be loaded within this time.
+pub const VERSION_TIMEOUT: Micros = 8 * SECOND;
+/// The time of day at the start of a run, in microseconds since the Unix epoch.
 const TIME_OF_DAY: Micros = 1_700_000_000 * SECOND;
 
-/// What the data plane of a process has learned.
+/// The state that a node has reported to its data plane.
 #[derive(Debug, Default)]
 pub struct Observed {
     pub configuration: Option<(u64, Arc<[u8]>)>,
@@ -38,7 +38,7 @@
     pub servers: BTreeMap<Arc<str>, ServerState>,
     pub leading: Option<u64>,
     pub connected: bool,
-    /// Until when it may act on keys, by its clock.
+    /// Until when the node may accept keys, by its own clock.
     pub keys_until: Micros,
 }
 
@@ -47,7 +47,7 @@
     pub node: Node,
     pub started: Micros,
     pub wake_at: Micros,
-    /// When it was last woken, and how often at that moment.
+    /// When the node was last woken; `wakes_now` counts the wakes at that time.
     pub woken: Micros,
     pub wakes_now: u32,
     pub callers: BTreeMap<CallId, Caller>,
@@ -57,12 +57,12 @@
 }
 
 impl Process {
-    /// Its steady clock.
+    /// The process's monotonic clock at the time `now` of the simulation.
     pub fn clock(&self, now: Micros) -> Micros {
         CLOCK_START + now - self.started
     }
 
-    /// The time at which its clock shows this.
+    /// The time of the simulation at which the process's clock shows `clock`.
     pub fn time_of(&self, clock: Micros) -> Micros {
         self.started + clock.saturating_sub(CLOCK_START)
     }
@@ -73,22 +73,22 @@
     pub number: usize,
     pub address: SocketAddrV4,
     pub zone: usize,
-    /// It has a disk whose loss counts.
+    /// It has a disk, so that its loss counts against the fault tolerance.
     pub core: bool,
     pub disk: Disk,
     pub process: Option<Process>,
     /// Rises with each start and end of its process.
     pub incarnation: u64,
-    /// It never comes back.
+    /// It has been replaced and never starts again.
     pub removed: bool,
     pub frozen_until: Micros,
-    /// For how long it stands still after it has decided something next; 0: it goes on.
-    pub stalls_for: Micros,
-    /// Spans of faults.
-    trouble: Vec<(Micros, Micros)>,
+    /// How long its process is frozen after its next decision, before that is carried out; 0 for not at all.
+    pub next_stall: Micros,
+    /// The times during which it had faults.
+    fault_spans: Vec<(Micros, Micros)>,
 }
 
-/// What a process starts with.
+/// The settings with which a process starts.
 pub struct Boot {
     pub seeds: Vec<SocketAddrV4>,
     pub first: bool,
@@ -96,7 +96,7 @@
     pub revoke_within: Option<Micros>,
 }
 
-/// What a replica starts with.
+/// The settings with which a replica starts.
 pub struct ReplicaBoot {
     pub first: bool,
     pub losses: usize,
@@ -116,8 +116,8 @@
             incarnation: 0,
             removed: false,
             frozen_until: 0,
-            stalls_for: 0,
-            trouble: Vec::new(),
+            next_stall: 0,
+            fault_spans: Vec::new(),
         }
     }
 
@@ -131,18 +131,18 @@
     }
 
     /// Records a fault, which may go on into the future.
-    pub fn note_fault(&mut self, from: Micros, until: Micros) {
-        self.trouble.push((from, until));
+    pub fn record_fault(&mut self, from: Micros, until: Micros) {
+        self.fault_spans.push((from, until));
     }
 
-    /// Whether it was without faults in the whole span.
-    pub fn calm(&self, from: Micros, until: Micros) -> bool {
-        self.trouble.iter().all(|(begun, ended)| *ended < from || *begun > until)
+    /// True if it had no faults from `from` until `until`.
+    pub fn without_faults(&self, from: Micros, until: Micros) -> bool {
+        self.fault_spans.iter().all(|(begun, ended)| *ended < from || *begun > until)
     }
 
-    /// Whether it was connected from the first time on, until the second.
+    /// True if it was connected from `from` until `until`: without faults since [`CONNECT_TIME`] before that.
     pub fn connected(&self, from: Micros, until: Micros) -> bool {
-        self.calm(from.saturating_sub(CONNECT_TIME), until)
+        self.without_faults(from.saturating_sub(CONNECT_TIME), until)
     }
 
     pub fn start(&mut self, now: Micros, boot: &Boot, random: &mut Random) {
@@ -160,7 +160,10 @@
             bootstrap: Bootstrap::new(self.address, &boot.seeds, boot.losses, boot.first, CLOCK_START),
             heartbeat_interval: HEARTBEAT_INTERVAL,
             order_lease: LEASE,
-            version_deadlines: VersionDeadlines { from_publication: VERSION_WITHIN, from_announcement: None },
+            version_deadlines: VersionDeadlines {
+                from_publication: VERSION_TIMEOUT,
+                from_announcement: None,
+            },
             revoke_within: boot.revoke_within,
             machine_losses: boot.losses,
             control_port: 9_100,
@@ -179,7 +182,8 @@
         });
     }
 
-    /// The time of day may be off by seconds, and by others at each start.
+    /// The identity of a process. Its time of day, and so its incarnation, is off by up to 4 s, differently at each
+    /// start.
     fn identity(&self, now: Micros, first_boot: bool, random: &mut Random) -> Identity {
         Identity {
             address: self.address,
@@ -191,7 +195,7 @@
         }
     }
 
-    /// The replica that a process started now finds on its disk.
+    /// The replica that a process recovers from its disk if it starts now.
     pub fn replica(&self, now: Micros, boot: &ReplicaBoot, random: &mut Random) -> Replica {
         let config = ReplicaConfig::builder()
             .address(self.address)
--- a/controlplane/tests/simulation/network.rs
+++ b/controlplane/tests/simulation/network.rs
@@ -5,14 +5,14 @@
 use super::random::Random;
 use super::{MS, Micros};
 
-/// After a connection that broke, messages are dropped for this long.
-const REDIAL: Micros = 150 * MS;
+/// After a connection has broken, messages are dropped for this long.
+const RECONNECT_DELAY: Micros = 150 * MS;
 
 /// The links, by the numbers of their machines.
 #[derive(Debug, Default)]
 pub struct Network {
     cuts: BTreeSet<(usize, usize)>,
-    /// Messages lost, in percent.
+    /// The percentage of messages that are lost.
     pub loss: u64,
     links: HashMap<(usize, usize), Link>,
 }
@@ -32,7 +32,7 @@
 }
 
 impl Network {
-    /// What one side says does not reach the other.
+    /// Drops all messages from one set of machines to the other.
     pub fn cut(&mut self, from: &[usize], to: &[usize]) {
         let pairs = from.iter().flat_map(|one| to.iter().map(|other| (*one, *other)));
         self.cuts.extend(pairs);
@@ -43,14 +43,14 @@
         self.loss = 0;
     }
 
-    /// The connection from one machine to another breaks with all that is on it.
+    /// Breaks the connection from one machine to another: messages in flight are lost.
     pub fn break_connection(&mut self, now: Micros, from: usize, to: usize) {
         let link = self.links.entry((from, to)).or_default();
         link.broken += 1;
-        link.down_until = now + REDIAL;
+        link.down_until = now + RECONNECT_DELAY;
     }
 
-    /// All connections to and from a machine break.
+    /// Breaks all connections to and from a machine.
     pub fn break_all(&mut self, now: Micros, machine: usize) {
         for ((from, to), link) in &mut self.links {
             if *from == machine || *to == machine {
@@ -77,7 +77,7 @@
         Some(Delivery { at: link.last_arrival, connection: link.broken })
     }
 
-    /// Whether what was sent on this connection still arrives.
+    /// True if messages that were sent on this connection still arrive.
     pub fn arrives(&self, between: (usize, usize), connection: u64) -> bool {
         let broken = self.links.get(&between).map_or(0, |link| link.broken);
         broken == connection && !self.cuts.contains(&between)
--- a/controlplane/tests/simulation/operation_history.rs
+++ b/controlplane/tests/simulation/operation_history.rs
@@ -1,4 +1,4 @@
-//! What operators asked the fleet and were answered, as a history that one register has to explain.
+//! The calls of operators and their responses as a history, to be checked for linearizability as one register.
 
 use std::collections::HashMap;
 
@@ -17,10 +17,10 @@
 pub use history::History;
 use history::{Operation, Response};
 
-/// In so many of a hundred cases the newest configuration is read instead of an old order sent again.
-const READS: u64 = 30;
+/// In this percentage of cases the newest configuration is read instead of repeating an earlier change.
+const READ_PERCENT: u64 = 30;
 
-/// The history of a day, with an operator who sends orders of before again at any time, to any machine.
+/// The history of a run, and the state of an operator that repeats earlier changes at any time, at any machine.
 #[derive(Debug)]
 pub struct Histories {
     history: History,
@@ -41,7 +41,7 @@
         }
     }
 
-    pub fn asked(&mut self, caller: Caller, call: &Call) {
+    pub fn call_made(&mut self, caller: Caller, call: &Call) {
         let operation = match call {
             Call::Control(ControlCall::PutConfiguration { if_match, version, body }) => {
                 let fingerprint = fingerprint_number(&identity(body));
@@ -61,8 +61,8 @@
         self.open.insert(caller, name);
     }
 
-    /// Takes in the end of a call. One without a clear answer may take effect at any time after it.
-    pub fn answered(&mut self, caller: Caller, outcome: &Outcome) {
+    /// Records the end of a call. A call without a conclusive response may take effect at any time after it.
+    pub fn call_ended(&mut self, caller: Caller, outcome: &Outcome) {
         let Some((name, answer)) = self.open.remove(&caller).zip(outcome.as_ref()) else { return };
         let reads = self.history.reads(name);
         match answer.status {
@@ -78,7 +78,7 @@
     }
 
     fn next_call(&mut self) -> Option<Call> {
-        if self.random.percent(READS) || self.sent.is_empty() {
+        if self.random.percent(READ_PERCENT) || self.sent.is_empty() {
             return Some(Call::Control(ControlCall::GetConfiguration));
         }
         let index = self.random.below(self.sent.len());
@@ -87,20 +87,20 @@
 }
 
 impl World {
-    /// Keeps the history of the day and sends orders again.
+    /// Records the history of the run and adds an operator that repeats earlier changes.
     pub fn with_histories(mut self, seed: u64) -> World {
         self.histories = Some(Histories::new(seed));
         self.schedule(3 * SECOND, Event::Resend);
         self
     }
 
-    /// Plays the day; its history besides.
-    pub fn play_with_history(self) -> (super::Report, History) {
-        let (report, histories) = self.play_keeping_histories();
+    /// Runs the simulation. Returns its report and its history.
+    pub fn run_with_history(self) -> (super::Report, History) {
+        let (report, histories) = self.run_keeping_histories();
         (report, histories.map(|histories| histories.history).unwrap_or_default())
     }
 
-    /// The operator who sends orders of before again has a turn.
+    /// The operator that repeats earlier changes makes its next call.
     pub fn resend(&mut self) {
         let listed: Vec<usize> =
             self.machines.iter().filter(|one| !one.removed).map(|one| one.number).collect();
--- a/controlplane/tests/simulation/operator.rs
+++ b/controlplane/tests/simulation/operator.rs
@@ -8,7 +8,7 @@
 use super::callers::Outcome;
 use super::{MODEL, MS, Micros};
 
-/// What an operator wants.
+/// A task of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Task {
     Put {
@@ -21,10 +21,10 @@
         version: u64,
         patch: Arc<[u8]>,
     },
-    Name {
+    Announce {
         version: u64,
     },
-    /// Finds out which version is in place.
+    /// Reads which version is in force.
     Read,
 }
 
@@ -34,26 +34,26 @@
     pub task: Option<Task>,
     pub begun: Micros,
     pub attempt: u64,
-    /// The version that is in place as far as it knows.
+    /// The latest version in force that the operator knows.
     pub current: u64,
-    pause: Micros,
+    backoff: Micros,
 }
 
-/// What is clear after an answer.
+/// The conclusion that an operator draws from the outcome of a call.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Conclusion {
     Acknowledged(Task),
-    /// It isn't in force and never will be.
+    /// The change is not in force and never will be.
     Refused(Task),
     /// The newest configuration.
     Read(Arc<[u8]>),
-    /// Another attempt at this time.
-    Again(Micros),
+    /// Another attempt is to be made at this time.
+    RetryAt(Micros),
 }
 
 /// The beginning of each configuration and patch.
 const VERSION_FIELD: &str = "{\"version\":";
-/// What stands before the name of who made a configuration, in the one item that every patch replaces.
+/// The text before the name of a configuration's author, in the one item that every patch replaces.
 const AUTHOR_FIELD: &str = "\"healthPath\":\"/";
 
 /// The item of a configuration with its author.
@@ -85,7 +85,7 @@
     digits.and_then(|digits| digits.parse().ok()).unwrap_or(u64::MAX)
 }
 
-/// The identity of a configuration: its version and its author. A patch and its result have the same.
+/// The identity of a configuration: its version and its author. A patch and its result have the same identity.
 pub fn identity(body: &[u8]) -> Arc<[u8]> {
     let text = String::from_utf8_lossy(body);
     let author = text.split(AUTHOR_FIELD).nth(1).and_then(|rest| rest.split('"').next()).unwrap_or_default();
@@ -94,10 +94,10 @@
 
 impl Operator {
     pub fn begin(&mut self, now: Micros, task: Task) {
-        (self.task, self.begun, self.pause) = (Some(task), now, 0);
+        (self.task, self.begun, self.backoff) = (Some(task), now, 0);
     }
 
-    /// The call to make.
+    /// The call of the next attempt; `None` without a task.
     pub fn call(&mut self) -> Option<Call> {
         self.attempt += 1;
         Some(match self.task.clone()? {
@@ -107,20 +107,20 @@
             Task::Patch { if_match, version, patch } => {
                 Call::Control(ControlCall::PatchConfiguration { if_match, version, patch })
             }
-            Task::Name { version } => {
+            Task::Announce { version } => {
                 Call::Control(ControlCall::NameVersion { model: Arc::from(MODEL), version })
             }
             Task::Read => Call::Control(ControlCall::GetConfiguration),
         })
     }
 
-    /// Takes in what came of the call.
+    /// Handles the outcome of a call.
     pub fn answered(&mut self, now: Micros, outcome: &Outcome) -> Conclusion {
         let status = outcome.as_ref().map_or(0, |answer| answer.status);
         let ends = matches!(status, 200..=299 | 400 | 404 | 409 | 412 | 413 | 422);
         let Some(task) = self.task.clone().filter(|_| ends) else {
-            self.pause = (self.pause * 2).clamp(50 * MS, 400 * MS);
-            return Conclusion::Again(now + self.pause);
+            self.backoff = (self.backoff * 2).clamp(50 * MS, 400 * MS);
+            return Conclusion::RetryAt(now + self.backoff);
         };
         self.task = None;
         match (&task, outcome) {
--- a/controlplane/tests/simulation/outage.rs
+++ b/controlplane/tests/simulation/outage.rs
@@ -11,14 +11,14 @@
 use super::world::{Event, World};
 use super::{MS, Micros, SECOND};
 
-/// Somebody reads at each node this often.
-const PROBE_EVERY: Micros = 100 * MS;
-/// Readers go on for so long after the end.
+/// Interval between reads of the configuration at each node.
+const PROBE_INTERVAL: Micros = 100 * MS;
+/// Reads continue for this long after the end of the outage.
 const PROBE_FOR: Micros = 5 * SECOND;
-/// A lease that was renewed at the last moment has run out after this.
+/// A lease that was renewed right before an outage has expired after this time.
 const LEASE: Micros = 1_500 * MS;
 
-/// Who loses contact.
+/// The machines that are without contact.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Victim {
     /// The machine of the primary.
@@ -33,77 +33,77 @@
     All,
     /// Half of the machines with a disk, rounded down; with the primary among them.
     HalfWithPrimary,
-    /// The same, without the primary.
+    /// Half of the machines with a disk, rounded down; without the primary.
     HalfWithoutPrimary,
 }
 
-/// How it loses contact.
+/// How the machines lose contact.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutageKind {
-    /// Nothing gets through.
+    /// No messages get through in either direction.
     Partition,
-    /// Nothing gets through to and from machines with a disk.
+    /// No messages get through to and from machines with a disk.
     PartitionFromCore,
-    /// It hears nobody.
+    /// They receive no messages.
     Deaf,
-    /// Nobody hears it.
+    /// Messages that they send are lost.
     Mute,
-    /// It is partitioned, and frozen from one quarter of the time to three.
+    /// They are partitioned, and frozen from one quarter to three quarters of the outage.
     PartitionAndFrozen,
-    /// The processes stand still.
+    /// The processes are stopped.
     Frozen,
-    /// It is partitioned and connected again, in turns.
+    /// They are partitioned and connected in turns.
     Flapping,
-    /// The processes stand still again and again, between deciding something and answering or ordering.
+    /// The processes are stopped again and again, each time between a decision and the response or order that follows.
     Stalling,
-    /// Their share of a core is a quota: they run for a tenth of each tenth of a second, each in a phase of its own. No
-    /// fault: all rules hold meanwhile.
+    /// The processes have a CPU quota: each runs for 10 ms in each period of 100 ms, with a phase of its own. This is no
+    /// fault: all invariants have to hold meanwhile.
     Throttled,
 }
 
-/// How long a throttled process may run, and in which period.
+/// The CPU time of a throttled process in each [`QUOTA_PERIOD`].
 const QUOTA: Micros = 10 * MS;
 const QUOTA_PERIOD: Micros = 100 * MS;
 
-/// Machines without contact.
+/// An outage: machines are without contact for a while.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Outage {
     pub victim: Victim,
     pub kind: OutageKind,
-    pub lasts: Micros,
+    pub duration: Micros,
 }
 
-/// What happens in the course of an outage.
+/// A scheduled step of an outage.
 #[derive(Clone, Copy, Debug)]
 pub enum OutageStep {
     Begin,
     Freeze,
     Flap,
     Stall,
-    /// The quota of a machine is spent.
+    /// The process of this machine has used up its CPU quota.
     SpendQuota(usize),
     End,
     Probe,
 }
 
-/// What was seen of an outage.
+/// The state and the observations of an outage.
 #[derive(Debug, Default)]
 pub struct OutageObservations {
-    apart: Vec<usize>,
+    victims: Vec<usize>,
     began: Option<Micros>,
-    /// Since when nothing has got through, if so.
+    /// Since when the victims have been without contact, unless contact is intermittent.
     cut_since: Option<Micros>,
-    /// No further fault begins.
+    /// The outage is about to end: no further fault begins.
     ending: bool,
     ended: Option<Micros>,
-    /// The newest version that was acknowledged when a read began.
-    floors: HashMap<Caller, u64>,
+    /// For each pending read, the newest version that had been acknowledged when it began.
+    minimum_versions: HashMap<Caller, u64>,
     attempts: u64,
-    /// What was acknowledged before the end.
+    /// The newest version that was acknowledged before the end of the outage.
     newest_at_end: u64,
-    /// When a node first answered a read that began in the outage, or after it where the node was without contact.
+    /// When each node first answered a read after the beginning of the outage, or after its end if the node was a victim.
     answered: BTreeMap<usize, Micros>,
-    /// When a node that was without contact had the newest configuration in force again.
+    /// When each victim had applied the newest configuration again.
     applied: BTreeMap<usize, Micros>,
 }
 
@@ -112,7 +112,7 @@
         let Some(outage) = self.plan.outage else { return };
         match step {
             OutageStep::Begin => self.begin_outage(outage),
-            OutageStep::Freeze => self.freeze_apart(outage.lasts / 2),
+            OutageStep::Freeze => self.freeze_victims(outage.duration / 2),
             OutageStep::Flap => self.flap(),
             OutageStep::Stall => self.stall(),
             OutageStep::SpendQuota(machine) => self.spend_quota(machine),
@@ -121,7 +121,7 @@
         }
     }
 
-    fn victims(&self, victim: Victim) -> Vec<usize> {
+    fn select_victims(&self, victim: Victim) -> Vec<usize> {
         let leads = |one: &&super::machine::Machine| {
             one.process.as_ref().is_some_and(|it| it.observed.leading.is_some())
         };
@@ -157,13 +157,13 @@
     }
 
     fn begin_outage(&mut self, outage: Outage) {
-        let (now, apart) = (self.now, self.victims(outage.victim));
-        if apart.is_empty() {
-            return self.broken("nobody leads before the outage".to_owned());
+        let (now, victims) = (self.now, self.select_victims(outage.victim));
+        if victims.is_empty() {
+            return self.report_violation("there is no primary before the outage".to_owned());
         }
-        self.trace(|| format!("{outage:?} of {apart:?}"));
+        self.trace(|| format!("{outage:?} of {victims:?}"));
         let core_only = outage.kind == OutageKind::PartitionFromCore;
-        let fit = |one: &&super::machine::Machine| !apart.contains(&one.number) && (one.core || !core_only);
+        let fit = |one: &&super::machine::Machine| !victims.contains(&one.number) && (one.core || !core_only);
         let others: Vec<usize> = self.machines.iter().filter(fit).map(|one| one.number).collect();
         if matches!(
             outage.kind,
@@ -172,7 +172,7 @@
                 | OutageKind::PartitionAndFrozen
                 | OutageKind::Deaf
         ) {
-            self.network.cut(&others, &apart);
+            self.network.cut(&others, &victims);
         }
         if matches!(
             outage.kind,
@@ -181,69 +181,69 @@
                 | OutageKind::PartitionAndFrozen
                 | OutageKind::Mute
         ) {
-            self.network.cut(&apart, &others);
+            self.network.cut(&victims, &others);
         }
         if outage.kind != OutageKind::Throttled {
-            for number in &apart {
-                self.machines[*number].note_fault(now, now + outage.lasts);
+            for number in &victims {
+                self.machines[*number].record_fault(now, now + outage.duration);
             }
-            self.record.links.push((now, now + outage.lasts));
+            self.record.links.push((now, now + outage.duration));
             self.report.faults += 1;
         }
-        self.outage.apart = apart;
+        self.outage.victims = victims;
         self.outage.began = Some(now);
-        let steady =
+        let constant =
             !matches!(outage.kind, OutageKind::Flapping | OutageKind::Stalling | OutageKind::Throttled);
-        self.outage.cut_since = steady.then_some(now);
+        self.outage.cut_since = constant.then_some(now);
         match outage.kind {
-            OutageKind::Frozen => self.freeze_apart(outage.lasts),
+            OutageKind::Frozen => self.freeze_victims(outage.duration),
             OutageKind::PartitionAndFrozen => {
-                self.schedule_in(outage.lasts / 4, Event::Outage(OutageStep::Freeze));
+                self.schedule_in(outage.duration / 4, Event::Outage(OutageStep::Freeze));
             }
             OutageKind::Flapping => self.flap(),
             OutageKind::Stalling => self.stall(),
             OutageKind::Throttled => {
-                for number in self.outage.apart.clone() {
+                for number in self.outage.victims.clone() {
                     let phase = self.random.between(0, QUOTA_PERIOD);
                     self.schedule_in(phase, Event::Outage(OutageStep::SpendQuota(number)));
                 }
             }
             _ => {}
         }
-        self.schedule_in(outage.lasts, Event::Outage(OutageStep::End));
+        self.schedule_in(outage.duration, Event::Outage(OutageStep::End));
     }
 
-    /// Partitions what is connected, and connects what is partitioned.
+    /// Partitions the victims if they are connected; connects them otherwise.
     fn flap(&mut self) {
         if self.outage.ended.is_some() {
             return;
         }
         self.network.heal();
         if self.outage.cut_since.take().is_none() {
-            let apart = self.outage.apart.clone();
-            let others = (0..self.machines.len()).filter(|number| !apart.contains(number));
+            let victims = self.outage.victims.clone();
+            let others = (0..self.machines.len()).filter(|number| !victims.contains(number));
             let others: Vec<usize> = others.collect();
-            self.network.cut(&others, &apart);
-            self.network.cut(&apart, &others);
+            self.network.cut(&others, &victims);
+            self.network.cut(&victims, &others);
             self.outage.cut_since = Some(self.now);
         }
         let next = self.random.between(100 * MS, 3 * SECOND);
         self.schedule_in(next, Event::Outage(OutageStep::Flap));
     }
 
-    /// The next time that a process decides something, it stands still before it says so.
+    /// Arranges that each victim is frozen after its next decision, before that is carried out.
     fn stall(&mut self) {
         if self.outage.ending {
             return;
         }
-        for number in self.outage.apart.clone() {
-            self.machines[number].stalls_for = self.random.between(100 * MS, 3 * SECOND);
+        for number in self.outage.victims.clone() {
+            self.machines[number].next_stall = self.random.between(100 * MS, 3 * SECOND);
         }
         let next = self.random.between(200 * MS, 4 * SECOND);
         self.schedule_in(next, Event::Outage(OutageStep::Stall));
     }
 
-    /// A process stands still for the rest of its period.
+    /// Freezes a process for the rest of its quota period.
     fn spend_quota(&mut self, number: usize) {
         if self.outage.ending {
             return;
@@ -252,7 +252,7 @@
         self.schedule_in(QUOTA_PERIOD, Event::Outage(OutageStep::SpendQuota(number)));
     }
 
-    /// A process that stood still goes on with what it had decided before.
+    /// Carries out the outputs that a process had decided on before it was frozen.
     pub fn carry_out_after_stall(
         &mut self,
         number: usize,
@@ -263,23 +263,25 @@
         if self.machines[number].incarnation != incarnation {
             return;
         }
-        let passed_on = self.leader_by_epoch() != leader;
+        let leader_changed = self.leader_by_epoch() != leader;
         for output in outputs {
-            if let (Output::Respond { call_id, response }, true) = (&output, passed_on) {
+            if let (Output::Respond { call_id, response }, true) = (&output, leader_changed) {
                 let process = self.machines[number].process.as_ref();
                 let to_server = process.and_then(|process| process.callers.get(call_id));
                 let to_server = matches!(to_server, Some(Caller::Server { .. }));
                 let clock = process.map_or(0, |process| process.clock(self.now));
                 let status = response.clone().at(clock).status;
                 if status != 503 && !to_server {
-                    self.broken(format!("node {number} answers {status}, but {leader:?} leads no longer"));
+                    self.report_violation(format!(
+                        "node {number} answers {status}, but {leader:?} is no longer the primary"
+                    ));
                 }
             }
             self.carry_out(number, output);
         }
     }
 
-    /// The machine of the highest epoch among those that believe to be the primary.
+    /// The machine with the highest epoch among those that consider themselves the primary.
     pub fn leader_by_epoch(&self) -> Option<usize> {
         let led = |one: &super::machine::Machine| {
             one.process.as_ref().and_then(|process| process.observed.leading).map(|epoch| (epoch, one.number))
@@ -287,23 +289,24 @@
         self.machines.iter().filter_map(led).max().map(|(_, number)| number)
     }
 
-    fn freeze_apart(&mut self, span: Micros) {
-        for number in self.outage.apart.clone() {
+    fn freeze_victims(&mut self, span: Micros) {
+        for number in self.outage.victims.clone() {
             self.machines[number].frozen_until = self.now + span;
         }
     }
 
     fn end_outage(&mut self) {
         self.outage.ending = true;
-        let apart = self.outage.apart.clone();
-        let thawed = apart.iter().map(|number| self.machines[*number].frozen_until).max().unwrap_or(0);
-        apart.iter().for_each(|number| self.machines[*number].stalls_for = 0);
+        let victims = self.outage.victims.clone();
+        let frozen_until =
+            victims.iter().map(|number| self.machines[*number].frozen_until).max().unwrap_or(0);
+        victims.iter().for_each(|number| self.machines[*number].next_stall = 0);
         let throttled = self.plan.outage.is_some_and(|outage| outage.kind == OutageKind::Throttled);
-        if thawed > self.now && !throttled {
-            // It lasts longer, then.
+        if frozen_until > self.now && !throttled {
+            // A victim is still frozen: the outage is extended until it runs again.
             let now = self.now;
-            apart.iter().for_each(|number| self.machines[*number].note_fault(now, thawed));
-            return self.schedule(thawed, Event::Outage(OutageStep::End));
+            victims.iter().for_each(|number| self.machines[*number].record_fault(now, frozen_until));
+            return self.schedule(frozen_until, Event::Outage(OutageStep::End));
         }
         self.network.heal();
         self.trace(|| "the outage ends".to_owned());
@@ -315,58 +318,62 @@
         self.record.newest().map_or(0, |(version, _)| version)
     }
 
-    /// Reads at each node.
+    /// Reads the configuration at each node.
     fn probe(&mut self) {
         let newest = self.newest_version();
         for machine in self.up() {
             self.outage.attempts += 1;
             let caller = Caller::Prober { machine, attempt: self.outage.attempts };
-            self.outage.floors.insert(caller, newest);
+            self.outage.minimum_versions.insert(caller, newest);
             self.call(machine, caller, Call::Control(ControlCall::GetConfiguration));
         }
-        self.note_applied();
+        self.record_applied();
         let goes_on = self.outage.ended.is_none_or(|ended| self.now < ended + PROBE_FOR);
         if goes_on {
-            self.schedule_in(PROBE_EVERY, Event::Outage(OutageStep::Probe));
+            self.schedule_in(PROBE_INTERVAL, Event::Outage(OutageStep::Probe));
         }
     }
 
-    fn note_applied(&mut self) {
+    fn record_applied(&mut self) {
         let Some(ended) = self.outage.ended else { return };
-        for number in self.outage.apart.clone() {
+        for number in self.outage.victims.clone() {
             let applied = self.configuration_of(number) >= self.outage.newest_at_end;
             if applied && !self.outage.applied.contains_key(&number) {
                 self.outage.applied.insert(number, self.now);
-                self.report.applied_after = self.report.applied_after.max(self.now - ended);
+                self.report.victims_apply_after = self.report.victims_apply_after.max(self.now - ended);
             }
         }
     }
 
-    /// A call of an operator or a reader is answered: without contact nothing clear is said.
-    pub fn answer_leaves(&mut self, number: usize, status: u16) {
+    /// Checks a response to an operator or a reader: a node without contact must not send a conclusive one after its
+    /// lease.
+    pub fn check_response(&mut self, number: usize, status: u16) {
         let (Some(began), None) = (self.outage.cut_since, self.outage.ended) else { return };
-        let clear = status != 503;
-        if clear && self.now >= began + LEASE && self.outage.apart.contains(&number) {
-            self.broken(format!("node {number} answers {status} without contact since {} ms", began / MS));
+        let conclusive = status != 503;
+        if conclusive && self.now >= began + LEASE && self.outage.victims.contains(&number) {
+            self.report_violation(format!(
+                "node {number} answers {status} without contact since {} ms",
+                began / MS
+            ));
         }
     }
 
     pub fn probe_over(&mut self, caller: Caller, machine: usize, outcome: &Outcome) {
-        let floor = self.outage.floors.remove(&caller).unwrap_or(0);
+        let minimum = self.outage.minimum_versions.remove(&caller).unwrap_or(0);
         match outcome {
             Some(answer) if answer.status == 200 => {
                 let version = version_of(&answer.body);
-                if version < floor {
-                    self.broken(format!(
-                        "{version} is read at node {machine}, though {floor} was acknowledged"
+                if version < minimum {
+                    self.report_violation(format!(
+                        "{version} is read at node {machine}, though {minimum} was acknowledged"
                     ));
                 }
-                self.note_answered(machine);
+                self.record_answer(machine);
             }
             Some(answer) if answer.status == 503 => self.report.unclear += 1,
             Some(answer) => {
                 let status = answer.status;
-                self.broken(format!("a read at node {machine} is answered by {status}"));
+                self.report_violation(format!("a read at node {machine} is answered by {status}"));
             }
             None => {
                 let kind = self.plan.outage.map(|outage| outage.kind);
@@ -377,38 +384,43 @@
                     _ => frozen,
                 };
                 if !excused {
-                    self.broken(format!("a read at node {machine} has no answer within a second"));
+                    self.report_violation(format!("a read at node {machine} has no answer within a second"));
                 }
             }
         }
     }
 
-    /// Notes when a node answers again; reads that began before the outage may still be answered a little later.
-    fn note_answered(&mut self, machine: usize) {
-        let apart = self.outage.apart.contains(&machine);
-        let since = if apart { self.outage.ended } else { self.outage.began.map(|began| began + 10 * MS) };
+    /// Records when a node answers again. Reads that began before the outage may still be answered shortly after it
+    /// begins.
+    fn record_answer(&mut self, machine: usize) {
+        let victims = self.outage.victims.contains(&machine);
+        let since = if victims { self.outage.ended } else { self.outage.began.map(|began| began + 10 * MS) };
         let Some(since) = since.filter(|since| self.now >= *since) else { return };
         if self.outage.answered.contains_key(&machine) {
             return;
         }
         self.outage.answered.insert(machine, self.now);
         let took = self.now - since;
-        let most = if apart { &mut self.report.answers_after } else { &mut self.report.others_after };
+        let most = if victims {
+            &mut self.report.victims_answer_after
+        } else {
+            &mut self.report.others_answer_after
+        };
         *most = (*most).max(took);
     }
 
-    /// At the end of the day all nodes have answered again, and have the newest configuration in force.
+    /// At the end of the run all nodes have answered again and have applied the newest configuration.
     pub fn check_outage_over(&mut self) {
         if self.plan.outage.is_none() {
             return;
         }
         let silent = self.up().into_iter().find(|number| !self.outage.answered.contains_key(number));
         if let Some(number) = silent {
-            self.broken(format!("node {number} never answered a read again"));
+            self.report_violation(format!("node {number} never answered a read again"));
         }
-        let behind = self.outage.apart.iter().find(|number| !self.outage.applied.contains_key(number));
+        let behind = self.outage.victims.iter().find(|number| !self.outage.applied.contains_key(number));
         if let Some(number) = behind.copied() {
-            self.broken(format!("node {number} never got the newest configuration"));
+            self.report_violation(format!("node {number} never got the newest configuration"));
         }
     }
 }
--- a/controlplane/tests/simulation/random.rs
+++ b/controlplane/tests/simulation/random.rs
@@ -1,6 +1,6 @@
-//! Numbers that look random and depend on the seed alone.
+//! A deterministic pseudorandom number generator.
 
-/// A source of numbers.
+/// A pseudorandom number generator; its numbers depend only on the seed.
 #[derive(Debug, Clone)]
 pub struct Random(u64);
 
@@ -16,7 +16,7 @@
         second ^ (second >> 31)
     }
 
-    /// From `low` up to `high`, without it.
+    /// A number from `low` to `high`, exclusive.
     pub fn between(&mut self, low: u64, high: u64) -> u64 {
         low + self.next() % (high - low).max(1)
     }
@@ -25,7 +25,7 @@
         (self.next() % limit.max(1) as u64) as usize
     }
 
-    /// True in so many of a hundred cases.
+    /// True with a probability of `chance` percent.
     pub fn percent(&mut self, chance: u64) -> bool {
         self.next() % 100 < chance
     }
@@ -34,7 +34,7 @@
         if among.is_empty() { None } else { Some(among[self.below(among.len())]) }
     }
 
-    /// Some of them, each once.
+    /// Chooses up to `count` distinct elements.
     pub fn several<T: Copy>(&mut self, among: &[T], count: usize) -> Vec<T> {
         let mut rest = among.to_vec();
         let mut chosen = Vec::new();
--- a/controlplane/tests/simulation/server.rs
+++ b/controlplane/tests/simulation/server.rs
@@ -1,4 +1,4 @@
-//! A model server: heartbeats, draining, leaving, orders.
+//! A simulated model server: heartbeats, draining, leaving, orders.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::sync::Arc;
@@ -11,22 +11,22 @@
 use super::random::Random;
 use super::{MODEL, MS, Micros, SECOND};
 
-/// After the acknowledgement that it drains, a server serves for this long.
+/// A server serves for this long after its draining has been acknowledged.
 pub const DRAIN: Micros = 2 * SECOND;
-/// A server whose draining nobody acknowledges ends all the same after this.
-const GIVES_UP: Micros = 6 * SECOND;
-/// An answer that takes longer counts as none.
-pub const CALL_WITHIN: Micros = SECOND;
+/// A server whose draining is not acknowledged within this time ends without an acknowledgment.
+const DRAIN_TIMEOUT: Micros = 6 * SECOND;
+/// A response that takes longer is ignored.
+pub const CALL_TIMEOUT: Micros = SECOND;
 
-/// What a server is about to do.
+/// The stages in the life of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
     Ready,
-    /// It says that it drains, since then.
+    /// It has been reporting since this time that it drains.
     Draining(Micros),
-    /// Its draining was acknowledged then.
+    /// Its draining was acknowledged at this time.
     Drained(Micros),
-    /// It says that it leaves.
+    /// It reports that it leaves.
     Leaving,
     Ended,
 }
@@ -42,14 +42,14 @@
     /// It crashed.
     pub crashed: bool,
     pub attempt: u64,
-    /// What its last call said.
-    pub said: Stage,
-    /// The machine that it calls.
+    /// The stage that its last call reported.
+    pub last_reported: Stage,
+    /// The machine that it calls; `None` if it has to choose one.
     pub calls: Option<usize>,
     sticky: bool,
     call_count: u64,
-    pause: Micros,
-    /// Until when it loads, and which version.
+    backoff: Micros,
+    /// The load in progress: when it ends, and its version.
     loading: Option<(Micros, u64)>,
     orders: Vec<(Micros, Arc<str>, u64)>,
 }
@@ -69,11 +69,11 @@
             since: now,
             crashed: false,
             attempt: 0,
-            said: Stage::Ready,
+            last_reported: Stage::Ready,
             calls: None,
             sticky: random.percent(70),
             call_count: random.below(3) as u64,
-            pause: 0,
+            backoff: 0,
             loading: None,
             orders: Vec::new(),
         }
@@ -87,13 +87,13 @@
     pub fn call(&mut self, now: Micros) -> Option<Call> {
         self.load(now);
         match self.stage {
-            Stage::Draining(since) if now > since + GIVES_UP => self.stage = Stage::Ended,
+            Stage::Draining(since) if now > since + DRAIN_TIMEOUT => self.stage = Stage::Ended,
             Stage::Drained(since) if now > since + DRAIN + 200 * MS => self.stage = Stage::Leaving,
             _ => {}
         }
         self.call_count += 1;
         self.attempt += 1;
-        self.said = self.stage;
+        self.last_reported = self.stage;
         match self.stage {
             Stage::Ended => None,
             Stage::Leaving => Some(Call::Leave { id: self.id.to_string() }),
@@ -110,18 +110,18 @@
         serde_json::from_value(body).expect("a heartbeat")
     }
 
-    /// Takes in what came of a call; gives the time of the next.
+    /// Handles the outcome of a call. Returns the time of the next call.
     pub fn answered(&mut self, now: Micros, success: bool, random: &mut Random) -> Micros {
         if !success {
             self.calls = None;
-            self.pause = (self.pause * 2).clamp(50 * MS, 800 * MS);
-            return now + self.pause;
+            self.backoff = (self.backoff * 2).clamp(50 * MS, 800 * MS);
+            return now + self.backoff;
         }
-        self.pause = 0;
+        self.backoff = 0;
         if !self.sticky {
             self.calls = None;
         }
-        match (self.said, self.stage) {
+        match (self.last_reported, self.stage) {
             (Stage::Draining(_), Stage::Draining(_)) => self.stage = Stage::Drained(now),
             (Stage::Leaving, Stage::Leaving) => self.stage = Stage::Ended,
             _ => {}
@@ -141,12 +141,12 @@
     }
 
     /// The version that it has loaded by now.
-    pub fn holds(&mut self, now: Micros) -> u64 {
+    pub fn loaded_version(&mut self, now: Micros) -> u64 {
         self.load(now);
         self.version
     }
 
-    /// Handles an order; the error says which rule it breaks.
+    /// Handles an order. The error names the invariant that the order violates.
     pub fn order(
         &mut self,
         now: Micros,
@@ -168,15 +168,17 @@
     }
 
     fn check_order(&self, now: Micros, order: &Order, owner: &Arc<str>) -> Result<(), String> {
-        for (at, before, fence) in &self.orders {
+        for (at, previous_owner, token) in &self.orders {
             let wrong = match () {
-                () if fence == &order.fencing_token && before != owner => "two holders with one fence",
-                () if *fence > order.fencing_token => "a lower fence after a higher one",
-                () if before != owner && now - at < LEASE => "turns within the lease",
+                () if token == &order.fencing_token && previous_owner != owner => {
+                    "two owners with one fencing token"
+                }
+                () if *token > order.fencing_token => "a lower fencing token after a higher one",
+                () if previous_owner != owner && now - at < LEASE => "orders of two owners within the lease",
                 () => continue,
             };
             return Err(format!(
-                "{wrong}: {before} with {fence} at {at}, then {owner} with {} at {now}",
+                "{wrong}: {previous_owner} with {token} at {at}, then {owner} with {} at {now}",
                 order.fencing_token
             ));
         }
--- a/controlplane/tests/simulation/world.rs
+++ b/controlplane/tests/simulation/world.rs
@@ -1,4 +1,4 @@
-//! The course of events: what happens to machines, and what they send, write and tell.
+//! The simulated fleet and its event queue: runs events in order of time and carries out the outputs of the nodes.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet};
@@ -26,15 +26,15 @@
 use super::server::Server;
 use super::{MODEL, MS, Micros, SECOND};
 
-/// A process that wants to be woken more often than this at one moment is spinning.
-const SPINS_MOST: u32 = 5;
+/// A process that is woken more often than this at one point in time is in a busy loop.
+const MAX_WAKES_AT_ONCE: u32 = 5;
 
 /// A process that starts before this takes part in the first start of the fleet.
 const FIRST_START: Micros = SECOND;
-/// No day takes longer.
-const LONGEST_DAY: Micros = 200 * SECOND;
+/// The maximum simulated time of a run.
+const MAX_RUN_TIME: Micros = 200 * SECOND;
 
-/// What is to come.
+/// A scheduled event.
 pub enum Event {
     Start(usize),
     Wake { machine: usize, incarnation: u64, at: Micros },
@@ -45,7 +45,7 @@
     CallOver { caller: Caller, outcome: Outcome },
     Order { machine: usize, incarnation: u64, order: Order },
     OrderAnswered { machine: usize, incarnation: u64, order: Order, answer: OrderOutcome },
-    Asked { machine: usize, incarnation: u64, server: Arc<str> },
+    Query { machine: usize, incarnation: u64, server: Arc<str> },
     Server(usize),
     Churn,
     Operator(usize),
@@ -56,7 +56,7 @@
     Outage(OutageStep),
     CarryOut { machine: usize, incarnation: u64, leader: Option<usize>, outputs: Vec<Output> },
     Read { machine: usize },
-    Over,
+    End,
 }
 
 struct Scheduled {
@@ -85,10 +85,10 @@
     }
 }
 
-/// What a day came to.
+/// The result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
-    /// The first broken rule.
+    /// The first violation of an invariant.
     pub violation: Option<String>,
     pub events: u64,
     pub acknowledged: u64,
@@ -98,20 +98,20 @@
     pub loads: u64,
     pub faults: u64,
     pub highest_epoch: u64,
-    /// Checks that applied, and those that did not, for a fault.
+    /// The number of checks that were made; `not_applicable` counts those that were skipped because of a fault.
     pub checked: u64,
-    pub passed_over: u64,
-    /// Reads in the course of an outage that got no clear answer.
+    pub not_applicable: u64,
+    /// Reads during an outage without a conclusive response.
     pub unclear: u64,
-    /// The longest time from the beginning of an outage until the others answered reads again.
-    pub others_after: Micros,
-    /// The longest time from its end until those without contact did.
-    pub answers_after: Micros,
-    /// The longest time from its end until they had the newest configuration in force.
-    pub applied_after: Micros,
+    /// The longest time from the beginning of an outage until a node that is not a victim answered reads again.
+    pub others_answer_after: Micros,
+    /// The longest time from the end of an outage until a victim answered reads again.
+    pub victims_answer_after: Micros,
+    /// The longest time from the end of an outage until a victim had applied the newest configuration.
+    pub victims_apply_after: Micros,
 }
 
-/// A fleet with all that happens to it.
+/// A simulated fleet with its clients, its network and its event queue.
 pub struct World {
     pub plan: Plan,
     pub now: Micros,
@@ -125,9 +125,9 @@
     pub report: Report,
     pub pending: HashSet<Caller>,
     pub first_seeds: Vec<SocketAddrV4>,
-    pub over: bool,
+    pub finished: bool,
     pub histories: Option<Histories>,
-    traced: bool,
+    trace_enabled: bool,
     by_address: HashMap<SocketAddrV4, usize>,
     queue: BinaryHeap<Reverse<Scheduled>>,
     sequence: u64,
@@ -147,9 +147,9 @@
             report: Report::default(),
             pending: HashSet::new(),
             first_seeds: Vec::new(),
-            over: false,
+            finished: false,
             histories: None,
-            traced: std::env::var_os("FLEET_TRACE").is_some(),
+            trace_enabled: std::env::var_os("FLEET_TRACE").is_some(),
             by_address: HashMap::new(),
             queue: BinaryHeap::new(),
             sequence: 0,
@@ -185,32 +185,32 @@
         }
     }
 
-    /// Plays the day until a rule is broken or it is over.
-    pub fn play(self) -> Report {
-        self.play_keeping_histories().0
+    /// Runs until an invariant is violated or the run ends.
+    pub fn run(self) -> Report {
+        self.run_keeping_histories().0
     }
 
-    pub fn play_keeping_histories(mut self) -> (Report, Option<Histories>) {
+    pub fn run_keeping_histories(mut self) -> (Report, Option<Histories>) {
         while let Some(Reverse(next)) = self.queue.pop() {
             self.now = next.at;
             self.report.events += 1;
-            if self.now > LONGEST_DAY {
-                self.broken("the day does not end".to_owned());
+            if self.now > MAX_RUN_TIME {
+                self.report_violation("the run does not end in time".to_owned());
             }
-            self.happen(next.event);
-            if self.over || self.report.violation.is_some() {
+            self.handle_event(next.event);
+            if self.finished || self.report.violation.is_some() {
                 break;
             }
         }
         (self.report, self.histories)
     }
 
-    /// Lets things happen up to this time.
+    /// Runs all events up to this time.
     pub fn run_until(&mut self, time: Micros) {
         while self.queue.peek().is_some_and(|Reverse(next)| next.at <= time) {
             if let Some(Reverse(next)) = self.queue.pop() {
                 self.now = next.at;
-                self.happen(next.event);
+                self.handle_event(next.event);
             }
         }
         self.now = time;
@@ -225,15 +225,15 @@
         self.schedule(self.now + span, event);
     }
 
-    /// Says what happens, where `FLEET_TRACE` asks for it.
+    /// Prints a trace line if the environment variable `FLEET_TRACE` is set.
     pub fn trace(&self, what: impl FnOnce() -> String) {
-        if self.traced {
+        if self.trace_enabled {
             println!("{:>8} ms  {}", self.now / MS, what());
         }
     }
 
-    /// Notes a broken rule.
-    pub fn broken(&mut self, what: String) {
+    /// Records a violation of an invariant, unless there was one before.
+    pub fn report_violation(&mut self, what: String) {
         if self.report.violation.is_none() {
             self.report.violation = Some(format!("at {} ms: {what}", self.now / MS));
         }
@@ -247,7 +247,7 @@
         number
     }
 
-    /// Three control addresses as the operator's list has them.
+    /// Three random addresses as seeds, as operators list them in the settings.
     pub fn some_addresses(&mut self) -> Vec<SocketAddrV4> {
         if self.plan.same_seeds_without_disk && self.now > 0 {
             return self.machines.iter().filter(|one| !one.core).map(|one| one.address).take(3).collect();
@@ -256,7 +256,7 @@
             self.machines.iter().filter(|one| !one.removed).map(|one| one.number).collect();
         let mut chosen = self.random.several(&listed, 3);
         let has_disk = |number: &usize| self.machines[*number].core;
-        if self.plan.a_seed_has_a_disk && !chosen.iter().any(has_disk) {
+        if self.plan.one_seed_has_a_disk && !chosen.iter().any(has_disk) {
             let cores: Vec<usize> = listed.iter().copied().filter(has_disk).collect();
             chosen.pop();
             chosen.extend(self.random.choose(&cores));
@@ -268,8 +268,8 @@
         self.machines.iter().filter(|machine| machine.up()).map(|machine| machine.number).collect()
     }
 
-    fn happen(&mut self, event: Event) {
-        let Some(event) = self.unless_frozen(event) else { return };
+    fn handle_event(&mut self, event: Event) {
+        let Some(event) = self.defer_if_frozen(event) else { return };
         match event {
             Event::Start(machine) => self.start(machine),
             Event::Wake { machine, incarnation, at } => self.wake(machine, incarnation, at),
@@ -280,9 +280,9 @@
             Event::CallOver { caller, outcome } => self.call_over(caller, outcome),
             Event::Order { machine, incarnation, order } => self.order_arrives(machine, incarnation, order),
             Event::OrderAnswered { machine, incarnation, order, answer } => {
-                self.hand(machine, incarnation, Input::OrderCompleted { order, outcome: answer });
+                self.step_if_current(machine, incarnation, Input::OrderCompleted { order, outcome: answer });
             }
-            Event::Asked { machine, incarnation, server } => self.asked(machine, incarnation, server),
+            Event::Query { machine, incarnation, server } => self.send_report(machine, incarnation, server),
             Event::Server(index) => self.server_calls(index),
             Event::Churn => self.churn(),
             Event::Operator(index) => self.operator_turn(index),
@@ -295,12 +295,12 @@
                 self.carry_out_after_stall(machine, incarnation, leader, outputs);
             }
             Event::Read { machine } => self.read(machine),
-            Event::Over => self.over = true,
+            Event::End => self.finished = true,
         }
     }
 
-    /// What concerns a frozen process waits until it goes on.
-    fn unless_frozen(&mut self, event: Event) -> Option<Event> {
+    /// Delays an event of a frozen process until the process runs again.
+    fn defer_if_frozen(&mut self, event: Event) -> Option<Event> {
         let machine = match &event {
             Event::Wake { machine, .. }
             | Event::Deliver { to: machine, .. }
@@ -308,7 +308,7 @@
             | Event::Written { machine, .. }
             | Event::Call { machine, .. }
             | Event::OrderAnswered { machine, .. }
-            | Event::Asked { machine, .. } => *machine,
+            | Event::Query { machine, .. } => *machine,
             _ => return Some(event),
         };
         let until = self.machines[machine].frozen_until;
@@ -330,7 +330,7 @@
         let now = self.now;
         let machine = &mut self.machines[number];
         machine.start(now, &boot, &mut self.random);
-        machine.note_fault(now, now);
+        machine.record_fault(now, now);
         let (incarnation, core) = (machine.incarnation, machine.core);
         if core {
             let opens = self.random.between(2 * MS, 40 * MS);
@@ -339,7 +339,7 @@
         self.step(number, Input::Tick);
     }
 
-    /// The process ends; those who called it learn of it or wait in vain.
+    /// Ends a process. Its callers see their connections fail, or time out if it ends `silently`.
     pub fn stop(&mut self, number: usize, silently: bool) {
         let now = self.now;
         let machine = &mut self.machines[number];
@@ -366,8 +366,10 @@
         process.wake_at = Micros::MAX;
         process.wakes_now = if process.woken == at { process.wakes_now + 1 } else { 0 };
         process.woken = at;
-        if process.wakes_now > SPINS_MOST {
-            return self.broken(format!("node {number} wants to be woken at once, again and again"));
+        if process.wakes_now > MAX_WAKES_AT_ONCE {
+            return self.report_violation(format!(
+                "node {number} is in a busy loop: it asks to be woken again and again at the same time"
+            ));
         }
         self.step(number, Input::Tick);
     }
@@ -399,20 +401,24 @@
         self.step(number, input);
     }
 
-    fn hand(&mut self, number: usize, incarnation: u64, input: Input) {
+    fn step_if_current(&mut self, number: usize, incarnation: u64, input: Input) {
         if self.machines[number].incarnation == incarnation {
             self.step(number, input);
         }
     }
 
-    fn asked(&mut self, number: usize, incarnation: u64, server: Arc<str>) {
+    fn send_report(&mut self, number: usize, incarnation: u64, server: Arc<str>) {
         let now = self.now;
         let Some(one) = self.servers.iter_mut().find(|one| one.id == server && one.alive()) else { return };
-        let version = one.holds(now);
-        self.hand(number, incarnation, Input::VersionReported { server, model: Arc::from(MODEL), version });
+        let version = one.loaded_version(now);
+        self.step_if_current(
+            number,
+            incarnation,
+            Input::VersionReported { server, model: Arc::from(MODEL), version },
+        );
     }
 
-    /// Hands an input to a node and carries out what comes of it.
+    /// Has a node handle an input and carries out its outputs.
     pub fn step(&mut self, number: usize, input: Input) {
         let now = self.now;
         let Some(process) = &mut self.machines[number].process else { return };
@@ -427,7 +433,7 @@
             self.schedule(wake, Event::Wake { machine: number, incarnation, at: wake });
         }
         let decides = |output: &Output| matches!(output, Output::Respond { .. } | Output::SendOrder(_));
-        if self.machines[number].stalls_for > 0 && outputs.iter().any(decides) {
+        if self.machines[number].next_stall > 0 && outputs.iter().any(decides) {
             return self.stall_before_carrying_out(number, outputs);
         }
         for output in outputs {
@@ -438,9 +444,9 @@
     fn stall_before_carrying_out(&mut self, number: usize, outputs: Vec<Output>) {
         let leader = self.leader_by_epoch();
         let machine = &mut self.machines[number];
-        let (span, incarnation) = (std::mem::take(&mut machine.stalls_for), machine.incarnation);
+        let (span, incarnation) = (std::mem::take(&mut machine.next_stall), machine.incarnation);
         machine.frozen_until = self.now + span;
-        self.trace(|| format!("node {number} stands still for {} ms", span / MS));
+        self.trace(|| format!("node {number} is frozen for {} ms", span / MS));
         self.schedule_in(span, Event::CarryOut { machine: number, incarnation, leader, outputs });
     }
 
@@ -459,18 +465,18 @@
                 self.observe(number, |observed| observed.keys_until = shown.until);
             }
             Output::Connected(connected) => self.observe(number, |observed| observed.connected = connected),
-            Output::SendOrder(order) => self.give_order(number, order),
+            Output::SendOrder(order) => self.send_order(number, order),
             Output::QueryServer { server, .. } => {
                 let incarnation = self.machines[number].incarnation;
-                self.schedule_in(2 * MS, Event::Asked { machine: number, incarnation, server });
+                self.schedule_in(2 * MS, Event::Query { machine: number, incarnation, server });
             }
             Output::Event(NodeEvent::BecamePrimary { epoch }) => {
-                self.trace(|| format!("node {number} leads {epoch}"));
+                self.trace(|| format!("node {number} is the primary in epoch {epoch}"));
                 self.report.highest_epoch = self.report.highest_epoch.max(epoch);
                 self.observe(number, |observed| observed.leading = Some(epoch));
             }
             Output::Event(NodeEvent::SteppedDown) => {
-                self.trace(|| format!("node {number} does not lead"));
+                self.trace(|| format!("node {number} has stepped down"));
                 self.observe(number, |observed| observed.leading = None);
             }
             _ => {}
@@ -492,10 +498,10 @@
     }
 
     fn persist(&mut self, number: usize, write_id: WriteId, records: Vec<gradepaddle_control::Record>) {
-        let takes = self.random.between(MS, 12 * MS);
+        let write_duration = self.random.between(MS, 12 * MS);
         let now = self.now;
         let machine = &mut self.machines[number];
-        let at = machine.disk.begin(now, takes, write_id, records);
+        let at = machine.disk.begin(now, write_duration, write_id, records);
         let incarnation = machine.incarnation;
         self.schedule(at, Event::Written { machine: number, incarnation });
     }
@@ -505,9 +511,9 @@
         let before =
             self.machines[number].process.as_ref().and_then(|one| one.observed.configuration.clone());
         if let Some((before, _)) = before.filter(|(before, _)| *before >= version) {
-            self.broken(format!("node {number} goes from configuration {before} to {version}"));
+            self.report_violation(format!("node {number} goes from configuration {before} to {version}"));
         }
-        self.record.in_force(&body);
+        self.record.record_applied_configuration(&body);
         self.observe(number, |observed| observed.configuration = Some((version, body)));
     }
 
@@ -522,17 +528,17 @@
         });
     }
 
-    fn give_order(&mut self, number: usize, order: Order) {
+    fn send_order(&mut self, number: usize, order: Order) {
         let machine = &self.machines[number];
         let Some(process) = &machine.process else { return };
         if process.node.may_send_order(process.clock(self.now), order.fencing_token) {
-            let led_since = |one: &&Machine| {
+            let leads_later_epoch = |one: &&Machine| {
                 let leading = one.process.as_ref().and_then(|process| process.observed.leading);
                 leading.is_some_and(|epoch| epoch > order.fencing_token)
             };
-            if let Some(other) = self.machines.iter().find(led_since).map(|one| one.number) {
-                return self.broken(format!(
-                    "node {number} orders under {}, but {other} leads",
+            if let Some(other) = self.machines.iter().find(leads_later_epoch).map(|one| one.number) {
+                return self.report_violation(format!(
+                    "node {number} sends an order with fencing token {}, but {other} is the primary",
                     order.fencing_token
                 ));
             }
@@ -542,14 +548,14 @@
         }
     }
 
-    /// Replaces the disk of a machine by an empty one.
+    /// Replaces the disk of a machine with an empty one.
     pub fn wipe(&mut self, number: usize) {
         self.machines[number].disk = Disk::empty(self.random.next());
     }
 }
 
 impl Report {
-    /// Adds up what happened.
+    /// Adds the figures of another run.
     pub fn add(&mut self, other: &Report) {
         self.events += other.events;
         self.acknowledged += other.acknowledged;
@@ -560,10 +566,10 @@
         self.faults += other.faults;
         self.highest_epoch = self.highest_epoch.max(other.highest_epoch);
         self.checked += other.checked;
-        self.passed_over += other.passed_over;
+        self.not_applicable += other.not_applicable;
         self.unclear += other.unclear;
-        self.others_after = self.others_after.max(other.others_after);
-        self.answers_after = self.answers_after.max(other.answers_after);
-        self.applied_after = self.applied_after.max(other.applied_after);
+        self.others_answer_after = self.others_answer_after.max(other.others_answer_after);
+        self.victims_answer_after = self.victims_answer_after.max(other.victims_answer_after);
+        self.victims_apply_after = self.victims_apply_after.max(other.victims_apply_after);
     }
 }
--- a/controlplane/tests/staleness.rs
+++ b/controlplane/tests/staleness.rs
@@ -80,12 +80,12 @@
 }
 
 /// Plays days in which keys have to stop working everywhere within five seconds of an acknowledgement.
-fn play(plan: Plan, seeds: u64) -> Result<()> {
+fn run(plan: Plan, seeds: u64) -> Result<()> {
     let mut total = Report::default();
     let mut failures = Vec::new();
     for seed in 0..seeds {
         let plan = Plan { revoke_within: Some(5 * SECOND), ..plan.clone() };
-        let report = World::new(plan, seed).play();
+        let report = World::new(plan, seed).run();
         if let Some(violation) = &report.violation {
             failures.push(format!("seed {seed}: {violation}"));
         }
@@ -99,14 +99,14 @@
 
 #[gtest]
 fn revoked_keys_stop_working_everywhere_under_faults() -> Result<()> {
-    play(Plan::new(9, 3, 1), 40)?;
-    play(Plan::new(9, 9, 2), 10)
+    run(Plan::new(9, 3, 1), 40)?;
+    run(Plan::new(9, 9, 2), 10)
 }
 
 /// A partitioned node learns nothing of a change, and stops accepting its keys all the same.
 #[gtest]
 fn revoked_keys_stop_working_at_partitioned_nodes() -> Result<()> {
-    const LASTS: Micros = 11 * SECOND;
+    const DURATION: Micros = 11 * SECOND;
     let victims = [Victim::Primary, Victim::OtherCore, Victim::WithoutDisk, Victim::HalfWithPrimary];
     let troubles = [
         OutageKind::Partition,
@@ -117,9 +117,10 @@
     ];
     for victim in victims {
         for kind in troubles {
-            let outage = Some(Outage { victim, kind, lasts: LASTS });
-            let plan = Plan { faults: 0, outage, calm_for: LASTS + 8 * SECOND, ..Plan::new(8, 5, 2) };
-            play(plan, 1)?;
+            let outage = Some(Outage { victim, kind, duration: DURATION });
+            let plan =
+                Plan { faults: 0, outage, fault_free_for: DURATION + 8 * SECOND, ..Plan::new(8, 5, 2) };
+            run(plan, 1)?;
         }
     }
     Ok(())
