--- a/controlplane/tests/api.rs
+++ b/controlplane/tests/api.rs
@@ -1,4 +1,4 @@
-//! Which calls are well-formed, and how others are rejected.
+//! Parsing of control API calls: well-formed calls, and the rejection of others.
 
 use googletest::prelude::*;
 use gradepaddle_controlplane::api::{Call, Response, fingerprint_number, parse, patch_fingerprint_number};
@@ -7,59 +7,74 @@
 
 /// One call and its expected result.
 struct Case {
-    what: &'static str,
+    description: &'static str,
     method: &'static str,
     path: &'static str,
     if_match: Option<&'static str>,
     body: String,
-    want: Want,
+    expected: Expected,
 }
 
 #[derive(Debug, PartialEq)]
-enum Want {
+enum Expected {
     Heartbeat(&'static str, u64),
     Leave(&'static str),
     Put(u64, u64),
     Patch(u64, u64),
     Get,
-    Name(&'static str, u64),
+    AnnounceVersion(&'static str, u64),
     Status,
-    Refused(&'static [u16]),
+    Rejected(&'static [u16]),
 }
 
-fn case(what: &'static str, call: (&'static str, &'static str), body: impl ToString, want: Want) -> Case {
-    Case { what, method: call.0, path: call.1, if_match: None, body: body.to_string(), want }
+fn case(
+    description: &'static str,
+    call: (&'static str, &'static str),
+    body: impl ToString,
+    expected: Expected,
+) -> Case {
+    Case { description, method: call.0, path: call.1, if_match: None, body: body.to_string(), expected }
 }
 
-fn put(what: &'static str, if_match: Option<&'static str>, body: impl ToString, want: Want) -> Case {
-    Case { if_match, ..case(what, ("PUT", "/v1/config"), body, want) }
+fn put(
+    description: &'static str,
+    if_match: Option<&'static str>,
+    body: impl ToString,
+    expected: Expected,
+) -> Case {
+    Case { if_match, ..case(description, ("PUT", "/v1/config"), body, expected) }
 }
 
-fn patch(what: &'static str, if_match: Option<&'static str>, body: impl ToString, want: Want) -> Case {
-    Case { if_match, ..case(what, ("PATCH", "/v1/config"), body, want) }
+fn patch(
+    description: &'static str,
+    if_match: Option<&'static str>,
+    body: impl ToString,
+    expected: Expected,
+) -> Case {
+    Case { if_match, ..case(description, ("PATCH", "/v1/config"), body, expected) }
 }
 
-fn agrees(got: &std::result::Result<Call, Response>, want: &Want) -> bool {
-    match (got, want) {
-        (Ok(Call::Heartbeat { id, heartbeat }), Want::Heartbeat(name, count)) => {
+fn matches_expected(got: &std::result::Result<Call, Response>, expected: &Expected) -> bool {
+    match (got, expected) {
+        (Ok(Call::Heartbeat { id, heartbeat }), Expected::Heartbeat(name, count)) => {
             id == name && heartbeat.call_count == *count
         }
-        (Ok(Call::Leave { id }), Want::Leave(name)) => id == name,
+        (Ok(Call::Leave { id }), Expected::Leave(name)) => id == name,
         (
             Ok(Call::Control(ControlCall::PutConfiguration { if_match, version, .. })),
-            Want::Put(base, own),
+            Expected::Put(base, own),
         ) => if_match == base && version == own,
         (
             Ok(Call::Control(ControlCall::PatchConfiguration { if_match, version, .. })),
-            Want::Patch(base, own),
+            Expected::Patch(base, own),
         ) => if_match == base && version == own,
-        (Ok(Call::Control(ControlCall::GetConfiguration)), Want::Get) | (Ok(Call::Status), Want::Status) => {
-            true
-        }
-        (Ok(Call::Control(ControlCall::NameVersion { model, version })), Want::Name(name, own)) => {
-            &**model == *name && version == own
-        }
-        (Err(answer), Want::Refused(statuses)) => statuses.contains(&answer.status),
+        (Ok(Call::Control(ControlCall::GetConfiguration)), Expected::Get)
+        | (Ok(Call::Status), Expected::Status) => true,
+        (
+            Ok(Call::Control(ControlCall::NameVersion { model, version })),
+            Expected::AnnounceVersion(name, own),
+        ) => &**model == *name && version == own,
+        (Err(answer), Expected::Rejected(statuses)) => statuses.contains(&answer.status),
         _ => false,
     }
 }
@@ -67,7 +82,13 @@
 fn check(cases: Vec<Case>) -> Result<()> {
     for case in cases {
         let got = parse(case.method, case.path, case.if_match, case.body.as_bytes());
-        expect_that!(agrees(&got, &case.want), eq(true), "{}: {got:?} instead of {:?}", case.what, case.want);
+        expect_that!(
+            matches_expected(&got, &case.expected),
+            eq(true),
+            "{}: {got:?} instead of {:?}",
+            case.description,
+            case.expected
+        );
     }
     Ok(())
 }
@@ -95,41 +116,41 @@
     serde_json::from_str(body).expect("the example is JSON")
 }
 
-const BAD: Want = Want::Refused(&[400]);
-const NO_SUCH: Want = Want::Refused(&[404]);
-const NOT_SO: Want = Want::Refused(&[405]);
+const BAD_REQUEST: Expected = Expected::Rejected(&[400]);
+const NOT_FOUND: Expected = Expected::Rejected(&[404]);
+const METHOD_NOT_ALLOWED: Expected = Expected::Rejected(&[405]);
 
 #[gtest]
 fn calls_of_servers() -> Result<()> {
-    let beat = ("PUT", "/v1/servers/i-1");
+    let heartbeat = ("PUT", "/v1/servers/i-1");
     check(vec![
-        case("a heartbeat", beat, server(), Want::Heartbeat("i-1", 7)),
+        case("a heartbeat", heartbeat, server(), Expected::Heartbeat("i-1", 7)),
         case(
             "unknown fields",
-            beat,
+            heartbeat,
             json!({"backend": "a", "address": "10.9.9.1:1", "state": "ready", "new": [1]}),
-            Want::Heartbeat("i-1", 0),
+            Expected::Heartbeat("i-1", 0),
         ),
-        case("no models", beat, without(server(), "models"), Want::Heartbeat("i-1", 7)),
-        case("no body", beat, "", BAD),
-        case("half a body", beat, "{\"backend\": \"advice\"", BAD),
-        case("not an object", beat, "[1, 2]", BAD),
-        case("no service", beat, without(server(), "backend"), BAD),
-        case("no address", beat, without(server(), "address"), BAD),
-        case("no state", beat, without(server(), "state"), BAD),
-        case("a name as an address", beat, with(server(), "/address", json!("host:80")), BAD),
-        case("no port", beat, with(server(), "/address", json!("10.9.9.1")), BAD),
-        case("slots below 0", beat, with(server(), "/slots", json!(-1)), BAD),
-        case("a count below 0", beat, with(server(), "/callCount", json!(-1)), BAD),
-        case("a count in words", beat, with(server(), "/callCount", json!("7")), BAD),
-        case("leaving", ("DELETE", "/v1/servers/i-1"), "", Want::Leave("i-1")),
-        case("leaving, with a body", ("DELETE", "/v1/servers/i-1"), "{}", Want::Leave("i-1")),
-        case("nobody leaves", ("DELETE", "/v1/servers/"), "", Want::Refused(&[400, 404, 405])),
-        case("nobody's heartbeat", ("PUT", "/v1/servers/"), server(), Want::Refused(&[400, 404, 405])),
-        case("no id at all", ("PUT", "/v1/servers"), server(), Want::Refused(&[400, 404, 405])),
-        case("a deeper path", ("PUT", "/v1/servers/i-1/x"), server(), Want::Refused(&[404, 405])),
-        case("asking after a server", ("GET", "/v1/servers/i-1"), "", NOT_SO),
-        case("posting a server", ("POST", "/v1/servers/i-1"), server(), NOT_SO),
+        case("no models", heartbeat, without(server(), "models"), Expected::Heartbeat("i-1", 7)),
+        case("no body", heartbeat, "", BAD_REQUEST),
+        case("half a body", heartbeat, "{\"backend\": \"advice\"", BAD_REQUEST),
+        case("not an object", heartbeat, "[1, 2]", BAD_REQUEST),
+        case("no service", heartbeat, without(server(), "backend"), BAD_REQUEST),
+        case("no address", heartbeat, without(server(), "address"), BAD_REQUEST),
+        case("no state", heartbeat, without(server(), "state"), BAD_REQUEST),
+        case("a name as an address", heartbeat, with(server(), "/address", json!("host:80")), BAD_REQUEST),
+        case("no port", heartbeat, with(server(), "/address", json!("10.9.9.1")), BAD_REQUEST),
+        case("slots below 0", heartbeat, with(server(), "/slots", json!(-1)), BAD_REQUEST),
+        case("a count below 0", heartbeat, with(server(), "/callCount", json!(-1)), BAD_REQUEST),
+        case("a count in words", heartbeat, with(server(), "/callCount", json!("7")), BAD_REQUEST),
+        case("leaving", ("DELETE", "/v1/servers/i-1"), "", Expected::Leave("i-1")),
+        case("leaving, with a body", ("DELETE", "/v1/servers/i-1"), "{}", Expected::Leave("i-1")),
+        case("nobody leaves", ("DELETE", "/v1/servers/"), "", Expected::Rejected(&[400, 404, 405])),
+        case("nobody's heartbeat", ("PUT", "/v1/servers/"), server(), Expected::Rejected(&[400, 404, 405])),
+        case("no id at all", ("PUT", "/v1/servers"), server(), Expected::Rejected(&[400, 404, 405])),
+        case("a deeper path", ("PUT", "/v1/servers/i-1/x"), server(), Expected::Rejected(&[404, 405])),
+        case("asking after a server", ("GET", "/v1/servers/i-1"), "", METHOD_NOT_ALLOWED),
+        case("posting a server", ("POST", "/v1/servers/i-1"), server(), METHOD_NOT_ALLOWED),
     ])
 }
 
@@ -137,32 +158,37 @@
 fn calls_of_the_operator() -> Result<()> {
     let name = ("POST", "/v1/version-put");
     check(vec![
-        case("reading", ("GET", "/v1/config"), "", Want::Get),
-        case("naming", name, json!({"model": "advisor", "version": 2}), Want::Name("advisor", 2)),
+        case("reading", ("GET", "/v1/config"), "", Expected::Get),
+        case(
+            "naming",
+            name,
+            json!({"model": "advisor", "version": 2}),
+            Expected::AnnounceVersion("advisor", 2),
+        ),
         case(
             "naming, more",
             name,
             json!({"model": "advisor", "version": 2, "by": "x"}),
-            Want::Name("advisor", 2),
+            Expected::AnnounceVersion("advisor", 2),
         ),
-        case("naming without a version", name, json!({"model": "advisor"}), BAD),
-        case("naming without a model", name, json!({"version": 2}), BAD),
-        case("a version below 0", name, json!({"model": "advisor", "version": -2}), BAD),
-        case("a broken version", name, json!({"model": "advisor", "version": 2.5}), BAD),
-        case("naming nothing", name, "", BAD),
-        case("state", ("GET", "/v1/status"), "", Want::Status),
-        case("state, written", ("PUT", "/v1/status"), "{}", NOT_SO),
-        case("configuration, removed", ("DELETE", "/v1/config"), "", NOT_SO),
-        case("configuration, posted", ("POST", "/v1/config"), configuration(), NOT_SO),
-        case("named version, read", ("GET", "/v1/version-put"), "", NOT_SO),
-        case("below the configuration", ("GET", "/v1/config/x"), "", Want::Refused(&[404, 405])),
-        case("another version of the interface", ("GET", "/v2/config"), "", NO_SUCH),
-        case("nothing", ("GET", "/"), "", NO_SUCH),
-        case("an empty path", ("GET", ""), "", NO_SUCH),
-        case("a star", ("OPTIONS", "*"), "", NO_SUCH),
-        case("unknown", ("GET", "/v1/other"), "", NO_SUCH),
-        case("only the interface", ("GET", "/v1"), "", NO_SUCH),
-        case("no slash", ("GET", "v1/config"), "", NO_SUCH),
+        case("naming without a version", name, json!({"model": "advisor"}), BAD_REQUEST),
+        case("naming without a model", name, json!({"version": 2}), BAD_REQUEST),
+        case("a version below 0", name, json!({"model": "advisor", "version": -2}), BAD_REQUEST),
+        case("a broken version", name, json!({"model": "advisor", "version": 2.5}), BAD_REQUEST),
+        case("naming nothing", name, "", BAD_REQUEST),
+        case("state", ("GET", "/v1/status"), "", Expected::Status),
+        case("state, written", ("PUT", "/v1/status"), "{}", METHOD_NOT_ALLOWED),
+        case("configuration, removed", ("DELETE", "/v1/config"), "", METHOD_NOT_ALLOWED),
+        case("configuration, posted", ("POST", "/v1/config"), configuration(), METHOD_NOT_ALLOWED),
+        case("named version, read", ("GET", "/v1/version-put"), "", METHOD_NOT_ALLOWED),
+        case("below the configuration", ("GET", "/v1/config/x"), "", Expected::Rejected(&[404, 405])),
+        case("another version of the interface", ("GET", "/v2/config"), "", NOT_FOUND),
+        case("nothing", ("GET", "/"), "", NOT_FOUND),
+        case("an empty path", ("GET", ""), "", NOT_FOUND),
+        case("a star", ("OPTIONS", "*"), "", NOT_FOUND),
+        case("unknown", ("GET", "/v1/other"), "", NOT_FOUND),
+        case("only the interface", ("GET", "/v1"), "", NOT_FOUND),
+        case("no slash", ("GET", "v1/config"), "", NOT_FOUND),
     ])
 }
 
@@ -170,16 +196,16 @@
 fn if_match() -> Result<()> {
     let body = configuration();
     check(vec![
-        put("the first", Some("0"), &body, Want::Put(0, 12)),
-        put("a later one", Some("11"), &body, Want::Put(11, 12)),
-        put("in quotes", Some("\"11\""), &body, Want::Put(11, 12)),
-        put("with spaces", Some("  11 "), &body, Want::Put(11, 12)),
-        put("missing", None, &body, BAD),
-        put("empty", Some(""), &body, BAD),
-        put("a word", Some("latest"), &body, BAD),
-        put("any", Some("*"), &body, BAD),
-        put("below 0", Some("-1"), &body, BAD),
-        put("too large a number", Some("18446744073709551616"), &body, BAD),
+        put("the first", Some("0"), &body, Expected::Put(0, 12)),
+        put("a later one", Some("11"), &body, Expected::Put(11, 12)),
+        put("in quotes", Some("\"11\""), &body, Expected::Put(11, 12)),
+        put("with spaces", Some("  11 "), &body, Expected::Put(11, 12)),
+        put("missing", None, &body, BAD_REQUEST),
+        put("empty", Some(""), &body, BAD_REQUEST),
+        put("a word", Some("latest"), &body, BAD_REQUEST),
+        put("any", Some("*"), &body, BAD_REQUEST),
+        put("below 0", Some("-1"), &body, BAD_REQUEST),
+        put("too large a number", Some("18446744073709551616"), &body, BAD_REQUEST),
     ])
 }
 
@@ -190,29 +216,39 @@
     let weightless = json!([{"backend": "stock-old", "weight": 0}, {"backend": "stock-new", "weight": 0}]);
     let shared_key = with(configuration(), "/customers/1/apiKeys/0", json!("example-key-1"));
     check(vec![
-        put("none", Some("11"), "", BAD),
-        put("cut short", Some("11"), &whole[..whole.len() - 2], BAD),
-        put("more after it", Some("11"), format!("{whole}{{}}"), BAD),
-        put("not an object", Some("11"), "12", BAD),
-        put("without a version", Some("11"), without(configuration(), "version"), BAD),
-        put("a version in words", Some("11"), with(configuration(), "/version", json!("12")), BAD),
-        put("without routes", Some("11"), without(configuration(), "routes"), BAD),
+        put("none", Some("11"), "", BAD_REQUEST),
+        put("cut short", Some("11"), &whole[..whole.len() - 2], BAD_REQUEST),
+        put("more after it", Some("11"), format!("{whole}{{}}"), BAD_REQUEST),
+        put("not an object", Some("11"), "12", BAD_REQUEST),
+        put("without a version", Some("11"), without(configuration(), "version"), BAD_REQUEST),
+        put("a version in words", Some("11"), with(configuration(), "/version", json!("12")), BAD_REQUEST),
+        put("without routes", Some("11"), without(configuration(), "routes"), BAD_REQUEST),
         put(
             "an unknown service",
             Some("11"),
             with(configuration(), "/routes/1/backend", json!("nobody")),
-            BAD,
+            BAD_REQUEST,
         ),
         put(
             "an unknown share",
             Some("11"),
             with(configuration(), "/routes/0/trafficSplit/1/backend", json!("nobody")),
-            BAD,
+            BAD_REQUEST,
         ),
-        put("the same host and prefix", Some("11"), same_prefix, BAD),
-        put("weights of 0", Some("11"), with(configuration(), "/routes/0/trafficSplit", weightless), BAD),
-        put("a time-out of 0", Some("11"), with(configuration(), "/routes/2/timeoutMs", json!(0)), BAD),
-        put("a shared key", Some("11"), shared_key, BAD),
+        put("the same host and prefix", Some("11"), same_prefix, BAD_REQUEST),
+        put(
+            "weights of 0",
+            Some("11"),
+            with(configuration(), "/routes/0/trafficSplit", weightless),
+            BAD_REQUEST,
+        ),
+        put(
+            "a time-out of 0",
+            Some("11"),
+            with(configuration(), "/routes/2/timeoutMs", json!(0)),
+            BAD_REQUEST,
+        ),
+        put("a shared key", Some("11"), shared_key, BAD_REQUEST),
     ])
 }
 
@@ -221,23 +257,28 @@
     let route = json!({"name": "r-1", "host": "a.example"});
     let upsert = json!({"version": 9, "upsert": {"routes": [route]}});
     check(vec![
-        patch("an item to add", Some("7"), &upsert, Want::Patch(7, 9)),
-        patch("in quotes", Some("\"7\""), &upsert, Want::Patch(7, 9)),
+        patch("an item to add", Some("7"), &upsert, Expected::Patch(7, 9)),
+        patch("in quotes", Some("\"7\""), &upsert, Expected::Patch(7, 9)),
         patch(
             "a name to remove",
             Some("7"),
             json!({"version": 9, "remove": {"routes": ["r"]}}),
-            Want::Patch(7, 9),
+            Expected::Patch(7, 9),
+        ),
+        patch("a version alone", Some("7"), json!({"version": 9}), Expected::Patch(7, 9)),
+        patch("no If-Match", None, &upsert, BAD_REQUEST),
+        patch("a word as If-Match", Some("latest"), &upsert, BAD_REQUEST),
+        patch("nothing", Some("7"), "", BAD_REQUEST),
+        patch("no object", Some("7"), "[9]", BAD_REQUEST),
+        patch("no version", Some("7"), json!({"upsert": {"routes": [route]}}), BAD_REQUEST),
+        patch(
+            "an item without a name",
+            Some("7"),
+            json!({"version": 9, "upsert": {"routes": [{}]}}),
+            BAD_REQUEST,
         ),
-        patch("a version alone", Some("7"), json!({"version": 9}), Want::Patch(7, 9)),
-        patch("no If-Match", None, &upsert, BAD),
-        patch("a word as If-Match", Some("latest"), &upsert, BAD),
-        patch("nothing", Some("7"), "", BAD),
-        patch("no object", Some("7"), "[9]", BAD),
-        patch("no version", Some("7"), json!({"upsert": {"routes": [route]}}), BAD),
-        patch("an item without a name", Some("7"), json!({"version": 9, "upsert": {"routes": [{}]}}), BAD),
-        patch("an unknown list", Some("7"), json!({"version": 9, "upsert": {"ways": [route]}}), BAD),
-        patch("half of it", Some("7"), &upsert.to_string()[..40], BAD),
+        patch("an unknown list", Some("7"), json!({"version": 9, "upsert": {"ways": [route]}}), BAD_REQUEST),
+        patch("half of it", Some("7"), &upsert.to_string()[..40], BAD_REQUEST),
     ])
 }
 
@@ -255,7 +296,7 @@
     let Ok(Call::Control(ControlCall::PutConfiguration { body, .. })) =
         parse("PUT", "/v1/config", Some("0"), &sent)
     else {
-        return fail!("it was not taken");
+        return fail!("the configuration was rejected");
     };
     expect_that!(body.to_vec(), eq(&sent));
     expect_that!(fingerprint_number(&body), eq(fingerprint_number(&sent)));
@@ -267,7 +308,7 @@
 #[gtest]
 fn rejections_carry_a_message() -> Result<()> {
     let Err(answer) = parse("PUT", "/v1/config", Some("0"), b"{}") else {
-        return fail!("an empty configuration was taken");
+        return fail!("an empty configuration was accepted");
     };
     let body: Value = serde_json::from_slice(&answer.body)?;
     expect_that!(body["message"].as_str().unwrap_or_default(), not(eq("")));
--- a/controlplane/tests/bootstrap.rs
+++ b/controlplane/tests/bootstrap.rs
@@ -1,4 +1,4 @@
-//! The first view: by whom, when, and with whom.
+//! The first view: which node makes it, when, and with which members.
 
 mod common;
 
@@ -14,20 +14,20 @@
 const SEEDS: [u8; 3] = [1, 2, 3];
 
 /// The bootstrap before any heartbeat of another seed.
-fn alone(losses: usize) -> Option<Bootstrap> {
+fn without_seeds(losses: usize) -> Option<Bootstrap> {
     Bootstrap::new(address(1), &addresses(SEEDS), losses, true, 0)
 }
 
-/// The bootstrap after heartbeats of all seeds, none of which has a disk so far.
+/// The bootstrap after heartbeats of all seeds, none of which has a replica yet.
 fn with_all_seeds(losses: usize) -> Option<Bootstrap> {
-    let mut bootstrap = alone(losses)?;
+    let mut bootstrap = without_seeds(losses)?;
     for seed in SEEDS {
         bootstrap.handle_heartbeat(0, &identity(seed, 1));
     }
     Some(bootstrap)
 }
 
-/// Goes on to the time at which the first view is sent.
+/// Runs until the first view is sent. Returns the time and the messages.
 fn first_sent(bootstrap: &mut Bootstrap, until: Micros) -> Option<(Micros, Vec<BootstrapMessage>)> {
     while bootstrap.next_wake() <= until {
         let now = bootstrap.next_wake();
@@ -39,7 +39,7 @@
     None
 }
 
-/// The view that is founded with these core machines in their zones.
+/// The first view with these core machines in their zones.
 fn first_view(losses: usize, cores: &[(u8, &str)]) -> Option<View> {
     let mut bootstrap = with_all_seeds(losses)?;
     for (number, zone) in cores {
@@ -51,11 +51,11 @@
 #[gtest]
 fn only_the_lowest_seed_bootstraps_and_only_at_the_first_start() -> Result<()> {
     let seeds = addresses([3, 1, 2]);
-    for (own, first_boot, founds) in
+    for (own, first_boot, bootstraps) in
         [(1, true, true), (2, true, false), (3, true, false), (4, true, false), (1, false, false)]
     {
         let bootstrap = Bootstrap::new(address(own), &seeds, 1, first_boot, 0);
-        expect_that!(bootstrap.is_some(), eq(founds), "node {own}, first start: {first_boot}");
+        expect_that!(bootstrap.is_some(), eq(bootstraps), "node {own}, first start: {first_boot}");
     }
     expect_that!(Bootstrap::new(address(1), &[], 1, true, 0).is_none(), eq(true));
     Ok(())
@@ -80,30 +80,30 @@
 #[gtest]
 fn bootstrap_waits_for_the_other_seeds() -> Result<()> {
     // The seeds that send heartbeats, and when the first view is sent.
-    let span = |from: Micros, until: Micros| Some((from, until));
-    for (greeting, wanted) in [
-        (&[2, 3][..], span(SECOND, 1_500 * MS)),
-        (&[2], span(4 * SECOND, 5 * SECOND)),
-        (&[3], span(4 * SECOND, 5 * SECOND)),
+    let between = |from: Micros, until: Micros| Some((from, until));
+    for (senders, wanted) in [
+        (&[2, 3][..], between(SECOND, 1_500 * MS)),
+        (&[2], between(4 * SECOND, 5 * SECOND)),
+        (&[3], between(4 * SECOND, 5 * SECOND)),
         (&[], None),
         (&[8, 9], None),
     ] {
-        let mut bootstrap = alone(1).or_fail()?;
+        let mut bootstrap = without_seeds(1).or_fail()?;
         bootstrap.handle_heartbeat(0, &core_identity(1, "a"));
-        greeting.iter().for_each(|seed| bootstrap.handle_heartbeat(0, &core_identity(*seed, "b")));
+        senders.iter().for_each(|seed| bootstrap.handle_heartbeat(0, &core_identity(*seed, "b")));
         let sent = first_sent(&mut bootstrap, 60 * SECOND).map(|(at, _)| at);
         let fits = match (sent, wanted) {
             (Some(at), Some((from, until))) => (from..=until).contains(&at),
             (sent, wanted) => sent.is_none() && wanted.is_none(),
         };
-        expect_that!(fits, eq(true), "{greeting:?} said hello: {sent:?} instead of {wanted:?}");
+        expect_that!(fits, eq(true), "heartbeats of {senders:?}: {sent:?} instead of {wanted:?}");
     }
     Ok(())
 }
 
 #[gtest]
 fn bootstrap_waits_for_a_late_seed() -> Result<()> {
-    let mut bootstrap = alone(1).or_fail()?;
+    let mut bootstrap = without_seeds(1).or_fail()?;
     bootstrap.handle_heartbeat(0, &core_identity(1, "a"));
     bootstrap.handle_heartbeat(0, &core_identity(2, "b"));
     bootstrap.handle_heartbeat(2 * SECOND, &core_identity(3, "c"));
@@ -133,7 +133,7 @@
             return verify_that!(now, le(1_500 * MS));
         }
     }
-    fail!("no view was founded")
+    fail!("no first view was made")
 }
 
 #[gtest]
@@ -146,9 +146,9 @@
     let stranger = gradepaddle_proto::Identity { first_boot: false, ..core_identity(5, "a") };
     bootstrap.handle_heartbeat(0, &stranger);
     let (_, sent) = first_sent(&mut bootstrap, 9 * SECOND).or_fail()?;
-    let to: BTreeSet<SocketAddrV4> = sent.iter().map(|found| found.to).collect();
+    let to: BTreeSet<SocketAddrV4> = sent.iter().map(|message| message.to).collect();
     expect_that!(to, eq(&addresses([1, 2, 3, 6, 7]).into_iter().collect::<BTreeSet<_>>()));
-    expect_that!(sent.iter().all(|found| found.view == sent[0].view), eq(true));
+    expect_that!(sent.iter().all(|message| message.view == sent[0].view), eq(true));
     expect_that!(sent[0].view.members.len(), eq(5));
     expect_that!((sent[0].view.epoch, sent[0].view.target_size), eq((1, 5)));
     expect_that!(sent[0].view.previous_members, is_empty());
--- a/controlplane/tests/common/mod.rs
+++ b/controlplane/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tables of several test files share: addresses, nodes, servers, a dissemination without peers.
+//! Helpers of several test files: addresses, nodes, servers, gossip without peers.
 
 #![allow(dead_code, reason = "each test file uses its part")]
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// A core machine at the first start of the whole system.
+/// A core machine at the first start of the fleet.
 pub fn core_identity(number: u8, zone: &str) -> Identity {
     Identity {
         replica: Some(u64::from(number) + 500),
@@ -54,28 +54,28 @@
     SessionHeartbeat { identity: identity(number, incarnation), view_epoch: 0 }
 }
 
-/// A view as nodes tell it.
+/// A view as it is sent to other nodes; the first member is the primary.
 pub fn view(epoch: u64, members: impl IntoIterator<Item = u8>) -> ViewSummary {
     let members = addresses(members);
     ViewSummary { epoch, primary: members.first().copied(), members }
 }
 
-/// An answer that grants a session.
+/// A reply that grants a session.
 pub fn grant(incarnation: u64, view: Option<ViewSummary>) -> SessionHeartbeatReply {
     SessionHeartbeatReply { incarnation, granted: true, seen_incarnation: 0, view }
 }
 
-/// A dissemination that knows no other node.
+/// A gossip state machine that knows no other node.
 pub fn lone_gossip(number: u8) -> Gossip {
     Gossip::new(GossipConfig::builder().address(address(number)).seed(u64::from(number)).build(), 0)
 }
 
-/// Publishes and says whether the item was newer than what was held.
+/// Publishes an item. Returns true if it was newer than the known one.
 pub fn publish(gossip: &mut Gossip, item: Item) -> bool {
     gossip.publish(0, item, &mut Vec::new())
 }
 
-/// A heartbeat of a server that holds one model.
+/// A heartbeat of a server with one model.
 pub fn heartbeat(state: &str, call_count: u64) -> Heartbeat {
     let body = serde_json::json!({
         "backend": "advice", "address": "10.9.9.1:8000", "zone": "west", "version": "r3", "slots": 16,
@@ -85,7 +85,7 @@
     serde_json::from_value(body).expect("a heartbeat")
 }
 
-/// A server as all nodes know it.
+/// The registration of a server that is ready.
 pub fn registration(id: &str, owner: u8, version: u64) -> Registration {
     Registration {
         id: Arc::from(id),
--- a/controlplane/tests/golden.rs
+++ b/controlplane/tests/golden.rs
@@ -1,4 +1,4 @@
-//! What leaves a node byte for byte: answers at the control address, its state, calls to servers, items.
+//! Golden tests of the bytes that a node sends: responses of the control API, status, calls to servers, gossiped items.
 
 #[path = "golden/lone_node.rs"]
 mod lone_node;
@@ -41,13 +41,13 @@
 use transcript::{Transcript, hex};
 
 const CONFIGURATION_BODY: &str = include_str!("../../examples/system/configuration.json");
-/// Names the calls of these tests; nodes know no other so high.
+/// The id of the calls of these tests; no other call id is as high.
 const CALL_ID: CallId = CallId(1 << 40);
 
-/// Answers calls that come over HTTP.
+/// Decides calls that come over HTTP; `None` if there is no response.
 type Decide = Box<dyn FnMut(Call) -> Option<Response>>;
 
-/// Serves the control address, sends each of these requests on a connection of its own, and notes what comes back.
+/// Serves the control API, sends each request on a connection of its own, and records the responses.
 async fn exchange(
     transcript: &mut Transcript,
     mut decide: Decide,
@@ -85,8 +85,8 @@
     (title, head + body)
 }
 
-fn titled(title: &str, (made, request): (String, String)) -> (String, String) {
-    (format!("{made} ({title})"), request)
+fn titled(title: &str, (request_line, request): (String, String)) -> (String, String) {
+    (format!("{request_line} ({title})"), request)
 }
 
 fn heartbeat(state: &str, call_count: u64) -> String {
@@ -97,14 +97,14 @@
     )
 }
 
-/// The decisions of a real primary.
-fn node_decides(mut node: LoneNode) -> Decide {
+/// Has a node decide the calls.
+fn decided_by_node(mut node: LoneNode) -> Decide {
     Box::new(move |call| {
         Some(node.call(call).unwrap_or_else(|| Response::unavailable("nothing came at once")))
     })
 }
 
-fn local<F: Future<Output = Result<()>>>(future: F) -> Result<()> {
+fn run_local<F: Future<Output = Result<()>>>(future: F) -> Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     tokio::task::LocalSet::new().block_on(&runtime, future)
 }
@@ -160,16 +160,16 @@
 
 #[gtest]
 fn answers_to_operators() -> Result<()> {
-    local(async {
+    run_local(async {
         let mut transcript = Transcript::default();
-        exchange(&mut transcript, node_decides(LoneNode::leading()), requests_of_operators()).await?;
+        exchange(&mut transcript, decided_by_node(LoneNode::leading()), requests_of_operators()).await?;
         transcript.verify("operators.txt")
     })
 }
 
 #[gtest]
 fn answers_to_servers() -> Result<()> {
-    local(async {
+    run_local(async {
         let mut transcript = Transcript::default();
         let path = "/v1/servers/i-1";
         let requests = vec![
@@ -191,19 +191,19 @@
             request("DELETE", "/v1/servers/", None, ""),
             request("PUT", "/v1/servers/i-1/x", None, "{}"),
         ];
-        exchange(&mut transcript, node_decides(LoneNode::leading()), requests).await?;
+        exchange(&mut transcript, decided_by_node(LoneNode::leading()), requests).await?;
         transcript.verify("servers.txt")
     })
 }
 
 #[gtest]
 fn unavailable_responses() -> Result<()> {
-    local(async {
+    run_local(async {
         let mut transcript = Transcript::default();
         let put = || request("PUT", "/v1/config", Some("0"), CONFIGURATION_BODY);
         let read = || request("GET", "/v1/config", None, "");
         let alone = vec![titled("no primary", put()), titled("no primary", read())];
-        exchange(&mut transcript, node_decides(LoneNode::new()), alone).await?;
+        exchange(&mut transcript, decided_by_node(LoneNode::new()), alone).await?;
         let late: Decide = Box::new(|_| Some(Response { valid_until: Some(1), ..Response::bare(200) }));
         exchange(&mut transcript, late, vec![titled("its lease has run out", read())]).await?;
         exchange(&mut transcript, Box::new(|_| None), vec![titled("dropped by the driver", read())]).await?;
@@ -211,7 +211,7 @@
     })
 }
 
-/// Calls that are answered only once time has passed.
+/// Calls that are answered only after a timeout.
 #[gtest]
 fn late_answers() -> Result<()> {
     let mut transcript = Transcript::default();
@@ -222,8 +222,10 @@
     let view = ViewSummary { epoch: 5, primary: Some(address(3)), members: vec![address(3)] };
     let reply =
         SessionHeartbeatReply { incarnation: 0, granted: false, seen_incarnation: 0, view: Some(view) };
-    follower
-        .hand(Input::Envelope(Envelope { from: address(3), content: Content::SessionHeartbeatReply(reply) }));
+    follower.handle(Input::Envelope(Envelope {
+        from: address(3),
+        content: Content::SessionHeartbeatReply(reply),
+    }));
     follower.call(Call::Control(ControlCall::GetConfiguration));
     follower.run_for(2 * SECOND, false);
     for (title, node) in [("held by nobody else", leading), ("the primary is silent", follower)] {
@@ -283,15 +285,15 @@
     verify_that!(roles, eq(&vec!["backup", "primary", "witness"]))
 }
 
-/// Takes one request on a connection and gives what came.
-async fn seen_once(listener: TcpListener, answer: &'static str) -> String {
+/// Accepts one connection, answers its request with `answer` and returns the received bytes.
+async fn serve_once(listener: TcpListener, answer: &'static str) -> String {
     let (mut stream, _) = listener.accept().await.expect("a connection");
-    let mut seen = Vec::new();
-    while !seen.ends_with(b"}") && !seen.ends_with(b"\r\n\r\n") {
-        stream.read_buf(&mut seen).await.expect("bytes");
+    let mut received = Vec::new();
+    while !received.ends_with(b"}") && !received.ends_with(b"\r\n\r\n") {
+        stream.read_buf(&mut received).await.expect("bytes");
     }
     stream.write_all(answer.as_bytes()).await.expect("it reads");
-    String::from_utf8(seen).expect("text")
+    String::from_utf8(received).expect("text")
 }
 
 async fn listen() -> Result<(TcpListener, SocketAddrV4)> {
@@ -305,16 +307,16 @@
 fn calls_to_servers_and_nodes() -> Result<()> {
     const TAKEN: &str = "HTTP/1.1 202 Taken\r\nContent-Length: 0\r\n\r\n";
     const EMPTY: &str = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}";
-    local(async {
+    run_local(async {
         let pool = Pool::default();
         let (listener, address) = listen().await?;
         let model = Arc::from("advisor \"é\"");
         let order = Order { server: Arc::from("i-7"), address, model, version: 2, fencing_token: 41 };
         let leading = watch::Sender::new(Some(41));
         let permit = OrderPermit::new(41, Instant::now() + Duration::from_secs(10), leading.subscribe());
-        let (_, seen) = tokio::join!(
+        let (_, received) = tokio::join!(
             server_client::send_order(&order, "node-1", &pool, permit),
-            seen_once(listener, TAKEN)
+            serve_once(listener, TAKEN)
         );
         let wanted = format!(
             "POST /v1/order HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\nX-Target-Server: i-7\r\n\
@@ -322,21 +324,21 @@
              {{\"order\":\"version\",\"model\":\"advisor \\\"é\\\"\",\"version\":2,\"method\":\"keep\",\
              \"owner\":\"node-1\",\"fence\":41}}"
         );
-        expect_that!(seen, eq(&wanted));
+        expect_that!(received, eq(&wanted));
         let (listener, address) = listen().await?;
-        let (_, seen) =
-            tokio::join!(server_client::fetch_report("i-7", address, &pool), seen_once(listener, EMPTY));
+        let (_, received) =
+            tokio::join!(server_client::fetch_report("i-7", address, &pool), serve_once(listener, EMPTY));
         let wanted = format!(
             "GET /v1/report HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\nX-Target-Server: i-7\r\n\r\n"
         );
-        expect_that!(seen, eq(&wanted));
+        expect_that!(received, eq(&wanted));
         let (listener, address) = listen().await?;
-        let (_, seen) = tokio::join!(
+        let (_, received) = tokio::join!(
             server_client::call(address, "GET", "/v1/status", &[], &pool),
-            seen_once(listener, EMPTY)
+            serve_once(listener, EMPTY)
         );
         expect_that!(
-            seen,
+            received,
             eq(&format!("GET /v1/status HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n\r\n"))
         );
         Ok(())
@@ -348,7 +350,7 @@
     format!("{} {key} {}.{} removed={removed} {}", kind.0, stamp.major, stamp.minor, hex(payload))
 }
 
-/// What a primary pushes to another node.
+/// The items that a primary pushes to another node.
 #[gtest]
 fn items_of_a_node() -> Result<()> {
     let mut node = LoneNode::leading();
@@ -361,8 +363,8 @@
     let body = Arc::from(*b"{\"version\":12,\"routes\":[],\"backends\":[]}");
     node.call(Call::Control(ControlCall::PutConfiguration { if_match: 0, version: 12, body }));
     node.call(Call::Control(ControlCall::NameVersion { model: Arc::from("advisor"), version: 7 }));
-    node.hand(Input::CacheStoreChanged { name: Arc::from("store-1"), alive: true });
-    node.hand(Input::CacheStoreChanged { name: Arc::from("store-1"), alive: false });
+    node.handle(Input::CacheStoreChanged { name: Arc::from("store-1"), alive: true });
+    node.handle(Input::CacheStoreChanged { name: Arc::from("store-1"), alive: false });
     node.run_for(8 * SECOND, true);
     let lines: BTreeSet<String> = node.pushed.iter().map(item_line).collect();
     let mut transcript = Transcript::default();
@@ -412,7 +414,7 @@
     transcript.verify("payloads.txt")
 }
 
-/// What the roll-out marks servers with, order after order.
+/// The reservations, orders and queries of a roll-out whose orders have no outcome.
 #[gtest]
 fn reservations_of_a_rollout() -> Result<()> {
     let server = Registration {
@@ -428,12 +430,12 @@
         owner: address(1),
     };
     let servers = BTreeMap::from([(server.id.clone(), server)]);
-    let named = BTreeMap::from([("advisor".to_owned(), 2)]);
+    let announced = BTreeMap::from([("advisor".to_owned(), 2)]);
     let mut rollout = Rollout::new(3 * SECOND);
     rollout.become_primary(0, 1);
     let mut transcript = Transcript::default();
     for tick in 0..120 {
-        for step in rollout.tick(tick * 100 * MS, &servers, &named) {
+        for step in rollout.tick(tick * 100 * MS, &servers, &announced) {
             match step {
                 Step::PublishReservation(item) => {
                     transcript.line(&format!("{tick} mark {}", item_line(&item)));
--- a/controlplane/tests/golden/lone_node.rs
+++ b/controlplane/tests/golden/lone_node.rs
@@ -1,5 +1,5 @@
-//! A node that is its own core: it leads, its disk writes at once, and a second node without a disk has a session with
-//! it.
+//! A node that is the only core machine: it is the primary, its writes are durable at once, and a second node without a
+//! disk has a session with it.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::sync::Arc;
@@ -15,10 +15,10 @@
 use gradepaddle_proto::{Content, Envelope, Identity, SessionHeartbeat};
 
 const SECOND: Micros = 1_000_000;
-/// Names the calls of these tests.
+/// The id of all calls of these tests.
 const CALL_ID: CallId = CallId(1 << 40);
 
-/// Where the nodes are reached.
+/// The address of the node with this number.
 pub fn address(number: u8) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(10, 9, 0, number), 7700)
 }
@@ -34,12 +34,12 @@
     }
 }
 
-/// The node with the time that it is told, and the items that it has pushed to the other one.
+/// The node with its clock, and the items that it has pushed to the second node.
 pub struct LoneNode {
     node: Node,
     now: Micros,
     pub pushed: Vec<Item>,
-    /// Answers to calls of these tests, early and late.
+    /// Responses to the calls of these tests, immediate and delayed.
     pub answers: Vec<Response>,
 }
 
@@ -62,7 +62,7 @@
         LoneNode { node, now: CLOCK_START, pushed: Vec::new(), answers: Vec::new() }
     }
 
-    /// Its disk is open.
+    /// Opens its disk, so that it has a replica.
     pub fn open_disk(&mut self) {
         let config = ReplicaConfig::builder()
             .address(address(1))
@@ -72,11 +72,11 @@
             .seed(1)
             .build();
         let replica = Replica::new(config, RecoveredState::empty(ReplicaId(501)), self.now);
-        self.hand(Input::ReplicaOpened(Box::new(replica)));
+        self.handle(Input::ReplicaOpened(Box::new(replica)));
     }
 
-    /// Hands it an input; what it writes is on its disk at once.
-    pub fn hand(&mut self, input: Input) -> Vec<Output> {
+    /// Handles an input. Writes are durable at once.
+    pub fn handle(&mut self, input: Input) -> Vec<Output> {
         let (mut inputs, mut answers) = (vec![input], Vec::new());
         while let Some(input) = inputs.pop() {
             let mut out = Vec::new();
@@ -98,34 +98,37 @@
         answers
     }
 
-    /// Lets time pass. The second node, once it is there, goes on with its heartbeats.
+    /// Runs the node for `span`. The second node, if there is one, continues its heartbeats.
     pub fn run_for(&mut self, span: Micros, second_node: bool) {
         let until = self.now + span;
         while self.now < until {
             self.now = self.node.next_wake().clamp(self.now + 1_000, self.now + 200_000).min(until);
-            self.hand(Input::Tick);
+            self.handle(Input::Tick);
             if second_node {
                 self.session_heartbeat();
             }
         }
     }
 
-    /// A heartbeat of the second node.
+    /// Handles a heartbeat of the second node.
     pub fn session_heartbeat(&mut self) {
-        let beat = SessionHeartbeat { identity: identity(2, None), view_epoch: 1 };
-        self.hand(Input::Envelope(Envelope { from: address(2), content: Content::SessionHeartbeat(beat) }));
+        let heartbeat = SessionHeartbeat { identity: identity(2, None), view_epoch: 1 };
+        self.handle(Input::Envelope(Envelope {
+            from: address(2),
+            content: Content::SessionHeartbeat(heartbeat),
+        }));
     }
 
-    /// Makes a call and gives its answer, if that comes at once.
+    /// Makes a call. Returns its response, if that is immediate.
     pub fn call(&mut self, call: Call) -> Option<Response> {
-        let out = self.hand(Input::Call { call_id: CALL_ID, call });
+        let out = self.handle(Input::Call { call_id: CALL_ID, call });
         out.into_iter().find_map(|output| match output {
             Output::Respond { call_id: CALL_ID, response } => Some(response),
             _ => None,
         })
     }
 
-    /// A node that leads, with a session of the second node.
+    /// A node that is the primary and has granted a session to the second node.
     pub fn leading() -> LoneNode {
         let mut lone = LoneNode::new();
         lone.open_disk();
--- a/controlplane/tests/golden/transcript.rs
+++ b/controlplane/tests/golden/transcript.rs
@@ -1,4 +1,4 @@
-//! A text of what a program wrote, compared byte by byte with a file beside the tests.
+//! The recorded output of a test, compared byte by byte with a golden file.
 
 use std::fmt::Write as _;
 use std::fs;
@@ -6,12 +6,12 @@
 
 use googletest::prelude::*;
 
-/// What was written, entry by entry.
+/// The recorded output.
 #[derive(Default)]
 pub struct Transcript(String);
 
 impl Transcript {
-    /// Adds an entry of text: carriage returns are shown as `\r`, the end of the bytes as a line of its own.
+    /// Adds an entry with a title. Carriage returns are written as `\r`, and a line marks the end of the bytes.
     pub fn text(&mut self, title: &str, bytes: &[u8]) {
         let shown = String::from_utf8_lossy(bytes).replace('\r', "\\r");
         writeln!(self.0, "== {title}\n{shown}\n== end").expect("a string takes all");
@@ -22,8 +22,8 @@
         writeln!(self.0, "{line}").expect("a string takes all");
     }
 
-    /// Compares all of it with a file in `tests/golden`. What differs is left in the folder of the test run, so that the
-    /// two files can be compared.
+    /// Compares the output with a file in `tests/golden`. If they differ, writes the output to the directory for
+    /// temporary files of the tests, so that the two files can be compared.
     pub fn verify(self, file: &str) -> Result<()> {
         let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden");
         let wanted = fs::read_to_string(folder.join(file)).unwrap_or_default();
--- a/controlplane/tests/inbox.rs
+++ b/controlplane/tests/inbox.rs
@@ -1,4 +1,4 @@
-//! What was received and is not handled yet is bounded, and no peer's flood costs another its messages.
+//! The inbox is bounded, and a peer that floods it causes no other peer's messages to be dropped.
 
 mod common;
 
@@ -18,7 +18,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{Instant, advance};
 
-/// A message of this many bytes that stands for bulk.
+/// The size of a large gossip message.
 const BULK_BYTES: usize = 400_000;
 
 fn bulk(from: SocketAddrV4, bytes: usize) -> Envelope {
@@ -38,7 +38,7 @@
     }
 }
 
-/// Pushes until one is dropped; how many were queued.
+/// Pushes messages until one is dropped. Returns how many were queued.
 fn flood(inbox: &Inbox, from: SocketAddrV4) -> usize {
     (0..).find(|_| inbox.push(bulk(from, BULK_BYTES), BULK_BYTES).is_err()).expect("it is bounded")
 }
@@ -55,7 +55,7 @@
     expect_that!(queued * BULK_BYTES, le(MAX_PEER_BYTES));
     expect_that!(queued * BULK_BYTES, gt(MAX_PEER_BYTES - 2 * BULK_BYTES));
     expect_that!(inbox.push(bulk(quiet, BULK_BYTES), BULK_BYTES), ok(()), "gossip of another");
-    expect_that!(inbox.push(query(noisy, 5), 20), ok(()), "what others wait for has a lane of its own");
+    expect_that!(inbox.push(query(noisy, 5), 20), ok(()), "urgent messages have a lane of their own");
     expect_that!(receiver.try_recv().as_ref().and_then(query_id), some(eq(5)), "and goes first");
     let rest = drain(&mut receiver);
     expect_that!(rest.len(), eq(queued + 1));
@@ -101,8 +101,8 @@
         inbox.push(query(address(2), id), 20).expect("there is room");
     }
     let order = drain(&mut receiver);
-    let place = order.iter().position(|envelope| query_id(envelope).is_none());
-    expect_that!(place, some(all![ge(1), le(100)]));
+    let position = order.iter().position(|envelope| query_id(envelope).is_none());
+    expect_that!(position, some(all![ge(1), le(100)]));
     let ids: Vec<u64> = order.iter().filter_map(query_id).collect();
     expect_that!(ids, eq(&(0..1_000).collect::<Vec<_>>()), "messages of one lane keep their order");
 }
@@ -139,7 +139,8 @@
     expect_that!(inbox.push(query(address(1), 1), 20), err(eq(InboxError::Closed)));
 }
 
-/// 40 MB of gossip come in on one connection while nothing is handled; a query on another one is found at once.
+/// 40 MB of gossip arrive on one connection while nothing is handled. A query on another connection is still received
+/// soon.
 #[gtest]
 #[tokio::test]
 async fn a_flood_on_a_socket_is_bounded_and_delays_no_query() {
@@ -160,7 +161,8 @@
         noisy.write_all(&last).await.expect("it is read");
         expect_that!(receiver.queued_bytes(), all![gt(0), le(MAX_PEER_BYTES)]);
         let first = receiver.recv().await;
-        // The query of the flooding peer is the last of its connection: all before it has been received.
+        // The query is the last message on the flooding peer's connection: once it is there, all others have been
+        // received.
         let mut urgent = first.filter(|envelope| query_id(envelope).is_some());
         let mut handled = 0;
         while urgent.is_none() {
--- a/controlplane/tests/leases.rs
+++ b/controlplane/tests/leases.rs
@@ -1,4 +1,4 @@
-//! What a node sends is sent within the lease: delayed responses, late replies of the primary, orders.
+//! Conclusive responses and orders are sent within the lease only, even if responses, replies or processes are delayed.
 
 #[path = "simulation/mod.rs"]
 mod simulation;
@@ -28,9 +28,9 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-/// Names the calls of these tests; nodes know no other so high.
+/// The id of the calls of these tests; no other call id is as high.
 const CALL_ID: CallId = CallId(1 << 40);
-/// No lease lasts longer.
+/// The maximum duration of a lease.
 const LEASE: Micros = 1_500 * MS;
 
 /// Three nodes with configurations and announced model versions.
@@ -59,8 +59,8 @@
         &mut self.world.machines[node].process.as_mut().expect("it runs").node
     }
 
-    /// Hands an input to a node at a time so much later.
-    fn hand(&mut self, node: usize, later: Micros, input: Input) -> Vec<Output> {
+    /// Has a node handle an input at `later` microseconds from now.
+    fn handle(&mut self, node: usize, later: Micros, input: Input) -> Vec<Output> {
         let now = self.clock(node) + later;
         let mut out = Vec::new();
         self.node(node).handle(now, input, &mut out);
@@ -68,7 +68,7 @@
     }
 
     fn call(&mut self, node: usize, call: Call) -> Vec<Output> {
-        self.hand(node, 0, Input::Call { call_id: CALL_ID, call })
+        self.handle(node, 0, Input::Call { call_id: CALL_ID, call })
     }
 
     fn address(&self, node: usize) -> SocketAddrV4 {
@@ -95,14 +95,14 @@
     Order { server: Arc::from("s"), address, model: Arc::from("advisor"), version: 2, fencing_token: 1 }
 }
 
-/// The process may stand still between deciding and answering.
+/// The process may be stopped between the decision and the response.
 #[gtest]
 fn immediate_decisions_are_sent_within_the_lease_only() {
     let rows = [
         ("the newest configuration", Call::Control(ControlCall::GetConfiguration), 200),
-        ("a version that was overtaken", put(0, 1_000), 412),
+        ("an outdated base version", put(0, 1_000), 412),
         (
-            "weights that were named",
+            "a version that is announced already",
             Call::Control(ControlCall::NameVersion { model: Arc::from("advisor"), version: 1 }),
             200,
         ),
@@ -118,7 +118,7 @@
     }
 }
 
-/// The backup acknowledges when the lease has run out: the change is in force, and only the present primary may say so.
+/// The backup acknowledges after the lease has expired: the change is in force, but only the current primary may say so.
 #[gtest]
 fn a_change_that_is_durable_after_the_lease_gets_503() -> Result<()> {
     for (later, status) in [(5 * MS, 200), (LEASE + 100 * MS, 503)] {
@@ -142,21 +142,21 @@
         }
         let last = written.pop().or_fail()?;
         for input in written {
-            fleet.hand(primary, 2 * MS, input);
+            fleet.handle(primary, 2 * MS, input);
         }
-        let out = fleet.hand(primary, later, last);
+        let out = fleet.handle(primary, later, last);
         let answer = answer(&out).or_fail()?;
         expect_that!(answer.status, eq(status), "{later} µs later");
     }
     Ok(())
 }
 
-/// What a backup says once it has written what this asks of it.
+/// The replies of a backup to a message, after its writes are durable.
 fn replies(fleet: &mut Fleet, backup: usize, input: Input) -> Vec<Content> {
     let mut replies = Vec::new();
     let mut inputs = vec![input];
     while let Some(input) = inputs.pop() {
-        for output in fleet.hand(backup, MS, input) {
+        for output in fleet.handle(backup, MS, input) {
             match output {
                 Output::Persist { write_id, .. } => inputs.push(Input::Persisted(write_id)),
                 Output::Send { content: content @ Content::Control(_), .. } => replies.push(content),
@@ -167,7 +167,7 @@
     replies
 }
 
-/// An answer of the primary comes late, or is read late by a process that stood still.
+/// The reply of the primary comes late, or is handled late because the process was stopped.
 #[gtest]
 fn a_reply_of_the_primary_is_relayed_within_its_lease_only() -> Result<()> {
     let rows = [
@@ -183,31 +183,31 @@
     ];
     for (what, reply, lease_remaining, later, status) in rows {
         let mut fleet = Fleet::new();
-        let asked = (fleet.primary + 1) % 3;
-        let out = fleet.call(asked, Call::Control(ControlCall::GetConfiguration));
-        let ticket = out.iter().find_map(|output| match output {
+        let forwarder = (fleet.primary + 1) % 3;
+        let out = fleet.call(forwarder, Call::Control(ControlCall::GetConfiguration));
+        let call_id = out.iter().find_map(|output| match output {
             Output::Send { content: Content::ForwardedCall(forward), .. } => Some(forward.call_id),
             _ => None,
         });
         let forwarded = ForwardedReply {
-            call_id: ticket.or_fail()?,
+            call_id: call_id.or_fail()?,
             status: reply,
             body: Arc::from([]),
             lease_remaining,
         };
         let input = fleet.envelope(fleet.primary, Content::ForwardedReply(forwarded));
-        let sent = fleet.clock(asked);
-        let answer = answer(&fleet.hand(asked, later, input)).or_fail()?;
+        let sent = fleet.clock(forwarder);
+        let answer = answer(&fleet.handle(forwarder, later, input)).or_fail()?;
         expect_that!(answer.status, eq(status), "{what}");
-        // What is delayed on its way out is not sent either.
+        // A response that is delayed before it is sent becomes 503 as well.
         expect_that!(answer.at(sent + lease_remaining.max(MS)).status, eq(503), "{what}");
     }
     Ok(())
 }
 
 /// A read of the configuration as a node that is not the primary forwards it.
-fn forwarded_read(fleet: &mut Fleet, asked: usize) -> Option<ForwardedCall> {
-    let out = fleet.call(asked, Call::Control(ControlCall::GetConfiguration));
+fn forwarded_read(fleet: &mut Fleet, forwarder: usize) -> Option<ForwardedCall> {
+    let out = fleet.call(forwarder, Call::Control(ControlCall::GetConfiguration));
     out.into_iter().find_map(|output| match output {
         Output::Send { content: Content::ForwardedCall(forwarded), .. } => Some(forwarded),
         _ => None,
@@ -215,54 +215,54 @@
 }
 
 /// The primary's reply to a forwarded call.
-fn reply_of_primary(fleet: &mut Fleet, asked: usize, forwarded: ForwardedCall) -> Option<ForwardedReply> {
-    let input = fleet.envelope(asked, Content::ForwardedCall(forwarded));
-    fleet.hand(fleet.primary, 0, input).into_iter().find_map(|output| match output {
+fn reply_of_primary(fleet: &mut Fleet, forwarder: usize, forwarded: ForwardedCall) -> Option<ForwardedReply> {
+    let input = fleet.envelope(forwarder, Content::ForwardedCall(forwarded));
+    fleet.handle(fleet.primary, 0, input).into_iter().find_map(|output| match output {
         Output::Send { content: Content::ForwardedReply(reply), .. } => Some(reply),
         _ => None,
     })
 }
 
-/// The primary says for how long its lease was to last, to builds that read the configuration whole as well.
+/// The reply of the primary contains the remaining time of its lease, also for builds that read the whole configuration.
 #[gtest]
 fn the_primary_sends_the_remaining_lease_with_its_reply() -> Result<()> {
     for (reads_whole, status) in [(true, 200), (false, 304)] {
         let mut fleet = Fleet::new();
-        let asked = (fleet.primary + 1) % 3;
-        let mut forwarded = forwarded_read(&mut fleet, asked).or_fail()?;
+        let forwarder = (fleet.primary + 1) % 3;
+        let mut forwarded = forwarded_read(&mut fleet, forwarder).or_fail()?;
         if reads_whole {
             forwarded.known_version = 0;
         }
-        let reply = reply_of_primary(&mut fleet, asked, forwarded).or_fail()?;
+        let reply = reply_of_primary(&mut fleet, forwarder, forwarded).or_fail()?;
         expect_that!((reply.status, reply.lease_remaining), (eq(status), all![gt(0), le(LEASE)]));
     }
     Ok(())
 }
 
-/// A body of some hundred kilobytes took longer over a narrow link than a call may: a node that has the newest
-/// configuration gets the primary's word for it, and no copy.
+/// A body of some hundred kilobytes took longer over a slow link than a call may last. So a node that has the newest
+/// configuration gets a confirmation from the primary instead of a copy.
 #[gtest]
 fn a_read_at_a_node_that_has_the_newest_configuration_moves_no_body() -> Result<()> {
     let mut fleet = Fleet::new();
-    let (primary, asked) = (fleet.primary, (fleet.primary + 1) % 3);
+    let (primary, forwarder) = (fleet.primary, (fleet.primary + 1) % 3);
     let newest = answer(&fleet.call(primary, Call::Control(ControlCall::GetConfiguration))).or_fail()?;
     verify_that!(newest.status, eq(200))?;
-    let forwarded = forwarded_read(&mut fleet, asked).or_fail()?;
-    let reply = reply_of_primary(&mut fleet, asked, forwarded).or_fail()?;
+    let forwarded = forwarded_read(&mut fleet, forwarder).or_fail()?;
+    let reply = reply_of_primary(&mut fleet, forwarder, forwarded).or_fail()?;
     expect_that!(reply.body.len(), eq(0));
     let input = fleet.envelope(primary, Content::ForwardedReply(reply));
-    let read = answer(&fleet.hand(asked, MS, input)).or_fail()?;
+    let read = answer(&fleet.handle(forwarder, MS, input)).or_fail()?;
     expect_that!((read.status, &read.body), (eq(200), eq(&newest.body)));
 
-    // One that has an older configuration gets the whole of the newest.
-    let mut forwarded = forwarded_read(&mut fleet, asked).or_fail()?;
+    // A node with an older configuration gets the whole of the newest.
+    let mut forwarded = forwarded_read(&mut fleet, forwarder).or_fail()?;
     forwarded.known_version -= 1;
-    let reply = reply_of_primary(&mut fleet, asked, forwarded).or_fail()?;
+    let reply = reply_of_primary(&mut fleet, forwarder, forwarded).or_fail()?;
     expect_that!((reply.status, &reply.body), (eq(200), eq(&newest.body)));
     Ok(())
 }
 
-/// Nobody waits in silence: callers go on after a second.
+/// Every call gets a response before its caller times out after 1 s.
 #[gtest]
 fn a_call_without_a_decision_of_the_primary_gets_503_within_a_second() -> Result<()> {
     for call in [
@@ -271,12 +271,12 @@
         Call::Control(ControlCall::NameVersion { model: Arc::from("m"), version: 1 }),
     ] {
         let mut fleet = Fleet::new();
-        let asked = (fleet.primary + 1) % 3;
-        let mut out = fleet.call(asked, call);
+        let forwarder = (fleet.primary + 1) % 3;
+        let mut out = fleet.call(forwarder, call);
         let mut later = 0;
         while answer(&out).is_none() && later < 5 * SECOND {
             later += 10 * MS;
-            out.extend(fleet.hand(asked, later, Input::Tick));
+            out.extend(fleet.handle(forwarder, later, Input::Tick));
         }
         expect_that!(answer(&out).or_fail()?.status, eq(503));
         expect_that!(later, lt(950 * MS));
@@ -309,7 +309,7 @@
     Ok((listener, SocketAddrV4::new(std::net::Ipv4Addr::LOCALHOST, port)))
 }
 
-/// The last look is taken where the answer is written.
+/// The lease is checked again right before the response is written.
 #[gtest]
 fn the_api_server_sends_nothing_conclusive_after_the_lease() -> Result<()> {
     run(async {
@@ -334,18 +334,18 @@
     })
 }
 
-/// What becomes of an order at a server that takes its bytes and never answers.
-struct Withheld {
+/// The result of an order to a server that reads it and never answers.
+struct UnansweredOrder {
     bytes: Vec<u8>,
-    /// How the connection ended for the server; `None` in good order.
-    fault: Option<ErrorKind>,
+    /// The error with which the connection ended for the server; `None` if it was closed normally.
+    error: Option<ErrorKind>,
     answer: OrderOutcome,
 }
 
-/// Sends an order with fencing token 1, and does something once the first of its bytes have come.
-async fn give_in_vain(permit: OrderPermit, then: impl FnOnce()) -> Result<Withheld> {
+/// Sends an order with fencing token 1 and calls `then` once its first bytes have arrived.
+async fn send_unanswered_order(permit: OrderPermit, then: impl FnOnce()) -> Result<UnansweredOrder> {
     let (listener, address) = listen().await?;
-    let given = tokio::task::spawn_local(async move {
+    let outcome = tokio::task::spawn_local(async move {
         server_client::send_order(&some_order(address), "node-1", &Pool::default(), permit).await
     });
     let (mut server, _) = listener.accept().await.or_fail()?;
@@ -353,46 +353,48 @@
     let first = server.read(&mut bytes).await.unwrap_or(0);
     bytes.truncate(first);
     then();
-    let fault = server.read_to_end(&mut bytes).await.err().map(|error| error.kind());
-    Ok(Withheld { bytes, fault, answer: given.await.or_fail()? })
+    let error = server.read_to_end(&mut bytes).await.err().map(|error| error.kind());
+    Ok(UnansweredOrder { bytes, error, answer: outcome.await.or_fail()? })
 }
 
-/// A busy machine may hold up one or two of so many.
-const TRIES: usize = 3;
+/// Number of attempts, of which the fastest counts: on a busy machine some of them may be delayed.
+const ATTEMPTS: usize = 3;
 
 fn in_an_hour() -> Instant {
     Instant::now() + Duration::from_secs(3_600)
 }
 
-/// The process stood still, or lost its lead, after it had looked: the connection comes up, and nothing is sent.
+/// The process was stopped, or this node stepped down, after the first check of the permit: the connection is
+/// established, but nothing is sent.
 #[gtest]
 fn an_order_whose_lease_has_run_out_is_not_sent() -> Result<()> {
     run(async {
         let rows = [
             ("after the lease", Instant::now(), Some(1)),
-            ("without the lead", in_an_hour(), None),
-            ("under a later fence", in_an_hour(), Some(2)),
+            ("not the primary", in_an_hour(), None),
+            ("in a later epoch", in_an_hour(), Some(2)),
         ];
         for (what, deadline, leads) in rows {
-            let (_sender, leading) = watch::channel(leads);
-            let withheld = give_in_vain(OrderPermit::new(1, deadline, leading), || {}).await?;
-            expect_that!(withheld.bytes, is_empty(), "{what}");
-            expect_that!(withheld.answer, eq(OrderOutcome::Failed), "{what}");
+            let (_sender, primary_epoch) = watch::channel(leads);
+            let order = send_unanswered_order(OrderPermit::new(1, deadline, primary_epoch), || {}).await?;
+            expect_that!(order.bytes, is_empty(), "{what}");
+            expect_that!(order.answer, eq(OrderOutcome::Failed), "{what}");
         }
         Ok(())
     })
 }
 
-/// An order without a response by the end of the lease is cancelled: what a partition delays would arrive much later.
+/// An order without a response by the end of the lease is cancelled: bytes that a partition delays could arrive much
+/// later.
 #[gtest]
 fn an_order_without_a_response_is_reset_at_the_end_of_the_lease() -> Result<()> {
     run(async {
-        let (_sender, leading) = watch::channel(Some(1));
+        let (_sender, primary_epoch) = watch::channel(Some(1));
         let deadline = Instant::now() + Duration::from_millis(200);
-        let withheld = give_in_vain(OrderPermit::new(1, deadline, leading), || {}).await?;
-        expect_that!(withheld.bytes.starts_with(b"POST /v1/order "), eq(true));
-        expect_that!(withheld.fault, some(eq(ErrorKind::ConnectionReset)));
-        verify_that!(withheld.answer, eq(OrderOutcome::Failed))
+        let order = send_unanswered_order(OrderPermit::new(1, deadline, primary_epoch), || {}).await?;
+        expect_that!(order.bytes.starts_with(b"POST /v1/order "), eq(true));
+        expect_that!(order.error, some(eq(ErrorKind::ConnectionReset)));
+        verify_that!(order.answer, eq(OrderOutcome::Failed))
     })
 }
 
@@ -402,27 +404,27 @@
     run(async {
         for next in [None, Some(2)] {
             let mut fastest = Duration::MAX;
-            for _ in 0..TRIES {
-                let (sender, leading) = watch::channel(Some(1));
-                let permit = OrderPermit::new(1, in_an_hour(), leading);
-                let begun = Instant::now();
-                let withheld = give_in_vain(permit, || {
+            for _ in 0..ATTEMPTS {
+                let (sender, primary_epoch) = watch::channel(Some(1));
+                let permit = OrderPermit::new(1, in_an_hour(), primary_epoch);
+                let started = Instant::now();
+                let order = send_unanswered_order(permit, || {
                     sender.send_replace(next);
                 });
-                let withheld = withheld.await?;
-                fastest = fastest.min(begun.elapsed());
-                expect_that!(withheld.bytes.starts_with(b"POST /v1/order "), eq(true));
-                expect_that!(withheld.fault, some(eq(ErrorKind::ConnectionReset)), "{next:?}");
-                expect_that!(withheld.answer, eq(OrderOutcome::Failed), "{next:?}");
+                let order = order.await?;
+                fastest = fastest.min(started.elapsed());
+                expect_that!(order.bytes.starts_with(b"POST /v1/order "), eq(true));
+                expect_that!(order.error, some(eq(ErrorKind::ConnectionReset)), "{next:?}");
+                expect_that!(order.answer, eq(OrderOutcome::Failed), "{next:?}");
             }
-            // Not for want of an answer only, half a second later.
+            // The reset is due to the change of the epoch, not to the response timeout of half a second.
             expect_that!(fastest, lt(Duration::from_millis(450)), "{next:?}");
         }
         Ok(())
     })
 }
 
-/// A patch is judged on the configuration that is in force, and what is said of it within the lease only.
+/// A patch is checked against the configuration in force, and the response is sent within the lease only.
 #[gtest]
 fn responses_of_the_primary_to_a_patch() {
     let patch = |if_match, version, text: &str| {
@@ -436,15 +438,15 @@
     let current = fleet.world.operators[0].current;
     let (next, older) = (current + 5, current.saturating_sub(1));
     let removes_unknown = format!(r#"{{"version":{next},"remove":{{"routes":["none"]}}}}"#);
-    let leads_nowhere = format!(
+    let unknown_backend = format!(
         r#"{{"version":{next},"upsert":{{"routes":[{{"name":"r","host":"a","pathPrefix":"/","kind":"safe","timeoutMs":1,"backend":"none"}}]}}}}"#
     );
     let rows = [
-        ("on a version that was overtaken", patch(older, next, &format!(r#"{{"version":{next}}}"#)), 412),
-        ("on a version to come", patch(next, next + 1, &format!(r#"{{"version":{}}}"#, next + 1)), 503),
+        ("on an outdated version", patch(older, next, &format!(r#"{{"version":{next}}}"#)), 412),
+        ("on a future version", patch(next, next + 1, &format!(r#"{{"version":{}}}"#, next + 1)), 503),
         ("not above its base", patch(current, current, &format!(r#"{{"version":{current}}}"#)), 400),
         ("an unknown name to remove", patch(current, next, &removes_unknown), 400),
-        ("a configuration that isn't valid", patch(current, next, &leads_nowhere), 400),
+        ("a configuration that isn't valid", patch(current, next, &unknown_backend), 400),
     ];
     for (what, call, status) in rows {
         let primary = fleet.primary;
@@ -455,7 +457,7 @@
     }
 }
 
-/// The answer was lost, and other changes have come since: the patch that is sent again was taken.
+/// The response to a patch was lost, and other changes have followed: the repeated patch is acknowledged again.
 #[gtest]
 fn a_repeated_patch_is_acknowledged_again() -> Result<()> {
     let mut fleet = Fleet::new();
@@ -480,17 +482,17 @@
         ("the first once more", &first, 200),
     ];
     for (what, call, status) in rows {
-        let answer = settled_call(&mut fleet, call.clone()).or_fail()?;
+        let answer = replicated_call(&mut fleet, call.clone()).or_fail()?;
         expect_that!(answer.status, eq(status), "{what}");
     }
-    let read = settled_call(&mut fleet, Call::Control(ControlCall::GetConfiguration)).or_fail()?;
+    let read = replicated_call(&mut fleet, Call::Control(ControlCall::GetConfiguration)).or_fail()?;
     let read = String::from_utf8_lossy(&read.body).into_owned();
     expect_that!(read, contains_substring(format!("\"version\":{}", current + 2)));
     verify_that!(read, contains_substring(r#""customers":[{"name":"new"}]"#))
 }
 
-/// The answer to a call at the primary, with all that has to be written and replicated for it.
-fn settled_call(fleet: &mut Fleet, call: Call) -> Option<Response> {
+/// The response to a call at the primary, after all writes and the replication that it needs.
+fn replicated_call(fleet: &mut Fleet, call: Call) -> Option<Response> {
     let primary = fleet.primary;
     let mut outputs = fleet.call(primary, call);
     for _ in 0..4 {
@@ -501,14 +503,14 @@
         for output in outputs {
             match output {
                 Output::Persist { write_id, .. } => {
-                    next.extend(fleet.hand(primary, MS, Input::Persisted(write_id)));
+                    next.extend(fleet.handle(primary, MS, Input::Persisted(write_id)));
                 }
                 Output::Send { to, content: content @ Content::Control(_) } => {
                     let backup = (0..3).find(|node| fleet.address(*node) == to)?;
                     let input = fleet.envelope(primary, content);
                     for reply in replies(fleet, backup, input) {
                         let reply = fleet.envelope(backup, reply);
-                        next.extend(fleet.hand(primary, MS, reply));
+                        next.extend(fleet.handle(primary, MS, reply));
                     }
                 }
                 _ => {}
@@ -519,8 +521,8 @@
     answer(&outputs)
 }
 
-/// A caller waits for a second, in which a narrow link does not carry a long configuration: the primary's machine has a
-/// wide one.
+/// A caller waits for 1 s, in which a slow link can't carry a long configuration, so the caller is redirected to the
+/// primary, whose machine has a fast link.
 #[gtest]
 fn a_long_configuration_is_read_at_the_primary() -> Result<()> {
     let mut world = World::new(Plan { faults: 0, ..Plan::new(5, 3, 1) }, 1);
@@ -541,8 +543,8 @@
     for (bytes, version, redirects) in [(256 * 1024, 10_000, false), (256 * 1024 + 1, 10_001, true)] {
         for node in (0..5).filter(|node| *node != primary) {
             let input = fleet.envelope(primary, newer(bytes, version));
-            fleet.hand(node, 0, input);
-            // Members of the core have wide links themselves.
+            fleet.handle(node, 0, input);
+            // Core machines have fast links themselves.
             let location = SocketAddrV4::new(*fleet.address(primary).ip(), 9_100);
             let expected = (redirects && node >= 3).then(|| Response::redirect(location));
             expect_that!(answer(&fleet.call(node, read())), eq(&expected), "node {node}, {bytes} bytes");
--- a/controlplane/tests/outages.rs
+++ b/controlplane/tests/outages.rs
@@ -1,4 +1,4 @@
-//! Twenty seconds without contact, in each way and for each kind of machine, with callers on both sides.
+//! Simulated outages of 20 s, of each kind and for each group of machines, with callers on both sides.
 
 #[path = "simulation/mod.rs"]
 mod simulation;
@@ -7,7 +7,7 @@
 use gradepaddle_control::InjectedFault;
 use simulation::{MS, Micros, Outage, OutageKind, Plan, Report, SECOND, Victim, World};
 
-/// How many seeds each outage is given, unless `FLEET_SEEDS` says otherwise.
+/// The number of seeds for each outage, unless `FLEET_SEEDS` is set.
 const SEEDS: u64 = 3;
 /// How long an outage lasts.
 const DURATION: Micros = 20 * SECOND;
@@ -23,7 +23,7 @@
     OutageKind::Stalling,
 ];
 
-/// Nine machines, of which so many have a disk.
+/// A fleet of nine machines, `cores` of which have a disk.
 fn plan(cores: usize, losses: usize, victim: Victim, kind: OutageKind) -> Plan {
     let outage = Some(Outage { victim, kind, duration: DURATION });
     let fault_free_for = DURATION + 8 * SECOND;
@@ -36,7 +36,7 @@
     first..first + number("FLEET_SEEDS").unwrap_or(SEEDS)
 }
 
-/// Plays each kind of outage of a victim once for each seed.
+/// Runs each kind of outage of a victim once for each seed.
 fn run(cores: usize, losses: usize, victim: Victim) -> Result<()> {
     for kind in OUTAGE_KINDS {
         let mut total = Report::default();
@@ -97,16 +97,17 @@
     run(3, 1, Victim::WithoutDisk)
 }
 
-/// The core is cut into halves, whatever may be lost at once; all other machines, servers and callers reach both. An odd
-/// core goes on in its larger part, an even one rests; nobody says anything clear that is old.
+/// The core is split in halves, which may exceed the tolerated number of losses; all other machines, servers and callers
+/// reach both. A core of odd size goes on with its larger part; one of even size makes no decisions. No node sends an
+/// outdated conclusive response.
 #[gtest]
 fn the_core_is_split_in_halves() -> Result<()> {
     const DURATION: Micros = 8 * SECOND;
     for (cores, losses) in [(3, 1), (4, 1), (5, 2), (8, 2)] {
         for victim in [Victim::HalfWithPrimary, Victim::HalfWithoutPrimary] {
-            let whole = plan(cores, losses, victim, OutageKind::PartitionFromCore);
+            let base = plan(cores, losses, victim, OutageKind::PartitionFromCore);
             let outage = Some(Outage { victim, kind: OutageKind::PartitionFromCore, duration: DURATION });
-            let halves = Plan { outage, fault_free_for: DURATION + 8 * SECOND, ..whole };
+            let halves = Plan { outage, fault_free_for: DURATION + 8 * SECOND, ..base };
             let mut total = Report::default();
             for seed in seeds() {
                 let report = World::new(halves.clone(), seed).run();
@@ -114,8 +115,12 @@
                 total.add(&report);
             }
             // A core of even size has no primary until the halves are connected again.
-            let rests = if cores % 2 == 0 { DURATION } else { 0 };
-            expect_that!(total.others_answer_after, lt(rests + 4 * SECOND), "{cores} cores, {victim:?}");
+            let without_primary = if cores % 2 == 0 { DURATION } else { 0 };
+            expect_that!(
+                total.others_answer_after,
+                lt(without_primary + 4 * SECOND),
+                "{cores} cores, {victim:?}"
+            );
             expect_that!(total.victims_answer_after, lt(4 * SECOND), "{cores} cores, {victim:?}");
             expect_that!(total.victims_apply_after, lt(4 * SECOND), "{cores} cores, {victim:?}");
         }
@@ -123,8 +128,8 @@
     Ok(())
 }
 
-/// On some days the share of a core is a quota: a process runs for 10 ms of each 100 ms. Nothing is lost by that: each
-/// call is answered, no lease runs out, and no member or server is taken for lost.
+/// The processes have a CPU quota of 10 ms in each 100 ms. This must cause no losses: each call is answered, no lease
+/// expires, and no member or server counts as lost.
 #[gtest]
 fn a_core_quota_costs_no_primary_and_no_answer() -> Result<()> {
     for (nodes, cores, losses) in [(9, 3, 1), (9, 9, 2)] {
@@ -148,8 +153,8 @@
 /// A large fleet: eight machines with a disk in three zones, so that several are partitioned together.
 #[gtest]
 fn the_zone_of_the_primary_of_seventy_eight_nodes_is_partitioned() -> Result<()> {
-    let cut = plan(8, 2, Victim::ZoneOfPrimary, OutageKind::Partition);
-    let report = World::new(Plan { nodes: 78, servers: 20, ..cut }, 3).run();
+    let partitioned = plan(8, 2, Victim::ZoneOfPrimary, OutageKind::Partition);
+    let report = World::new(Plan { nodes: 78, servers: 20, ..partitioned }, 3).run();
     verify_that!(report.violation, none())?;
     expect_that!(report.others_answer_after, lt(4 * SECOND));
     expect_that!(report.victims_answer_after, lt(2 * SECOND));
@@ -157,13 +162,13 @@
     Ok(())
 }
 
-/// A version that lets its state be read without the lease is found out.
+/// The checks detect a replica that allows reads without a lease.
 #[gtest]
 fn a_read_without_the_lease_is_caught() -> Result<()> {
-    let flawed = Plan {
+    let faulty = Plan {
         injected_fault: Some(InjectedFault::ReadsWithoutLease),
         ..plan(3, 1, Victim::Primary, OutageKind::Partition)
     };
-    let found = (0..SEEDS).find_map(|seed| World::new(flawed.clone(), seed).run().violation);
+    let found = (0..SEEDS).find_map(|seed| World::new(faulty.clone(), seed).run().violation);
     verify_that!(found, some(contains_substring("without contact")))
 }
--- a/controlplane/tests/registry.rs
+++ b/controlplane/tests/registry.rs
@@ -1,4 +1,4 @@
-//! Model servers at the node that hears their heartbeats.
+//! Model servers at the node that gets their heartbeats.
 
 mod common;
 
@@ -23,7 +23,7 @@
         OwningNode { registry: Registry::new(address(node), HEARTBEAT_INTERVAL), gossip: lone_gossip(node) }
     }
 
-    /// A heartbeat; the decision is published, as the node does it.
+    /// Handles a heartbeat and publishes the decision as a node does.
     fn heartbeat(&mut self, now: Micros, state: &str, call_count: u64) -> Decision {
         let decision = self.registry.heartbeat(now, "s", &heartbeat(state, call_count), &self.gossip);
         self.publish(decision.clone());
@@ -48,7 +48,7 @@
 }
 
 /// The item of server `s` as another node would publish it.
-fn of_other(owner: u8, call_count: u64) -> Item {
+fn item_of_other_node(owner: u8, call_count: u64) -> Item {
     let stamp = item_kinds::server_stamp(call_count, Evidence::Reported);
     item_kinds::item(SERVER, "s", stamp, registration("s", owner, 1).to_bytes())
 }
@@ -129,7 +129,7 @@
 #[gtest]
 fn a_call_that_was_overtaken_at_another_node_changes_nothing() -> Result<()> {
     let mut node = OwningNode::at(1);
-    publish(&mut node.gossip, of_other(2, 9));
+    publish(&mut node.gossip, item_of_other_node(2, 9));
     expect_that!(node.heartbeat(MS, "ready", 8), eq(&Decision::Acknowledge));
     expect_that!(node.heartbeat(2 * MS, "ready", 10), matches_pattern!(Decision::Publish(_)));
     Ok(())
@@ -175,16 +175,16 @@
     let late = 10 * HEARTBEAT_INTERVAL;
     let mut node = OwningNode::at(1);
     node.heartbeat(0, "ready", 1);
-    publish(&mut node.gossip, of_other(2, 2));
+    publish(&mut node.gossip, item_of_other_node(2, 2));
     expect_that!(node.tick(late), is_empty());
     let mut came_back = OwningNode::at(1);
     came_back.heartbeat(0, "ready", 1);
-    publish(&mut came_back.gossip, of_other(2, 2));
+    publish(&mut came_back.gossip, item_of_other_node(2, 2));
     came_back.heartbeat(HEARTBEAT_INTERVAL, "ready", 3);
     expect_that!(came_back.tick(late).len(), eq(1));
-    let mut bystander = OwningNode::at(3);
-    publish(&mut bystander.gossip, of_other(2, 2));
-    expect_that!(bystander.tick(late), is_empty());
+    let mut third = OwningNode::at(3);
+    publish(&mut third.gossip, item_of_other_node(2, 2));
+    expect_that!(third.tick(late), is_empty());
     Ok(())
 }
 
@@ -202,7 +202,7 @@
     let mut node = OwningNode::at(1);
     node.heartbeat(0, "draining", 5);
     let Decision::PublishAcknowledged(item) = node.leave() else {
-        return fail!("leaving was not to be confirmed");
+        return fail!("leaving needs no acknowledgment of other nodes");
     };
     expect_that!(item.removed, eq(true));
     expect_that!(item.stamp, eq(SERVER_REMOVED));
--- a/controlplane/tests/send_queue.rs
+++ b/controlplane/tests/send_queue.rs
@@ -1,4 +1,4 @@
-//! What waits for a connection is bounded, and a slow link gets all of it. Time is simulated.
+//! The send queue is bounded, and a slow link still transfers all queued bytes. Time is simulated.
 
 use std::time::Duration;
 
@@ -9,63 +9,63 @@
 use tokio::io::{AsyncReadExt, duplex};
 use tokio::time::{Instant, sleep};
 
-/// A state of the control plane with a large configuration, in bytes.
-const STATE: usize = 4_000_000;
-/// What lies between two nodes, in bytes.
-const WINDOW: usize = 16 * 1024;
-/// The link carries so many bytes each [`PAUSE`]: 10 Mbit/s.
-const TAKEN: usize = 12_500;
+/// The size of a control state with a large configuration.
+const STATE_BYTES: usize = 4_000_000;
+/// The number of bytes in flight between two nodes.
+const WINDOW_BYTES: usize = 16 * 1024;
+/// The link carries this many bytes in each [`PAUSE`]: 10 Mbit/s.
+const BYTES_PER_PAUSE: usize = 12_500;
 const PAUSE: Duration = Duration::from_millis(10);
-const WITHIN: Duration = Duration::from_millis(2_400);
+const STALL_TIMEOUT: Duration = Duration::from_millis(2_400);
 
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn a_large_state_passes_a_slow_connection_completely() {
-    let (mut near, mut far) = duplex(WINDOW);
+    let (mut writer, mut reader) = duplex(WINDOW_BYTES);
     let reading = tokio::spawn(async move {
-        let (mut bytes, mut count) = (vec![0; TAKEN], 0);
-        while let Ok(taken @ 1..) = far.read(&mut bytes).await {
-            count += taken;
+        let (mut bytes, mut count) = (vec![0; BYTES_PER_PAUSE], 0);
+        while let Ok(accepted @ 1..) = reader.read(&mut bytes).await {
+            count += accepted;
             sleep(PAUSE).await;
         }
         count
     });
-    let begun = Instant::now();
-    let written = write_with_progress(&mut near, &vec![1; STATE], WITHIN).await;
-    drop(near);
+    let started = Instant::now();
+    let written = write_with_progress(&mut writer, &vec![1; STATE_BYTES], STALL_TIMEOUT).await;
+    drop(writer);
     expect_that!(written, eq(true));
-    expect_that!(begun.elapsed(), gt(WITHIN), "it takes as long as the link needs");
-    expect_that!(reading.await.ok(), some(eq(STATE)));
+    expect_that!(started.elapsed(), gt(STALL_TIMEOUT), "it takes as long as the link needs");
+    expect_that!(reading.await.ok(), some(eq(STATE_BYTES)));
 }
 
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn a_connection_without_progress_is_closed_after_the_stall_timeout() {
-    let (mut near, _far) = duplex(WINDOW);
-    let begun = Instant::now();
-    expect_that!(write_with_progress(&mut near, &vec![1; STATE], WITHIN).await, eq(false));
-    expect_that!(begun.elapsed(), eq(WITHIN));
+    let (mut writer, _reader) = duplex(WINDOW_BYTES);
+    let started = Instant::now();
+    expect_that!(write_with_progress(&mut writer, &vec![1; STATE_BYTES], STALL_TIMEOUT).await, eq(false));
+    expect_that!(started.elapsed(), eq(STALL_TIMEOUT));
 }
 
 #[gtest]
 fn the_queue_is_bounded_in_bytes() {
     let (queue, _outgoing) = send_queue();
-    let mut taken = 0;
+    let mut accepted = 0;
     for _ in 0..100 {
         match queue.push(vec![0; 400_000]) {
-            Ok(()) => taken += 1,
+            Ok(()) => accepted += 1,
             Err(refusal) => expect_that!(refusal, eq(&SendError::Full)),
         }
     }
-    expect_that!(taken, eq(MAX_QUEUED_BYTES / 400_000));
+    expect_that!(accepted, eq(MAX_QUEUED_BYTES / 400_000));
     expect_that!(queue.queued_bytes(), le(MAX_QUEUED_BYTES));
 }
 
 #[gtest]
 fn the_queue_is_bounded_in_messages() {
     let (queue, _outgoing) = send_queue();
-    let taken = (0..2 * MAX_QUEUED_MESSAGES).filter(|_| queue.push(vec![0; 10]).is_ok()).count();
-    expect_that!(taken, eq(MAX_QUEUED_MESSAGES));
+    let accepted = (0..2 * MAX_QUEUED_MESSAGES).filter(|_| queue.push(vec![0; 10]).is_ok()).count();
+    expect_that!(accepted, eq(MAX_QUEUED_MESSAGES));
     expect_that!(queue.queued_bytes(), eq(10 * MAX_QUEUED_MESSAGES));
 }
 
--- a/controlplane/tests/server_exit_acknowledgment.rs
+++ b/controlplane/tests/server_exit_acknowledgment.rs
@@ -1,4 +1,4 @@
-//! Draining and leaving of a server are acknowledged once no tolerated loss can take all replicas of the item.
+//! Draining and leaving of a server are acknowledged once no tolerated loss can destroy all copies of the item.
 
 #[path = "simulation/mod.rs"]
 mod simulation;
@@ -12,27 +12,27 @@
 use gradepaddle_proto::{Content, Envelope};
 use simulation::{MS, Plan, World};
 
-/// Names the call of these tests; nodes know no other so high.
+/// The id of the calls of these tests; no other call id is as high.
 const CALL_ID: CallId = CallId(1 << 40);
-/// Nodes of the fleet; the first of them are the core.
+/// The number of nodes; the first [`CORE`] of them are core machines.
 const NODES: usize = 9;
 const CORE: usize = 3;
 
 struct Fleet {
     world: World,
-    /// What others are asked to hold.
-    asked_for: Option<Entry>,
+    /// The item that other nodes are asked to acknowledge.
+    pushed: Option<Entry>,
 }
 
 impl Fleet {
     fn new(nodes: usize) -> Fleet {
         let mut world = World::new(Plan { faults: 0, ..Plan::new(nodes, CORE, 1) }, 1);
         world.run_until(6_800 * MS);
-        Fleet { world, asked_for: None }
+        Fleet { world, pushed: None }
     }
 
-    /// Hands an input to a node and keeps what comes of it from the others. Says whether the call was acknowledged.
-    fn hand(&mut self, node: usize, input: Input) -> bool {
+    /// Has a node handle an input. Its messages do not reach other nodes. Returns true if the call was acknowledged.
+    fn handle(&mut self, node: usize, input: Input) -> bool {
         let now = self.world.now;
         let process = self.world.machines[node].process.as_mut().expect("it runs");
         let (clock, mut out) = (process.clock(now), Vec::new());
@@ -44,7 +44,7 @@
             else {
                 continue;
             };
-            self.asked_for = items.first().map(|aged| aged.item.entry());
+            self.pushed = items.first().map(|aged| aged.item.entry());
         }
         out.iter().any(
             |output| matches!(output, Output::Respond { call_id: CALL_ID, response } if response.status == 200),
@@ -53,18 +53,19 @@
 
     fn leave(&mut self, node: usize) -> bool {
         let call = Call::Leave { id: "a-server".to_owned() };
-        self.hand(node, Input::Call { call_id: CALL_ID, call })
+        self.handle(node, Input::Call { call_id: CALL_ID, call })
     }
 
     fn acknowledge(&mut self, node: usize, from: usize, leaving: bool) -> bool {
         let from: SocketAddrV4 = self.world.machines[from].address;
-        let entries = self.asked_for.clone().into_iter().collect();
+        let entries = self.pushed.clone().into_iter().collect();
         let content = Content::Gossip(Message::Acknowledge { entries, shutting_down: leaving });
-        self.hand(node, Input::Envelope(Envelope { from, content }))
+        self.handle(node, Input::Envelope(Envelope { from, content }))
     }
 }
 
-/// A node that takes a call, others that acknowledge, those of them that are about to end, and whether that will do.
+/// The node that gets the call, the nodes that acknowledge the item, those of them that are shutting down, and whether
+/// that is enough.
 struct Row {
     node: usize,
     acknowledge: &'static [usize],
@@ -99,7 +100,7 @@
 #[gtest]
 fn a_node_that_shuts_down_does_not_count_itself() {
     let mut fleet = Fleet::new(NODES);
-    fleet.hand(0, Input::ShutDown);
+    fleet.handle(0, Input::ShutDown);
     expect_that!(fleet.leave(0), eq(false));
     expect_that!(fleet.acknowledge(0, 1, false), eq(false));
     expect_that!(fleet.acknowledge(0, 5, false), eq(false));
--- a/controlplane/tests/session_table.rs
+++ b/controlplane/tests/session_table.rs
@@ -1,4 +1,4 @@
-//! Sessions that control balancers hold: what they publish, when they take it back.
+//! Sessions that control balancers have granted: when they are published, and when they are removed.
 
 mod common;
 
@@ -26,7 +26,7 @@
         ControlBalancer { table: SessionTable::new(address(number)), gossip: lone_gossip(number) }
     }
 
-    /// A heartbeat; gives what was published for it.
+    /// Handles a heartbeat. Returns the item that is published.
     fn heartbeat(
         &mut self,
         now: Micros,
@@ -40,7 +40,7 @@
         Ok(item)
     }
 
-    /// Goes on, publishing and giving what expired.
+    /// Publishes and returns the tombstones that are due.
     fn tick(&mut self, now: Micros) -> Vec<Item> {
         let removed = self.table.tick(now, &self.gossip);
         removed.iter().for_each(|item| {
@@ -49,7 +49,7 @@
         removed
     }
 
-    /// Takes in what another balancer published.
+    /// Receives items that another balancer published.
     fn receive(&mut self, items: &[Item]) {
         items.iter().for_each(|item| {
             publish(&mut self.gossip, item.clone());
@@ -113,7 +113,7 @@
     for (first, second) in [(1, 2), (2, 1), (3, 4), (4, 3), (7, 200)] {
         let (mut old, mut new) = (ControlBalancer::new(first), ControlBalancer::new(second));
         old.heartbeat(0, 9, 100).or_fail()?;
-        // The new balancer learns of the tombstone alone, before it is turned to.
+        // The new balancer learns only of the tombstone, before the session moves to it.
         let removed = old.tick(2 * SECOND);
         new.receive(&removed);
         let moved = new.heartbeat(3 * SECOND, 9, 100).or_fail()?;
@@ -131,7 +131,7 @@
         old.heartbeat(0, 9, 100).or_fail()?;
         new.receive(&old.item(9));
         new.heartbeat(SECOND, 9, 100).or_fail()?;
-        // The old balancer has not heard of the move yet.
+        // The old balancer has not learned of the move yet.
         let removed = old.tick(2 * SECOND);
         new.receive(&removed);
         new.heartbeat(2 * SECOND + 400 * MS, 9, 100).or_fail()?;
@@ -141,8 +141,8 @@
     Ok(())
 }
 
-/// Both control balancers hold each other's session, so that neither is missing.
-fn hold_each_other(
+/// The two control balancers grant each other's session, so that neither counts as absent.
+fn grant_each_other(
     now: Micros,
     one: (u8, &mut ControlBalancer),
     two: (u8, &mut ControlBalancer),
@@ -161,7 +161,7 @@
     let mut stamps = vec![one.heartbeat(now, 9, 100).or_fail()?.or_fail()?.stamp];
     for turn in 0..6 {
         now += 1_400 * MS;
-        hold_each_other(now, (1, &mut one), (2, &mut two))?;
+        grant_each_other(now, (1, &mut one), (2, &mut two))?;
         let (from, to) = if turn % 2 == 0 { (&mut one, &mut two) } else { (&mut two, &mut one) };
         let item = from.item(9);
         to.receive(&item);
@@ -229,7 +229,7 @@
     other.heartbeat(3 * SECOND, 1, 100).or_fail()?;
     other.tick(3 * SECOND);
     let removed = other.tick(5 * SECOND);
-    expect_that!(removed.len(), eq(1), "its own session lapses");
+    expect_that!(removed.len(), eq(1), "the granter's own session expires");
     expect_that!(other.tick(8 * SECOND), is_empty());
     expect_that!(other.knows(9), eq(true));
     Ok(())
@@ -245,7 +245,7 @@
     Ok(())
 }
 
-/// Two nodes that count on from the same counter publish different items, whose stamps must not be equal.
+/// Two nodes that increment the same counter publish different items, whose stamps must not be equal.
 #[gtest]
 fn counters_of_different_nodes_differ() {
     let node = |number: u8| SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, number), 7640);
--- a/controlplane/tests/simulated_fleet.rs
+++ b/controlplane/tests/simulated_fleet.rs
@@ -1,4 +1,4 @@
-//! Runs of complete simulated fleets, each from one seed, without and with faults.
+//! Runs of complete simulated fleets, each determined by one seed, without and with faults.
 
 #[path = "simulation/mod.rs"]
 mod simulation;
@@ -6,18 +6,18 @@
 use googletest::prelude::*;
 use simulation::{Ending, Plan, Report, World};
 
-/// How many seeds a plan is given, unless `FLEET_SEEDS` says otherwise.
-fn seeds(usual: u64) -> std::ops::Range<u64> {
+/// The seeds for a plan: `default_count` of them, unless `FLEET_SEEDS` is set.
+fn seeds(default_count: u64) -> std::ops::Range<u64> {
     let number = |name: &str| std::env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
     let first = number("FLEET_FROM").unwrap_or(0);
-    first..first + number("FLEET_SEEDS").unwrap_or(usual)
+    first..first + number("FLEET_SEEDS").unwrap_or(default_count)
 }
 
-/// Plays a plan once for each seed.
-fn run(plan: &Plan, usual: u64) -> Result<()> {
+/// Runs a plan once for each seed.
+fn run(plan: &Plan, default_count: u64) -> Result<()> {
     let mut total = Report::default();
     let mut failures = Vec::new();
-    for seed in seeds(usual) {
+    for seed in seeds(default_count) {
         let report = World::new(plan.clone(), seed).run();
         if let Some(violation) = &report.violation {
             failures.push(format!("seed {seed}: {violation}"));
@@ -28,7 +28,7 @@
     if failures.is_empty() {
         return verify_that!((total.checked > 0, total.acknowledged > 0), eq((true, true)));
     }
-    fail!("{} days of {plan:?} break a rule:\n{}", failures.len(), failures.join("\n"))
+    fail!("{} runs of {plan:?} violate an invariant:\n{}", failures.len(), failures.join("\n"))
 }
 
 fn without_faults(nodes: usize, cores: usize, losses: usize) -> Plan {
--- a/controlplane/tests/simulation/invariants.rs
+++ b/controlplane/tests/simulation/invariants.rs
@@ -63,8 +63,8 @@
 }
 
 impl Record {
-    /// Records an acknowledged configuration. Returns the version of another one that was acknowledged on top of the same
-    /// version, if any.
+    /// Records an acknowledged configuration. Returns the version of another one that was acknowledged on top of the
+    /// same version, if any.
     pub fn acknowledge(&mut self, if_match: u64, version: u64, body: Arc<[u8]>) -> Option<u64> {
         self.acknowledged.insert(if_match, (version, body)).map(|(other, _)| other)
     }
@@ -154,8 +154,8 @@
         true
     }
 
-    /// Without `Plan::strict`, tolerates that a removed node stays a member after the control balancer of its session has
-    /// restarted (`a_restarted_control_balancer_expires_sessions_of_its_earlier_process` in `regressions.rs`).
+    /// Without `Plan::strict`, tolerates that a removed node stays a member after the control balancer of its session
+    /// has restarted (`a_restarted_control_balancer_expires_sessions_of_its_earlier_process` in `regressions.rs`).
     fn may_be_a_stale_member(&self, address: SocketAddrV4) -> bool {
         !self.plan.strict && self.machines.iter().any(|one| one.address == address && one.removed)
     }
--- a/controlplane/tests/simulation/outage.rs
+++ b/controlplane/tests/simulation/outage.rs
@@ -101,7 +101,8 @@
     attempts: u64,
     /// The newest version that was acknowledged before the end of the outage.
     newest_at_end: u64,
-    /// When each node first answered a read after the beginning of the outage, or after its end if the node was a victim.
+    /// When each node first answered a read after the beginning of the outage, or after its end if the node was a
+    /// victim.
     answered: BTreeMap<usize, Micros>,
     /// When each victim had applied the newest configuration again.
     applied: BTreeMap<usize, Micros>,
--- a/controlplane/tests/staleness.rs
+++ b/controlplane/tests/staleness.rs
@@ -1,4 +1,4 @@
-//! Evidence of the newest configuration: what it is worth, for how long, and that keys stop working everywhere in time.
+//! Evidence of the newest configuration: how long it is valid, and that revoked keys stop working at every node in time.
 
 #[path = "simulation/mod.rs"]
 mod simulation;
@@ -21,11 +21,11 @@
     staleness.query_sent(10 * SECOND, 1);
     staleness.handle_reply(1, evidence(7, 300 * MS));
     let until = 10 * SECOND - 300 * MS + BOUND;
-    // A configuration that is newer than what was in force then is as good.
+    // The evidence covers any newer configuration as well.
     for (version, wanted) in [(6, 0), (7, until), (8, until)] {
         expect_that!(staleness.valid_until(version), some(eq(wanted)), "{version}");
     }
-    // Newer evidence of a newer version says nothing more of the older one.
+    // Later evidence for a newer version does not extend the validity of the older one.
     staleness.query_sent(11 * SECOND, 2);
     staleness.handle_reply(2, evidence(9, 0));
     expect_that!(staleness.valid_until(7), some(eq(until)));
@@ -75,11 +75,11 @@
         (0..5).map(|at| staleness.poll_query_due(from + at * 250 * MS)).collect()
     };
     expect_that!(due(&mut staleness, SECOND), eq(&[true, false, true, false, true]));
-    // More often then.
+    // Queries are more frequent then.
     expect_that!(due(&mut staleness, 4 * SECOND), eq(&[true; 5]));
 }
 
-/// Plays days in which keys have to stop working everywhere within five seconds of an acknowledgement.
+/// Runs simulations in which revoked keys have to stop working at every node within five seconds of an acknowledgment.
 fn run(plan: Plan, seeds: u64) -> Result<()> {
     let mut total = Report::default();
     let mut failures = Vec::new();
@@ -92,7 +92,7 @@
         total.add(&report);
     }
     if !failures.is_empty() {
-        return fail!("{} days break a rule:\n{}", failures.len(), failures.join("\n"));
+        return fail!("{} runs violate an invariant:\n{}", failures.len(), failures.join("\n"));
     }
     verify_that!((total.checked > 0, total.acknowledged > 0), eq((true, true)))
 }
@@ -103,12 +103,12 @@
     run(Plan::new(9, 9, 2), 10)
 }
 
-/// A partitioned node learns nothing of a change, and stops accepting its keys all the same.
+/// A partitioned node does not learn of a change, but stops accepting keys all the same.
 #[gtest]
 fn revoked_keys_stop_working_at_partitioned_nodes() -> Result<()> {
     const DURATION: Micros = 11 * SECOND;
     let victims = [Victim::Primary, Victim::OtherCore, Victim::WithoutDisk, Victim::HalfWithPrimary];
-    let troubles = [
+    let kinds = [
         OutageKind::Partition,
         OutageKind::PartitionFromCore,
         OutageKind::Deaf,
@@ -116,7 +116,7 @@
         OutageKind::PartitionAndFrozen,
     ];
     for victim in victims {
-        for kind in troubles {
+        for kind in kinds {
             let outage = Some(Outage { victim, kind, duration: DURATION });
             let plan =
                 Plan { faults: 0, outage, fault_free_for: DURATION + 8 * SECOND, ..Plan::new(8, 5, 2) };
