--- a/controlplane/src/item_kinds.rs
+++ b/controlplane/src/item_kinds.rs
@@ -18,7 +18,7 @@
 pub const SESSION: Kind = Kind(4);
 /// The reservation of a server that is about to load another model version; stamp: the fencing token, then a counter.
 pub const RESERVATION: Kind = Kind(5);
-/// Whether a cache store responds, as observed by its first listener; stamp: 0, then a counter.
+/// Whether a cache store responds, as observed by its subscriber of rank 0; stamp: 0, then a counter.
 pub const CACHE_STORE: Kind = Kind(6);
 
 /// The key of the only configuration.
--- a/controlplane/src/node/messages.rs
+++ b/controlplane/src/node/messages.rs
@@ -120,8 +120,8 @@
     ServerRemoved(Arc<str>),
     /// The other members of the fleet have changed; this is the new list.
     PeersChanged(Vec<MemberNode>),
-    /// This node's listener rank has changed: its position, from 0, in an order of the nodes that is the same at all of
-    /// them.
+    /// This node's subscriber rank has changed: its position, from 0, in an order of the nodes that is the same at all
+    /// of them.
     RankChanged(usize),
     /// A node reports whether a cache store responds.
     CacheStoreChanged {
