--- a/controlplane/src/api.rs
+++ b/controlplane/src/api.rs
@@ -84,15 +84,15 @@
         Response { body: Arc::from(body), ..Response::bare(status) }
     }
 
-    /// This response, to be sent only before `time`. An inconclusive response (503) may be sent at any time.
-    pub fn before(self, time: Micros) -> Self {
-        let valid_until = (self.status != UNAVAILABLE).then_some(time);
+    /// This response, to be sent only before `deadline`. An inconclusive response (503) may be sent at any time.
+    pub fn with_deadline(self, deadline: Micros) -> Self {
+        let valid_until = (self.status != UNAVAILABLE).then_some(deadline);
         Response { valid_until, ..self }
     }
 
     /// The response that may be sent at the time `now`: this one, or 503 once its lease has expired. Must be called right
     /// before sending, as the process may be stopped between the decision and the send.
-    pub fn at(self, now: Micros) -> Self {
+    pub fn unless_expired(self, now: Micros) -> Self {
         match self.valid_until {
             Some(until) if now >= until => Response::unavailable("the lease ran out before the answer left"),
             _ => self,
--- a/controlplane/src/api_server.rs
+++ b/controlplane/src/api_server.rs
@@ -53,7 +53,7 @@
             Ok(Err(_)) | Err(_) => return,
         };
         // The lease is checked right before the write: the process may have been stopped since the driver decided.
-        let bytes = encode(&response.at(clock.now()), head.path(), keep_alive, &pool);
+        let bytes = encode(&response.unless_expired(clock.now()), head.path(), keep_alive, &pool);
         if connection.write(&[&bytes]).await.is_err() {
             return;
         }
--- a/controlplane/src/bootstrap.rs
+++ b/controlplane/src/bootstrap.rs
@@ -138,9 +138,14 @@
         let primary = members.iter().find(|member| member.address == self.own).or(members.first())?.clone();
         let backup_count = self.machine_losses.max(1).min(members.len() - 1);
         let others = members.iter().filter(|member| member.id != primary.id);
-        let (far, near): (Vec<&Member>, Vec<&Member>) =
+        let (in_other_zones, in_same_zone): (Vec<&Member>, Vec<&Member>) =
             others.partition(|member| member.zone != primary.zone);
-        let backups = far.into_iter().chain(near).take(backup_count).map(|member| member.id).collect();
+        let backups = in_other_zones
+            .into_iter()
+            .chain(in_same_zone)
+            .take(backup_count)
+            .map(|member| member.id)
+            .collect();
         let target_size = members.len();
         Some(View {
             epoch: FIRST_EPOCH,
--- a/controlplane/src/inbox.rs
+++ b/controlplane/src/inbox.rs
@@ -52,7 +52,7 @@
 
 /// A queued message with the number of bytes that count against the bounds.
 #[derive(Debug)]
-struct Queued {
+struct QueuedMessage {
     envelope: Envelope,
     bytes: usize,
 }
@@ -139,16 +139,16 @@
 /// The sending end, to which connections pass the messages that they receive.
 #[derive(Debug, Clone)]
 pub struct Inbox {
-    urgent: mpsc::UnboundedSender<Queued>,
-    gossip: mpsc::UnboundedSender<Queued>,
+    urgent: mpsc::UnboundedSender<QueuedMessage>,
+    gossip: mpsc::UnboundedSender<QueuedMessage>,
     shared: Rc<RefCell<Shared>>,
 }
 
 /// The receiving end, from which the node takes messages.
 #[derive(Debug)]
 pub struct InboxReceiver {
-    urgent: mpsc::UnboundedReceiver<Queued>,
-    gossip: mpsc::UnboundedReceiver<Queued>,
+    urgent: mpsc::UnboundedReceiver<QueuedMessage>,
+    gossip: mpsc::UnboundedReceiver<QueuedMessage>,
     shared: Rc<RefCell<Shared>>,
     /// Urgent messages taken since the last gossip message.
     urgent_run: usize,
@@ -188,7 +188,7 @@
             Lane::Urgent => &self.urgent,
             Lane::Gossip => &self.gossip,
         };
-        sender.send(Queued { envelope, bytes }).map_err(|_| InboxError::Closed)?;
+        sender.send(QueuedMessage { envelope, bytes }).map_err(|_| InboxError::Closed)?;
         shared.occupancy(lane).add(peer, bytes);
         Ok(())
     }
@@ -232,7 +232,7 @@
         })
     }
 
-    fn take(&mut self, lane: Lane, queued: Queued) -> Envelope {
+    fn take(&mut self, lane: Lane, queued: QueuedMessage) -> Envelope {
         self.urgent_run = match lane {
             Lane::Urgent => self.urgent_run.saturating_add(1),
             Lane::Gossip => 0,
--- a/controlplane/src/item_kinds.rs
+++ b/controlplane/src/item_kinds.rs
@@ -24,9 +24,9 @@
 /// The key of the only configuration.
 pub const CONFIGURATION_KEY: &str = "current";
 
-/// The basis on which the state of a server at one call count was published.
+/// The observation on which a published state of a server is based.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Evidence {
+pub enum ServerObservation {
     /// The server's own call.
     Reported,
     /// A heartbeat timeout after that call.
@@ -34,8 +34,8 @@
 }
 
 /// The stamp of the state that a server reported in this call, or of its loss after this call.
-pub fn server_stamp(call_count: u64, evidence: Evidence) -> Stamp {
-    Stamp { major: call_count, minor: u64::from(evidence == Evidence::Lost) }
+pub fn server_stamp(call_count: u64, observation: ServerObservation) -> Stamp {
+    Stamp { major: call_count, minor: u64::from(observation == ServerObservation::Lost) }
 }
 
 /// The stamp of a server that has left. Nothing supersedes it, since ids are never reused.
--- a/controlplane/src/node/api_calls.rs
+++ b/controlplane/src/node/api_calls.rs
@@ -282,12 +282,12 @@
         let until = read.lease.until;
         let fingerprint = patch_fingerprint_number(if_match, patch);
         if let Some(outcome) = read.state.check_configuration(if_match, version, fingerprint).outcome() {
-            return Err(response_to(outcome).before(until));
+            return Err(response_to(outcome).with_deadline(until));
         }
         let base = read.state.configuration.as_ref().map_or(EMPTY_CONFIGURATION, |known| &known.body);
         match apply_patch(patch, base) {
             Ok(body) => Ok(Change::PutConfiguration { if_match, version, body, fingerprint }),
-            Err(findings) => Err(invalid(findings).before(until)),
+            Err(findings) => Err(invalid(findings).with_deadline(until)),
         }
     }
 
@@ -306,7 +306,7 @@
             Some(configuration) => Response { body: Arc::clone(&configuration.body), ..Response::bare(200) },
             None => Response::message(404, "there is no configuration yet"),
         };
-        response.before(read.lease.until)
+        response.with_deadline(read.lease.until)
     }
 
     /// Handles the replica's decision. A conclusive response may be sent within the lease only.
@@ -320,7 +320,7 @@
         let Some(pending) = self.calls.pending.remove(&PendingCallId(proposal_id.0)) else { return };
         let lease = self.replica.as_ref().and_then(|replica| replica.lease(now));
         let lease_end = lease.map_or(now, |lease| lease.until);
-        respond(now, pending.caller, response_to(outcome).before(lease_end.min(pending.until)), out);
+        respond(now, pending.caller, response_to(outcome).with_deadline(lease_end.min(pending.until)), out);
     }
 
     pub(super) fn handle_forwarded_call(
@@ -360,7 +360,7 @@
             Some(body) if reply.status == NOT_MODIFIED => Response { body, ..Response::bare(200) },
             _ => Response { body: reply.body.clone(), ..Response::bare(reply.status) },
         };
-        respond(now, pending.caller, response.before(lease_end.min(pending.until)), out);
+        respond(now, pending.caller, response.with_deadline(lease_end.min(pending.until)), out);
     }
 
     /// Responds to calls that have waited for too long.
@@ -434,7 +434,7 @@
 }
 
 fn respond(now: Micros, caller: Caller, response: Response, out: &mut Vec<Output>) {
-    let response = response.at(now);
+    let response = response.unless_expired(now);
     match caller {
         Caller::Local(call_id) => out.push(Output::Respond { call_id, response }),
         Caller::Peer(to, PendingCallId(call_id)) => {
--- a/controlplane/src/node/staleness.rs
+++ b/controlplane/src/node/staleness.rs
@@ -16,13 +16,13 @@
     /// The validity that was last reported to the data plane.
     reported_validity: Option<ConfigurationValidity>,
     /// Selects the next nodes that are queried in addition to the usual one.
-    next_witness: usize,
+    next_target: usize,
 }
 
 impl Evidence {
     /// No evidence yet; `bound` as for [`StalenessBound::new`].
     pub(super) fn new(bound: Option<Micros>, now: Micros) -> Self {
-        Evidence { bound: StalenessBound::new(bound, now), reported_validity: None, next_witness: 0 }
+        Evidence { bound: StalenessBound::new(bound, now), reported_validity: None, next_target: 0 }
     }
 
     /// When a query is due.
@@ -39,11 +39,11 @@
         }
         self.observe_own_state(now);
         if self.evidence.bound.poll_query_due(now) {
-            for witness in self.witnesses(now) {
+            for target in self.query_targets(now) {
                 let query_id = self.calls.next_id();
                 self.evidence.bound.query_sent(now, query_id);
                 out.push(Output::Send {
-                    to: witness,
+                    to: target,
                     content: Content::VersionQuery(VersionQuery { query_id }),
                 });
             }
@@ -67,22 +67,22 @@
     /// The nodes to query: for a control balancer the primary, for any other node the control balancer of its session.
     /// While the evidence is stale, also one control balancer and one other node, in turn: any node may have evidence,
     /// even if no control balancer can be reached.
-    fn witnesses(&mut self, now: Micros) -> Vec<SocketAddrV4> {
+    fn query_targets(&mut self, now: Micros) -> Vec<SocketAddrV4> {
         let view = self.session.view();
         let is_member = view.members.contains(&self.own);
-        let first = if is_member { view.primary } else { self.session.control() };
-        let mut witnesses: Vec<SocketAddrV4> = first.into_iter().collect();
+        let first = if is_member { view.primary } else { self.session.control_balancer() };
+        let mut query_targets: Vec<SocketAddrV4> = first.into_iter().collect();
         if self.evidence.bound.is_stale(now) {
-            let turn = self.evidence.next_witness;
-            self.evidence.next_witness += 1;
+            let turn = self.evidence.next_target;
+            self.evidence.next_target += 1;
             let in_turn = |nodes: &[SocketAddrV4]| nodes.get(turn % nodes.len().max(1)).copied();
-            witnesses.extend(in_turn(&view.members));
-            witnesses.extend(in_turn(&self.membership.peers));
+            query_targets.extend(in_turn(&view.members));
+            query_targets.extend(in_turn(&self.membership.peers));
         }
-        witnesses.retain(|witness| *witness != self.own);
-        witnesses.sort();
-        witnesses.dedup();
-        witnesses
+        query_targets.retain(|target| *target != self.own);
+        query_targets.sort();
+        query_targets.dedup();
+        query_targets
     }
 
     /// Replies to another node's query, if there is evidence.
--- a/controlplane/src/registry.rs
+++ b/controlplane/src/registry.rs
@@ -9,7 +9,7 @@
 use serde::Deserialize;
 
 use crate::Micros;
-use crate::item_kinds::{self, Evidence, SERVER, SERVER_REMOVED};
+use crate::item_kinds::{self, SERVER, SERVER_REMOVED, ServerObservation};
 
 /// Number of missed heartbeats after which a server counts as lost.
 const MAX_MISSED_HEARTBEATS: u64 = 3;
@@ -103,7 +103,7 @@
         let registration = self.registration(id, heartbeat);
         let watched = WatchedServer { last_heartbeat: now, call_count: heartbeat.call_count };
         self.watched.insert(registration.id.clone(), watched);
-        let stamp = item_kinds::server_stamp(heartbeat.call_count, Evidence::Reported);
+        let stamp = item_kinds::server_stamp(heartbeat.call_count, ServerObservation::Reported);
         let item = item_kinds::item(SERVER, id, stamp, registration.to_bytes());
         if registration.draining && !self.acknowledged_drains.contains(id) {
             return Decision::PublishAcknowledged(item);
@@ -181,7 +181,7 @@
             if registration.owner != self.own || item.stamp.major > call_count {
                 continue;
             }
-            let stamp = item_kinds::server_stamp(call_count, Evidence::Lost);
+            let stamp = item_kinds::server_stamp(call_count, ServerObservation::Lost);
             let registration = Registration { lost: true, ..registration };
             lost.push(item_kinds::item(SERVER, &id, stamp, registration.to_bytes()));
         }
--- a/controlplane/src/session_client.rs
+++ b/controlplane/src/session_client.rs
@@ -68,7 +68,7 @@
     }
 
     /// The control balancer with which this node has, or requests, its session.
-    pub fn control(&self) -> Option<SocketAddrV4> {
+    pub fn control_balancer(&self) -> Option<SocketAddrV4> {
         self.control
     }
 
--- a/controlplane/tests/api.rs
+++ b/controlplane/tests/api.rs
@@ -133,7 +133,7 @@
         ),
         case("no models", heartbeat, without(server(), "models"), Expected::Heartbeat("i-1", 7)),
         case("no body", heartbeat, "", BAD_REQUEST),
-        case("half a body", heartbeat, "{\"backend\": \"advice\"", BAD_REQUEST),
+        case("a truncated body", heartbeat, "{\"backend\": \"advice\"", BAD_REQUEST),
         case("not an object", heartbeat, "[1, 2]", BAD_REQUEST),
         case("no service", heartbeat, without(server(), "backend"), BAD_REQUEST),
         case("no address", heartbeat, without(server(), "address"), BAD_REQUEST),
@@ -142,52 +142,57 @@
         case("no port", heartbeat, with(server(), "/address", json!("10.9.9.1")), BAD_REQUEST),
         case("slots below 0", heartbeat, with(server(), "/slots", json!(-1)), BAD_REQUEST),
         case("a count below 0", heartbeat, with(server(), "/callCount", json!(-1)), BAD_REQUEST),
-        case("a count in words", heartbeat, with(server(), "/callCount", json!("7")), BAD_REQUEST),
+        case("a count as a string", heartbeat, with(server(), "/callCount", json!("7")), BAD_REQUEST),
         case("leaving", ("DELETE", "/v1/servers/i-1"), "", Expected::Leave("i-1")),
         case("leaving, with a body", ("DELETE", "/v1/servers/i-1"), "{}", Expected::Leave("i-1")),
-        case("nobody leaves", ("DELETE", "/v1/servers/"), "", Expected::Rejected(&[400, 404, 405])),
-        case("nobody's heartbeat", ("PUT", "/v1/servers/"), server(), Expected::Rejected(&[400, 404, 405])),
+        case("leaving without an id", ("DELETE", "/v1/servers/"), "", Expected::Rejected(&[400, 404, 405])),
+        case(
+            "a heartbeat without an id",
+            ("PUT", "/v1/servers/"),
+            server(),
+            Expected::Rejected(&[400, 404, 405]),
+        ),
         case("no id at all", ("PUT", "/v1/servers"), server(), Expected::Rejected(&[400, 404, 405])),
         case("a deeper path", ("PUT", "/v1/servers/i-1/x"), server(), Expected::Rejected(&[404, 405])),
-        case("asking after a server", ("GET", "/v1/servers/i-1"), "", METHOD_NOT_ALLOWED),
+        case("reading a server", ("GET", "/v1/servers/i-1"), "", METHOD_NOT_ALLOWED),
         case("posting a server", ("POST", "/v1/servers/i-1"), server(), METHOD_NOT_ALLOWED),
     ])
 }
 
 #[gtest]
 fn calls_of_the_operator() -> Result<()> {
-    let name = ("POST", "/v1/version-put");
+    let announce = ("POST", "/v1/version-put");
     check(vec![
         case("reading", ("GET", "/v1/config"), "", Expected::Get),
         case(
-            "naming",
-            name,
+            "announcing a version",
+            announce,
             json!({"model": "advisor", "version": 2}),
             Expected::AnnounceVersion("advisor", 2),
         ),
         case(
-            "naming, more",
-            name,
+            "announcing a version, with an unknown field",
+            announce,
             json!({"model": "advisor", "version": 2, "by": "x"}),
             Expected::AnnounceVersion("advisor", 2),
         ),
-        case("naming without a version", name, json!({"model": "advisor"}), BAD_REQUEST),
-        case("naming without a model", name, json!({"version": 2}), BAD_REQUEST),
-        case("a version below 0", name, json!({"model": "advisor", "version": -2}), BAD_REQUEST),
-        case("a broken version", name, json!({"model": "advisor", "version": 2.5}), BAD_REQUEST),
-        case("naming nothing", name, "", BAD_REQUEST),
+        case("announcing without a version", announce, json!({"model": "advisor"}), BAD_REQUEST),
+        case("announcing without a model", announce, json!({"version": 2}), BAD_REQUEST),
+        case("a version below 0", announce, json!({"model": "advisor", "version": -2}), BAD_REQUEST),
+        case("a fractional version", announce, json!({"model": "advisor", "version": 2.5}), BAD_REQUEST),
+        case("announcing without a body", announce, "", BAD_REQUEST),
         case("state", ("GET", "/v1/status"), "", Expected::Status),
         case("state, written", ("PUT", "/v1/status"), "{}", METHOD_NOT_ALLOWED),
         case("configuration, removed", ("DELETE", "/v1/config"), "", METHOD_NOT_ALLOWED),
         case("configuration, posted", ("POST", "/v1/config"), configuration(), METHOD_NOT_ALLOWED),
-        case("named version, read", ("GET", "/v1/version-put"), "", METHOD_NOT_ALLOWED),
+        case("announced version, read", ("GET", "/v1/version-put"), "", METHOD_NOT_ALLOWED),
         case("below the configuration", ("GET", "/v1/config/x"), "", Expected::Rejected(&[404, 405])),
-        case("another version of the interface", ("GET", "/v2/config"), "", NOT_FOUND),
+        case("another version of the API", ("GET", "/v2/config"), "", NOT_FOUND),
         case("nothing", ("GET", "/"), "", NOT_FOUND),
         case("an empty path", ("GET", ""), "", NOT_FOUND),
         case("a star", ("OPTIONS", "*"), "", NOT_FOUND),
         case("unknown", ("GET", "/v1/other"), "", NOT_FOUND),
-        case("only the interface", ("GET", "/v1"), "", NOT_FOUND),
+        case("only the version prefix", ("GET", "/v1"), "", NOT_FOUND),
         case("no slash", ("GET", "v1/config"), "", NOT_FOUND),
     ])
 }
@@ -216,12 +221,12 @@
     let weightless = json!([{"backend": "stock-old", "weight": 0}, {"backend": "stock-new", "weight": 0}]);
     let shared_key = with(configuration(), "/customers/1/apiKeys/0", json!("example-key-1"));
     check(vec![
-        put("none", Some("11"), "", BAD_REQUEST),
+        put("no body", Some("11"), "", BAD_REQUEST),
         put("cut short", Some("11"), &whole[..whole.len() - 2], BAD_REQUEST),
-        put("more after it", Some("11"), format!("{whole}{{}}"), BAD_REQUEST),
+        put("trailing bytes", Some("11"), format!("{whole}{{}}"), BAD_REQUEST),
         put("not an object", Some("11"), "12", BAD_REQUEST),
         put("without a version", Some("11"), without(configuration(), "version"), BAD_REQUEST),
-        put("a version in words", Some("11"), with(configuration(), "/version", json!("12")), BAD_REQUEST),
+        put("a version as a string", Some("11"), with(configuration(), "/version", json!("12")), BAD_REQUEST),
         put("without routes", Some("11"), without(configuration(), "routes"), BAD_REQUEST),
         put(
             "an unknown service",
@@ -230,7 +235,7 @@
             BAD_REQUEST,
         ),
         put(
-            "an unknown share",
+            "an unknown service in a traffic split",
             Some("11"),
             with(configuration(), "/routes/0/trafficSplit/1/backend", json!("nobody")),
             BAD_REQUEST,
@@ -278,7 +283,7 @@
             BAD_REQUEST,
         ),
         patch("an unknown list", Some("7"), json!({"version": 9, "upsert": {"ways": [route]}}), BAD_REQUEST),
-        patch("half of it", Some("7"), &upsert.to_string()[..40], BAD_REQUEST),
+        patch("truncated", Some("7"), &upsert.to_string()[..40], BAD_REQUEST),
     ])
 }
 
--- a/controlplane/tests/golden.rs
+++ b/controlplane/tests/golden.rs
@@ -18,8 +18,8 @@
 use gradepaddle_controlplane::clock::Clock;
 use gradepaddle_controlplane::driver::DriverEvent;
 use gradepaddle_controlplane::item_kinds::{
-    CACHE_STORE, CONFIGURATION, CONFIGURATION_KEY, Evidence, MODEL_VERSION, RESERVATION, SERVER,
-    SERVER_REMOVED, SESSION, next_minor, server_stamp,
+    CACHE_STORE, CONFIGURATION, CONFIGURATION_KEY, MODEL_VERSION, RESERVATION, SERVER, SERVER_REMOVED,
+    SESSION, ServerObservation, next_minor, server_stamp,
 };
 use gradepaddle_controlplane::node::{CallId, Input, Output};
 use gradepaddle_controlplane::order::Order;
@@ -378,8 +378,8 @@
     expect_that!(kinds, eq([1, 2, 3, 4, 5, 6]));
     expect_that!(CONFIGURATION_KEY, eq("current"));
     let stamp = |stamp: gradepaddle_gossip::Stamp| (stamp.major, stamp.minor);
-    expect_that!(stamp(server_stamp(9, Evidence::Reported)), eq((9, 0)));
-    expect_that!(stamp(server_stamp(9, Evidence::Lost)), eq((9, 1)));
+    expect_that!(stamp(server_stamp(9, ServerObservation::Reported)), eq((9, 0)));
+    expect_that!(stamp(server_stamp(9, ServerObservation::Lost)), eq((9, 1)));
     expect_that!(stamp(SERVER_REMOVED), eq((u64::MAX, 0)));
     expect_that!(next_minor(0, address(1)), eq(NEXT_MINOR_OF_NODE_1));
     expect_that!(next_minor(NEXT_MINOR_OF_NODE_1, address(2)), eq(NEXT_MINOR_OF_NODE_2));
--- a/controlplane/tests/leases.rs
+++ b/controlplane/tests/leases.rs
@@ -113,8 +113,8 @@
         let now = fleet.clock(primary);
         let answer = answer(&fleet.call(primary, call)).expect("an answer");
         expect_that!(answer.status, eq(status), "{what}");
-        expect_that!(answer.clone().at(now).status, eq(status), "{what}");
-        expect_that!(answer.at(now + LEASE).status, eq(503), "{what}");
+        expect_that!(answer.clone().unless_expired(now).status, eq(status), "{what}");
+        expect_that!(answer.unless_expired(now + LEASE).status, eq(503), "{what}");
     }
 }
 
@@ -200,7 +200,7 @@
         let answer = answer(&fleet.handle(forwarder, later, input)).or_fail()?;
         expect_that!(answer.status, eq(status), "{what}");
         // A response that is delayed before it is sent becomes 503 as well.
-        expect_that!(answer.at(sent + lease_remaining.max(MS)).status, eq(503), "{what}");
+        expect_that!(answer.unless_expired(sent + lease_remaining.max(MS)).status, eq(503), "{what}");
     }
     Ok(())
 }
@@ -453,7 +453,7 @@
         let now = fleet.clock(primary);
         let answer = answer(&fleet.call(primary, call)).expect("an answer");
         expect_that!(answer.status, eq(status), "{what}");
-        expect_that!(answer.at(now + LEASE).status, eq(503), "{what}");
+        expect_that!(answer.unless_expired(now + LEASE).status, eq(503), "{what}");
     }
 }
 
--- a/controlplane/tests/registry.rs
+++ b/controlplane/tests/registry.rs
@@ -5,7 +5,7 @@
 use common::{MS, SECOND, address, heartbeat, lone_gossip, publish, registration};
 use googletest::prelude::*;
 use gradepaddle_controlplane::Micros;
-use gradepaddle_controlplane::item_kinds::{self, Evidence, SERVER, SERVER_REMOVED};
+use gradepaddle_controlplane::item_kinds::{self, SERVER, SERVER_REMOVED, ServerObservation};
 use gradepaddle_controlplane::registry::{Decision, Registry};
 use gradepaddle_gossip::{Gossip, Item, Stamp};
 use gradepaddle_proto::{Decode, Encode, Registration};
@@ -49,7 +49,7 @@
 
 /// The item of server `s` as another node would publish it.
 fn item_of_other_node(owner: u8, call_count: u64) -> Item {
-    let stamp = item_kinds::server_stamp(call_count, Evidence::Reported);
+    let stamp = item_kinds::server_stamp(call_count, ServerObservation::Reported);
     item_kinds::item(SERVER, "s", stamp, registration("s", owner, 1).to_bytes())
 }
 
@@ -162,7 +162,7 @@
     let lost = node.tick(4 * HEARTBEAT_INTERVAL + 1);
     expect_that!(lost.len(), eq(1));
     expect_that!(Registration::from_bytes(&lost[0].payload).or_fail()?.lost, eq(true));
-    expect_that!(lost[0].stamp, eq(item_kinds::server_stamp(2, Evidence::Lost)));
+    expect_that!(lost[0].stamp, eq(item_kinds::server_stamp(2, ServerObservation::Lost)));
     expect_that!(publish(&mut node.gossip, lost[0].clone()), eq(true));
     expect_that!(node.tick(9 * HEARTBEAT_INTERVAL), is_empty());
     let back = node.heartbeat(10 * HEARTBEAT_INTERVAL, "ready", 3);
@@ -190,10 +190,10 @@
 
 #[gtest]
 fn a_later_call_at_another_node_supersedes_the_loss() -> Result<()> {
-    let lost = item_kinds::server_stamp(7, Evidence::Lost);
-    expect_that!(lost, gt(item_kinds::server_stamp(7, Evidence::Reported)));
-    expect_that!(lost, lt(item_kinds::server_stamp(8, Evidence::Reported)));
-    expect_that!(SERVER_REMOVED, gt(item_kinds::server_stamp(u64::MAX - 1, Evidence::Lost)));
+    let lost = item_kinds::server_stamp(7, ServerObservation::Lost);
+    expect_that!(lost, gt(item_kinds::server_stamp(7, ServerObservation::Reported)));
+    expect_that!(lost, lt(item_kinds::server_stamp(8, ServerObservation::Reported)));
+    expect_that!(SERVER_REMOVED, gt(item_kinds::server_stamp(u64::MAX - 1, ServerObservation::Lost)));
     Ok(())
 }
 
--- a/controlplane/tests/regressions.rs
+++ b/controlplane/tests/regressions.rs
@@ -11,7 +11,7 @@
 use googletest::prelude::*;
 use gradepaddle_controlplane::Micros;
 use gradepaddle_controlplane::api::Call;
-use gradepaddle_controlplane::item_kinds::{self, Evidence, SERVER, SESSION};
+use gradepaddle_controlplane::item_kinds::{self, SERVER, SESSION, ServerObservation};
 use gradepaddle_controlplane::node::{CallId, Input, Node, NodeSetup, Output};
 use gradepaddle_controlplane::order::OrderOutcome;
 use gradepaddle_controlplane::rollout::{Reservation, Rollout, Servers, Step};
@@ -94,7 +94,7 @@
 }
 
 fn server_of(owner: u8) -> Item {
-    let stamp = item_kinds::server_stamp(1, Evidence::Reported);
+    let stamp = item_kinds::server_stamp(1, ServerObservation::Reported);
     item_kinds::item(SERVER, "s", stamp, registration("s", owner, 1).to_bytes())
 }
 
--- a/controlplane/tests/session_client.rs
+++ b/controlplane/tests/session_client.rs
@@ -41,7 +41,7 @@
         sent
     }
 
-    fn granted_by(&mut self, from: SocketAddrV4, answer: &SessionHeartbeatReply) -> bool {
+    fn handle_reply(&mut self, from: SocketAddrV4, answer: &SessionHeartbeatReply) -> bool {
         self.session.handle_reply(self.now, from, answer)
     }
 }
@@ -54,7 +54,7 @@
 fn settled(own: u8, members: &[u8]) -> (TestClient, SocketAddrV4) {
     let mut client = TestClient::new(own, members);
     client.next();
-    client.granted_by(
+    client.handle_reply(
         address(members[0]),
         &SessionHeartbeatReply { granted: false, ..grant(100, Some(view(3, members.to_vec()))) },
     );
@@ -62,7 +62,7 @@
         let heartbeats = client.next();
         if let [heartbeat] = &heartbeats[..] {
             let to = heartbeat.to;
-            client.granted_by(to, &grant(100, None));
+            client.handle_reply(to, &grant(100, None));
             return (client, to);
         }
     }
@@ -86,7 +86,7 @@
     expect_that!(client.session.last_granted(), some(eq(client.now)));
     for _ in 0..20 {
         expect_that!(receivers(&client.next()), elements_are![&control]);
-        client.granted_by(control, &grant(100, None));
+        client.handle_reply(control, &grant(100, None));
     }
     Ok(())
 }
@@ -131,8 +131,10 @@
     let (mut client, _) = settled(9, &[1, 2, 3]);
     client.session.set_seeds(addresses([7]));
     let newer = view(8, [4, 5, 6]);
-    client
-        .granted_by(address(7), &SessionHeartbeatReply { granted: false, ..grant(100, Some(newer.clone())) });
+    client.handle_reply(
+        address(7),
+        &SessionHeartbeatReply { granted: false, ..grant(100, Some(newer.clone())) },
+    );
     expect_that!(client.session.view(), eq(&newer));
     let receivers_after = receivers(&client.next());
     expect_that!(receivers_after.len(), eq(1));
@@ -154,11 +156,11 @@
 fn an_incarnation_that_was_overtaken_is_raised_beyond_it() -> Result<()> {
     let (mut client, control) = settled(9, &[1, 2, 3]);
     let refused = SessionHeartbeatReply { granted: false, seen_incarnation: 4_000, ..grant(100, None) };
-    expect_that!(client.granted_by(control, &refused), eq(false));
+    expect_that!(client.handle_reply(control, &refused), eq(false));
     let heartbeats = client.next();
     expect_that!(heartbeats[0].heartbeat.identity.incarnation, eq(4_001));
     expect_that!(client.now, le(SECOND));
-    expect_that!(client.granted_by(control, &grant(4_001, None)), eq(true));
+    expect_that!(client.handle_reply(control, &grant(4_001, None)), eq(true));
     Ok(())
 }
 
@@ -167,7 +169,7 @@
     let (mut client, control) = settled(9, &[1, 2, 3]);
     let before = client.session.last_granted();
     client.now += SECOND;
-    expect_that!(client.granted_by(control, &grant(99, None)), eq(false));
+    expect_that!(client.handle_reply(control, &grant(99, None)), eq(false));
     expect_that!(client.session.last_granted(), eq(before));
     Ok(())
 }
@@ -180,7 +182,7 @@
     while client.now < since + 2 * SECOND {
         let heartbeats = client.next();
         for heartbeat in heartbeats.iter().filter(|heartbeat| heartbeat.to == control) {
-            client.granted_by(heartbeat.to, &refused);
+            client.handle_reply(heartbeat.to, &refused);
         }
         if heartbeats.iter().any(|heartbeat| heartbeat.to != control) {
             return Ok(());
--- a/controlplane/tests/simulation/clients.rs
+++ b/controlplane/tests/simulation/clients.rs
@@ -87,7 +87,7 @@
                 "node {number} responds to the call {call_id:?} a second time, or without such a call"
             ));
         };
-        let answer = answer.at(process.clock(self.now));
+        let answer = answer.unless_expired(process.clock(self.now));
         if !matches!(caller, Caller::Server { .. }) {
             self.check_response(number, answer.status);
         }
--- a/controlplane/tests/simulation/outage.rs
+++ b/controlplane/tests/simulation/outage.rs
@@ -271,7 +271,7 @@
                 let to_server = process.and_then(|process| process.callers.get(call_id));
                 let to_server = matches!(to_server, Some(Caller::Server { .. }));
                 let clock = process.map_or(0, |process| process.clock(self.now));
-                let status = response.clone().at(clock).status;
+                let status = response.clone().unless_expired(clock).status;
                 if status != 503 && !to_server {
                     self.report_violation(format!(
                         "node {number} answers {status}, but {leader:?} is no longer the primary"
