--- a/controlplane/src/server_client/tests.rs
+++ b/controlplane/src/server_client/tests.rs
@@ -42,7 +42,7 @@
     let _unread = listener.accept().await.expect("it has connected");
     limit_delivery(&stream, Duration::from_millis(100));
     let written = timeout(KERNEL_SLACK, stream.write_all(&vec![7; MORE_THAN_BUFFERS])).await;
-    let ended = written.expect("the kernel gives up").map_err(|error| error.kind());
+    let ended = written.expect("the kernel ends the connection").map_err(|error| error.kind());
     expect_that!(
         ended,
         err(any![eq(ErrorKind::TimedOut), eq(ErrorKind::BrokenPipe), eq(ErrorKind::ConnectionReset)])
--- a/controlplane/tests/leases.rs
+++ b/controlplane/tests/leases.rs
@@ -47,7 +47,7 @@
             let process = world.machines[*node].process.as_ref().expect("it runs");
             process.observed.leading.is_some()
         };
-        let primary = (0..3).find(leads).expect("somebody leads");
+        let primary = (0..3).find(leads).expect("there is a primary");
         Fleet { world, primary }
     }
 
@@ -531,7 +531,7 @@
         let process = world.machines[*node].process.as_ref().expect("it runs");
         process.observed.leading.is_some()
     };
-    let primary = (0..5).find(leads).expect("somebody leads");
+    let primary = (0..5).find(leads).expect("there is a primary");
     let mut fleet = Fleet { world, primary };
     let read = || Call::Control(ControlCall::GetConfiguration);
     let newer = |bytes: usize, version| {
