--- a/config/tests/examples.rs
+++ b/config/tests/examples.rs
@@ -1,11 +1,11 @@
-//! The examples of the repository are valid.
+//! The example files of the repository are valid.
 
 use googletest::prelude::*;
 use gradepaddle_config::{Configuration, Settings};
 
 #[gtest]
 fn the_example_settings_are_valid() {
-    expect_that!(Settings::read(include_str!("../../examples/system/node.toml")), ok(anything()));
+    expect_that!(Settings::parse(include_str!("../../examples/system/node.toml")), ok(anything()));
 }
 
 #[gtest]
