--- a/controlplane/src/node/membership.rs
+++ b/controlplane/src/node/membership.rs
@@ -222,15 +222,17 @@
             .map(|identity| MemberNode { address: identity.address, zone: identity.zone })
             .collect();
         nodes.sort_by_key(|node| node.address);
-        let is_near = |node: &MemberNode| node.zone == own_zone;
-        let mut peers: Vec<Peer> =
-            nodes.iter().map(|node| Peer { address: node.address, near: is_near(node) }).collect();
+        let is_in_same_zone = |node: &MemberNode| node.zone == own_zone;
+        let mut peers: Vec<Peer> = nodes
+            .iter()
+            .map(|node| Peer { address: node.address, same_zone: is_in_same_zone(node) })
+            .collect();
         let members: Vec<SocketAddrV4> = nodes.iter().map(|node| node.address).collect();
         // Before any session is known, members of the view and seeds are the nodes to gossip with.
         if peers.is_empty() {
             let known = self.session.view().members.iter().chain(self.session.seeds());
             let others = known.filter(|address| **address != self.own);
-            peers = others.map(|address| Peer { address: *address, near: false }).collect();
+            peers = others.map(|address| Peer { address: *address, same_zone: false }).collect();
         }
         peers.sort_by_key(|peer| peer.address);
         peers.dedup_by_key(|peer| peer.address);
--- a/controlplane/tests/inbox.rs
+++ b/controlplane/tests/inbox.rs
@@ -12,7 +12,7 @@
 };
 use gradepaddle_controlplane::item_kinds::{self, SERVER};
 use gradepaddle_controlplane::transport::serve_peers;
-use gradepaddle_gossip::{Aged, Message, Stamp};
+use gradepaddle_gossip::{AgedItem, Message, Stamp};
 use gradepaddle_proto::{Content, Encode, Envelope, VersionQuery, frame};
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
@@ -23,7 +23,8 @@
 
 fn bulk(from: SocketAddrV4, bytes: usize) -> Envelope {
     let item = item_kinds::item(SERVER, "i-1", Stamp { major: 1, minor: 0 }, vec![7; bytes]);
-    let message = Message::Push { items: vec![Aged { item, age_ms: 0 }], acknowledge: false, repair: false };
+    let message =
+        Message::Push { items: vec![AgedItem { item, age_ms: 0 }], acknowledge: false, repair: false };
     Envelope { from, content: Content::Gossip(message) }
 }
 
--- a/controlplane/tests/leases.rs
+++ b/controlplane/tests/leases.rs
@@ -18,7 +18,7 @@
 use gradepaddle_controlplane::order::{Order, OrderOutcome};
 use gradepaddle_controlplane::server_client::{self, OrderPermit};
 use gradepaddle_controlplane::{CLOCK_START, Micros};
-use gradepaddle_gossip::{Aged, Message, Stamp};
+use gradepaddle_gossip::{AgedItem, Message, Stamp};
 use gradepaddle_http::buffers::Pool;
 use gradepaddle_proto::{Content, ControlCall, Envelope, ForwardedCall, ForwardedReply};
 use simulation::operator::body;
@@ -535,7 +535,7 @@
     let newer = |bytes: usize, version| {
         let stamp = Stamp { major: version, minor: 0 };
         let item = item_kinds::item(CONFIGURATION, CONFIGURATION_KEY, stamp, vec![b' '; bytes]);
-        let items = vec![Aged { item, age_ms: 0 }];
+        let items = vec![AgedItem { item, age_ms: 0 }];
         Content::Gossip(Message::Push { items, acknowledge: false, repair: false })
     };
     for (bytes, version, redirects) in [(256 * 1024, 10_000, false), (256 * 1024 + 1, 10_001, true)] {
--- a/controlplane/tests/regressions.rs
+++ b/controlplane/tests/regressions.rs
@@ -18,7 +18,7 @@
 use gradepaddle_controlplane::session_client::SessionClient;
 use gradepaddle_controlplane::session_table::{Session, SessionTable};
 use gradepaddle_controlplane::version_announcement::VersionDeadlines;
-use gradepaddle_gossip::{Aged, EncodingId, Item, Message, Offer, Stamp};
+use gradepaddle_gossip::{AgedItem, EncodingId, Item, Message, Offer, Stamp};
 use gradepaddle_placement::ServerState;
 use gradepaddle_proto::{Content, Decode, Encode, Envelope};
 use simulation::{Ending, Plan, World};
@@ -65,7 +65,7 @@
 
     /// Another node passes items on.
     fn learn(&mut self, items: Vec<Item>) -> Vec<Output> {
-        let items = items.into_iter().map(|item| Aged { item, age_ms: 0 }).collect();
+        let items = items.into_iter().map(|item| AgedItem { item, age_ms: 0 }).collect();
         let content = Content::Gossip(Message::Push { items, acknowledge: false, repair: false });
         self.hand(Input::Envelope(Envelope { from: address(3), content }))
     }
--- a/controlplane/tests/version_deadlines.rs
+++ b/controlplane/tests/version_deadlines.rs
@@ -11,7 +11,7 @@
 use gradepaddle_controlplane::node::{Input, Node, NodeSetup, Output};
 use gradepaddle_controlplane::session_client::SessionClient;
 use gradepaddle_controlplane::version_announcement::{VersionAnnouncement, VersionDeadlines};
-use gradepaddle_gossip::{Aged, Message, Stamp};
+use gradepaddle_gossip::{AgedItem, Message, Stamp};
 use gradepaddle_proto::{Content, Encode, Envelope};
 
 const MODEL: &str = "advisor";
@@ -58,7 +58,7 @@
     let payload =
         if announced_before > 0 { VersionAnnouncement { announced_before }.to_bytes() } else { Vec::new() };
     let item = item_kinds::item(MODEL_VERSION, MODEL, Stamp { major: version, minor: publication }, payload);
-    let items = vec![Aged { item, age_ms }];
+    let items = vec![AgedItem { item, age_ms }];
     let content = Content::Gossip(Message::Push { items, acknowledge: false, repair: false });
     let mut out = Vec::new();
     node.handle(now, Input::Envelope(Envelope { from: address(3), content }), &mut out);
--- a/gossip/src/block_transfer.rs
+++ b/gossip/src/block_transfer.rs
@@ -12,7 +12,7 @@
 use crate::fetch::fetch_event;
 use crate::item::KnownAge;
 use crate::upload::WaitingRequest;
-use crate::{Aged, Entry, FetchStep, Gossip, Item, Kind, Message, Offer, Output, Stamp};
+use crate::{AgedItem, Entry, FetchStep, Gossip, Item, Kind, Message, Offer, Output, Stamp};
 
 impl Gossip {
     /// The highest stamp in which other nodes have offered an item that is missing here and is being downloaded.
@@ -21,7 +21,7 @@
     }
 
     /// An item as it is offered.
-    pub(crate) fn offer(&mut self, now: u64, aged: &Aged) -> Offer {
+    pub(crate) fn offer(&mut self, now: u64, aged: &AgedItem) -> Offer {
         Offer { entry: aged.item.entry(), encoding: self.uploads.encoding(now, aged) }
     }
 
@@ -184,7 +184,7 @@
         out.push(fetch_event(entry.clone(), from, FetchStep::Completed { elapsed, attempts }));
         let (kind, key, stamp) = (entry.kind, Arc::clone(&entry.key), entry.stamp);
         let item = Item { kind, key, stamp, payload: Arc::from(payload), removed: false };
-        let is_new = self.items.merge(now, &Aged { item: item.clone(), age_ms: age.millis_at(now) });
+        let is_new = self.items.merge(now, &AgedItem { item: item.clone(), age_ms: age.millis_at(now) });
         if is_new {
             self.counters.items_accepted += 1;
             out.push(Output::Changed(item));
--- a/gossip/src/gossip.rs
+++ b/gossip/src/gossip.rs
@@ -14,7 +14,7 @@
 use crate::peers::Peers;
 use crate::push::PushQueue;
 use crate::upload::Uploads;
-use crate::{Aged, Counters, GossipConfig, Item, Kind, Message, Output, Peer, ReplicationFactor, Stamp};
+use crate::{AgedItem, Counters, GossipConfig, Item, Kind, Message, Output, Peer, ReplicationFactor, Stamp};
 
 /// With how many peers a node that had none compares immediately.
 const FIRST_COMPARISONS: usize = 2;
@@ -137,7 +137,7 @@
     }
 
     fn merge_own(&mut self, now: u64, item: &Item, out: &mut Vec<Output>) -> bool {
-        let is_new = self.items.merge(now, &Aged { item: item.clone(), age_ms: 0 });
+        let is_new = self.items.merge(now, &AgedItem { item: item.clone(), age_ms: 0 });
         if is_new {
             out.push(Output::Changed(item.clone()));
         }
--- a/gossip/src/item.rs
+++ b/gossip/src/item.rs
@@ -42,7 +42,7 @@
 /// An item in a message, with its age: however late it reaches a node, deadlines that count from its publication (the
 /// expiry of a tombstone, or one that the kind sets) are the same everywhere. Clocks of two nodes are never compared.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Aged {
+pub struct AgedItem {
     /// The item.
     pub item: Item,
     /// Time since it was published, in milliseconds, without its time in transit.
--- a/gossip/src/item_store.rs
+++ b/gossip/src/item_store.rs
@@ -11,7 +11,7 @@
 use crate::config::micros;
 use crate::item::{KnownAge, Name};
 use crate::ranges::Ranges;
-use crate::{Aged, Entry, Item, Kind, Stamp};
+use crate::{AgedItem, Entry, Item, Kind, Stamp};
 
 /// A tombstone is quiet for one in this many parts of its time, the last one.
 const QUIET_FRACTION: u64 = 4;
@@ -87,14 +87,14 @@
     }
 
     /// The item with its age, as it is sent.
-    pub(crate) fn aged(&self, now: u64, kind: Kind, key: &str) -> Option<Aged> {
+    pub(crate) fn aged(&self, now: u64, kind: Kind, key: &str) -> Option<AgedItem> {
         let stored = self.stored(kind, key)?;
-        Some(Aged { item: stored.item.clone(), age_ms: stored.age.millis_at(now) })
+        Some(AgedItem { item: stored.item.clone(), age_ms: stored.age.millis_at(now) })
     }
 
     /// Merges an item: the higher stamp wins. Returns whether the item was newer than the known one.
-    pub(crate) fn merge(&mut self, now: u64, aged: &Aged) -> bool {
-        let Aged { item, age_ms } = aged;
+    pub(crate) fn merge(&mut self, now: u64, aged: &AgedItem) -> bool {
+        let AgedItem { item, age_ms } = aged;
         let age = KnownAge::new(now, *age_ms);
         let before = self.get(item.kind, &item.key);
         let is_late_tombstone = item.removed && age.at(now) >= self.tombstone_ttl && before.is_none();
--- a/gossip/src/lib.rs
+++ b/gossip/src/lib.rs
@@ -35,7 +35,7 @@
 pub use counters::Counters;
 pub use encoding::EncodingId;
 pub use gossip::Gossip;
-pub use item::{Aged, Entry, Item, Kind, Stamp};
+pub use item::{AgedItem, Entry, Item, Kind, Stamp};
 pub use message::{Message, RangeDigest, RangeEntries};
 pub use output::{FetchEvent, FetchStep, Output};
 pub use peers::Peer;
--- a/gossip/src/message.rs
+++ b/gossip/src/message.rs
@@ -1,7 +1,7 @@
 //! Messages between nodes. `gradepaddle-proto` encodes them.
 
 use crate::block::block_size;
-use crate::{Aged, Block, BlockRefusal, BlockRequest, Entry, Item, Offer};
+use crate::{AgedItem, Block, BlockRefusal, BlockRequest, Entry, Item, Offer};
 
 /// Bytes assumed around a message: its type, flags and lengths.
 const MESSAGE_OVERHEAD_BYTES: usize = 16;
@@ -22,7 +22,7 @@
     /// Items with their payloads.
     Push {
         /// The items.
-        items: Vec<Aged>,
+        items: Vec<AgedItem>,
         /// Whether the receiver has to answer with [`Message::Acknowledge`] for the items that it then has.
         acknowledge: bool,
         /// Whether this repairs a difference between two nodes. Repairs of many items are not pushed on: they fill an empty
--- a/gossip/src/peers.rs
+++ b/gossip/src/peers.rs
@@ -13,7 +13,7 @@
     /// The address at which it receives messages.
     pub address: SocketAddrV4,
     /// Whether it is in the same zone as this node.
-    pub near: bool,
+    pub same_zone: bool,
 }
 
 /// The peers in the order of their addresses, which is a ring.
@@ -90,8 +90,8 @@
 
     /// The peer to compare with: mostly one of the same zone, sometimes one of another.
     pub(crate) fn partner(&self, rng: &mut Rng) -> Option<SocketAddrV4> {
-        let near = rng.u32(0..FAR_PARTNER_ONE_IN) != 0;
-        let preferred: Vec<&Peer> = self.sorted.iter().filter(|peer| peer.near == near).collect();
+        let same_zone = rng.u32(0..FAR_PARTNER_ONE_IN) != 0;
+        let preferred: Vec<&Peer> = self.sorted.iter().filter(|peer| peer.same_zone == same_zone).collect();
         let chosen = rng.choice(preferred).or_else(|| rng.choice(&self.sorted));
         chosen.map(|peer| peer.address)
     }
--- a/gossip/src/push.rs
+++ b/gossip/src/push.rs
@@ -10,7 +10,7 @@
 use crate::fetch::{CompletedFetch, fetch_event};
 use crate::item::Name;
 use crate::message::{batches, item_size, offer_size};
-use crate::{Aged, Entry, FetchStep, Gossip, Item, Message, Output};
+use crate::{AgedItem, Entry, FetchStep, Gossip, Item, Message, Output};
 
 /// A repair of at most this many items is pushed on. More fill an empty node or end a network partition, where the other
 /// nodes compare for themselves.
@@ -103,11 +103,11 @@
         &mut self,
         now: u64,
         to: SocketAddrV4,
-        items: Vec<Aged>,
+        items: Vec<AgedItem>,
         repair: bool,
         out: &mut Vec<Output>,
     ) {
-        let (large, small): (Vec<Aged>, Vec<Aged>) =
+        let (large, small): (Vec<AgedItem>, Vec<AgedItem>) =
             items.into_iter().partition(|aged| self.is_large(&aged.item));
         self.send_push(to, small, repair, out);
         let offers = large.iter().map(|aged| self.offer(now, aged)).collect();
@@ -120,7 +120,7 @@
     pub(crate) fn send_push(
         &mut self,
         to: SocketAddrV4,
-        items: Vec<Aged>,
+        items: Vec<AgedItem>,
         repair: bool,
         out: &mut Vec<Output>,
     ) {
@@ -134,7 +134,7 @@
         &mut self,
         now: u64,
         from: SocketAddrV4,
-        items: &[Aged],
+        items: &[AgedItem],
         acknowledge: bool,
         repair: bool,
         out: &mut Vec<Output>,
@@ -164,7 +164,7 @@
         &mut self,
         now: u64,
         from: SocketAddrV4,
-        aged: &Aged,
+        aged: &AgedItem,
         out: &mut Vec<Output>,
     ) -> Option<Accepted> {
         let entry = aged.item.entry();
--- a/gossip/src/upload.rs
+++ b/gossip/src/upload.rs
@@ -7,7 +7,7 @@
 use crate::block::BlockRequest;
 use crate::encoding::{Encoded, EncodingId};
 use crate::item::{KnownAge, Name};
-use crate::{Aged, Entry, Stamp};
+use crate::{AgedItem, Entry, Stamp};
 
 /// Nodes that are served at a time; others are told to ask elsewhere.
 const MAX_SERVED_PEERS: usize = 4;
@@ -46,7 +46,7 @@
 
 impl Uploads {
     /// The encoding of an item, which is made if this is the first use of it; `None` if it can't be sent by blocks.
-    pub(crate) fn encoding(&mut self, now: u64, aged: &Aged) -> Option<EncodingId> {
+    pub(crate) fn encoding(&mut self, now: u64, aged: &AgedItem) -> Option<EncodingId> {
         let entry = aged.item.entry();
         let known = self.by_name.get(&entry.name());
         let known = known.and_then(|all| all.iter().find(|upload| upload.stamp == entry.stamp));
--- a/gossip/tests/anti_entropy.rs
+++ b/gossip/tests/anti_entropy.rs
@@ -127,7 +127,7 @@
     for joined in 1..=9 {
         for node in 0..joined {
             let peers: Vec<Peer> =
-                (0..joined).map(|peer| Peer { address: address(peer), near: true }).collect();
+                (0..joined).map(|peer| Peer { address: address(peer), same_zone: true }).collect();
             fleet.set_peers(node, &peers);
         }
         fleet.run_for(SECOND);
@@ -139,7 +139,7 @@
 #[gtest]
 fn not_all_peers_compare_with_a_new_node_at_once() {
     let mut fleet = Simulation::without_peers(200, 16);
-    let all: Vec<Peer> = (0..200).map(|peer| Peer { address: address(peer), near: true }).collect();
+    let all: Vec<Peer> = (0..200).map(|peer| Peer { address: address(peer), same_zone: true }).collect();
     (0..199).for_each(|node| fleet.set_peers(node, &all[..199]));
     fleet.run_for(3 * SECOND);
     (0..199).for_each(|node| fleet.set_peers(node, &all));
--- a/gossip/tests/block_transfer.rs
+++ b/gossip/tests/block_transfer.rs
@@ -17,7 +17,7 @@
 /// A node whose first comparisons are over.
 fn node_at_rest(own: usize, peers: usize) -> Gossip {
     let mut node = Gossip::new(GossipConfig::builder().address(address(own)).seed(3).build(), 0);
-    let peers: Vec<Peer> = (0..=peers).map(|peer| Peer { address: address(peer), near: true }).collect();
+    let peers: Vec<Peer> = (0..=peers).map(|peer| Peer { address: address(peer), same_zone: true }).collect();
     node.set_peers(0, &peers);
     node.tick(0, &mut Vec::new());
     node
--- a/gossip/tests/golden.rs
+++ b/gossip/tests/golden.rs
@@ -7,7 +7,7 @@
 
 use googletest::prelude::*;
 use gradepaddle_gossip::{
-    Aged, Gossip, GossipConfig, Item, Kind, Message, Output, RangeDigest, RangeEntries, Stamp,
+    AgedItem, Gossip, GossipConfig, Item, Kind, Message, Output, RangeDigest, RangeEntries, Stamp,
 };
 use simulation::{address, whole_offer};
 
@@ -75,7 +75,7 @@
 fn the_sizes_that_limits_go_by_stay_the_same() {
     let item = item(1, "server-1", 1, 0);
     let entry = item.entry();
-    let items = vec![Aged { item: item.clone(), age_ms: 5 }, Aged { item, age_ms: 0 }];
+    let items = vec![AgedItem { item: item.clone(), age_ms: 5 }, AgedItem { item, age_ms: 0 }];
     let digest = RangeDigest { index: 4159, hash: u64::MAX };
     let ranges = vec![RangeEntries { index: 3, entries: vec![entry.clone(), entry.clone()] }];
     let entries = vec![entry];
--- a/gossip/tests/merge.rs
+++ b/gossip/tests/merge.rs
@@ -4,7 +4,7 @@
 
 use std::sync::Arc;
 
-use gradepaddle_gossip::{Aged, Gossip, GossipConfig, Item, Kind, Message, Output, RangeDigest, Stamp};
+use gradepaddle_gossip::{AgedItem, Gossip, GossipConfig, Item, Kind, Message, Output, RangeDigest, Stamp};
 use proptest::prelude::*;
 use simulation::{SECOND, address};
 
@@ -27,7 +27,7 @@
 fn receive(node: &mut Gossip, items: &[Item], at_once: usize) -> Vec<Output> {
     let mut out = Vec::new();
     for items in items.chunks(at_once) {
-        let items = items.iter().map(|item| Aged { item: item.clone(), age_ms: 0 }).collect();
+        let items = items.iter().map(|item| AgedItem { item: item.clone(), age_ms: 0 }).collect();
         node.receive(
             SECOND,
             address(99),
@@ -47,7 +47,7 @@
 
 /// The hashes that the node answers with or asks by.
 fn digests(node: &mut Gossip) -> Vec<RangeDigest> {
-    node.set_peers(SECOND, &[gradepaddle_gossip::Peer { address: address(98), near: true }]);
+    node.set_peers(SECOND, &[gradepaddle_gossip::Peer { address: address(98), same_zone: true }]);
     let mut out = Vec::new();
     node.tick(SECOND, &mut out);
     let asked = out.into_iter().find_map(|output| match output {
@@ -101,8 +101,8 @@
         receive(&mut one, &here, 4);
         receive(&mut other, &there, 4);
         let (mut to_other, mut to_one) = (Vec::new(), Vec::new());
-        one.set_peers(SECOND, &[gradepaddle_gossip::Peer { address: address(2), near: true }]);
-        other.set_peers(SECOND, &[gradepaddle_gossip::Peer { address: address(1), near: true }]);
+        one.set_peers(SECOND, &[gradepaddle_gossip::Peer { address: address(2), same_zone: true }]);
+        other.set_peers(SECOND, &[gradepaddle_gossip::Peer { address: address(1), same_zone: true }]);
         // What came less than 100 ms ago counts as on its way, so the comparison comes later.
         let mut now = 2 * SECOND;
         one.tick(now, &mut to_other);
--- a/gossip/tests/push.rs
+++ b/gossip/tests/push.rs
@@ -6,7 +6,7 @@
 
 use googletest::prelude::*;
 use gradepaddle_gossip::{
-    Aged, Entry, FetchEvent, FetchStep, Gossip, GossipConfig, Item, Message, Output, Peer,
+    AgedItem, Entry, FetchEvent, FetchStep, Gossip, GossipConfig, Item, Message, Output, Peer,
 };
 use simulation::{KIND, MS, SECOND, address, item, whole_offer};
 
@@ -14,7 +14,7 @@
 fn node_at_rest(peers: usize) -> Gossip {
     let mut node = Gossip::new(GossipConfig::builder().address(address(0)).seed(3).build(), 0);
     let peers: Vec<Peer> =
-        (0..=peers).map(|peer| Peer { address: address(peer), near: peer % 3 == 0 }).collect();
+        (0..=peers).map(|peer| Peer { address: address(peer), same_zone: peer % 3 == 0 }).collect();
     node.set_peers(0, &peers);
     node.tick(0, &mut Vec::new());
     node
@@ -52,7 +52,8 @@
 
 /// Items with their ages in milliseconds.
 fn push_aged(items: &[(&Item, u32)], repair: bool) -> Message {
-    let items = items.iter().map(|(item, age_ms)| Aged { item: (*item).clone(), age_ms: *age_ms }).collect();
+    let items =
+        items.iter().map(|(item, age_ms)| AgedItem { item: (*item).clone(), age_ms: *age_ms }).collect();
     Message::Push { items, acknowledge: false, repair }
 }
 
@@ -262,7 +263,7 @@
 #[gtest]
 fn new_peers_are_compared_with_soon() {
     let mut node = node_at_rest(30);
-    let peers: Vec<Peer> = (1..=40).map(|peer| Peer { address: address(peer), near: true }).collect();
+    let peers: Vec<Peer> = (1..=40).map(|peer| Peer { address: address(peer), same_zone: true }).collect();
     node.set_peers(SECOND, &peers);
     let mut visited = Vec::new();
     while node.next_wake() <= 6 * SECOND {
--- a/gossip/tests/simulation/mod.rs
+++ b/gossip/tests/simulation/mod.rs
@@ -179,7 +179,7 @@
     pub fn set_all_peers(&mut self, node: usize) {
         let others = (0..self.nodes.len()).filter(|other| *other != node && self.nodes[*other].is_some());
         let peers: Vec<Peer> = others
-            .map(|other| Peer { address: address(other), near: other % ZONES == node % ZONES })
+            .map(|other| Peer { address: address(other), same_zone: other % ZONES == node % ZONES })
             .collect();
         self.set_peers(node, &peers);
     }
--- a/proto/src/gossip.rs
+++ b/proto/src/gossip.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use gradepaddle_gossip::{
-    Aged, Block, BlockRefusal, BlockRequest, EncodingId, Entry, Item, Kind, Message, Offer, RangeDigest,
+    AgedItem, Block, BlockRefusal, BlockRequest, EncodingId, Entry, Item, Kind, Message, Offer, RangeDigest,
     RangeEntries, RefusalReason, Stamp,
 };
 
@@ -126,7 +126,7 @@
     }
 }
 
-impl Encode for Aged {
+impl Encode for AgedItem {
     fn encode(&self, to: &mut FieldWriter) {
         self.item.entry().encode(to);
         to.bytes(5, &self.item.payload);
@@ -135,11 +135,11 @@
     }
 }
 
-impl Decode for Aged {
+impl Decode for AgedItem {
     fn decode(fields: &Fields<'_>) -> Result<Self, DecodeError> {
         let Entry { kind, key, stamp } = Entry::decode(fields)?;
         let item = Item { kind, key, stamp, payload: Arc::from(fields.bytes(5)), removed: fields.bool(6) };
-        Ok(Aged { item, age_ms: u32::try_from(fields.uint64(7)).unwrap_or(u32::MAX) })
+        Ok(AgedItem { item, age_ms: u32::try_from(fields.uint64(7)).unwrap_or(u32::MAX) })
     }
 }
 
@@ -234,7 +234,7 @@
             ACKNOWLEDGE => {
                 Message::Acknowledge { entries: fields.repeated_messages(2)?, shutting_down: fields.bool(3) }
             }
-            variant => return UnknownVariantSnafu { message: "spread message", variant }.fail(),
+            variant => return UnknownVariantSnafu { message: "gossip message", variant }.fail(),
         })
     }
 }
--- a/proto/tests/common/mod.rs
+++ b/proto/tests/common/mod.rs
@@ -11,8 +11,8 @@
     Record, Reject, ReplicaId, Replicate, SnapshotInstalled, StoredConfiguration, View,
 };
 use gradepaddle_gossip::{
-    Aged, Block, BlockRefusal, BlockRequest, EncodingId, Entry, Item, Kind, Offer, RangeDigest, RangeEntries,
-    RefusalReason, Stamp,
+    AgedItem, Block, BlockRefusal, BlockRequest, EncodingId, Entry, Item, Kind, Offer, RangeDigest,
+    RangeEntries, RefusalReason, Stamp,
 };
 use gradepaddle_proto::{
     CacheStoreReport, CachedPrefix, Content, ControlCall, Encode, Envelope, FieldWriter, ForwardedCall,
@@ -226,9 +226,9 @@
         .boxed()
 }
 
-pub fn aged() -> BoxedStrategy<Aged> {
+pub fn aged() -> BoxedStrategy<AgedItem> {
     (entry(), bytes(), any::<bool>(), any::<u32>())
-        .prop_map(|(entry, payload, removed, age_ms)| Aged {
+        .prop_map(|(entry, payload, removed, age_ms)| AgedItem {
             item: Item { kind: entry.kind, key: entry.key, stamp: entry.stamp, payload, removed },
             age_ms,
         })
--- a/proto/tests/golden.rs
+++ b/proto/tests/golden.rs
@@ -15,8 +15,8 @@
     Record, Reject, ReplicaId, Replicate, SnapshotInstalled, StoredConfiguration, View,
 };
 use gradepaddle_gossip::{
-    Aged, Block, BlockRefusal, BlockRequest, EncodingId, Entry, Item, Kind, Offer, RangeDigest, RangeEntries,
-    RefusalReason, Stamp,
+    AgedItem, Block, BlockRefusal, BlockRequest, EncodingId, Entry, Item, Kind, Offer, RangeDigest,
+    RangeEntries, RefusalReason, Stamp,
 };
 use gradepaddle_proto::{
     CacheStoreReport, CachedPrefix, Content, ControlCall, Decode, Encode, Envelope, ForwardedCall,
@@ -324,9 +324,9 @@
     Entry { kind: Kind(0), key: "".into(), stamp: Stamp { major: 0, minor: 0 } }
 }
 
-fn aged() -> Aged {
+fn aged() -> AgedItem {
     let Entry { kind, key, stamp } = entry(1);
-    Aged { item: Item { kind, key, stamp, payload: Arc::from(*b"payload"), removed: true }, age_ms: 1500 }
+    AgedItem { item: Item { kind, key, stamp, payload: Arc::from(*b"payload"), removed: true }, age_ms: 1500 }
 }
 
 /// An offer as builds without block transfer make it.
@@ -361,7 +361,7 @@
     golden.check("dissemination/aged", &aged());
     let Entry { kind, key, stamp } = empty_entry();
     let item = Item { kind, key, stamp, payload: Arc::from([]), removed: false };
-    golden.check("dissemination/aged/default", &Aged { item, age_ms: 0 });
+    golden.check("dissemination/aged/default", &AgedItem { item, age_ms: 0 });
     let digest = RangeDigest { index: 65_535, hash: u64::MAX };
     let ranges = RangeEntries { index: 513, entries: vec![entry(1), entry(2)] };
     golden.check("dissemination/range_digest", &digest);
--- a/proto/tests/messages.rs
+++ b/proto/tests/messages.rs
@@ -10,7 +10,7 @@
     ACCEPTED_HISTORY_ENTRIES, Change, ControlState, Data, KnownView, LogPosition, Member, ProposalNumber,
     Record, View,
 };
-use gradepaddle_gossip::{Aged, Entry};
+use gradepaddle_gossip::{AgedItem, Entry};
 use gradepaddle_proto::{
     CachedPrefix, Content, ControlCall, Decode, DecodeError, Encode, Envelope, FieldWriter, ForwardedCall,
     ForwardedReply, Identity, ModelVersion, PeerLoadReport, Registration, SessionHeartbeat,
@@ -88,7 +88,7 @@
     check_reencoding::<Record>(bytes)?;
     check_reencoding::<gradepaddle_control::Message>(bytes)?;
     check_reencoding::<Entry>(bytes)?;
-    check_reencoding::<Aged>(bytes)?;
+    check_reencoding::<AgedItem>(bytes)?;
     check_reencoding::<gradepaddle_gossip::Message>(bytes)?;
     check_reencoding::<Identity>(bytes)?;
     check_reencoding::<SessionHeartbeat>(bytes)?;
