--- a/gossip/src/anti_entropy.rs
+++ b/gossip/src/anti_entropy.rs
@@ -1,9 +1,12 @@
-//! Anti-entropy: comparing hashes over ranges of keys with another node, and repairing what differs (Demers et al.,
-//! "Epidemic Algorithms for Replicated Database Maintenance", PODC 1987, section 1.3).
+//! Anti-entropy: two nodes compare hashes over ranges of keys and repair the differences (Demers et al., "Epidemic
+//! Algorithms for Replicated Database Maintenance", PODC 1987, section 1.3).
 //!
-//! A question carries the hashes of the 64 ranges of the first level. The other node goes on only where its own differ:
-//! it sends all of a range that is empty at the asker, has a range sent that is empty here, lists a range with few
-//! entries, and answers with the hashes of the 64 finer ranges of one with many. Listed ranges are repaired both ways.
+//! The initiator sends the hashes of the 64 first-level ranges. For each range whose hash differs, the responder:
+//!
+//! - sends all items of the range if it is empty at the initiator;
+//! - requests the range by answering with a hash of 0 if it is empty at the responder;
+//! - lists the entries of the range if there are few, and both nodes send each other the newer items;
+//! - answers with the hashes of the 64 finer ranges if there are many.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -11,37 +14,37 @@
 use crate::message::{batches, item_size, range_entries_size};
 use crate::{Entry, Gossip, Kind, Message, Output, RangeDigest, RangeEntries, Stamp};
 
-/// A range of the first level with more entries than this is compared by its finer ranges.
+/// A first-level range with more entries than this is compared by its finer ranges.
 const MAX_LISTED_ENTRIES: usize = 32;
-/// At most this many ranges of the first level are compared by their finer ones in one comparison.
-const MAX_DIVIDED_RANGES: usize = 16;
-/// A larger repair leaves out items that were merged this short a time before, in microseconds: the push that brought them
-/// here is likely on its way to the other node as well.
+/// The most first-level ranges that one comparison divides into their finer ranges.
+const MAX_SUBDIVIDED_RANGES: usize = 16;
+/// A repair of more than [`SMALL_REPAIR_ITEMS`] leaves out items that were merged within this time, in microseconds: the
+/// push that delivered them here is likely in flight to the other node as well.
 const IN_FLIGHT_US: u64 = 100_000;
-/// A repair of at most this many items leaves nothing out.
+/// A repair of at most this many items includes those that were merged recently.
 const SMALL_REPAIR_ITEMS: usize = 8;
 
-/// How the ranges of another node differ from the own ones.
+/// The differences between the ranges of a remote node and those of this node.
 #[derive(Default)]
 struct Differences {
-    /// Digests to answer with.
-    answer: Vec<RangeDigest>,
-    /// Ranges to be compared entry by entry.
-    lists: Vec<RangeEntries>,
-    /// Entries of ranges that are empty at the other node.
+    /// Digests to reply with.
+    reply_ranges: Vec<RangeDigest>,
+    /// Ranges to compare entry by entry.
+    entry_lists: Vec<RangeEntries>,
+    /// Entries of ranges that are empty at the remote node.
     missing_there: Vec<Entry>,
-    /// How many ranges of the first level are compared by their finer ones.
-    divided: usize,
+    /// The number of first-level ranges that are compared by their finer ranges.
+    subdivided: usize,
 }
 
 impl Gossip {
-    /// Starts a comparison.
+    /// Starts a comparison by sending the hashes of this node's first-level ranges.
     pub(crate) fn start_comparison(&mut self, with: SocketAddrV4, out: &mut Vec<Output>) {
         self.counters.comparisons += 1;
         self.send(with, Message::Digest { ranges: self.items.ranges().digests(), reply: true }, out);
     }
 
-    /// Compares hashes with the own ones and goes on where they differ.
+    /// Compares the hashes of a remote node with the local ones, and sends what the differences require.
     pub(crate) fn handle_digest(
         &mut self,
         now: u64,
@@ -56,32 +59,32 @@
         }
         let mut differences = Differences::default();
         for range in ranges {
-            self.find(range, &mut differences);
+            self.compare_range(range, &mut differences);
         }
-        if reply || !differences.answer.is_empty() {
-            self.send(from, Message::Digest { ranges: differences.answer, reply: false }, out);
+        if reply || !differences.reply_ranges.is_empty() {
+            self.send(from, Message::Digest { ranges: differences.reply_ranges, reply: false }, out);
         }
-        self.send_lists(now, from, differences.lists, out);
+        self.send_lists(now, from, differences.entry_lists, out);
         self.repair(now, from, differences.missing_there, out);
     }
 
-    fn find(&self, theirs: RangeDigest, differences: &mut Differences) {
+    fn compare_range(&self, remote: RangeDigest, differences: &mut Differences) {
         let ranges = self.items.ranges();
-        let Some(own) = ranges.hash(theirs.index).filter(|own| *own != theirs.hash) else { return };
-        if theirs.hash == 0 {
-            differences.missing_there.extend(ranges.entries(theirs.index).cloned());
-        } else if own == 0 {
-            differences.answer.push(RangeDigest { index: theirs.index, hash: own });
-        } else if !ranges.is_divided_above(theirs.index, MAX_LISTED_ENTRIES) {
-            let entries = ranges.entries(theirs.index).cloned().collect();
-            differences.lists.push(RangeEntries { index: theirs.index, entries });
-        } else if differences.divided < MAX_DIVIDED_RANGES {
-            differences.divided += 1;
-            differences.answer.extend(ranges.digests_within(theirs.index));
+        let Some(local) = ranges.hash(remote.index).filter(|local| *local != remote.hash) else { return };
+        if remote.hash == 0 {
+            differences.missing_there.extend(ranges.entries(remote.index).cloned());
+        } else if local == 0 {
+            differences.reply_ranges.push(RangeDigest { index: remote.index, hash: local });
+        } else if !ranges.is_top_range_larger_than(remote.index, MAX_LISTED_ENTRIES) {
+            let entries = ranges.entries(remote.index).cloned().collect();
+            differences.entry_lists.push(RangeEntries { index: remote.index, entries });
+        } else if differences.subdivided < MAX_SUBDIVIDED_RANGES {
+            differences.subdivided += 1;
+            differences.reply_ranges.extend(ranges.digests_within(remote.index));
         }
     }
 
-    /// Compares lists with the own entries: sends what is newer here, fetches what is newer there.
+    /// Compares listed entries with the local ones: sends items that are newer here, and fetches those that are newer there.
     pub(crate) fn handle_entries(
         &mut self,
         now: u64,
@@ -95,20 +98,21 @@
             self.missing_there(&range, &mut missing_there);
             missing_here.extend(range.entries.into_iter().filter(|entry| !self.is_known(entry)));
         }
-        let few = missing_here.len() <= SMALL_REPAIR_ITEMS;
-        self.fetch(now, from, missing_here, few, out);
+        let is_small_repair = missing_here.len() <= SMALL_REPAIR_ITEMS;
+        self.fetch(now, from, missing_here, is_small_repair, out);
         self.repair(now, from, missing_there, out);
     }
 
-    /// Collects entries that are newer here than in the list, or not in it.
-    fn missing_there(&self, theirs: &RangeEntries, missing: &mut Vec<Entry>) {
+    /// Collects entries that are newer here than in the list, or missing from it.
+    fn missing_there(&self, remote: &RangeEntries, missing: &mut Vec<Entry>) {
         let listed: BTreeMap<(Kind, &str), Stamp> =
-            theirs.entries.iter().map(|entry| ((entry.kind, &*entry.key), entry.stamp)).collect();
+            remote.entries.iter().map(|entry| ((entry.kind, &*entry.key), entry.stamp)).collect();
         let unlisted = |entry: &&Entry| !listed.contains_key(&(entry.kind, &*entry.key));
-        missing.extend(self.items.ranges().entries(theirs.index).filter(unlisted).cloned());
+        missing.extend(self.items.ranges().entries(remote.index).filter(unlisted).cloned());
         let known =
-            theirs.entries.iter().filter_map(|entry| Some((entry, self.items.get(entry.kind, &entry.key)?)));
-        missing.extend(known.filter(|(entry, own)| own.stamp > entry.stamp).map(|(_, own)| own.entry()));
+            remote.entries.iter().filter_map(|entry| Some((entry, self.items.get(entry.kind, &entry.key)?)));
+        missing
+            .extend(known.filter(|(entry, local)| local.stamp > entry.stamp).map(|(_, local)| local.entry()));
     }
 
     /// Sends items that another node asked for.
@@ -124,11 +128,14 @@
         for entry in entries {
             let aged = self.items.aged(now, entry.kind, &entry.key);
             let Some(aged) = aged.filter(|aged| aged.item.stamp >= entry.stamp) else {
-                self.promise_whole(from, &entry, by_blocks);
+                self.register_whole_item_request(from, &entry, by_blocks);
                 continue;
             };
             let is_offered = by_blocks && self.is_large(&aged.item);
-            if self.may_repair(now, if is_offered { entry.key.len() } else { item_size(&aged.item) }) {
+            if self.try_spend_repair_budget(
+                now,
+                if is_offered { entry.key.len() } else { item_size(&aged.item) },
+            ) {
                 items.push(aged);
             }
         }
@@ -140,12 +147,12 @@
         }
     }
 
-    /// A node that does not fetch by blocks gets an item once it has arrived here.
-    fn promise_whole(&mut self, to: SocketAddrV4, entry: &Entry, by_blocks: bool) {
+    /// Registers a node without block transfer to be sent an item once its download completes here.
+    fn register_whole_item_request(&mut self, to: SocketAddrV4, entry: &Entry, by_blocks: bool) {
         if let Some(download) = self.downloads.get_mut(entry).filter(|_| !by_blocks)
-            && !download.whole_wanted_by.contains(&to)
+            && !download.whole_item_waiters.contains(&to)
         {
-            download.whole_wanted_by.push(to);
+            download.whole_item_waiters.push(to);
         }
     }
 
@@ -153,18 +160,21 @@
         self.items.holds(entry.kind, &entry.key, entry.stamp)
     }
 
-    /// Sends the items that another node lacks.
+    /// Sends items that another node lacks, within the rate limit of repairs.
     fn repair(&mut self, now: u64, to: SocketAddrV4, missing: Vec<Entry>, out: &mut Vec<Output>) {
         let in_flight_since = now.saturating_sub(IN_FLIGHT_US);
-        let few = missing.len() <= SMALL_REPAIR_ITEMS;
+        let is_small_repair = missing.len() <= SMALL_REPAIR_ITEMS;
         let mut items = Vec::new();
         for entry in missing {
-            let is_in_flight = !few && self.items.is_merged_after(&entry, in_flight_since);
+            let is_in_flight = !is_small_repair && self.items.is_merged_after(&entry, in_flight_since);
             let Some(aged) = self.items.aged(now, entry.kind, &entry.key).filter(|_| !is_in_flight) else {
                 continue;
             };
             let is_offered = self.is_large(&aged.item);
-            if self.may_repair(now, if is_offered { entry.key.len() } else { item_size(&aged.item) }) {
+            if self.try_spend_repair_budget(
+                now,
+                if is_offered { entry.key.len() } else { item_size(&aged.item) },
+            ) {
                 items.push(aged);
             }
         }
@@ -172,18 +182,24 @@
         self.send_items(now, to, items, true, out);
     }
 
-    fn send_lists(&mut self, now: u64, to: SocketAddrV4, lists: Vec<RangeEntries>, out: &mut Vec<Output>) {
-        for ranges in batches(lists, self.config.max_bytes_per_message, range_entries_size) {
+    fn send_lists(
+        &mut self,
+        now: u64,
+        to: SocketAddrV4,
+        entry_lists: Vec<RangeEntries>,
+        out: &mut Vec<Output>,
+    ) {
+        for ranges in batches(entry_lists, self.config.max_bytes_per_message, range_entries_size) {
             let message = Message::Entries { ranges };
-            if self.may_repair(now, message.size()) {
+            if self.try_spend_repair_budget(now, message.size()) {
                 self.send(to, message, out);
             }
         }
     }
 
-    fn may_repair(&mut self, now: u64, bytes: usize) -> bool {
-        let may = self.budget.spend(now, bytes);
-        self.counters.repairs_deferred += u64::from(!may);
-        may
+    fn try_spend_repair_budget(&mut self, now: u64, bytes: usize) -> bool {
+        let allowed = self.repair_limiter.try_consume(now, bytes);
+        self.counters.repairs_deferred += u64::from(!allowed);
+        allowed
     }
 }
--- a/gossip/src/block_transfer.rs
+++ b/gossip/src/block_transfer.rs
@@ -1,7 +1,7 @@
-//! Transfer of large items by blocks: offers, requests, blocks, and passing on what has arrived.
+//! Block transfer of large items: offers, requests, and pipelined forwarding of blocks.
 //!
-//! A node offers an item as soon as it has the first block, and sends blocks on as they arrive. So an item passes through
-//! many nodes in little more time than through one: its size counts once, and each further hop costs a block.
+//! A node offers an item as soon as it has the first block, and forwards blocks as they arrive. The time to cross several
+//! hops is therefore the transfer time of the item once, plus the transfer time of one block per further hop.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -15,23 +15,23 @@
 use crate::{AgedItem, Entry, FetchStep, Gossip, Item, Kind, Message, Offer, Output, Stamp};
 
 impl Gossip {
-    /// The highest stamp in which other nodes have offered an item that is missing here and is being downloaded.
+    /// The highest offered stamp of an item that is being downloaded; `None` if there is no download of this name.
     pub fn downloading(&self, kind: Kind, key: &str) -> Option<Stamp> {
         self.downloads.newest(&(kind, Arc::from(key)))
     }
 
-    /// An item as it is offered.
+    /// Creates the offer of an item.
     pub(crate) fn offer(&mut self, now: u64, aged: &AgedItem) -> Offer {
         Offer { entry: aged.item.entry(), encoding: self.uploads.encoding(now, aged) }
     }
 
-    /// Downloads an item that other nodes have offered with its encoding, if it is missing here.
+    /// Starts or extends the download of an item that was offered with its encoding, if it is missing here.
     pub(crate) fn download(
         &mut self,
         now: u64,
         offer: &Offer,
         sources: &[SocketAddrV4],
-        push_on: bool,
+        forward: bool,
         out: &mut Vec<Output>,
     ) {
         let entry = &offer.entry;
@@ -39,7 +39,7 @@
         if self.items.holds(entry.kind, &entry.key, entry.stamp) {
             return;
         }
-        let outcome = self.downloads.offered(now, offer, encoding, sources, push_on);
+        let outcome = self.downloads.add_offer(now, offer, encoding, sources, forward);
         if let Some(replaced) = outcome.replaced {
             self.refuse_waiting(&replaced, out);
         }
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Sends a block, or keeps the request until the block has arrived here.
+    /// Sends a block, or queues the request until the block has arrived here.
     pub(crate) fn handle_fetch_block(
         &mut self,
         now: u64,
@@ -72,7 +72,11 @@
                 self.uploads.release(from);
             }
             self.send(from, Message::Block(block), out);
-        } else if self.downloads.get(&request.entry).is_some_and(|one| one.encoding == request.encoding) {
+        } else if self
+            .downloads
+            .get(&request.entry)
+            .is_some_and(|download| download.encoding == request.encoding)
+        {
             self.uploads.wait(from, request);
         } else {
             self.uploads.release(from);
@@ -91,7 +95,7 @@
         self.send(to, Message::BlockRefused(BlockRefusal { entry, encoding, reason }), out);
     }
 
-    /// The block of a request, if all of it is here.
+    /// Returns the requested block if all of its bytes are available.
     fn block(&mut self, now: u64, request: &BlockRequest) -> Option<Block> {
         let BlockRequest { entry, encoding, offset, length } = request.clone();
         let begin = usize::try_from(offset).ok()?;
@@ -107,7 +111,7 @@
         encoding: EncodingId,
         part: std::ops::Range<usize>,
     ) -> Option<(Arc<[u8]>, KnownAge)> {
-        if let Some(download) = self.downloads.get(entry).filter(|one| one.encoding == encoding) {
+        if let Some(download) = self.downloads.get(entry).filter(|download| download.encoding == encoding) {
             return Some((Arc::from(download.content.get(part)?), download.age));
         }
         if let Some(aged) = self.items.aged(now, entry.kind, &entry.key)
@@ -119,7 +123,7 @@
         Some((Arc::from(upload.encoded.content.get(part)?), upload.age))
     }
 
-    /// Takes a block, asks for more, and passes on what has arrived.
+    /// Handles a block: requests more, and forwards what has arrived.
     pub(crate) fn handle_block(
         &mut self,
         now: u64,
@@ -132,7 +136,7 @@
             Some(Progress::Advanced { is_first, requests }) => {
                 self.send_requests(requests, out);
                 if is_first {
-                    self.offer_on(&block.entry, out);
+                    self.forward_offer(&block.entry, out);
                 }
                 self.serve_waiting(now, &block.entry, out);
             }
@@ -140,9 +144,9 @@
         }
     }
 
-    /// Offers an item of which the first part has arrived.
-    fn offer_on(&mut self, entry: &Entry, out: &mut Vec<Output>) {
-        let Some(download) = self.downloads.get(entry).filter(|download| download.push_on) else { return };
+    /// Offers an item of which the first block has arrived to further peers.
+    fn forward_offer(&mut self, entry: &Entry, out: &mut Vec<Output>) {
+        let Some(download) = self.downloads.get(entry).filter(|download| download.forward) else { return };
         let offer = Offer { entry: entry.clone(), encoding: Some(download.encoding) };
         let known_by = download.sources();
         for target in self.peers.targets(&mut self.rng, self.config.fanout, &known_by) {
@@ -150,7 +154,7 @@
         }
     }
 
-    /// Sends blocks that other nodes wait for and that have arrived.
+    /// Answers queued requests for blocks that have arrived.
     fn serve_waiting(&mut self, now: u64, entry: &Entry, out: &mut Vec<Output>) {
         let available = match self.downloads.get(entry) {
             Some(download) => download.content.len(),
@@ -161,16 +165,16 @@
         }
     }
 
-    /// Tells nodes that wait for blocks of an item that they won't come.
+    /// Refuses all queued requests for blocks of an item.
     fn refuse_waiting(&mut self, entry: &Entry, out: &mut Vec<Output>) {
         for WaitingRequest { from, request } in self.uploads.take_waiting(entry, usize::MAX) {
             self.refuse(from, request, RefusalReason::Unknown, out);
         }
     }
 
-    /// Merges an item of which all blocks have arrived.
+    /// Verifies and merges an item of which all blocks have arrived.
     fn complete_download(&mut self, now: u64, from: SocketAddrV4, download: Download, out: &mut Vec<Output>) {
-        let Download { entry, encoding, age, started_at, attempts, push_on, .. } = download;
+        let Download { entry, encoding, age, started_at, attempts, forward, .. } = download;
         let had_one_block = download.content.len() <= crate::download::BLOCK_BYTES;
         let encoded = Encoded::received(encoding, download.content);
         let payload = encoded.as_ref().and_then(Encoded::decode);
@@ -188,9 +192,9 @@
         if is_new {
             self.counters.items_accepted += 1;
             out.push(Output::Changed(item));
-            self.send_whole(now, &entry, download.whole_wanted_by, out);
-            // What came in one block has not been offered on yet.
-            if push_on && had_one_block {
+            self.send_whole(now, &entry, download.whole_item_waiters, out);
+            // An item of a single block was never offered while it arrived, so it is pushed now.
+            if forward && had_one_block {
                 self.enqueue_push(entry.name(), vec![from]);
                 self.flush(now, out);
             }
@@ -199,7 +203,7 @@
         self.start_successor(now, download.successor, out);
     }
 
-    /// Sends an item to nodes that have asked for the whole of it.
+    /// Sends an item to nodes that have requested the whole of it.
     fn send_whole(&mut self, now: u64, entry: &Entry, wanted_by: Vec<SocketAddrV4>, out: &mut Vec<Output>) {
         let Some(aged) = self.items.aged(now, entry.kind, &entry.key) else { return };
         for to in wanted_by {
@@ -208,12 +212,12 @@
     }
 
     fn start_successor(&mut self, now: u64, successor: Option<Successor>, out: &mut Vec<Output>) {
-        if let Some(Successor { offer, sources, push_on }) = successor {
-            self.download(now, &offer, &sources, push_on, out);
+        if let Some(Successor { offer, sources, forward }) = successor {
+            self.download(now, &offer, &sources, forward, out);
         }
     }
 
-    /// Goes on at another node, since this one does not send a block.
+    /// Continues the download from another source after a refusal.
     pub(crate) fn handle_block_refusal(
         &mut self,
         now: u64,
@@ -221,13 +225,13 @@
         refusal: &BlockRefusal,
         out: &mut Vec<Output>,
     ) {
-        let continuation = self.downloads.refused(now, from, &refusal.entry, refusal.reason);
+        let continuation = self.downloads.handle_refusal(now, from, &refusal.entry, refusal.reason);
         if let Some(continuation) = continuation {
             self.continue_download(now, continuation, out);
         }
     }
 
-    /// Has downloads go on at other nodes whose source brings nothing.
+    /// Continues downloads whose source has timed out from other sources.
     pub(crate) fn retry_downloads(&mut self, now: u64, out: &mut Vec<Output>) {
         for continuation in self.downloads.overdue(now) {
             self.continue_download(now, continuation, out);
@@ -235,21 +239,21 @@
     }
 
     fn continue_download(&mut self, now: u64, continuation: Continuation, out: &mut Vec<Output>) {
-        let Continuation { entry, peer, received, requests, rests } = continuation;
-        let step = if rests { FetchStep::Abandoned } else { FetchStep::Retried { received } };
+        let Continuation { entry, peer, received, requests, suspended } = continuation;
+        let step = if suspended { FetchStep::Abandoned } else { FetchStep::Retried { received } };
         out.push(fetch_event(entry.clone(), peer, step));
         self.send_requests(requests, out);
-        if let Some(download) = self.downloads.give_way(&entry) {
+        if let Some(download) = self.downloads.take_superseded(&entry) {
             self.refuse_waiting(&entry, out);
             self.start_successor(now, download.successor, out);
         }
     }
 
-    /// An item has come in another way: ends its download, or that of an older one.
+    /// Ends the download of an item that arrived by other means, or the download of an older stamp of it.
     pub(crate) fn end_download(&mut self, now: u64, entry: &Entry, out: &mut Vec<Output>) {
         let Some(download) = self.downloads.finish(entry) else { return };
         if download.entry == *entry {
-            self.send_whole(now, entry, download.whole_wanted_by, out);
+            self.send_whole(now, entry, download.whole_item_waiters, out);
             self.serve_waiting(now, entry, out);
         } else {
             self.refuse_waiting(&download.entry, out);
--- a/gossip/src/encoding.rs
+++ b/gossip/src/encoding.rs
@@ -1,24 +1,24 @@
-//! The form in which large payloads are transferred: compressed, and identified by its size and checksum.
+//! The compressed form in which large payloads are transferred, identified by its size and checksum.
 //!
-//! Nodes of two builds may compress one payload to different bytes. Parts of them don't fit together, so every part names
-//! the encoding that it belongs to.
+//! Two builds may compress the same payload to different bytes. Blocks of different encodings can't be combined, so every
+//! block names its encoding.
 
 use std::sync::Arc;
 
 use miniz_oxide::deflate::compress_to_vec;
 use miniz_oxide::inflate::decompress_to_vec_with_limit;
 
-/// Level of compression, of 0 (none) to 10 (slow).
+/// Compression level, from 0 (none) to 10 (slowest).
 const COMPRESSION_LEVEL: u8 = 6;
-/// The longest payload that is transferred in this form, in bytes: what a node decodes at most.
+/// The largest payload that is transferred in this form, in bytes. It bounds the output of the decompression.
 const MAX_PAYLOAD_BYTES: usize = 32 * 1024 * 1024;
 
-/// Identifies the encoded form of one payload.
+/// Identifies the encoded form of a payload.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EncodingId {
-    /// Its length in bytes.
+    /// Length of the encoded form, in bytes.
     pub bytes: u32,
-    /// Its CRC-32.
+    /// CRC-32 of the encoded form.
     pub checksum: u32,
 }
 
@@ -27,12 +27,12 @@
         Some(Self { bytes: u32::try_from(content.len()).ok()?, checksum: crc32fast::hash(content) })
     }
 
-    /// Its length in bytes.
+    /// Length of the encoded form, in bytes.
     pub(crate) fn len(self) -> usize {
         self.bytes as usize
     }
 
-    /// Whether it can belong to a payload that is transferred in this form.
+    /// Whether the length is within the bounds of this form of transfer.
     pub(crate) fn is_plausible(self) -> bool {
         (1..=MAX_PAYLOAD_BYTES).contains(&self.len())
     }
@@ -56,12 +56,12 @@
         Some(Self { id, content: Arc::from(content) })
     }
 
-    /// An encoded form that has been received completely; `None` if it is not the one that was asked for.
+    /// Wraps a completely received encoded form; `None` if its length or checksum differs from `id`.
     pub(crate) fn received(id: EncodingId, content: Vec<u8>) -> Option<Self> {
         (EncodingId::of(&content) == Some(id)).then(|| Self { id, content: Arc::from(content) })
     }
 
-    /// The payload; `None` if this encodes none.
+    /// Decompresses the payload; `None` if the content is not valid.
     pub(crate) fn decode(&self) -> Option<Vec<u8>> {
         decompress_to_vec_with_limit(&self.content, MAX_PAYLOAD_BYTES).ok()
     }
--- a/gossip/src/fetch.rs
+++ b/gossip/src/fetch.rs
@@ -9,26 +9,26 @@
 use crate::message::{batches, entry_size};
 use crate::{Entry, FetchEvent, FetchStep, Gossip, Message, Offer, Output, Stamp};
 
-/// How many further nodes that have an item are remembered while it is fetched.
+/// The most alternative sources that are kept for a fetch.
 const MAX_ALTERNATIVES: usize = 8;
 
 /// The fetch of one item.
 #[derive(Debug)]
 struct Fetch {
     stamp: Stamp,
-    asked: SocketAddrV4,
+    source: SocketAddrV4,
     alternatives: Vec<SocketAddrV4>,
     deadline: u64,
-    push_on: bool,
+    forward: bool,
     started_at: u64,
     attempts: u32,
 }
 
-/// A fetch that has ended with the arrival of its item.
+/// A fetch whose item has arrived.
 #[derive(Clone, Copy)]
 pub(crate) struct CompletedFetch {
-    /// Whether the item is to be pushed on.
-    pub push_on: bool,
+    /// Whether to push the item to further peers.
+    pub forward: bool,
     pub started_at: u64,
     pub attempts: u32,
 }
@@ -36,61 +36,62 @@
 /// Fetches that have timed out.
 #[derive(Default)]
 pub(crate) struct OverdueFetches {
-    /// Items by the node to ask next.
-    again: BTreeMap<SocketAddrV4, Vec<Entry>>,
-    /// Items that no other node is known to have, with the node that was asked last.
+    /// Items by the next node to request them from.
+    retries: BTreeMap<SocketAddrV4, Vec<Entry>>,
+    /// Items without an alternative source, with the node that they were last requested from.
     abandoned: Vec<(SocketAddrV4, Entry)>,
 }
 
 /// All fetches that are in flight.
 #[derive(Debug)]
 pub(crate) struct Fetches {
-    again_after: u64,
+    timeout: u64,
     by_name: BTreeMap<Name, Fetch>,
-    /// Deadlines in ascending order; some belong to fetches that are complete.
+    /// Deadlines in ascending order. Some belong to fetches that have completed.
     deadlines: VecDeque<(u64, Name)>,
 }
 
 impl Fetches {
-    pub(crate) fn new(again_after: Duration) -> Self {
-        Self { again_after: micros(again_after), by_name: BTreeMap::new(), deadlines: VecDeque::new() }
+    pub(crate) fn new(timeout: Duration) -> Self {
+        Self { timeout: micros(timeout), by_name: BTreeMap::new(), deadlines: VecDeque::new() }
     }
 
-    /// A node has an item that is missing here. Returns whether to fetch it from there now; if it is in flight already, the
-    /// node is remembered as an alternative. `push_on`: whether the item is to be pushed on when it arrives.
-    pub(crate) fn request(&mut self, now: u64, from: SocketAddrV4, entry: &Entry, push_on: bool) -> bool {
+    /// Registers that a node has an item that is missing here. Returns whether to fetch it from that node now; if a fetch is
+    /// in flight already, the node becomes an alternative source. `forward`: whether to push the item to further peers
+    /// when it arrives.
+    pub(crate) fn request(&mut self, now: u64, from: SocketAddrV4, entry: &Entry, forward: bool) -> bool {
         if let Some(fetch) = self.by_name.get_mut(&entry.name()).filter(|fetch| fetch.stamp >= entry.stamp) {
-            fetch.push_on |= push_on;
+            fetch.forward |= forward;
             if fetch.stamp == entry.stamp {
-                fetch.remember(from);
+                fetch.add_alternative(from);
             }
             return false;
         }
         let fetch = Fetch {
             stamp: entry.stamp,
-            asked: from,
+            source: from,
             alternatives: Vec::new(),
             deadline: 0,
-            push_on,
+            forward,
             started_at: now,
             attempts: 0,
         };
-        self.begin(now, entry.name(), fetch);
+        self.start(now, entry.name(), fetch);
         true
     }
 
-    /// An item has arrived. If it was being fetched, returns that fetch.
+    /// Ends the fetch of an item that has arrived, and returns it if there was one.
     pub(crate) fn complete(&mut self, entry: &Entry) -> Option<CompletedFetch> {
         let name = entry.name();
         if self.by_name.get(&name)?.stamp > entry.stamp {
             return None;
         }
-        let Fetch { push_on, started_at, attempts, .. } = self.by_name.remove(&name)?;
-        self.drop_done_deadlines();
-        Some(CompletedFetch { push_on, started_at, attempts })
+        let Fetch { forward, started_at, attempts, .. } = self.by_name.remove(&name)?;
+        self.drop_completed_deadlines();
+        Some(CompletedFetch { forward, started_at, attempts })
     }
 
-    /// Fetches that have timed out. One without alternatives is given up.
+    /// Returns the fetches that have timed out. Those without an alternative source are abandoned.
     pub(crate) fn overdue(&mut self, now: u64) -> OverdueFetches {
         let mut overdue = OverdueFetches::default();
         while self.next_due() <= now {
@@ -103,29 +104,29 @@
             let (kind, key) = name.clone();
             let entry = Entry { kind, key, stamp: fetch.stamp };
             if let Some(next) = fetch.alternatives.pop() {
-                fetch.asked = next;
-                overdue.again.entry(next).or_default().push(entry);
-                self.begin(now, name, fetch);
+                fetch.source = next;
+                overdue.retries.entry(next).or_default().push(entry);
+                self.start(now, name, fetch);
             } else {
-                overdue.abandoned.push((fetch.asked, entry));
+                overdue.abandoned.push((fetch.source, entry));
             }
         }
         overdue
     }
 
-    /// When a fetch may time out next; `u64::MAX` for never.
+    /// When the next fetch may time out; `u64::MAX` for never.
     pub(crate) fn next_due(&self) -> u64 {
         self.deadlines.front().map_or(u64::MAX, |(deadline, _)| *deadline)
     }
 
-    fn begin(&mut self, now: u64, name: Name, mut fetch: Fetch) {
-        fetch.deadline = now + self.again_after;
+    fn start(&mut self, now: u64, name: Name, mut fetch: Fetch) {
+        fetch.deadline = now + self.timeout;
         fetch.attempts += 1;
         self.deadlines.push_back((fetch.deadline, name.clone()));
         self.by_name.insert(name, fetch);
     }
 
-    fn drop_done_deadlines(&mut self) {
+    fn drop_completed_deadlines(&mut self) {
         while self.deadlines.front().is_some_and(|(_, name)| !self.by_name.contains_key(name)) {
             self.deadlines.pop_front();
         }
@@ -133,16 +134,16 @@
 }
 
 impl Fetch {
-    fn remember(&mut self, offerer: SocketAddrV4) {
-        let is_known = offerer == self.asked || self.alternatives.contains(&offerer);
+    fn add_alternative(&mut self, source: SocketAddrV4) {
+        let is_known = source == self.source || self.alternatives.contains(&source);
         if !is_known && self.alternatives.len() < MAX_ALTERNATIVES {
-            self.alternatives.push(offerer);
+            self.alternatives.push(source);
         }
     }
 }
 
 impl Gossip {
-    /// Fetches offered items that are missing here: by blocks where the offer tells the encoding.
+    /// Fetches offered items that are missing here, by blocks if the offer names the encoding.
     pub(crate) fn handle_offer(
         &mut self,
         now: u64,
@@ -159,34 +160,33 @@
         let (by_blocks, whole): (Vec<Offer>, Vec<Offer>) =
             offers.into_iter().partition(|offer| offer.encoding.is_some());
         for offer in by_blocks {
-            let asked_for = self.fetches.complete(&offer.entry);
-            let push_on = asked_for.is_none_or(|fetch| fetch.push_on);
-            self.download(now, &offer, &[from], push_on, out);
+            let pending_fetch = self.fetches.complete(&offer.entry);
+            let forward = pending_fetch.is_none_or(|fetch| fetch.forward);
+            self.download(now, &offer, &[from], forward, out);
         }
         self.fetch(now, from, whole.into_iter().map(|offer| offer.entry).collect(), true, out);
     }
 
-    /// Fetches those of a node's items that are missing here.
+    /// Fetches the items that are missing here from a node that has them.
     pub(crate) fn fetch(
         &mut self,
         now: u64,
         from: SocketAddrV4,
         entries: Vec<Entry>,
-        push_on: bool,
+        forward: bool,
         out: &mut Vec<Output>,
     ) {
         let missing = entries.into_iter().filter(|entry| {
-            !self.items.holds(entry.kind, &entry.key, entry.stamp)
-                && !self.downloads.remember_source(entry, from)
+            !self.items.holds(entry.kind, &entry.key, entry.stamp) && !self.downloads.add_source(entry, from)
         });
-        let wanted = missing.filter(|entry| self.fetches.request(now, from, entry, push_on)).collect();
+        let wanted = missing.filter(|entry| self.fetches.request(now, from, entry, forward)).collect();
         self.send_fetch(from, wanted, FetchStep::Started, out);
     }
 
-    /// Asks other nodes for items whose fetch has timed out.
+    /// Requests items whose fetch has timed out from other nodes.
     pub(crate) fn retry_fetches(&mut self, now: u64, out: &mut Vec<Output>) {
         let overdue = self.fetches.overdue(now);
-        for (from, entries) in overdue.again {
+        for (from, entries) in overdue.retries {
             self.send_fetch(from, entries, FetchStep::Retried { received: 0 }, out);
         }
         let abandoned = overdue.abandoned.into_iter();
@@ -208,7 +208,7 @@
     }
 }
 
-/// The report of a step in a fetch.
+/// Creates the report of a step of a fetch.
 pub(crate) fn fetch_event(entry: Entry, peer: SocketAddrV4, step: FetchStep) -> Output {
     Output::Fetch(FetchEvent { entry, peer, step })
 }
--- a/gossip/src/gossip.rs
+++ b/gossip/src/gossip.rs
@@ -1,4 +1,4 @@
-//! The state machine of one node, as its caller drives it.
+//! The gossip state machine of one node.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
@@ -6,24 +6,25 @@
 use fastrand::Rng;
 
 use crate::acknowledgment::PendingAcknowledgment;
-use crate::budget::Budget;
 use crate::config::micros;
 use crate::download::Downloads;
 use crate::fetch::Fetches;
 use crate::item_store::ItemStore;
 use crate::peers::Peers;
 use crate::push::PushQueue;
+use crate::token_bucket::TokenBucket;
 use crate::upload::Uploads;
 use crate::{AgedItem, Counters, GossipConfig, Item, Kind, Message, Output, Peer, ReplicationFactor, Stamp};
 
-/// With how many peers a node that had none compares immediately.
-const FIRST_COMPARISONS: usize = 2;
-/// How long after these the next comparison follows, in microseconds: it finds what was in flight during the first ones.
-const SECOND_COMPARISON_US: u64 = 200_000;
-/// About how many peers compare with a new node in one `digest_interval`, beside those that choose it at random.
-const INTRODUCTIONS_PER_DIGEST: u64 = 4;
+/// The number of peers that a node compares with immediately when it gets its first peers.
+const INITIAL_COMPARISONS: usize = 2;
+/// Delay from these to the next comparison, in microseconds. It repairs what was in flight during the first ones.
+const FOLLOW_UP_COMPARISON_DELAY_US: u64 = 200_000;
+/// The approximate number of peers that compare with a new node per `digest_interval`, besides those that select it at
+/// random.
+const NEW_PEER_COMPARISONS_PER_INTERVAL: u64 = 4;
 
-/// One node of the gossip. `now` is always the time of this process's monotonic clock in microseconds.
+/// The gossip state machine of one node. `now` is always the time of this process's monotonic clock in microseconds.
 #[derive(Debug)]
 pub struct Gossip {
     pub(crate) config: GossipConfig,
@@ -35,19 +36,19 @@
     pub(crate) downloads: Downloads,
     pub(crate) uploads: Uploads,
     pub(crate) pending_acknowledgments: Vec<PendingAcknowledgment>,
-    /// This node is shutting down.
+    /// Whether this node is shutting down.
     pub(crate) shutting_down: bool,
     /// Peers that have reported that they are shutting down.
     pub(crate) shutting_down_peers: BTreeSet<SocketAddrV4>,
-    pub(crate) budget: Budget,
+    pub(crate) repair_limiter: TokenBucket,
     pub(crate) counters: Counters,
     compare_at: u64,
-    /// When to compare with new peers.
-    introductions: BTreeSet<(u64, SocketAddrV4)>,
+    /// Scheduled comparisons with new peers.
+    new_peer_comparisons: BTreeSet<(u64, SocketAddrV4)>,
 }
 
 impl Gossip {
-    /// A node without items or peers.
+    /// Creates a node without items or peers.
     pub fn new(config: GossipConfig, now: u64) -> Self {
         Self {
             rng: Rng::with_seed(config.seed),
@@ -60,48 +61,48 @@
             pending_acknowledgments: Vec::new(),
             shutting_down: false,
             shutting_down_peers: BTreeSet::new(),
-            budget: Budget::new(config.max_repair_bytes_per_second, now),
+            repair_limiter: TokenBucket::new(config.max_repair_bytes_per_second, now),
             counters: Counters::default(),
             compare_at: u64::MAX,
-            introductions: BTreeSet::new(),
+            new_peer_comparisons: BTreeSet::new(),
             config,
         }
     }
 
-    /// Replaces the list of peers; an entry of this node itself is ignored. The messages that follow from it are sent by the
-    /// next [`Gossip::tick`], which [`Gossip::next_wake`] then asks for.
+    /// Replaces the list of peers; an entry of this node itself is ignored. Resulting messages are sent by the next
+    /// [`Gossip::tick`], for which [`Gossip::next_wake`] returns the time.
     pub fn set_peers(&mut self, now: u64, peers: &[Peer]) {
-        let was_alone = self.peers.is_empty();
+        let had_no_peers = self.peers.is_empty();
         let added = self.peers.replace(peers);
         self.shutting_down_peers.retain(|address| self.peers.contains(*address));
-        self.introductions.retain(|(_, address)| self.peers.contains(*address));
+        self.new_peer_comparisons.retain(|(_, address)| self.peers.contains(*address));
         if self.peers.is_empty() {
             self.compare_at = u64::MAX;
-        } else if was_alone {
-            let first = self.peers.random(&mut self.rng, FIRST_COMPARISONS, &[]);
-            self.introductions.extend(first.into_iter().map(|address| (now, address)));
-            self.compare_at = now + SECOND_COMPARISON_US;
+        } else if had_no_peers {
+            let first = self.peers.random(&mut self.rng, INITIAL_COMPARISONS, &[]);
+            self.new_peer_comparisons.extend(first.into_iter().map(|address| (now, address)));
+            self.compare_at = now + FOLLOW_UP_COMPARISON_DELAY_US;
         } else {
-            self.introduce(now, added);
+            self.schedule_new_peer_comparisons(now, added);
         }
     }
 
-    /// Schedules comparisons with new peers, each at a random time, so that a new node isn't visited by all others at once.
-    fn introduce(&mut self, now: u64, added: Vec<SocketAddrV4>) {
-        let every = micros(self.config.digest_interval);
-        let window = (every * self.peers.len() as u64 / INTRODUCTIONS_PER_DIGEST).max(every);
+    /// Schedules comparisons with new peers, each at a random time, so that a new node isn't contacted by all others at once.
+    fn schedule_new_peer_comparisons(&mut self, now: u64, added: Vec<SocketAddrV4>) {
+        let interval = micros(self.config.digest_interval);
+        let window = (interval * self.peers.len() as u64 / NEW_PEER_COMPARISONS_PER_INTERVAL).max(interval);
         for address in added {
-            self.introductions.insert((now + self.rng.u64(0..=window), address));
+            self.new_peer_comparisons.insert((now + self.rng.u64(0..=window), address));
         }
     }
 
-    /// Compares with a node that need not be a peer. After a long network partition, the two sides no longer have each other
-    /// as peers; only this brings them together.
+    /// Starts a comparison with a node that need not be a peer. After a long network partition, the nodes of the two sides
+    /// have dropped each other as peers; only this call reconnects them.
     pub fn compare_with(&mut self, node: SocketAddrV4, out: &mut Vec<Output>) {
         self.start_comparison(node, out);
     }
 
-    /// Publishes an item. Returns whether it is newer than the known one of its name; otherwise nothing happens.
+    /// Publishes an item. Returns whether it is newer than the known item of its name; otherwise it is discarded.
     pub fn publish(&mut self, now: u64, item: Item, out: &mut Vec<Output>) -> bool {
         let is_new = self.merge_own(now, &item, out);
         if is_new {
@@ -112,9 +113,9 @@
         is_new
     }
 
-    /// Publishes an item and reports [`Output::Acknowledged`] once as many other nodes as wanted have it in this stamp or a
-    /// newer one (immediately where there are none), or [`Output::AcknowledgmentFailed`] after `acknowledgment_timeout`. An
-    /// item that is known already is acknowledged in the same way.
+    /// Publishes an item and reports [`Output::Acknowledged`] once enough other nodes have it with this stamp or a higher one
+    /// (immediately if there are no peers), or [`Output::AcknowledgmentFailed`] after `acknowledgment_timeout`. An item that
+    /// is already known is acknowledged in the same way.
     pub fn publish_acknowledged(
         &mut self,
         now: u64,
@@ -124,14 +125,14 @@
         out: &mut Vec<Output>,
     ) {
         let is_new = self.merge_own(now, &item, out);
-        let asked = self.request_acknowledgments(now, item.entry(), publish_id, replication, out);
+        let pushed_to = self.request_acknowledgments(now, item.entry(), publish_id, replication, out);
         if is_new {
-            self.enqueue_push(item.entry().name(), asked);
+            self.enqueue_push(item.entry().name(), pushed_to);
             self.flush(now, out);
         }
     }
 
-    /// This node shuts down: from now on its copies don't count for publishers that wait for acknowledgments.
+    /// Marks this node as shutting down: its acknowledgments from now on tell publishers that its copies will be lost.
     pub fn shut_down(&mut self) {
         self.shutting_down = true;
     }
@@ -166,15 +167,15 @@
         }
     }
 
-    /// Does what is due. To be called at [`Gossip::next_wake`]; harmless at any other time.
+    /// Performs all actions that are due. Call it at [`Gossip::next_wake`]; calls at other times are harmless.
     pub fn tick(&mut self, now: u64, out: &mut Vec<Output>) {
         self.items.expire(now);
         self.flush(now, out);
         self.retry_fetches(now, out);
         self.retry_downloads(now, out);
         self.tick_acknowledgments(now, out);
-        while self.introductions.first().is_some_and(|(at, _)| *at <= now) {
-            let Some((_, peer)) = self.introductions.pop_first() else { break };
+        while self.new_peer_comparisons.first().is_some_and(|(at, _)| *at <= now) {
+            let Some((_, peer)) = self.new_peer_comparisons.pop_first() else { break };
             self.start_comparison(peer, out);
         }
         if self.compare_at <= now {
@@ -187,16 +188,16 @@
     }
 
     fn jittered_digest_interval(&mut self) -> u64 {
-        let every = micros(self.config.digest_interval);
-        self.rng.u64(every - every / 4..=every + every / 4)
+        let interval = micros(self.config.digest_interval);
+        self.rng.u64(interval - interval / 4..=interval + interval / 4)
     }
 
     /// When [`Gossip::tick`] is due next; `u64::MAX` for never.
     pub fn next_wake(&self) -> u64 {
-        let introduction = self.introductions.first().map_or(u64::MAX, |(at, _)| *at);
+        let new_peer_comparison = self.new_peer_comparisons.first().map_or(u64::MAX, |(at, _)| *at);
         let due = [
             self.compare_at,
-            introduction,
+            new_peer_comparison,
             self.push_queue.next_due(),
             self.fetches.next_due(),
             self.downloads.next_due(),
@@ -206,7 +207,7 @@
         due.into_iter().min().unwrap_or(u64::MAX)
     }
 
-    /// The item of this name; none if it was removed.
+    /// Returns the item of this name; `None` if it is unknown or was removed.
     pub fn get(&self, kind: Kind, key: &str) -> Option<&Item> {
         self.items.get(kind, key).filter(|item| !item.removed)
     }
@@ -216,22 +217,22 @@
         self.items.age(now, kind, key)
     }
 
-    /// The highest known stamp of a name, that of a tombstone included. An item must have a higher one to be published.
+    /// The highest known stamp of a name, including that of a tombstone. A new item must have a higher one.
     pub fn stamp(&self, kind: Kind, key: &str) -> Option<Stamp> {
         self.items.get(kind, key).map(|item| item.stamp)
     }
 
-    /// The items of one kind in the order of their keys, without removed ones.
+    /// The items of one kind in the order of their keys, without tombstones.
     pub fn items(&self, kind: Kind) -> impl Iterator<Item = &Item> {
         self.items.items(kind)
     }
 
-    /// The number of items, without removed ones.
+    /// The number of items, without tombstones.
     pub fn len(&self) -> usize {
         self.items.len()
     }
 
-    /// Whether there are no items but removed ones.
+    /// Whether there are no items besides tombstones.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/gossip/src/item.rs
+++ b/gossip/src/item.rs
@@ -6,13 +6,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Kind(pub u8);
 
-/// Version stamp: of the items of one kind and key the highest wins. Two items of one kind and key with equal stamps must
-/// be the same item, which is the publisher's responsibility.
+/// A version stamp: of the items of one kind and key the highest wins. Items of one kind and key with equal stamps must be
+/// identical, which is the publisher's responsibility.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Stamp {
-    /// Compared first: an incarnation, a version, a call count.
+    /// Compared first, for example an incarnation, a version or a call count.
     pub major: u64,
-    /// Compared where `major` is equal: a counter within it.
+    /// Compared if `major` is equal: a counter within it.
     pub minor: u64,
 }
 
@@ -25,10 +25,10 @@
     pub key: Arc<str>,
     /// Its version.
     pub stamp: Stamp,
-    /// Its content, opaque here.
+    /// Its content, opaque to this crate.
     pub payload: Arc<[u8]>,
-    /// Whether it is a tombstone: the item of this name was removed. Kept for `tombstone_ttl`, so that an older item of the
-    /// name can't come back meanwhile.
+    /// Whether it is a tombstone, which marks the removal of the item of this name. It is kept for `tombstone_ttl`, so that
+    /// an older item of the name can't come back during that time.
     pub removed: bool,
 }
 
@@ -39,8 +39,9 @@
     }
 }
 
-/// An item in a message, with its age: however late it reaches a node, deadlines that count from its publication (the
-/// expiry of a tombstone, or one that the kind sets) are the same everywhere. Clocks of two nodes are never compared.
+/// An item in a message, with its age. The age makes deadlines that count from the publication (the expiry of a tombstone,
+/// or a deadline defined by the kind) the same on all nodes, however late the item arrives. The clocks of two nodes are
+/// never compared.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AgedItem {
     /// The item.
@@ -72,7 +73,7 @@
 /// One millisecond in the unit of `now`.
 const MILLISECOND_US: u64 = 1_000;
 
-/// How old an item was at a time of this process's clock.
+/// The age of an item at a given time of this process's clock.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct KnownAge {
     known_at: u64,
--- a/gossip/src/item_store.rs
+++ b/gossip/src/item_store.rs
@@ -1,8 +1,8 @@
 //! The items of a node: the highest stamp wins, tombstones expire.
 //!
-//! A tombstone is part of the range hashes, and is sent to nodes without an item of its name, for three quarters of its
-//! time. In the last quarter it is quiet: it still wins against older items and is sent to nodes that have one, but not to
-//! others. So a node whose tombstone expires a little earlier doesn't get it back from its peers.
+//! For the first three quarters of its lifetime, a tombstone is part of the range hashes and is sent to nodes without an
+//! item of its name. In the last quarter it is dormant: it still wins against older items and is sent to nodes that have
+//! one, but to no others. Otherwise a node whose tombstone expires slightly earlier would get it back from its peers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -13,15 +13,16 @@
 use crate::ranges::Ranges;
 use crate::{AgedItem, Entry, Item, Kind, Stamp};
 
-/// A tombstone is quiet for one in this many parts of its time, the last one.
-const QUIET_FRACTION: u64 = 4;
+/// A tombstone is dormant for the last `1 / DORMANT_FRACTION` of its lifetime.
+const DORMANT_FRACTION: u64 = 4;
+
 /// An item with its local times, in microseconds.
 #[derive(Debug)]
 struct StoredItem {
     item: Item,
     merged_at: u64,
     age: KnownAge,
-    /// When a tombstone expires; without meaning for other items.
+    /// When a tombstone expires; unused for other items.
     expires_at: u64,
 }
 
@@ -32,7 +33,7 @@
     by_kind: BTreeMap<Kind, BTreeMap<Arc<str>, StoredItem>>,
     live: usize,
     ranges: Ranges,
-    /// When tombstones become quiet or expire.
+    /// When tombstones become dormant or expire.
     due: BTreeSet<(u64, Name)>,
 }
 
@@ -46,7 +47,7 @@
         &self.ranges
     }
 
-    /// How many items there are, without tombstones.
+    /// The number of items, without tombstones.
     pub(crate) fn len(&self) -> usize {
         self.live
     }
@@ -66,12 +67,12 @@
         self.stored(kind, key).map(|stored| &stored.item)
     }
 
-    /// Whether an item of this name is known in this stamp or a newer one.
+    /// Whether an item of this name is known with this stamp or a higher one.
     pub(crate) fn holds(&self, kind: Kind, key: &str, stamp: Stamp) -> bool {
         self.get(kind, key).is_some_and(|item| item.stamp >= stamp)
     }
 
-    /// Whether an item of this name is known in just this stamp.
+    /// Whether an item of this name is known with exactly this stamp.
     pub(crate) fn holds_exactly(&self, kind: Kind, key: &str, stamp: Stamp) -> bool {
         self.get(kind, key).is_some_and(|item| item.stamp == stamp)
     }
@@ -86,23 +87,24 @@
         self.stored(kind, key).map(|stored| stored.age.at(now))
     }
 
-    /// The item with its age, as it is sent.
+    /// The item with its age, as messages carry it.
     pub(crate) fn aged(&self, now: u64, kind: Kind, key: &str) -> Option<AgedItem> {
         let stored = self.stored(kind, key)?;
         Some(AgedItem { item: stored.item.clone(), age_ms: stored.age.millis_at(now) })
     }
 
-    /// Merges an item: the higher stamp wins. Returns whether the item was newer than the known one.
+    /// Merges an item: the higher stamp wins. Returns whether the item was newer than the known one. A tombstone that has
+    /// already expired is not stored where no item of its name is known.
     pub(crate) fn merge(&mut self, now: u64, aged: &AgedItem) -> bool {
         let AgedItem { item, age_ms } = aged;
         let age = KnownAge::new(now, *age_ms);
         let before = self.get(item.kind, &item.key);
-        let is_late_tombstone = item.removed && age.at(now) >= self.tombstone_ttl && before.is_none();
-        if is_late_tombstone || before.is_some_and(|before| before.stamp >= item.stamp) {
+        let is_expired_tombstone = item.removed && age.at(now) >= self.tombstone_ttl && before.is_none();
+        if is_expired_tombstone || before.is_some_and(|before| before.stamp >= item.stamp) {
             return false;
         }
-        let was_living = before.is_some_and(|before| !before.removed);
-        self.live = self.live + usize::from(!item.removed) - usize::from(was_living);
+        let was_live = before.is_some_and(|before| !before.removed);
+        self.live = self.live + usize::from(!item.removed) - usize::from(was_live);
         self.put(now, item, age);
         true
     }
@@ -110,17 +112,17 @@
     fn put(&mut self, now: u64, item: &Item, age: KnownAge) {
         let expires_at = now.saturating_add(self.tombstone_ttl.saturating_sub(age.at(now)));
         self.ranges.remove(item.kind, &item.key);
-        if !item.removed || now < self.quiet_at(expires_at) {
+        if !item.removed || now < self.dormant_at(expires_at) {
             self.ranges.insert(item.entry());
         }
         if item.removed {
-            self.due.insert((self.quiet_at(expires_at), item.entry().name()));
+            self.due.insert((self.dormant_at(expires_at), item.entry().name()));
         }
         let stored = StoredItem { item: item.clone(), merged_at: now, age, expires_at };
         self.by_kind.entry(item.kind).or_default().insert(Arc::clone(&item.key), stored);
     }
 
-    /// Makes tombstones quiet or drops them, as is due.
+    /// Makes tombstones dormant or drops them when due.
     pub(crate) fn expire(&mut self, now: u64) {
         while self.next_due() <= now {
             let Some((_, name)) = self.due.pop_first() else { return };
@@ -131,7 +133,7 @@
     fn expire_one(&mut self, now: u64, name: Name) {
         let Some(stored) = self.stored(name.0, &name.1) else { return };
         let expires_at = stored.expires_at;
-        if !stored.item.removed || now < self.quiet_at(expires_at) {
+        if !stored.item.removed || now < self.dormant_at(expires_at) {
             return;
         }
         self.ranges.remove(name.0, &name.1);
@@ -142,13 +144,13 @@
         }
     }
 
-    /// When a tombstone may become quiet or expire next; `u64::MAX` for never.
+    /// When the next tombstone may become dormant or expire; `u64::MAX` for never.
     pub(crate) fn next_due(&self) -> u64 {
         self.due.first().map_or(u64::MAX, |(at, _)| *at)
     }
 
-    fn quiet_at(&self, expires_at: u64) -> u64 {
-        expires_at.saturating_sub(self.tombstone_ttl / QUIET_FRACTION)
+    fn dormant_at(&self, expires_at: u64) -> u64 {
+        expires_at.saturating_sub(self.tombstone_ttl / DORMANT_FRACTION)
     }
 
     fn stored(&self, kind: Kind, key: &str) -> Option<&StoredItem> {
--- a/gossip/src/lib.rs
+++ b/gossip/src/lib.rs
@@ -1,19 +1,18 @@
 //! Gossip of fleet state with anti-entropy repair, sans-I/O.
 //!
-//! Every node has every [`Item`]. A new item is pushed to a few peers, which push it on (rumor mongering); from time to time
-//! a node compares hashes over ranges of keys with one peer, and both repair what differs (anti-entropy). Demers et al.,
-//! "Epidemic Algorithms for Replicated Database Maintenance", PODC 1987. Of the items of one kind and key the highest
-//! version stamp wins, so the order in which items arrive doesn't matter.
+//! Every [`Item`] is replicated to every node. A new item is pushed to a few peers, which forward it (rumor mongering);
+//! periodically a node compares hashes over ranges of keys with one peer, and both repair the differences (anti-entropy).
+//! See Demers et al., "Epidemic Algorithms for Replicated Database Maintenance", PODC 1987. Of the items of one kind and
+//! key the highest version stamp wins, so the order in which items arrive doesn't matter.
 //!
-//! The crate is a state machine apart from the control plane, which uses it: no clock, no socket and no thread, so that the
-//! tests play fleets of hundreds of nodes in simulated time. The caller hands in messages and the time and carries out the
-//! [`Output`]s. Mechanism and figures: `docs/gossip.md`.
+//! The crate is a state machine without clock, sockets or threads, so that tests can run fleets of hundreds of nodes in
+//! simulated time. The caller, the control plane, passes in messages and the time, and executes the [`Output`]s. Mechanism
+//! and figures: `docs/gossip.md`.
 
 mod acknowledgment;
 mod anti_entropy;
 mod block;
 mod block_transfer;
-mod budget;
 mod config;
 mod counters;
 mod download;
@@ -28,6 +27,7 @@
 mod push;
 mod ranges;
 mod replication_factor;
+mod token_bucket;
 mod upload;
 
 pub use block::{Block, BlockRefusal, BlockRequest, Offer, RefusalReason};
--- a/gossip/src/message.rs
+++ b/gossip/src/message.rs
@@ -3,17 +3,17 @@
 use crate::block::block_size;
 use crate::{AgedItem, Block, BlockRefusal, BlockRequest, Entry, Item, Offer};
 
-/// Bytes assumed around a message: its type, flags and lengths.
+/// Estimated overhead of a message, in bytes: its type, flags and lengths.
 const MESSAGE_OVERHEAD_BYTES: usize = 16;
-/// Bytes assumed for an entry beside its key: kind, stamp and lengths.
+/// Estimated size of an entry without its key, in bytes: kind, stamp and lengths.
 const ENTRY_OVERHEAD_BYTES: usize = 20;
-/// Bytes assumed for the encoding of an offered item.
+/// Estimated size of the encoding id of an offered item, in bytes.
 const ENCODING_BYTES: usize = 10;
-/// Bytes assumed for an item beside its key and payload.
+/// Estimated size of an item without its key and payload, in bytes.
 const ITEM_OVERHEAD_BYTES: usize = 28;
-/// Bytes assumed for the digest of a range: an index of at most two and a hash of eight bytes.
+/// Estimated size of the digest of a range, in bytes: an index of at most two bytes and a hash of eight.
 const RANGE_DIGEST_BYTES: usize = 10;
-/// Bytes assumed for the head of a list of entries of one range.
+/// Estimated overhead of the list of entries of one range, in bytes.
 const RANGE_ENTRIES_BYTES: usize = 5;
 
 /// A message from one node to another.
@@ -23,10 +23,11 @@
     Push {
         /// The items.
         items: Vec<AgedItem>,
-        /// Whether the receiver has to answer with [`Message::Acknowledge`] for the items that it then has.
+        /// Whether the receiver must answer with [`Message::Acknowledge`] for those of the items that it holds after the
+        /// merge.
         acknowledge: bool,
-        /// Whether this repairs a difference between two nodes. Repairs of many items are not pushed on: they fill an empty
-        /// node or end a partition, where other nodes compare for themselves.
+        /// Whether this repairs a difference between two nodes. Repairs of many items are not forwarded: they fill an empty
+        /// node or follow a partition, and the other nodes run comparisons of their own.
         repair: bool,
     },
     /// Items with large payloads that the receiver may fetch from the sender.
@@ -34,24 +35,24 @@
         /// The items.
         offers: Vec<Offer>,
     },
-    /// Asks for items, in these stamps or newer ones.
+    /// Requests items with these stamps or higher ones.
     Fetch {
         /// Names and stamps of the items.
         entries: Vec<Entry>,
-        /// Whether large ones are to be offered in place of being sent, since the sender fetches them by blocks.
+        /// Whether large items are to be offered instead of sent, since the sender fetches them by blocks.
         by_blocks: bool,
     },
-    /// Asks for a block of an item that was offered with its encoding.
+    /// Requests a block of an item that was offered with its encoding.
     FetchBlock(BlockRequest),
-    /// A block that was asked for.
+    /// A requested block.
     Block(Block),
-    /// A block that was asked for is not sent.
+    /// The refusal of a block request.
     BlockRefused(BlockRefusal),
-    /// Hashes over ranges of keys, to be compared with the receiver's own.
+    /// Hashes over ranges of keys, to be compared with the receiver's.
     Digest {
-        /// Ranges of the first level in a question; whichever differ, or ranges within them, in an answer.
+        /// In a request, all first-level ranges; in a reply, ranges that differ or finer ranges within them.
         ranges: Vec<RangeDigest>,
-        /// Whether the receiver has to answer with a digest, an empty one if nothing differs.
+        /// Whether the receiver must answer with a digest, which is empty if nothing differs.
         reply: bool,
     },
     /// All entries of the sender in some ranges. The receiver sends its newer items and fetches its older ones.
@@ -59,7 +60,7 @@
         /// The ranges, each complete.
         ranges: Vec<RangeEntries>,
     },
-    /// The sender has these items, in these stamps or newer ones.
+    /// The sender has these items with these stamps or higher ones.
     Acknowledge {
         /// Names and stamps as they were pushed.
         entries: Vec<Entry>,
@@ -71,23 +72,23 @@
 /// The hash of one range of keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RangeDigest {
-    /// Which range: 0 to 63 for the first level, 64 to 4159 for the ranges within them.
+    /// The index of the range: 0 to 63 for the first level, 64 to 4159 for the finer ranges.
     pub index: u16,
-    /// The exclusive or of the hashes of the range's entries; 0 for an empty range.
+    /// The XOR of the hashes of the range's entries; 0 for an empty range.
     pub hash: u64,
 }
 
 /// All entries of one range.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RangeEntries {
-    /// Which range, numbered as in [`RangeDigest`].
+    /// The index of the range, as in [`RangeDigest`].
     pub index: u16,
     /// The entries.
     pub entries: Vec<Entry>,
 }
 
 impl Message {
-    /// Estimated encoded size in bytes, which limits and counters use.
+    /// Estimated encoded size in bytes, used by limits and counters.
     pub fn size(&self) -> usize {
         MESSAGE_OVERHEAD_BYTES
             + match self {
@@ -127,7 +128,7 @@
     entries.iter().map(entry_size).sum()
 }
 
-/// Splits a list into batches whose sizes add up to at most `max` bytes; a larger element is a batch of its own.
+/// Splits a list into batches of at most `max` bytes each; a larger element forms a batch of its own.
 pub(crate) fn batches<T>(list: Vec<T>, max: usize, size: impl Fn(&T) -> usize) -> Vec<Vec<T>> {
     let mut batches: Vec<Vec<T>> = Vec::new();
     let mut remaining = 0;
--- a/gossip/src/output.rs
+++ b/gossip/src/output.rs
@@ -1,61 +1,62 @@
-//! Requests and reports to the caller.
+//! Actions for the caller to execute, and events.
 
 use std::net::SocketAddrV4;
 
 use crate::{Entry, Item, Message};
 
-/// A step in the fetch of an item, for the log.
+/// A step of the fetch of an item, for logging.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FetchEvent {
     /// The item.
     pub entry: Entry,
-    /// The node that it is fetched from.
+    /// The node that the item is fetched from.
     pub peer: SocketAddrV4,
-    /// What has happened.
+    /// The step.
     pub step: FetchStep,
 }
 
-/// What has happened to a fetch.
+/// A step of a fetch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FetchStep {
-    /// The first node was asked.
+    /// The item was requested from the first node.
     Started,
-    /// Another node was asked, since the one before did not send it in time, or was busy.
+    /// The item was requested from another node, since the previous one timed out, was busy or no longer had it.
     Retried {
-        /// How much has arrived, in bytes as they are sent.
+        /// Bytes of the encoded form that have arrived.
         received: usize,
     },
-    /// No other node is known to have it: a later comparison has to find one.
+    /// The fetch was given up: no further source is known, or the received bytes were invalid. A later offer or
+    /// comparison starts it again.
     Abandoned,
-    /// It has arrived.
+    /// The item has arrived.
     Completed {
-        /// Microseconds since the first node was asked.
+        /// Microseconds since the first request.
         elapsed: u64,
-        /// How many nodes were asked.
+        /// The number of attempts, each with one source.
         attempts: u32,
     },
 }
 
-/// A request to the caller, or a report.
+/// An action for the caller, or an event.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
-    /// Send a message. It may be lost, duplicated or overtaken.
+    /// Send a message. The transport may lose, duplicate or reorder messages.
     Send {
         /// The receiver.
         to: SocketAddrV4,
         /// The message.
         message: Message,
     },
-    /// A step in the fetch of an item.
+    /// A step of the fetch of an item.
     Fetch(FetchEvent),
-    /// An item is new here, one of another node or a published one; the higher stamp has won.
+    /// An item from another node or a local publication was merged, since its stamp was the highest.
     Changed(Item),
-    /// As many other nodes as were asked for have the item, or all where there are fewer.
+    /// The item has reached its replication factor, or all peers if there are fewer.
     Acknowledged {
         /// The id given to [`crate::Gossip::publish_acknowledged`].
         publish_id: u64,
     },
-    /// Not enough nodes acknowledged the item in time. It is gossiped all the same.
+    /// Not enough nodes acknowledged the item in time. It is still gossiped.
     AcknowledgmentFailed {
         /// The id given to [`crate::Gossip::publish_acknowledged`].
         publish_id: u64,
--- a/gossip/src/peers.rs
+++ b/gossip/src/peers.rs
@@ -1,11 +1,11 @@
-//! The peers of a node, and the selection among them.
+//! The peers of a node and the selection of peers for pushes and comparisons.
 
 use std::net::SocketAddrV4;
 
 use fastrand::Rng;
 
-/// One in this many comparisons goes to a peer of another zone.
-const FAR_PARTNER_ONE_IN: u32 = 4;
+/// One in this many comparisons is with a peer of another zone.
+const CROSS_ZONE_PARTNER_ONE_IN: u32 = 4;
 
 /// Another node of the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -16,21 +16,22 @@
     pub same_zone: bool,
 }
 
-/// The peers in the order of their addresses, which is a ring.
+/// The peers in the order of their addresses, which form a ring.
 #[derive(Debug)]
 pub(crate) struct Peers {
-    own: SocketAddrV4,
+    own_address: SocketAddrV4,
     sorted: Vec<Peer>,
 }
 
 impl Peers {
-    pub(crate) fn new(own: SocketAddrV4) -> Self {
-        Self { own, sorted: Vec::new() }
+    pub(crate) fn new(own_address: SocketAddrV4) -> Self {
+        Self { own_address, sorted: Vec::new() }
     }
 
-    /// Replaces the list of peers; returns those that are new.
+    /// Replaces the list of peers and returns the new ones.
     pub(crate) fn replace(&mut self, peers: &[Peer]) -> Vec<SocketAddrV4> {
-        let mut sorted: Vec<Peer> = peers.iter().filter(|peer| peer.address != self.own).copied().collect();
+        let mut sorted: Vec<Peer> =
+            peers.iter().filter(|peer| peer.address != self.own_address).copied().collect();
         sorted.sort_by_key(|peer| peer.address);
         sorted.dedup_by_key(|peer| peer.address);
         let added =
@@ -55,9 +56,9 @@
         self.sorted.binary_search_by_key(&address, |peer| peer.address).is_ok()
     }
 
-    /// The next one on the ring that is not excluded.
+    /// The next peer on the ring that is not excluded.
     fn successor(&self, excluded: &[SocketAddrV4]) -> Option<SocketAddrV4> {
-        let start = self.sorted.partition_point(|peer| peer.address < self.own);
+        let start = self.sorted.partition_point(|peer| peer.address < self.own_address);
         let around = self.sorted[start..].iter().chain(&self.sorted[..start]);
         around.map(|peer| peer.address).find(|address| !excluded.contains(address))
     }
@@ -69,8 +70,8 @@
         rng.choose_multiple(candidates, count)
     }
 
-    /// The peers to push new items to: the next one on the ring and random others, `fanout` together; all of them if there is
-    /// at most one more.
+    /// Selects the peers to push new items to: the next one on the ring and random others, `fanout` in total; all peers if
+    /// there are at most `fanout + 1`.
     pub(crate) fn targets(
         &self,
         rng: &mut Rng,
@@ -88,9 +89,9 @@
         targets
     }
 
-    /// The peer to compare with: mostly one of the same zone, sometimes one of another.
+    /// Selects a peer to compare with, usually from the same zone and sometimes from another.
     pub(crate) fn partner(&self, rng: &mut Rng) -> Option<SocketAddrV4> {
-        let same_zone = rng.u32(0..FAR_PARTNER_ONE_IN) != 0;
+        let same_zone = rng.u32(0..CROSS_ZONE_PARTNER_ONE_IN) != 0;
         let preferred: Vec<&Peer> = self.sorted.iter().filter(|peer| peer.same_zone == same_zone).collect();
         let chosen = rng.choice(preferred).or_else(|| rng.choice(&self.sorted));
         chosen.map(|peer| peer.address)
--- a/gossip/src/push.rs
+++ b/gossip/src/push.rs
@@ -1,7 +1,8 @@
 //! Rumor mongering: new items are pushed to a few peers, several in one message (Demers et al., PODC 1987, section 1.4).
 //!
-//! A new item goes to the next node on the ring of addresses and to random others. The ring alone would reach everyone
-//! slowly, the random ones reach nearly everyone fast; together they reach everyone fast as long as nothing is lost.
+//! A new item is pushed to the next node on the ring of addresses and to random other nodes. The ring alone would reach
+//! every node, but slowly; random targets alone reach nearly every node fast. The combination reaches every node fast as
+//! long as no message is lost.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -12,11 +13,11 @@
 use crate::message::{batches, item_size, offer_size};
 use crate::{AgedItem, Entry, FetchStep, Gossip, Item, Message, Output};
 
-/// A repair of at most this many items is pushed on. More fill an empty node or end a network partition, where the other
-/// nodes compare for themselves.
-const MAX_PUSHED_REPAIRS: usize = 8;
+/// A repair of at most this many items is forwarded. Larger repairs fill an empty node or follow a network partition, and
+/// the other nodes run comparisons of their own.
+const MAX_FORWARDED_REPAIRS: usize = 8;
 
-/// New items that wait to be pushed, batched for `batch_interval`.
+/// New items to be pushed, batched for `batch_interval`.
 #[derive(Debug, Default)]
 pub(crate) struct PushQueue {
     /// The items, each with the nodes that are known to have it.
@@ -26,7 +27,7 @@
 }
 
 impl PushQueue {
-    /// A node has an item that may be queued here, so it needn't be pushed there.
+    /// Records that a node has an item, so that the item, if queued, isn't pushed to it.
     pub(crate) fn mark_known_by(&mut self, name: Name, node: SocketAddrV4) {
         if !self.known_by.is_empty()
             && let Some(known_by) = self.known_by.get_mut(&name)
@@ -35,7 +36,7 @@
         }
     }
 
-    /// When the queue is to be flushed next; `u64::MAX` for never.
+    /// When the queue is flushed next; `u64::MAX` for never.
     pub(crate) fn next_due(&self) -> u64 {
         self.flush_at.unwrap_or(u64::MAX)
     }
@@ -51,15 +52,15 @@
     }
 }
 
-/// An item of a push that was newer than what was known.
+/// An item of a push that was newer than the known one.
 struct Accepted {
     name: Name,
-    /// If the item was fetched: whether it is to be pushed on.
-    push_when_fetched: Option<bool>,
+    /// Whether to forward the item if it was fetched; `None` if it was not.
+    forward_fetched: Option<bool>,
 }
 
 impl Gossip {
-    /// Queues a new item. Without peers there is nobody to push to; the comparisons of a later peer find the item.
+    /// Queues a new item. Without peers it is not queued; comparisons with later peers find the item.
     pub(crate) fn enqueue_push(&mut self, name: Name, known_by: Vec<SocketAddrV4>) {
         if !self.peers.is_empty() {
             self.push_queue.known_by.insert(name, known_by);
@@ -87,13 +88,13 @@
         let targets = self.peers.targets(&mut self.rng, self.config.fanout, &self.push_queue.known_by_all());
         let known_by = std::mem::take(&mut self.push_queue.known_by);
         for target in targets {
-            let unknown = known_by.iter().filter(|(_, nodes)| !nodes.contains(&target));
-            let items = unknown.filter_map(|((kind, key), _)| self.items.aged(now, *kind, key)).collect();
+            let lacking = known_by.iter().filter(|(_, nodes)| !nodes.contains(&target));
+            let items = lacking.filter_map(|((kind, key), _)| self.items.aged(now, *kind, key)).collect();
             self.send_items(now, target, items, false, out);
         }
     }
 
-    /// Whether an item is offered in place of being sent.
+    /// Whether an item is offered instead of pushed.
     pub(crate) fn is_large(&self, item: &Item) -> bool {
         item.payload.len() > self.config.offer_threshold_bytes
     }
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Merges items, acknowledges them if asked to, and queues new ones to be pushed on.
+    /// Merges items, acknowledges them if requested, and queues new ones to be forwarded.
     pub(crate) fn handle_push(
         &mut self,
         now: u64,
@@ -150,9 +151,9 @@
         if repair {
             self.send_newer_tombstones(now, from, items.iter().map(|aged| aged.item.entry()), out);
         }
-        let small = accepted.len() <= MAX_PUSHED_REPAIRS;
-        for Accepted { name, push_when_fetched } in accepted {
-            if push_when_fetched.unwrap_or(small || !repair) {
+        let is_small_batch = accepted.len() <= MAX_FORWARDED_REPAIRS;
+        for Accepted { name, forward_fetched } in accepted {
+            if forward_fetched.unwrap_or(is_small_batch || !repair) {
                 self.enqueue_push(name, vec![from]);
             }
         }
@@ -173,12 +174,12 @@
             let elapsed = now.saturating_sub(started_at);
             out.push(fetch_event(entry.clone(), from, FetchStep::Completed { elapsed, attempts }));
         }
-        let push_when_fetched = fetch.map(|fetch| fetch.push_on);
+        let forward_fetched = fetch.map(|fetch| fetch.forward);
         if self.items.merge(now, aged) {
             self.counters.items_accepted += 1;
             out.push(Output::Changed(aged.item.clone()));
             self.end_download(now, &entry, out);
-            return Some(Accepted { name: entry.name(), push_when_fetched });
+            return Some(Accepted { name: entry.name(), forward_fetched });
         }
         self.counters.items_duplicate += 1;
         if self.items.get(entry.kind, &entry.key).is_some_and(|item| item.stamp == entry.stamp) {
@@ -187,7 +188,7 @@
         None
     }
 
-    /// A node has items of which some were removed since: sends it those tombstones, quiet ones too.
+    /// Sends a node the tombstones, including dormant ones, that are newer than its entries.
     pub(crate) fn send_newer_tombstones(
         &mut self,
         now: u64,
@@ -196,8 +197,8 @@
         out: &mut Vec<Output>,
     ) {
         let known = entries.filter_map(|entry| Some((entry.stamp, self.items.get(entry.kind, &entry.key)?)));
-        let newer = known.filter(|(stamp, own)| own.removed && own.stamp > *stamp);
-        let items = newer.filter_map(|(_, own)| self.items.aged(now, own.kind, &own.key)).collect();
+        let newer = known.filter(|(stamp, local)| local.removed && local.stamp > *stamp);
+        let items = newer.filter_map(|(_, local)| self.items.aged(now, local.kind, &local.key)).collect();
         self.send_push(to, items, true, out);
     }
 }
--- a/gossip/src/ranges.rs
+++ b/gossip/src/ranges.rs
@@ -1,34 +1,34 @@
-//! Hashes over ranges of keys, updated with every change.
+//! Hashes over ranges of keys, updated incrementally.
 //!
-//! A key falls into one of 64 ranges and, within it, into one of 64 finer ones. The hash of a range is the exclusive or
-//! of the hashes of its entries, so that a change costs two exclusive ors and nothing is ever scanned.
+//! A key belongs to one of 64 first-level ranges and, within it, to one of 64 finer ranges. The hash of a range is the XOR
+//! of the hashes of its entries, so that a change costs one XOR per level and never a scan of the entries.
 
 use crate::{Entry, Kind, RangeDigest, Stamp};
 
-/// Ranges of the first level.
+/// Number of first-level ranges.
 const TOP_RANGES: u16 = 64;
-/// Finer ranges within each.
+/// Number of finer ranges within each first-level range.
 const FINE_PER_TOP: u16 = 64;
-/// Offset basis of the hash FNV-1a with 64 bits.
+/// Offset basis of 64-bit FNV-1a.
 const FNV_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
-/// Prime of the hash FNV-1a with 64 bits.
+/// Prime of 64-bit FNV-1a.
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
 /// The ranges of one node.
 #[derive(Debug)]
 pub(crate) struct Ranges {
-    top: Vec<Summary>,
-    fine: Vec<Fine>,
+    top: Vec<TopRange>,
+    fine: Vec<FineRange>,
 }
 
 #[derive(Debug, Default, Clone, Copy)]
-struct Summary {
+struct TopRange {
     hash: u64,
     entries: usize,
 }
 
 #[derive(Debug, Default, Clone)]
-struct Fine {
+struct FineRange {
     hash: u64,
     entries: Vec<Entry>,
 }
@@ -36,10 +36,13 @@
 impl Ranges {
     pub(crate) fn new() -> Self {
         let fine = usize::from(TOP_RANGES * FINE_PER_TOP);
-        Self { top: vec![Summary::default(); usize::from(TOP_RANGES)], fine: vec![Fine::default(); fine] }
+        Self {
+            top: vec![TopRange::default(); usize::from(TOP_RANGES)],
+            fine: vec![FineRange::default(); fine],
+        }
     }
 
-    /// Adds an entry that is not there in any stamp.
+    /// Adds an entry. The ranges must not contain its name with any stamp.
     pub(crate) fn insert(&mut self, entry: Entry) {
         let Indices { top, fine } = indices(entry.kind, &entry.key);
         let hash = entry_hash(&entry);
@@ -67,13 +70,13 @@
         (0..TOP_RANGES).zip(&self.top).map(|(index, range)| RangeDigest { index, hash: range.hash }).collect()
     }
 
-    /// The hashes of the ranges within one of the first level; none for a finer one.
+    /// The hashes of the finer ranges within a first-level range; empty for a finer range.
     pub(crate) fn digests_within(&self, index: u16) -> impl Iterator<Item = RangeDigest> {
         fine_within(index)
             .map(|fine| RangeDigest { index: fine + TOP_RANGES, hash: self.fine[usize::from(fine)].hash })
     }
 
-    /// The hash of a range of either level, if there is such a range.
+    /// The hash of a range of either level; `None` if there is no such range.
     pub(crate) fn hash(&self, index: u16) -> Option<u64> {
         match index.checked_sub(TOP_RANGES) {
             None => self.top.get(usize::from(index)).map(|range| range.hash),
@@ -81,12 +84,12 @@
         }
     }
 
-    /// Whether the range is of the first level and has more entries than that.
-    pub(crate) fn is_divided_above(&self, index: u16, entries: usize) -> bool {
+    /// Whether this is a first-level range with more than `entries` entries.
+    pub(crate) fn is_top_range_larger_than(&self, index: u16, entries: usize) -> bool {
         self.top.get(usize::from(index)).is_some_and(|range| range.entries > entries)
     }
 
-    /// The entries of a range of either level; none if there is no such range.
+    /// The entries of a range of either level; empty if there is no such range.
     pub(crate) fn entries(&self, index: u16) -> impl Iterator<Item = &Entry> {
         let fine = match index.checked_sub(TOP_RANGES) {
             None => fine_within(index),
@@ -96,12 +99,12 @@
     }
 }
 
-/// The finer ranges within one of the first level.
+/// The finer ranges within a first-level range.
 fn fine_within(index: u16) -> std::ops::Range<u16> {
     if index < TOP_RANGES { index * FINE_PER_TOP..(index + 1) * FINE_PER_TOP } else { 0..0 }
 }
 
-/// The indices of the two ranges that a key falls into: of the first level, and of the finer one among all finer ones.
+/// The indices of the first-level range and the finer range of a key; the latter counts over all finer ranges.
 struct Indices {
     top: usize,
     fine: usize,
@@ -109,27 +112,28 @@
 
 fn indices(kind: Kind, key: &str) -> Indices {
     let ranges = u64::from(TOP_RANGES * FINE_PER_TOP);
-    let fine = (mixed(name_hash(kind, key)) % ranges) as usize;
+    let fine = (fmix64(name_hash(kind, key)) % ranges) as usize;
     Indices { top: fine / usize::from(FINE_PER_TOP), fine }
 }
 
 fn entry_hash(entry: &Entry) -> u64 {
     let Stamp { major, minor } = entry.stamp;
-    let hash = fnv(name_hash(entry.kind, &entry.key), &major.to_le_bytes());
-    mixed(fnv(hash, &minor.to_le_bytes()))
+    let hash = fnv1a(name_hash(entry.kind, &entry.key), &major.to_le_bytes());
+    fmix64(fnv1a(hash, &minor.to_le_bytes()))
 }
 
 fn name_hash(kind: Kind, key: &str) -> u64 {
-    fnv(fnv(FNV_BASIS, &[kind.0]), key.as_bytes())
+    fnv1a(fnv1a(FNV_BASIS, &[kind.0]), key.as_bytes())
 }
 
-/// FNV-1a: all nodes have to agree on it, whatever they were built with, which rules out the standard library's hash.
-fn fnv(hash: u64, bytes: &[u8]) -> u64 {
+/// FNV-1a. All nodes must compute the same hash regardless of their build, which rules out the standard library's hasher.
+fn fnv1a(hash: u64, bytes: &[u8]) -> u64 {
     bytes.iter().fold(hash, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME))
 }
 
-/// The finalizer of `MurmurHash3`: spreads every bit over all others, which an exclusive or over many hashes needs.
-fn mixed(mut hash: u64) -> u64 {
+/// The 64-bit finalizer of `MurmurHash3`. Its avalanche effect is needed because the hashes of many entries are combined
+/// by XOR.
+fn fmix64(mut hash: u64) -> u64 {
     hash = (hash ^ (hash >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
     hash = (hash ^ (hash >> 33)).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
     hash ^ (hash >> 33)
--- a/gossip/src/replication_factor.rs
+++ b/gossip/src/replication_factor.rs
@@ -1,40 +1,41 @@
-//! How many nodes must have an item before its publication is acknowledged, and where.
+//! How many other nodes must have an item, and which, before its publication is acknowledged.
 
 use std::net::SocketAddrV4;
 
 /// How many other nodes must have an item before its publication is acknowledged, and which.
 ///
-/// Nodes of the group may all lose their memory at the same moment, and those beside it may go in any number; so copies
-/// can be asked for on both sides. Nodes that are shutting down count for `count` only.
+/// All nodes of the group may lose their memory at the same time, for example by a power loss, and any number of the nodes
+/// outside it may be removed; so copies can be required both inside and outside the group. Nodes that are shutting down
+/// count only towards `count`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReplicationFactor<'a> {
-    /// How many altogether, or all peers where there are fewer.
+    /// The total number of nodes, or all peers if there are fewer.
     pub count: usize,
-    /// Nodes that may be lost together; they are asked before others.
+    /// Nodes that may be lost together; items are pushed to them first.
     pub group: &'a [SocketAddrV4],
-    /// How many in the group at least, or all of it.
+    /// The minimum number inside the group, or all of the group if it is smaller.
     pub inside: usize,
-    /// How many outside the group at least, or all that are there.
+    /// The minimum number outside the group, or all nodes there if there are fewer.
     pub outside: usize,
 }
 
 impl<'a> ReplicationFactor<'a> {
-    /// Copies anywhere, preferably at these nodes.
+    /// Requires `count` copies on any nodes, preferably on those of `prefer`.
     pub fn anywhere(count: usize, prefer: &'a [SocketAddrV4]) -> ReplicationFactor<'a> {
         ReplicationFactor { count, group: prefer, inside: 0, outside: 0 }
     }
 }
 
-/// How many acknowledgments are missing.
+/// The number of missing acknowledgments.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Missing {
+pub(crate) struct MissingAcknowledgments {
     pub inside: usize,
     pub outside: usize,
-    /// Beside those, wherever.
+    /// In addition to those, from any nodes.
     pub anywhere: usize,
 }
 
-impl Missing {
+impl MissingAcknowledgments {
     pub fn total(self) -> usize {
         self.inside + self.outside + self.anywhere
     }
--- a/gossip/src/upload.rs
+++ b/gossip/src/upload.rs
@@ -1,4 +1,4 @@
-//! What a node needs to send blocks of large items: their encoded forms, who is served, and who waits for blocks that have
+//! Upload state of a node: encoded forms of large items, the peers being served, and queued requests for blocks that have
 //! not arrived here yet.
 
 use std::collections::BTreeMap;
@@ -9,13 +9,13 @@
 use crate::item::{KnownAge, Name};
 use crate::{AgedItem, Entry, Stamp};
 
-/// Nodes that are served at a time; others are told to ask elsewhere.
+/// The most peers that are served at a time; requests of others are refused as busy.
 const MAX_SERVED_PEERS: usize = 4;
-/// A node that has asked for nothing for this long is served no longer, in microseconds.
+/// A served peer that has requested nothing for this long loses its slot, in microseconds.
 const SERVED_IDLE_US: u64 = 500_000;
-/// An encoded form of an item that was superseded is kept this long after a node has last asked for it, in microseconds.
+/// The encoded form of a superseded item is kept for this long after its last use, in microseconds.
 const RETENTION_US: u64 = 3_000_000;
-/// Encoded forms of items of one name that are kept.
+/// The most encoded forms that are kept per name.
 const MAX_RETAINED: usize = 4;
 
 /// The encoded form of an item.
@@ -34,18 +34,18 @@
     pub request: BlockRequest,
 }
 
-/// What is sent to other nodes by blocks.
+/// The items that are sent to other nodes by blocks.
 #[derive(Debug, Default)]
 pub(crate) struct Uploads {
     /// Encoded forms by name, the newest one last.
     by_name: BTreeMap<Name, Vec<Upload>>,
-    /// When each node that is served has last asked for a block.
+    /// When each served peer last requested a block.
     served: BTreeMap<SocketAddrV4, u64>,
     waiting: Vec<WaitingRequest>,
 }
 
 impl Uploads {
-    /// The encoding of an item, which is made if this is the first use of it; `None` if it can't be sent by blocks.
+    /// Returns the encoding of an item, and encodes it at the first use; `None` if it can't be sent by blocks.
     pub(crate) fn encoding(&mut self, now: u64, aged: &AgedItem) -> Option<EncodingId> {
         let entry = aged.item.entry();
         let known = self.by_name.get(&entry.name());
@@ -59,7 +59,7 @@
         Some(id)
     }
 
-    /// Keeps the encoded form of an item.
+    /// Stores the encoded form of an item.
     pub(crate) fn store(&mut self, now: u64, entry: &Entry, encoded: Encoded, age: KnownAge) {
         let all = self.by_name.entry(entry.name()).or_default();
         all.push(Upload { stamp: entry.stamp, encoded, age, used_at: now });
@@ -68,7 +68,7 @@
         all.drain(..surplus);
     }
 
-    /// The encoded form of an item, which is about to be used.
+    /// Finds the encoded form of an item and marks it as used.
     pub(crate) fn find(&mut self, now: u64, entry: &Entry, encoding: EncodingId) -> Option<&Upload> {
         let all = self.by_name.get_mut(&entry.name())?;
         let found =
@@ -77,7 +77,7 @@
         Some(found)
     }
 
-    /// Drops encoded forms that are not of current items and that nobody has asked for lately.
+    /// Drops encoded forms of superseded items that have not been used within [`RETENTION_US`].
     pub(crate) fn prune(&mut self, now: u64, is_current: impl Fn(&Name, Stamp) -> bool) {
         self.by_name.retain(|name, all| {
             all.retain(|upload| {
@@ -87,7 +87,7 @@
         });
     }
 
-    /// Whether a node may be served now.
+    /// Admits a peer if it is already served or a slot is free. Returns whether it is admitted.
     pub(crate) fn admit(&mut self, now: u64, peer: SocketAddrV4) -> bool {
         self.served.retain(|_, asked_at| now.saturating_sub(*asked_at) < SERVED_IDLE_US);
         let admitted = self.served.contains_key(&peer) || self.served.len() < MAX_SERVED_PEERS;
@@ -97,12 +97,12 @@
         admitted
     }
 
-    /// A node has got the last block that it needs.
+    /// Frees the slot of a peer.
     pub(crate) fn release(&mut self, peer: SocketAddrV4) {
         self.served.remove(&peer);
     }
 
-    /// Keeps a request until its block has arrived here.
+    /// Queues a request until its block has arrived here.
     pub(crate) fn wait(&mut self, from: SocketAddrV4, request: BlockRequest) {
         let waiting = WaitingRequest { from, request };
         if !self.waiting.contains(&waiting) {
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Takes the requests for blocks of an item that end within its first `available` bytes.
+    /// Removes and returns the queued requests for blocks of an item that end within its first `available` bytes.
     pub(crate) fn take_waiting(&mut self, entry: &Entry, available: usize) -> Vec<WaitingRequest> {
         let ready = self.waiting.extract_if(.., |waiting| {
             let WaitingRequest { request, .. } = waiting;
