--- a/store/src/directory.rs
+++ b/store/src/directory.rs
@@ -1,4 +1,4 @@
-//! The directory on the disk, as far as the store needs it; tests substitute a simulated disk.
+//! The file system operations that the store needs; tests substitute a simulated disk.
 
 use std::{
     fs::{self, File, OpenOptions},
@@ -7,13 +7,13 @@
     path::{Path, PathBuf},
 };
 
-/// A directory: the content of a file is durable once the file was synced, its name once the directory was.
+/// A directory. The content of a file is durable once the file has been synced, and its name once the directory has been.
 pub trait Directory: Send {
     /// Reads a whole file, if one of this name exists.
     ///
     /// # Errors
     ///
-    /// The error of the operating system, other than that the file doesn't exist.
+    /// The error of the operating system, unless the file doesn't exist.
     fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>>;
     /// Opens a file for writing; creates an empty one if none exists.
     ///
@@ -27,7 +27,7 @@
     ///
     /// The error of the operating system. The rename may have taken effect nevertheless.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
-    /// Makes names durable.
+    /// Makes created and renamed names durable.
     ///
     /// # Errors
     ///
@@ -53,7 +53,7 @@
     ///
     /// # Errors
     ///
-    /// The error of the operating system. What was written since the last sync may be durable or not.
+    /// The error of the operating system. What was written since the last sync may or may not be durable.
     fn sync(&mut self) -> io::Result<()>;
 }
 
--- a/store/src/entry.rs
+++ b/store/src/entry.rs
@@ -1,11 +1,11 @@
-//! The content of a frame: records, and in the first frame of a log the identity of the replica besides.
+//! The content of a frame: records and, in the first frame of a log, the identity of the replica.
 
 use gradepaddle_control::{Record, RecoveredState, ReplicaId};
 use gradepaddle_proto::{Decode, DecodeError, Encode, FieldWriter, Fields};
 
-/// Field number of the identity, in the first frame only.
+/// Field number of the replica identity, which only the first frame has.
 const IDENTITY_FIELD: u32 = 1;
-/// Field number of the records, repeated.
+/// Field number of the records, a repeated field.
 const RECORD_FIELD: u32 = 2;
 
 /// The content of a frame.
--- a/store/src/error.rs
+++ b/store/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the stored state can't be opened or written.
+//! Errors of opening and writing the stored state.
 
 use std::io;
 
@@ -10,7 +10,7 @@
 #[snafu(visibility(pub(crate)))]
 pub enum StoreError {
     /// The directory couldn't be created or opened.
-    #[snafu(display("the folder can't be used: {source}"))]
+    #[snafu(display("the state directory can't be opened: {source}"))]
     OpenDirectory {
         /// The error of the operating system.
         source: io::Error,
@@ -27,14 +27,14 @@
         /// The error of the operating system.
         source: io::Error,
     },
-    /// The log has a format version that this build doesn't know.
-    #[snafu(display("the state has format {format}, which this build doesn't know"))]
+    /// The log has a format version that this build doesn't support.
+    #[snafu(display("the log has format version {format}, which this build doesn't support"))]
     UnknownFormat {
         /// The format version of the log.
         format: u32,
     },
     /// An entry has a valid checksum, but this build can't decode it.
-    #[snafu(display("the entry at byte {offset} is whole but can't be read by this build"))]
+    #[snafu(display("the entry at byte {offset} has a valid checksum but can't be decoded by this build"))]
     UnreadableEntry {
         /// The offset of the entry in the log, in bytes.
         offset: usize,
--- a/store/src/frame.rs
+++ b/store/src/frame.rs
@@ -1,7 +1,7 @@
 //! The framing of the log: a file header, then frames of length, checksum and content, all little-endian.
 //!
-//! The checksum of a frame also covers the checksum of the frame before it. So a frame that an earlier, failed write has
-//! left behind never passes for the successor of the present last frame.
+//! The checksum of a frame also covers the checksum of the frame before it. A frame left behind by an earlier, failed write
+//! therefore can't be mistaken for the successor of the current last frame.
 
 use crc32fast::Hasher;
 
@@ -11,10 +11,10 @@
 pub(crate) const FORMAT_VERSION: u32 = 1;
 /// Length of magic number and format version, in bytes.
 pub(crate) const FILE_HEADER_BYTES: usize = 8;
-/// Length of what precedes the content of a frame, in bytes.
+/// Length of the header of a frame, in bytes: length and checksum.
 pub(crate) const FRAME_HEADER_BYTES: usize = 8;
 
-/// The checksum that the first frame continues.
+/// The seed of the checksum of the first frame, in place of the previous checksum.
 pub(crate) const INITIAL_CHECKSUM: u32 = FORMAT_VERSION;
 
 /// The header of a file.
@@ -28,7 +28,7 @@
     format.try_into().ok().map(u32::from_le_bytes)
 }
 
-/// Appends a frame and returns its checksum, which the next frame continues.
+/// Appends a frame and returns its checksum, which the checksum of the next frame covers.
 pub(crate) fn append(to: &mut Vec<u8>, previous: u32, content: &[u8]) -> u32 {
     let checksum = checksum(previous, content);
     to.extend_from_slice(&u32::try_from(content.len()).unwrap_or(u32::MAX).to_le_bytes());
@@ -37,16 +37,16 @@
     checksum
 }
 
-/// A frame that was read.
+/// A decoded frame.
 pub(crate) struct Frame<'a> {
     pub content: &'a [u8],
-    /// Its checksum, which the next frame continues.
+    /// Its checksum, which the checksum of the next frame covers.
     pub checksum: u32,
     /// The offset at which the next frame begins, in bytes.
     pub end: usize,
 }
 
-/// Reads the frame at an offset; `None` if it is torn or doesn't continue the previous checksum.
+/// Reads the frame at an offset; `None` if it is truncated or its checksum over `previous` and the content doesn't match.
 pub(crate) fn read(file: &[u8], offset: usize, previous: u32) -> Option<Frame<'_>> {
     let header = file.get(offset..offset.checked_add(FRAME_HEADER_BYTES)?)?;
     let (length, stored) = header.split_at(4);
--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -1,12 +1,12 @@
-//! The control state of a replica on disk: what it has to recover after a crash or a power loss.
+//! The control state of a replica on disk, which it recovers after a crash or a power loss.
 //!
-//! The file [`LOG_FILE`] holds a snapshot and the entries appended since. A checkpoint writes a new log under
-//! [`CHECKPOINT_FILE`], syncs it and renames it over the old one. The checksum of each frame continues that of the frame
-//! before, so that neither a torn tail nor the remains of an earlier, failed write pass for an entry.
+//! The file [`LOG_FILE`] holds a snapshot and the entries appended since. A checkpoint writes a new log to
+//! [`CHECKPOINT_FILE`], syncs it and renames it over the old one. The checksum of each frame covers that of the previous
+//! frame, so that neither a torn tail nor the remains of an earlier, failed write are read as entries.
 //!
-//! It is a crate of its own because it alone blocks on the disk: `gradepaddle-control` decides what has to be durable and
-//! does no I/O; [`Writer`] runs the writes on a thread of its own. `okaywal` was considered and rejected: on a full disk
-//! it panics during its rollback, and a segment whose creation was interrupted by a power loss keeps it from opening.
+//! This is a separate crate because only it blocks on the disk: `gradepaddle-control` decides what must be durable and
+//! does no I/O; [`Writer`] runs the writes on a dedicated thread. `okaywal` was considered and rejected: on a full disk it
+//! panics during its rollback, and a segment whose creation was interrupted by a power loss keeps it from opening.
 
 mod directory;
 mod entry;
--- a/store/src/log.rs
+++ b/store/src/log.rs
@@ -13,9 +13,9 @@
     frame,
 };
 
-/// The file that holds the state.
+/// The name of the log file, which holds the state.
 pub const LOG_FILE: &str = "control.log";
-/// The file in which a checkpoint is prepared.
+/// The name of the file that a checkpoint is written to before it replaces the log.
 pub const CHECKPOINT_FILE: &str = "control.new";
 
 /// The log file, open for appending.
@@ -27,12 +27,12 @@
     checksum: u32,
     /// Length of the header and the snapshot, in bytes.
     snapshot_length: u64,
-    /// A write has failed: what follows `length` has to be truncated.
+    /// Whether a write has failed, so that the file must be truncated to `length` before the next one.
     torn: bool,
 }
 
 impl Log {
-    /// Writes a checkpoint: a log with nothing but a snapshot, durable under [`CHECKPOINT_FILE`].
+    /// Writes a log that consists of a snapshot to [`CHECKPOINT_FILE`] and syncs it.
     pub fn write_checkpoint(directory: &dyn Directory, state: &RecoveredState) -> io::Result<Log> {
         let mut bytes = frame::file_header();
         let checksum = frame::append(&mut bytes, frame::INITIAL_CHECKSUM, &Entry::snapshot(state).to_bytes());
@@ -44,12 +44,13 @@
         Ok(Log { file, length, checksum, snapshot_length: length, torn: false })
     }
 
-    /// Whether enough was appended for another checkpoint.
+    /// Whether more has been appended since the snapshot than the limit and the length of the snapshot itself.
     pub fn checkpoint_due(&self, limits: LogLimits) -> bool {
         self.length - self.snapshot_length > limits.checkpoint_bytes.max(self.snapshot_length)
     }
 
-    /// Appends a frame with this content, durably. After an error the log is as before, or has the frame.
+    /// Appends a frame with this content and syncs the file. After an error, a restart recovers the log with or without the
+    /// frame.
     pub fn append(&mut self, directory: &dyn Directory, content: &[u8]) -> io::Result<()> {
         if self.torn {
             self.file = directory.open(LOG_FILE)?;
@@ -67,7 +68,7 @@
     }
 }
 
-/// What was recovered from a log file.
+/// The contents recovered from a log file.
 pub(crate) struct RecoveredLog {
     pub state: RecoveredState,
     length: u64,
@@ -76,11 +77,11 @@
 }
 
 impl RecoveredLog {
-    /// Reads the snapshot and the entries after it up to the first torn one; `None` if there is no valid snapshot.
+    /// Reads the snapshot and the entries after it up to the first invalid frame; `None` if there is no valid snapshot.
     ///
     /// # Errors
     ///
-    /// [`StoreError::UnknownFormat`] and [`StoreError::UnreadableEntry`]: a later version wrote it.
+    /// [`StoreError::UnknownFormat`] and [`StoreError::UnreadableEntry`] if a later version wrote the file.
     pub fn read(file: &[u8]) -> Result<Option<RecoveredLog>, StoreError> {
         match frame::format_version(file) {
             Some(frame::FORMAT_VERSION) => {}
@@ -103,7 +104,7 @@
         Ok(Some(RecoveredLog { state, length: end as u64, checksum, snapshot_length }))
     }
 
-    /// Truncates the torn tail and syncs the rest, which may have been only in the page cache so far.
+    /// Truncates the torn tail and syncs the rest, which may have been read from the page cache without being durable.
     pub fn repair(&self, directory: &dyn Directory) -> io::Result<Log> {
         let mut file = directory.open(LOG_FILE)?;
         file.set_len(self.length)?;
--- a/store/src/storage.rs
+++ b/store/src/storage.rs
@@ -1,4 +1,4 @@
-//! The stored state: opening, appending records, and checkpoints.
+//! The stored state: opening it, appending records, and checkpoints.
 
 use std::path::Path;
 
@@ -13,17 +13,18 @@
     log::{Log, RecoveredLog},
 };
 
-/// A checkpoint is due once this many bytes, or as many as the snapshot has, were appended to it.
+/// A checkpoint is due once more bytes than this, and more than the snapshot has, were appended to the snapshot.
 pub const CHECKPOINT_BYTES: u64 = 256 * 1024;
-/// A log that can't be checkpointed doesn't grow beyond this, in bytes.
+/// The maximum length of a log that can't be checkpointed, in bytes.
 const MAX_LOG_BYTES: u64 = 24 * 1024 * 1024;
 
-/// How far the log may grow.
+/// Limits on the growth of the log.
 #[derive(Debug, Clone, Copy)]
 pub struct LogLimits {
-    /// A checkpoint is due after this many bytes, or as many as the snapshot has.
+    /// A checkpoint is due once more bytes than this, and more than the snapshot has, were appended to the snapshot.
     pub checkpoint_bytes: u64,
-    /// Without a checkpoint, the log doesn't grow beyond this many bytes.
+    /// The maximum length of the log, in bytes. A write that would exceed it forces a checkpoint first, and fails if the log
+    /// is still too long.
     pub max_log_bytes: u64,
 }
 
@@ -33,14 +34,14 @@
     }
 }
 
-/// Where the state came from when it was opened.
+/// The origin of the state when it was opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Origin {
     /// It was recovered from the log.
     Recovered,
     /// There was no log.
     Created,
-    /// The log was damaged beyond what a power loss does; the replica starts empty with another identity.
+    /// The log had no valid snapshot, which a power loss does not cause; the replica starts empty with a new identity.
     Corrupted,
 }
 
@@ -49,9 +50,9 @@
 pub struct Opened {
     /// The open state.
     pub storage: Storage,
-    /// What was recovered.
+    /// The recovered state.
     pub recovered: RecoveredState,
-    /// Where it came from.
+    /// The origin of the state.
     pub origin: Origin,
 }
 
@@ -59,20 +60,20 @@
 pub struct Storage {
     directory: Box<dyn Directory>,
     limits: LogLimits,
-    /// What the durable records add up to.
+    /// The state that results from all durable records.
     durable: RecoveredState,
     log: Log,
     name: NameState,
 }
 
-/// Which file [`LOG_FILE`] names after a power loss.
+/// Which file [`LOG_FILE`] refers to after a power loss.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum NameState {
-    /// The file that is appended to.
+    /// The file that entries are appended to.
     Durable,
     /// A power loss may undo the rename of the latest checkpoint.
     Unsynced,
-    /// A rename failed: either file, until another checkpoint succeeds.
+    /// A rename failed, so it may be either file until another checkpoint succeeds.
     Unknown,
 }
 
@@ -114,7 +115,7 @@
         Ok(Opened { storage, recovered, origin })
     }
 
-    /// What the durable records add up to.
+    /// The state that results from all durable records.
     pub fn durable_state(&self) -> &RecoveredState {
         &self.durable
     }
@@ -136,12 +137,12 @@
     }
 
     /// Makes records durable atomically: after a crash either all or none of them are recovered. Blocks on the disk. An
-    /// empty list tests the disk. Call [`Storage::maybe_checkpoint`] after it.
+    /// empty list checks whether the disk accepts writes. Call [`Storage::maybe_checkpoint`] afterwards.
     ///
     /// # Errors
     ///
-    /// [`StoreError`] if the records aren't durable. The write may be retried; until then a restart may recover them or
-    /// not.
+    /// [`StoreError`] if the records aren't known to be durable. The write may be retried; until then a restart may or may
+    /// not recover them.
     pub fn append_without_checkpoint(&mut self, records: Vec<Record>) -> Result<(), StoreError> {
         self.ensure_name_durable()?;
         let entry = Entry { id: None, records };
@@ -155,7 +156,7 @@
     /// Writes a checkpoint if the log has grown enough.
     pub fn maybe_checkpoint(&mut self) {
         if self.log.checkpoint_due(self.limits) {
-            // The records are durable without it; one that fails is due again after the next entry.
+            // The records are durable without a checkpoint; a failed one is due again after the next entry.
             let _ = self.checkpoint();
         }
     }
@@ -168,10 +169,10 @@
         if length + additional > self.limits.max_log_bytes { LogFullSnafu { length }.fail() } else { Ok(()) }
     }
 
-    /// Replaces the log by one with nothing but a snapshot.
+    /// Replaces the log by one that consists of a snapshot.
     fn checkpoint(&mut self) -> Result<(), StoreError> {
         let log = Log::write_checkpoint(&*self.directory, &self.durable).context(WriteSnafu)?;
-        // Set before the rename: one that reports a failure may have taken effect.
+        // Set before the rename, since a rename that reports a failure may have taken effect.
         self.name = NameState::Unknown;
         self.directory.rename(CHECKPOINT_FILE, LOG_FILE).context(WriteSnafu)?;
         self.log = log;
@@ -179,7 +180,7 @@
         self.sync_name()
     }
 
-    /// Ensures that appends go to the file that the name stands for after a power loss.
+    /// Ensures that entries are appended to the file that [`LOG_FILE`] refers to after a power loss.
     fn ensure_name_durable(&mut self) -> Result<(), StoreError> {
         match self.name {
             NameState::Durable => Ok(()),
--- a/store/src/writer.rs
+++ b/store/src/writer.rs
@@ -1,4 +1,4 @@
-//! A thread that blocks on the disk, so that nobody else has to.
+//! A thread that performs the blocking writes, so that no other thread blocks on the disk.
 
 use std::{
     sync::mpsc::{Receiver, Sender, channel},
@@ -24,7 +24,7 @@
     records: Vec<Record>,
 }
 
-/// Passes records to the thread that writes them, in order.
+/// Queues records for the writer thread, which writes them in order.
 ///
 /// The thread exits once all clones of the writer are dropped and every request has been attempted.
 #[derive(Debug, Clone)]
@@ -47,7 +47,7 @@
 
     /// Requests that records be made durable; the result goes to the callback of [`Writer::start`].
     pub fn write(&self, write_id: WriteId, records: Vec<Record>) {
-        // The thread outlives every writer, so its queue is still open.
+        // The thread runs until all writers are dropped, so the channel is still open.
         let _ = self.requests.send(WriteRequest { write_id, records });
     }
 }
@@ -56,7 +56,7 @@
     for WriteRequest { write_id, records } in queue {
         let result = storage.append_without_checkpoint(records);
         let durable = result.is_ok();
-        // Reported before the checkpoint, which nothing that waits for the records depends on.
+        // Reported before the checkpoint, so that waiting for the records does not include the duration of a checkpoint.
         on_result(WriteResult { write_id, result });
         if durable {
             storage.maybe_checkpoint();
--- a/store/tests/disk/mod.rs
+++ b/store/tests/disk/mod.rs
@@ -1,4 +1,4 @@
-//! A simulated disk that loses unsynced writes at a power loss: all of them, none, or any part.
+//! A simulated disk that on a power loss drops, keeps or tears each unsynced write at random.
 
 #![allow(dead_code, reason = "each test file uses a part of the disk")]
 
@@ -11,7 +11,7 @@
 use gradepaddle_store::{Directory, WritableFile};
 
 #[derive(Debug, Clone)]
-enum Step {
+enum UnsyncedOperation {
     Write { offset: u64, bytes: Vec<u8> },
     Length(u64),
 }
@@ -20,20 +20,20 @@
 struct Inode {
     durable: Vec<u8>,
     current: Vec<u8>,
-    unsynced: Vec<Step>,
+    unsynced: Vec<UnsyncedOperation>,
 }
 
-/// What the disk refuses.
+/// The fault that the disk simulates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DiskFault {
     None,
-    /// Every write, cut and rename is refused.
+    /// Every write, truncation, rename and creation of a file fails.
     Full,
-    /// Writes are cut in half and then refused.
+    /// Half of each write takes effect, and it reports a failure.
     TornWrite,
-    /// Syncs fail, for files and folder.
+    /// Syncs of files and of the directory fail.
     SyncFails,
-    /// Renames are carried out and reported as failed.
+    /// Renames take effect but report a failure.
     RenameReportsFailure,
 }
 
@@ -43,12 +43,12 @@
     names: BTreeMap<String, usize>,
     durable_names: BTreeMap<String, usize>,
     pub fault: DiskFault,
-    /// How many bytes the files may take together.
+    /// The maximum total size of the files, in bytes.
     capacity: usize,
     random: u64,
 }
 
-/// A handle on the disk; all handles share it.
+/// A handle to the disk; clones share the disk.
 #[derive(Debug, Clone)]
 pub struct Disk(Arc<Mutex<Contents>>);
 
@@ -72,23 +72,23 @@
         self.contents().fault = fault;
     }
 
-    /// Writes that would take more bytes than this are refused from now on.
+    /// Limits the total size of the files. A write beyond it is truncated and fails.
     pub fn set_capacity(&self, bytes: usize) {
         self.contents().capacity = bytes;
     }
 
-    /// The bytes that all files take.
+    /// The total size of the files, in bytes.
     pub fn space(&self) -> usize {
         self.contents().space()
     }
 
-    /// The bytes of a file.
+    /// The contents of a file.
     pub fn bytes(&self, name: &str) -> Vec<u8> {
         let contents = self.contents();
         contents.names.get(name).map(|inode| contents.inodes[*inode].current.clone()).unwrap_or_default()
     }
 
-    /// Puts bytes in a file, durable.
+    /// Replaces the contents of a file durably.
     pub fn put(&self, name: &str, bytes: &[u8]) {
         let mut contents = self.contents();
         let inode = contents.inode(name);
@@ -97,13 +97,13 @@
         contents.durable_names = contents.names.clone();
     }
 
-    /// Whether trouble strikes, of which kind, and whether power is lost.
-    pub fn dice(&self) -> (bool, u64, bool) {
+    /// Draws at random whether a fault occurs, which one, and whether power is lost.
+    pub fn draw_faults(&self) -> (bool, u64, bool) {
         let mut contents = self.contents();
         (contents.below(4) == 0, contents.below(5), contents.below(6) == 0)
     }
 
-    /// Power goes and comes back.
+    /// Simulates a power loss and a restart.
     pub fn lose_power(&self) {
         let mut contents = self.contents();
         contents.fault = DiskFault::None;
@@ -111,14 +111,14 @@
         contents.names = if renamed { contents.names.clone() } else { contents.durable_names.clone() };
         contents.durable_names = contents.names.clone();
         for index in 0..contents.inodes.len() {
-            let steps = std::mem::take(&mut contents.inodes[index].unsynced);
+            let operations = std::mem::take(&mut contents.inodes[index].unsynced);
             let mut bytes = contents.inodes[index].durable.clone();
-            for step in steps {
+            for operation in operations {
                 match contents.below(3) {
                     0 => {}
-                    1 => apply(&mut bytes, &step),
+                    1 => apply(&mut bytes, &operation),
                     _ => {
-                        let torn = contents.torn(step);
+                        let torn = contents.torn(operation);
                         apply(&mut bytes, &torn);
                     }
                 }
@@ -128,10 +128,10 @@
     }
 }
 
-fn apply(bytes: &mut Vec<u8>, step: &Step) {
-    match step {
-        Step::Length(length) => bytes.resize(*length as usize, 0),
-        Step::Write { offset, bytes: written } => {
+fn apply(bytes: &mut Vec<u8>, operation: &UnsyncedOperation) {
+    match operation {
+        UnsyncedOperation::Length(length) => bytes.resize(*length as usize, 0),
+        UnsyncedOperation::Write { offset, bytes: written } => {
             let end = *offset as usize + written.len();
             if bytes.len() < end {
                 bytes.resize(end, 0);
@@ -162,24 +162,24 @@
         inode
     }
 
-    fn torn(&mut self, step: Step) -> Step {
-        match step {
-            Step::Write { offset, mut bytes } => {
+    fn torn(&mut self, operation: UnsyncedOperation) -> UnsyncedOperation {
+        match operation {
+            UnsyncedOperation::Write { offset, mut bytes } => {
                 let kept = self.below(bytes.len() as u64 + 1) as usize;
                 bytes.truncate(kept);
-                Step::Write { offset, bytes }
+                UnsyncedOperation::Write { offset, bytes }
             }
             length => length,
         }
     }
 
-    fn refuse(&self, faults: &[DiskFault]) -> io::Result<()> {
+    fn fail_on(&self, faults: &[DiskFault]) -> io::Result<()> {
         if faults.contains(&self.fault) { Err(io::Error::from(io::ErrorKind::StorageFull)) } else { Ok(()) }
     }
 
-    fn take(&mut self, inode: usize, step: Step) {
-        apply(&mut self.inodes[inode].current, &step);
-        self.inodes[inode].unsynced.push(step);
+    fn apply_unsynced(&mut self, inode: usize, operation: UnsyncedOperation) {
+        apply(&mut self.inodes[inode].current, &operation);
+        self.inodes[inode].unsynced.push(operation);
     }
 }
 
@@ -192,65 +192,69 @@
     fn open(&self, name: &str) -> io::Result<Box<dyn WritableFile>> {
         let mut contents = self.contents();
         if !contents.names.contains_key(name) {
-            contents.refuse(&[DiskFault::Full])?;
+            contents.fail_on(&[DiskFault::Full])?;
         }
         let inode = contents.inode(name);
-        Ok(Box::new(Opened { disk: self.clone(), inode, name: name.to_owned() }))
+        Ok(Box::new(OpenFile { disk: self.clone(), inode, name: name.to_owned() }))
     }
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
         let mut contents = self.contents();
-        contents.refuse(&[DiskFault::Full])?;
+        contents.fail_on(&[DiskFault::Full])?;
         let inode = contents.names.remove(from).ok_or(io::ErrorKind::NotFound)?;
         contents.names.insert(to.to_owned(), inode);
-        contents.refuse(&[DiskFault::RenameReportsFailure])
+        contents.fail_on(&[DiskFault::RenameReportsFailure])
     }
 
     fn sync(&self) -> io::Result<()> {
         let mut contents = self.contents();
-        contents.refuse(&[DiskFault::SyncFails])?;
+        contents.fail_on(&[DiskFault::SyncFails])?;
         contents.durable_names = contents.names.clone();
         Ok(())
     }
 }
 
-struct Opened {
+struct OpenFile {
     disk: Disk,
     inode: usize,
     name: String,
 }
 
-impl WritableFile for Opened {
+impl WritableFile for OpenFile {
     fn write_at(&mut self, offset: u64, bytes: &[u8]) -> io::Result<()> {
         let mut contents = self.disk.contents();
-        contents.refuse(&[DiskFault::Full])?;
+        contents.fail_on(&[DiskFault::Full])?;
         let grown = (offset as usize + bytes.len()).saturating_sub(contents.inodes[self.inode].current.len());
         if contents.space() + grown > contents.capacity {
-            let room = contents.capacity.saturating_sub(contents.space()).min(bytes.len());
-            contents.take(self.inode, Step::Write { offset, bytes: bytes[..room].to_vec() });
+            let available = contents.capacity.saturating_sub(contents.space()).min(bytes.len());
+            contents.apply_unsynced(
+                self.inode,
+                UnsyncedOperation::Write { offset, bytes: bytes[..available].to_vec() },
+            );
             return Err(io::Error::from(io::ErrorKind::StorageFull));
         }
-        let short = contents.fault == DiskFault::TornWrite;
-        let bytes = if short { bytes[..bytes.len() / 2].to_vec() } else { bytes.to_vec() };
-        contents.take(self.inode, Step::Write { offset, bytes });
-        contents.refuse(&[DiskFault::TornWrite])
+        let is_torn = contents.fault == DiskFault::TornWrite;
+        let bytes = if is_torn { bytes[..bytes.len() / 2].to_vec() } else { bytes.to_vec() };
+        contents.apply_unsynced(self.inode, UnsyncedOperation::Write { offset, bytes });
+        contents.fail_on(&[DiskFault::TornWrite])
     }
 
     fn set_len(&mut self, length: u64) -> io::Result<()> {
         let mut contents = self.disk.contents();
-        contents.refuse(&[DiskFault::Full])?;
-        contents.take(self.inode, Step::Length(length));
+        contents.fail_on(&[DiskFault::Full])?;
+        contents.apply_unsynced(self.inode, UnsyncedOperation::Length(length));
         Ok(())
     }
 
     fn sync(&mut self) -> io::Result<()> {
         let mut contents = self.disk.contents();
-        contents.refuse(&[DiskFault::SyncFails])?;
+        contents.fail_on(&[DiskFault::SyncFails])?;
         let inode = &mut contents.inodes[self.inode];
         inode.durable = inode.current.clone();
         inode.unsynced.clear();
         let (name, inode) = (self.name.clone(), self.inode);
-        // A new file lasts with its own sync; a name that stood for another file lasts with the folder's.
+        // Syncing a new file also makes its name durable; a name that referred to another file becomes durable only when
+        // the directory is synced.
         if contents.names.get(&name) == Some(&inode) {
             contents.durable_names.entry(name).or_insert(inode);
         }
--- a/store/tests/golden.rs
+++ b/store/tests/golden.rs
@@ -1,10 +1,11 @@
-//! Stored bytes as literals: what is written today, and directories that an earlier version has written.
+//! The bytes on disk: what this version writes, and directories that an earlier version has written.
 //!
-//! The folders under `golden/` were written by the code of commit 4552024 with `Storage::open_in` on a `RealFolder`,
-//! from the records of [`snapshot`] and [`later`] below: `fresh` by opening alone; `checkpoint_and_records` by a
-//! checkpoint (`checkpoint_after` 1) of the former and appending the latter; `torn_tail` from a copy of that with
-//! [`one_more`] appended and the last five bytes cut off; `discarded_data` by appending the former and then a discarded
-//! snapshot, without a checkpoint. They are never written anew: later versions have to read them as they are.
+//! The directories under `golden/` were written by the code of commit 4552024 with `Storage::open_in` on a `RealFolder`
+//! (now [`gradepaddle_store::FsDirectory`]), from the records of [`snapshot`] and [`later`] below: `fresh` by opening
+//! alone; `checkpoint_and_records` by a checkpoint (`checkpoint_after` 1) of the former and appending the latter;
+//! `torn_tail` from a copy of that with [`one_more`] appended and the last five bytes truncated; `discarded_data` by
+//! appending the former and then a discarded snapshot, without a checkpoint. They are never regenerated: later versions
+//! must read them as they are.
 
 mod disk;
 
@@ -27,10 +28,10 @@
 
 const ID: ReplicaId = ReplicaId(0x1122_3344_5566_7788);
 const OTHER: ReplicaId = ReplicaId(78);
-/// Each entry makes a checkpoint due.
-const EACH: LogLimits = LogLimits { checkpoint_bytes: 1, max_log_bytes: 1 << 20 };
-/// No checkpoint comes in between.
-const ROOMY: LogLimits = LogLimits { checkpoint_bytes: 1 << 20, max_log_bytes: 1 << 22 };
+/// Limits at which each entry makes a checkpoint due.
+const CHECKPOINT_EACH_ENTRY: LogLimits = LogLimits { checkpoint_bytes: 1, max_log_bytes: 1 << 20 };
+/// Limits at which no test causes a checkpoint.
+const NO_CHECKPOINTS: LogLimits = LogLimits { checkpoint_bytes: 1 << 20, max_log_bytes: 1 << 22 };
 
 fn member(id: u64, host: u8, zone: &str) -> Member {
     let address = format!("10.20.0.{host}:7640").parse().expect("an address");
@@ -45,7 +46,7 @@
     LogPosition { epoch, sequence }
 }
 
-/// A promise, a view and data with every field set.
+/// A promise, a view and a snapshot with every field set.
 fn snapshot() -> Vec<Record> {
     let view = View {
         epoch: 7,
@@ -105,10 +106,10 @@
     vec![Record::Changed { position: position(9, 44), change }]
 }
 
-/// The file in a folder of test data.
+/// The log file in a directory of test data.
 fn golden(name: &str) -> Vec<u8> {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name).join(LOG_FILE);
-    fs::read(path).expect("the test data is there")
+    fs::read(path).expect("the test data exists")
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -116,19 +117,19 @@
 }
 
 fn open(disk: &Disk, limits: LogLimits) -> Storage {
-    Storage::open_in(Box::new(disk.clone()), limits, ID).expect("the disk is well").storage
+    Storage::open_in(Box::new(disk.clone()), limits, ID).expect("the disk has no fault").storage
 }
 
-/// What appending these records adds to a file that holds only the identity.
+/// The bytes that appending these records adds to a log that holds only the identity.
 fn appended(records: Vec<Record>) -> String {
     let disk = Disk::new(1);
-    let mut storage = open(&disk, ROOMY);
+    let mut storage = open(&disk, NO_CHECKPOINTS);
     let before = disk.bytes(LOG_FILE).len();
-    storage.append(records).expect("the disk is well");
+    storage.append(records).expect("the disk has no fault");
     hex(&disk.bytes(LOG_FILE)[before..])
 }
 
-/// A copy of a folder of test data on the operating system's own disk, removed in the end.
+/// A copy of a directory of test data on the real file system, removed on drop.
 struct Copied(PathBuf);
 
 impl Copied {
@@ -138,13 +139,13 @@
         let name_of_copy = format!("gradepaddle-golden-{name}-{}-{copy}", std::process::id());
         let path = std::env::temp_dir().join(name_of_copy);
         let _ = fs::remove_dir_all(&path);
-        fs::create_dir_all(&path).expect("a folder for the copy");
+        fs::create_dir_all(&path).expect("the directory for the copy can be created");
         fs::write(path.join(LOG_FILE), golden(name)).expect("a copy of the file");
         Copied(path)
     }
 
     fn recovered(&self) -> RecoveredState {
-        let opened = Storage::open(&self.0, OTHER).expect("an earlier version's folder can be opened");
+        let opened = Storage::open(&self.0, OTHER).expect("a directory of an earlier version can be opened");
         assert_eq!(opened.origin, Origin::Recovered);
         opened.recovered
     }
@@ -156,7 +157,7 @@
     }
 }
 
-/// Asserts that the view is the one that was written, field by field.
+/// Checks each field of the recovered view.
 fn expect_view(known: Option<&KnownView>) {
     let known = known.expect("the view was written");
     expect_that!(known.active, eq(false));
@@ -186,7 +187,7 @@
     );
 }
 
-/// Asserts that all is there that was acknowledged after the three later entries.
+/// Checks that everything acknowledged up to the three later entries was recovered.
 fn expect_all_entries(found: &RecoveredState) {
     expect_that!(found.id, eq(ReplicaId(0x1122_3344_5566_7788)));
     expect_that!(found.promised, some(eq(ProposalNumber { epoch: 9, candidate: ReplicaId(2) })));
@@ -240,9 +241,10 @@
 #[gtest]
 fn a_directory_of_an_earlier_version_accepts_further_records() {
     let copied = Copied::new("torn_tail");
-    let mut opened = Storage::open(&copied.0, OTHER).expect("an earlier version's folder can be opened");
-    opened.storage.append(one_more()).expect("the disk is well");
-    let whole = fs::read(copied.0.join(LOG_FILE)).expect("the file is there");
+    let mut opened =
+        Storage::open(&copied.0, OTHER).expect("a directory of an earlier version can be opened");
+    opened.storage.append(one_more()).expect("the disk has no fault");
+    let whole = fs::read(copied.0.join(LOG_FILE)).expect("the file exists");
     let torn = golden("torn_tail");
     expect_that!(whole.len(), eq(torn.len() + 5));
     expect_that!(&whole[..torn.len()], eq(&torn[..]));
@@ -251,21 +253,21 @@
 #[gtest]
 fn the_same_bytes_are_written() {
     let disk = Disk::new(1);
-    let mut storage = open(&disk, EACH);
+    let mut storage = open(&disk, CHECKPOINT_EACH_ENTRY);
     expect_that!(hex(&disk.bytes(LOG_FILE)), eq(&hex(&golden("fresh"))));
     expect_that!(hex(&disk.bytes(LOG_FILE)), eq("67706373010000000a00000032605ee80888ef99abc5e88c9111"));
-    storage.append(snapshot()).expect("the disk is well");
+    storage.append(snapshot()).expect("the disk has no fault");
     drop(storage);
-    let mut storage = open(&disk, ROOMY);
+    let mut storage = open(&disk, NO_CHECKPOINTS);
     for records in later() {
-        storage.append(records).expect("the disk is well");
+        storage.append(records).expect("the disk has no fault");
     }
     expect_that!(hex(&disk.bytes(LOG_FILE)), eq(&hex(&golden("checkpoint_and_records"))));
 
     let disk = Disk::new(2);
-    let mut storage = open(&disk, ROOMY);
-    storage.append(snapshot()).expect("the disk is well");
-    storage.append(vec![Record::SnapshotDiscarded]).expect("the disk is well");
+    let mut storage = open(&disk, NO_CHECKPOINTS);
+    storage.append(snapshot()).expect("the disk has no fault");
+    storage.append(vec![Record::SnapshotDiscarded]).expect("the disk has no fault");
     expect_that!(hex(&disk.bytes(LOG_FILE)), eq(&hex(&golden("discarded_data"))));
 }
 
--- a/store/tests/sustained_load.rs
+++ b/store/tests/sustained_load.rs
@@ -1,4 +1,4 @@
-//! Thousands of changes with large bodies: the log stays bounded, and the newest state is recovered.
+//! Thousands of changes with large bodies: the disk usage stays bounded, and the newest state is recovered.
 
 mod disk;
 
@@ -13,18 +13,18 @@
 const OTHER: ReplicaId = ReplicaId(78);
 const CHANGES: u64 = 10_000;
 const KILOBYTE: usize = 1_000;
-/// What the folder of a machine holds, in bytes.
-const FOLDER: usize = 64 * 1024 * 1024;
-/// What the control state may take of it, in bytes.
-const SPACE_AT_MOST: usize = 2_000 * KILOBYTE;
+/// Capacity of the directory on a machine, in bytes.
+const DIRECTORY_CAPACITY: usize = 64 * 1024 * 1024;
+/// The most of it that the control state may use, in bytes.
+const MAX_DISK_USAGE: usize = 2_000 * KILOBYTE;
 
 fn open(disk: &Disk) -> (Storage, RecoveredState, Origin) {
     let opened =
-        Storage::open_in(Box::new(disk.clone()), LogLimits::default(), OTHER).expect("the disk is well");
+        Storage::open_in(Box::new(disk.clone()), LogLimits::default(), OTHER).expect("the disk has no fault");
     (opened.storage, opened.recovered, opened.origin)
 }
 
-/// From 50 to 200 KB.
+/// A body of 50 to 200 KB.
 fn body(version: u64) -> Arc<[u8]> {
     Arc::from(vec![version as u8; 50 * KILOBYTE + version as usize * 7_919 % (150 * KILOBYTE)])
 }
@@ -39,13 +39,13 @@
     Record::Changed { position: LogPosition { epoch: 1, sequence: version }, change }
 }
 
-fn begun(disk: &Disk) -> Storage {
+fn new_storage(disk: &Disk) -> Storage {
     let opened =
-        Storage::open_in(Box::new(disk.clone()), LogLimits::default(), ID).expect("the disk is well");
+        Storage::open_in(Box::new(disk.clone()), LogLimits::default(), ID).expect("the disk has no fault");
     let mut storage = opened.storage;
     let data =
         Data { position: LogPosition { epoch: 1, sequence: 0 }, state: Arc::new(ControlState::default()) };
-    storage.append(vec![Record::Snapshot(data)]).expect("the disk is well");
+    storage.append(vec![Record::Snapshot(data)]).expect("the disk has no fault");
     storage
 }
 
@@ -56,11 +56,11 @@
 #[gtest]
 fn ten_thousand_large_changes_stay_within_the_directory_and_are_recovered() {
     let disk = Disk::new(1);
-    let mut storage = begun(&disk);
-    let (mut most, mut longest) = (0, 0);
+    let mut storage = new_storage(&disk);
+    let (mut max_usage, mut longest) = (0, 0);
     for step in 1..=CHANGES {
-        storage.append(vec![change(step)]).expect("the disk is well");
-        most = most.max(disk.space());
+        storage.append(vec![change(step)]).expect("the disk has no fault");
+        max_usage = max_usage.max(disk.space());
         longest = longest.max(storage.log_length());
         if step.is_multiple_of(500) {
             disk.lose_power();
@@ -69,57 +69,60 @@
             storage = reopened;
         }
     }
-    println!("{CHANGES} changes: {} KB on disk at most, log of {} KB", most / KILOBYTE, longest / 1_000);
-    expect_that!(most, lt(SPACE_AT_MOST));
+    println!("{CHANGES} changes: {} KB on disk at most, log of {} KB", max_usage / KILOBYTE, longest / 1_000);
+    expect_that!(max_usage, lt(MAX_DISK_USAGE));
     let (_, found, _) = open(&disk);
     let state = found.data.expect("the data").state;
-    expect_that!(state.configuration.as_ref().map(|one| one.body.clone()), some(eq(&body(CHANGES))));
+    expect_that!(
+        state.configuration.as_ref().map(|configuration| configuration.body.clone()),
+        some(eq(&body(CHANGES)))
+    );
 }
 
 #[gtest]
 fn a_disk_that_fills_up_during_a_checkpoint_loses_nothing() {
-    for room in (0..600).step_by(20) {
-        let disk = Disk::new(room as u64);
-        let mut storage = begun(&disk);
-        let mut taken = 0;
-        // Others fill the folder until the checkpoint finds only a part of the room that it wants.
-        disk.set_capacity(disk.space() + 300 * KILOBYTE + room * KILOBYTE);
+    for free in (0..600).step_by(20) {
+        let disk = Disk::new(free as u64);
+        let mut storage = new_storage(&disk);
+        let mut last = 0;
+        // Other files fill the disk, so that a checkpoint has only a part of the space that it needs.
+        disk.set_capacity(disk.space() + 300 * KILOBYTE + free * KILOBYTE);
         for step in 1..=20 {
             if storage.append(vec![change(step)]).is_err() {
                 break;
             }
-            taken = step;
+            last = step;
         }
         disk.lose_power();
         let (mut storage, found, origin) = open(&disk);
-        let whole = version(&found);
-        expect_that!(origin, eq(Origin::Recovered), "{room} KB");
-        expect_that!(whole, any!(eq(taken), eq(taken + 1)), "{room} KB");
-        disk.set_capacity(FOLDER);
-        for step in whole + 1..=30 {
-            expect_that!(storage.append(vec![change(step)]), ok(anything()), "{room} KB");
+        let recovered = version(&found);
+        expect_that!(origin, eq(Origin::Recovered), "{free} KB");
+        expect_that!(recovered, any!(eq(last), eq(last + 1)), "{free} KB");
+        disk.set_capacity(DIRECTORY_CAPACITY);
+        for step in recovered + 1..=30 {
+            expect_that!(storage.append(vec![change(step)]), ok(anything()), "{free} KB");
         }
         let (_, found, _) = open(&disk);
-        expect_that!(version(&found), eq(30), "{room} KB");
+        expect_that!(version(&found), eq(30), "{free} KB");
     }
 }
 
 #[gtest]
 fn a_checkpoint_that_fails_repeatedly_stays_within_the_directory() {
     let disk = Disk::new(3);
-    let mut storage = begun(&disk);
-    disk.set_capacity(FOLDER);
-    let (mut last, mut refused) = (0, 0);
+    let mut storage = new_storage(&disk);
+    disk.set_capacity(DIRECTORY_CAPACITY);
+    let (mut last, mut failed) = (0, 0);
     for step in 1..=600 {
         disk.set_fault(if step % 3 == 0 { DiskFault::RenameReportsFailure } else { DiskFault::None });
         match storage.append(vec![change(last + 1)]) {
             Ok(()) => last += 1,
-            Err(_) => refused += 1,
+            Err(_) => failed += 1,
         }
-        expect_that!(disk.space(), lt(FOLDER));
+        expect_that!(disk.space(), lt(DIRECTORY_CAPACITY));
     }
     disk.set_fault(DiskFault::None);
-    expect_that!(refused, lt(400));
+    expect_that!(failed, lt(400));
     expect_that!(storage.append(vec![change(last + 1)]), ok(anything()));
     expect_that!(version(&open(&disk).1), eq(last + 1));
 }
@@ -127,19 +130,19 @@
 #[gtest]
 fn a_torn_tail_of_a_long_log_yields_the_changes_before_it() {
     let disk = Disk::new(4);
-    let mut storage = begun(&disk);
+    let mut storage = new_storage(&disk);
     let mut lengths = Vec::new();
     for step in 1..=40 {
-        storage.append(vec![change(step)]).expect("the disk is well");
+        storage.append(vec![change(step)]).expect("the disk has no fault");
         lengths.push((step, storage.log_length()));
     }
-    let whole = disk.bytes(LOG_FILE);
-    // The entries since the latest checkpoint, cut at any of some hundred places.
+    let complete = disk.bytes(LOG_FILE);
+    // The log is truncated at several hundred places after the latest checkpoint.
     let since = lengths.windows(2).rposition(|pair| pair[1].1 < pair[0].1).map_or(0, |index| index + 1);
     let after_checkpoint = &lengths[since..];
-    for cut in (after_checkpoint[0].1 as usize..=whole.len()).step_by(1_009) {
-        disk.put(LOG_FILE, &whole[..cut]);
-        disk.put(CHECKPOINT_FILE, &whole[..cut / 2]);
+    for cut in (after_checkpoint[0].1 as usize..=complete.len()).step_by(1_009) {
+        disk.put(LOG_FILE, &complete[..cut]);
+        disk.put(CHECKPOINT_FILE, &complete[..cut / 2]);
         let kept = after_checkpoint.iter().rfind(|(_, length)| *length <= cut as u64).map(|(step, _)| *step);
         expect_that!(Some(version(&open(&disk).1)), eq(kept), "cut at {cut}");
     }
--- a/store/tests/writer.rs
+++ b/store/tests/writer.rs
@@ -19,12 +19,12 @@
 };
 
 const ID: ReplicaId = ReplicaId(7);
-/// Each entry makes a checkpoint due.
-const EACH: LogLimits = LogLimits { checkpoint_bytes: 1, max_log_bytes: 1 << 20 };
-/// Longer than any write in memory takes; only a failing test waits for so long.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Limits at which each entry makes a checkpoint due.
+const CHECKPOINT_EACH_ENTRY: LogLimits = LogLimits { checkpoint_bytes: 1, max_log_bytes: 1 << 20 };
+/// Longer than any write in memory takes; only a failing test waits for this long.
+const RESULT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Lets nobody pass while it is closed.
+/// Blocks callers of [`Gate::pass`] while it is closed.
 #[derive(Default)]
 struct Gate {
     closed: Mutex<bool>,
@@ -43,13 +43,13 @@
     }
 }
 
-/// A disk that hangs whenever a checkpoint begins while the gate is closed.
-struct HangingInCheckpoints {
+/// A disk on which the start of a checkpoint blocks while the gate is closed.
+struct BlockingCheckpoints {
     disk: Disk,
     gate: Arc<Gate>,
 }
 
-impl Directory for HangingInCheckpoints {
+impl Directory for BlockingCheckpoints {
     fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>> {
         self.disk.read(name)
     }
@@ -71,31 +71,31 @@
 }
 
 fn promise(epoch: u64) -> Vec<Record> {
-    // Longer than the snapshot, so that the checkpoint is due.
+    // Longer than the snapshot, so that a checkpoint is due.
     vec![Record::Promise(ProposalNumber { epoch, candidate: ID }); 20]
 }
 
-fn told(answers: &Receiver<WriteResult>) -> Option<(u64, bool)> {
-    answers.recv_timeout(PATIENCE).ok().map(|done| (done.write_id.0, done.result.is_ok()))
+fn next_result(results: &Receiver<WriteResult>) -> Option<(u64, bool)> {
+    results.recv_timeout(RESULT_TIMEOUT).ok().map(|done| (done.write_id.0, done.result.is_ok()))
 }
 
 #[gtest]
 fn a_checkpoint_that_hangs_delays_no_completion() -> Result<()> {
     let (disk, gate) = (Disk::new(1), Arc::new(Gate::default()));
-    let directory = HangingInCheckpoints { disk: disk.clone(), gate: Arc::clone(&gate) };
-    let opened = Storage::open_in(Box::new(directory), EACH, ID).or_fail()?;
-    let (tell, answers) = channel();
-    let writer = Writer::start(opened.storage, Box::new(move |done| drop(tell.send(done)))).or_fail()?;
+    let directory = BlockingCheckpoints { disk: disk.clone(), gate: Arc::clone(&gate) };
+    let opened = Storage::open_in(Box::new(directory), CHECKPOINT_EACH_ENTRY, ID).or_fail()?;
+    let (sender, results) = channel();
+    let writer = Writer::start(opened.storage, Box::new(move |done| drop(sender.send(done)))).or_fail()?;
     gate.set_closed(true);
     writer.write(WriteId(1), promise(5));
-    expect_that!(told(&answers), some(eq((1, true))), "while the checkpoint hangs");
+    expect_that!(next_result(&results), some(eq((1, true))), "while the checkpoint hangs");
     gate.set_closed(false);
     writer.write(WriteId(2), promise(6));
-    expect_that!(told(&answers), some(eq((2, true))));
+    expect_that!(next_result(&results), some(eq((2, true))));
     drop(writer);
-    // The channel ends with the thread.
-    expect_that!(answers.recv().is_err(), eq(true));
-    let found = Storage::open_in(Box::new(disk), EACH, ReplicaId(8)).or_fail()?;
+    // The channel is closed when the thread exits.
+    expect_that!(results.recv().is_err(), eq(true));
+    let found = Storage::open_in(Box::new(disk), CHECKPOINT_EACH_ENTRY, ReplicaId(8)).or_fail()?;
     expect_that!(found.origin, eq(Origin::Recovered));
     expect_that!(found.recovered.promised.map(|proposal_number| proposal_number.epoch), some(eq(6)));
     Ok(())
