--- a/proto/src/call.rs
+++ b/proto/src/call.rs
@@ -1,13 +1,13 @@
-//! API calls that a node forwards to the primary, which decides them.
+//! API calls that a node forwards to the primary.
 
 use std::sync::Arc;
 
 use crate::fields::{Decode, DecodeError, Encode, FieldWriter, Fields, UnknownVariantSnafu};
 
-/// An API call that only the primary decides.
+/// An API call that only the primary may process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ControlCall {
-    /// Replaces the configuration. The forwarding node has checked that the body is valid by itself.
+    /// Replaces the configuration. The forwarding node has checked that the body itself is valid.
     PutConfiguration {
         /// The version of the configuration that it replaces, 0 for the first.
         if_match: u64,
@@ -36,15 +36,15 @@
     },
 }
 
-/// A call on its way to the primary.
+/// A call that is forwarded to the primary.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ForwardedCall {
     /// Identifies the call at the forwarding node.
     pub call_id: u64,
     /// The call itself.
     pub call: ControlCall,
-    /// The version of the configuration that the forwarding node has, 0 if it has none. Where that is the newest one, a
-    /// read of the configuration is answered by 304 without a body.
+    /// The version of the configuration that the forwarding node has, 0 if it has none. If that is the newest one, a read
+    /// of the configuration is answered with status 304 and no body.
     pub known_version: u64,
 }
 
@@ -57,8 +57,8 @@
     pub status: u16,
     /// The HTTP body.
     pub body: Arc<[u8]>,
-    /// How long the lease under which the call was decided had yet to run, in microseconds; 0 if there was none. The
-    /// forwarding node counts it from the moment at which it forwarded the call: clocks of two nodes are never compared.
+    /// The remaining time of the lease under which the call was processed, in microseconds; 0 if there was none. The
+    /// forwarding node counts it from the time at which it forwarded the call: clocks of two nodes are never compared.
     pub lease_remaining: u64,
 }
 
--- a/proto/src/control/message.rs
+++ b/proto/src/control/message.rs
@@ -1,6 +1,6 @@
 //! Messages between replicas.
 //!
-//! All variants share one set of field numbers ([`field`]): a field means the same in every message that has it.
+//! All variants share one set of field numbers ([`field`]): a field has the same meaning in every message.
 
 use std::sync::Arc;
 
@@ -58,14 +58,14 @@
     pub const TRANSFER_LEADERSHIP: u64 = 15;
 }
 
-/// A body with several fields, written and read in the same place so that the two can be compared.
+/// A body with several fields. The trait keeps the encoding and decoding of a body next to each other.
 trait BodyFields: Sized {
     /// The body's variant number.
     const VARIANT: u64;
 
     fn epoch(&self) -> u64;
 
-    /// Writes the fields behind sender, variant and epoch.
+    /// Writes the fields after sender, variant and epoch.
     fn encode_fields(&self, to: &mut FieldWriter);
 
     fn decode_fields(fields: &Fields<'_>, epoch: u64) -> Result<Self, DecodeError>;
@@ -260,13 +260,13 @@
     }
 }
 
-fn header(to: &mut FieldWriter, variant: u64, epoch: u64) {
+fn write_header(to: &mut FieldWriter, variant: u64, epoch: u64) {
     to.uint64(field::VARIANT, variant);
     to.uint64(field::EPOCH, epoch);
 }
 
 fn encode_body<B: BodyFields>(to: &mut FieldWriter, body: &B) {
-    header(to, B::VARIANT, body.epoch());
+    write_header(to, B::VARIANT, body.epoch());
     body.encode_fields(to);
 }
 
@@ -275,11 +275,11 @@
         to.uint64(field::SENDER, self.sender.0);
         match &self.body {
             Body::Heartbeat { epoch, sent } => {
-                header(to, variant::HEARTBEAT, *epoch);
+                write_header(to, variant::HEARTBEAT, *epoch);
                 to.uint64(field::SENT, *sent);
             }
             Body::HeartbeatReply(reply) => encode_body(to, reply),
-            Body::PreVote { epoch } => header(to, variant::PRE_VOTE, *epoch),
+            Body::PreVote { epoch } => write_header(to, variant::PRE_VOTE, *epoch),
             Body::PreVoteReply(reply) => encode_body(to, reply),
             Body::Prepare(prepare) => encode_body(to, prepare),
             Body::Promise(promise) => encode_body(to, promise),
@@ -290,10 +290,10 @@
                 to.uint64(field::VARIANT, variant::ACCEPT);
                 to.message(field::VIEW, view);
             }
-            Body::Accepted { epoch } => header(to, variant::ACCEPTED, *epoch),
+            Body::Accepted { epoch } => write_header(to, variant::ACCEPTED, *epoch),
             Body::Replicate(replicate) => encode_body(to, replicate),
             Body::Replicated { epoch, sequence } => {
-                header(to, variant::REPLICATED, *epoch);
+                write_header(to, variant::REPLICATED, *epoch);
                 to.uint64(field::SEQUENCE, *sequence);
             }
             Body::Join { member, first_boot } => {
--- a/proto/src/control/record.rs
+++ b/proto/src/control/record.rs
@@ -1,4 +1,4 @@
-//! What a replica makes durable, each record as one message.
+//! Records that a replica makes durable, each encoded as one message.
 
 use gradepaddle_control::Record;
 
--- a/proto/src/control/state.rs
+++ b/proto/src/control/state.rs
@@ -1,4 +1,4 @@
-//! The replicated state, its changes, and the views and positions that name it.
+//! The replicated state, its changes, views and log positions.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -132,7 +132,7 @@
     }
 }
 
-/// A fingerprint as its 16 bytes, little-endian.
+/// Decodes a fingerprint from its 16 bytes, little-endian.
 fn fingerprint(bytes: &[u8]) -> Result<Fingerprint, DecodeError> {
     bytes.try_into().map(Fingerprint::from_le_bytes).map_err(|_| DecodeError::Malformed)
 }
--- a/proto/src/envelope.rs
+++ b/proto/src/envelope.rs
@@ -1,4 +1,4 @@
-//! The content of a frame: one message with its sender.
+//! The body of a frame: one message with its sender.
 
 use std::net::SocketAddrV4;
 
@@ -7,10 +7,10 @@
     ForwardedCall, ForwardedReply, SessionHeartbeat, SessionHeartbeatReply, VersionQuery, VersionReply,
 };
 
-/// A message with its sender, the body of one frame.
+/// A message with its sender: the body of a frame.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Envelope {
-    /// The address at which the sender is reached; the connection comes from an ephemeral port.
+    /// The address that the sender listens on; its connections originate from ephemeral ports.
     pub from: SocketAddrV4,
     /// The message.
     pub content: Content,
--- a/proto/src/fields.rs
+++ b/proto/src/fields.rs
@@ -1,9 +1,9 @@
 //! Reading and writing messages of Protocol Buffers field by field, without generated code.
 //!
-//! Two wire types are written: varint and length-delimited (<https://protobuf.dev/programming-guides/encoding/>). A reader
-//! skips fields that it doesn't know, so that two builds understand each other. As in proto3, a number of 0 and a `false`
-//! are not written, and a field that is absent reads as its default. Of a field that occurs more than once where one is
-//! expected, the first occurrence counts.
+//! Two wire types are written: varint and length-delimited (<https://protobuf.dev/programming-guides/encoding/>). Unknown
+//! fields are skipped, so that different builds are compatible. As in proto3, a number of 0 and a `false` are not written,
+//! and an absent field reads as its default. If a field that is not repeated occurs more than once, the first occurrence
+//! is used.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use quick_protobuf::{BytesReader, Writer};
 use snafu::{OptionExt, Snafu};
 
-/// Wire type of a varint. A tag is a field number above three bits of wire type.
+/// Wire type of a varint. A tag is the field number shifted left by three bits, plus the wire type.
 const VARINT: u32 = 0;
 /// Wire type of length-delimited bytes.
 const LENGTH_DELIMITED: u32 = 2;
@@ -33,7 +33,7 @@
         /// The field number.
         field: u32,
     },
-    /// The variant number is none that this build knows; it may be one of a later build.
+    /// The variant number is unknown to this build; it may belong to a later build.
     #[snafu(display("{message} knows no variant {variant}"))]
     UnknownVariant {
         /// The name of the message.
@@ -86,11 +86,11 @@
     where
         F: FnOnce(&mut Writer<&mut Vec<u8>>) -> quick_protobuf::Result<()>,
     {
-        // The only errors are those of the sink, and a Vec has none.
+        // Only the sink can fail, and a `Vec` never does.
         let _ = write(&mut Writer::new(&mut self.bytes));
     }
 
-    /// Writes a number; 0 is left out.
+    /// Writes a number; 0 is omitted.
     pub fn uint64(&mut self, field: u32, value: u64) {
         if value != 0 {
             self.with(|writer| {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Writes a number if there is one, 0 included; also an element of a repeated field.
+    /// Writes a number if there is one, including 0; also used for an element of a repeated field.
     pub fn optional_uint64(&mut self, field: u32, value: Option<u64>) {
         if let Some(value) = value {
             self.with(|writer| {
@@ -108,26 +108,26 @@
         }
     }
 
-    /// Writes a truth value; `false` is left out.
+    /// Writes a boolean; `false` is omitted.
     pub fn bool(&mut self, field: u32, value: bool) {
         self.uint64(field, u64::from(value));
     }
 
-    /// Writes bytes, empty ones included.
+    /// Writes bytes, even if empty.
     pub fn bytes(&mut self, field: u32, value: &[u8]) {
         self.with(|writer| {
             writer.write_with_tag(field << 3 | LENGTH_DELIMITED, |writer| writer.write_bytes(value))
         });
     }
 
-    /// Writes a string, an empty one included.
+    /// Writes a string, even if empty.
     pub fn string(&mut self, field: u32, value: &str) {
         self.bytes(field, value.as_bytes());
     }
 
     /// Writes an address as a number: the IP address in big-endian order, then 16 bits of port.
     pub fn address(&mut self, field: u32, value: SocketAddrV4) {
-        self.uint64(field, packed(value));
+        self.uint64(field, pack_address(value));
     }
 
     /// Writes a nested message.
@@ -152,11 +152,11 @@
     }
 }
 
-fn packed(address: SocketAddrV4) -> u64 {
+fn pack_address(address: SocketAddrV4) -> u64 {
     u64::from(u32::from(*address.ip())) << 16 | u64::from(address.port())
 }
 
-fn unpacked(number: u64) -> SocketAddrV4 {
+fn unpack_address(number: u64) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::from((number >> 16) as u32), number as u16)
 }
 
@@ -167,7 +167,7 @@
     Bytes(&'a [u8]),
 }
 
-/// The fields of a message that is being decoded, in the order of the bytes.
+/// The fields of a message that is being decoded, in wire order.
 pub struct Fields<'a> {
     fields: Vec<(u32, Value<'a>)>,
 }
@@ -221,7 +221,7 @@
         }
     }
 
-    /// A truth value; `false` if the field is absent.
+    /// A boolean; `false` if the field is absent.
     pub fn bool(&self, field: u32) -> bool {
         self.uint64(field) != 0
     }
@@ -245,17 +245,17 @@
     ///
     /// [`DecodeError::Missing`] if the field is absent.
     pub fn address(&self, message: &'static str, field: u32) -> Result<SocketAddrV4, DecodeError> {
-        self.optional_uint64(field).map(unpacked).context(MissingSnafu { message, field })
+        self.optional_uint64(field).map(unpack_address).context(MissingSnafu { message, field })
     }
 
     /// An address, if the field is present.
     pub fn optional_address(&self, field: u32) -> Option<SocketAddrV4> {
-        self.optional_uint64(field).map(unpacked)
+        self.optional_uint64(field).map(unpack_address)
     }
 
     /// The addresses of a repeated field.
     pub fn repeated_addresses(&self, field: u32) -> impl Iterator<Item = SocketAddrV4> + '_ {
-        self.repeated_uint64(field).map(unpacked)
+        self.repeated_uint64(field).map(unpack_address)
     }
 
     /// A required nested message.
--- a/proto/src/frame.rs
+++ b/proto/src/frame.rs
@@ -1,11 +1,11 @@
 //! Frames on a connection between two nodes.
 //!
 //! A frame is the length of its body (4 bytes), the CRC-32 of its body (4 bytes, IEEE 802.3), both little-endian, and the
-//! body. Behind a damaged frame the frame boundaries are unknown, so a connection ends with the first error.
+//! body. After a corrupted frame the frame boundaries are unknown, so a connection must be closed at the first error.
 
 use snafu::{Snafu, ensure};
 
-/// The longest body, in bytes: a configuration of 4 MiB with its envelope fits.
+/// The maximum length of a body, in bytes. A configuration of 4 MiB with its envelope fits.
 pub const MAX_BODY_BYTES: usize = 6 * 1024 * 1024;
 /// Length of the header before a body, in bytes.
 pub const HEADER_BYTES: usize = 8;
@@ -13,13 +13,13 @@
 /// Why no further frame can be read from a connection.
 #[derive(Debug, Snafu, Clone, PartialEq, Eq)]
 pub enum FrameError {
-    /// The length is beyond [`MAX_BODY_BYTES`].
+    /// The length exceeds [`MAX_BODY_BYTES`].
     #[snafu(display("a frame of {length} bytes is too long"))]
     TooLong {
         /// The length in the header, in bytes.
         length: usize,
     },
-    /// The checksum in the header is not that of the body.
+    /// The checksum in the header doesn't match the body.
     #[snafu(display("a frame's checksum does not fit its body"))]
     Checksum,
 }
@@ -34,14 +34,14 @@
 /// Splits the bytes that arrive on a connection into frames.
 #[derive(Debug, Default)]
 pub struct FrameReader {
-    /// Bytes that have arrived, from the last frame that was returned on.
+    /// Received bytes. Those before `start` have been returned and are dropped by the next [`FrameReader::push`].
     pending: Vec<u8>,
-    /// Where the next frame begins in `pending`.
+    /// Offset of the next frame in `pending`.
     start: usize,
 }
 
 impl FrameReader {
-    /// Appends bytes that have arrived, however they were split.
+    /// Appends received bytes; they need not end at a frame boundary.
     pub fn push(&mut self, bytes: &[u8]) {
         if self.start > 0 {
             self.pending.drain(..self.start);
@@ -50,12 +50,12 @@
         self.pending.extend_from_slice(bytes);
     }
 
-    /// Returns the body of the next frame, or `None` until all of it has arrived.
+    /// Returns the body of the next frame, or `None` if it is incomplete.
     ///
     /// # Errors
     ///
-    /// [`FrameError::TooLong`] for a length beyond [`MAX_BODY_BYTES`], as soon as the header is there;
-    /// [`FrameError::Checksum`] for a damaged body. Each later call fails as well: close the connection.
+    /// [`FrameError::TooLong`] for a length above [`MAX_BODY_BYTES`], as soon as the header has been received;
+    /// [`FrameError::Checksum`] for a corrupted body. All later calls fail as well, so close the connection.
     pub fn next_body(&mut self) -> Result<Option<&[u8]>, FrameError> {
         let pending = &self.pending[self.start..];
         let Some((head, rest)) = pending.split_at_checked(HEADER_BYTES) else { return Ok(None) };
--- a/proto/src/gossip.rs
+++ b/proto/src/gossip.rs
@@ -52,7 +52,7 @@
     }
 }
 
-/// An entry; builds without block transfer read just that.
+/// Encoded as an entry with one more field, which builds without block transfer skip.
 impl Encode for Offer {
     fn encode(&self, to: &mut FieldWriter) {
         self.entry.encode(to);
@@ -183,12 +183,12 @@
                 to.repeated_messages(2, offers);
             }
             Message::Fetch { entries, by_blocks } => {
-                list(to, FETCH, entries);
+                write_entries(to, FETCH, entries);
                 to.bool(3, *by_blocks);
             }
-            Message::FetchBlock(request) => nested(to, FETCH_BLOCK, request),
-            Message::Block(block) => nested(to, BLOCK, block),
-            Message::BlockRefused(refusal) => nested(to, BLOCK_REFUSED, refusal),
+            Message::FetchBlock(request) => write_nested(to, FETCH_BLOCK, request),
+            Message::Block(block) => write_nested(to, BLOCK, block),
+            Message::BlockRefused(refusal) => write_nested(to, BLOCK_REFUSED, refusal),
             Message::Digest { ranges, reply } => {
                 to.uint64(1, DIGEST);
                 to.repeated_messages(2, ranges);
@@ -199,19 +199,19 @@
                 to.repeated_messages(2, ranges);
             }
             Message::Acknowledge { entries, shutting_down } => {
-                list(to, ACKNOWLEDGE, entries);
+                write_entries(to, ACKNOWLEDGE, entries);
                 to.bool(3, *shutting_down);
             }
         }
     }
 }
 
-fn nested<M: Encode>(to: &mut FieldWriter, variant: u64, message: &M) {
+fn write_nested<M: Encode>(to: &mut FieldWriter, variant: u64, message: &M) {
     to.uint64(1, variant);
     to.message(2, message);
 }
 
-fn list(to: &mut FieldWriter, variant: u64, entries: &[Entry]) {
+fn write_entries(to: &mut FieldWriter, variant: u64, entries: &[Entry]) {
     to.uint64(1, variant);
     to.repeated_messages(2, entries);
 }
--- a/proto/src/lib.rs
+++ b/proto/src/lib.rs
@@ -2,10 +2,10 @@
 //!
 //! A connection carries frames ([`frame`]), the body of a frame is an [`Envelope`]; a UDP datagram is a
 //! [`PeerLoadReport`]. Messages of the sans-I/O crates `gradepaddle-control` and `gradepaddle-gossip` are encoded here, so
-//! that those crates know nothing of bytes; `gradepaddle-store` writes the same records to disk.
+//! that those crates are independent of the wire format; `gradepaddle-store` writes the same records to disk.
 //!
-//! There is no generated code: [`Encode`] and [`Decode`] are written by field number. Builds of two versions run side by
-//! side during an upgrade, so a field number is never reused and an unknown field is skipped.
+//! There is no generated code: [`Encode`] and [`Decode`] are implemented by hand. Builds of two versions run side by side
+//! during an upgrade, so a field number is never reused and unknown fields are skipped.
 
 mod call;
 mod control;
--- a/proto/src/load_report.rs
+++ b/proto/src/load_report.rs
@@ -1,17 +1,18 @@
-//! Load of servers that a node causes, and caches that it has seen change, reported to its peers by UDP datagram.
+//! Reports of the load that a node causes on servers, and of cache changes that it has observed, sent to its peers by UDP
+//! datagram.
 //!
-//! A datagram may be lost, duplicated or overtaken; each one is complete in itself.
+//! Datagrams may be lost, duplicated or reordered, so each can be decoded and applied without the others.
 
 use std::net::SocketAddrV4;
 
 use crate::fields::{Decode, DecodeError, Encode, FieldWriter, Fields};
 
-/// The load that one node causes at one server.
+/// The load that one node causes on one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerLoad {
     /// The hash of the server's id, the same at all nodes.
     pub server: u64,
-    /// Prefill that its requests still have before them, in milliseconds.
+    /// Remaining prefill time of the node's requests, in milliseconds.
     pub backlog_ms: u32,
     /// Requests in flight.
     pub running: u32,
@@ -24,11 +25,11 @@
 pub struct PromptChunk {
     /// The chunk's id, or its key in a cache store.
     pub id: u64,
-    /// Its length, or what is cached of it, in tokens.
+    /// Its length, or the length of its cached part, in tokens.
     pub tokens: u32,
 }
 
-/// A prefix that a server has in its cache, since it has prefilled it.
+/// A prefix that a server has cached after its prefill.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CachedPrefix {
     /// The hash of the server's id.
@@ -48,26 +49,26 @@
 pub struct CacheStoreReport {
     /// The hash of the store's name.
     pub store: u64,
-    /// Whether everything reported before is void: what is left of it is unknown.
+    /// Whether all earlier reports on this store are invalid, since it is unknown what the store still holds.
     pub reset: bool,
-    /// The changed chunks, each by its key under its salt, with the tokens that are cached now (0: none).
+    /// The changed chunks, each by its key under its salt, with the tokens that are cached now (0 for none).
     pub chunks: Vec<PromptChunk>,
 }
 
-/// A datagram: the load that one node causes at all servers. A server that is not listed has none of it.
+/// A datagram with the load that one node causes on all servers. The node causes none on a server that is not listed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PeerLoadReport {
-    /// Rises with each report of the origin, so that an overtaken one is recognized.
+    /// Increases with each report of the origin, so that receivers detect reordered reports.
     pub sequence: u64,
     /// The node that causes the load; `None` in a datagram of an earlier build, where it is the sender.
     pub origin: Option<SocketAddrV4>,
-    /// Whether the receiver has to forward it to the other nodes of its zone.
+    /// Whether the receiver must forward the report to the other nodes of its zone.
     pub relay: bool,
     /// The load by server.
     pub servers: Vec<ServerLoad>,
-    /// Prefixes that the origin has seen prefilled since its last report.
+    /// Prefixes whose prefill the origin has observed since its last report.
     pub cached_prefixes: Vec<CachedPrefix>,
-    /// Changes since then at the cache stores that the origin watches.
+    /// Changes of the cache stores that the origin watches since its last report.
     pub cache_store_reports: Vec<CacheStoreReport>,
 }
 
--- a/proto/src/registration.rs
+++ b/proto/src/registration.rs
@@ -1,4 +1,4 @@
-//! A model server as one node registers it and gossips it to the others.
+//! Registrations of model servers, which the node that receives the heartbeats gossips to the others.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -14,24 +14,24 @@
     pub version: u64,
 }
 
-/// What a server reported at its last heartbeat that changed anything. The fields are those of `PROTOCOL.md`.
+/// The state that a server reported at the last heartbeat that changed it. The fields are those of `PROTOCOL.md`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Registration {
-    /// Its id, a new one at each start.
+    /// The id of the server, a new one at each start.
     pub id: Arc<str>,
     /// The name of its service.
     pub service: Arc<str>,
-    /// The address at which it takes requests.
+    /// The address at which it accepts requests.
     pub address: SocketAddrV4,
     /// The name of its zone.
     pub zone: Arc<str>,
-    /// How many requests it runs at once.
+    /// The number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it is draining: it accepts no new requests and ends soon.
+    /// Whether it is draining: it accepts no new requests and shuts down soon.
     pub draining: bool,
     /// Whether its heartbeats have timed out at its owner.
     pub lost: bool,
-    /// How long its slow start still lasts, in milliseconds; 0 for a warm server.
+    /// The remaining time of its slow start, in milliseconds; 0 for a warm server.
     pub warmup_left_ms: u64,
     /// The model versions that it has loaded.
     pub models: Vec<ModelVersion>,
--- a/proto/src/session.rs
+++ b/proto/src/session.rs
@@ -1,4 +1,4 @@
-//! Sessions of nodes with the members of the control state's view.
+//! Sessions of nodes with the members of the view of the control state.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -10,8 +10,8 @@
 pub struct Identity {
     /// The address at which other nodes reach it.
     pub address: SocketAddrV4,
-    /// Unique to one process at one address, and higher than that of each process before it there: microseconds since
-    /// the Unix epoch at its start by its own time of day, raised where an earlier process was ahead of that.
+    /// Unique to one process at one address, and higher than that of each earlier process there: microseconds since the
+    /// Unix epoch at its start by its local clock, increased if an earlier process had a higher incarnation.
     pub incarnation: u64,
     /// The name of the machine.
     pub name: Arc<str>,
@@ -19,7 +19,7 @@
     pub zone: Arc<str>,
     /// The id of its replica of the control state, if it has one.
     pub replica: Option<u64>,
-    /// Whether the complete system starts for the first time, on empty disks (`firstBoot` of the settings).
+    /// Whether the whole system starts for the first time, with empty disks (`firstBoot` in the settings).
     pub first_boot: bool,
 }
 
@@ -32,10 +32,10 @@
     pub view_epoch: u64,
 }
 
-/// The addresses of the control state's view, as all nodes learn them.
+/// The addresses in the view of the control state, which all nodes learn.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ViewSummary {
-    /// The epoch of the view, 0 where none is known.
+    /// The epoch of the view, 0 if none is known.
     pub epoch: u64,
     /// The address of its primary.
     pub primary: Option<SocketAddrV4>,
@@ -48,7 +48,7 @@
 pub struct SessionHeartbeatReply {
     /// The incarnation of the heartbeat that this answers.
     pub incarnation: u64,
-    /// Whether the session is granted. If not, the node has to turn to another member of the view.
+    /// Whether the session is granted. If not, the node must try another member of the view.
     pub granted: bool,
     /// The highest incarnation that the answering node has seen at this address, if that is above the heartbeat's; 0
     /// otherwise.
--- a/proto/src/version.rs
+++ b/proto/src/version.rs
@@ -1,8 +1,8 @@
-//! Queries for the newest version of the configuration, by which a node bounds the staleness of its own.
+//! Queries for the newest version of the configuration, which a node uses to bound the staleness of its own.
 
 use crate::fields::{Decode, DecodeError, Encode, FieldWriter, Fields};
 
-/// Asks for the version of the newest configuration that may have been acknowledged to the operator.
+/// Requests the version of the newest configuration that may have been acknowledged to the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VersionQuery {
     /// Identifies the query at the node that sent it.
@@ -16,7 +16,7 @@
     pub query_id: u64,
     /// The version of the newest configuration, 0 if there was none.
     pub version: u64,
-    /// The age of that knowledge when the reply was sent, in microseconds.
+    /// The age of this information when the reply was sent, in microseconds.
     pub age: u64,
 }
 
--- a/proto/tests/common/mod.rs
+++ b/proto/tests/common/mod.rs
@@ -24,12 +24,12 @@
 use proptest::prelude::{BoxedStrategy, Just, Strategy, any, prop_oneof};
 use proptest::test_runner::{Config, RngSeed};
 
-/// The same cases at every run, and no files.
+/// A configuration with a fixed seed and without files of failed cases.
 pub fn fixed() -> Config {
     Config { rng_seed: RngSeed::Fixed(11), failure_persistence: None, ..Config::default() }
 }
 
-/// Numbers of all lengths, the ends of the range among them.
+/// Numbers of all encoded lengths, including both ends of the range.
 pub fn number() -> impl Strategy<Value = u64> + Clone {
     prop_oneof![
         Just(0),
@@ -39,7 +39,7 @@
     ]
 }
 
-/// Any address with a port: 0.0.0.0:0 is encoded as no address.
+/// Any address with a nonzero port, since 0.0.0.0:0 is omitted by the encoding.
 pub fn address() -> impl Strategy<Value = SocketAddrV4> + Clone {
     (any::<u32>(), 1..=u16::MAX).prop_map(|(ip, port)| SocketAddrV4::new(Ipv4Addr::from(ip), port))
 }
@@ -406,7 +406,7 @@
     (address(), content).prop_map(|(from, content)| Envelope { from, content }).boxed()
 }
 
-/// A message as a later build encodes it: with unknown fields before and behind its own.
+/// A message as a later build may encode it, with unknown fields before and after its own.
 pub struct Later<M>(pub M);
 
 impl<M: Encode> Encode for Later<M> {
@@ -425,7 +425,7 @@
     to.uint64(536_870_911, u64::MAX);
 }
 
-/// An unknown field of eight bytes and one of four, which this build never writes, but others may.
+/// An unknown field of wire type fixed64 and one of fixed32, which this build never writes but others may.
 pub fn fixed_fields() -> Vec<u8> {
     let mut bytes = tag(900, 1);
     bytes.extend([1, 2, 3, 4, 5, 6, 7, 8]);
@@ -434,8 +434,8 @@
     bytes
 }
 
-fn tag(field: u32, kind: u32) -> Vec<u8> {
-    let mut rest = field << 3 | kind;
+fn tag(field: u32, wire_type: u32) -> Vec<u8> {
+    let mut rest = field << 3 | wire_type;
     let mut bytes = Vec::new();
     while rest > 0x7f {
         bytes.push((rest & 0x7f) as u8 | 0x80);
--- a/proto/tests/frames.rs
+++ b/proto/tests/frames.rs
@@ -1,4 +1,4 @@
-//! A connection gives the bodies that were framed, however its bytes are split, and ends at a damaged frame.
+//! A reader returns the framed bodies regardless of how the bytes are split, and fails at a corrupted frame.
 
 mod common;
 
@@ -14,7 +14,7 @@
     bytes
 }
 
-/// All bodies that a reader has so far.
+/// Reads all complete bodies.
 fn read_bodies(reader: &mut FrameReader) -> std::result::Result<Vec<Vec<u8>>, FrameError> {
     let mut bodies = Vec::new();
     while let Some(body) = reader.next_body()? {
@@ -36,10 +36,10 @@
     for at in 0..=bytes.len() {
         let mut reader = FrameReader::default();
         reader.push(&bytes[..at]);
-        let mut seen = read_bodies(&mut reader).expect("nothing is wrong so far");
+        let mut seen = read_bodies(&mut reader).expect("the frames are valid");
         reader.push(&bytes[at..]);
-        seen.extend(read_bodies(&mut reader).expect("nothing is wrong"));
-        expect_that!(seen, eq(&bodies), "split behind {at} bytes");
+        seen.extend(read_bodies(&mut reader).expect("the frames are valid"));
+        expect_that!(seen, eq(&bodies), "split after {at} bytes");
     }
 }
 
@@ -50,7 +50,7 @@
     let mut seen = Vec::new();
     for byte in framed(&bodies) {
         reader.push(&[byte]);
-        seen.extend(read_bodies(&mut reader).expect("nothing is wrong"));
+        seen.extend(read_bodies(&mut reader).expect("the frames are valid"));
     }
     expect_that!(seen, eq(&bodies));
 }
@@ -61,7 +61,7 @@
     expect_true!(read(&framed(std::slice::from_ref(&longest))) == Ok(vec![longest]));
     let too_long = framed(&[vec![3; MAX_BODY_BYTES + 1]]);
     expect_that!(read(&too_long), err(eq(&FrameError::TooLong { length: MAX_BODY_BYTES + 1 })));
-    // The header alone suffices: no reader waits for such a body.
+    // The header alone is rejected, so that no reader waits for such a body.
     expect_that!(
         read(&too_long[..HEADER_BYTES]),
         err(eq(&FrameError::TooLong { length: MAX_BODY_BYTES + 1 }))
@@ -70,15 +70,15 @@
 }
 
 #[gtest]
-fn frames_before_a_damaged_one_are_read() {
+fn frames_before_a_corrupted_one_are_read() {
     let good = framed(&[b"good".to_vec()]);
     let mut bad = framed(&[b"bad".to_vec()]);
-    *bad.last_mut().expect("it has bytes") ^= 1;
+    *bad.last_mut().expect("the frame is not empty") ^= 1;
     let mut reader = FrameReader::default();
     reader.push(&[good.clone(), bad, good].concat());
     expect_that!(reader.next_body().map(|body| body.map(<[u8]>::to_vec)), ok(some(eq(b"good"))));
     expect_that!(reader.next_body(), err(eq(&FrameError::Checksum)));
-    // Behind it frame boundaries are unknown: what follows is not taken for frames.
+    // Frame boundaries after it are unknown, so the following bytes are not read as frames.
     expect_that!(reader.next_body(), err(eq(&FrameError::Checksum)));
 }
 
@@ -96,7 +96,7 @@
         while !rest.is_empty() {
             let (piece, left) = rest.split_at(cuts.next().unwrap_or(1).min(rest.len()));
             reader.push(piece);
-            seen.extend(read_bodies(&mut reader).expect("nothing is wrong"));
+            seen.extend(read_bodies(&mut reader).expect("the frames are valid"));
             rest = left;
         }
         prop_assert_eq!(seen, bodies);
--- a/proto/tests/golden.rs
+++ b/proto/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The bytes of every message, from fixed values with every field set and with every field at its default. They are
-//! what two builds agree on: a change here is a change of the protocol.
+//! The bytes of every message, from fixed values with every field set and with every field at its default. Different
+//! builds depend on them: a change here is a change of the protocol.
 //!
 //! `golden/messages.txt` has a line for each message: its name and its bytes in hexadecimal.
 
@@ -26,13 +26,13 @@
 
 const GOLDEN: &str = include_str!("golden/messages.txt");
 
-/// Golden lines that have not been compared yet.
+/// The golden lines that have not been compared yet.
 struct Golden {
     lines: BTreeMap<&'static str, &'static str>,
 }
 
 impl Golden {
-    /// The lines whose names begin with a prefix.
+    /// Selects the lines whose names start with a prefix.
     fn section(prefix: &str) -> Golden {
         let lines = GOLDEN.lines().map(|line| line.split_once(' ').unwrap_or((line, "")));
         Golden { lines: lines.filter(|(name, _)| name.starts_with(prefix)).collect() }
@@ -66,7 +66,7 @@
     SocketAddrV4::new(Ipv4Addr::new(10, 1, 2, last), 7640)
 }
 
-/// The address that is encoded as 1: 0 would be left out.
+/// The address that is encoded as 1, since 0 would be omitted.
 fn lowest_address() -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 1)
 }
@@ -329,7 +329,7 @@
     AgedItem { item: Item { kind, key, stamp, payload: Arc::from(*b"payload"), removed: true }, age_ms: 1500 }
 }
 
-/// An offer as builds without block transfer make it.
+/// An offer of a build without block transfer.
 fn whole(kind: u8) -> Offer {
     Offer { entry: entry(kind), encoding: None }
 }
@@ -610,16 +610,16 @@
 
 #[gtest]
 fn errors_of_malformed_bytes_keep_their_text() {
-    let text = |bytes: &[u8]| Envelope::from_bytes(bytes).expect_err("it is bad").to_string();
+    let text = |bytes: &[u8]| Envelope::from_bytes(bytes).expect_err("the bytes are malformed").to_string();
     expect_that!(text(&[0xff]), eq("the message is cut or malformed"));
     expect_that!(text(&[0x10, 5]), eq("field 3 of envelope is missing or of another type"));
     expect_that!(text(&[0x10, 99]), eq("envelope knows no variant 99"));
     let mut reader = frame::FrameReader::default();
     reader.push(&[1, 0, 0x60, 0, 0, 0, 0, 0]);
-    let error = reader.next_body().expect_err("it is too long");
+    let error = reader.next_body().expect_err("the frame is too long");
     expect_that!(error.to_string(), eq("a frame of 6291457 bytes is too long"));
     let mut reader = frame::FrameReader::default();
     reader.push(&[0, 0, 0, 0, 1, 0, 0, 0]);
-    let error = reader.next_body().expect_err("its checksum is wrong");
+    let error = reader.next_body().expect_err("the checksum is wrong");
     expect_that!(error.to_string(), eq("a frame's checksum does not fit its body"));
 }
--- a/proto/tests/messages.rs
+++ b/proto/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Every message round-trips, also with the unknown fields of a later build, and any bytes are decoded or rejected.
+//! Every message round-trips, even with unknown fields of a later build, and arbitrary bytes are decoded or rejected.
 
 mod common;
 
@@ -20,7 +20,7 @@
 use proptest::prelude::{Strategy, any, prop_assert, prop_assert_eq, proptest};
 use proptest::test_runner::TestCaseError;
 
-/// Checks that a message round-trips, also between unknown fields.
+/// Checks that a message round-trips, alone and surrounded by unknown fields.
 fn check_round_trip<M>(message: &M) -> std::result::Result<(), TestCaseError>
 where
     M: Encode + Decode + PartialEq + Debug + Clone,
@@ -75,7 +75,7 @@
     envelopes_round_trip: envelope(),
 }
 
-/// Decodes bytes as every type. What can be decoded must be the same when it is encoded and decoded again.
+/// Decodes bytes as every type. A message that can be decoded must be equal after encoding and decoding it again.
 fn decode_as_every_type(bytes: &[u8]) -> std::result::Result<(), TestCaseError> {
     check_reencoding::<ProposalNumber>(bytes)?;
     check_reencoding::<LogPosition>(bytes)?;
@@ -103,7 +103,8 @@
     check_reencoding::<Envelope>(bytes)
 }
 
-/// A message out of random bytes may have the address 0.0.0.0:0, which is encoded as no address.
+/// Checks that a decoded message is equal after encoding and decoding it again. A message decoded from random bytes may
+/// have the address 0.0.0.0:0, which is omitted by the encoding, so a missing field is accepted.
 fn check_reencoding<M: Encode + Decode + PartialEq + Debug>(
     bytes: &[u8],
 ) -> std::result::Result<(), TestCaseError> {
@@ -115,7 +116,7 @@
     Ok(())
 }
 
-/// Damages a message: truncates it, or replaces some of its bytes.
+/// Corrupts a message: truncates it, or replaces some of its bytes.
 fn mutated(message: impl Strategy<Value = Vec<u8>>) -> impl Strategy<Value = Vec<u8>> {
     let changes = vec((any::<proptest::sample::Index>(), any::<u8>()), 0..4);
     (message, changes, any::<proptest::sample::Index>(), any::<bool>()).prop_map(
@@ -177,7 +178,7 @@
     fn a_truncated_envelope_is_rejected(envelope in envelope()) {
         let bytes = envelope.to_bytes();
         for end in 0..bytes.len() {
-            // Without its last field, which bears the content, no envelope is complete.
+            // The content is the last field, so every truncated envelope lacks it.
             prop_assert!(Envelope::from_bytes(&bytes[..end]).is_err(), "truncated after {end} bytes");
         }
     }
@@ -217,7 +218,7 @@
     }
 }
 
-/// A message that is nothing but the number of its variant.
+/// A message that consists only of its variant number.
 struct Variant {
     field: u32,
     number: u64,
@@ -261,7 +262,7 @@
     expect_true!(missing(Registration::from_bytes(&[]).map(drop)));
 }
 
-/// The numbers of fields and variants are what two builds agree on; they must not change unseen.
+/// Field and variant numbers are shared by different builds, so they must not change by accident.
 #[gtest]
 fn the_bytes_of_a_session_heartbeat_stay_the_same() {
     let identity = Identity {
@@ -283,7 +284,7 @@
     expect_that!(envelope.to_bytes(), eq(&expected));
 }
 
-/// What the full history may add to the state, in bytes.
+/// The most that a full history may add to the encoded state, in bytes.
 const MAX_HISTORY_BYTES: usize = 256 * 1024;
 
 #[gtest]
