--- a/gossip/src/anti_entropy.rs
+++ b/gossip/src/anti_entropy.rs
@@ -115,7 +115,7 @@
             .extend(known.filter(|(entry, local)| local.stamp > entry.stamp).map(|(_, local)| local.entry()));
     }
 
-    /// Sends items that another node asked for.
+    /// Sends items that another node requested.
     pub(crate) fn handle_fetch(
         &mut self,
         now: u64,
--- a/gossip/src/download.rs
+++ b/gossip/src/download.rs
@@ -222,10 +222,8 @@
     fn append_one(&mut self, offset: usize, content: &[u8]) -> bool {
         let Some(overlap) = self.content.len().checked_sub(offset) else { return false };
         let remaining = self.encoding.len() - self.content.len();
-        let Some(new_bytes) = content.get(overlap..).filter(|bytes| !bytes.is_empty()) else {
-            return false;
-        };
-        self.content.extend_from_slice(&new_bytes[..new_bytes.len().min(remaining)]);
+        let Some(suffix) = content.get(overlap..).filter(|suffix| !suffix.is_empty()) else { return false };
+        self.content.extend_from_slice(&suffix[..suffix.len().min(remaining)]);
         true
     }
 
--- a/gossip/src/upload.rs
+++ b/gossip/src/upload.rs
@@ -89,7 +89,7 @@
 
     /// Admits a peer if it is already served or a slot is free. Returns whether it is admitted.
     pub(crate) fn admit(&mut self, now: u64, peer: SocketAddrV4) -> bool {
-        self.served.retain(|_, asked_at| now.saturating_sub(*asked_at) < SERVED_IDLE_US);
+        self.served.retain(|_, requested_at| now.saturating_sub(*requested_at) < SERVED_IDLE_US);
         let admitted = self.served.contains_key(&peer) || self.served.len() < MAX_SERVED_PEERS;
         if admitted {
             self.served.insert(peer, now);
--- a/gossip/tests/tombstones.rs
+++ b/gossip/tests/tombstones.rs
@@ -93,7 +93,7 @@
 }
 
 /// A tombstone becomes dormant some milliseconds apart on different nodes, so a comparison in between may send it
-/// needlessly. No node merges it, and this happens at most once per tombstone in the whole fleet.
+/// needlessly. No node merges it, and this happens less than once per tombstone in the whole fleet.
 #[gtest]
 fn expiry_of_tombstones_causes_hardly_any_repairs() {
     let mut fleet = fleet_with_a(78, 46);
