--- a/control/src/pre_vote.rs
+++ b/control/src/pre_vote.rs
@@ -27,7 +27,8 @@
 /// One round of a pre-vote.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PreVoteRound {
-    /// A number that no earlier round had, as far as chance allows; replies carry it.
+    /// Identifies the round in the replies: the current time plus a random number, so that an earlier round with the
+    /// same number is unlikely.
     pub number: u64,
     pub sent_at: Micros,
 }
@@ -74,7 +75,7 @@
             pre_vote.granted.insert(self.id, now);
         }
         for member in pre_vote.base_view.view.everyone().iter().filter(|member| member.id != self.id) {
-            self.send(member.address, Body::PreVote { epoch: round }, out);
+            self.send(member.address, Body::PreVote { round }, out);
         }
         self.election.pre_vote = Some(pre_vote);
         self.maybe_campaign(out);
@@ -84,7 +85,7 @@
         &mut self,
         from: SocketAddrV4,
         sender: ReplicaId,
-        epoch: u64,
+        round: u64,
         out: &mut Vec<Output>,
     ) {
         let known = self
@@ -94,7 +95,7 @@
             .is_none_or(|known| known.view.everyone().iter().any(|m| m.id == sender));
         let granted = known && !self.lease_forbids_promise(sender, None);
         let reply = Body::PreVoteReply(PreVoteReply {
-            epoch,
+            round,
             granted,
             promised: self.stored.promised,
             view: self.stored.view.clone(),
@@ -105,7 +106,7 @@
     pub(crate) fn handle_pre_vote_reply(
         &mut self,
         sender: ReplicaId,
-        PreVoteReply { epoch: round, granted, promised, view }: PreVoteReply,
+        PreVoteReply { round, granted, promised, view }: PreVoteReply,
         out: &mut Vec<Output>,
     ) {
         self.observe_epoch(promised.map_or(0, |proposal_number| proposal_number.epoch));
