--- a/gossip/tests/merge.rs
+++ b/gossip/tests/merge.rs
@@ -1,14 +1,15 @@
-//! Taking items in is commutative and idempotent: order, repetition and grouping don't matter.
+//! Merging items is commutative and idempotent: order, repetition and grouping don't matter.
 
 mod simulation;
 
 use std::sync::Arc;
 
-use gradepaddle_gossip::{Aged, Gossip, GossipConfig, Item, Kind, Message, Output, RangeDigest, Stamp};
+use gradepaddle_gossip::{AgedItem, Gossip, GossipConfig, Item, Kind, Message, Output, RangeDigest, Stamp};
 use proptest::prelude::*;
 use simulation::{SECOND, address};
 
-/// Of a kind, key and stamp there is one item, so the rest follows from these.
+/// Items whose payload and `removed` flag are functions of kind, key and stamp, since items with equal stamps must be
+/// identical.
 fn items() -> impl Strategy<Value = Vec<Item>> {
     let item = (0_u8..3, 0_u8..6, 0_u64..4, 0_u64..3).prop_map(|(kind, key, major, minor)| Item {
         kind: Kind(kind),
@@ -27,7 +28,7 @@
 fn receive(node: &mut Gossip, items: &[Item], at_once: usize) -> Vec<Output> {
     let mut out = Vec::new();
     for items in items.chunks(at_once) {
-        let items = items.iter().map(|item| Aged { item: item.clone(), age_ms: 0 }).collect();
+        let items = items.iter().map(|item| AgedItem { item: item.clone(), age_ms: 0 }).collect();
         node.receive(
             SECOND,
             address(99),
@@ -45,16 +46,16 @@
     (items, names.map(|(kind, key)| node.stamp(kind, &key)).collect())
 }
 
-/// The hashes that the node answers with or asks by.
+/// The range hashes that the node sends in a comparison.
 fn digests(node: &mut Gossip) -> Vec<RangeDigest> {
-    node.set_peers(SECOND, &[gradepaddle_gossip::Peer { address: address(98), near: true }]);
+    node.set_peers(SECOND, &[gradepaddle_gossip::Peer { address: address(98), same_zone: true }]);
     let mut out = Vec::new();
     node.tick(SECOND, &mut out);
-    let asked = out.into_iter().find_map(|output| match output {
+    let sent = out.into_iter().find_map(|output| match output {
         Output::Send { message: Message::Digest { ranges, reply: true }, .. } => Some(ranges),
         _ => None,
     });
-    asked.expect("a node with a new peer compares at once")
+    sent.expect("a node with a new peer compares at once")
 }
 
 proptest! {
@@ -94,16 +95,16 @@
         prop_assert_eq!(one.len(), live);
     }
 
-    /// Whatever two nodes hold, comparing makes them equal.
+    /// Whatever two nodes hold, a comparison makes them equal.
     #[test]
     fn comparing_makes_two_nodes_equal(here in items(), there in items()) {
         let (mut one, mut other) = (node(1), node(2));
         receive(&mut one, &here, 4);
         receive(&mut other, &there, 4);
         let (mut to_other, mut to_one) = (Vec::new(), Vec::new());
-        one.set_peers(SECOND, &[gradepaddle_gossip::Peer { address: address(2), near: true }]);
-        other.set_peers(SECOND, &[gradepaddle_gossip::Peer { address: address(1), near: true }]);
-        // What came less than 100 ms ago counts as on its way, so the comparison comes later.
+        one.set_peers(SECOND, &[gradepaddle_gossip::Peer { address: address(2), same_zone: true }]);
+        other.set_peers(SECOND, &[gradepaddle_gossip::Peer { address: address(1), same_zone: true }]);
+        // Items merged less than 100 ms ago are left out of repairs, so the comparison is run later.
         let mut now = 2 * SECOND;
         one.tick(now, &mut to_other);
         while !to_one.is_empty() || !to_other.is_empty() {
@@ -115,7 +116,7 @@
     }
 }
 
-/// Hands one node's messages to the other and returns the answers.
+/// Delivers one node's messages to the other and returns the replies.
 fn exchange(now: u64, from: usize, sent: Vec<Output>, to: &mut Gossip) -> Vec<Output> {
     let mut out = Vec::new();
     for output in sent {
