--- a/check/src/broken.rs
+++ b/check/src/broken.rs
@@ -1,5 +1,6 @@
-//! Versions that are broken on purpose, chosen at run time: each takes one guard away, in place of
-//! [`gradepaddle_dispatch::Rules`] or between the world and dispatch. The daemon holds none of this.
+//! Versions that are broken on purpose, to show that the checker finds the fault. Each is selected at run time and
+//! lifts one safeguard, either in place of [`gradepaddle_dispatch::Rules`] or between the modelled environment and
+//! dispatch. None of this code is compiled into the daemon.
 
 use clap::ValueEnum;
 use gradepaddle::Outcome;
@@ -8,61 +9,61 @@
 use crate::property::Property;
 use crate::sizes::Sizes;
 
-/// What is broken.
+/// The fault that is injected.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, ValueEnum)]
 pub enum Broken {
-    /// Nothing: the rules in service.
+    /// No fault: the production rules.
     #[default]
     Nothing,
-    /// A connection that broke behind the last byte is taken to prove that the attempt never ran.
+    /// A connection reset after the last byte is taken as proof that the attempt did not run.
     ResendAfterReset,
-    /// A time-out behind the last byte is taken to prove that the attempt never ran.
+    /// A timeout after the last byte is taken as proof that the attempt did not run.
     ResendAfterTimeOut,
-    /// A transaction of an unsafe class may get another attempt while one is out.
+    /// A transaction of an unsafe class may get another attempt while one is in flight.
     SecondCopyOfUnsafe,
-    /// A second copy is sent where the settings allow none.
+    /// A concurrent attempt is sent although the settings do not allow it.
     SecondCopyUnset,
-    /// A keyed transaction that may have run is tried in another zone, or after its key is forgotten.
+    /// A keyed transaction that may have run is retried in another zone, or after its deduplication window.
     KeyElsewhere,
     /// A transaction that may have run is refused.
     RefusalAfterRun,
-    /// The limit of attempts is not heeded.
+    /// The limit on attempts is not enforced.
     BeyondLimit,
-    /// A drain is heeded only when the next list comes.
+    /// A drain takes effect only with the next service table.
     DrainAtNextList,
-    /// Attempts are started at app servers that have drained for longer than the grace.
+    /// Attempts start at app servers that have been draining for longer than the drain grace.
     DrainForgotten,
-    /// A list that calls a banned app server ready ends its ban.
+    /// A service table that reports a banned app server ready ends its ban.
     ListEndsBan,
-    /// Bans are forgotten when the balancer dies.
+    /// Bans are lost when the balancer crashes.
     BanDiesToo,
-    /// What an attempt has used up is sent again in part.
+    /// A request is sent again after an attempt has consumed part of its body, so the resent body is incomplete.
     SentSpent,
-    /// An attempt writes its first byte without another look at the app server's standing.
+    /// An attempt writes its first byte without checking again whether the app server is open.
     FirstByteUnseen,
-    /// An answer and a time-out are both delivered.
+    /// Both an answer and a timeout are delivered to the client.
     AnswerAndTimeOut,
-    /// An ended transaction is kept.
+    /// The state of a finished transaction is not removed.
     EndedKept,
-    /// What the chooser forgets is never answered.
+    /// A transaction that the chooser never answers does not time out.
     NoBackstop,
-    /// Attempts begin though their client has gone, where the chooser does not withdraw them.
+    /// Unstarted attempts whose client has disconnected are not cancelled, unless the chooser cancels them.
     BegunForNobody,
 }
 
 impl Broken {
-    /// All that are broken.
+    /// All versions that have a fault.
     pub fn all() -> impl Iterator<Item = Broken> {
         Broken::value_variants().iter().copied().filter(|broken| *broken != Broken::Nothing)
     }
 
-    /// Its name on the command line.
+    /// The version's name on the command line.
     pub fn name(self) -> String {
         self.to_possible_value().map_or_else(String::new, |value| value.get_name().to_owned())
     }
 
-    /// The promise that it must be seen to break.
-    pub fn breaks(self) -> Option<Property> {
+    /// The property that the checker must find violated; `None` for [`Broken::Nothing`].
+    pub fn expected_breach(self) -> Option<Property> {
         Some(match self {
             Broken::Nothing => return None,
             Broken::ResendAfterReset | Broken::ResendAfterTimeOut => Property::NoRepeat,
@@ -83,7 +84,8 @@
         })
     }
 
-    /// A case small enough to show the shortest way, yet with all that the breach needs.
+    /// The smallest case that still contains everything that the violation needs, so that its shortest path is found
+    /// quickly.
     pub fn sizes(self) -> Sizes {
         let one = Sizes { transactions: 1, leaves: 0, ..Sizes::default() };
         match self {
--- a/check/src/explore.rs
+++ b/check/src/explore.rs
@@ -1,4 +1,4 @@
-//! One exploration: a case, who chooses in it, and what came out.
+//! An exploration: its case, its chooser and its result.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -9,92 +9,92 @@
 use stateright::{Checker, HasDiscoveries, Model};
 
 use crate::broken::Broken;
-use crate::player::{Adversary, Module, Player};
+use crate::chooser::{Adversary, ModelChooser, ProductionChooser};
 use crate::property::Property;
 use crate::sizes::Sizes;
 use crate::world::{Case, Step, World};
 
-/// Who chooses.
+/// Which chooser an exploration runs under.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Chooses {
-    /// An adversary that may ask for any action at any time.
-    Anything,
-    /// The decisions in service.
-    Decisions,
+pub enum ChooserKind {
+    /// An adversary that may request any action at any time.
+    Adversary,
+    /// The production balancer.
+    Production,
 }
 
-/// An exploration that is to be made.
+/// The parameters of an exploration.
 #[derive(Clone, Debug)]
 pub struct Exploration {
-    /// What it is called in reports.
+    /// The exploration's name in reports.
     pub name: String,
-    /// How large it is.
+    /// Bounds of the state space.
     pub sizes: Sizes,
-    /// Who chooses.
-    pub chooses: Chooses,
-    /// Steps from the start; none for all that there are.
+    /// Which chooser runs.
+    pub chooser: ChooserKind,
+    /// Maximum number of steps from the initial state; `None` for no limit.
     pub depth: Option<usize>,
-    /// What is broken.
+    /// The fault that is injected on purpose.
     pub broken: Broken,
 }
 
-/// A way to a breach, from the start.
+/// A violated property with the path to it from the initial state.
 #[derive(Clone, Debug)]
 pub struct Breach {
-    /// What was broken.
+    /// The violated property.
     pub property: Property,
-    /// Each step with the time at which it was taken.
+    /// Each step, with the number of the time step in which it was taken.
     pub steps: Vec<(Micros, Step)>,
 }
 
-/// What came out of an exploration.
+/// The result of an exploration.
 #[derive(Clone, Debug)]
 pub struct Found {
-    /// Distinct states.
+    /// Number of distinct states.
     pub states: usize,
-    /// Steps from the start to the farthest of them.
+    /// Number of steps from the initial state to the farthest state.
     pub depth: usize,
-    /// True if there was more behind the stated depth.
+    /// Whether the depth limit cut the exploration short.
     pub cut: bool,
-    /// How long it took.
-    pub took: Duration,
-    /// The breaches, the shortest way first; before them the one that a broken version is meant to show.
+    /// Duration of the exploration.
+    pub elapsed: Duration,
+    /// The violations, shortest path first; the one that a broken version is expected to cause precedes the others.
     pub breaches: Vec<Breach>,
 }
 
-/// A time step under the decisions in service, whose own spans are real ones.
-const REAL_STEP: Micros = 250_000;
+/// Length of a time step under the production balancer, whose own intervals are in real time.
+const PRODUCTION_STEP: Micros = 250_000;
 
-struct Explored<C> {
+struct ExplorationModel<C> {
     case: Case,
-    /// A state with a breach has come up: also one at the last step, which the checker counts but leaves
-    /// unjudged.
-    breached: Arc<AtomicBool>,
-    player: std::marker::PhantomData<fn() -> C>,
+    /// A state with a violation was generated. Also set for a state at the depth limit, which the checker counts but
+    /// does not evaluate.
+    found_breach: Arc<AtomicBool>,
+    chooser: std::marker::PhantomData<fn() -> C>,
 }
 
-impl<C: Player> Model for Explored<C> {
+impl<C: ModelChooser> Model for ExplorationModel<C> {
     type State = World<C>;
     type Action = Step;
 
     fn init_states(&self) -> Vec<World<C>> {
-        vec![self.case.start()]
+        vec![self.case.initial_world()]
     }
 
     fn actions(&self, state: &World<C>, steps: &mut Vec<Step>) {
-        state.steps(&self.case, steps);
+        state.possible_steps(&self.case, steps);
     }
 
     fn next_state(&self, state: &World<C>, step: Step) -> Option<World<C>> {
-        let next = state.after(&self.case, step)?;
+        let next = state.next_world(&self.case, step)?;
         if next.breach.is_some() {
-            self.breached.store(true, Ordering::Relaxed);
+            self.found_breach.store(true, Ordering::Relaxed);
         }
         Some(next)
     }
 
     fn properties(&self) -> Vec<stateright::Property<Self>> {
-        // The checker takes plain functions, so each promise has its own.
+        // The checker takes plain function pointers, so each property needs its own closure.
         macro_rules! holds {
             ($($property:ident),* $(,)?) => {
                 vec![$(stateright::Property::always(Property::$property.name(), |_, state: &World<C>| {
@@ -121,31 +121,31 @@
 }
 
 impl Exploration {
-    /// Tries every order of events, level by level on one thread: the first way found to a breach is a
-    /// shortest one, and a stated depth is reached along every path.
+    /// Tries every order of events, breadth first on one thread: the first path found to a violation is a shortest
+    /// one, and a depth limit is reached along every path.
     pub fn run(&self) -> Found {
-        match self.chooses {
-            Chooses::Anything => self.explore::<Adversary>(1, self.depth),
-            Chooses::Decisions => self.explore::<Module>(REAL_STEP, self.depth),
+        match self.chooser {
+            ChooserKind::Adversary => self.explore::<Adversary>(1, self.depth),
+            ChooserKind::Production => self.explore::<ProductionChooser>(PRODUCTION_STEP, self.depth),
         }
     }
 
-    fn explore<C: Player>(&self, step: Micros, most: Option<usize>) -> Found {
+    fn explore<C: ModelChooser>(&self, step: Micros, depth_limit: Option<usize>) -> Found {
         let case = Case { sizes: self.sizes.clone(), step, broken: self.broken };
-        let breached = Arc::new(AtomicBool::new(false));
-        let player = std::marker::PhantomData;
-        let model = Explored::<C> { case: case.clone(), breached: breached.clone(), player };
-        let begun = Instant::now();
-        // A version that is broken on purpose may break other promises on shorter ways: go on to its own.
-        let wanted = self.broken.breaks();
-        let finish = match wanted {
+        let found_breach = Arc::new(AtomicBool::new(false));
+        let chooser = std::marker::PhantomData;
+        let model = ExplorationModel::<C> { case: case.clone(), found_breach: found_breach.clone(), chooser };
+        let started = Instant::now();
+        // A broken version may violate other properties on shorter paths; the search continues to the expected one.
+        let expected = self.broken.expected_breach();
+        let finish = match expected {
             Some(property) => HasDiscoveries::AnyOf([property.name()].into()),
             None => HasDiscoveries::AnyFailures,
         };
         let mut builder = model.checker().finish_when(finish);
-        if let Some(most) = most {
-            // The checker counts the start as the first.
-            builder = builder.target_max_depth(most + 1);
+        if let Some(depth_limit) = depth_limit {
+            // The checker counts the initial state as depth 1.
+            builder = builder.target_max_depth(depth_limit + 1);
         }
         let checker = builder.spawn_bfs().join();
         let mut breaches: Vec<Breach> = Vec::new();
@@ -155,24 +155,29 @@
             let steps = steps.filter_map(|(world, step)| step.map(|step| (world.now() / case.step, step)));
             breaches.extend(property.map(|property| Breach { property, steps: steps.collect() }));
         }
-        if breaches.is_empty() && breached.load(Ordering::Relaxed) {
-            // It lies at the last step: one more shows the way.
-            return self.explore::<C>(step, most.map(|most| most + 1));
+        if breaches.is_empty() && found_breach.load(Ordering::Relaxed) {
+            // The violation is at the depth limit; one more step makes the checker evaluate it.
+            return self.explore::<C>(step, depth_limit.map(|depth_limit| depth_limit + 1));
         }
-        breaches.sort_by_key(|breach| (Some(breach.property) != wanted, breach.steps.len()));
+        breaches.sort_by_key(|breach| (Some(breach.property) != expected, breach.steps.len()));
         let depth = checker.max_depth().saturating_sub(1);
         Found {
             states: checker.unique_state_count(),
             depth,
-            cut: most.is_some_and(|most| depth >= most),
-            took: begun.elapsed(),
+            cut: depth_limit.is_some_and(|depth_limit| depth >= depth_limit),
+            elapsed: started.elapsed(),
             breaches,
         }
     }
 }
 
-/// Runs explorations, so many at a time, and hands each over as soon as those before it are done.
-pub fn run_all(explorations: &[Exploration], threads: usize, mut each: impl FnMut(&Exploration, &Found)) {
+/// Runs explorations on this many threads, and reports the results in the order of the explorations, each as soon as
+/// those before it are done.
+pub fn run_all(
+    explorations: &[Exploration],
+    threads: usize,
+    mut on_result: impl FnMut(&Exploration, &Found),
+) {
     let next = AtomicUsize::new(0);
     let (done, results) = mpsc::channel();
     std::thread::scope(|scope| {
@@ -182,19 +187,19 @@
                 loop {
                     let at = next.fetch_add(1, Ordering::Relaxed);
                     let Some(exploration) = explorations.get(at) else { return };
-                    // The receiver waits for all of them.
+                    // Sending cannot fail: the receiver outlives the scope's threads.
                     let _ = done.send((at, exploration.run()));
                 }
             });
         }
         drop(done);
-        let mut waiting: BTreeMap<usize, Found> = BTreeMap::new();
-        let mut turn = 0;
+        let mut completed: BTreeMap<usize, Found> = BTreeMap::new();
+        let mut next_reported = 0;
         for (at, found) in results {
-            waiting.insert(at, found);
-            while let Some(found) = waiting.remove(&turn) {
-                each(&explorations[turn], &found);
-                turn += 1;
+            completed.insert(at, found);
+            while let Some(found) = completed.remove(&next_reported) {
+                on_result(&explorations[next_reported], &found);
+                next_reported += 1;
             }
         }
     });
--- a/check/src/lib.rs
+++ b/check/src/lib.rs
@@ -1,13 +1,16 @@
-//! Explores the life of transactions exhaustively in small cases. What is explored is
-//! [`gradepaddle_dispatch::Dispatch`] itself, once under a chooser that may ask for anything at any time
-//! and once under the decisions in service; round it stands a world of clients, app servers, lists and
-//! connections in which every order of events is tried.
+//! A model checker that explores the life cycle of transactions exhaustively in small cases. It runs
+//! [`gradepaddle_dispatch::Dispatch`] itself, either under an adversarial chooser, which may request any action at
+//! any time, or under the production balancer. Clients, app servers, service tables and connections are modelled,
+//! and every order of their events is tried.
+//!
+//! Two further checks cover the service table's clock ([`listing`], exhaustively) and the replicas of the book
+//! ([`keepers`], under random fault schedules).
 
 pub mod broken;
+pub mod chooser;
 pub mod explore;
 pub mod keepers;
 pub mod listing;
-pub mod player;
 pub mod property;
 pub mod report;
 pub mod sizes;
--- a/check/src/main.rs
+++ b/check/src/main.rs
@@ -8,7 +8,7 @@
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use gradepaddle_check::broken::Broken;
-use gradepaddle_check::explore::{Chooses, Exploration, run_all};
+use gradepaddle_check::explore::{ChooserKind, Exploration, run_all};
 use gradepaddle_check::keepers::{self, Seen};
 use gradepaddle_check::listing;
 use gradepaddle_check::report;
@@ -88,8 +88,8 @@
         (None, Some(What::Quick)) => run(&report::quick(), cli.threads) && catch_all(),
         (None, Some(What::List)) => list(),
         (None, Some(What::Book { seeds, seed })) => book(seed.map_or(0..seeds, |seed| seed..seed + 1)),
-        (None, Some(What::Adversary(one))) => own(one, Chooses::Anything, cli.threads),
-        (None, Some(What::Module(one))) => own(one, Chooses::Decisions, cli.threads),
+        (None, Some(What::Adversary(one))) => own(one, ChooserKind::Adversary, cli.threads),
+        (None, Some(What::Module(one))) => own(one, ChooserKind::Production, cli.threads),
         (None, None) => {
             eprintln!("gradepaddle-check: say what to explore; --help lists it");
             return ExitCode::from(2);
@@ -126,13 +126,13 @@
     true
 }
 
-fn own(one: One, chooses: Chooses, threads: usize) -> bool {
+fn own(one: One, chooser: ChooserKind, threads: usize) -> bool {
     if let Err(fault) = one.sizes.check() {
         eprintln!("gradepaddle-check: {fault}");
         return false;
     }
     let (name, broken) = ("own case".to_owned(), Broken::Nothing);
-    run(&[Exploration { name, sizes: one.sizes, chooses, depth: one.depth, broken }], threads)
+    run(&[Exploration { name, sizes: one.sizes, chooser, depth: one.depth, broken }], threads)
 }
 
 fn run(explorations: &[Exploration], threads: usize) -> bool {
@@ -158,7 +158,7 @@
         Some(breach) => print!("{}: {}", broken.name(), report::trace(breach)),
         None => println!("{}: NOT CAUGHT in {} states", broken.name(), found.states),
     }
-    found.breaches.first().map(|breach| breach.property) == broken.breaks()
+    found.breaches.first().map(|breach| breach.property) == broken.expected_breach()
 }
 
 fn catch_all() -> bool {
@@ -167,7 +167,7 @@
     for broken in Broken::all() {
         let found = report::broken(broken).run();
         let breach = found.breaches.first();
-        let as_meant = breach.map(|breach| breach.property) == broken.breaks();
+        let as_meant = breach.map(|breach| breach.property) == broken.expected_breach();
         let (property, steps) = match breach {
             Some(breach) => (breach.property.name(), breach.steps.len().to_string()),
             None => ("NOT CAUGHT", "-".to_owned()),
--- a/check/src/property.rs
+++ b/check/src/property.rs
@@ -1,41 +1,44 @@
-//! What must hold in every state that can be reached, in words and in code. `world.rs` finds a breach
-//! where the event happens; here stands what each of them means.
+//! The invariants that must hold in every reachable state, with their names and descriptions. `world.rs` detects a
+//! violation at the event that causes it.
 
 use std::fmt;
 
-/// A promise.
+/// An invariant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Property {
-    /// See [`Property::words`].
+    /// A transaction gets at most one final answer, and none after its client has disconnected.
     OneAnswer,
-    /// See [`Property::words`].
+    /// A served answer belongs to its transaction, and no two open transactions have the same client request id.
     OwnAnswer,
-    /// See [`Property::words`].
+    /// Two attempts of an unsafe transaction are never both written completely, unless the app server of the first
+    /// reported that it did not run.
     NoRepeat,
-    /// See [`Property::words`].
+    /// No attempt starts while another is in flight, where the class or the settings allow no concurrent attempts.
     NoSecondCopy,
-    /// See [`Property::words`].
+    /// A transaction has no more attempts than the settings allow.
     AttemptLimit,
-    /// See [`Property::words`].
+    /// No attempt starts at, and no first byte is written to, an app server that was reported draining or gone, or
+    /// banned by the operators, longer ago than the drain grace.
     NothingNewToClosed,
-    /// See [`Property::words`].
+    /// No attempt starts after an earlier one has consumed part of the request body.
     UsedOnce,
-    /// See [`Property::words`].
+    /// Once an attempt of a keyed transaction is in flight, or may have run, another starts only in its zone and
+    /// while the zone remembers the key.
     KeptKey,
-    /// See [`Property::words`].
+    /// A transaction that may have run is never refused, unless it is safe to repeat.
     HonestRefusal,
-    /// See [`Property::words`].
+    /// A transaction whose client waits is answered by its deadline.
     AnsweredInTime,
-    /// See [`Property::words`].
+    /// No state is kept for a transaction that is answered and whose attempts have ended.
     NothingKept,
-    /// See [`Property::words`].
+    /// No attempt writes its first byte after its client has disconnected.
     NothingForTheGone,
-    /// See [`Property::words`].
+    /// The production chooser requests nothing that the guard forbids.
     NoDefect,
 }
 
 impl Property {
-    /// All of them, in the order in which they are reported.
+    /// All properties, in the order in which they are reported.
     pub const ALL: [Property; 13] = [
         Property::OneAnswer,
         Property::OwnAnswer,
@@ -52,7 +55,7 @@
         Property::NoDefect,
     ];
 
-    /// Its name on the command line and in reports.
+    /// The property's name in reports.
     pub fn name(self) -> &'static str {
         match self {
             Property::OneAnswer => "one-answer",
@@ -71,39 +74,47 @@
         }
     }
 
-    /// What it promises.
-    pub fn words(self) -> &'static str {
+    /// What the property requires, as one sentence.
+    pub fn description(self) -> &'static str {
         match self {
-            Property::OneAnswer => "a transaction gets one final answer, and none after its client has left",
+            Property::OneAnswer => {
+                "a transaction gets at most one final answer, and none after its client has disconnected"
+            }
             Property::OwnAnswer => {
-                "what is served was made for this transaction, and no two with one id are open at once"
+                "a served answer belongs to its transaction, and no two open transactions have the same \
+                 client request id"
             }
             Property::NoRepeat => {
-                "two attempts of an unsafe transaction are never both written whole, unless the app server \
-                 of the first said that it did not run"
+                "two attempts of an unsafe transaction are never both written completely, unless the app \
+                 server of the first reported that it did not run"
             }
             Property::NoSecondCopy => {
-                "no attempt starts while another is out, where the class or the settings allow no second copy"
+                "no attempt starts while another is in flight, where the class or the settings allow no \
+                 concurrent attempts"
             }
             Property::AttemptLimit => "a transaction has no more attempts than the settings allow",
             Property::NothingNewToClosed => {
-                "no attempt starts at, and no first byte goes to, an app server that was told draining or \
-                 gone, or taken out by the operators, longer ago than the grace"
+                "no attempt starts at, and no first byte is written to, an app server that was reported \
+                 draining or gone, or banned by the operators, longer ago than the drain grace"
             }
             Property::KeptKey => {
-                "once an attempt of a keyed transaction is out, or may have run, another starts only in its zone \
-                 and while its key is remembered there"
+                "once an attempt of a keyed transaction is in flight, or may have run, another starts only in \
+                 its zone and while the zone remembers the key"
+            }
+            Property::UsedOnce => {
+                "no attempt starts after an earlier one has consumed part of the request body"
             }
-            Property::UsedOnce => "no attempt starts of what an earlier one has used up",
             Property::HonestRefusal => {
                 "a transaction that may have run is never refused, unless it is safe to repeat"
             }
             Property::AnsweredInTime => "a transaction whose client waits is answered by its deadline",
             Property::NothingKept => {
-                "nothing is kept of a transaction once it is answered and its attempts ended"
+                "no state is kept for a transaction that is answered and whose attempts have ended"
+            }
+            Property::NothingForTheGone => {
+                "no attempt writes its first byte after its client has disconnected"
             }
-            Property::NothingForTheGone => "no attempt begins once its client has left",
-            Property::NoDefect => "the decisions in service ask for nothing that the guard forbids",
+            Property::NoDefect => "the production chooser requests nothing that the guard forbids",
         }
     }
 }
--- a/check/src/report.rs
+++ b/check/src/report.rs
@@ -3,11 +3,11 @@
 use std::fmt::Write as _;
 
 use crate::broken::Broken;
-use crate::explore::{Breach, Chooses, Exploration, Found};
+use crate::explore::{Breach, ChooserKind, Exploration, Found};
 use crate::sizes::{Kind, Sizes};
 
-fn named(name: &str, chooses: Chooses, depth: Option<usize>, sizes: Sizes) -> Exploration {
-    Exploration { name: name.into(), sizes, chooses, depth, broken: Broken::Nothing }
+fn named(name: &str, chooser: ChooserKind, depth: Option<usize>, sizes: Sizes) -> Exploration {
+    Exploration { name: name.into(), sizes, chooser, depth, broken: Broken::Nothing }
 }
 
 /// The hard cases, each small enough to be explored to its end under an adversary, and a larger one to a
@@ -16,8 +16,8 @@
     let base = Sizes { deadline: 2, attempts: 2, leaves: 0, drains: 0, ..Sizes::default() };
     let one = Sizes { transactions: 1, ..base.clone() };
     let (order, look) = (vec![Kind::Unsafe], vec![Kind::Safe]);
-    let anything = |name, sizes| named(name, Chooses::Anything, None, sizes);
-    let decided = |name, depth, sizes| named(name, Chooses::Decisions, Some(depth), sizes);
+    let anything = |name, sizes| named(name, ChooserKind::Adversary, None, sizes);
+    let decided = |name, depth, sizes| named(name, ChooserKind::Production, Some(depth), sizes);
     vec![
         decided(
             "decisions: orders, crash and replacement",
@@ -30,7 +30,7 @@
             9,
             Sizes { classes: order.clone(), flows: true, bans: 1, drains: 0, ..Sizes::default() },
         ),
-        named("look and order, three attempts, drain", Chooses::Anything, Some(8), Sizes::default()),
+        named("look and order, three attempts, drain", ChooserKind::Adversary, Some(8), Sizes::default()),
         anything(
             "one order, drain, leave",
             Sizes { classes: order.clone(), drains: 1, leaves: 1, ..one.clone() },
@@ -96,9 +96,9 @@
 /// The same directions, cut to fit a build.
 pub fn quick() -> Vec<Exploration> {
     let shrink = |mut exploration: Exploration| {
-        exploration.depth = Some(match exploration.chooses {
-            Chooses::Anything => 9.min(exploration.depth.unwrap_or(9)),
-            Chooses::Decisions => 7,
+        exploration.depth = Some(match exploration.chooser {
+            ChooserKind::Adversary => 9.min(exploration.depth.unwrap_or(9)),
+            ChooserKind::Production => 7,
         });
         exploration
     };
@@ -110,7 +110,7 @@
     Exploration {
         name: broken.name(),
         sizes: broken.sizes(),
-        chooses: Chooses::Anything,
+        chooser: ChooserKind::Adversary,
         depth: None,
         broken,
     }
@@ -119,7 +119,7 @@
 /// One line on an exploration.
 pub fn line(exploration: &Exploration, found: &Found) -> String {
     let depth = if found.cut { format!("{} (cut)", found.depth) } else { format!("{} (all)", found.depth) };
-    let seconds = found.took.as_secs_f64();
+    let seconds = found.elapsed.as_secs_f64();
     let verdict = match found.breaches.first() {
         None => "holds".to_owned(),
         Some(breach) => format!("BROKEN: {}", breach.property),
@@ -134,7 +134,7 @@
 
 /// The way to a breach as numbered steps.
 pub fn trace(breach: &Breach) -> String {
-    let mut text = format!("{}: {}\n", breach.property, breach.property.words());
+    let mut text = format!("{}: {}\n", breach.property, breach.property.description());
     for (at, (time, step)) in breach.steps.iter().enumerate() {
         // Writing to a string cannot fail.
         let _ = writeln!(text, "{:>4}. at {time}: {step}", at + 1);
--- a/check/src/world.rs
+++ b/check/src/world.rs
@@ -1,5 +1,5 @@
-//! The world round dispatch: clients, app servers, the list, connections and time. Everything that can
-//! happen next is a [`Step`]; carrying one out gives the next world.
+//! The modelled environment of dispatch: clients, app servers, the service table, connections and time. Each
+//! event that is possible in a state is a [`Step`]; applying it gives the next state.
 
 use std::fmt;
 
@@ -9,83 +9,85 @@
 };
 
 use crate::broken::Broken;
-use crate::player::Player;
+use crate::chooser::ModelChooser;
 use crate::property::Property;
 use crate::sizes::{Kind, Sizes};
 
-/// Names of app servers, in the order in which they come up.
-const NAMES: [&str; 12] = ["a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l"];
+/// Names of app servers, in the order in which they are added.
+const SERVER_NAMES: [&str; 12] = ["a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l"];
 
-type Dispatched<C> = Dispatch<C, u8, u8, Broken>;
+type CheckedDispatch<C> = Dispatch<C, u8, u8, Broken>;
 
-/// What one client's transaction has seen so far.
+/// The state of one client and its transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Client {
-    /// None before it has asked.
+    /// `None` before the client has sent its transaction.
     ticket: Option<Ticket>,
-    /// When it gives up; none while it still sends.
-    ends: Option<Micros>,
-    /// An attempt has used up what it sends.
-    spent: bool,
+    /// When the client times out; `None` while it is still uploading.
+    deadline: Option<Micros>,
+    /// An attempt has consumed part of the request body, which cannot be replayed.
+    body_consumed: bool,
     answers: u8,
-    left: bool,
-    /// The balancer died with it open: its connection is reset.
-    lost: bool,
-    /// Attempts written whole that no app server has said did not run.
-    runs: u8,
-    /// Of a keyed transaction: the zone that knows its key, and since when, once an attempt that may have run has
-    /// ended.
+    disconnected: bool,
+    /// The balancer crashed while the transaction was open, which resets the client's connection.
+    connection_reset: bool,
+    /// Attempts that may have run: written completely, and not reported as unprocessed by their app server.
+    possible_runs: u8,
+    /// For a keyed transaction: the zone that remembers its key, and since when. Set once an attempt that may have
+    /// run has ended.
     key: Option<(u32, Micros)>,
-    /// Sends that the chooser has asked for.
+    /// Sends that the chooser has requested.
     sends: u8,
 }
 
 impl Client {
-    fn waits(&self) -> bool {
-        self.ticket.is_some() && self.answers == 0 && !self.left && !self.lost
+    fn is_waiting(&self) -> bool {
+        self.ticket.is_some() && self.answers == 0 && !self.disconnected && !self.connection_reset
     }
 }
 
-/// An attempt on its way.
+/// An attempt in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Flight {
+pub struct InFlightAttempt {
     ticket: Ticket,
     attempt: u32,
     client: u8,
     server: u8,
-    /// When it started, where that matters: of keyed transactions.
-    sent: Micros,
-    until: Micros,
-    /// Its connection is up.
-    up: bool,
+    /// When the attempt started. Kept only for keyed transactions and 0 for the others, which keeps the state space
+    /// small.
+    started_at: Micros,
+    deadline: Micros,
+    /// The connection is established.
+    connected: bool,
+    /// How much of the request is written.
     extent: Extent,
-    /// How far dispatch was told that it is written.
-    told: Extent,
+    /// How much of it dispatch was told is written.
+    reported_extent: Extent,
     withdrawn: bool,
 }
 
-/// What was told of an app server, and what its connections go by.
+/// What was reported about an app server, and whether its connections may be used.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Standing {
-    /// Told draining or gone at this time, and not ready since.
-    closed: Option<Micros>,
-    /// Taken out by the operators at this time, and not called back since.
-    banned: Option<Micros>,
-    /// Its connections may be used for something new.
+pub struct ServerStatus {
+    /// When it was reported draining or gone, if it has not been reported ready since.
+    closed_since: Option<Micros>,
+    /// When the operators banned it, if the ban is still in force.
+    banned_since: Option<Micros>,
+    /// New attempts may use its connections.
     open: bool,
     gone: bool,
 }
 
-impl Standing {
-    /// Since when nothing new may go there.
-    fn shut(&self) -> Option<Micros> {
-        self.closed.into_iter().chain(self.banned).min()
+impl ServerStatus {
+    /// Since when it must not receive new attempts, apart from the drain grace.
+    fn unavailable_since(&self) -> Option<Micros> {
+        self.closed_since.into_iter().chain(self.banned_since).min()
     }
 }
 
-/// How many more of each trouble may come.
+/// How many more of each kind of fault may be injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Left {
+struct FaultBudget {
     drains: u8,
     leaves: u8,
     crashes: u8,
@@ -99,99 +101,99 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct World<C> {
     now: Micros,
-    dispatch: Dispatched<C>,
+    dispatch: CheckedDispatch<C>,
     clients: Vec<Client>,
-    flights: Vec<Flight>,
-    servers: Vec<Standing>,
-    left: Left,
-    /// The last list that was asked for failed, and an old one comes next.
-    failed: bool,
-    /// A drain that a broken version holds back.
-    held: Vec<u8>,
-    /// The last attempt that ended, for an end told twice.
-    last: Option<(Ticket, u32)>,
-    /// The promise that was broken on the way here.
+    in_flight: Vec<InFlightAttempt>,
+    servers: Vec<ServerStatus>,
+    budget: FaultBudget,
+    /// The last service table call failed; the next table is an outdated one.
+    list_failed: bool,
+    /// App servers whose drain report [`Broken::DrainAtNextList`] delays until the next table.
+    delayed_drains: Vec<u8>,
+    /// The attempt that ended last, for a duplicate end report.
+    last_ended: Option<(Ticket, u32)>,
+    /// The first property that was violated on the path to this state.
     pub breach: Option<Property>,
 }
 
-/// One thing that happens.
+/// One event. The `u8` is the client's or app server's number, the `u32` the attempt's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// A client asks.
-    Ask(u8),
-    /// A client leaves, whether or not its final answer is under way.
-    Leave(u8),
-    /// The chooser asks for an attempt.
+    /// A client sends its transaction.
+    Request(u8),
+    /// A client that waits for its answer disconnects.
+    Disconnect(u8),
+    /// The chooser requests an attempt.
     Send(u8, u8),
-    /// The chooser refuses.
-    Refuse(u8),
-    /// The chooser gives up.
+    /// The chooser rejects the transaction.
+    Reject(u8),
+    /// The chooser fails the transaction.
     Fail(u8),
-    /// The chooser withdraws an attempt.
+    /// The chooser cancels an attempt.
     Cancel(u8, u32),
-    /// An attempt's connection does not come up.
-    NoConnection(u8, u32),
-    /// An attempt's connection is up.
-    Dial(u8, u32),
-    /// An attempt's first byte is due.
+    /// An attempt's connection cannot be established.
+    ConnectFailed(u8, u32),
+    /// An attempt's connection is established.
+    Connected(u8, u32),
+    /// An attempt is about to write its first byte.
     FirstByte(u8, u32),
-    /// The last byte is written; nothing is told of it yet.
+    /// An attempt has written its last byte; dispatch is not told yet.
     LastByte(u8, u32),
     /// Dispatch is told that the last byte is written.
-    Record(u8, u32),
+    ReportWritten(u8, u32),
     /// An attempt ends.
     End(u8, u32, Cause),
-    /// The end of an attempt is told once more.
-    EndAgain(u8),
-    /// The list says that an app server drains.
+    /// The end of an attempt is reported a second time.
+    DuplicateEnd(u8),
+    /// The service table reports an app server draining.
     Drain(u8),
-    /// The list says that an app server is gone and that another stands at its address.
+    /// The service table reports an app server gone and a new one at its address.
     Replace(u8),
-    /// The operators take an app server out.
+    /// The operators ban an app server.
     Ban(u8),
-    /// The operators call an app server back.
-    CallBack(u8),
-    /// The last byte of a transaction has come that was taken before.
-    Uploaded(u8),
-    /// An attempt has used up some of what its client sends.
-    Spend(u8, u32),
-    /// A call for the list fails.
+    /// The operators end the ban of an app server.
+    Unban(u8),
+    /// The last byte has arrived of a transaction that was accepted during its upload.
+    UploadComplete(u8),
+    /// An attempt has consumed part of the request body that its client is uploading.
+    ConsumeBody(u8, u32),
+    /// A call for the service table fails.
     ListFails,
-    /// A list from the beginning comes.
-    OldList,
-    /// The balancer dies and starts again with its first list.
+    /// The initial service table arrives again, outdated.
+    OutdatedList,
+    /// The balancer crashes and restarts with the initial service table from its cache.
     Crash,
-    /// What is due by now is told.
+    /// Dispatch handles the timers that are due.
     Tick,
-    /// Time passes.
+    /// Time advances to this moment.
     Advance(Micros),
 }
 
-/// App servers stand in two zones by turns.
-fn zone(at: u8) -> u32 {
+/// App servers are in two zones, alternately.
+fn zone_of(at: u8) -> u32 {
     u32::from(at) % 2
 }
 
-fn server(at: u8, state: ServerState) -> Server {
-    let id: Id = NAMES[usize::from(at)].into();
-    Server { id, zone: zone(at), kind: 0, cell: u32::from(at), state, weight: 1.0, started: None }
+fn server_entry(at: u8, state: ServerState) -> Server {
+    let id: Id = SERVER_NAMES[usize::from(at)].into();
+    Server { id, zone: zone_of(at), kind: 0, cell: u32::from(at), state, weight: 1.0, started: None }
 }
 
-/// What stays the same throughout one exploration.
+/// The fixed parameters of one exploration.
 #[derive(Clone, Debug)]
 pub struct Case {
-    /// How large it is.
+    /// Bounds of the state space.
     pub sizes: Sizes,
-    /// How long a time step lasts.
+    /// Length of a time step.
     pub step: Micros,
-    /// What is broken.
+    /// The fault that is injected on purpose.
     pub broken: Broken,
 }
 
 impl Case {
     fn limits(&self) -> Limits {
         let drain_grace = self.step * Micros::from(self.sizes.grace);
-        // No slack: what is due at a time is told before time goes on.
+        // No overrun for answers: timers that are due are always handled before time advances.
         Limits {
             drain_grace,
             answer_overrun: 0,
@@ -204,41 +206,41 @@
         self.sizes.classes[usize::from(client) % self.sizes.classes.len()]
     }
 
-    /// Clients ask until then.
-    fn last_ask(&self) -> Micros {
+    /// The last moment at which clients send transactions.
+    fn last_request_at(&self) -> Micros {
         self.step
     }
 
-    /// Time ends then, when all that can be owed is long over.
-    fn horizon(&self) -> Micros {
+    /// When the exploration stops advancing time: well after every deadline.
+    fn end_time(&self) -> Micros {
         self.step * (Micros::from(self.sizes.deadline) + 3)
     }
 
-    /// How long a client waits from its last byte on.
+    /// How long a client waits for its answer after its last byte.
     fn time_left(&self) -> Micros {
         self.step * Micros::from(self.sizes.deadline)
     }
 
-    fn own(&self, client: u8) -> [u8; 1] {
+    fn client_request_id(&self, client: u8) -> [u8; 1] {
         if self.sizes.same_ids { [client & !1] } else { [client] }
     }
 
-    fn dispatch<C: Player>(&self) -> Dispatched<C> {
+    fn dispatch<C: ModelChooser>(&self) -> CheckedDispatch<C> {
         let settings = self.sizes.settings(self.step);
-        Dispatch::with_guard(C::fresh(&settings), self.broken, &settings, "n", self.limits())
+        Dispatch::with_guard(C::initial(&settings), self.broken, &settings, "n", self.limits())
     }
 
-    /// The world before anything has happened: the balancer has its last list.
-    pub fn start<C: Player>(&self) -> World<C> {
+    /// The initial state: the balancer has loaded its cached service table.
+    pub fn initial_world<C: ModelChooser>(&self) -> World<C> {
         let s = &self.sizes;
         let client = Client {
             ticket: None,
-            ends: None,
-            spent: false,
+            deadline: None,
+            body_consumed: false,
             answers: 0,
-            left: false,
-            lost: false,
-            runs: 0,
+            disconnected: false,
+            connection_reset: false,
+            possible_runs: 0,
             key: None,
             sends: 0,
         };
@@ -246,12 +248,12 @@
             now: 0,
             dispatch: self.dispatch(),
             clients: vec![client; usize::from(s.transactions)],
-            flights: Vec::new(),
+            in_flight: Vec::new(),
             servers: vec![
-                Standing { closed: None, banned: None, open: false, gone: false };
+                ServerStatus { closed_since: None, banned_since: None, open: false, gone: false };
                 usize::from(s.servers)
             ],
-            left: Left {
+            budget: FaultBudget {
                 drains: s.drains,
                 leaves: s.leaves,
                 crashes: s.crashes,
@@ -260,118 +262,119 @@
                 bans: s.bans,
                 late_ends: s.late_ends,
             },
-            failed: false,
-            held: Vec::new(),
-            last: None,
+            list_failed: false,
+            delayed_drains: Vec::new(),
+            last_ended: None,
             breach: None,
         };
-        world.first_list(self, ListKind::Cached);
+        world.deliver_initial_list(self, ListKind::Cached);
         world
     }
 }
 
-impl<C: Player> World<C> {
-    /// The time.
+impl<C: ModelChooser> World<C> {
+    /// The current time.
     pub fn now(&self) -> Micros {
         self.now
     }
 
-    /// All that can happen next.
-    pub fn steps(&self, case: &Case, steps: &mut Vec<Step>) {
+    /// Adds every step that is possible in this state.
+    pub fn possible_steps(&self, case: &Case, steps: &mut Vec<Step>) {
         if self.breach.is_some() {
             return;
         }
         let clients = 0..self.clients.len() as u8;
         if let Some(next) = clients.clone().find(|c| self.client(*c).ticket.is_none())
-            && self.now <= case.last_ask()
+            && self.now <= case.last_request_at()
         {
-            steps.push(Step::Ask(next));
+            steps.push(Step::Request(next));
         }
         for c in clients {
             let client = self.client(c);
-            if client.waits() && self.left.leaves > 0 {
-                steps.push(Step::Leave(c));
+            if client.is_waiting() && self.budget.leaves > 0 {
+                steps.push(Step::Disconnect(c));
             }
-            if client.waits() && client.ends.is_none() {
-                steps.push(Step::Uploaded(c));
+            if client.is_waiting() && client.deadline.is_none() {
+                steps.push(Step::UploadComplete(c));
             }
-            if !C::CHOOSES || client.ticket.is_none() || client.lost {
+            if !C::IS_EXPLORED || client.ticket.is_none() || client.connection_reset {
                 continue;
             }
             if u32::from(client.sends) <= case.sizes.attempts {
                 steps.extend((0..self.servers.len() as u8).map(|s| Step::Send(c, s)));
             }
-            steps.extend([Step::Refuse(c), Step::Fail(c)]);
+            steps.extend([Step::Reject(c), Step::Fail(c)]);
         }
         let mut overdue = false;
-        for f in &self.flights {
+        for f in &self.in_flight {
             let (c, a) = (f.client, f.attempt);
-            if C::CHOOSES && !f.withdrawn {
+            if C::IS_EXPLORED && !f.withdrawn {
                 steps.push(Step::Cancel(c, a));
             }
             if f.withdrawn {
                 steps.push(Step::End(c, a, Cause::Withdrawn));
             }
             match f.extent {
-                Extent::Nothing if f.up => steps.push(Step::FirstByte(c, a)),
-                Extent::Nothing => steps.extend([Step::NoConnection(c, a), Step::Dial(c, a)]),
+                Extent::Nothing if f.connected => steps.push(Step::FirstByte(c, a)),
+                Extent::Nothing => steps.extend([Step::ConnectFailed(c, a), Step::Connected(c, a)]),
                 Extent::Part => {
                     steps.push(Step::End(c, a, Cause::Broke));
                     let client = self.client(c);
-                    // What flows is whole once the client has sent it and this attempt has passed it on.
-                    if !case.sizes.flows || client.spent && client.ends.is_some() {
+                    // A streamed request is complete once the client has uploaded it and this attempt has
+                    // forwarded it.
+                    if !case.sizes.flows || client.body_consumed && client.deadline.is_some() {
                         steps.push(Step::LastByte(c, a));
                     }
-                    if case.sizes.flows && !client.spent {
-                        steps.push(Step::Spend(c, a));
+                    if case.sizes.flows && !client.body_consumed {
+                        steps.push(Step::ConsumeBody(c, a));
                     }
                 }
                 Extent::Whole => {
                     let ends = [Cause::Served, Cause::Failed, Cause::Unprocessed, Cause::Broke];
                     steps.extend(ends.map(|cause| Step::End(c, a, cause)));
-                    if f.told < f.extent {
-                        steps.push(Step::Record(c, a));
+                    if f.reported_extent < f.extent {
+                        steps.push(Step::ReportWritten(c, a));
                     }
                 }
             }
-            if f.until <= self.now {
+            if f.deadline <= self.now {
                 overdue = true;
                 steps.push(Step::End(c, a, Cause::OutOfTime));
             }
         }
-        if self.left.late_ends > 0
-            && let Some((ticket, _)) = self.last
+        if self.budget.late_ends > 0
+            && let Some((ticket, _)) = self.last_ended
             && let Some(c) = self.clients.iter().position(|client| client.ticket == Some(ticket))
         {
-            steps.push(Step::EndAgain(c as u8));
+            steps.push(Step::DuplicateEnd(c as u8));
         }
-        for (s, standing) in (0u8..).zip(&self.servers) {
-            if self.left.drains > 0 && standing.closed.is_none() {
+        for (s, status) in (0u8..).zip(&self.servers) {
+            if self.budget.drains > 0 && status.closed_since.is_none() {
                 steps.push(Step::Drain(s));
             }
-            match standing.banned {
-                None if self.left.bans > 0 => steps.push(Step::Ban(s)),
-                Some(_) => steps.push(Step::CallBack(s)),
+            match status.banned_since {
+                None if self.budget.bans > 0 => steps.push(Step::Ban(s)),
+                Some(_) => steps.push(Step::Unban(s)),
                 None => {}
             }
-            if self.left.replacements > 0 && !standing.gone && self.servers.len() < NAMES.len() {
+            if self.budget.replacements > 0 && !status.gone && self.servers.len() < SERVER_NAMES.len() {
                 steps.push(Step::Replace(s));
             }
         }
-        if self.failed {
-            steps.push(Step::OldList);
-        } else if self.left.old_lists > 0 {
+        if self.list_failed {
+            steps.push(Step::OutdatedList);
+        } else if self.budget.old_lists > 0 {
             steps.push(Step::ListFails);
         }
-        if self.left.crashes > 0 && self.clients.iter().any(|client| client.ticket.is_some()) {
+        if self.budget.crashes > 0 && self.clients.iter().any(|client| client.ticket.is_some()) {
             steps.push(Step::Crash);
         }
         let due = self.dispatch.next_tick_at();
         if due.is_some_and(|at| at <= self.now) {
             steps.push(Step::Tick);
-        } else if !overdue && self.now < case.horizon() {
-            let flights = self.flights.iter().map(|f| f.until);
-            let next = due.into_iter().chain(flights).chain([self.now + case.step]).min();
+        } else if !overdue && self.now < case.end_time() {
+            let in_flight = self.in_flight.iter().map(|f| f.deadline);
+            let next = due.into_iter().chain(in_flight).chain([self.now + case.step]).min();
             steps.extend(next.map(Step::Advance));
         }
     }
@@ -380,49 +383,52 @@
         &self.clients[usize::from(client)]
     }
 
-    fn breaks(&mut self, property: Property) {
+    fn record_breach(&mut self, property: Property) {
         self.breach = self.breach.or(Some(property));
     }
 
-    /// Takes the flight of this attempt out; none if the world has no such attempt.
-    fn flight(&mut self, client: u8, attempt: u32) -> Option<&mut Flight> {
+    /// The attempt in flight with this number; `None` if there is none.
+    fn attempt_mut(&mut self, client: u8, attempt: u32) -> Option<&mut InFlightAttempt> {
         let ticket = self.client(client).ticket?;
-        self.flights.iter_mut().find(|f| f.ticket == ticket && f.attempt == attempt)
+        self.in_flight.iter_mut().find(|f| f.ticket == ticket && f.attempt == attempt)
     }
 
-    /// The world after this step; none if it can not be taken.
-    pub fn after(&self, case: &Case, step: Step) -> Option<World<C>> {
+    /// The state after this step; `None` if the step is not possible.
+    pub fn next_world(&self, case: &Case, step: Step) -> Option<World<C>> {
         let mut next = self.clone();
-        next.take(case, step)?;
-        // Whatever happened: what is answered and has no attempt out is not kept.
-        let kept = next
+        next.apply(case, step)?;
+        // In every state: dispatch keeps no transaction that is answered and has no attempt in flight.
+        let keeps_finished = next
             .dispatch
             .views()
-            .any(|view| !view.answer_pending && !next.flights.iter().any(|f| f.ticket == view.ticket));
-        if kept {
-            next.breaks(Property::NothingKept);
+            .any(|view| !view.answer_pending && !next.in_flight.iter().any(|f| f.ticket == view.ticket));
+        if keeps_finished {
+            next.record_breach(Property::NothingKept);
         }
-        let mut own: Vec<&[u8]> = next.dispatch.views().map(|view| view.client_request_id).collect();
-        own.sort_unstable();
-        if own.windows(2).any(|two| two[0] == two[1]) {
-            next.breaks(Property::OwnAnswer);
+        let mut request_ids: Vec<&[u8]> = next.dispatch.views().map(|view| view.client_request_id).collect();
+        request_ids.sort_unstable();
+        if request_ids.windows(2).any(|pair| pair[0] == pair[1]) {
+            next.record_breach(Property::OwnAnswer);
         }
         Some(next)
     }
 
-    fn take(&mut self, case: &Case, step: Step) -> Option<()> {
+    fn apply(&mut self, case: &Case, step: Step) -> Option<()> {
         match step {
-            Step::Ask(c) => {
-                // Tickets count anew in each life of the balancer.
-                let ticket =
-                    self.clients.iter().filter(|client| client.ticket.is_some() && !client.lost).count();
+            Step::Request(c) => {
+                // Ticket numbers start again at 0 after each restart of the balancer.
+                let ticket = self
+                    .clients
+                    .iter()
+                    .filter(|client| client.ticket.is_some() && !client.connection_reset)
+                    .count();
                 let (ticket, time_left) = (ticket as Ticket, case.time_left());
                 let upload_complete = !case.sizes.flows;
                 let client = &mut self.clients[usize::from(c)];
-                (client.ticket, client.ends) =
+                (client.ticket, client.deadline) =
                     (Some(ticket), upload_complete.then_some(self.now + time_left));
                 let transaction = Transaction {
-                    client_request_id: case.own(c)[..].into(),
+                    client_request_id: case.client_request_id(c)[..].into(),
                     class: usize::from(c) % case.sizes.classes.len(),
                     tenant: None,
                     key: None,
@@ -433,293 +439,322 @@
                     upload_complete,
                     message: c,
                 };
-                self.tell(case, Input::Accepted { ticket, transaction });
+                self.handle_input(case, Input::Accepted { ticket, transaction });
             }
-            Step::Leave(c) => {
-                self.left.leaves -= 1;
+            Step::Disconnect(c) => {
+                self.budget.leaves -= 1;
                 let ticket = self.client(c).ticket?;
-                self.clients[usize::from(c)].left = true;
-                self.tell(case, Input::ClientDisconnected { ticket });
+                self.clients[usize::from(c)].disconnected = true;
+                self.handle_input(case, Input::ClientDisconnected { ticket });
             }
             Step::Send(c, s) => {
                 self.clients[usize::from(c)].sends += 1;
-                let (request, until) = (self.request(c)?, self.now + case.step);
-                self.choose(
+                let (request, deadline) = (self.chooser_request_id(c)?, self.now + case.step);
+                self.run_chooser(
                     case,
-                    Action::Send { request, server: NAMES[usize::from(s)].into(), deadline: until },
+                    Action::Send { request, server: SERVER_NAMES[usize::from(s)].into(), deadline },
                 );
             }
-            Step::Refuse(c) => {
-                let request = self.request(c)?;
-                self.choose(case, Action::Reject { request, retry_after: 1 });
+            Step::Reject(c) => {
+                let request = self.chooser_request_id(c)?;
+                self.run_chooser(case, Action::Reject { request, retry_after: 1 });
             }
             Step::Fail(c) => {
-                let request = self.request(c)?;
-                self.choose(case, Action::Fail { request });
+                let request = self.chooser_request_id(c)?;
+                self.run_chooser(case, Action::Fail { request });
             }
             Step::Cancel(c, attempt) => {
-                let request = self.request(c)?;
-                self.choose(case, Action::Cancel { request, attempt });
+                let request = self.chooser_request_id(c)?;
+                self.run_chooser(case, Action::Cancel { request, attempt });
             }
-            Step::NoConnection(c, a) => self.end(case, c, a, Cause::NoConnection)?,
-            Step::Dial(c, a) => self.flight(c, a)?.up = true,
+            Step::ConnectFailed(c, a) => self.end_attempt(case, c, a, Cause::NoConnection)?,
+            Step::Connected(c, a) => self.attempt_mut(c, a)?.connected = true,
             Step::FirstByte(c, a) => {
                 let (now, grace) = (self.now, case.limits().drain_grace);
-                let (server, withdrawn) = (self.flight(c, a)?.server, self.flight(c, a)?.withdrawn);
+                let (server, withdrawn) = (self.attempt_mut(c, a)?.server, self.attempt_mut(c, a)?.withdrawn);
                 if withdrawn {
-                    return self.end(case, c, a, Cause::Withdrawn);
+                    return self.end_attempt(case, c, a, Cause::Withdrawn);
                 }
-                if self.client(c).left {
-                    self.breaks(Property::NothingForTheGone);
+                if self.client(c).disconnected {
+                    self.record_breach(Property::NothingForTheGone);
                 }
-                let standing = &self.servers[usize::from(server)];
-                if !standing.open && case.broken != Broken::FirstByteUnseen {
-                    return self.end(case, c, a, Cause::Closed);
+                let status = &self.servers[usize::from(server)];
+                if !status.open && case.broken != Broken::FirstByteUnseen {
+                    return self.end_attempt(case, c, a, Cause::Closed);
                 }
-                if standing.shut().is_some_and(|at| now > at + grace) {
-                    self.breaks(Property::NothingNewToClosed);
+                if status.unavailable_since().is_some_and(|at| now > at + grace) {
+                    self.record_breach(Property::NothingNewToClosed);
                 }
-                self.flight(c, a)?.extent = Extent::Part;
+                self.attempt_mut(c, a)?.extent = Extent::Part;
             }
             Step::LastByte(c, a) => {
-                self.flight(c, a)?.extent = Extent::Whole;
-                self.clients[usize::from(c)].runs += 1;
-                if case.kind(c).runs_once() && self.client(c).runs > 1 {
-                    self.breaks(Property::NoRepeat);
+                self.attempt_mut(c, a)?.extent = Extent::Whole;
+                self.clients[usize::from(c)].possible_runs += 1;
+                if case.kind(c).runs_once() && self.client(c).possible_runs > 1 {
+                    self.record_breach(Property::NoRepeat);
                 }
             }
-            Step::Record(c, a) => {
-                let flight = self.flight(c, a)?;
-                flight.told = flight.extent;
-                let (ticket, attempt, extent) = (flight.ticket, flight.attempt, flight.extent);
-                self.tell(case, Input::Written { ticket, attempt, extent });
+            Step::ReportWritten(c, a) => {
+                let sent = self.attempt_mut(c, a)?;
+                sent.reported_extent = sent.extent;
+                let (ticket, attempt, extent) = (sent.ticket, sent.attempt, sent.extent);
+                self.handle_input(case, Input::Written { ticket, attempt, extent });
             }
-            Step::End(c, a, cause) => self.end(case, c, a, cause)?,
-            Step::EndAgain(_) => {
-                self.left.late_ends -= 1;
-                let (ticket, attempt) = self.last?;
+            Step::End(c, a, cause) => self.end_attempt(case, c, a, cause)?,
+            Step::DuplicateEnd(_) => {
+                self.budget.late_ends -= 1;
+                let (ticket, attempt) = self.last_ended?;
                 let (extent, cause, reply) = (Extent::Whole, Cause::Served, Some(u8::MAX));
-                self.tell(case, Input::AttemptEnded { ticket, attempt, extent, cause, reply, report: None });
+                self.handle_input(
+                    case,
+                    Input::AttemptEnded { ticket, attempt, extent, cause, reply, report: None },
+                );
             }
             Step::Drain(s) => {
-                self.left.drains -= 1;
-                self.servers[usize::from(s)].closed = Some(self.now);
+                self.budget.drains -= 1;
+                self.servers[usize::from(s)].closed_since = Some(self.now);
                 if case.broken == Broken::DrainAtNextList {
-                    self.held.push(s);
+                    self.delayed_drains.push(s);
                 } else {
-                    self.list(case, ListKind::Delta, vec![server(s, ServerState::Draining)]);
+                    self.deliver_list(case, ListKind::Delta, vec![server_entry(s, ServerState::Draining)]);
                 }
             }
             Step::Replace(s) => {
-                self.left.replacements -= 1;
+                self.budget.replacements -= 1;
                 let new = self.servers.len() as u8;
                 let old = &mut self.servers[usize::from(s)];
-                (old.closed, old.gone) = (old.closed.or(Some(self.now)), true);
-                self.servers.push(Standing { closed: None, banned: None, open: false, gone: false });
-                let entries = vec![server(s, ServerState::Gone), server(new, ServerState::Ready)];
-                self.list(case, ListKind::Delta, entries);
+                (old.closed_since, old.gone) = (old.closed_since.or(Some(self.now)), true);
+                self.servers.push(ServerStatus {
+                    closed_since: None,
+                    banned_since: None,
+                    open: false,
+                    gone: false,
+                });
+                let entries = vec![server_entry(s, ServerState::Gone), server_entry(new, ServerState::Ready)];
+                self.deliver_list(case, ListKind::Delta, entries);
             }
             Step::Ban(s) => {
-                self.left.bans -= 1;
-                self.servers[usize::from(s)].banned = Some(self.now);
+                self.budget.bans -= 1;
+                self.servers[usize::from(s)].banned_since = Some(self.now);
                 self.ban(case, s, Some(self.now));
             }
-            Step::CallBack(s) => {
-                self.servers[usize::from(s)].banned = None;
+            Step::Unban(s) => {
+                self.servers[usize::from(s)].banned_since = None;
                 self.ban(case, s, None);
             }
-            Step::Uploaded(c) => {
+            Step::UploadComplete(c) => {
                 let ticket = self.client(c).ticket?;
-                self.clients[usize::from(c)].ends = Some(self.now + case.time_left());
-                self.tell(case, Input::Uploaded { ticket });
+                self.clients[usize::from(c)].deadline = Some(self.now + case.time_left());
+                self.handle_input(case, Input::Uploaded { ticket });
             }
-            Step::Spend(c, attempt) => {
+            Step::ConsumeBody(c, attempt) => {
                 let ticket = self.client(c).ticket?;
-                self.clients[usize::from(c)].spent = true;
-                self.tell(case, Input::BodyConsumed { ticket, attempt });
+                self.clients[usize::from(c)].body_consumed = true;
+                self.handle_input(case, Input::BodyConsumed { ticket, attempt });
             }
             Step::ListFails => {
-                self.left.old_lists -= 1;
-                self.failed = true;
-                self.list(case, ListKind::Failed, Vec::new());
+                self.budget.old_lists -= 1;
+                self.list_failed = true;
+                self.deliver_list(case, ListKind::Failed, Vec::new());
             }
-            Step::OldList => {
-                self.failed = false;
-                self.first_list(case, ListKind::Full);
+            Step::OutdatedList => {
+                self.list_failed = false;
+                self.deliver_initial_list(case, ListKind::Full);
             }
             Step::Crash => {
-                self.left.crashes -= 1;
+                self.budget.crashes -= 1;
                 self.dispatch = case.dispatch();
-                // What was written whole may run all the same; nobody here hears of it.
-                self.flights.clear();
-                self.last = None;
-                self.held.clear();
+                // A completely written request may still run, but the restarted balancer gets no report of it.
+                self.in_flight.clear();
+                self.last_ended = None;
+                self.delayed_drains.clear();
                 for client in &mut self.clients {
-                    client.lost |= client.ticket.is_some();
+                    client.connection_reset |= client.ticket.is_some();
                 }
-                // Bans are written down: the next process reads them before its first list.
+                // Bans are persisted: the restarted process loads them before its first service table.
                 for s in (0..self.servers.len() as u8).filter(|_| case.broken != Broken::BanDiesToo) {
-                    if let Some(since) = self.servers[usize::from(s)].banned {
+                    if let Some(since) = self.servers[usize::from(s)].banned_since {
                         self.ban(case, s, Some(since));
                     }
                 }
-                self.first_list(case, ListKind::Cached);
+                self.deliver_initial_list(case, ListKind::Cached);
             }
-            Step::Tick => self.tell(case, Input::Tick),
+            Step::Tick => self.handle_input(case, Input::Tick),
             Step::Advance(to) => {
                 self.now = to;
-                if self
-                    .clients
-                    .iter()
-                    .any(|client| client.waits() && client.ends.is_some_and(|ends| to > ends))
-                {
-                    self.breaks(Property::AnsweredInTime);
+                if self.clients.iter().any(|client| {
+                    client.is_waiting() && client.deadline.is_some_and(|deadline| to > deadline)
+                }) {
+                    self.record_breach(Property::AnsweredInTime);
                 }
             }
         }
         Some(())
     }
 
-    /// The id under which the chooser knows a client's transaction.
-    fn request(&self, client: u8) -> Option<Id> {
+    /// The id that dispatch gives the chooser for a client's transaction.
+    fn chooser_request_id(&self, client: u8) -> Option<Id> {
         self.client(client).ticket.map(|ticket| format!("n-{ticket}").into())
     }
 
-    /// The chooser asks for something of its own accord: at a list call that failed, which changes nothing.
-    fn choose(&mut self, case: &Case, action: Action) {
+    /// Makes the chooser request an action. The event that triggers the chooser is a failed service table call, which
+    /// changes nothing else.
+    fn run_chooser(&mut self, case: &Case, action: Action) {
         self.dispatch.chooser_mut().plan(action);
-        self.tell(case, Input::ServerList { kind: ListKind::Failed, servers: Vec::new() });
+        self.handle_input(case, Input::ServerList { kind: ListKind::Failed, servers: Vec::new() });
     }
 
-    /// The list as it was at the very beginning. What it names is told to be ready.
-    fn first_list(&mut self, case: &Case, kind: ListKind) {
+    /// Delivers the initial service table, which reports all of its app servers ready.
+    fn deliver_initial_list(&mut self, case: &Case, kind: ListKind) {
         let first = case.sizes.servers;
-        for (s, standing) in (0u8..).zip(&mut self.servers) {
+        for (s, status) in (0u8..).zip(&mut self.servers) {
             if s < first {
-                (standing.closed, standing.gone) = (None, false);
-            } else if !standing.gone {
-                (standing.closed, standing.gone) = (standing.closed.or(Some(self.now)), true);
+                (status.closed_since, status.gone) = (None, false);
+            } else if !status.gone {
+                (status.closed_since, status.gone) = (status.closed_since.or(Some(self.now)), true);
             }
         }
-        self.list(case, kind, (0..first).map(|s| server(s, ServerState::Ready)).collect());
+        self.deliver_list(case, kind, (0..first).map(|s| server_entry(s, ServerState::Ready)).collect());
     }
 
     fn ban(&mut self, case: &Case, at: u8, since: Option<Micros>) {
-        self.tell(case, Input::Ban { server: NAMES[usize::from(at)].into(), since });
+        self.handle_input(case, Input::Ban { server: SERVER_NAMES[usize::from(at)].into(), since });
     }
 
-    fn list(&mut self, case: &Case, kind: ListKind, mut servers: Vec<Server>) {
+    fn deliver_list(&mut self, case: &Case, kind: ListKind, mut servers: Vec<Server>) {
         for s in (0..self.servers.len() as u8).filter(|_| case.broken == Broken::ListEndsBan) {
             if servers
                 .iter()
-                .any(|e| e.id == server(s, ServerState::Ready).id && e.state == ServerState::Ready)
+                .any(|e| e.id == server_entry(s, ServerState::Ready).id && e.state == ServerState::Ready)
             {
                 self.ban(case, s, None);
             }
         }
         if kind == ListKind::Delta {
-            servers.extend(self.held.drain(..).map(|s| server(s, ServerState::Draining)));
+            servers.extend(self.delayed_drains.drain(..).map(|s| server_entry(s, ServerState::Draining)));
         } else if kind == ListKind::Full {
-            self.held.clear();
+            self.delayed_drains.clear();
         }
-        self.tell(case, Input::ServerList { kind, servers });
+        self.handle_input(case, Input::ServerList { kind, servers });
     }
 
-    fn end(&mut self, case: &Case, client: u8, attempt: u32, cause: Cause) -> Option<()> {
+    fn end_attempt(&mut self, case: &Case, client: u8, attempt: u32, cause: Cause) -> Option<()> {
         let ticket = self.client(client).ticket?;
-        let at = self.flights.iter().position(|f| f.ticket == ticket && f.attempt == attempt)?;
-        let Flight { extent, server, sent, .. } = self.flights.remove(at);
+        let at = self.in_flight.iter().position(|f| f.ticket == ticket && f.attempt == attempt)?;
+        let InFlightAttempt { extent, server, started_at, .. } = self.in_flight.remove(at);
         if case.kind(client) == Kind::Keyed && extent == Extent::Whole && cause != Cause::Unprocessed {
-            // The earliest counts: from then on its zone forgets.
+            // The earliest attempt that may have run counts: the zone's deduplication window starts with it.
             let key = &mut self.clients[usize::from(client)].key;
-            *key = key.filter(|(_, since)| *since <= sent).or(Some((zone(server), sent)));
+            *key = key.filter(|(_, since)| *since <= started_at).or(Some((zone_of(server), started_at)));
         }
         if cause == Cause::Unprocessed {
-            self.clients[usize::from(client)].runs -= 1;
+            self.clients[usize::from(client)].possible_runs -= 1;
         }
-        self.last = (self.left.late_ends > 0).then_some((ticket, attempt));
+        self.last_ended = (self.budget.late_ends > 0).then_some((ticket, attempt));
         let reply = matches!(cause, Cause::Served | Cause::Failed).then_some(client);
-        self.tell(case, Input::AttemptEnded { ticket, attempt, extent, cause, reply, report: None });
+        self.handle_input(case, Input::AttemptEnded { ticket, attempt, extent, cause, reply, report: None });
         Some(())
     }
 
-    fn tell(&mut self, case: &Case, input: Input<u8, u8>) {
+    fn handle_input(&mut self, case: &Case, input: Input<u8, u8>) {
         let mut out = Vec::new();
         self.dispatch.handle(self.now, input, &mut out);
         for output in out {
-            self.carry_out(case, output);
+            self.handle_output(case, output);
         }
     }
 
-    fn carry_out(&mut self, case: &Case, output: Output<u8, u8>) {
+    fn handle_output(&mut self, case: &Case, output: Output<u8, u8>) {
         match output {
-            Output::Start { ticket, attempt, server, message: client, until } => {
-                let at = NAMES.iter().position(|name| *name == &*server).unwrap_or(NAMES.len()) as u8;
-                let Some(standing) = self.servers.get(usize::from(at)) else {
-                    return self.breaks(Property::NothingNewToClosed);
+            Output::Start { ticket, attempt, server, message: client, until: deadline } => {
+                let at = SERVER_NAMES.iter().position(|name| *name == &*server).unwrap_or(SERVER_NAMES.len())
+                    as u8;
+                let Some(status) = self.servers.get(usize::from(at)) else {
+                    return self.record_breach(Property::NothingNewToClosed);
                 };
-                if standing.shut().is_some_and(|since| self.now > since + case.limits().drain_grace) {
-                    self.breaks(Property::NothingNewToClosed);
+                if status
+                    .unavailable_since()
+                    .is_some_and(|since| self.now > since + case.limits().drain_grace)
+                {
+                    self.record_breach(Property::NothingNewToClosed);
                 }
-                if self.client(client).spent {
-                    self.breaks(Property::UsedOnce);
+                if self.client(client).body_consumed {
+                    self.record_breach(Property::UsedOnce);
                 }
-                let twice = self.flights.iter().any(|f| f.ticket == ticket);
-                if twice && (case.kind(client).runs_once() || !case.sizes.second_copies) {
-                    self.breaks(Property::NoSecondCopy);
+                let concurrent = self.in_flight.iter().any(|f| f.ticket == ticket);
+                if concurrent && (case.kind(client).runs_once() || !case.sizes.second_copies) {
+                    self.record_breach(Property::NoSecondCopy);
                 }
                 if attempt >= case.sizes.attempts {
-                    self.breaks(Property::AttemptLimit);
+                    self.record_breach(Property::AttemptLimit);
                 }
                 let keyed = case.kind(client) == Kind::Keyed;
-                let sent = if keyed { self.now } else { 0 };
-                let known =
-                    self.flights.iter().filter(|f| f.ticket == ticket).map(|f| (zone(f.server), f.sent));
+                let started_at = if keyed { self.now } else { 0 };
+                let earlier = self
+                    .in_flight
+                    .iter()
+                    .filter(|f| f.ticket == ticket)
+                    .map(|f| (zone_of(f.server), f.started_at));
                 let window = Kind::window(case.step);
-                let lost = |(zone_of, since): (u32, Micros)| zone_of != zone(at) || self.now > since + window;
-                if keyed && known.chain(self.client(client).key).any(lost) {
-                    self.breaks(Property::KeptKey);
+                let key_forgotten =
+                    |(zone, since): (u32, Micros)| zone != zone_of(at) || self.now > since + window;
+                if keyed && earlier.chain(self.client(client).key).any(key_forgotten) {
+                    self.record_breach(Property::KeptKey);
                 }
-                let (up, extent, told, withdrawn) = (false, Extent::Nothing, Extent::Nothing, false);
-                let flight =
-                    Flight { ticket, attempt, client, server: at, sent, until, up, extent, told, withdrawn };
-                let place = self.flights.partition_point(|other| *other < flight);
-                self.flights.insert(place, flight);
+                let (connected, extent, reported_extent, withdrawn) =
+                    (false, Extent::Nothing, Extent::Nothing, false);
+                let new = InFlightAttempt {
+                    ticket,
+                    attempt,
+                    client,
+                    server: at,
+                    started_at,
+                    deadline,
+                    connected,
+                    extent,
+                    reported_extent,
+                    withdrawn,
+                };
+                let place = self.in_flight.partition_point(|other| *other < new);
+                self.in_flight.insert(place, new);
             }
             Output::Withdraw { ticket, attempt } => {
-                let flights = self.flights.iter_mut();
-                flights
+                let in_flight = self.in_flight.iter_mut();
+                in_flight
                     .filter(|f| f.ticket == ticket && f.attempt == attempt)
                     .for_each(|f| f.withdrawn = true);
             }
             Output::CancelUnstarted { ticket, attempt } => {
-                let flights = self.flights.iter_mut();
-                flights
+                let in_flight = self.in_flight.iter_mut();
+                in_flight
                     .filter(|f| f.ticket == ticket && f.attempt == attempt && f.extent == Extent::Nothing)
                     .for_each(|f| f.withdrawn = true);
             }
             Output::Answer { ticket, answer } => {
-                let Some(c) = self.clients.iter().position(|c| c.ticket == Some(ticket) && !c.lost) else {
-                    return self.breaks(Property::OneAnswer);
+                let Some(c) =
+                    self.clients.iter().position(|c| c.ticket == Some(ticket) && !c.connection_reset)
+                else {
+                    return self.record_breach(Property::OneAnswer);
                 };
                 let client = &mut self.clients[c];
-                let (once, ran) = (!client.left && client.answers == 0, client.runs > 0);
+                let (first, may_have_run) =
+                    (!client.disconnected && client.answers == 0, client.possible_runs > 0);
                 client.answers += 1;
                 let refused = matches!(answer, FinalAnswer::Refused { .. });
-                if !once {
-                    self.breaks(Property::OneAnswer);
-                } else if refused && ran && case.kind(c as u8) != Kind::Safe {
-                    self.breaks(Property::HonestRefusal);
-                } else if matches!(answer, FinalAnswer::Served(of) if usize::from(of) != c) {
-                    self.breaks(Property::OwnAnswer);
+                if !first {
+                    self.record_breach(Property::OneAnswer);
+                } else if refused && may_have_run && case.kind(c as u8) != Kind::Safe {
+                    self.record_breach(Property::HonestRefusal);
+                } else if matches!(answer, FinalAnswer::Served(reply_to) if usize::from(reply_to) != c) {
+                    self.record_breach(Property::OwnAnswer);
                 }
             }
             Output::Availability { server, open } => {
-                if let Some(at) = NAMES.iter().position(|name| *name == &*server) {
+                if let Some(at) = SERVER_NAMES.iter().position(|name| *name == &*server) {
                     self.servers[at].open = open;
                 }
             }
-            Output::Defect { .. } if !C::CHOOSES => self.breaks(Property::NoDefect),
+            Output::Defect { .. } if !C::IS_EXPLORED => self.record_breach(Property::NoDefect),
             _ => {}
         }
     }
@@ -727,55 +762,59 @@
 
 impl fmt::Display for Step {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let name = |s: &u8| NAMES[usize::from(*s)];
+        let name = |s: &u8| SERVER_NAMES[usize::from(*s)];
         match self {
-            Step::Ask(c) => write!(f, "terminal {c} hands on its transaction"),
-            Step::Leave(c) => write!(f, "the client of transaction {c} leaves"),
+            Step::Request(c) => write!(f, "client {c} sends its transaction"),
+            Step::Disconnect(c) => write!(f, "the client of transaction {c} disconnects"),
             Step::Send(c, s) => write!(f, "the chooser sends transaction {c} to app server {}", name(s)),
-            Step::Refuse(c) => write!(f, "the chooser asks for a short-on-capacity reply to transaction {c}"),
-            Step::Fail(c) => write!(f, "the chooser gives transaction {c} up"),
-            Step::Cancel(c, a) => write!(f, "the chooser withdraws routed task {a} of transaction {c}"),
-            Step::NoConnection(c, a) => write!(f, "routed task {a} of transaction {c} gets no connection"),
-            Step::Dial(c, a) => write!(f, "routed task {a} of transaction {c} has its connection"),
-            Step::FirstByte(c, a) => write!(f, "routed task {a} of transaction {c} comes to its first byte"),
-            Step::LastByte(c, a) => write!(f, "routed task {a} of transaction {c} writes its last byte"),
-            Step::Record(c, a) => {
-                write!(f, "routed task {a} of transaction {c} is recorded as written whole")
+            Step::Reject(c) => write!(f, "the chooser rejects transaction {c} for lack of capacity"),
+            Step::Fail(c) => write!(f, "the chooser fails transaction {c}"),
+            Step::Cancel(c, a) => write!(f, "the chooser cancels attempt {a} of transaction {c}"),
+            Step::ConnectFailed(c, a) => write!(f, "attempt {a} of transaction {c} cannot connect"),
+            Step::Connected(c, a) => write!(f, "attempt {a} of transaction {c} is connected"),
+            Step::FirstByte(c, a) => {
+                write!(f, "attempt {a} of transaction {c} is about to write its first byte")
+            }
+            Step::LastByte(c, a) => write!(f, "attempt {a} of transaction {c} writes its last byte"),
+            Step::ReportWritten(c, a) => {
+                write!(f, "attempt {a} of transaction {c} is reported as written completely")
             }
             Step::End(c, a, cause) => {
-                write!(f, "routed task {a} of transaction {c} ends: ")?;
+                write!(f, "attempt {a} of transaction {c} ends: ")?;
                 f.write_str(match cause {
                     Cause::Served => "served",
                     Cause::Denied => "denied",
                     Cause::Failed => "an error",
-                    Cause::Unprocessed => "turned away, it did not run",
-                    Cause::Spoilt => "a spoilt answer",
+                    Cause::Unprocessed => "not processed by the app server",
+                    Cause::Spoilt => "a malformed answer",
                     Cause::NoConnection => "no connection",
-                    Cause::Closed => "its app server is closed to new ones",
+                    Cause::Closed => "its app server is closed to new attempts",
                     Cause::NotTried => "not tried",
                     Cause::Broke => "the connection broke",
                     Cause::OutOfTime => "out of time",
                     Cause::Withdrawn => "withdrawn",
                 })
             }
-            Step::EndAgain(c) => write!(f, "an end of transaction {c} is told a second time"),
-            Step::Drain(s) => write!(f, "the service table says that app server {} drains", name(s)),
+            Step::DuplicateEnd(c) => {
+                write!(f, "the end of an attempt of transaction {c} is reported a second time")
+            }
+            Step::Drain(s) => write!(f, "the service table reports app server {} draining", name(s)),
             Step::Replace(s) => {
                 write!(
                     f,
-                    "the service table says that app server {} is gone, a new one at its address",
+                    "the service table reports app server {} gone and a new one at its address",
                     name(s)
                 )
             }
-            Step::Ban(s) => write!(f, "the operators take app server {} out", name(s)),
-            Step::CallBack(s) => write!(f, "the operators call app server {} back", name(s)),
-            Step::Uploaded(c) => write!(f, "the last byte of transaction {c} has come"),
-            Step::Spend(c, a) => write!(f, "routed task {a} uses up some of transaction {c}"),
+            Step::Ban(s) => write!(f, "the operators ban app server {}", name(s)),
+            Step::Unban(s) => write!(f, "the operators end the ban of app server {}", name(s)),
+            Step::UploadComplete(c) => write!(f, "the upload of transaction {c} is complete"),
+            Step::ConsumeBody(c, a) => write!(f, "attempt {a} consumes part of the body of transaction {c}"),
             Step::ListFails => f.write_str("a call for the service table fails"),
-            Step::OldList => f.write_str("an old service table comes"),
-            Step::Crash => f.write_str("the balancer dies and starts again with its first service table"),
-            Step::Tick => f.write_str("what is due by now is told"),
-            Step::Advance(to) => write!(f, "time passes to {to}"),
+            Step::OutdatedList => f.write_str("an outdated service table arrives"),
+            Step::Crash => f.write_str("the balancer crashes and restarts with its initial service table"),
+            Step::Tick => f.write_str("dispatch handles the timers that are due"),
+            Step::Advance(to) => write!(f, "time advances to {to}"),
         }
     }
 }
--- a/check/tests/caught.rs
+++ b/check/tests/caught.rs
@@ -1,7 +1,7 @@
 //! The check itself: it must catch what is broken, and must not cry where nothing is.
 
 use gradepaddle_check::broken::Broken;
-use gradepaddle_check::explore::{Chooses, Exploration};
+use gradepaddle_check::explore::{ChooserKind, Exploration};
 use gradepaddle_check::report;
 use gradepaddle_check::sizes::{Kind, Sizes};
 
@@ -13,7 +13,7 @@
     for broken in Broken::all() {
         let found = report::broken(broken).run();
         let property = found.breaches.first().map(|breach| breach.property);
-        assert_eq!(property, broken.breaks(), "{}", broken.name());
+        assert_eq!(property, broken.expected_breach(), "{}", broken.name());
         count += 1;
     }
     assert!(count >= 8);
@@ -33,7 +33,7 @@
             ..Sizes::default()
         };
         let (name, broken) = ("small".to_owned(), Broken::Nothing);
-        let exploration = Exploration { name, sizes, chooses: Chooses::Anything, depth: None, broken };
+        let exploration = Exploration { name, sizes, chooser: ChooserKind::Adversary, depth: None, broken };
         let found = exploration.run();
         assert!(found.breaches.is_empty(), "{}", report::trace(&found.breaches[0]));
         assert!(!found.cut && found.states > 1_000, "{} states", found.states);
@@ -46,7 +46,7 @@
     let run = || {
         let sizes = Sizes { crashes: 1, ..Sizes::default() };
         let (name, broken) = ("decisions".to_owned(), Broken::Nothing);
-        Exploration { name, sizes, chooses: Chooses::Decisions, depth: Some(6), broken }.run()
+        Exploration { name, sizes, chooser: ChooserKind::Production, depth: Some(6), broken }.run()
     };
     let (one, two) = (run(), run());
     assert!(one.breaches.is_empty(), "{}", report::trace(&one.breaches[0]));
