--- a/standins/src/books.rs
+++ b/standins/src/books.rs
@@ -1,38 +1,39 @@
-//! Who saw what, and whether a rule was broken. No I/O and no clock: facts come with their times.
+//! The record of what the clients, app servers, discovery and processes of a test observed, and the check of the rules
+//! against it. No I/O and no clock: each fact is recorded with its time.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Write as _};
 
-/// Names a request: each try of a client's has an id of its own.
+/// Identifies a request. Each retry by a client has an id of its own.
 pub type Request = u64;
 
-/// How often a request may run.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeats {
-    /// As often as it likes.
+    /// Any number of times.
     Safe,
-    /// Once in effect: repeats within the window, in microseconds, in the group of the first run are dropped.
+    /// With effect once: app servers in the group of the first run drop repeats within the window.
     Keyed {
-        /// From the sending of the first.
+        /// In microseconds, from when the first attempt was sent.
         window: u64,
     },
-    /// Once.
+    /// At most once.
     Unsafe,
 }
 
-/// What discovery says of an app server.
+/// The state of an app server as reported by discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
-    /// It takes requests.
+    /// It accepts requests.
     Up,
-    /// It wants nothing new.
+    /// It accepts no new requests.
     Draining,
-    /// It is gone.
+    /// It no longer exists.
     Removed,
 }
 
 impl Health {
-    /// As the list writes it.
+    /// The state's name in discovery's list.
     pub fn name(self) -> &'static str {
         match self {
             Health::Up => "up",
@@ -42,149 +43,149 @@
     }
 }
 
-/// What a client's request came to.
+/// The result of a client's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// 200 with this body.
+    /// Status 200 with this body.
     Served(String),
-    /// 429 or 503.
+    /// Status 429 or 503.
     Refused,
     /// Any other status.
     Failed(u16),
-    /// Something came behind the answer.
+    /// More bytes followed the answer.
     Doubled,
-    /// The connection ended without a whole answer.
+    /// The connection ended before the answer was complete.
     Lost,
-    /// Nothing came in its time, and its client went away.
+    /// No answer arrived in time, and the client disconnected.
     GivenUp,
 }
 
-/// How an app server took an attempt.
+/// How an app server handled an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Took {
-    /// It began on it, and would answer with this body.
+    /// It started to process the request; its answer has this body.
     Begun(String),
-    /// Turned away unseen.
+    /// It rejected the request without processing it.
     TurnedAway,
 }
 
 /// What happened to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Turn {
-    /// It is ready.
+    /// It reported that it is ready.
     Ready,
-    /// It was killed, by the rig.
+    /// The test killed it.
     Killed,
-    /// It was asked to end.
+    /// It received the signal to shut down.
     Asked,
     /// It was paused.
     Paused,
-    /// It goes on.
+    /// It was resumed.
     Resumed,
-    /// It has ended, with this status.
+    /// It has exited with this status; `None` if a signal ended it.
     Ended(Option<i32>),
 }
 
-/// One thing that was seen.
+/// One observation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fact {
     /// A client wrote the last byte of a request to a process.
     Asked {
-        /// Which.
+        /// The request.
         request: Request,
-        /// To whom.
+        /// The process that it was sent to.
         process: usize,
-        /// May it run again?
+        /// Whether it may run again.
         repeats: Repeats,
-        /// How long its client waits, in microseconds.
+        /// How long the client waits, in microseconds.
         waits: u64,
     },
-    /// The connection was closed between requests before a process can have read it; its client asks anew.
+    /// The process closed an idle connection before it can have read the request; the client sends it again.
     Unread {
-        /// Which.
+        /// The request.
         request: Request,
     },
-    /// A client found nobody where it was sent.
+    /// A client could not connect to the process that it was directed to.
     Missed {
-        /// Where it was sent.
+        /// The process.
         process: usize,
     },
-    /// What its client heard.
+    /// A client received the result of a request.
     Heard {
-        /// Of which request.
+        /// The request.
         request: Request,
-        /// What.
+        /// The result.
         answer: Answer,
     },
-    /// The last byte of an attempt came to an app server.
+    /// An app server received the last byte of an attempt.
     Came {
-        /// Of which request.
+        /// The request.
         request: Request,
-        /// To whom.
+        /// The app server.
         server: usize,
-        /// The group of app servers that know of its key.
+        /// The group of app servers that share its idempotency keys.
         group: usize,
-        /// How it was taken.
+        /// How the app server handled it.
         took: Took,
     },
-    /// Discovery wrote to a process what it says of an app server.
+    /// Discovery sent a process the state of an app server.
     Told {
-        /// To whom.
+        /// The process.
         process: usize,
-        /// Of whom.
+        /// The app server.
         server: usize,
-        /// What.
+        /// The state.
         health: Health,
     },
-    /// Discovery has a change, whoever is told of it.
+    /// The state of an app server changed at discovery, whether or not any process is told.
     Changed {
-        /// Of whom.
+        /// The app server.
         server: usize,
-        /// What holds now.
+        /// The new state.
         health: Health,
     },
-    /// The watches of a process say nothing from now on.
+    /// The watches of a process are silent from now on.
     Silenced {
-        /// Whose.
+        /// The process.
         process: usize,
     },
-    /// A call of a process is answered; what it has missed follows.
+    /// Discovery answers a call of a process again; the changes that it missed follow.
     Hears {
-        /// Whose.
+        /// The process.
         process: usize,
     },
     /// Something happened to a process.
     Turned {
-        /// To whom.
+        /// The process.
         process: usize,
-        /// What.
+        /// The event.
         turn: Turn,
     },
 }
 
-/// A rule.
+/// A rule that every request must satisfy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// One final answer, and one that an app server made if it is a success.
+    /// A client gets at most one final answer, and a served one was produced by an app server.
     OneAnswer,
-    /// What a running process has taken is answered, in its client's time.
+    /// A request that a running process has accepted is answered before its client times out.
     Answered,
-    /// No second run beyond what its class allows.
+    /// A request does not run more often than its class allows.
     NoSecondRun,
-    /// Nothing new to an app server later than the grace after its process was told.
+    /// A process sends no attempt to a draining or removed app server later than the drain grace after it was told.
     DrainKept,
-    /// What is refused has not run, unless repeats are harmless.
+    /// A refused request has not run, unless it is safe to repeat.
     HonestRefusal,
 }
 
-/// A broken rule.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Breach {
-    /// Which.
+    /// The rule.
     pub rule: Rule,
-    /// Of which request.
+    /// The request.
     pub request: Request,
-    /// What was seen of it, line by line.
+    /// The facts about the request, one per line.
     pub history: String,
 }
 
@@ -194,19 +195,20 @@
     }
 }
 
-/// What is missed in a silence counts as told so long after that began, in microseconds (`docs/list-clock.md`).
-const UNHEARD: u64 = 6_000_000;
+/// A change that was missed during a silence counts as delivered this long after the silence began, in microseconds
+/// (`docs/list-clock.md`).
+const DELIVERY_BOUND: u64 = 6_000_000;
 
-/// What the rules allow, in microseconds.
+/// The tolerances of the rules, in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Allowed {
-    /// After a drain was told.
+    /// The drain grace, from when the drain was sent to the process.
     pub grace: u64,
-    /// On top of every time limit.
+    /// Added to every time limit.
     pub slack: u64,
 }
 
-/// Everything that was seen, in order.
+/// All facts, in the order in which they were recorded.
 #[derive(Debug, Default)]
 pub struct Books {
     facts: Vec<(u64, Fact)>,
@@ -214,9 +216,9 @@
     heard: usize,
 }
 
-/// What belongs to one request.
+/// The facts about one request.
 #[derive(Default)]
-struct Case<'a> {
+struct RequestRecord<'a> {
     asked: Option<(u64, usize, Repeats, u64)>,
     unread: bool,
     heard: Vec<(u64, &'a Answer)>,
@@ -224,7 +226,7 @@
 }
 
 impl Books {
-    /// Writes down a fact; times never go back.
+    /// Records a fact. Times must not decrease.
     pub fn write(&mut self, at: u64, fact: Fact) {
         self.asked += usize::from(matches!(fact, Fact::Asked { .. }));
         self.heard += usize::from(matches!(fact, Fact::Heard { .. } | Fact::Unread { .. }));
@@ -236,28 +238,28 @@
         self.facts.iter()
     }
 
-    /// Requests that were asked.
+    /// Number of requests that clients have sent.
     pub fn asked(&self) -> usize {
         self.asked
     }
 
-    /// Requests whose clients have heard.
+    /// Number of requests whose clients have a result.
     pub fn heard(&self) -> usize {
         self.heard
     }
 
-    /// Clients that heard what fits.
+    /// Number of answers that satisfy the predicate.
     pub fn count(&self, fits: impl Fn(&Answer) -> bool) -> usize {
         self.facts.iter().filter(|(_, f)| matches!(f, Fact::Heard { answer, .. } if fits(answer))).count()
     }
 
-    /// Attempts that an app server began on.
+    /// Number of attempts that an app server started to process.
     pub fn begun(&self, server: usize) -> usize {
         let begun = |fact: &Fact| matches!(fact, Fact::Came { server: at, took: Took::Begun(_), .. } if *at == server);
         self.facts.iter().filter(|(_, fact)| begun(fact)).count()
     }
 
-    /// Has this happened to a process, as the last thing?
+    /// The latest event of a process.
     pub fn last_turn(&self, process: usize) -> Option<Turn> {
         self.facts.iter().rev().find_map(|(_, fact)| match fact {
             Fact::Turned { process: of, turn } if *of == process => Some(*turn),
@@ -265,36 +267,36 @@
         })
     }
 
-    /// Did the rig kill this process?
+    /// Whether the test killed this process.
     pub fn was_killed(&self, process: usize) -> bool {
         self.facts.iter().any(|(_, f)| *f == Fact::Turned { process, turn: Turn::Killed })
     }
 
-    /// Requests that a process has served.
+    /// Number of requests to a process that were served.
     pub fn served_by(&self, process: usize) -> usize {
-        let cases = self.cases();
-        let served = |case: &&Case<'_>| {
-            case.asked.is_some_and(|(_, by, ..)| by == process)
-                && case.heard.iter().any(|(_, answer)| matches!(answer, Answer::Served(_)))
+        let records = self.records();
+        let served = |record: &&RequestRecord<'_>| {
+            record.asked.is_some_and(|(_, by, ..)| by == process)
+                && record.heard.iter().any(|(_, answer)| matches!(answer, Answer::Served(_)))
         };
-        cases.values().filter(served).count()
+        records.values().filter(served).count()
     }
 
-    /// Requests of a process that this app server has answered.
+    /// Number of requests to a process that were served with an answer of this app server.
     pub fn served_at(&self, process: usize, server: usize) -> usize {
-        let cases = self.cases();
-        let made = |case: &Case<'_>, answer: &Answer| {
+        let records = self.records();
+        let made = |record: &RequestRecord<'_>, answer: &Answer| {
             let made = |took: &Took| matches!((took, answer), (Took::Begun(made), Answer::Served(body)) if made == body);
-            case.came.iter().any(|(_, at, _, took)| *at == server && made(took))
+            record.came.iter().any(|(_, at, _, took)| *at == server && made(took))
         };
-        let served = |case: &&Case<'_>| {
-            case.asked.is_some_and(|(_, by, ..)| by == process)
-                && case.heard.iter().any(|(_, answer)| made(case, answer))
+        let served = |record: &&RequestRecord<'_>| {
+            record.asked.is_some_and(|(_, by, ..)| by == process)
+                && record.heard.iter().any(|(_, answer)| made(record, answer))
         };
-        cases.values().filter(served).count()
+        records.values().filter(served).count()
     }
 
-    /// The last that discovery told a process of an app server.
+    /// The latest state of an app server that discovery sent to a process.
     pub fn last_told(&self, process: usize, server: usize) -> Option<Health> {
         self.facts.iter().rev().find_map(|(_, fact)| match fact {
             Fact::Told { process: to, server: of, health } if (*to, *of) == (process, server) => {
@@ -304,7 +306,7 @@
         })
     }
 
-    /// In one line.
+    /// A one-line summary of the counts.
     pub fn summary(&self) -> String {
         let served = self.count(|answer| matches!(answer, Answer::Served(_)));
         let refused = self.count(|answer| *answer == Answer::Refused);
@@ -317,19 +319,19 @@
         )
     }
 
-    fn cases(&self) -> BTreeMap<Request, Case<'_>> {
-        let mut cases: BTreeMap<Request, Case<'_>> = BTreeMap::new();
+    fn records(&self) -> BTreeMap<Request, RequestRecord<'_>> {
+        let mut records: BTreeMap<Request, RequestRecord<'_>> = BTreeMap::new();
         for (at, fact) in &self.facts {
             match fact {
                 Fact::Asked { request, process, repeats, waits } => {
-                    cases.entry(*request).or_default().asked = Some((*at, *process, *repeats, *waits));
+                    records.entry(*request).or_default().asked = Some((*at, *process, *repeats, *waits));
                 }
-                Fact::Unread { request } => cases.entry(*request).or_default().unread = true,
+                Fact::Unread { request } => records.entry(*request).or_default().unread = true,
                 Fact::Heard { request, answer } => {
-                    cases.entry(*request).or_default().heard.push((*at, answer));
+                    records.entry(*request).or_default().heard.push((*at, answer));
                 }
                 Fact::Came { request, server, group, took } => {
-                    cases.entry(*request).or_default().came.push((*at, *server, *group, took));
+                    records.entry(*request).or_default().came.push((*at, *server, *group, took));
                 }
                 Fact::Missed { .. }
                 | Fact::Told { .. }
@@ -339,28 +341,27 @@
                 | Fact::Turned { .. } => {}
             }
         }
-        cases
+        records
     }
 
-    /// What the rules were broken by: each request is accounted for. The books are to be closed, with nothing under
-    /// way any more.
+    /// Checks every request against the rules, and returns the violations. Call it when no request is in flight any more.
     pub fn verdict(&self, allowed: Allowed) -> Vec<Breach> {
         let mut breaches = Vec::new();
-        for (request, case) in self.cases() {
-            for rule in self.judge(&case, allowed) {
+        for (request, record) in self.records() {
+            for rule in self.broken_rules(&record, allowed) {
                 breaches.push(Breach { rule, request, history: self.history(request) });
             }
         }
         breaches
     }
 
-    fn judge(&self, case: &Case<'_>, allowed: Allowed) -> Vec<Rule> {
-        let Some((asked, process, repeats, waits)) = case.asked else {
-            // An app server got what no client asked for.
+    fn broken_rules(&self, record: &RequestRecord<'_>, allowed: Allowed) -> Vec<Rule> {
+        let Some((asked, process, repeats, waits)) = record.asked else {
+            // An app server received a request that no client sent.
             return vec![Rule::OneAnswer];
         };
         let mut rules = Vec::new();
-        let begun: Vec<_> = case
+        let begun: Vec<_> = record
             .came
             .iter()
             .filter_map(|(at, server, group, took)| match took {
@@ -369,17 +370,18 @@
             })
             .collect();
         let finals: Vec<_> =
-            case.heard.iter().filter(|(_, a)| !matches!(a, Answer::Lost | Answer::GivenUp)).collect();
-        let invented = finals
+            record.heard.iter().filter(|(_, a)| !matches!(a, Answer::Lost | Answer::GivenUp)).collect();
+        let fabricated = finals
             .iter()
             .any(|(_, answer)| matches!(answer, Answer::Served(body) if begun.iter().all(|(.., made)| *made != body)));
-        let doubled = finals.iter().any(|(_, answer)| **answer == Answer::Doubled);
-        if finals.len() > 1 || invented || doubled {
+        let has_extra_bytes = finals.iter().any(|(_, answer)| **answer == Answer::Doubled);
+        if finals.len() > 1 || fabricated || has_extra_bytes {
             rules.push(Rule::OneAnswer);
         }
-        // What came to an app server was read by its process, whatever its client took the close for.
-        let read = !case.unread || !case.came.is_empty();
-        if finals.is_empty() && read && !self.excused(process, asked, asked + waits + allowed.slack) {
+        // A request that reached an app server was read by the process, even if the client took it for unread when the
+        // connection closed.
+        let read = !record.unread || !record.came.is_empty();
+        if finals.is_empty() && read && !self.was_disrupted(process, asked, asked + waits + allowed.slack) {
             rules.push(Rule::Answered);
         }
         let second = match (repeats, begun.first()) {
@@ -396,7 +398,7 @@
             let told = self.closed_since(process, server, at);
             told.is_some_and(|told| at > told + allowed.grace + allowed.slack)
         };
-        if case.came.iter().any(|(at, server, ..)| late((*at, *server))) {
+        if record.came.iter().any(|(at, server, ..)| late((*at, *server))) {
             rules.push(Rule::DrainKept);
         }
         let refused = finals.iter().any(|(_, answer)| **answer == Answer::Refused);
@@ -406,9 +408,9 @@
         rules
     }
 
-    /// Had the rig killed or paused the process that was to answer, or did it meanwhile? A process that is started anew
-    /// has another number.
-    fn excused(&self, process: usize, from: u64, until: u64) -> bool {
+    /// Whether the test had killed or paused the process before the request, or did so while the request was open. A
+    /// restarted process has another number.
+    fn was_disrupted(&self, process: usize, from: u64, until: u64) -> bool {
         let mut paused = false;
         for (at, fact) in self.facts.iter().take_while(|(at, _)| *at <= until) {
             let Fact::Turned { process: of, turn } = fact else { continue };
@@ -425,8 +427,9 @@
         paused
     }
 
-    /// Since when an app server has counted as told to be closed to a process, at this time: from when discovery wrote
-    /// it, and what a silence kept back from [`UNHEARD`] after that began, whether it came or not.
+    /// Since when, as of `at`, a process counts as told that an app server is draining or removed: from when discovery
+    /// sent the change or, if a silence held it back, from [`DELIVERY_BOUND`] after the silence began, whether or not the change
+    /// arrived.
     fn closed_since(&self, process: usize, server: usize, at: u64) -> Option<u64> {
         let (mut since, mut silent, mut missed) = (None, None, None);
         for (when, fact) in self.facts.iter().take_while(|(when, _)| *when <= at) {
@@ -435,23 +438,23 @@
                     since = if *health == Health::Up {
                         None
                     } else {
-                        since.or(missed.filter(|counts| counts < when)).or(Some(*when))
+                        since.or(missed.filter(|delivered_by| delivered_by < when)).or(Some(*when))
                     };
                     missed = None;
                 }
                 Fact::Silenced { process: of } if *of == process => silent = silent.or(Some(*when)),
                 Fact::Hears { process: of } if *of == process => silent = None,
                 Fact::Changed { server: of, health } if *of == server => {
-                    let counts = silent.map(|silent: u64| (silent + UNHEARD).max(*when));
-                    missed = if *health == Health::Up { None } else { missed.or(counts) };
+                    let delivered_by = silent.map(|silent: u64| (silent + DELIVERY_BOUND).max(*when));
+                    missed = if *health == Health::Up { None } else { missed.or(delivered_by) };
                 }
                 _ => {}
             }
         }
-        since.or(missed.filter(|counts| *counts <= at))
+        since.or(missed.filter(|delivered_by| *delivered_by <= at))
     }
 
-    /// What was seen of a request, and what happened to its process meanwhile.
+    /// The facts about a request and about its process, one per line.
     pub fn history(&self, request: Request) -> String {
         let process = self.facts.iter().find_map(|(_, fact)| match fact {
             Fact::Asked { request: of, process, .. } if *of == request => Some(*process),
@@ -471,7 +474,7 @@
                 }
             };
             if concerns {
-                // Writing to a string does not fail.
+                // Writing to a `String` cannot fail.
                 let _ = writeln!(text, "{:>12.6} s  {fact:?}", *at as f64 / 1e6);
             }
         }
--- a/standins/src/books/tests.rs
+++ b/standins/src/books/tests.rs
@@ -38,13 +38,13 @@
     Fact::Silenced { process: 0 }
 }
 
-/// Guards books that see nothing or cry wolf: each rule is broken by what breaks it and by nothing beside it.
+/// Guards against missed violations and false positives: each history violates exactly the expected rule, or none.
 #[test]
-fn each_rule_is_broken_by_what_breaks_it_alone() {
+fn each_history_violates_only_the_expected_rule() {
     use Answer::{Failed, GivenUp, Lost, Refused};
     type Seen = Vec<(u64, Fact)>;
     let keyed = Repeats::Keyed { window: 300_000 };
-    // One case to a line.
+    // One case per line.
     #[rustfmt::skip]
     let cases: Vec<(&str, Seen, Option<Rule>)> = vec![
         ("served", vec![(0, asked(Repeats::Unsafe)), (1, begun(0)), (2, served(0))], None),
--- a/standins/src/council.rs
+++ b/standins/src/council.rs
@@ -1,5 +1,5 @@
-//! Processes that keep a book together: each with a disk of its own that can be emptied, an operators' door, and a link of
-//! its own to each keeper, so that any two can be cut off from each other.
+//! A cluster of real processes that replicate a book. Each has its own disk, which can be emptied, an operators' port, and
+//! a separate link to each keeper, so that the test can partition any two.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -19,27 +19,27 @@
 use crate::server::{AppServer, Make};
 use crate::{Error, Ledger, PATIENCE};
 
-/// The app server that they all have.
+/// The name of the app server that all processes use.
 pub const SERVER: &str = "s0";
 
-/// The processes, the first of them keepers, with what is round them.
+/// The processes, of which the first ones are keepers, with their app server, disks and links.
 pub struct Council {
     ledger: Ledger,
     program: PathBuf,
     keepers: usize,
     server: AppServer,
-    /// By place; none where it was killed.
+    /// By place; `None` where the process was killed.
     pub processes: Vec<Option<Process>>,
-    /// What outlives a process: its fleet file and its disk.
+    /// The folders that outlive a process, with its fleet file and its disk.
     homes: Vec<TempDir>,
-    /// From a place to a keeper.
+    /// The links, by place and keeper.
     links: Rc<BTreeMap<(usize, usize), Link>>,
     numbers: usize,
-    /// More for the environment of those that are started.
+    /// Additional environment variables of processes that are started.
     pub more: Vec<(&'static str, String)>,
 }
 
-/// An acknowledged call.
+/// The result of a call that was acknowledged.
 #[derive(Debug)]
 pub struct Acknowledged {
     /// The answer.
@@ -49,7 +49,7 @@
 }
 
 impl Council {
-    /// Starts so many processes at once, the first `keepers` of them as keepers, and waits until they are ready.
+    /// Starts this many processes concurrently, the first `keepers` of them as keepers, and waits until they are ready.
     ///
     /// # Errors
     ///
@@ -58,7 +58,8 @@
         Self::start_with(program, processes, keepers, &[]).await
     }
 
-    /// The same with more in their environment; those that are started later have it only as [`Council::more`] then says.
+    /// Like [`Council::start`], with additional environment variables. Processes that are started later get those that
+    /// [`Council::more`] holds then.
     ///
     /// # Errors
     ///
@@ -94,7 +95,7 @@
         Ok(council)
     }
 
-    /// Starts processes at these places, all at once, with the disks that are there.
+    /// Starts processes at these places concurrently, with their existing disks.
     ///
     /// # Errors
     ///
@@ -103,7 +104,7 @@
         let mut starting = JoinSet::new();
         for place in places.iter().copied() {
             let file = self.homes[place].path().join("fleet.toml");
-            std::fs::write(&file, self.file(place))?;
+            std::fs::write(&file, self.fleet_file(place))?;
             let mut more = self.more.clone();
             more.push(("GRADEPADDLE_FLEET", file.display().to_string()));
             more.push(("RELAY_ADMIN_ADDR", "127.0.0.1:0".into()));
@@ -128,11 +129,11 @@
         Ok(())
     }
 
-    fn file(&self, place: usize) -> String {
+    fn fleet_file(&self, place: usize) -> String {
         let keeper = |to: usize| {
             let address = match self.links.get(&(place, to)) {
                 Some(link) => link.address.to_string(),
-                // Its own, which it does not dial.
+                // Its own address, which it does not connect to.
                 None => format!("127.0.0.1:{}", to + 1),
             };
             format!("[[keeper]]\nname = \"b{to}\"\naddress = \"{address}\"\n")
@@ -167,7 +168,7 @@
         })
     }
 
-    /// True if the process at a place has ended, by itself or by the rig.
+    /// Whether the process at a place has ended, by itself or because the test killed it.
     pub fn has_ended(&self, place: usize) -> bool {
         let turn = |of: &Process| self.ledger.read(|books| books.last_turn(of.number));
         self.processes[place].as_ref().is_none_or(|of| matches!(turn(of), Some(Turn::Ended(_))))
@@ -195,16 +196,16 @@
         Ok(())
     }
 
-    /// Takes away the disk of one that does not run.
+    /// Removes the disk of a process that is not running.
     ///
     /// # Errors
     ///
-    /// The file cannot be removed; most often there is none.
+    /// The file cannot be removed, for example because there is none.
     pub fn empty(&self, place: usize) -> io::Result<()> {
         std::fs::remove_file(self.disk(place))
     }
 
-    /// The disk of one that does not run, as it is now.
+    /// Returns the content of the disk of a process that is not running.
     ///
     /// # Errors
     ///
@@ -213,7 +214,7 @@
         std::fs::read(self.disk(place))
     }
 
-    /// Puts this in place of the disk of one that does not run.
+    /// Replaces the disk of a process that is not running.
     ///
     /// # Errors
     ///
@@ -222,28 +223,28 @@
         std::fs::write(self.disk(place), disk)
     }
 
-    /// Nothing passes between these and those, either way.
+    /// Partitions two groups: no bytes pass between them in either direction.
     pub fn part(&self, these: &[usize], those: &[usize]) {
         self.set(these, those, Way::Silent, Way::Silent);
         self.set(those, these, Way::Silent, Way::Silent);
     }
 
-    /// What holds on links from these to those: there, and back.
+    /// Sets the condition of the links from one group to the other, for each direction.
     pub fn set(&self, these: &[usize], those: &[usize], there: Way, back: Way) {
         let within = |(from, to): &(usize, usize)| these.contains(from) && those.contains(to);
         self.links.iter().filter(|(pair, _)| within(pair)).for_each(|(_, link)| link.set(there, back));
     }
 
-    /// All passes again.
+    /// Removes all faults from the links.
     pub fn heal(&self) {
         self.links.values().for_each(|link| link.set(CLEAR, CLEAR));
     }
 
-    /// What is said at the door of a place.
+    /// Sends a line to the operators' port of a process and returns the answer.
     ///
     /// # Errors
     ///
-    /// The process has no door, or the connection to it fails.
+    /// The process has no operators' port, or the connection to it fails.
     pub async fn call(&self, place: usize, line: &str) -> io::Result<String> {
         let door = self.process(place).door.ok_or(Error::NoDoor)?;
         let mut stream = TcpStream::connect(door).await?;
@@ -253,7 +254,7 @@
         Ok(answer.trim_end().to_owned())
     }
 
-    /// What the book says of itself at a place; nothing where nobody answers.
+    /// The state of the book as the process at a place reports it; null if the process does not answer.
     pub async fn view(&self, place: usize) -> Value {
         let Some(process) = &self.processes[place] else { return Value::Null };
         if process.door.is_none() {
@@ -263,11 +264,11 @@
         said.strip_prefix("SUCCESS ").and_then(|text| serde_json::from_str(text).ok()).unwrap_or_default()
     }
 
-    /// Waits until the views of all that run are so.
+    /// Waits until the view of each of these places satisfies the predicate.
     ///
     /// # Panics
     ///
-    /// They are not in [`PATIENCE`].
+    /// A view does not satisfy it within [`PATIENCE`].
     pub async fn until(&self, what: &str, places: &[usize], says: impl Fn(&Value) -> bool) {
         let waits = async {
             for place in places {
@@ -285,13 +286,13 @@
         }
     }
 
-    /// The place of the leader, once there is one among these.
+    /// Waits until one of these places is the leader, and returns it.
     ///
     /// # Panics
     ///
-    /// None of them leads within [`PATIENCE`].
+    /// None of them becomes leader within [`PATIENCE`].
     pub async fn leader(&self, among: &[usize]) -> usize {
-        let looks = async {
+        let poll_leader = async {
             loop {
                 for place in among {
                     if self.view(*place).await["leads"] == true {
@@ -300,14 +301,14 @@
                 }
             }
         };
-        timeout(PATIENCE, looks).await.expect("a leader")
+        timeout(PATIENCE, poll_leader).await.expect("a leader")
     }
 
-    /// Calls until the answer begins so.
+    /// Repeats a call until it succeeds, and returns the answer.
     ///
     /// # Panics
     ///
-    /// It does not in [`PATIENCE`].
+    /// It does not succeed within [`PATIENCE`].
     pub async fn succeeds(&self, place: usize, line: &str) -> String {
         self.acknowledged(place, line).await.answer
     }
@@ -332,12 +333,12 @@
         timeout(PATIENCE, calls).await.unwrap_or_else(|_| panic!("{line:?} at {place} does not succeed"))
     }
 
-    /// Asks a place again and again until it answers so: what the book says takes a moment to get to the decisions, and
-    /// one that is called back is cold and is sent little at first.
+    /// Sends requests to a place until one is answered with this status. A change of the book takes a moment to reach the
+    /// balancer, and an app server whose ban has ended gets little traffic at first because of slow start.
     ///
     /// # Panics
     ///
-    /// It does not in [`PATIENCE`].
+    /// No answer has this status within [`PATIENCE`].
     pub async fn answers(&self, place: usize, status: u16) {
         let asks = async {
             for id in 1_000_000 * (place as u64 + 1).. {
@@ -349,7 +350,7 @@
         timeout(PATIENCE, asks).await.unwrap_or_else(|_| panic!("{place} does not answer {status}"));
     }
 
-    /// The status with which a place answers one request.
+    /// Sends one request to a place and returns the status of the answer.
     ///
     /// # Errors
     ///
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -1,7 +1,8 @@
-//! Stand-ins for app servers, discovery and clients, real processes of the program, links between them that can be
-//! cut, and books from which every rule is judged. The design is in `docs/rig.md`.
+//! A test harness for real processes of the program: fake app servers, discovery and clients, relays that cut and delay the
+//! links between them, and a record of what all of them observed, which is checked against rules. The design is in
+//! `docs/rig.md`.
 //!
-//! Everything is a task of one `LocalSet`. Times are microseconds since the books were opened.
+//! All tasks run on one `LocalSet`. Times are in microseconds since the [`Ledger`] was created.
 
 pub mod books;
 pub mod broken;
@@ -28,10 +29,10 @@
 
 pub use error::Error;
 
-/// Nothing that is waited for takes this long unless it never comes.
+/// The time limit of every wait. Long enough that an event that has not occurred by then will not occur at all.
 pub const PATIENCE: Duration = Duration::from_secs(60);
 
-/// The books as everyone writes and reads them.
+/// A shared handle to the record of observations.
 #[derive(Clone)]
 pub struct Ledger(Rc<Shared>);
 
@@ -49,33 +50,33 @@
 }
 
 impl Ledger {
-    /// Microseconds since it was opened.
+    /// Microseconds since it was created.
     pub fn now(&self) -> u64 {
         u64::try_from(self.0.opened.elapsed().as_micros()).unwrap_or(u64::MAX)
     }
 
-    /// Writes down what was just seen.
+    /// Records a fact with the current time.
     pub fn write(&self, fact: Fact) {
         self.0.books.borrow_mut().write(self.now(), fact);
         self.0.written.notify_waiters();
     }
 
-    /// Reads them.
+    /// Reads the record.
     pub fn read<T>(&self, read: impl FnOnce(&Books) -> T) -> T {
         read(&self.0.books.borrow())
     }
 
-    /// Waits until they say so.
+    /// Waits until the record satisfies the predicate.
     ///
     /// # Panics
     ///
-    /// After [`PATIENCE`], with what the books hold by then.
+    /// It does not within [`PATIENCE`]. The message has a summary of the record.
     pub async fn until(&self, what: &str, mut says: impl FnMut(&Books) -> bool) {
         let waits = async {
             loop {
                 let written = self.0.written.notified();
                 tokio::pin!(written);
-                // Registered before the look, so that what is written in between is not missed.
+                // Registered before the check, so that a fact recorded in between is not missed.
                 written.as_mut().enable();
                 if self.read(&mut says) {
                     return;
@@ -89,11 +90,11 @@
     }
 }
 
-/// Runs a rig on one thread until this is done.
+/// Runs a future and the tasks that it spawns on one thread, until the future is done.
 ///
 /// # Panics
 ///
-/// Where the system gives no event queue.
+/// The operating system provides no event queue.
 pub fn on_one_thread<T>(what: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, what)
--- a/standins/src/mesh.rs
+++ b/standins/src/mesh.rs
@@ -1,5 +1,6 @@
-//! Datagrams between processes: each member has a forwarder, which is its address for all others, so that any pair can be
-//! cut off, delayed, thinned, doubled, put out of order or throttled, each way for itself. User space only.
+//! A network of datagrams between processes. Each member has a forwarder, whose address the other members use, so that
+//! datagrams between any pair can be cut, delayed, lost, duplicated, reordered or rate-limited in each direction separately.
+//! Runs in user space only.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -14,63 +15,63 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::Instant;
 
-/// The longest datagram that is carried.
-const LONGEST: usize = 64 * 1024;
-/// Datagrams under way at a time; more are lost, as on any network.
-const UNDER_WAY: usize = 20_000;
+/// The longest datagram that is forwarded, in bytes.
+const MAX_DATAGRAM_LEN: usize = 64 * 1024;
+/// The largest number of delayed datagrams; further ones are dropped, as a congested network does.
+const MAX_IN_FLIGHT: usize = 20_000;
 
-/// How datagrams fare from one member to another.
+/// The conditions for datagrams from one member to another.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Path {
-    /// None gets through.
+    /// All datagrams are dropped.
     pub cut: bool,
-    /// The share that is lost.
+    /// The fraction that is lost.
     pub loss: f64,
-    /// The share that comes twice.
+    /// The fraction that is delivered twice.
     pub doubled: f64,
-    /// How long each takes.
+    /// The fixed delay.
     pub delay: Duration,
-    /// And up to so much longer: those behind overtake.
+    /// The largest additional random delay, which also reorders datagrams.
     pub jitter: Duration,
-    /// Bytes a second at most; they queue up behind each other.
+    /// The largest rate in bytes per second; datagrams above it are queued.
     pub rate: Option<f64>,
 }
 
-/// A path with nothing wrong.
+/// A path without faults.
 pub const FREE: Path =
     Path { cut: false, loss: 0.0, doubled: 0.0, delay: Duration::ZERO, jitter: Duration::ZERO, rate: None };
 
-/// What became of the datagrams.
+/// Counts of datagrams by what happened to them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Carried {
-    /// Taken in from members, whatever became of them then.
+    /// Received from members, whatever happened to them afterwards.
     pub taken: u64,
-    /// Handed on, doubles included.
+    /// Delivered, duplicates included.
     pub passed: u64,
-    /// Kept back by a cut.
+    /// Dropped by a cut path.
     pub cut: u64,
-    /// Lost by chance.
+    /// Dropped by random loss.
     pub lost: u64,
-    /// Lost since too many were under way.
+    /// Dropped because too many were delayed at the time.
     pub crowded: u64,
-    /// From somebody who is no member.
+    /// Received from a sender that is no member.
     pub strange: u64,
 }
 
 struct Member {
-    /// Where it sends from and receives.
+    /// The address that it sends from and receives at.
     real: SocketAddr,
-    /// Its address for all others.
+    /// The forwarder's socket, whose address all other members use.
     public: Rc<UdpSocket>,
 }
 
 struct Inner {
     members: RefCell<Vec<Member>>,
     paths: RefCell<BTreeMap<(usize, usize), Path>>,
-    /// When a throttled path is free again.
+    /// When a rate-limited path has sent its queue.
     busy: RefCell<BTreeMap<(usize, usize), Instant>>,
     random: RefCell<Pcg64Mcg>,
-    under_way: Cell<usize>,
+    in_flight: Cell<usize>,
     carried: Cell<Carried>,
 }
 
@@ -81,21 +82,22 @@
 }
 
 impl Mesh {
-    /// One without members. Equal seeds draw alike; the order in which datagrams come is the kernel's.
+    /// A mesh without members. Equal seeds give equal random draws, but the kernel determines the order in which datagrams
+    /// arrive.
     pub fn new(seed: u64) -> Mesh {
         let inner = Inner {
             members: RefCell::default(),
             paths: RefCell::default(),
             busy: RefCell::default(),
             random: RefCell::new(Pcg64Mcg::seed_from_u64(seed)),
-            under_way: Cell::new(0),
+            in_flight: Cell::new(0),
             carried: Cell::default(),
         };
         Mesh { inner: Rc::new(inner), forwarders: Vec::new() }
     }
 
-    /// One more member, which sends from and receives at this address. Gives back its number and the address that the
-    /// others are to know.
+    /// Adds a member that sends from and receives at this address. Returns its number and the address that the other
+    /// members must use.
     ///
     /// # Errors
     ///
@@ -109,17 +111,17 @@
         Ok((number, address))
     }
 
-    /// A member is another process now, behind the same address.
+    /// Replaces a member's process by one at this address; the address that the others use stays the same.
     pub fn replace(&self, member: usize, real: SocketAddr) {
         self.inner.members.borrow_mut()[member].real = real;
     }
 
-    /// How datagrams fare from one member to another from now on.
+    /// Sets the conditions for datagrams from one member to another.
     pub fn set(&self, from: usize, to: usize, path: Path) {
         self.inner.paths.borrow_mut().insert((from, to), path);
     }
 
-    /// Cuts two groups off from each other, both ways.
+    /// Partitions two groups from each other in both directions.
     pub fn part(&self, one: &[usize], two: &[usize]) {
         for (a, b) in one.iter().flat_map(|a| two.iter().map(move |b| (*a, *b))) {
             for ends in [(a, b), (b, a)] {
@@ -129,13 +131,13 @@
         }
     }
 
-    /// All paths are free again.
+    /// Removes all faults from the paths.
     pub fn heal(&self) {
         self.inner.paths.borrow_mut().clear();
         self.inner.busy.borrow_mut().clear();
     }
 
-    /// What became of the datagrams so far.
+    /// The counts so far.
     pub fn carried(&self) -> Carried {
         self.inner.carried.get()
     }
@@ -154,73 +156,74 @@
         self.carried.set(carried);
     }
 
-    /// When each copy of a datagram is to be handed on; none if it is not.
-    fn fates(&self, ends: (usize, usize), size: usize) -> Vec<Instant> {
+    /// When to deliver each copy of a datagram; empty if it is dropped.
+    fn delivery_times(&self, ends: (usize, usize), size: usize) -> Vec<Instant> {
         let path = self.paths.borrow().get(&ends).copied().unwrap_or(FREE);
         let mut random = self.random.borrow_mut();
         if path.cut {
             self.count(|carried| carried.cut += 1);
             return Vec::new();
         }
-        // Drawn only where a fault is set: a path without one leaves the others' draws as they were.
+        // Random numbers are drawn only for faults that are set, so that a path without faults does not change the draws of
+        // the others.
         if path.loss > 0.0 && random.random::<f64>() < path.loss {
             self.count(|carried| carried.lost += 1);
             return Vec::new();
         }
         let copies = if path.doubled > 0.0 && random.random::<f64>() < path.doubled { 2 } else { 1 };
-        let mut leaves = Instant::now();
+        let mut departure = Instant::now();
         if let Some(rate) = path.rate.filter(|rate| *rate > 0.0) {
             let mut busy = self.busy.borrow_mut();
-            let free = busy.entry(ends).or_insert(leaves);
-            *free = leaves.max(*free) + Duration::from_secs_f64(size as f64 / rate);
-            leaves = *free;
+            let free = busy.entry(ends).or_insert(departure);
+            *free = departure.max(*free) + Duration::from_secs_f64(size as f64 / rate);
+            departure = *free;
         }
-        let late = |random: &mut Pcg64Mcg| {
+        let extra_delay = |random: &mut Pcg64Mcg| {
             if path.jitter.is_zero() { Duration::ZERO } else { path.jitter.mul_f64(random.random::<f64>()) }
         };
-        (0..copies).map(|_| leaves + path.delay + late(&mut random)).collect()
+        (0..copies).map(|_| departure + path.delay + extra_delay(&mut random)).collect()
     }
 }
 
-/// Takes what the others send to a member.
+/// Receives and forwards the datagrams that the others send to a member.
 async fn forward(of: Rc<Inner>, to: usize, public: Rc<UdpSocket>) {
-    let mut buffer = vec![0; LONGEST];
+    let mut buffer = vec![0; MAX_DATAGRAM_LEN];
     loop {
-        // An error tells of an earlier datagram that nobody took; the next one may be taken.
+        // An error reports that an earlier datagram was not accepted by its receiver; later ones may be.
         let Ok((count, source)) = public.recv_from(&mut buffer).await else { continue };
         let from = of.members.borrow().iter().position(|member| member.real == source);
         let Some(from) = from else {
             of.count(|carried| carried.strange += 1);
             continue;
         };
-        let fates = of.fates((from, to), count);
+        let delivery_times = of.delivery_times((from, to), count);
         of.count(|carried| carried.taken += 1);
-        for at in fates {
+        for at in delivery_times {
             let bytes = buffer[..count].to_vec();
             if at <= Instant::now() {
-                hand_on(&of, from, to, &bytes).await;
-            } else if of.under_way.get() >= UNDER_WAY {
+                deliver(&of, from, to, &bytes).await;
+            } else if of.in_flight.get() >= MAX_IN_FLIGHT {
                 of.count(|carried| carried.crowded += 1);
             } else {
-                of.under_way.set(of.under_way.get() + 1);
+                of.in_flight.set(of.in_flight.get() + 1);
                 let of = of.clone();
                 spawn_local(async move {
                     tokio::time::sleep_until(at).await;
-                    of.under_way.set(of.under_way.get() - 1);
-                    hand_on(&of, from, to, &bytes).await;
+                    of.in_flight.set(of.in_flight.get() - 1);
+                    deliver(&of, from, to, &bytes).await;
                 });
             }
         }
     }
 }
 
-/// It comes from the sender's own address for others.
-async fn hand_on(of: &Rc<Inner>, from: usize, to: usize, bytes: &[u8]) {
+/// Sends a datagram from the sender's forwarder, so that the receiver sees the sender's address in the mesh.
+async fn deliver(of: &Rc<Inner>, from: usize, to: usize, bytes: &[u8]) {
     let (socket, real) = {
         let members = of.members.borrow();
         (members[from].public.clone(), members[to].real)
     };
-    // One that has ended takes nothing; the network does not tell.
+    // A member that has ended receives nothing, and as on a real network its sender is not told.
     if socket.send_to(bytes, real).await.is_ok() {
         of.count(|carried| carried.passed += 1);
     }
--- a/standins/src/process.rs
+++ b/standins/src/process.rs
@@ -1,4 +1,4 @@
-//! Real processes of the program: started, paused, killed, asked to end, started anew.
+//! Real processes of the program under test, which can be started, paused, killed, shut down and restarted.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,15 +16,15 @@
 use crate::books::{Fact, Turn};
 use crate::{Error, Ledger, PATIENCE};
 
-/// One process. It is killed when it is dropped, also by a panic.
+/// One process. It is killed when this is dropped, also during a panic.
 pub struct Process {
-    /// Its number in the books.
+    /// Its number in the recorded facts.
     pub number: usize,
-    /// Where it listens.
+    /// The address at which it accepts clients.
     pub address: SocketAddr,
-    /// Where operators call, if anywhere.
+    /// The address for operators' calls, if it has one.
     pub door: Option<SocketAddr>,
-    /// Where the others of its fleet reach it, if it keeps the book.
+    /// The address for the other processes of its fleet, if it is a keeper of the book.
     pub fleet: Option<SocketAddr>,
     id: Pid,
     ledger: Ledger,
@@ -32,8 +32,8 @@
 }
 
 impl Process {
-    /// Starts the program at this path and waits until it is ready. `config` is what its file holds; the address that
-    /// it listens on is of its own choice.
+    /// Starts the program at this path and waits until it is ready. `config` is the content of its configuration file; the
+    /// program chooses the address that it listens on.
     ///
     /// # Errors
     ///
@@ -42,11 +42,11 @@
         Self::start_with(program, number, config, ledger, &[]).await
     }
 
-    /// The same with more in its environment.
+    /// Like [`Process::start`], with additional environment variables.
     ///
     /// # Errors
     ///
-    /// Its folder or file cannot be written, the program cannot be started, or it does not get ready in [`PATIENCE`].
+    /// Its folder or file cannot be written, the program cannot be started, or it is not ready within [`PATIENCE`].
     pub async fn start_with(
         program: &Path,
         number: usize,
@@ -68,10 +68,11 @@
             .spawn()?;
         let id = child.id().and_then(|id| Pid::from_raw(id.try_into().ok()?)).ok_or(Error::NoProcessId)?;
         let output = child.stdout.take().ok_or(Error::NoOutput)?;
-        let (says, said) = oneshot::channel();
+        let (ready_sender, ready_receiver) = oneshot::channel();
         let books = ledger.clone();
-        spawn_local(follow(child, output, number, says, books));
-        let Ok(Ok([Some(address), door, fleet])) = tokio::time::timeout(PATIENCE, said).await else {
+        spawn_local(follow_output(child, output, number, ready_sender, books));
+        let Ok(Ok([Some(address), door, fleet])) = tokio::time::timeout(PATIENCE, ready_receiver).await
+        else {
             return Err(Error::NotReady { number }.into());
         };
         Ok(Process { number, address, door, fleet, id, ledger, folder })
@@ -83,15 +84,15 @@
     }
 
     fn signal(&self, signal: Signal) -> io::Result<()> {
-        // One that has ended and was waited for must not be signalled: its number may be another's by now.
+        // A process that has ended and was waited for must not be signalled: its process id may have been reused.
         if matches!(self.ledger.read(|books| books.last_turn(self.number)), Some(Turn::Ended(_))) {
             return Err(Error::ProcessEnded { number: self.number }.into());
         }
         Ok(kill_process(self.id, signal)?)
     }
 
-    fn turn(&self, turn: Turn, signal: Signal) -> io::Result<()> {
-        // Written first: what comes of it is excused from this moment on.
+    fn record_and_signal(&self, turn: Turn, signal: Signal) -> io::Result<()> {
+        // Recorded before the signal, because requests that the signal disrupts are excused from this time on.
         self.ledger.write(Fact::Turned { process: self.number, turn });
         self.signal(signal)
     }
@@ -102,16 +103,16 @@
     ///
     /// It has ended already, or cannot be signalled.
     pub fn kill(&self) -> io::Result<()> {
-        self.turn(Turn::Killed, Signal::KILL)
+        self.record_and_signal(Turn::Killed, Signal::KILL)
     }
 
-    /// Asks it to end.
+    /// Sends it the signal to shut down.
     ///
     /// # Errors
     ///
     /// It has ended already, or cannot be signalled.
     pub fn ask_to_end(&self) -> io::Result<()> {
-        self.turn(Turn::Asked, Signal::TERM)
+        self.record_and_signal(Turn::Asked, Signal::TERM)
     }
 
     /// Pauses it.
@@ -120,19 +121,19 @@
     ///
     /// It has ended already, or cannot be signalled.
     pub fn pause(&self) -> io::Result<()> {
-        self.turn(Turn::Paused, Signal::STOP)
+        self.record_and_signal(Turn::Paused, Signal::STOP)
     }
 
-    /// Lets it go on.
+    /// Resumes it.
     ///
     /// # Errors
     ///
     /// It has ended already, or cannot be signalled.
     pub fn resume(&self) -> io::Result<()> {
-        self.turn(Turn::Resumed, Signal::CONT)
+        self.record_and_signal(Turn::Resumed, Signal::CONT)
     }
 
-    /// Gives it this configuration and tells it to read it.
+    /// Replaces its configuration file and signals it to reload the file.
     ///
     /// # Errors
     ///
@@ -152,35 +153,35 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended already, and then there is nothing to do.
+        // Fails if it has ended already.
         let _ = self.signal(Signal::KILL);
     }
 }
 
-/// Where it listens, where operators call, and where its fleet does, as its log names them.
-type Named = [Option<SocketAddr>; 3];
+/// The addresses for clients, for operators and for its fleet, as reported in its log.
+type ListenAddresses = [Option<SocketAddr>; 3];
 
-/// Reads what a process says until it ends, and waits for it.
-async fn follow(
+/// Reads the output of a process until it ends, then waits for its exit.
+async fn follow_output(
     mut child: Child,
     output: tokio::process::ChildStdout,
     number: usize,
-    says: oneshot::Sender<Named>,
+    ready_sender: oneshot::Sender<ListenAddresses>,
     ledger: Ledger,
 ) {
     let mut lines = BufReader::new(output).lines();
-    let (mut says, mut named) = (Some(says), Named::default());
+    let (mut ready_sender, mut addresses) = (Some(ready_sender), ListenAddresses::default());
     while let Ok(Some(line)) = lines.next_line().await {
-        for (field, address) in ["listen=", "admin_addr=", "fleet_addr="].into_iter().zip(&mut named) {
+        for (field, address) in ["listen=", "admin_addr=", "fleet_addr="].into_iter().zip(&mut addresses) {
             let text = line.split(field).nth(1).and_then(|rest| rest.split(' ').next());
             *address = address.or(text.and_then(|text| text.parse().ok()));
         }
         if line.contains(" ready ")
-            && let Some(says) = says.take()
+            && let Some(ready_sender) = ready_sender.take()
         {
             ledger.write(Fact::Turned { process: number, turn: Turn::Ready });
-            // Nobody may wait for it any more.
-            let _ = says.send(named);
+            // Fails if the receiver has timed out.
+            let _ = ready_sender.send(addresses);
         }
     }
     let status = child.wait().await.ok().and_then(|status| status.code());
--- a/standins/src/relay.rs
+++ b/standins/src/relay.rs
@@ -1,4 +1,5 @@
-//! A link between two processes that can be cut, delayed, made one-way or reset, and healed. User space only.
+//! A TCP relay between two processes that can stall or delay bytes in each direction, reset connections, and be restored.
+//! Runs in user space only.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,19 +11,19 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::Instant;
 
-/// What happens to bytes of one direction.
+/// The condition of one direction of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Way {
-    /// They pass, so much later.
+    /// Bytes pass after this delay.
     Open {
-        /// On top of what the way takes anyhow.
+        /// Added to the time that the bytes take anyway.
         delay: Duration,
     },
-    /// They are held until it is open again: as when a machine can not be reached, nothing is said.
+    /// Bytes are held until the direction is open again. Neither side is notified, as when a machine is unreachable.
     Silent,
 }
 
-/// A way as it is without any fault.
+/// A direction without faults.
 pub const CLEAR: Way = Way::Open { delay: Duration::ZERO };
 
 /// The state of a link.
@@ -30,22 +31,22 @@
 struct State {
     there: Way,
     back: Way,
-    /// Where it leads, if anywhere yet.
+    /// The address that connections are relayed to, once it is set.
     target: Option<SocketAddr>,
-    /// Counts resets: connections from before the last one end.
+    /// Number of resets so server. Connections that were accepted before the latest reset are closed.
     resets: u32,
 }
 
-/// A link with an address of its own, before an address that it leads to.
+/// A relay that listens at an address of its own and connects to a target.
 pub struct Link {
-    /// What is to be dialled.
+    /// The address to connect to.
     pub address: SocketAddr,
     state: watch::Sender<State>,
     accepts: JoinHandle<()>,
 }
 
 impl Link {
-    /// One that leads there, with no fault yet.
+    /// Starts a link to this target, without faults.
     ///
     /// # Errors
     ///
@@ -56,7 +57,7 @@
         Ok(link)
     }
 
-    /// One that leads nowhere yet: it ends what is dialled.
+    /// Starts a link without a target, which resets all connections until [`Link::aim`] is called.
     ///
     /// # Errors
     ///
@@ -67,23 +68,23 @@
         let (state, states) = watch::channel(State { there: CLEAR, back: CLEAR, target: None, resets: 0 });
         let accepts = spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                spawn_local(pass(stream, states.clone()));
+                spawn_local(relay(stream, states.clone()));
             }
         });
         Ok(Link { address, state, accepts })
     }
 
-    /// Leads there from now on; what is open stays.
+    /// Relays new connections to this target. Open connections are kept.
     pub fn aim(&self, target: SocketAddr) {
         self.state.send_modify(|state| state.target = Some(target));
     }
 
-    /// What holds from now on towards the target and back, for open connections too.
+    /// Sets the condition of each direction, to the target and back. Open connections are affected too.
     pub fn set(&self, there: Way, back: Way) {
         self.state.send_modify(|state| (state.there, state.back) = (there, back));
     }
 
-    /// Ends all connections that are open.
+    /// Resets all open connections.
     pub fn reset(&self) {
         self.state.send_modify(|state| state.resets += 1);
     }
@@ -96,26 +97,28 @@
     }
 }
 
-async fn pass(near: TcpStream, mut states: watch::Receiver<State>) {
+async fn relay(client: TcpStream, mut states: watch::Receiver<State>) {
     let State { resets: since, target, .. } = *states.borrow();
-    let Some(target) = target else { return end(&near) };
-    // A target that is not there refuses; so does the link, as far as it still can.
-    let Ok(far) = TcpStream::connect(target).await else { return end(&near) };
-    if near.set_nodelay(true).and(far.set_nodelay(true)).is_err() {
+    let Some(target) = target else { return reset_connection(&client) };
+    // The target refuses the connection. The link has already accepted it, so it resets it.
+    let Ok(server) = TcpStream::connect(target).await else { return reset_connection(&client) };
+    if client.set_nodelay(true).and(server.set_nodelay(true)).is_err() {
         return;
     }
-    let ends = [near, far].map(|stream| socket2::SockRef::from(&stream).try_clone().map(|s| (s, stream)));
-    let [Ok((near_end, near)), Ok((far_end, far))] = ends else { return };
-    let ((near_reads, near_writes), (far_reads, far_writes)) =
-        (tokio::io::split(near), tokio::io::split(far));
-    let there = carry(near_reads, far_writes, states.clone(), |state| state.there);
-    let back = carry(far_reads, near_writes, states.clone(), |state| state.back);
+    let ends =
+        [client, server].map(|stream| socket2::SockRef::from(&stream).try_clone().map(|s| (s, stream)));
+    let [Ok((client_end, client)), Ok((server_end, server))] = ends else { return };
+    let ((client_reads, client_writes), (server_reads, server_writes)) =
+        (tokio::io::split(client), tokio::io::split(server));
+    let there = copy_direction(client_reads, server_writes, states.clone(), |state| state.there);
+    let back = copy_direction(server_reads, client_writes, states.clone(), |state| state.back);
     let reset = async {
-        // A link that is gone resets what is left of it.
+        // Fails if the link was dropped, which resets its connections too.
         let _ = states.wait_for(|state| state.resets != since).await;
-        // Before anything is dropped, or it would end in good order. It may have ended by itself in the same moment.
-        let _ = near_end.set_linger(Some(Duration::ZERO));
-        let _ = far_end.set_linger(Some(Duration::ZERO));
+        // Set before the sockets are dropped; otherwise the connections would be closed gracefully. Fails if a connection
+        // has ended by itself.
+        let _ = client_end.set_linger(Some(Duration::ZERO));
+        let _ = server_end.set_linger(Some(Duration::ZERO));
     };
     tokio::select! {
         _ = async { tokio::join!(there, back) } => {}
@@ -123,41 +126,41 @@
     }
 }
 
-/// Ends a connection by a reset.
-fn end(stream: &TcpStream) {
-    // It may have ended by itself.
+/// Makes a connection end with a reset when it is dropped.
+fn reset_connection(stream: &TcpStream) {
+    // Fails if the connection has ended by itself.
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// Bytes that wait at a time for each direction, in pieces: a reader that is faster waits.
-const PIECES: usize = 16;
+/// The number of chunks that are queued in each direction before the link stops reading.
+const MAX_QUEUED_CHUNKS: usize = 16;
 
-/// Carries bytes one way, in their order, until one side ends.
-async fn carry(
+/// Copies bytes in one direction, in order, until one side closes.
+async fn copy_direction(
     mut from: ReadHalf<TcpStream>,
     mut to: WriteHalf<TcpStream>,
     mut states: watch::Receiver<State>,
     way: impl Fn(&State) -> Way,
 ) {
-    let (pieces, mut waiting) = mpsc::channel::<(Instant, Vec<u8>)>(PIECES);
+    let (chunks, mut queued) = mpsc::channel::<(Instant, Vec<u8>)>(MAX_QUEUED_CHUNKS);
     let reads = async move {
         let mut buffer = vec![0; 16 * 1024];
         while let Ok(count @ 1..) = from.read(&mut buffer).await {
-            if pieces.send((Instant::now(), buffer[..count].to_vec())).await.is_err() {
+            if chunks.send((Instant::now(), buffer[..count].to_vec())).await.is_err() {
                 return;
             }
         }
     };
     let writes = async move {
-        while let Some((came, piece)) = waiting.recv().await {
+        while let Some((received_at, chunk)) = queued.recv().await {
             let open = states.wait_for(|state| way(state) != Way::Silent).await.map(|state| way(&state));
             let Ok(Way::Open { delay }) = open else { return };
-            tokio::time::sleep_until(came + delay).await;
-            if to.write_all(&piece).await.is_err() {
+            tokio::time::sleep_until(received_at + delay).await;
+            if to.write_all(&chunk).await.is_err() {
                 return;
             }
         }
-        // The end is passed on like bytes: not while nothing passes.
+        // The end of the stream is held back like bytes while the direction is silent.
         if states.wait_for(|state| way(state) != Way::Silent).await.is_ok() {
             let _ = to.shutdown().await;
         }
