--- a/standins/src/broken.rs
+++ b/standins/src/broken.rs
@@ -1,4 +1,4 @@
-//! A balancer that is wrong on purpose, so that the books can be seen to catch each way of being wrong.
+//! A small balancer with faults that are injected on purpose, to show that the rules detect each of them.
 
 use std::cell::Cell;
 use std::io;
@@ -12,35 +12,35 @@
 
 use crate::{Error, wire};
 
-/// What it does wrong.
+/// The fault of a balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing: what it does otherwise is right.
+    /// No fault.
     Nothing,
-    /// It answers, and answers again.
+    /// It sends every answer twice.
     AnswersTwice,
     /// It sends every request twice.
     Repeats,
-    /// It sends to the first that was ever listed, draining or not.
+    /// It sends to the first app server in the list, even if that one is draining.
     IgnoresDrains,
-    /// Asked to end, it drops what it has.
+    /// When it is told to shut down, it drops the open requests.
     DropsAtEnd,
-    /// It says that it refuses what it has sent.
+    /// It refuses requests that it has sent to an app server.
     RefusesWhatRan,
-    /// It makes up an answer.
+    /// It fabricates answers.
     Invents,
 }
 
-/// One that runs until it is dropped.
+/// A running balancer, which stops when this is dropped.
 pub struct Broken {
-    /// Where it listens.
+    /// Its address.
     pub address: SocketAddr,
     leaving: Rc<Cell<bool>>,
     accepts: JoinHandle<()>,
 }
 
 impl Broken {
-    /// Starts one that calls discovery there.
+    /// Starts a balancer that calls discovery at this address.
     ///
     /// # Errors
     ///
@@ -55,7 +55,7 @@
             while let Ok((stream, _)) = listener.accept().await {
                 let leaves = leaves.clone();
                 connections.spawn_local(async move {
-                    // A client that goes away ends it; that is no fault of this one.
+                    // Fails if the client disconnects, which is no fault of the balancer.
                     let _ = serve(stream, fault, discovery, &leaves).await;
                 });
             }
@@ -63,7 +63,7 @@
         Ok(Broken { address, leaving, accepts })
     }
 
-    /// It is asked to end.
+    /// Tells it to shut down.
     pub fn ask_to_end(&self) {
         self.leaving.set(true);
     }
--- a/standins/src/clients.rs
+++ b/standins/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: each request on a connection of its own kind, counted from the time at which it was meant.
+//! Clients, which send requests over reused connections, at fixed times that do not depend on earlier answers.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -15,16 +15,16 @@
 use crate::books::{Answer, Fact, Repeats, Request};
 use crate::wire;
 
-/// What is asked.
+/// The properties of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Ask {
     /// The class's name.
     pub class: &'static str,
-    /// As the settings have it.
+    /// Whether it may run more than once, as in the settings.
     pub repeats: Repeats,
-    /// How long its client waits.
+    /// How long the client waits for an answer.
     pub waits: Duration,
-    /// What it is about.
+    /// The user that the request is about.
     pub user: u32,
 }
 
@@ -35,34 +35,35 @@
 struct Inner {
     ledger: Ledger,
     next: Cell<Request>,
-    /// Connections that are free, by the process that they lead to.
+    /// Idle connections, by the address of their process.
     free: RefCell<BTreeMap<SocketAddr, Vec<BufReader<TcpStream>>>>,
 }
 
-/// What one try came to.
-enum Heard {
+/// The result of sending a request once.
+enum AttemptResult {
     Answer(Answer, Option<BufReader<TcpStream>>),
     /// The connection was closed before the process can have read the request.
     Closed,
 }
 
 impl Clients {
-    /// None has asked yet.
+    /// Clients that have not sent any request yet.
     pub fn new(ledger: Ledger) -> Self {
         Clients(Rc::new(Inner { ledger, next: Cell::new(1), free: RefCell::default() }))
     }
 
-    /// Asks a process, and writes down both ends. False where it does not accept a connection.
+    /// Sends a request to a process, and records the request and its result. Returns false if the process accepts no
+    /// connection.
     pub async fn ask(&self, process: usize, address: SocketAddr, ask: Ask) -> bool {
         let free = self.0.free.borrow_mut().get_mut(&address).and_then(Vec::pop);
         if let Some(stream) = free
-            && self.try_on(stream, process, address, ask, true).await
+            && self.send_on(stream, process, address, ask, true).await
         {
             return true;
         }
         let connected = TcpStream::connect(address).await.and_then(|s| s.set_nodelay(true).map(|()| s));
         let asked = match connected {
-            Ok(stream) => self.try_on(BufReader::new(stream), process, address, ask, false).await,
+            Ok(stream) => self.send_on(BufReader::new(stream), process, address, ask, false).await,
             Err(_) => false,
         };
         if !asked {
@@ -71,8 +72,8 @@
         asked
     }
 
-    /// False where the request is to go out once more, on a new connection.
-    async fn try_on(
+    /// Sends a request on this connection. Returns false if it must be sent again on a new one.
+    async fn send_on(
         &self,
         mut stream: BufReader<TcpStream>,
         process: usize,
@@ -96,39 +97,39 @@
             waits.as_secs_f64()
         );
         let micros = u64::try_from(waits.as_micros()).unwrap_or(u64::MAX);
-        // Written down before it is sent: an app server may have it before this task goes on.
+        // Recorded before it is sent, because an app server may receive it before this task continues.
         self.0.ledger.write(Fact::Asked { request, process, repeats, waits: micros });
         let heard = match stream.get_mut().write_all(text.as_bytes()).await {
-            Ok(()) => match tokio::time::timeout(waits + SLACK, hear(stream, used)).await {
+            Ok(()) => match tokio::time::timeout(waits + SLACK, read_result(stream, used)).await {
                 Ok(heard) => heard,
-                Err(_) => Heard::Answer(Answer::GivenUp, None),
+                Err(_) => AttemptResult::Answer(Answer::GivenUp, None),
             },
-            Err(_) => Heard::Closed,
+            Err(_) => AttemptResult::Closed,
         };
-        // One that was killed may have read it before.
+        // A process that was killed may have read the request before.
         let killed = self.0.ledger.read(|books| books.was_killed(process));
         let heard = match heard {
-            Heard::Closed if killed => Heard::Answer(Answer::Lost, None),
+            AttemptResult::Closed if killed => AttemptResult::Answer(Answer::Lost, None),
             heard => heard,
         };
         match heard {
-            Heard::Answer(answer, stream) => {
+            AttemptResult::Answer(answer, stream) => {
                 self.0.ledger.write(Fact::Heard { request, answer });
                 if let Some(stream) = stream {
                     self.0.free.borrow_mut().entry(address).or_default().push(stream);
                 }
                 true
             }
-            Heard::Closed => {
-                // Nobody has read it. Its next try has a number of its own.
+            AttemptResult::Closed => {
+                // The process has not read it. The retry has another number.
                 self.0.ledger.write(Fact::Unread { request });
                 false
             }
         }
     }
 
-    /// Asks so many times a second from now on, each at its time whatever became of those before; `whom` names the
-    /// process for each. Ends when `more` says so.
+    /// Sends a request at every interval `each`, whether or not the earlier ones have been answered. `whom` selects the
+    /// process and `what` the request. Stops when `more` is false.
     pub fn stream(
         &self,
         each: Duration,
@@ -154,29 +155,29 @@
     }
 }
 
-/// Answers that come so much after the time that a client waits are still heard, to be judged.
+/// Answers that arrive this long after the client's time limit are still recorded, so that they are checked.
 const SLACK: Duration = Duration::from_millis(200);
 
-async fn hear(mut stream: BufReader<TcpStream>, used: bool) -> Heard {
+async fn read_result(mut stream: BufReader<TcpStream>, used: bool) -> AttemptResult {
     let message = match wire::read(&mut stream).await {
         Ok(Some(message)) => message,
-        // A close between requests may cross the request.
-        Ok(None) if used => return Heard::Closed,
-        Err(e) if used && e.kind() == io::ErrorKind::ConnectionReset => return Heard::Closed,
-        _ => return Heard::Answer(Answer::Lost, None),
+        // The process may have closed the idle connection while the request was on its way.
+        Ok(None) if used => return AttemptResult::Closed,
+        Err(e) if used && e.kind() == io::ErrorKind::ConnectionReset => return AttemptResult::Closed,
+        _ => return AttemptResult::Answer(Answer::Lost, None),
     };
     let answer = match message.status() {
         200 => Answer::Served(message.body.clone()),
         429 | 503 => Answer::Refused,
         status => Answer::Failed(status),
     };
-    // Whatever stands behind the answer would be a second one.
+    // Any bytes after the answer are taken as a second answer.
     let quiet = stream.buffer().is_empty();
     let keeps = quiet && !message.closes();
     if !quiet {
         let mut rest = [0];
         let _ = stream.read(&mut rest).await;
-        return Heard::Answer(Answer::Doubled, None);
+        return AttemptResult::Answer(Answer::Doubled, None);
     }
-    Heard::Answer(answer, keeps.then_some(stream))
+    AttemptResult::Answer(answer, keeps.then_some(stream))
 }
--- a/standins/src/discovery.rs
+++ b/standins/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery: one service with a whole list and watches; each process calls at an address of its own, so that the books
-//! know who was told what.
+//! A fake discovery service with complete lists and watches. Each process calls a separate address, so that the record
+//! shows which process received what.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -17,38 +17,38 @@
 use crate::books::{Fact, Health};
 use crate::wire;
 
-/// One app server as the list has it.
+/// An app server as listed by discovery.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Its number in the books.
+    /// Its number in the recorded facts.
     pub server: usize,
     /// Its name.
     pub name: String,
-    /// Where it listens.
+    /// Its address.
     pub dial: SocketAddr,
     /// Its zone.
     pub zone: usize,
-    /// What it is.
+    /// Its state.
     pub health: Health,
     /// When it last started, in milliseconds of Unix time; 0 for long ago.
     pub born_ms: u64,
 }
 
 struct Inner {
-    /// All changes in order; a version is how many there are.
+    /// All changes in order. The version of the list is their number.
     changes: Vec<Entry>,
-    /// How often the watches of a process fell silent.
+    /// How often the watches of each process were silenced.
     silences: BTreeMap<usize, u32>,
-    /// Where a process is to dial an app server instead.
+    /// Replaced addresses: process, app server, and the address that the process is given.
     detours: Vec<(usize, usize, SocketAddr)>,
     ledger: Ledger,
 }
 
-/// The service.
+/// The discovery service.
 #[derive(Clone)]
 pub struct Discovery {
     inner: Rc<RefCell<Inner>>,
-    /// Up, and at which version.
+    /// Whether the service is up, and the version of its list.
     state: Rc<watch::Sender<(bool, usize)>>,
 }
 
@@ -58,13 +58,13 @@
 }
 
 impl Discovery {
-    /// One that knows of nobody.
+    /// A service with an empty list.
     pub fn new(ledger: Ledger) -> Self {
         let inner = Inner { changes: Vec::new(), silences: BTreeMap::new(), detours: Vec::new(), ledger };
         Discovery { inner: Rc::new(RefCell::new(inner)), state: Rc::new(watch::Sender::new((true, 0))) }
     }
 
-    /// Enters a change and tells all who watch.
+    /// Adds a change and sends it to all watches.
     pub fn enter(&self, entry: Entry) {
         let version = {
             let Inner { changes, ledger, .. } = &mut *self.inner.borrow_mut();
@@ -75,12 +75,12 @@
         self.state.send_modify(|state| state.1 = version);
     }
 
-    /// This process is to dial that app server elsewhere; to be said before it is told of it.
+    /// Gives this process another address for an app server. Call it before the app server is sent to the process.
     pub fn detour(&self, process: usize, server: usize, dial: SocketAddr) {
         self.inner.borrow_mut().detours.push((process, server, dial));
     }
 
-    /// The watches that this process has open say nothing any more; a new one does.
+    /// Silences the open watches of this process. New watches work.
     pub fn fall_silent(&self, process: usize) {
         let Inner { silences, ledger, .. } = &mut *self.inner.borrow_mut();
         *silences.entry(process).or_default() += 1;
@@ -91,12 +91,12 @@
         self.inner.borrow().silences.get(&process).copied().unwrap_or_default()
     }
 
-    /// Down: calls fail and watches end. Or up again.
+    /// Sets whether the service is up. While it is down, calls fail and watches end.
     pub fn set_up(&self, up: bool) {
         self.state.send_modify(|state| state.0 = up);
     }
 
-    /// The address at which this process calls.
+    /// Opens the address at which this process calls the service.
     ///
     /// # Errors
     ///
@@ -115,7 +115,7 @@
         Ok(address)
     }
 
-    /// What holds of each app server now, in the order in which they were first entered; those that are gone too.
+    /// The current entry of each app server, removed ones included, in the order in which they were first added.
     fn whole(&self) -> Vec<Entry> {
         let mut latest: Vec<Entry> = Vec::new();
         for entry in &self.inner.borrow().changes {
@@ -127,10 +127,10 @@
         latest
     }
 
-    /// The list as a process reads it.
+    /// The list as it is sent to a process.
     fn list(&self, process: usize, version: usize, whole: bool, entries: &[Entry]) -> Value {
         let inner = self.inner.borrow();
-        // In a whole list the gone ones are missing.
+        // A complete list omits removed app servers.
         let named = entries.iter().filter(|entry| !whole || entry.health != Health::Removed);
         let hosts: Vec<Value> = named
             .map(|entry| {
@@ -145,13 +145,13 @@
         json!({ "seq": version, "whole": whole, "hosts": hosts })
     }
 
-    /// The whole list as a process has it at its start.
+    /// The complete list that a process gets in its configuration.
     pub fn known_to(&self, process: usize) -> Value {
         let version = self.state.borrow().1;
         self.list(process, version, true, &self.whole())
     }
 
-    /// It is written down before it is sent: from then on the process may have it.
+    /// Records entries before they are sent, because the process may have them from then on.
     fn tell(&self, process: usize, entries: &[Entry]) {
         let ledger = self.inner.borrow().ledger.clone();
         for entry in entries {
@@ -169,7 +169,7 @@
             }
             let watches = message.path().contains("stream=1");
             let index = message.path().split("index=").nth(1).and_then(|text| text.parse().ok());
-            // What a process that watches has missed, or all if its version is none of ours.
+            // A watch continues from the process's version, and starts with a complete list if that version is unknown.
             let from = index.filter(|index| watches && *index > 0 && *index <= version);
             let whole = from.is_none();
             let entries = match from {
@@ -199,29 +199,29 @@
         process: usize,
         mut stream: TcpStream,
         mut states: watch::Receiver<(bool, usize)>,
-        mut told: usize,
+        mut sent_version: usize,
     ) {
         let silences = self.silences(process);
         loop {
             let changed = tokio::time::timeout(
                 std::time::Duration::from_secs(2),
-                states.wait_for(|s| !s.0 || s.1 > told),
+                states.wait_for(|s| !s.0 || s.1 > sent_version),
             )
             .await;
             if self.silences(process) > silences {
-                // Nothing more comes until the other side ends it.
+                // Sends nothing more, and waits until the process closes the connection.
                 let mut rest = [0; 64];
                 while let Ok(1..) = stream.read(&mut rest).await {}
                 return;
             }
             let text = match changed.map(|state| state.map(|state| *state)) {
                 Ok(Ok((true, version))) => {
-                    let entries = self.inner.borrow().changes[told..version].to_vec();
-                    told = version;
+                    let entries = self.inner.borrow().changes[sent_version..version].to_vec();
+                    sent_version = version;
                     self.tell(process, &entries);
                     chunk(&self.list(process, version, false, &entries).to_string())
                 }
-                // Down, or gone.
+                // The service is down or was dropped.
                 Ok(_) => return,
                 Err(_) => chunk(""),
             };
--- a/standins/src/error.rs
+++ b/standins/src/error.rs
@@ -1,4 +1,4 @@
-//! What a stand-in or a rig finds wrong itself. All else that fails here is input or output, so functions return
+//! The errors that the harness detects itself. All other failures are I/O errors, so functions return
 //! [`io::Result`], and these errors travel inside [`io::Error`], from which [`io::Error::get_ref`] gives them back.
 
 use std::io;
@@ -7,74 +7,74 @@
 
 use snafu::Snafu;
 
-/// Why a stand-in or a process of a rig failed, where the system reported no error.
+/// An error of the harness that is not an error of the operating system.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
     /// A process that was just started has no process id: it has been waited for already.
-    #[snafu(display("no id"))]
+    #[snafu(display("process has no id"))]
     NoProcessId,
 
     /// A process was started without a pipe for its output.
-    #[snafu(display("no output"))]
+    #[snafu(display("process has no output pipe"))]
     NoOutput,
 
     /// A process ended, or [`crate::PATIENCE`] passed, before it wrote the address that it listens on.
-    #[snafu(display("process {number} does not get ready"))]
+    #[snafu(display("process {number} did not become ready"))]
     NotReady {
-        /// Its number in the books.
+        /// The number of the process in the recorded facts.
         number: usize,
     },
 
-    /// A process that is to be signalled has ended. Its process id may be another's by now.
+    /// A process that is to be signalled has ended. Its process id may have been reused.
     #[snafu(display("process {number} has ended"))]
     ProcessEnded {
-        /// Its number in the books.
+        /// The number of the process in the recorded facts.
         number: usize,
     },
 
-    /// A process listens nowhere for operators' calls.
-    #[snafu(display("no door"))]
+    /// A process does not listen for operators' calls.
+    #[snafu(display("process has no operators' port"))]
     NoDoor,
 
     /// An answer has no status line.
-    #[snafu(display("no status in {answer:?}"))]
+    #[snafu(display("no status line in answer {answer:?}"))]
     NoStatus {
         /// The answer as read.
         answer: String,
     },
 
     /// A connection ended before an answer.
-    #[snafu(display("no answer"))]
+    #[snafu(display("connection closed before an answer"))]
     NoAnswer,
 
     /// Discovery lists no app server to which a request may be sent.
-    #[snafu(display("nobody is up"))]
+    #[snafu(display("no app server is up"))]
     NobodyUp,
 
     /// The head of a message ends before its empty line, or is longer than is read.
-    #[snafu(display("a head that is cut off or too long"))]
+    #[snafu(display("message head is truncated or too long"))]
     Head,
 
     /// A message has no first line.
-    #[snafu(display("no first line"))]
+    #[snafu(display("message has no first line"))]
     NoFirstLine,
 
-    /// A message's `Content-Length` is no number.
-    #[snafu(display("a length that is none"))]
+    /// A message's `Content-Length` is not a number.
+    #[snafu(display("invalid Content-Length"))]
     ContentLength {
-        /// Why it is none.
+        /// The cause.
         source: ParseIntError,
     },
 
     /// A message's body is longer than is read.
-    #[snafu(display("a body that is too long"))]
+    #[snafu(display("message body is too long"))]
     BodyTooLong,
 
-    /// A message's body is no UTF-8.
-    #[snafu(display("a body that is no text"))]
+    /// A message's body is not valid UTF-8.
+    #[snafu(display("message body is not valid UTF-8"))]
     BodyNotText {
-        /// Where it is none.
+        /// The cause, with the position of the invalid bytes.
         source: FromUtf8Error,
     },
 }
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -1,4 +1,4 @@
-//! All of it together: app servers, discovery, processes and their clients.
+//! A complete test fleet: app servers, discovery, processes and their clients.
 
 use std::cell::Cell;
 use std::io;
@@ -18,12 +18,12 @@
 use crate::relay::Link;
 use crate::server::{AppServer, Make};
 
-/// The grace after a drain was told.
+/// The drain grace.
 const GRACE: Duration = Duration::from_secs(2);
-/// How long a keyed request is known.
+/// The deduplication window of keyed requests.
 const WINDOW: Duration = Duration::from_secs(6);
 
-/// The classes that the rig's settings have, in turn.
+/// The classes in the fleet's settings; clients use them in rotation.
 pub const ASKS: [Ask; 3] = [
     Ask { class: "status", repeats: Repeats::Safe, waits: Duration::from_millis(2500), user: 0 },
     Ask {
@@ -35,46 +35,46 @@
     Ask { class: "dispatch", repeats: Repeats::Unsafe, waits: Duration::from_millis(1500), user: 0 },
 ];
 
-/// How large a fleet is.
+/// The parameters of a fleet.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The program.
+    /// The path of the program under test.
     pub program: PathBuf,
-    /// Its processes.
+    /// Number of processes.
     pub processes: usize,
-    /// App servers, spread over the zones in turn.
+    /// Number of app servers, assigned to the zones in rotation.
     pub servers: usize,
-    /// Zones.
+    /// Number of zones.
     pub zones: usize,
-    /// What each app server is.
+    /// The properties of each app server.
     pub make: Make,
-    /// Links that are to be broken: by place and app server.
+    /// The connections that go through a [`Link`], so that the test can inject faults: place and app server.
     pub links: Vec<(usize, usize)>,
 }
 
-/// A fleet of real processes with everything round it.
+/// A fleet of real processes with its fake app servers, discovery and clients.
 pub struct Fleet {
-    /// What was seen.
+    /// The record of all observations.
     pub ledger: Ledger,
-    /// App servers by their numbers; those that have vanished are none.
+    /// App servers by number; `None` for those that were shut down.
     pub servers: Vec<Option<AppServer>>,
-    /// The service that names them.
+    /// The discovery service that lists them.
     pub discovery: Discovery,
-    /// Processes in their places; none where one was killed and not started anew.
+    /// Processes by place; `None` where a process was killed and not restarted.
     pub processes: Vec<Option<Process>>,
-    /// Who sends clients to processes.
+    /// The front, which assigns clients to processes.
     pub front: Front,
-    /// Those who ask.
+    /// The clients.
     pub clients: Clients,
-    /// Links that lead round: by process and app server.
+    /// The links, by place and app server.
     pub links: Vec<((usize, usize), Link)>,
     plan: Plan,
-    /// The number of each place's process; one that is started anew gets a new one.
+    /// The number of the next process. A restarted process gets a new one.
     numbers: usize,
 }
 
 impl Fleet {
-    /// Starts app servers, then all processes at once, and waits until they are ready.
+    /// Starts the app servers, then all processes concurrently, and waits until they are ready.
     ///
     /// # Errors
     ///
@@ -93,7 +93,7 @@
         for (place, server) in fleet.plan.links.clone() {
             let Some(of) = &fleet.servers[server] else { continue };
             let link = Link::to(of.address).await?;
-            // The first processes have the numbers of their places.
+            // The first process at each place has the place's number.
             fleet.discovery.detour(place, server, link.address);
             fleet.links.push(((place, server), link));
         }
@@ -103,7 +103,7 @@
         Ok(fleet)
     }
 
-    /// One more app server, listed as up. `born_ms` as in the list.
+    /// Adds an app server, which discovery lists as up. For `born_ms` see [`Entry`].
     ///
     /// # Errors
     ///
@@ -118,20 +118,20 @@
         Ok(number)
     }
 
-    /// What discovery says of an app server from now on.
+    /// Sets the state that discovery reports for an app server.
     pub fn list(&self, server: usize, health: Health) {
         let Some(of) = &self.servers[server] else { return };
         let (name, dial, zone) = (of.name.clone(), of.address, of.zone());
         self.discovery.enter(Entry { server, name, dial, zone, health, born_ms: 0 });
     }
 
-    /// An app server's process dies; discovery is told of it elsewhere, or never.
+    /// Shuts an app server down without a change at discovery.
     pub fn vanish(&mut self, server: usize) {
         self.servers[server] = None;
     }
 
-    /// Starts processes at these places, all at once, and waits until they are ready. They have the list of now, and
-    /// nothing that one before them had.
+    /// Starts processes at these places concurrently, and waits until they are ready. They start with the current list and
+    /// without any state of their predecessors.
     ///
     /// # Errors
     ///
@@ -159,7 +159,7 @@
         Ok(())
     }
 
-    /// Kills the process at a place, which the front notices so much later. Gives it back, to wait for its end.
+    /// Kills the process at a place, which the front notices after `notice`. Returns the process, to wait for its end.
     ///
     /// # Errors
     ///
@@ -177,27 +177,28 @@
     ///
     /// # Panics
     ///
-    /// Where none is.
+    /// There is none.
     pub fn process(&self, place: usize) -> &Process {
         self.processes[place].as_ref().expect("a process at this place")
     }
 
-    /// The link from a place to an app server, as planned.
+    /// The link from a place to an app server.
     ///
     /// # Panics
     ///
-    /// Where none was planned.
+    /// The plan has no such link.
     pub fn link(&self, place: usize, server: usize) -> &Link {
         let link = self.links.iter().find(|(of, _)| *of == (place, server));
         link.map(|(_, link)| link).expect("a link that was planned")
     }
 
-    /// Whom a front would send to: all that were not killed, in turn.
+    /// The number and address of each process that was not killed, by place.
     pub fn alive(&self) -> Vec<(usize, SocketAddr)> {
         self.processes.iter().flatten().map(|process| (process.number, process.address)).collect()
     }
 
-    /// Asks by way of the front, zones and classes in turn, until the flag is taken back.
+    /// Sends a request through the front at this interval, with zones and classes in rotation, until the returned flag is
+    /// set to false.
     pub fn traffic(&self, each: Duration) -> Rc<Cell<bool>> {
         let (front, zones, more) = (self.front.clone(), self.plan.zones as u64, Rc::new(Cell::new(true)));
         let whom =
@@ -208,7 +209,7 @@
         more
     }
 
-    /// Waits until all who asked have heard, and judges.
+    /// Waits until every request has a result, and returns the violations of the rules.
     pub async fn verdict(&self) -> Vec<Breach> {
         self.ledger.until("the last answer", |books| books.heard() == books.asked()).await;
         let micros = |time: Duration| u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
--- a/standins/src/front.rs
+++ b/standins/src/front.rs
@@ -1,4 +1,5 @@
-//! The front: hands out the processes of a zone in turn, takes one in once it is ready, and notices late that one has died.
+//! The front, which assigns clients to the processes of their zone by round robin. It adds a process once it is ready, and
+//! removes a dead one after a delay.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -8,29 +9,30 @@
 
 use tokio::task::spawn_local;
 
-/// A process as the front knows it.
+/// A process that the front assigns clients to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Known {
-    /// Its place, which outlives it.
+    /// Its place, which a restarted process keeps.
     pub place: usize,
-    /// Its number in the books.
+    /// Its number in the recorded facts.
     pub number: usize,
-    /// Where it listens.
+    /// Its address.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: usize,
 }
 
-/// Shared by all who ask.
+/// The front, shared by all clients.
 #[derive(Clone, Default)]
 pub struct Front {
     known: Rc<RefCell<Vec<Known>>>,
-    /// Whose turn it is, by zone: with one for all, zones that ask in turn would never reach some of theirs.
+    /// The round-robin counter of each zone. With one counter for all zones, requests that alternate between zones would
+    /// never reach some of the processes.
     turns: Rc<RefCell<BTreeMap<usize, usize>>>,
 }
 
 impl Front {
-    /// One that is ready, in the place of whoever was there before.
+    /// Adds a process that is ready, and removes the earlier process at its place.
     pub fn take_in(&self, one: Known) {
         let mut known = self.known.borrow_mut();
         known.retain(|other| other.place != one.place);
@@ -38,7 +40,7 @@
         known.sort_by_key(|one| one.place);
     }
 
-    /// One has died, which is noticed so much later.
+    /// Removes a process that has died, after the delay `notice`.
     pub fn lose(&self, number: usize, notice: Duration) {
         let known = self.known.clone();
         spawn_local(async move {
@@ -47,7 +49,7 @@
         });
     }
 
-    /// Somebody of this zone, in turn; of any zone where none is left of it.
+    /// The next process of this zone by round robin, or of any zone if this one has none.
     pub fn pick(&self, zone: usize) -> Option<Known> {
         let mut turns = self.turns.borrow_mut();
         let turn = turns.entry(zone).or_default();
--- a/standins/src/front/tests.rs
+++ b/standins/src/front/tests.rs
@@ -1,15 +1,15 @@
 use super::*;
 
-/// Guards a front that sends to the wrong zone or to those who are gone: each zone's own in turn, any where none is
-/// left, and whoever starts anew takes the place of the one before.
+/// Guards against a front that uses the wrong zone or a dead process: it uses the processes of the zone by round robin, any
+/// process if the zone has none, and a restarted process in place of its predecessor.
 #[test]
-fn a_zone_gets_its_own_in_turn_and_any_where_none_is_left() {
+fn a_zone_uses_its_own_processes_by_round_robin_and_falls_back_to_any() {
     let front = Front::default();
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
     for place in 0..4 {
         front.take_in(Known { place, number: place, address, zone: place % 2 });
     }
-    // Also where the zones ask in turn.
+    // Also where requests alternate between the zones.
     let mut picks: Vec<usize> = (0..8).filter_map(|n| front.pick(n % 2)).map(|one| one.place).collect();
     picks.sort_unstable();
     assert_eq!(picks, [0, 0, 1, 1, 2, 2, 3, 3]);
--- a/standins/src/mesh/tests.rs
+++ b/standins/src/mesh/tests.rs
@@ -18,19 +18,19 @@
         Pair { mesh, sockets, public: [public[0], public[1]] }
     }
 
-    async fn says(&self, from: usize, text: &str) {
+    async fn send(&self, from: usize, text: &str) {
         self.sockets[from].send_to(text.as_bytes(), self.public[1 - from]).await.expect("it is sent");
     }
 
-    /// The next datagram at a member; it comes from the other's address for all.
-    async fn hears(&self, at: usize) -> String {
+    /// The next datagram at a member. Its source must be the other member's address in the mesh.
+    async fn receive(&self, at: usize) -> String {
         let mut buffer = [0; 100];
         let (count, source) = self.sockets[at].recv_from(&mut buffer).await.expect("a datagram");
         assert_eq!(source, self.public[1 - at]);
         String::from_utf8_lossy(&buffer[..count]).into_owned()
     }
 
-    /// Waits until the mesh has taken in so many, strangers' included.
+    /// Waits until the mesh has received this many datagrams, those of unknown senders included.
     async fn taken(&self, count: u64) -> Carried {
         loop {
             let carried = self.mesh.carried();
@@ -42,48 +42,48 @@
     }
 }
 
-/// Guards a partition that leaks, or stays: cut one way nothing passes that way alone, and healed all does. A
-/// stranger is nobody's word, and a member that is replaced keeps its address.
+/// Guards against a partition that leaks or persists: a path that is cut in one direction drops only that direction, and
+/// passes everything once it is healed. Datagrams of unknown senders are dropped, and a replaced member keeps its address.
 #[test]
-fn what_is_cut_is_cut_that_way_only_and_heals() {
+fn a_cut_affects_one_direction_only_and_heals() {
     on_one_thread(async {
         let mut pair = Pair::new().await;
         pair.mesh.set(0, 1, Path { cut: true, ..FREE });
-        pair.says(0, "lost").await;
-        pair.says(1, "back").await;
-        assert_eq!(pair.hears(0).await, "back");
+        pair.send(0, "lost").await;
+        pair.send(1, "back").await;
+        assert_eq!(pair.receive(0).await, "back");
         assert_eq!(pair.taken(2).await.cut, 1);
         pair.mesh.heal();
         pair.mesh.part(&[0], &[1]);
-        pair.says(1, "lost too").await;
+        pair.send(1, "lost too").await;
         assert_eq!(pair.taken(3).await.cut, 2);
         pair.mesh.heal();
-        pair.says(0, "there").await;
-        assert_eq!(pair.hears(1).await, "there");
+        pair.send(0, "there").await;
+        assert_eq!(pair.receive(1).await, "there");
         let stranger = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
         stranger.send_to(b"who", pair.public[0]).await.expect("it is sent");
         assert_eq!(pair.taken(5).await.strange, 1);
         pair.sockets[1] = stranger;
         pair.mesh.replace(1, pair.sockets[1].local_addr().expect("an address"));
-        pair.says(0, "anew").await;
-        assert_eq!(pair.hears(1).await, "anew");
+        pair.send(0, "anew").await;
+        assert_eq!(pair.receive(1).await, "anew");
     });
 }
 
-/// Guards faults that do nothing: of many datagrams some are lost and some doubled, about as many as was asked, and
-/// with jitter they change places.
+/// Guards against faults without effect: about the configured fractions of many datagrams are lost and duplicated, and
+/// jitter reorders them.
 #[test]
-fn datagrams_are_thinned_doubled_and_put_out_of_order() {
+fn datagrams_are_lost_duplicated_and_reordered() {
     on_one_thread(async {
         let pair = Pair::new().await;
         pair.mesh.set(0, 1, Path { loss: 0.3, doubled: 0.2, ..FREE });
         let mut came = 0;
         for n in 0..400u64 {
-            pair.says(0, &n.to_string()).await;
+            pair.send(0, &n.to_string()).await;
             pair.taken(n + 1).await;
-            // Read as they come: the kernel keeps only so many.
+            // Read as they arrive, because the kernel buffers only a limited number.
             while pair.mesh.carried().passed > came {
-                pair.hears(1).await;
+                pair.receive(1).await;
                 came += 1;
             }
         }
@@ -93,10 +93,10 @@
         pair.mesh.set(0, 1, Path { jitter: Duration::from_millis(20), ..FREE });
         let mut order = Vec::new();
         for n in 0..50 {
-            pair.says(0, &format!("{n:02}")).await;
+            pair.send(0, &format!("{n:02}")).await;
         }
         for _ in 0..50 {
-            order.push(pair.hears(1).await);
+            order.push(pair.receive(1).await);
         }
         assert!(!order.is_sorted(), "{order:?}");
     });
--- a/standins/src/relay.rs
+++ b/standins/src/relay.rs
@@ -33,7 +33,7 @@
     back: Way,
     /// The address that connections are relayed to, once it is set.
     target: Option<SocketAddr>,
-    /// Number of resets so server. Connections that were accepted before the latest reset are closed.
+    /// Number of resets so far. Connections that were accepted before the latest reset are closed.
     resets: u32,
 }
 
--- a/standins/src/server.rs
+++ b/standins/src/server.rs
@@ -1,4 +1,4 @@
-//! App servers: slots, a queue, a cold start, and whatever else may go wrong with them.
+//! Fake app servers with a concurrency limit, a queue, a slow warm-up and injected faults.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -16,37 +16,37 @@
 use crate::books::{Fact, Took};
 use crate::wire;
 
-/// How an app server takes requests from now on.
+/// How an app server handles requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mood {
-    /// It serves.
+    /// It serves them.
     Well,
-    /// It turns all away unseen.
+    /// It rejects all without processing them.
     Full,
-    /// It begins, and answers 500.
+    /// It starts to process them, and answers with status 500.
     Fails,
-    /// It begins, and ends the connection without an answer.
+    /// It starts to process them, and closes the connection without an answer.
     Resets,
-    /// It begins, and says nothing.
+    /// It starts to process them, and never answers.
     Hangs,
-    /// It begins, and answers with half of what it announced.
+    /// It starts to process them, and sends an answer that is shorter than its `Content-Length`.
     Spoils,
 }
 
-/// What an app server is made of.
+/// The properties of an app server.
 #[derive(Clone, Copy, Debug)]
 pub struct Make {
-    /// Which of its zone's groups knows of its keys; also its zone.
+    /// Its zone, whose app servers form the group that shares idempotency keys.
     pub zone: usize,
-    /// Requests in work at a time.
+    /// Number of requests that are processed concurrently.
     pub slots: usize,
-    /// Requests that may wait besides; more are turned away.
+    /// Number of further requests that may wait; the rest are rejected.
     pub queue: usize,
-    /// What one takes when it is warm.
+    /// The processing time of a request when the server is warm.
     pub work: Duration,
-    /// The part of its pace that it starts with.
+    /// The fraction of its full speed that it starts with.
     pub cold_from: f64,
-    /// How long it takes to be warm; none if it was started long ago.
+    /// How long the warm-up takes; `None` if it is warm from the start.
     pub warm_after: Option<Duration>,
 }
 
@@ -67,18 +67,18 @@
     connections: RefCell<JoinSet<()>>,
 }
 
-/// One that runs. It vanishes when it is dropped: its connections end and its port refuses.
+/// A running app server. When this is dropped, its connections end and its port refuses new ones.
 pub struct AppServer {
-    /// Where it listens.
+    /// Its address.
     pub address: SocketAddr,
-    /// As the list names it.
+    /// Its name in discovery's list.
     pub name: String,
     inner: Rc<Inner>,
     accepts: JoinHandle<()>,
 }
 
 impl AppServer {
-    /// Starts one.
+    /// Starts an app server.
     ///
     /// # Errors
     ///
@@ -100,7 +100,7 @@
         let accepts = spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let mut connections = of.connections.borrow_mut();
-                // Those that have ended leave nothing behind.
+                // Removes the results of tasks that have ended.
                 while connections.try_join_next().is_some() {}
                 connections.spawn_local(serve(of.clone(), stream));
             }
@@ -113,7 +113,7 @@
         self.inner.make.zone
     }
 
-    /// How it takes requests from now on.
+    /// Sets how it handles requests from now on.
     pub fn set(&self, mood: Mood) {
         self.inner.mood.set(mood);
     }
@@ -127,7 +127,7 @@
 }
 
 impl Inner {
-    /// What a request takes now.
+    /// The current processing time of a request.
     fn takes(&self) -> Duration {
         let warm = self.make.warm_after.map_or(1.0, |after| {
             let part = self.started.elapsed().as_secs_f64() / after.as_secs_f64().max(1e-6);
@@ -136,12 +136,12 @@
         self.make.work.div_f64(warm.max(1e-3))
     }
 
-    /// Takes one request. Nothing where the connection ends with it.
+    /// Handles one request. Returns `None` if the connection is to be closed without an answer.
     async fn take(&self, message: &wire::Message) -> Option<String> {
         let Some(request) = message.get("x-correlation-id") else {
             return Some(wire::answer("404 Not Found", "", ""));
         };
-        // The clients of this rig number their requests.
+        // The clients of this harness use numbers as request ids.
         let Ok(request) = request.parse() else { return Some(wire::answer("400 Bad Request", "", "")) };
         let mood = self.mood.get();
         let came = |took| Fact::Came { request, server: self.number, group: self.make.zone, took };
@@ -166,7 +166,7 @@
     }
 }
 
-/// Counts a request as held until it is dropped, also where its connection ends first.
+/// Counts a request as waiting or in progress until this is dropped, also if its connection ends first.
 struct Held<'a>(&'a Cell<usize>);
 
 impl Drop for Held<'_> {
--- a/standins/src/wire.rs
+++ b/standins/src/wire.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 as far as the protocol page uses it: a head, and a body of a length that is told.
+//! The subset of HTTP/1.1 that the protocol uses: a head, and a body with `Content-Length`.
 
 use std::io;
 
@@ -7,10 +7,10 @@
 
 use crate::error::{BodyNotTextSnafu, ContentLengthSnafu, Error};
 
-/// The longest head and the longest body that are read.
-const MOST: usize = 256 * 1024;
+/// The longest head and the longest body that are read, in bytes.
+const MAX_LEN: usize = 256 * 1024;
 
-/// A request or an answer.
+/// A request or response.
 pub struct Message {
     /// Its first line.
     pub first: String,
@@ -24,7 +24,7 @@
         self.headers.iter().find(|(of, _)| of == name).map(|(_, value)| value.as_str())
     }
 
-    /// The status of an answer; 0 if it is none.
+    /// The status of a response; 0 if the message is not a response.
     pub fn status(&self) -> u16 {
         self.first.split(' ').nth(1).and_then(|text| text.parse().ok()).unwrap_or(0)
     }
@@ -34,20 +34,20 @@
         self.first.split(' ').nth(1).unwrap_or_default()
     }
 
-    /// As it is written.
+    /// The message as text.
     pub fn text(&self) -> String {
         let headers: String =
             self.headers.iter().map(|(name, value)| format!("{name}: {value}\r\n")).collect();
         format!("{}\r\n{headers}\r\n{}", self.first, self.body)
     }
 
-    /// This side is to close the connection behind it.
+    /// Whether the message asks to close the connection after it.
     pub fn closes(&self) -> bool {
         self.get("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"))
     }
 }
 
-/// Reads a message; nothing where the connection ends before one.
+/// Reads a message. Returns `None` if the connection ends before its first byte.
 pub async fn read(from: &mut (impl AsyncBufRead + Unpin)) -> io::Result<Option<Message>> {
     let mut lines = Vec::new();
     let mut size = 0;
@@ -58,7 +58,7 @@
         if count == 0 && lines.is_empty() {
             return Ok(None);
         }
-        if !line.ends_with('\n') || size > MOST {
+        if !line.ends_with('\n') || size > MAX_LEN {
             return Err(Error::Head.into());
         }
         let line = line.trim_end();
@@ -80,7 +80,7 @@
         Some(text) => text.parse().context(ContentLengthSnafu)?,
         None => 0,
     };
-    if length > MOST {
+    if length > MAX_LEN {
         return Err(Error::BodyTooLong.into());
     }
     let mut body = vec![0; length];
@@ -89,7 +89,7 @@
     Ok(Some(message))
 }
 
-/// An answer with this body.
+/// Formats a response with this body.
 pub fn answer(status: &str, headers: &str, body: &str) -> String {
     format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
 }
--- a/standins/tests/caught.rs
+++ b/standins/tests/caught.rs
@@ -1,4 +1,4 @@
-//! The books catch a balancer that is wrong on purpose, each way of being wrong by its own rule.
+//! The rules detect each fault of a balancer that is broken on purpose.
 
 use gradepaddle_standins::books::{Allowed, Fact, Health, Rule, Turn};
 use gradepaddle_standins::broken::{Broken, Fault};
@@ -8,8 +8,8 @@
 use gradepaddle_standins::server::{AppServer, Make};
 use gradepaddle_standins::{Ledger, on_one_thread};
 
-/// The rules that are broken by a day with it: a few requests, a drain, a few more, its end.
-async fn broken_by(fault: Fault) -> Vec<Rule> {
+/// The rules that a balancer with this fault breaks in a short run: a request, a drain, two more, its shutdown, and one more.
+async fn rules_broken_by(fault: Fault) -> Vec<Rule> {
     let ledger = Ledger::default();
     let (discovery, clients) = (Discovery::new(ledger.clone()), Clients::new(ledger.clone()));
     let mut servers = Vec::new();
@@ -28,7 +28,8 @@
     let ask = async || assert!(clients.ask(0, balancer.address, unsafe_one).await, "it accepts");
     ask().await;
     list(0, &servers[0], Health::Draining);
-    // The first of these tells it; there is no grace below, so that nothing has to wait for one.
+    // The first of these requests makes the balancer read the drain. The drain grace below is 0, so that the test does not
+    // have to wait for it.
     ask().await;
     ask().await;
     ledger.write(Fact::Turned { process: 0, turn: Turn::Asked });
@@ -45,10 +46,10 @@
     rules
 }
 
-/// Guards books that nothing can break: each fault is found, by its own rule and no other, and a balancer without one
+/// Guards against rules that detect nothing: each fault breaks its own rule and no other, and a balancer without a fault
 /// breaks none.
 #[test]
-fn each_fault_breaks_its_own_rule() {
+fn each_fault_breaks_only_its_own_rule() {
     on_one_thread(async {
         for (fault, rules) in [
             (Fault::Nothing, vec![]),
@@ -59,7 +60,7 @@
             (Fault::DropsAtEnd, vec![Rule::Answered]),
             (Fault::RefusesWhatRan, vec![Rule::HonestRefusal]),
         ] {
-            assert_eq!(broken_by(fault).await, rules, "{fault:?}");
+            assert_eq!(rules_broken_by(fault).await, rules, "{fault:?}");
         }
     });
 }
